--- a/src/main/java/pipitstage/Logic.java
+++ b/src/main/java/pipitstage/Logic.java
@@ -80,6 +80,7 @@
     private final Settings settings;
     /** True in a fleet so large that a relay's own calls tell it little of a destination. */
     private final boolean many;
+
     private final SplittableRandom random;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Map<String, Kind> kinds = new HashMap<>();
@@ -89,12 +90,13 @@
     private final Set<Group> kept = new LinkedHashSet<>();
     private final Map<Long, Request> requests = new HashMap<>();
     private final Map<String, OrderLine> lines = new HashMap<>();
-    private final TreeSet<Request> ends = new TreeSet<>(
-            Comparator.<Request>comparingLong(r -> r.deadline).thenComparingLong(r -> r.id));
+    private final TreeSet<Request> ends =
+            new TreeSet<>(Comparator.<Request>comparingLong(r -> r.deadline).thenComparingLong(r -> r.id));
     /** Destinations with messages waiting: a round costs what these cost, however many are known. */
     private final Set<Destination> busy = new LinkedHashSet<>();
     /** Calls out, oldest first; each takes a slot. */
     private final Set<Call> out = new LinkedHashSet<>();
+
     private long now;
     private Actions actions;
     private int held;
@@ -240,9 +242,11 @@
      * restart has found untried stays: whoever is refused for it can go elsewhere.
      */
     private void makeRoom() {
-        busy.stream().flatMap(destination -> destination.waiting.stream())
+        busy.stream()
+                .flatMap(destination -> destination.waiting.stream())
                 .filter(request -> !request.isUntried() && refusable(request))
-                .min(Comparator.comparingDouble(request -> value(request, now))).ifPresent(this::end);
+                .min(Comparator.comparingDouble(request -> value(request, now)))
+                .ifPresent(this::end);
     }
 
     private boolean refusable(Request request) {
@@ -265,8 +269,11 @@
 
     /** When a route of the request's destination may be free again: what the client had better wait for. */
     private long comeBackIn(Request request) {
-        long due = request.destination.routes.values().stream().filter(route -> route.listed)
-                .mapToLong(this::dueAt).min().orElse(Long.MAX_VALUE);
+        long due = request.destination.routes.values().stream()
+                .filter(route -> route.listed)
+                .mapToLong(this::dueAt)
+                .min()
+                .orElse(Long.MAX_VALUE);
         return due == Long.MAX_VALUE ? SECOND : Math.max(SECOND / 2, due - now);
     }
 
@@ -422,10 +429,10 @@
         switch (result) {
             case OK -> served(call, elapsed, report);
             case ERROR, TIMEOUT, CONNECT_FAILED, CANCELLED -> failed(call, 1);
-            // Guards against taking connections that break for a route that fails: that one refuses new ones.
+                // Guards against taking connections that break for a route that fails: that one refuses new ones.
             case RESET -> failed(call, 0);
             case FULL -> refused(call, wait, report);
-            case NOT_SENT -> { }
+            case NOT_SENT -> {}
         }
         if (result == Result.OK || result == Result.FULL) {
             route.unproven = false;
@@ -437,8 +444,7 @@
         Route route = call.route;
         Group group = route.group;
         route.errorRate *= 1 - WEIGHT;
-        route.response = route.response == 0 ? elapsed
-                : route.response + WEIGHT * (elapsed - route.response);
+        route.response = route.response == 0 ? elapsed : route.response + WEIGHT * (elapsed - route.response);
         group.refusals = 0;
         if (group.reports || group.circuit.state != CircuitState.CLOSED) {
             group.reports = false;
@@ -520,8 +526,7 @@
         if (group.circuit != route.circuit) {
             group.circuit.run += weight;
             group.circuit.failedFrom = Math.max(group.circuit.failedFrom, weight * call.sentAt);
-            boolean noneLeft = group.routes.stream()
-                    .noneMatch(r -> r.listed && r.circuit.state == CircuitState.CLOSED);
+            boolean noneLeft = group.routes.stream().noneMatch(r -> r.listed && r.circuit.state == CircuitState.CLOSED);
             if (group.circuit.run >= FAILURES_TO_OPEN || noneLeft) {
                 open(group.circuit, group, false, 0);
             }
@@ -577,7 +582,10 @@
             return equal;
         }
         Destination destination = group.routes.get(0).destination;
-        long groups = destination.routes.values().stream().map(route -> route.group).distinct().count();
+        long groups = destination.routes.values().stream()
+                .map(route -> route.group)
+                .distinct()
+                .count();
         double asked = usual(destination.came) / groups;
         int batch = batch(group.routes.get(0));
         if (batch > 1 && tells(destination.came)) {
@@ -652,12 +660,17 @@
 
     /** Calls a second that the group takes from all relays, as reported or listed; 0 where unknown. */
     private double limit(Group group) {
-        double listed = group.routes.stream().filter(r -> r.listed).mapToDouble(r -> r.rate).max().orElse(0);
-        double hint = switch (settings.rateHint()) {
-            case NONE -> 0;
-            case NOMINAL -> listed;
-            case ROUGH -> listed / ROUGH_DIVISOR;
-        };
+        double listed = group.routes.stream()
+                .filter(r -> r.listed)
+                .mapToDouble(r -> r.rate)
+                .max()
+                .orElse(0);
+        double hint =
+                switch (settings.rateHint()) {
+                    case NONE -> 0;
+                    case NOMINAL -> listed;
+                    case ROUGH -> listed / ROUGH_DIVISOR;
+                };
         return group.reportedRate > 0 ? group.reportedRate : hint;
     }
 
@@ -748,9 +761,13 @@
     private boolean usable(Route route) {
         Group group = route.group;
         openIfMute(route);
-        return route.listed && now >= group.waitUntil && mayGo(group)
-                && route.circuit.state == CircuitState.CLOSED && group.circuit.state == CircuitState.CLOSED
-                && !(route.out.size() >= 2 && mute(route, 0.5)) && !crowded(group, route);
+        return route.listed
+                && now >= group.waitUntil
+                && mayGo(group)
+                && route.circuit.state == CircuitState.CLOSED
+                && group.circuit.state == CircuitState.CLOSED
+                && !(route.out.size() >= 2 && mute(route, 0.5))
+                && !crowded(group, route);
     }
 
     private double score(Route route, double best) {
@@ -764,8 +781,11 @@
     private double placeBonus(String zone) {
         double dearest = settings.zones().stream().mapToDouble(Zone::toll).max().orElse(0);
         if (dearest > 0) {
-            double toll = settings.zones().stream().filter(z -> z.name().equals(zone))
-                    .mapToDouble(Zone::toll).findFirst().orElse(dearest);
+            double toll = settings.zones().stream()
+                    .filter(z -> z.name().equals(zone))
+                    .mapToDouble(Zone::toll)
+                    .findFirst()
+                    .orElse(dearest);
             return PLACE_BONUS * (1 - toll / dearest);
         }
         return zone.equals(settings.zone()) ? PLACE_BONUS : 0;
@@ -829,7 +849,7 @@
         return open.get(i);
     }
 
-    private record Candidate(Request request, Route route, double loss) { }
+    private record Candidate(Request request, Route route, double loss) {}
 
     private void dispatch() {
         // Guards against a host that was told to be draining while this relay was down.
@@ -858,8 +878,10 @@
         if (wanted == 0 || !settings.limits().cancel()) {
             return;
         }
-        List<Call> overdue = out.stream().filter(call -> !call.dropped && overdueAt(call) <= now)
-                .limit(wanted).toList();
+        List<Call> overdue = out.stream()
+                .filter(call -> !call.dropped && overdueAt(call) <= now)
+                .limit(wanted)
+                .toList();
         for (Call call : overdue) {
             call.dropped = true;
             for (Request request : call.requests) {
@@ -886,7 +908,9 @@
         for (Request request : destination.waiting) {
             double loss = loss(request, usable.get(0));
             boolean earlier = best != null && loss == most && request.deadline < best.deadline;
-            if ((loss > most || earlier) && hasTurn(request) && inTime(request, usable.get(0))
+            if ((loss > most || earlier)
+                    && hasTurn(request)
+                    && inTime(request, usable.get(0))
                     && anyAllowed(request, usable)) {
                 best = request;
                 most = loss;
@@ -905,8 +929,7 @@
         long arrival = now + (long) response(route);
         Destination destination = request.destination;
         double lost = rate(destination.lost);
-        boolean overloaded = lost > OVERLOAD * rate(destination.came)
-                && lost * RATE_SPAN > LOST_TO_TELL * SECOND;
+        boolean overloaded = lost > OVERLOAD * rate(destination.came) && lost * RATE_SPAN > LOST_TO_TELL * SECOND;
         // Guards what a restart has found untried, whose worth has faded, against new ones that pass it by.
         double owed = request.isUntried() ? OWED : 0;
         return owed + value(request, arrival) - (overloaded ? 0 : value(request, arrival + HORIZON));
@@ -957,7 +980,7 @@
             case TURN, TEST -> turn(group, word == Word.TEST);
             case GUARD -> group.guardedUntil = now + GUARD;
             case WANT, REFUSED, FAILED, SERVED -> keep(group, from, word);
-            case NONE -> { }
+            case NONE -> {}
         }
     }
 
@@ -1037,9 +1060,14 @@
             boolean whole = route.group.circuit.state != CircuitState.CLOSED;
             Circuit circuit = whole ? route.group.circuit : route.circuit;
             // Guards against a group that is tested again and again by its one dead route.
-            boolean better = whole && route.group.routes.stream()
-                    .anyMatch(other -> other.listed && other.circuit.run < route.circuit.run);
-            if (route.listed && !better && !spared(route) && testable(circuit) && now >= route.group.waitUntil
+            boolean better = whole
+                    && route.group.routes.stream()
+                            .anyMatch(other -> other.listed && other.circuit.run < route.circuit.run);
+            if (route.listed
+                    && !better
+                    && !spared(route)
+                    && testable(circuit)
+                    && now >= route.group.waitUntil
                     && out.size() < settings.limits().callSlots()) {
                 sendTest(destination, route, circuit);
             }
@@ -1048,23 +1076,28 @@
 
     /** True where a route is the last to be tried and its destination has one that has not failed. */
     private static boolean spared(Route route) {
-        return route.last && route.destination.routes.values().stream().anyMatch(other -> other.listed
-                && !other.last && (other.circuit.state == CircuitState.CLOSED || other.errorRate == 0));
+        return route.last
+                && route.destination.routes.values().stream()
+                        .anyMatch(other -> other.listed
+                                && !other.last
+                                && (other.circuit.state == CircuitState.CLOSED || other.errorRate == 0));
     }
 
     private void sendTest(Destination destination, Route route, Circuit circuit) {
         // Guards against a test that only tells that its message's time was up.
         Request chosen = destination.waiting.stream()
                 .filter(r -> hasTurn(r) && allowed(r, route) && r.deadline - now >= testTimeout(route))
-                .min(Comparator.comparingInt(Logic::testCost)).orElse(null);
+                .min(Comparator.comparingInt(Logic::testCost))
+                .orElse(null);
         if (chosen == null) {
             return;
         }
         circuit.testing = true;
         // Guards against a test in vain that leaves a request with nowhere to go.
         // Guards too against a message for an address that may be another's by now: a check goes there first.
-        boolean free = !route.unproven && (chosen.type.repeat() == Repeat.REPEATABLE
-                || chosen.type.repeat() == Repeat.BY_KEY && chosen.type.keyScope() == KeyScope.ALL);
+        boolean free = !route.unproven
+                && (chosen.type.repeat() == Repeat.REPEATABLE
+                        || chosen.type.repeat() == Repeat.BY_KEY && chosen.type.keyScope() == KeyScope.ALL);
         if (!free && settings.limits().probes()) {
             count(route.group.sent);
             actions.probe(route.name);
@@ -1123,7 +1156,8 @@
         if (last) {
             return 0;
         }
-        return call.test ? testTimeout(call.route)
+        return call.test
+                ? testTimeout(call.route)
                 : Math.max(TIMEOUT_FLOOR, (long) (OVERDUE_RATIO * response(call.route)));
     }
 
@@ -1168,7 +1202,8 @@
         route.last = belief == Belief.LAST;
         // Guards against a fleet whose relays' parts add up to more than the limit that is known.
         group.usualRate = limit(group) > 0 ? 0 : Math.max(group.usualRate, known.usual());
-        double least = limit(group) > 0 ? limit(group) / settings.fleetSize()
+        double least = limit(group) > 0
+                ? limit(group) / settings.fleetSize()
                 : LEAST_PACE / Math.min(FIRST_SENDERS, settings.fleetSize());
         double part = Math.max(least, known.usual()) * (1 - START_JITTER * random.nextDouble());
         group.pace = Math.min(group.pace, part);
@@ -1190,14 +1225,20 @@
         circuit.state = CircuitState.OPEN;
         circuit.openedAt = now;
         circuit.forCheck = forCheck;
-        circuit.until = forCheck ? group.nextAt : now + (long) (random.nextDouble()
-                * Math.min(interval(releaseRate(group, now)), settings.fleetSize() * TEST_SPACING));
+        circuit.until = forCheck
+                ? group.nextAt
+                : now
+                        + (long) (random.nextDouble()
+                                * Math.min(interval(releaseRate(group, now)), settings.fleetSize() * TEST_SPACING));
     }
 
     @Override
     public List<Standing> standings(long now) {
         this.now = now;
-        return routes.values().stream().filter(route -> route.listed).map(this::standing).toList();
+        return routes.values().stream()
+                .filter(route -> route.listed)
+                .map(this::standing)
+                .toList();
     }
 
     private static boolean isOut(Circuit circuit) {
@@ -1208,8 +1249,14 @@
         Group group = route.group;
         boolean out = isOut(route.circuit) || isOut(group.circuit);
         long warmLeft = Math.max(0, group.releasedAt + settings.rules().warmUp() - now);
-        return new Standing(route.name, Math.max(0, group.waitUntil - now), group.reportedRate,
-                out || warmLeft > 0 ? group.usualRate : rate(group.sent), route.response, out, warmLeft);
+        return new Standing(
+                route.name,
+                Math.max(0, group.waitUntil - now),
+                group.reportedRate,
+                out || warmLeft > 0 ? group.usualRate : rate(group.sent),
+                route.response,
+                out,
+                warmLeft);
     }
 
     /**
@@ -1262,7 +1309,9 @@
     private void arm() {
         long wake = ends.isEmpty() ? Long.MAX_VALUE : ends.first().deadline;
         wake = awaitUntil > now ? Math.min(wake, awaitUntil) : wake;
-        wake = Math.min(wake, kept.stream().mapToLong(group -> group.keeper.nextAt).min().orElse(wake));
+        wake = Math.min(
+                wake,
+                kept.stream().mapToLong(group -> group.keeper.nextAt).min().orElse(wake));
         for (Destination destination : busy) {
             for (Route route : destination.routes.values()) {
                 wake = Math.min(wake, route.listed ? dueAt(route) : Long.MAX_VALUE);
--- a/src/main/java/pipitstage/Policy.java
+++ b/src/main/java/pipitstage/Policy.java
@@ -25,14 +25,29 @@
     }
 
     /** How often a request may take effect. */
-    enum Repeat { REPEATABLE, BY_KEY, ONCE }
+    enum Repeat {
+        REPEATABLE,
+        BY_KEY,
+        ONCE
+    }
 
     /** Which routes of a destination drop a repeated key: all of them, or those in one zone or cell. */
-    enum KeyScope { ALL, ZONE, CELL }
+    enum KeyScope {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How an attempt ended. */
     enum Result {
-        OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT;
+        OK,
+        ERROR,
+        FULL,
+        TIMEOUT,
+        CONNECT_FAILED,
+        RESET,
+        CANCELLED,
+        NOT_SENT;
 
         /** True where the attempt surely had no effect. */
         public boolean neverRan() {
@@ -41,17 +56,38 @@
     }
 
     /** What the rate listed with a route is worth: nothing, exact, or up to half too high or too low. */
-    enum RateHint { NONE, NOMINAL, ROUGH }
+    enum RateHint {
+        NONE,
+        NOMINAL,
+        ROUGH
+    }
 
     /** State of a route in a list. */
-    enum Availability { LISTED, DRAINING, REMOVED }
+    enum Availability {
+        LISTED,
+        DRAINING,
+        REMOVED
+    }
 
     /** What a route list holds: the whole list now, the last one known, changes, or news of a failed call. */
-    enum ListKind { FULL, CACHED, CHANGES, FAILED }
+    enum ListKind {
+        FULL,
+        CACHED,
+        CHANGES,
+        FAILED
+    }
 
     /** A class of request. {@code lateWorth} is the share of {@code worth} left at the deadline. */
-    record RequestClass(String name, Repeat repeat, KeyScope keyScope, long keyWindow, long goal,
-            long deadline, double worth, double lateWorth, boolean inOrder) {
+    record RequestClass(
+            String name,
+            Repeat repeat,
+            KeyScope keyScope,
+            long keyWindow,
+            long goal,
+            long deadline,
+            double worth,
+            double lateWorth,
+            boolean inOrder) {
         public RequestClass {
             check(goal >= 0 && deadline > goal, "goal and deadline of class " + name);
             check(keyWindow >= 0, "keyWindow of class " + name);
@@ -59,17 +95,25 @@
     }
 
     /** A tenant and the requests a second, over all relays, that count as its share. */
-    record Tenant(String name, double quota) { }
+    record Tenant(String name, double quota) {}
 
     /** A kind of destination. {@code batch} is the most requests that travel in one call. */
-    record Kind(String name, boolean routesApart, int batch) { }
+    record Kind(String name, boolean routesApart, int batch) {}
 
     /** A zone and the price of an attempt that a route apart takes on there. */
-    record Zone(String name, double toll) { }
+    record Zone(String name, double toll) {}
 
     /** What this relay is allowed. */
-    record Limits(int callSlots, int maxOpen, int maxAttempts, boolean cancel, boolean probes, boolean peers,
-            boolean secondCopies, boolean retryAdvice, long connectTimeout) {
+    record Limits(
+            int callSlots,
+            int maxOpen,
+            int maxAttempts,
+            boolean cancel,
+            boolean probes,
+            boolean peers,
+            boolean secondCopies,
+            boolean retryAdvice,
+            long connectTimeout) {
         public Limits {
             check(callSlots > 0, "callSlots: must be above 0");
             check(maxOpen > 0, "maxOpen: must be above 0");
@@ -78,8 +122,15 @@
     }
 
     /** Figures of the rules; {@code orderPause} is 0 where no order is asked for. */
-    record Rules(long answerSlack, long drainGrace, double fallMultiple, long fallSpan, double coldFrom,
-            long warmUp, long mustAskIn, long orderPause) {
+    record Rules(
+            long answerSlack,
+            long drainGrace,
+            double fallMultiple,
+            long fallSpan,
+            double coldFrom,
+            long warmUp,
+            long mustAskIn,
+            long orderPause) {
         public Rules {
             check(drainGrace >= 0 && fallSpan >= 0 && warmUp >= 0, "spans of the rules: must not be negative");
             check(orderPause >= 0, "orderPause: must not be negative");
@@ -87,9 +138,21 @@
     }
 
     /** Everything a module is told at its start. */
-    record Settings(long seed, int relay, int fleetSize, String zone, List<RequestClass> classes,
-            List<Tenant> tenants, List<Kind> kinds, List<Zone> zones, Limits limits, Rules rules,
-            double overShareWorth, boolean fadesByHalf, boolean mustSubscribe, RateHint rateHint,
+    record Settings(
+            long seed,
+            int relay,
+            int fleetSize,
+            String zone,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            List<Kind> kinds,
+            List<Zone> zones,
+            Limits limits,
+            Rules rules,
+            double overShareWorth,
+            boolean fadesByHalf,
+            boolean mustSubscribe,
+            RateHint rateHint,
             double crossZonePrice) {
         public Settings {
             check(!classes.isEmpty(), "classes: at least one is needed");
@@ -99,8 +162,7 @@
     }
 
     /** A route as listed. {@code rate} means what the settings' {@link RateHint} says. */
-    record Listed(String route, int destination, String kind, String zone, Availability availability,
-            double rate) { }
+    record Listed(String route, int destination, String kind, String zone, Availability availability, double rate) {}
 
     /** What a destination told of its limit: the share left and the calls a second, NaN where untold. */
     record LimitReport(double left, double rate) {
@@ -109,17 +171,21 @@
     }
 
     /** Something that happened. */
-    sealed interface Event { }
+    sealed interface Event {}
 
     /** A request was accepted and is owed one final answer. {@code tenant} and {@code key} may be null. */
     record Accepted(long id, String requestClass, String tenant, String key, long deadline, int destination)
-            implements Event { }
+            implements Event {}
 
     /** An attempt made before a restart; {@code result} is null where nothing is known of it. */
-    record PastAttempt(String route, long sentAt, Result result) { }
+    record PastAttempt(String route, long sentAt, Result result) {}
 
     /** How far a route of an old list is believed: as one just listed, after a test, after a test if nothing is left. */
-    enum Belief { AS_LISTED, TRY_FIRST, LAST }
+    enum Belief {
+        AS_LISTED,
+        TRY_FIRST,
+        LAST
+    }
 
     /**
      * What a module knows of a route. Spans are in microseconds from now, rates in calls a second; 0 where unknown.
@@ -130,52 +196,59 @@
      * @param out its circuit is not closed
      * @param warmLeft how long it stays cold after its return
      */
-    record Standing(String route, long waitLeft, double limit, double usual, double response, boolean out,
-            long warmLeft) { }
+    record Standing(
+            String route, long waitLeft, double limit, double usual, double response, boolean out, long warmLeft) {}
 
     /** A listed route is known from before a restart; comes with the list, before anything goes to the route. */
-    record Remembered(Belief belief, Standing standing) implements Event { }
+    record Remembered(Belief belief, Standing standing) implements Event {}
 
     /** A request that was accepted before a restart is owed its answer still. */
-    record Resumed(Accepted request, List<PastAttempt> attempts) implements Event { }
+    record Resumed(Accepted request, List<PastAttempt> attempts) implements Event {}
 
     /** The answer of an attempt has begun to arrive; its time-out no longer applies. */
-    record AnswerStarted(long id, int attempt, String route) implements Event { }
+    record AnswerStarted(long id, int attempt, String route) implements Event {}
 
     /** An attempt ended. {@code toldWait} is 0 where none was told; {@code closed} means nothing is owed. */
-    record Outcome(long id, int attempt, String route, Result result, boolean closed, long toldWait, long elapsed,
-            LimitReport report) implements Event { }
+    record Outcome(
+            long id,
+            int attempt,
+            String route,
+            Result result,
+            boolean closed,
+            long toldWait,
+            long elapsed,
+            LimitReport report)
+            implements Event {}
 
     /** The client gave the request up. */
-    record Withdrawn(long id) implements Event { }
+    record Withdrawn(long id) implements Event {}
 
     /** A timer set by {@link Actions#remind} fell due. */
-    record TimerFired(long name) implements Event { }
+    record TimerFired(long name) implements Event {}
 
     /**
      * The list that is known is from before a restart, and who knows better has been asked: until news of the list come, or a
      * span is over, nothing is to go by it.
      */
-    record AwaitList(long span) implements Event { }
+    record AwaitList(long span) implements Event {}
 
     /** News of the route list. */
-    record RouteList(ListKind kind, long version, List<Listed> entries) implements Event { }
+    record RouteList(ListKind kind, long version, List<Listed> entries) implements Event {}
 
     /** A restart has found a request whose end is decided, and has still to be heard. */
-    record Ending(Accepted request) implements Event { }
+    record Ending(Accepted request) implements Event {}
 
     /** The end of a request in order, of which {@link Actions#isHeard} was false, has been heard. */
-    record EndHeard(long id) implements Event { }
+    record EndHeard(long id) implements Event {}
 
     /** A route has told this relay to wait; the call that was told so may be over, or go on. */
-    record WaitTold(String route, long span) implements Event { }
+    record WaitTold(String route, long span) implements Event {}
 
     /** A probe ended; {@code toldWait} is 0 where none was told. */
-    record ProbeDone(String route, Result result, long toldWait, long elapsed, LimitReport report)
-            implements Event { }
+    record ProbeDone(String route, Result result, long toldWait, long elapsed, LimitReport report) implements Event {}
 
     /** A note came from another relay. */
-    record PeerNote(int from, byte[] bytes) implements Event { }
+    record PeerNote(int from, byte[] bytes) implements Event {}
 
     /** What a module may do; each call takes effect at the time of the round. */
     interface Actions {
--- a/src/main/java/pipitstage/SimHost.java
+++ b/src/main/java/pipitstage/SimHost.java
@@ -35,8 +35,10 @@
 
     /** Runs the decision module on standard input and output until the input ends. */
     public static void runOnStandardStreams() throws IOException {
-        new SimHost(Logic::new).run(new InputStreamReader(System.in, StandardCharsets.UTF_8),
-                new OutputStreamWriter(System.out, StandardCharsets.UTF_8));
+        new SimHost(Logic::new)
+                .run(
+                        new InputStreamReader(System.in, StandardCharsets.UTF_8),
+                        new OutputStreamWriter(System.out, StandardCharsets.UTF_8));
     }
 
     /** Answers each line of {@code in} by one line on {@code out}. */
--- a/src/main/java/pipitstage/State.java
+++ b/src/main/java/pipitstage/State.java
@@ -14,9 +14,13 @@
 
 /** What {@link Logic} remembers; it holds no decision. */
 final class State {
-    private State() { }
+    private State() {}
 
-    enum CircuitState { CLOSED, OPEN, HALF_OPEN }
+    enum CircuitState {
+        CLOSED,
+        OPEN,
+        HALF_OPEN
+    }
 
     /** The circuit of a route or of a whole limit group. */
     static final class Circuit {
@@ -29,6 +33,7 @@
         long failedFrom;
         /** Open only until a check has shown that an address of an old list is still the route's. */
         boolean forCheck;
+
         boolean testing;
     }
 
@@ -52,12 +57,14 @@
         boolean unproven;
         /** As above, and only to be tried where its destination has nothing else. */
         boolean last;
+
         double rate;
         double placeBonus;
         double errorRate;
         double response;
         /** When the latest call that was answered had been sent. */
         long provenFrom;
+
         long answeredAt;
         final ArrayDeque<Call> out = new ArrayDeque<>();
 
@@ -81,6 +88,7 @@
         double pace = Double.POSITIVE_INFINITY;
         /** True from the first cut to the next one, where no limit is known: the pace is far below or above what is borne. */
         boolean seeking;
+
         long nextAt;
         long waitUntil;
         long cutAt = Long.MIN_VALUE / 2;
@@ -105,7 +113,14 @@
 
     /** What notes between relays say of a group. */
     enum Word {
-        NONE, WANT, REFUSED, FAILED, SERVED, TURN, TEST, GUARD;
+        NONE,
+        WANT,
+        REFUSED,
+        FAILED,
+        SERVED,
+        TURN,
+        TEST,
+        GUARD;
 
         static Word of(int ordinal) {
             return ordinal > 0 && ordinal < values().length ? values()[ordinal] : NONE;
--- a/src/main/java/pipitstage/WireCodec.java
+++ b/src/main/java/pipitstage/WireCodec.java
@@ -21,8 +21,13 @@
         List<Policy.Listed> entries = new ArrayList<>();
         for (Object line : message.list(2)) {
             Fields entry = Fields.ofArray("directory entry", line);
-            entries.add(new Policy.Listed(entry.text(4), (int) entry.whole(5), entry.text(0), entry.text(2),
-                    availability(entry.text(1)), entry.number(6, 0)));
+            entries.add(new Policy.Listed(
+                    entry.text(4),
+                    (int) entry.whole(5),
+                    entry.text(0),
+                    entry.text(2),
+                    availability(entry.text(1)),
+                    entry.number(6, 0)));
         }
         directories.put(message.whole(1), List.copyOf(entries));
     }
@@ -30,15 +35,20 @@
     /** Reads one event of an instance; {@code name} is the first value of the message. */
     Policy.Event event(String name, Fields message) {
         return switch (name) {
-            case "job-in" -> new Policy.Accepted(message.whole(1), message.text(2), message.textOrNull(3),
-                    message.textOrNull(4), message.micros(5), (int) message.whole(7));
+            case "job-in" -> new Policy.Accepted(
+                    message.whole(1),
+                    message.text(2),
+                    message.textOrNull(3),
+                    message.textOrNull(4),
+                    message.micros(5),
+                    (int) message.whole(7));
             case "flowing" -> new Policy.AnswerStarted(message.whole(1), (int) message.whole(4), message.text(3));
             case "outcome" -> outcome(message);
             case "dropped" -> new Policy.Withdrawn(message.whole(1));
             case "reminder" -> new Policy.TimerFired(message.whole(1));
             case "discovery" -> routeList(message);
-            case "probe-done" -> new Policy.ProbeDone(message.text(1), result(message.text(2)), 0,
-                    message.micros(3, 0), report(message, 4));
+            case "probe-done" -> new Policy.ProbeDone(
+                    message.text(1), result(message.text(2)), 0, message.micros(3, 0), report(message, 4));
             case "memo" -> new Policy.PeerNote((int) message.whole(1), bytes(message.text(2)));
             default -> throw new WireException("unknown event " + name);
         };
@@ -47,18 +57,26 @@
     private static Policy.Outcome outcome(Fields message) {
         Policy.Result result = result(message.text(4));
         long wait = result == Policy.Result.FULL ? message.whole(2, 0) * 1000 : 0;
-        return new Policy.Outcome(message.whole(1), (int) message.whole(5), message.text(6), result,
-                message.flag(3), wait, message.micros(7, 0), report(message, 8));
+        return new Policy.Outcome(
+                message.whole(1),
+                (int) message.whole(5),
+                message.text(6),
+                result,
+                message.flag(3),
+                wait,
+                message.micros(7, 0),
+                report(message, 8));
     }
 
     private Policy.RouteList routeList(Fields message) {
-        Policy.ListKind kind = switch (message.text(1)) {
-            case "full" -> Policy.ListKind.FULL;
-            case "cached" -> Policy.ListKind.CACHED;
-            case "delta" -> Policy.ListKind.CHANGES;
-            case "failed" -> Policy.ListKind.FAILED;
-            default -> throw new WireException("discovery: unknown kind " + message.text(1));
-        };
+        Policy.ListKind kind =
+                switch (message.text(1)) {
+                    case "full" -> Policy.ListKind.FULL;
+                    case "cached" -> Policy.ListKind.CACHED;
+                    case "delta" -> Policy.ListKind.CHANGES;
+                    case "failed" -> Policy.ListKind.FAILED;
+                    default -> throw new WireException("discovery: unknown kind " + message.text(1));
+                };
         if (kind == Policy.ListKind.FAILED) {
             return new Policy.RouteList(kind, message.whole(2, 0), List.of());
         }
@@ -111,30 +129,49 @@
     /** Reads the settings of a {@code launch}, which a relay on sockets finds in its configuration. */
     public static Policy.Settings settings(long seed, Fields params) {
         Fields info = params.object("family-info");
-        return new Policy.Settings(seed, (int) params.whole("me"), (int) params.whole("fleet-size"),
-                params.text("zone"), classes(params), tenants(params), kinds(params, info), zones(params, info),
-                limits(params.object("limits"), info), rules(params.object("contract")),
-                params.number("over-share-worth", 1), "by_half".equals(info.textOrNull("fades")),
-                "subscribe".equals(params.textOrNull("registry-mode")), rateHint(params),
+        return new Policy.Settings(
+                seed,
+                (int) params.whole("me"),
+                (int) params.whole("fleet-size"),
+                params.text("zone"),
+                classes(params),
+                tenants(params),
+                kinds(params, info),
+                zones(params, info),
+                limits(params.object("limits"), info),
+                rules(params.object("contract")),
+                params.number("over-share-worth", 1),
+                "by_half".equals(info.textOrNull("fades")),
+                "subscribe".equals(params.textOrNull("registry-mode")),
+                rateHint(params),
                 params.object("fees").number("cross-zone", 0));
     }
 
     private static Policy.RateHint rateHint(Fields params) {
         String source = params.textOrNull("weight-source");
-        return source == null ? Policy.RateHint.NONE : switch (source) {
-            case "nominal" -> Policy.RateHint.NOMINAL;
-            case "rough" -> Policy.RateHint.ROUGH;
-            default -> Policy.RateHint.NONE;
-        };
+        return source == null
+                ? Policy.RateHint.NONE
+                : switch (source) {
+                    case "nominal" -> Policy.RateHint.NOMINAL;
+                    case "rough" -> Policy.RateHint.ROUGH;
+                    default -> Policy.RateHint.NONE;
+                };
     }
 
     private static List<Policy.RequestClass> classes(Fields params) {
         List<Policy.RequestClass> classes = new ArrayList<>();
         for (Object json : params.list("classes")) {
             Fields entry = Fields.ofObject("classes", json);
-            classes.add(new Policy.RequestClass(entry.text("name"), repeat(entry.text("repeat")), scope(entry),
-                    entry.micros("dedup-window-s", 0), entry.micros("goal-time-s"), entry.micros("deadline-s"),
-                    entry.number("worth", 1), entry.number("late-worth", 0), entry.flag("fifo-by-key")));
+            classes.add(new Policy.RequestClass(
+                    entry.text("name"),
+                    repeat(entry.text("repeat")),
+                    scope(entry),
+                    entry.micros("dedup-window-s", 0),
+                    entry.micros("goal-time-s"),
+                    entry.micros("deadline-s"),
+                    entry.number("worth", 1),
+                    entry.number("late-worth", 0),
+                    entry.flag("fifo-by-key")));
         }
         return classes;
     }
@@ -150,12 +187,14 @@
 
     private static Policy.KeyScope scope(Fields entry) {
         String word = entry.textOrNull("key-scope");
-        return word == null ? Policy.KeyScope.ALL : switch (word) {
-            case "all" -> Policy.KeyScope.ALL;
-            case "zone" -> Policy.KeyScope.ZONE;
-            case "cell" -> Policy.KeyScope.CELL;
-            default -> throw new WireException("classes: unknown key-scope " + word);
-        };
+        return word == null
+                ? Policy.KeyScope.ALL
+                : switch (word) {
+                    case "all" -> Policy.KeyScope.ALL;
+                    case "zone" -> Policy.KeyScope.ZONE;
+                    case "cell" -> Policy.KeyScope.CELL;
+                    default -> throw new WireException("classes: unknown key-scope " + word);
+                };
     }
 
     private static List<Policy.Tenant> tenants(Fields params) {
@@ -192,17 +231,28 @@
     }
 
     private static Policy.Limits limits(Fields limits, Fields info) {
-        return new Policy.Limits((int) info.whole("call-slots"), (int) limits.whole("max-open"),
-                (int) limits.whole("send-cap"), limits.flag("may-cancel"), limits.flag("probes"),
-                limits.flag("peers"), limits.flag("second-copies"), limits.flag("retry-after"),
+        return new Policy.Limits(
+                (int) info.whole("call-slots"),
+                (int) limits.whole("max-open"),
+                (int) limits.whole("send-cap"),
+                limits.flag("may-cancel"),
+                limits.flag("probes"),
+                limits.flag("peers"),
+                limits.flag("second-copies"),
+                limits.flag("retry-after"),
                 limits.micros("connect-timeout-s", 0));
     }
 
     private static Policy.Rules rules(Fields contract) {
-        return new Policy.Rules(contract.micros("answer-slack-s", 0), contract.micros("drain-grace-s", 0),
-                contract.number("fall-multiple", 1), contract.micros("fall-s", 0),
-                contract.number("cold-from", 0), contract.micros("warm-up-s", 0),
-                contract.micros("must-ask-in-s", 0), contract.micros("order-pause-s", 0));
+        return new Policy.Rules(
+                contract.micros("answer-slack-s", 0),
+                contract.micros("drain-grace-s", 0),
+                contract.number("fall-multiple", 1),
+                contract.micros("fall-s", 0),
+                contract.number("cold-from", 0),
+                contract.micros("warm-up-s", 0),
+                contract.micros("must-ask-in-s", 0),
+                contract.micros("order-pause-s", 0));
     }
 
     /** Writes actions as the commands of one instance. */
--- a/src/main/java/pipitstage/admin/AdminClient.java
+++ b/src/main/java/pipitstage/admin/AdminClient.java
@@ -13,7 +13,7 @@
 
 /** Asks a running relay over its admin socket. */
 public final class AdminClient {
-    private AdminClient() { }
+    private AdminClient() {}
 
     /**
      * Sends a request and hands on each line of the answer.
@@ -30,8 +30,8 @@
         }
         try (channel) {
             Channels.newOutputStream(channel).write((Lines.object(request) + "\n").getBytes(StandardCharsets.UTF_8));
-            BufferedReader in = new BufferedReader(new InputStreamReader(Channels.newInputStream(channel),
-                    StandardCharsets.UTF_8));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 lines.accept(line);
             }
--- a/src/main/java/pipitstage/admin/AdminServer.java
+++ b/src/main/java/pipitstage/admin/AdminServer.java
@@ -27,6 +27,7 @@
 public final class AdminServer implements AutoCloseable {
     /** The socket's name in the folder that lasts. */
     public static final String NAME = "admin.sock";
+
     private static final int LONGEST = 64 << 10;
 
     /** Carries out requests. */
@@ -74,8 +75,8 @@
     }
 
     private void answer(SocketChannel peer) throws IOException, InterruptedException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(Channels.newInputStream(peer),
-                StandardCharsets.UTF_8), LONGEST);
+        BufferedReader in = new BufferedReader(
+                new InputStreamReader(Channels.newInputStream(peer), StandardCharsets.UTF_8), LONGEST);
         Writer out = new OutputStreamWriter(Channels.newOutputStream(peer), StandardCharsets.UTF_8);
         Consumer<String> lines = line -> {
             try {
--- a/src/main/java/pipitstage/admin/Filters.java
+++ b/src/main/java/pipitstage/admin/Filters.java
@@ -22,11 +22,19 @@
      * @throws IllegalArgumentException where a member makes no sense, naming it
      */
     public static Filters of(Map<String, String> request) {
-        Shelf.Filter filter = new Shelf.Filter(word(request, "state", Entry.State.class),
-                request.containsKey("destination") ? (int) number(request, "destination") : null, request.get("class"),
-                request.get("tenant"), word(request, "ran", Ran.class), time(request, "since"), time(request, "until"));
+        Shelf.Filter filter = new Shelf.Filter(
+                word(request, "state", Entry.State.class),
+                request.containsKey("destination") ? (int) number(request, "destination") : null,
+                request.get("class"),
+                request.get("tenant"),
+                word(request, "ran", Ran.class),
+                time(request, "since"),
+                time(request, "until"));
         long id = request.containsKey("id") ? id(request) : 0;
-        return new Filters(filter, id, request.containsKey("most") ? number(request, "most") : Long.MAX_VALUE,
+        return new Filters(
+                filter,
+                id,
+                request.containsKey("most") ? number(request, "most") : Long.MAX_VALUE,
                 request.containsKey("body"));
     }
 
@@ -50,8 +58,11 @@
         try {
             return Enum.valueOf(words, text.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(name + ": \"" + text + "\" is none of "
-                    + java.util.Arrays.toString(words.getEnumConstants()).toLowerCase(Locale.ROOT), e);
+            throw new IllegalArgumentException(
+                    name + ": \"" + text + "\" is none of "
+                            + java.util.Arrays.toString(words.getEnumConstants())
+                                    .toLowerCase(Locale.ROOT),
+                    e);
         }
     }
 
@@ -64,8 +75,8 @@
         try {
             return Instant.parse(text).toEpochMilli() * 1000;
         } catch (DateTimeParseException e) {
-            throw new IllegalArgumentException(name + ": a time like 2026-12-01T08:00:00Z is needed, not \"" + text
-                    + "\"", e);
+            throw new IllegalArgumentException(
+                    name + ": a time like 2026-12-01T08:00:00Z is needed, not \"" + text + "\"", e);
         }
     }
 }
--- a/src/main/java/pipitstage/admin/Lines.java
+++ b/src/main/java/pipitstage/admin/Lines.java
@@ -14,7 +14,7 @@
 public final class Lines {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Lines() { }
+    private Lines() {}
 
     private interface Body {
         void write(JsonGenerator json) throws IOException;
@@ -65,7 +65,8 @@
                 json.writeStringField("verdict", verdict);
             }
             if (entry.word() != null) {
-                json.writeStringField("word", entry.word().by() + ": " + entry.word().reason());
+                json.writeStringField(
+                        "word", entry.word().by() + ": " + entry.word().reason());
             }
             json.writeArrayFieldStart("tries");
             for (Entry.Try t : entry.tries()) {
@@ -73,7 +74,8 @@
                 json.writeStringField("route", t.route());
                 json.writeStringField("building", t.building());
                 json.writeStringField("sent", time(t.sentAt()));
-                json.writeStringField("result", t.result() == null ? null : t.result().name());
+                json.writeStringField(
+                        "result", t.result() == null ? null : t.result().name());
                 json.writeStringField("ran", t.ran().name().toLowerCase(java.util.Locale.ROOT));
                 json.writeEndObject();
             }
--- a/src/main/java/pipitstage/admin/UndeliverableDesk.java
+++ b/src/main/java/pipitstage/admin/UndeliverableDesk.java
@@ -43,8 +43,10 @@
     @Override
     public void carryOut(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         switch (request.get("command")) {
-            case "list" -> each(Filters.of(request), entry -> out.accept(Lines.entry(entry,
-                    request.containsKey("body"), word(verdict(entry)), List.of())));
+            case "list" -> each(
+                    Filters.of(request),
+                    entry -> out.accept(
+                            Lines.entry(entry, request.containsKey("body"), word(verdict(entry)), List.of())));
             case "show" -> show(request, out);
             case "stats" -> out.accept(stats());
             case "resend" -> resend(request, out);
@@ -184,8 +186,8 @@
                 long due = cancels ? Entry.NEVER_DUE : clock.micros();
                 done = ask(s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.KEPT, due));
             }
-            out.accept(Lines.object(Map.of("id", entry.id(), "ref", entry.content().callId(), "verdict", word(verdict),
-                    "done", done)));
+            out.accept(Lines.object(
+                    Map.of("id", entry.id(), "ref", entry.content().callId(), "verdict", word(verdict), "done", done)));
         });
     }
 
@@ -194,8 +196,10 @@
         String reason = reason(request);
         Entry entry = one(request);
         if (entry.ran() == Ran.DID || entry.state() != Entry.State.KEPT) {
-            throw new IllegalArgumentException("entry " + entry.id() + " is " + (entry.ran() == Ran.DID
-                    ? "proven to be delivered" : entry.state().name().toLowerCase(java.util.Locale.ROOT)));
+            throw new IllegalArgumentException("entry " + entry.id() + " is "
+                    + (entry.ran() == Ran.DID
+                            ? "proven to be delivered"
+                            : entry.state().name().toLowerCase(java.util.Locale.ROOT)));
         }
         audit(request, "confirm not posted", entry.id());
         long now = clock.micros();
--- a/src/main/java/pipitstage/amqp/codec/Frame.java
+++ b/src/main/java/pipitstage/amqp/codec/Frame.java
@@ -6,7 +6,10 @@
 public record Frame(Type type, int channel, ByteBuf payload) {
     /** What a frame holds. */
     public enum Type {
-        METHOD(1), HEADER(2), BODY(3), HEARTBEAT(8);
+        METHOD(1),
+        HEADER(2),
+        BODY(3),
+        HEARTBEAT(8);
 
         private final int number;
 
@@ -29,6 +32,7 @@
     public static final int LEAST_MAX = 4096;
     /** Bytes of a frame beside its payload. */
     public static final int OVERHEAD = 8;
+
     private static final int HEAD = 7;
     private static final int END = 0xCE;
 
@@ -51,8 +55,8 @@
         int channel = in.getUnsignedShort(start + 1);
         long size = in.getUnsignedInt(start + 1 + Short.BYTES);
         if (size + OVERHEAD > max) {
-            throw new AmqpException(AmqpException.FRAME_ERROR, "a frame of " + (size + OVERHEAD) + " bytes is larger than "
-                    + max);
+            throw new AmqpException(
+                    AmqpException.FRAME_ERROR, "a frame of " + (size + OVERHEAD) + " bytes is larger than " + max);
         }
         if (in.readableBytes() < size + OVERHEAD) {
             return null;
--- a/src/main/java/pipitstage/amqp/codec/Kind.java
+++ b/src/main/java/pipitstage/amqp/codec/Kind.java
@@ -67,7 +67,9 @@
     }
 
     static String text(ByteBuf in, long length) throws AmqpException {
-        return need(in, length).readCharSequence((int) length, StandardCharsets.UTF_8).toString();
+        return need(in, length)
+                .readCharSequence((int) length, StandardCharsets.UTF_8)
+                .toString();
     }
 
     static void writeShort(ByteBuf out, String text) {
--- a/src/main/java/pipitstage/amqp/codec/Method.java
+++ b/src/main/java/pipitstage/amqp/codec/Method.java
@@ -54,8 +54,8 @@
         int methodId = in.readUnsignedShort();
         Op op = Op.of(classId, methodId);
         if (op == null) {
-            throw new AmqpException(AmqpException.NOT_IMPLEMENTED, "method " + classId + "." + methodId
-                    + " is not implemented");
+            throw new AmqpException(
+                    AmqpException.NOT_IMPLEMENTED, "method " + classId + "." + methodId + " is not implemented");
         }
         Object[] values = new Object[op.arguments().size()];
         int bits = 0;
@@ -143,7 +143,10 @@
     public String toString() {
         StringBuilder text = new StringBuilder(op.toString());
         for (int i = 0; i < values.length; i++) {
-            text.append(i == 0 ? " " : ", ").append(op.arguments().get(i).name()).append('=').append(values[i]);
+            text.append(i == 0 ? " " : ", ")
+                    .append(op.arguments().get(i).name())
+                    .append('=')
+                    .append(values[i]);
         }
         return text.toString();
     }
--- a/src/main/java/pipitstage/amqp/codec/Op.java
+++ b/src/main/java/pipitstage/amqp/codec/Op.java
@@ -29,16 +29,25 @@
     CHANNEL_FLOW_OK(20, 21, "bit active"),
     CHANNEL_CLOSE(20, 40, "short reply-code, shortstr reply-text, short class-id, short method-id"),
     CHANNEL_CLOSE_OK(20, 41, ""),
-    EXCHANGE_DECLARE(40, 10, "short reserved-1, shortstr exchange, shortstr type, bit passive, bit durable,"
-            + " bit auto-delete, bit internal, bit no-wait, table arguments"),
+    EXCHANGE_DECLARE(
+            40,
+            10,
+            "short reserved-1, shortstr exchange, shortstr type, bit passive, bit durable,"
+                    + " bit auto-delete, bit internal, bit no-wait, table arguments"),
     EXCHANGE_DECLARE_OK(40, 11, ""),
     EXCHANGE_DELETE(40, 20, "short reserved-1, shortstr exchange, bit if-unused, bit no-wait"),
     EXCHANGE_DELETE_OK(40, 21, ""),
-    QUEUE_DECLARE(50, 10, "short reserved-1, shortstr queue, bit passive, bit durable, bit exclusive, bit auto-delete,"
-            + " bit no-wait, table arguments"),
+    QUEUE_DECLARE(
+            50,
+            10,
+            "short reserved-1, shortstr queue, bit passive, bit durable, bit exclusive, bit auto-delete,"
+                    + " bit no-wait, table arguments"),
     QUEUE_DECLARE_OK(50, 11, "shortstr queue, long message-count, long consumer-count"),
-    QUEUE_BIND(50, 20, "short reserved-1, shortstr queue, shortstr exchange, shortstr routing-key, bit no-wait,"
-            + " table arguments"),
+    QUEUE_BIND(
+            50,
+            20,
+            "short reserved-1, shortstr queue, shortstr exchange, shortstr routing-key, bit no-wait,"
+                    + " table arguments"),
     QUEUE_BIND_OK(50, 21, ""),
     QUEUE_PURGE(50, 30, "short reserved-1, shortstr queue, bit no-wait"),
     QUEUE_PURGE_OK(50, 31, "long message-count"),
@@ -48,18 +57,26 @@
     QUEUE_UNBIND_OK(50, 51, ""),
     BASIC_QOS(60, 10, "long prefetch-size, short prefetch-count, bit global"),
     BASIC_QOS_OK(60, 11, ""),
-    BASIC_CONSUME(60, 20, "short reserved-1, shortstr queue, shortstr consumer-tag, bit no-local, bit no-ack,"
-            + " bit exclusive, bit no-wait, table arguments"),
+    BASIC_CONSUME(
+            60,
+            20,
+            "short reserved-1, shortstr queue, shortstr consumer-tag, bit no-local, bit no-ack,"
+                    + " bit exclusive, bit no-wait, table arguments"),
     BASIC_CONSUME_OK(60, 21, "shortstr consumer-tag"),
     BASIC_CANCEL(60, 30, "shortstr consumer-tag, bit no-wait"),
     BASIC_CANCEL_OK(60, 31, "shortstr consumer-tag"),
     BASIC_PUBLISH(60, 40, "short reserved-1, shortstr exchange, shortstr routing-key, bit mandatory, bit immediate"),
     BASIC_RETURN(60, 50, "short reply-code, shortstr reply-text, shortstr exchange, shortstr routing-key"),
-    BASIC_DELIVER(60, 60, "shortstr consumer-tag, longlong delivery-tag, bit redelivered, shortstr exchange,"
-            + " shortstr routing-key"),
+    BASIC_DELIVER(
+            60,
+            60,
+            "shortstr consumer-tag, longlong delivery-tag, bit redelivered, shortstr exchange,"
+                    + " shortstr routing-key"),
     BASIC_GET(60, 70, "short reserved-1, shortstr queue, bit no-ack"),
-    BASIC_GET_OK(60, 71, "longlong delivery-tag, bit redelivered, shortstr exchange, shortstr routing-key,"
-            + " long message-count"),
+    BASIC_GET_OK(
+            60,
+            71,
+            "longlong delivery-tag, bit redelivered, shortstr exchange, shortstr routing-key," + " long message-count"),
     BASIC_GET_EMPTY(60, 72, "shortstr reserved-1"),
     BASIC_ACK(60, 80, "longlong delivery-tag, bit multiple"),
     BASIC_REJECT(60, 90, "longlong delivery-tag, bit requeue"),
@@ -70,7 +87,7 @@
     CONFIRM_SELECT_OK(85, 11, "");
 
     /** An argument: its kind, and its name in the specification. */
-    record Argument(Kind kind, String name) { }
+    record Argument(Kind kind, String name) {}
 
     private static final Map<Integer, Op> BY_NUMBER = new HashMap<>();
 
--- a/src/main/java/pipitstage/amqp/codec/Properties.java
+++ b/src/main/java/pipitstage/amqp/codec/Properties.java
@@ -8,6 +8,7 @@
 public final class Properties {
     /** None at all. */
     public static final Properties NONE = new Properties(new EnumMap<>(Property.class));
+
     private static final int CONTINUES = 1;
 
     private final Map<Property, Object> values;
--- a/src/main/java/pipitstage/amqp/codec/Tables.java
+++ b/src/main/java/pipitstage/amqp/codec/Tables.java
@@ -18,9 +18,10 @@
 public final class Tables {
     /** Guards against tables in tables that would end the stack. */
     static final int MOST_NESTED = 16;
+
     private static final int MOST_SCALE = 255;
 
-    private Tables() { }
+    private Tables() {}
 
     /** Reads a table with its length ahead. */
     public static Map<String, Object> read(ByteBuf in) throws AmqpException {
@@ -147,9 +148,13 @@
             out.writeByte('f').writeFloat(number.floatValue());
         } else if (number instanceof Double) {
             out.writeByte('d').writeDouble(number.doubleValue());
-        } else if (number instanceof BigDecimal decimal && decimal.scale() >= 0 && decimal.scale() <= MOST_SCALE
+        } else if (number instanceof BigDecimal decimal
+                && decimal.scale() >= 0
+                && decimal.scale() <= MOST_SCALE
                 && decimal.unscaledValue().bitLength() < Integer.SIZE) {
-            out.writeByte('D').writeByte(decimal.scale()).writeInt(decimal.unscaledValue().intValue());
+            out.writeByte('D')
+                    .writeByte(decimal.scale())
+                    .writeInt(decimal.unscaledValue().intValue());
         } else {
             throw new IllegalArgumentException("no field can hold " + number + ", a " + number.getClass());
         }
--- a/src/main/java/pipitstage/amqp/confirm/Confirms.java
+++ b/src/main/java/pipitstage/amqp/confirm/Confirms.java
@@ -31,7 +31,7 @@
     }
 
     /** A publish whose fate is known. */
-    public record Settled<T>(T what, Fate fate) { }
+    public record Settled<T>(T what, Fate fate) {}
 
     private static final class Publish<T> {
         final T what;
@@ -86,8 +86,8 @@
      *         has lost count, and nothing that it says of this channel proves anything
      */
     public List<Settled<T>> confirmed(long tag, boolean multiple, boolean acked) {
-        NavigableMap<Long, Publish<T>> meant = multiple ? open.headMap(tag == 0 ? last : tag, true)
-                : open.subMap(tag, true, tag, true);
+        NavigableMap<Long, Publish<T>> meant =
+                multiple ? open.headMap(tag == 0 ? last : tag, true) : open.subMap(tag, true, tag, true);
         if (tag > last || meant.isEmpty() || meant.values().stream().anyMatch(p -> !p.written)) {
             return null;
         }
--- a/src/main/java/pipitstage/amqp/link/ClientLink.java
+++ b/src/main/java/pipitstage/amqp/link/ClientLink.java
@@ -24,6 +24,7 @@
 public final class ClientLink extends Link {
     /** The first bytes of every connection. */
     static final byte[] GREETING = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
+
     private static final int MOST_CHANNELS = 16;
     private static final int MOST_FRAME = 128 << 10;
 
@@ -32,7 +33,7 @@
      *
      * @param heartbeat seconds; 0 for none, and the broker may ask for less
      */
-    public record Login(String user, String password, String virtualHost, int heartbeat) { }
+    public record Login(String user, String password, String virtualHost, int heartbeat) {}
 
     /** What a link is for. */
     public interface Owner {
@@ -55,13 +56,14 @@
      * @param tls null where the connection is plain
      * @param tlsName the name that the broker's certificate has to hold; null for its address
      */
-    public record Broker(InetSocketAddress address, Login login, SslContext tls, String tlsName) { }
+    public record Broker(InetSocketAddress address, Login login, SslContext tls, String tlsName) {}
 
     private final Login login;
     private final Owner owner;
     private Future<?> opening;
     /** Two ways for a broker to ask for a wait, each with its own end. */
     private boolean blocked;
+
     private final Set<Integer> stopped = new HashSet<>();
     private final Set<Integer> channels = new HashSet<>();
     private boolean open;
@@ -82,24 +84,31 @@
     public static ClientLink dial(EventLoop loop, Broker broker, int mostBody, long timeout, Owner owner) {
         ClientLink link = new ClientLink(broker.login(), mostBody, owner);
         InetSocketAddress address = broker.address();
-        ChannelFuture connected = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        ChannelFuture connected = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeout / 1_000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
                         if (broker.tls() != null) {
-                            String host = broker.tlsName() != null ? broker.tlsName()
+                            String host = broker.tlsName() != null
+                                    ? broker.tlsName()
                                     : address.getAddress().getHostAddress();
                             ch.pipeline().addLast(broker.tls().newHandler(ch.alloc(), host, address.getPort()));
                         }
                         ch.pipeline().addLast(link);
                     }
-                }).connect(address);
-        link.opening = loop.schedule(() -> {
-            connected.channel().close();
-            link.notConnected("it did not open in time");
-        }, timeout, TimeUnit.MICROSECONDS);
+                })
+                .connect(address);
+        link.opening = loop.schedule(
+                () -> {
+                    connected.channel().close();
+                    link.notConnected("it did not open in time");
+                },
+                timeout,
+                TimeUnit.MICROSECONDS);
         connected.addListener(done -> {
             if (!done.isSuccess()) {
                 // Guards against a socket that could not even be opened: its failure is told on another thread.
@@ -190,10 +199,25 @@
         if (!(" " + method.text("mechanisms") + " ").contains(" PLAIN ")) {
             throw new AmqpException(AmqpException.NOT_ALLOWED, "the broker does not take PLAIN");
         }
-        Map<String, Object> capabilities = Map.of("publisher_confirms", true, "basic.nack", true,
-                "connection.blocked", true, "consumer_cancel_notify", true, "authentication_failure_close", true);
-        send(0, Method.of(Op.CONNECTION_START_OK, Map.<String, Object>of("product", "loftflow", "capabilities",
-                capabilities), "PLAIN", "\0" + login.user() + "\0" + login.password(), "en_US"));
+        Map<String, Object> capabilities = Map.of(
+                "publisher_confirms",
+                true,
+                "basic.nack",
+                true,
+                "connection.blocked",
+                true,
+                "consumer_cancel_notify",
+                true,
+                "authentication_failure_close",
+                true);
+        send(
+                0,
+                Method.of(
+                        Op.CONNECTION_START_OK,
+                        Map.<String, Object>of("product", "loftflow", "capabilities", capabilities),
+                        "PLAIN",
+                        "\0" + login.user() + "\0" + login.password(),
+                        "en_US"));
     }
 
     private void tune(Method method) throws AmqpException {
@@ -205,7 +229,8 @@
         long channelMax = method.number("channel-max");
         int most = (int) (channelMax == 0 ? MOST_CHANNELS : Math.min(MOST_CHANNELS, channelMax));
         int theirs = (int) method.number("heartbeat");
-        int heartbeat = login.heartbeat() == 0 || theirs == 0 ? Math.max(login.heartbeat(), theirs)
+        int heartbeat = login.heartbeat() == 0 || theirs == 0
+                ? Math.max(login.heartbeat(), theirs)
                 : Math.min(login.heartbeat(), theirs);
         send(0, Method.of(Op.CONNECTION_TUNE_OK, most, (long) frames, heartbeat));
         agreed(frames, heartbeat);
--- a/src/main/java/pipitstage/amqp/link/Link.java
+++ b/src/main/java/pipitstage/amqp/link/Link.java
@@ -28,7 +28,7 @@
         }
 
         @Override
-        public void give(int bytes) { }
+        public void give(int bytes) {}
     };
 
     private static final long PATIENCE_MS = 2_000;
@@ -41,6 +41,7 @@
     private ChannelHandlerContext context;
     /** What has come of a frame that is not whole; null where nothing has. */
     private ByteBuf half;
+
     private int frameMax = Frame.LEAST_MAX;
     private Future<?> beat;
     private boolean heard;
@@ -91,7 +92,8 @@
      */
     @Override
     public final void channelRead(ChannelHandlerContext ctx, Object bytes) {
-        half = half == null ? (ByteBuf) bytes
+        half = half == null
+                ? (ByteBuf) bytes
                 : ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), half, (ByteBuf) bytes);
         decode(half);
         if (half.isReadable()) {
@@ -237,7 +239,9 @@
 
     /** False where the other side does not read what was sent so far. */
     public final boolean isWritable() {
-        return context != null && context.channel().isActive() && context.channel().isWritable();
+        return context != null
+                && context.channel().isActive()
+                && context.channel().isWritable();
     }
 
     /** Reads on, or no more, so that the other side's sends wait. */
@@ -262,8 +266,14 @@
         }
         ending = true;
         why = text;
-        send(0, Method.of(Op.CONNECTION_CLOSE, code, text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) : text,
-                classId, methodId));
+        send(
+                0,
+                Method.of(
+                        Op.CONNECTION_CLOSE,
+                        code,
+                        text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) : text,
+                        classId,
+                        methodId));
         context.executor().schedule((Runnable) context::close, PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/pipitstage/amqp/link/ServerLink.java
+++ b/src/main/java/pipitstage/amqp/link/ServerLink.java
@@ -22,7 +22,7 @@
      * @param frameMax bytes of the largest frame
      * @param heartbeat seconds; 0 for none
      */
-    public record Offer(String product, int channelMax, int frameMax, int heartbeat) { }
+    public record Offer(String product, int channelMax, int frameMax, int heartbeat) {}
 
     /** What a link is for. */
     public interface Owner {
@@ -49,7 +49,13 @@
         void closed(String reason);
     }
 
-    private enum State { GREETING, START_OK, TUNE_OK, OPEN, SERVING }
+    private enum State {
+        GREETING,
+        START_OK,
+        TUNE_OK,
+        OPEN,
+        SERVING
+    }
 
     private static final int PLAIN_PARTS = 3;
 
@@ -58,6 +64,7 @@
     private final Set<Integer> channels = new HashSet<>();
     /** Channels that this side has closed, whose client does not know yet. */
     private final Set<Integer> closing = new HashSet<>();
+
     private State state = State.GREETING;
     private boolean over;
     private int channelMax;
@@ -70,7 +77,7 @@
     }
 
     @Override
-    void connected() { }
+    void connected() {}
 
     @Override
     boolean opened(ByteBuf in) {
@@ -91,8 +98,19 @@
         }
         in.skipBytes(there);
         state = State.START_OK;
-        send(0, Method.of(Op.CONNECTION_START, 0, 9, Map.<String, Object>of("product", offer.product(), "capabilities",
-                Map.of("publisher_confirms", true, "basic.nack", true, "connection.blocked", true)), "PLAIN", "en_US"));
+        send(
+                0,
+                Method.of(
+                        Op.CONNECTION_START,
+                        0,
+                        9,
+                        Map.<String, Object>of(
+                                "product",
+                                offer.product(),
+                                "capabilities",
+                                Map.of("publisher_confirms", true, "basic.nack", true, "connection.blocked", true)),
+                        "PLAIN",
+                        "en_US"));
         return true;
     }
 
@@ -116,7 +134,8 @@
     private void open(Method method) throws AmqpException {
         if (state == State.START_OK && method.op() == Op.CONNECTION_START_OK) {
             String[] plain = method.text("response").split("\0", -1);
-            if (!method.text("mechanism").equals("PLAIN") || plain.length != PLAIN_PARTS
+            if (!method.text("mechanism").equals("PLAIN")
+                    || plain.length != PLAIN_PARTS
                     || !owner.admits(plain[1], plain[2])) {
                 throw new AmqpException(AmqpException.ACCESS_REFUSED, "ACCESS_REFUSED - login was refused");
             }
@@ -138,8 +157,9 @@
         long frames = method.number("frame-max") == 0 ? offer.frameMax() : method.number("frame-max");
         long most = method.number("channel-max") == 0 ? offer.channelMax() : method.number("channel-max");
         if (frames > offer.frameMax() || frames < Frame.LEAST_MAX || most > offer.channelMax()) {
-            throw new AmqpException(AmqpException.NOT_ALLOWED, "more was agreed on than was offered: frames of "
-                    + frames + " bytes, channels to " + most);
+            throw new AmqpException(
+                    AmqpException.NOT_ALLOWED,
+                    "more was agreed on than was offered: frames of " + frames + " bytes, channels to " + most);
         }
         channelMax = (int) most;
         agreed((int) frames, (int) method.number("heartbeat"));
--- a/src/main/java/pipitstage/amqp/mapping/Mapping.java
+++ b/src/main/java/pipitstage/amqp/mapping/Mapping.java
@@ -24,23 +24,30 @@
      * @param key null where messages have none
      * @param budget milliseconds from when a message was sent; null for its class's deadline
      */
-    public record Rule(String contentType, Source id, Source requestClass, Source tenant, Source key, Source destination,
-            Source budget) { }
+    public record Rule(
+            String contentType,
+            Source id,
+            Source requestClass,
+            Source tenant,
+            Source key,
+            Source destination,
+            Source budget) {}
 
     /** What a message is to the relay. */
-    public sealed interface Mapped { }
+    public sealed interface Mapped {}
 
     /** A message that can be handed in; {@code anonymous} where its client gave it no id. */
-    public record Fits(Message.Content content, boolean anonymous) implements Mapped { }
+    public record Fits(Message.Content content, boolean anonymous) implements Mapped {}
 
     /** One that can't, and why. */
-    public record Misfits(String reason) implements Mapped { }
+    public record Misfits(String reason) implements Mapped {}
 
     private static final Pattern TOKEN = Pattern.compile("[\\x21-\\x7e]{1,200}");
     private static final Pattern MILLIS = Pattern.compile("\\d{1,9}");
     private static final Pattern NUMBER = Pattern.compile("\\d{1,9}");
     /** The header by which brokers with that plug-in tell when a message came, in milliseconds. */
     private static final String SENT_MS = "timestamp_in_ms";
+
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
 
@@ -60,10 +67,18 @@
      * @param namelessIds asked for the id of a message that has none and needs none
      * @param reply where its end is to be told; null for nowhere
      */
-    public Mapped map(Properties properties, String exchange, String routingKey, byte[] body, long cameAt,
-            Supplier<String> namelessIds, Message.Reply reply) {
-        Rule rule = rules.stream().filter(r -> r.contentType() == null
-                || r.contentType().equals(properties.text(Property.CONTENT_TYPE))).findFirst().orElse(null);
+    public Mapped map(
+            Properties properties,
+            String exchange,
+            String routingKey,
+            byte[] body,
+            long cameAt,
+            Supplier<String> namelessIds,
+            Message.Reply reply) {
+        Rule rule = rules.stream()
+                .filter(r -> r.contentType() == null || r.contentType().equals(properties.text(Property.CONTENT_TYPE)))
+                .findFirst()
+                .orElse(null);
         if (rule == null) {
             return new Misfits("no mapping is for content type " + properties.text(Property.CONTENT_TYPE));
         }
@@ -78,7 +93,8 @@
                     + " from the first");
         }
         String key = optional(rule.key(), properties, exchange, routingKey);
-        if (id != null && !TOKEN.matcher(id).matches() || key != null && !TOKEN.matcher(key).matches()) {
+        if (id != null && !TOKEN.matcher(id).matches()
+                || key != null && !TOKEN.matcher(key).matches()) {
             return new Misfits("an id or key is no token of 200 characters at the most");
         }
         String destination = rule.destination().value(properties, exchange, routingKey);
@@ -90,9 +106,17 @@
             return new Misfits(shown(budget) + " is no number of milliseconds");
         }
         long deadline = sentAt(properties, cameAt) + (budget == null ? type.deadline() : Long.parseLong(budget) * MS);
-        return new Fits(new Message.Content(id == null ? namelessIds.get() : id, className,
-                optional(rule.tenant(), properties, exchange, routingKey), key, deadline, Integer.parseInt(destination),
-                body, reply), id == null);
+        return new Fits(
+                new Message.Content(
+                        id == null ? namelessIds.get() : id,
+                        className,
+                        optional(rule.tenant(), properties, exchange, routingKey),
+                        key,
+                        deadline,
+                        Integer.parseInt(destination),
+                        body,
+                        reply),
+                id == null);
     }
 
     private static String optional(Source source, Properties properties, String exchange, String routingKey) {
@@ -102,7 +126,8 @@
     /** Guards against a clock ahead of this one, by which a message would have more time than its client counts. */
     private static long sentAt(Properties properties, long cameAt) {
         Long seconds = properties.number(Property.TIMESTAMP);
-        long told = properties.headers().get(SENT_MS) instanceof Long millis ? millis * MS
+        long told = properties.headers().get(SENT_MS) instanceof Long millis
+                ? millis * MS
                 : seconds == null ? cameAt : seconds * SECOND;
         return Math.min(cameAt, told);
     }
--- a/src/main/java/pipitstage/amqp/mapping/Source.java
+++ b/src/main/java/pipitstage/amqp/mapping/Source.java
@@ -9,7 +9,13 @@
  * {@code exchange} or {@code fixed:VALUE}.
  */
 public final class Source {
-    private enum Kind { HEADER, PROPERTY, ROUTING_KEY, EXCHANGE, FIXED }
+    private enum Kind {
+        HEADER,
+        PROPERTY,
+        ROUTING_KEY,
+        EXCHANGE,
+        FIXED
+    }
 
     private final Kind kind;
     private final String name;
@@ -33,9 +39,11 @@
             case "header":
                 return new Source(Kind.HEADER, name, null);
             case "property":
-                Property property = Arrays.stream(Property.values()).filter(p -> p.label().equals(name)
-                        && p != Property.HEADERS).findFirst().orElseThrow(() -> new IllegalArgumentException("\"" + name
-                        + "\" is no property of a message"));
+                Property property = Arrays.stream(Property.values())
+                        .filter(p -> p.label().equals(name) && p != Property.HEADERS)
+                        .findFirst()
+                        .orElseThrow(
+                                () -> new IllegalArgumentException("\"" + name + "\" is no property of a message"));
                 return new Source(Kind.PROPERTY, name, property);
             case "fixed":
                 return new Source(Kind.FIXED, name, null);
@@ -50,13 +58,14 @@
 
     /** The value in a message; null where it has none. */
     String value(Properties properties, String exchange, String routingKey) {
-        Object value = switch (kind) {
-            case HEADER -> properties.headers().get(name);
-            case PROPERTY -> property.isNumber() ? properties.number(property) : properties.text(property);
-            case ROUTING_KEY -> routingKey;
-            case EXCHANGE -> exchange;
-            case FIXED -> name;
-        };
+        Object value =
+                switch (kind) {
+                    case HEADER -> properties.headers().get(name);
+                    case PROPERTY -> property.isNumber() ? properties.number(property) : properties.text(property);
+                    case ROUTING_KEY -> routingKey;
+                    case EXCHANGE -> exchange;
+                    case FIXED -> name;
+                };
         return value == null ? null : value.toString();
     }
 }
--- a/src/main/java/pipitstage/cli/ColumnsFile.java
+++ b/src/main/java/pipitstage/cli/ColumnsFile.java
@@ -16,8 +16,8 @@
 
 /** A mapping file: TOML that names the columns of a CSV. */
 final class ColumnsFile {
-    private static final Set<String> KEYS = Set.of("header", "time", "unit", "pattern", "zone", "begin", "owner", "flow", "sort",
-            "weight");
+    private static final Set<String> KEYS =
+            Set.of("header", "time", "unit", "pattern", "zone", "begin", "owner", "flow", "sort", "weight");
 
     private final Path file;
     private final Map<String, Node> members;
@@ -44,8 +44,10 @@
     private Columns columns() {
         members.forEach((key, node) -> {
             if (!KEYS.contains(key)) {
-                throw fault(key, "is no key of a mapping file; those are " + KEYS.stream().sorted().collect(Collectors.joining(
-                        ", ")));
+                throw fault(
+                        key,
+                        "is no key of a mapping file; those are "
+                                + KEYS.stream().sorted().collect(Collectors.joining(", ")));
             }
         });
         boolean header = !members.containsKey("header") || flag("header");
@@ -58,12 +60,17 @@
                 throw fault("time", e.getMessage());
             }
         }
-        return new Columns(new Columns.Names(header, text("time"), text("owner"), text("flow"), textOrNull("sort"),
-                textOrNull("weight")), unit, clock);
+        return new Columns(
+                new Columns.Names(
+                        header, text("time"), text("owner"), text("flow"), textOrNull("sort"), textOrNull("weight")),
+                unit,
+                clock);
     }
 
     private Columns.Unit unit(String word) {
-        return Stream.of(Columns.Unit.values()).filter(u -> u.word().equals(word)).findFirst()
+        return Stream.of(Columns.Unit.values())
+                .filter(u -> u.word().equals(word))
+                .findFirst()
                 .orElseThrow(() -> fault("unit", word + " is none of us, ms, s, text"));
     }
 
@@ -92,7 +99,7 @@
 
     private IllegalArgumentException fault(String key, String why) {
         Node node = members.getOrDefault(key, new Node(null, 0, 0));
-        return new IllegalArgumentException(new Finding(Finding.Severity.ERROR, file.toString(), node.line(), node.column(), key,
-                why).toString());
+        return new IllegalArgumentException(
+                new Finding(Finding.Severity.ERROR, file.toString(), node.line(), node.column(), key, why).toString());
     }
 }
--- a/src/main/java/pipitstage/cli/Commands.java
+++ b/src/main/java/pipitstage/cli/Commands.java
@@ -28,11 +28,24 @@
 import pipitstage.config.tool.Tool;
 
 /** The command line beside {@code serve} and {@code simhost}. Exit codes: 0 clean, 1 findings, 2 unreadable or misuse. */
-@Command(name = "loftflow", version = "loftflow 0.1.0", mixinStandardHelpOptions = true,
-        description = "An outbound message relay.", synopsisSubcommandLabel = "COMMAND",
-        subcommands = {Commands.ServeHelp.class, Commands.SimhostHelp.class, Commands.ConfigCommand.class, TraceCommand.class,
-            LabCommand.class, ReplayCommand.class,
-            UndeliverableCommand.class, DemoCommand.class, AutoComplete.GenerateCompletion.class, CommandLine.HelpCommand.class})
+@Command(
+        name = "loftflow",
+        version = "loftflow 0.1.0",
+        mixinStandardHelpOptions = true,
+        description = "An outbound message relay.",
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {
+            Commands.ServeHelp.class,
+            Commands.SimhostHelp.class,
+            Commands.ConfigCommand.class,
+            TraceCommand.class,
+            LabCommand.class,
+            ReplayCommand.class,
+            UndeliverableCommand.class,
+            DemoCommand.class,
+            AutoComplete.GenerateCompletion.class,
+            CommandLine.HelpCommand.class
+        })
 final class Commands implements Runnable {
     private static final int CLEAN = 0;
     private static final int FINDINGS = 1;
@@ -74,14 +87,21 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed: serve, simhost, config, trace, lab, replay, undeliverable,"
-                + " demo or generate-completion");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(),
+                "a command is needed: serve, simhost, config, trace, lab, replay, undeliverable,"
+                        + " demo or generate-completion");
     }
 
     /** Stands in the help; {@link Main} carries it out before this class is loaded. */
-    @Command(name = "serve", mixinStandardHelpOptions = true, description = {"Serves until a signal ends it.",
-        "Without options by the platform's variables (EDGE_CONFIG, EDGE_STATE); with --config by a relay file alone.",
-        "With --memory by the platform's variables, remembering endpoints over a restart as the file says."})
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Serves until a signal ends it.",
+                "Without options by the platform's variables (EDGE_CONFIG, EDGE_STATE); with --config by a relay file alone.",
+                "With --memory by the platform's variables, remembering endpoints over a restart as the file says."
+            })
     static final class ServeHelp implements Callable<Integer> {
         @Option(names = "--config", paramLabel = "RELAY.toml", description = "A file by config write.")
         private Path config;
@@ -94,13 +114,16 @@
 
         @Override
         public Integer call() {
-            throw new CommandLine.ParameterException(spec.commandLine(),
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(),
                     "write serve, serve --config RELAY.toml or serve --memory MEMORY.json, and nothing else");
         }
     }
 
     /** Stands in the help, as above. */
-    @Command(name = "simhost", mixinStandardHelpOptions = true,
+    @Command(
+            name = "simhost",
+            mixinStandardHelpOptions = true,
             description = "Runs the decision module on the simulator's wire, on standard input and output.")
     static final class SimhostHelp implements Callable<Integer> {
         @Spec
@@ -113,7 +136,10 @@
     }
 
     /** Everything about files. */
-    @Command(name = "config", mixinStandardHelpOptions = true, description = "Writes, checks and explains files.",
+    @Command(
+            name = "config",
+            mixinStandardHelpOptions = true,
+            description = "Writes, checks and explains files.",
             synopsisSubcommandLabel = "COMMAND",
             subcommands = {Write.class, Check.class, Explain.class, Reference.class})
     static final class ConfigCommand implements Runnable {
@@ -122,8 +148,8 @@
 
         @Override
         public void run() {
-            throw new CommandLine.ParameterException(spec.commandLine(),
-                    "a command is needed: write, check, explain or reference");
+            throw new CommandLine.ParameterException(
+                    spec.commandLine(), "a command is needed: write, check, explain or reference");
         }
     }
 
@@ -133,13 +159,19 @@
     }
 
     /** Writes a relay file. */
-    @Command(name = "write", mixinStandardHelpOptions = true,
+    @Command(
+            name = "write",
+            mixinStandardHelpOptions = true,
             description = "Writes the relay file of an application file, and prints the start line.")
     static final class Write implements Callable<Integer> {
         @Parameters(paramLabel = "APP.toml", description = "The application file.")
         private Path application;
 
-        @Option(names = {"-o", "--output"}, paramLabel = "DIR", required = true, description = "Where to write it.")
+        @Option(
+                names = {"-o", "--output"},
+                paramLabel = "DIR",
+                required = true,
+                description = "Where to write it.")
         private Path folder;
 
         @Option(names = "--force", description = "Write over a relay file that was changed by hand.")
@@ -171,24 +203,37 @@
 
         private static List<String> difference(Tool.Outcome outcome) {
             List<String> before = outcome.before().lines().toList();
-            return UnifiedDiffUtils.generateUnifiedDiff("there", "to be written", before,
-                    DiffUtils.diff(before, outcome.after().lines().toList()), 1);
+            return UnifiedDiffUtils.generateUnifiedDiff(
+                    "there",
+                    "to be written",
+                    before,
+                    DiffUtils.diff(before, outcome.after().lines().toList()),
+                    1);
         }
     }
 
     /** Checks files. */
-    @Command(name = "check", mixinStandardHelpOptions = true, description = {
-        "Checks application files, relay files and a platform's JSON, with no relay started.",
-        "Exits with 0 where no error was found (warnings don't count unless --strict), 1 where one was, 2 where a file"
-            + " can't be read."})
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Checks application files, relay files and a platform's JSON, with no relay started.",
+                "Exits with 0 where no error was found (warnings don't count unless --strict), 1 where one was, 2 where a file"
+                        + " can't be read."
+            })
     static final class Check implements Callable<Integer> {
         /** How findings are printed. */
-        enum Format { text, json }
+        enum Format {
+            text,
+            json
+        }
 
         @Parameters(paramLabel = "FILE", arity = "1..*", description = "Files to check.")
         private List<Path> files;
 
-        @Option(names = "--format", description = "text, a line for each finding, or json, one array.",
+        @Option(
+                names = "--format",
+                description = "text, a line for each finding, or json, one array.",
                 defaultValue = "text")
         private Format format;
 
@@ -261,8 +306,13 @@
         public Integer call() {
             Optional<Setting> setting = Schema.RELAY.of(key).or(() -> Schema.RELAY.loose(key));
             if (setting.isEmpty()) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "there is no setting " + key
-                        + Schema.RELAY.nearest(key, true).map(near -> "; did you mean " + near + "?").orElse(""));
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(),
+                        "there is no setting " + key
+                                + Schema.RELAY
+                                        .nearest(key, true)
+                                        .map(near -> "; did you mean " + near + "?")
+                                        .orElse(""));
             }
             spec.commandLine().getOut().println(Catalog.explanation(setting.get()));
             spec.commandLine().getOut().flush();
--- a/src/main/java/pipitstage/cli/DemoCommand.java
+++ b/src/main/java/pipitstage/cli/DemoCommand.java
@@ -23,9 +23,14 @@
 import pipitstage.standin.StandInPartner;
 
 /** A first run: a relay from a file that the tool just wrote, with stand-ins round it, all on loopback. */
-@Command(name = "demo", mixinStandardHelpOptions = true, description = {
-    "Writes a relay file, starts the relay with two partners and a client on loopback, and tells what became of each"
-        + " class.", "One partner has a limit, the other fails for a while. Leaves nothing behind."})
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Writes a relay file, starts the relay with two partners and a client on loopback, and tells what became of each"
+                    + " class.",
+            "One partner has a limit, the other fails for a while. Leaves nothing behind."
+        })
 final class DemoCommand implements Callable<Integer> {
     private static final int LIMIT = 20;
     private static final int RATE = 20;
@@ -33,8 +38,10 @@
     private static final int TENTHS = 10;
     private static final List<String> CLASSES = List.of("status-update", "car-order", "settlement");
 
-    @Option(names = "--seconds", defaultValue = "8", description = "How long the client hands messages in"
-            + " (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "8",
+            description = "How long the client hands messages in" + " (${DEFAULT-VALUE}).")
     private int seconds;
 
     @Spec
@@ -72,8 +79,14 @@
         return 0;
     }
 
-    private void run(PrintWriter out, Path folder, Path relayFile, StandInPartner limited, StandInPartner failing,
-            StandInDiscovery platform) throws IOException, InterruptedException {
+    private void run(
+            PrintWriter out,
+            Path folder,
+            Path relayFile,
+            StandInPartner limited,
+            StandInPartner failing,
+            StandInDiscovery platform)
+            throws IOException, InterruptedException {
         ServedRelay relay = ServedRelay.start(relayFile, folder.resolve("relay.log"), "-Xmx72m");
         try {
             relay.awaitServing();
@@ -91,8 +104,13 @@
         }
     }
 
-    private void handIn(PrintWriter out, StandInClient client, Map<String, Tally> tallies, StandInPartner limited,
-            StandInPartner failing) throws IOException, InterruptedException {
+    private void handIn(
+            PrintWriter out,
+            StandInClient client,
+            Map<String, Tally> tallies,
+            StandInPartner limited,
+            StandInPartner failing)
+            throws IOException, InterruptedException {
         long start = System.nanoTime();
         int count = seconds * RATE;
         for (int i = 0; i < count; i++) {
@@ -102,8 +120,14 @@
                 int second = i / RATE;
                 boolean down = second >= seconds / 4 && second < seconds / 2;
                 failing.be(down ? StandInPartner.Mood.SHUT : StandInPartner.Mood.WELL);
-                out.printf(Locale.ROOT, "%2d s: %d handed in, %d and %d calls at the partners%s%n", second, i,
-                        limited.postings().size(), failing.postings().size(), down ? ", the second one is shut" : "");
+                out.printf(
+                        Locale.ROOT,
+                        "%2d s: %d handed in, %d and %d calls at the partners%s%n",
+                        second,
+                        i,
+                        limited.postings().size(),
+                        failing.postings().size(),
+                        down ? ", the second one is shut" : "");
                 out.flush();
             }
             String type = CLASSES.get(i % CLASSES.size());
@@ -121,34 +145,42 @@
         }
     }
 
-    private static boolean isOver(String id, StandInPartner limited, StandInPartner failing,
-            StandInDiscovery platform) {
-        return limited.effects().containsKey(id) || failing.effects().containsKey(id)
+    private static boolean isOver(
+            String id, StandInPartner limited, StandInPartner failing, StandInDiscovery platform) {
+        return limited.effects().containsKey(id)
+                || failing.effects().containsKey(id)
                 || platform.notices().stream().anyMatch(n -> n.ref().equals(id));
     }
 
-    private static void awaitEnds(Map<String, Tally> tallies, StandInPartner limited, StandInPartner failing,
-            StandInDiscovery platform) throws InterruptedException {
+    private static void awaitEnds(
+            Map<String, Tally> tallies, StandInPartner limited, StandInPartner failing, StandInDiscovery platform)
+            throws InterruptedException {
         for (int i = 0; i < PATIENCE_S * TENTHS; i++) {
-            if (tallies.values().stream().allMatch(t -> t.taken.stream().allMatch(
-                    id -> isOver(id, limited, failing, platform)))) {
+            if (tallies.values().stream()
+                    .allMatch(t -> t.taken.stream().allMatch(id -> isOver(id, limited, failing, platform)))) {
                 return;
             }
             Thread.sleep(TimeUnit.SECONDS.toMillis(1) / TENTHS);
         }
     }
 
-    private static void report(PrintWriter out, Map<String, Tally> tallies, StandInPartner limited,
-            StandInPartner failing, StandInDiscovery platform) {
-        out.printf("%-14s %9s %9s %9s %9s %9s %9s%n", "class", "handed in", "delivered", "refused", "failed", "twice",
-                "no end");
+    private static void report(
+            PrintWriter out,
+            Map<String, Tally> tallies,
+            StandInPartner limited,
+            StandInPartner failing,
+            StandInDiscovery platform) {
+        out.printf(
+                "%-14s %9s %9s %9s %9s %9s %9s%n",
+                "class", "handed in", "delivered", "refused", "failed", "twice", "no end");
         tallies.forEach((type, tally) -> {
             int delivered = 0;
             int bounced = 0;
             int dead = 0;
             int twice = 0;
             for (String id : tally.taken) {
-                int effects = limited.effects().getOrDefault(id, 0) + failing.effects().getOrDefault(id, 0);
+                int effects = limited.effects().getOrDefault(id, 0)
+                        + failing.effects().getOrDefault(id, 0);
                 twice += effects > 1 ? 1 : 0;
                 if (effects > 0) {
                     delivered++;
@@ -158,14 +190,21 @@
                     dead++;
                 }
             }
-            out.printf("%-14s %9d %9d %9d %9d %9d %9d%n", type, tally.handedIn, delivered, tally.refused + bounced,
-                    dead, twice, tally.taken.size() - delivered - bounced - dead);
+            out.printf(
+                    "%-14s %9d %9d %9d %9d %9d %9d%n",
+                    type,
+                    tally.handedIn,
+                    delivered,
+                    tally.refused + bounced,
+                    dead,
+                    twice,
+                    tally.taken.size() - delivered - bounced - dead);
         });
         out.flush();
     }
 
-    private static String application(Path folder, StandInPartner limited, StandInPartner failing,
-            StandInDiscovery platform) {
+    private static String application(
+            Path folder, StandInPartner limited, StandInPartner failing, StandInDiscovery platform) {
         return """
                 format = 1
                 name = "demo"
@@ -228,7 +267,8 @@
                 [[partner.endpoint]]
                 id = "prairie-1"
                 address = "%s"
-                """.formatted(folder.resolve("state"), platform.address(), LIMIT, limited.address(), failing.address());
+                """
+                .formatted(folder.resolve("state"), platform.address(), LIMIT, limited.address(), failing.address());
     }
 
     private static void delete(Path folder) {
--- a/src/main/java/pipitstage/cli/LabCommand.java
+++ b/src/main/java/pipitstage/cli/LabCommand.java
@@ -42,11 +42,23 @@
 import pipitstage.standin.ServedRelay;
 
 /** The laboratory. Exit codes: 0 clean, 1 a rule was broken, or a side is worse, or a file has errors; 2 misuse. */
-@Command(name = "lab", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-        description = "Plays scenarios in an emulator of programs, partners and failures, and compares what comes of them.",
-        subcommands = {LabCommand.Scenarios.class, LabCommand.Check.class, LabCommand.Run.class, LabCommand.Compare.class,
-            LabCommand.Sweep.class, LabCommand.CapacityOf.class, LabCommand.Minimize.class,
-            LabCommand.PlayCases.class, LabCommand.Reference.class})
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "COMMAND",
+        description =
+                "Plays scenarios in an emulator of programs, partners and failures, and compares what comes of them.",
+        subcommands = {
+            LabCommand.Scenarios.class,
+            LabCommand.Check.class,
+            LabCommand.Run.class,
+            LabCommand.Compare.class,
+            LabCommand.Sweep.class,
+            LabCommand.CapacityOf.class,
+            LabCommand.Minimize.class,
+            LabCommand.PlayCases.class,
+            LabCommand.Reference.class
+        })
 final class LabCommand implements Runnable {
     static final int CLEAN = 0;
     static final int FOUND = 1;
@@ -57,13 +69,17 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(),
+        throw new CommandLine.ParameterException(
+                spec.commandLine(),
                 "a command is needed: scenarios, check, run, compare, sweep, capacity, minimize, cases or reference");
     }
 
     /** What all that play a scenario share. */
     private abstract static class Playing implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "SCENARIO", description = "A file, or the name of one that comes with the program.")
+        @Parameters(
+                index = "0",
+                paramLabel = "SCENARIO",
+                description = "A file, or the name of one that comes with the program.")
         private String scenario;
 
         @Spec
@@ -84,7 +100,8 @@
     }
 
     static ScenarioFile.Read read(CommandSpec spec, String name) throws IOException, SourceFile.UnreadableException {
-        ScenarioFile.Read read = Lab.NAMED.contains(name) ? Lab.read(name, Lab.named(name))
+        ScenarioFile.Read read = Lab.NAMED.contains(name)
+                ? Lab.read(name, Lab.named(name))
                 : Lab.read(name, SourceFile.text(Path.of(name)));
         read.findings().forEach(finding -> spec.commandLine().getErr().println(finding));
         return read;
@@ -92,23 +109,53 @@
 
     static void print(PrintWriter out, Lab.Played played) {
         Service.Report s = played.service();
-        out.println(String.format(Locale.ROOT, "%s, seed %d: service %.4f (whole %.4f, worst 10 s %.4f, worst class %.4f, worst tenant"
-                + " %.4f)", played.scenario().name(), played.seed(), s.figure(), s.whole(), s.worstWindow(), s.worstClass(),
+        out.println(String.format(
+                Locale.ROOT,
+                "%s, seed %d: service %.4f (whole %.4f, worst 10 s %.4f, worst class %.4f, worst tenant" + " %.4f)",
+                played.scenario().name(),
+                played.seed(),
+                s.figure(),
+                s.whole(),
+                s.worstWindow(),
+                s.worstClass(),
                 s.worstTenant()));
-        out.println(String.format(Locale.ROOT, "  %-16s %8s %9s %8s %7s %8s %9s %9s %8s", "class", "asked", "delivered", "refused",
-                "failed", "service", "p50 ms", "p99 ms", "attempts"));
+        out.println(String.format(
+                Locale.ROOT,
+                "  %-16s %8s %9s %8s %7s %8s %9s %9s %8s",
+                "class",
+                "asked",
+                "delivered",
+                "refused",
+                "failed",
+                "service",
+                "p50 ms",
+                "p99 ms",
+                "attempts"));
         for (Service.OfClass c : s.classes()) {
-            out.println(String.format(Locale.ROOT, "  %-16s %8d %9d %8d %7d %8.4f %9.0f %9.0f %8.2f", c.name(), c.asked(),
-                    c.delivered(), c.refused(), c.failed(), c.service(), c.p50(), c.p99(), c.attempts()));
+            out.println(String.format(
+                    Locale.ROOT,
+                    "  %-16s %8d %9d %8d %7d %8.4f %9.0f %9.0f %8.2f",
+                    c.name(),
+                    c.asked(),
+                    c.delivered(),
+                    c.refused(),
+                    c.failed(),
+                    c.service(),
+                    c.p50(),
+                    c.p99(),
+                    c.attempts()));
         }
-        out.println(String.format(Locale.ROOT, "  highest load of an endpoint in a second: %.2f times what it could do", s.peakLoad()));
+        out.println(String.format(
+                Locale.ROOT, "  highest load of an endpoint in a second: %.2f times what it could do", s.peakLoad()));
         print(out, played.costs(), played.history());
         if (played.rules().isClean()) {
             out.println("  no rule was broken");
         } else {
             out.println("  rules broken: " + played.rules().counts());
-            played.rules().first().forEach(b -> out.println("    " + b.rule() + " at " + b.at() + " us, message " + b.ask() + ": "
-                    + b.what()));
+            played.rules()
+                    .first()
+                    .forEach(b -> out.println(
+                            "    " + b.rule() + " at " + b.at() + " us, message " + b.ask() + ": " + b.what()));
         }
     }
 
@@ -119,19 +166,42 @@
             if (total > 0) {
                 Costs.Most relay = costs.counts().mostOfRelays(what);
                 Costs.Most endpoint = costs.counts().mostOfEndpoints(what);
-                out.println(String.format(Locale.ROOT, "    %-12s %9d %9.1f%s%s", what.name().toLowerCase(Locale.ROOT), total,
-                        costs.perThousand(total), relay.count() == 0 ? "" : "  most by relay " + relay.who() + ": " + relay.count(),
+                out.println(String.format(
+                        Locale.ROOT,
+                        "    %-12s %9d %9.1f%s%s",
+                        what.name().toLowerCase(Locale.ROOT),
+                        total,
+                        costs.perThousand(total),
+                        relay.count() == 0 ? "" : "  most by relay " + relay.who() + ": " + relay.count(),
                         endpoint.count() == 0 ? "" : "  most at e" + endpoint.who() + ": " + endpoint.count()));
             }
         }
-        out.println(String.format(Locale.ROOT, "    refused without an attempt %d, cut off without an answer %d", costs.untried(), costs.cut()));
-        out.println(String.format(Locale.ROOT, "    ends told in time %d, up to 100 ms late %d, up to 300 ms %d, later %d%s", costs.inTime(),
-                costs.within100(), costs.within300(), costs.later(), costs.latest() == 0 ? "" : String.format(Locale.ROOT,
-                        "; the latest %.0f ms: message %d of relay %d", costs.latest() / 1_000.0, costs.latestAsk(),
-                        history.asks().get(costs.latestAsk()).relay())));
+        out.println(String.format(
+                Locale.ROOT,
+                "    refused without an attempt %d, cut off without an answer %d",
+                costs.untried(),
+                costs.cut()));
+        out.println(String.format(
+                Locale.ROOT,
+                "    ends told in time %d, up to 100 ms late %d, up to 300 ms %d, later %d%s",
+                costs.inTime(),
+                costs.within100(),
+                costs.within300(),
+                costs.later(),
+                costs.latest() == 0
+                        ? ""
+                        : String.format(
+                                Locale.ROOT,
+                                "; the latest %.0f ms: message %d of relay %d",
+                                costs.latest() / 1_000.0,
+                                costs.latestAsk(),
+                                history.asks().get(costs.latestAsk()).relay())));
     }
 
-    @Command(name = "scenarios", mixinStandardHelpOptions = true, description = "Lists the scenarios that come with the program.")
+    @Command(
+            name = "scenarios",
+            mixinStandardHelpOptions = true,
+            description = "Lists the scenarios that come with the program.")
     static final class Scenarios implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -139,8 +209,13 @@
         @Override
         public Integer call() throws IOException {
             for (String name : Lab.NAMED) {
-                spec.commandLine().getOut().println(String.format(Locale.ROOT, "%-22s %s", name, Lab.read(name, Lab.named(name))
-                        .scenario().text()));
+                spec.commandLine()
+                        .getOut()
+                        .println(String.format(
+                                Locale.ROOT,
+                                "%-22s %s",
+                                name,
+                                Lab.read(name, Lab.named(name)).scenario().text()));
             }
             return CLEAN;
         }
@@ -164,12 +239,18 @@
         }
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a scenario and tells its service and the rules.")
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description = "Plays a scenario and tells its service and the rules.")
     static final class Run extends Playing {
         @Option(names = "--seed", defaultValue = "1", description = "The first seed (${DEFAULT-VALUE}).")
         private long seed;
 
-        @Option(names = "--seeds", defaultValue = "1", description = "How many seeds, from the first on (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--seeds",
+                defaultValue = "1",
+                description = "How many seeds, from the first on (${DEFAULT-VALUE}).")
         private int seeds;
 
         @Option(names = "--json", paramLabel = "FILE", description = "Figures as JSON, a line for each run.")
@@ -181,12 +262,18 @@
         @Option(names = "--page", paramLabel = "FILE", description = "A page with plots of the last run.")
         private Path page;
 
-        @Option(names = "--real", paramLabel = "DIR", description = "By whole relays on loopback, in real time; their files, journals"
-                + " and logs go there.")
+        @Option(
+                names = "--real",
+                paramLabel = "DIR",
+                description =
+                        "By whole relays on loopback, in real time; their files, journals" + " and logs go there.")
         private Path real;
 
-        @Option(names = "--follow", paramLabel = "MESSAGE", description = "All that became of one message, by the number that a broken"
-                + " rule or a late end names it by.")
+        @Option(
+                names = "--follow",
+                paramLabel = "MESSAGE",
+                description = "All that became of one message, by the number that a broken"
+                        + " rule or a late end names it by.")
         private Integer follow;
 
         @Override
@@ -198,8 +285,9 @@
             List<Lab.Played> all = new ArrayList<>();
             boolean clean = true;
             for (int i = 0; i < seeds; i++) {
-                Lab.Played played = real == null ? Lab.play(scenario, seed + i) : real(out(), scenario, seed + i, null,
-                        real.resolve("seed" + (seed + i)));
+                Lab.Played played = real == null
+                        ? Lab.play(scenario, seed + i)
+                        : real(out(), scenario, seed + i, null, real.resolve("seed" + (seed + i)));
                 print(out(), played);
                 if (follow != null) {
                     follow(played, follow);
@@ -225,33 +313,56 @@
                 throw wrong("--follow takes a message from 0 to " + (asks.size() - 1) + " of seed " + played.seed());
             }
             Ask ask = asks.get(number);
-            out().println(String.format(Locale.ROOT, "  message %d, %s for partner %d: handed in at %d us to relay %d, %d times, due at %d us",
-                    number, played.scenario().classes().get(ask.type()).name(), ask.partner(), ask.at(), ask.relay(), ask.tries(),
+            out().println(String.format(
+                    Locale.ROOT,
+                    "  message %d, %s for partner %d: handed in at %d us to relay %d, %d times, due at %d us",
+                    number,
+                    played.scenario().classes().get(ask.type()).name(),
+                    ask.partner(),
+                    ask.at(),
+                    ask.relay(),
+                    ask.tries(),
                     ask.due()));
-            ask.postings().forEach(p -> out().println(String.format(Locale.ROOT, "    %d us: relay %d sends it to e%d, there at %d us,"
-                    + " %s, %s", p.sent(), p.relay(), p.endpoint(), p.came(), p.ran() ? "it runs" : "it does not run", p.answer())));
-            out().println("    " + (ask.endedAt() < 0 ? "no end was told" : "an end was told at " + ask.endedAt() + " us") + "; last told "
-                    + ask.told() + (ask.doneAt() < 0 ? "" : "; done at " + ask.doneAt() + " us"));
+            ask.postings().forEach(p -> out().println(String.format(
+                    Locale.ROOT,
+                    "    %d us: relay %d sends it to e%d, there at %d us," + " %s, %s",
+                    p.sent(),
+                    p.relay(),
+                    p.endpoint(),
+                    p.came(),
+                    p.ran() ? "it runs" : "it does not run",
+                    p.answer())));
+            out().println("    "
+                    + (ask.endedAt() < 0 ? "no end was told" : "an end was told at " + ask.endedAt() + " us")
+                    + "; last told " + ask.told() + (ask.doneAt() < 0 ? "" : "; done at " + ask.doneAt() + " us"));
         }
     }
 
     /** Writes a run's page where one is wanted. */
     static void writePage(Path page, Lab.Played played) throws IOException {
         if (page != null) {
-            Files.writeString(page, RunPage.of(played.scenario(), played.seed(), played.service(), played.rules(), played.history()));
+            Files.writeString(
+                    page,
+                    RunPage.of(played.scenario(), played.seed(), played.service(), played.rules(), played.history()));
         }
     }
 
     /** Plays by whole relays, shown while it goes on, and says whether the machine kept up. */
-    static Lab.Played real(PrintWriter out, Scenario scenario, long seed, Replayed replayed, Path folder) throws IOException {
+    static Lab.Played real(PrintWriter out, Scenario scenario, long seed, Replayed replayed, Path folder)
+            throws IOException {
         Lab.Real real;
         try (Showing showing = new Showing(out, scenario.name() + ", seed " + seed)) {
             real = Lab.real(scenario, seed, replayed, RealRun.Fleet.OWN, folder, showing);
         }
         RealRun.Outcome o = real.outcome();
-        out.println(String.format(Locale.ROOT, "messages left late by %.1f ms at p50, %.1f at p99, %.1f at the most%s; %.0f us of CPU"
-                + " a message", o.lateness().p50() / 1e3, o.lateness().p99() / 1e3, o.lateness().most() / 1e3, o.isValid() ? ""
-                        : ": INVALID, this machine did not keep up", o.cpu()));
+        out.println(String.format(
+                Locale.ROOT,
+                "messages left late by %.1f ms at p50, %.1f at p99, %.1f at the most%s; %.0f us of CPU" + " a message",
+                o.lateness().p50() / 1e3,
+                o.lateness().p99() / 1e3,
+                o.lateness().most() / 1e3,
+                o.isValid() ? "" : ": INVALID, this machine did not keep up",
+                o.cpu()));
         return real.played();
     }
 
@@ -266,7 +377,8 @@
         Showing(PrintWriter out, String title) throws IOException {
             this.out = out;
             if (System.console() != null) {
-                screen = new LabScreen(new DefaultTerminalFactory().setForceTextTerminal(true).createTerminal(), title);
+                screen = new LabScreen(
+                        new DefaultTerminalFactory().setForceTextTerminal(true).createTerminal(), title);
             }
         }
 
@@ -279,8 +391,16 @@
                 if (screen != null) {
                     screen.show(s);
                 } else if (seen++ % EVERY == EVERY - 1) {
-                    out.println(String.format(Locale.ROOT, "%4.0f s: service so far %.4f, asked %d, delivered %d, refused %d, failed"
-                            + " %d, open %d", s.at() / 1e6, s.service(), s.asked(), s.delivered(), s.refused(), s.failed(), s.open()));
+                    out.println(String.format(
+                            Locale.ROOT,
+                            "%4.0f s: service so far %.4f, asked %d, delivered %d, refused %d, failed" + " %d, open %d",
+                            s.at() / 1e6,
+                            s.service(),
+                            s.asked(),
+                            s.delivered(),
+                            s.refused(),
+                            s.failed(),
+                            s.open()));
                     out.flush();
                 }
             } catch (IOException e) {
@@ -317,8 +437,12 @@
     private static void writeCsv(Path file, List<Lab.Played> all) throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add("scenario,seed," + String.join(",", all.get(0).figures().keySet()));
-        all.forEach(p -> lines.add(p.scenario().name() + "," + p.seed() + "," + String.join(",", p.figures().values().stream()
-                .map(v -> Double.toString(v)).toList())));
+        all.forEach(p -> lines.add(p.scenario().name() + "," + p.seed() + ","
+                + String.join(
+                        ",",
+                        p.figures().values().stream()
+                                .map(v -> Double.toString(v))
+                                .toList())));
         Files.write(file, lines);
     }
 
@@ -327,17 +451,26 @@
         @Option(names = "--seeds", defaultValue = "12", description = "Pairs of runs (${DEFAULT-VALUE}).")
         private int seeds;
 
-        @Option(names = "--folder", required = true, paramLabel = "DIR", description = "Where finished runs are kept: a"
-                + " run that is there is not made again.")
+        @Option(
+                names = "--folder",
+                required = true,
+                paramLabel = "DIR",
+                description = "Where finished runs are kept: a" + " run that is there is not made again.")
         private Path folder;
 
         @Option(names = "--real", description = "By whole relays on loopback, in real time, one run after the other.")
         private boolean real;
 
-        @Option(names = "--core", defaultValue = "-1", description = "The core that whole relays run on; any if left out.")
+        @Option(
+                names = "--core",
+                defaultValue = "-1",
+                description = "The core that whole relays run on; any if left out.")
         private int core;
 
-        @Option(names = "--page", paramLabel = "FILE", description = "A page with each figure's pairs, effect and interval.")
+        @Option(
+                names = "--page",
+                paramLabel = "FILE",
+                description = "A page with each figure's pairs, effect and interval.")
         private Path page;
 
         int judge(String name, List<Lab.Side> sides) throws IOException {
@@ -352,8 +485,12 @@
                 }
                 Lab.Player player = real ? Lab.relays(core, folder.resolve("relays")) : Lab.emulator();
                 String kept = real ? name + " by whole relays on core " + core : name;
-                Map<String, List<Lab.Compared>> all = Lab.compare(results, kept, sides, numbers, player, result -> out().println(
-                        String.format(Locale.ROOT, "  %s, seed %d: service %.4f", result.side(), result.seed(),
+                Map<String, List<Lab.Compared>> all =
+                        Lab.compare(results, kept, sides, numbers, player, result -> out().println(String.format(
+                                Locale.ROOT,
+                                "  %s, seed %d: service %.4f",
+                                result.side(),
+                                result.seed(),
                                 result.figures().get("service"))));
                 if (page != null) {
                     Files.writeString(page, ComparePage.of(name, sides.get(0).name(), all));
@@ -362,9 +499,18 @@
                     out().println(side.getKey() + " beside " + sides.get(0).name() + ":");
                     for (Lab.Compared c : side.getValue()) {
                         Verdict v = c.verdict();
-                        out().println(String.format(Locale.ROOT, "  %-14s %.5g, %.5g beside it: %+.5f [%+.5f, %+.5f] p %.3f, %d pairs:"
-                                + " %s", c.figure(), c.secondMean(), c.firstMean(), v.effect(), v.low(), v.high(), v.p(),
-                                v.pairs(), v.word()));
+                        out().println(String.format(
+                                Locale.ROOT,
+                                "  %-14s %.5g, %.5g beside it: %+.5f [%+.5f, %+.5f] p %.3f, %d pairs:" + " %s",
+                                c.figure(),
+                                c.secondMean(),
+                                c.firstMean(),
+                                v.effect(),
+                                v.low(),
+                                v.high(),
+                                v.p(),
+                                v.pairs(),
+                                v.word()));
                         worse |= c.figure().equals("service") && v.word() == Verdict.Word.WORSE;
                     }
                 }
@@ -373,15 +519,24 @@
         }
     }
 
-    @Command(name = "compare", mixinStandardHelpOptions = true, description = "Plays two scenarios by turns on the same seeds,"
-            + " and says whether the second one is better.")
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays two scenarios by turns on the same seeds," + " and says whether the second one is better.")
     static final class Compare extends Experiment {
-        @Parameters(index = "1", paramLabel = "OTHER", description = "The scenario beside it, such as one with other slots; the same"
-                + " one for another build.")
+        @Parameters(
+                index = "1",
+                paramLabel = "OTHER",
+                description =
+                        "The scenario beside it, such as one with other slots; the same" + " one for another build.")
         private String other;
 
-        @Option(names = "--build", paramLabel = "JAR", description = "The second side is played by another build, its jar or a"
-                + " folder of classes: by its decision module in the emulator, by all of it with --real.")
+        @Option(
+                names = "--build",
+                paramLabel = "JAR",
+                description = "The second side is played by another build, its jar or a"
+                        + " folder of classes: by its decision module in the emulator, by all of it with --real.")
         private Path build;
 
         @Spec
@@ -391,16 +546,27 @@
         public Integer call() throws IOException, SourceFile.UnreadableException {
             Scenario first = scenario();
             Scenario second = read(spec, other).scenario();
-            return first == null || second == null ? FOUND : judge(first.name() + " | " + second.name() + " | " + other,
-                    List.of(new Lab.Side("A", first, null), new Lab.Side("B", second, build)));
+            return first == null || second == null
+                    ? FOUND
+                    : judge(
+                            first.name() + " | " + second.name() + " | " + other,
+                            List.of(new Lab.Side("A", first, null), new Lab.Side("B", second, build)));
         }
     }
 
-    @Command(name = "sweep", mixinStandardHelpOptions = true, description = "Plays a scenario with several values of one factor by"
-            + " turns, each judged against the first.")
+    @Command(
+            name = "sweep",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays a scenario with several values of one factor by" + " turns, each judged against the first.")
     static final class Sweep extends Experiment {
         /** What can be swept. */
-        enum Factor { load, slots, messages, relays }
+        enum Factor {
+            load,
+            slots,
+            messages,
+            relays
+        }
 
         @Option(names = "--factor", required = true, description = "${COMPLETION-CANDIDATES}.")
         private Factor factor;
@@ -417,8 +583,11 @@
             if (values.size() < 2 || values.stream().anyMatch(v -> !(v > 0))) {
                 throw wrong("--values takes two or more numbers above 0");
             }
-            judge(scenario.name() + " by " + factor, values.stream().map(v -> new Lab.Side(factor + "=" + v, with(scenario, v),
-                    null)).toList());
+            judge(
+                    scenario.name() + " by " + factor,
+                    values.stream()
+                            .map(v -> new Lab.Side(factor + "=" + v, with(scenario, v), null))
+                            .toList());
             return CLEAN;
         }
 
@@ -427,30 +596,48 @@
             int whole = (int) Math.max(1, Math.round(value));
             return switch (factor) {
                 case load -> s.withSpan(s.span(), value);
-                case slots -> s.withFleet(new Scenario.Fleet(f.relays(), f.skew(), whole, f.messages(), f.round(), f.restart()));
-                case messages -> s.withFleet(new Scenario.Fleet(f.relays(), f.skew(), f.slots(), whole, f.round(), f.restart()));
-                case relays -> s.withFleet(new Scenario.Fleet(whole, f.skew(), f.slots(), f.messages(), f.round(), f.restart()));
+                case slots -> s.withFleet(
+                        new Scenario.Fleet(f.relays(), f.skew(), whole, f.messages(), f.round(), f.restart()));
+                case messages -> s.withFleet(
+                        new Scenario.Fleet(f.relays(), f.skew(), f.slots(), whole, f.round(), f.restart()));
+                case relays -> s.withFleet(
+                        new Scenario.Fleet(whole, f.skew(), f.slots(), f.messages(), f.round(), f.restart()));
             };
         }
     }
 
-    @Command(name = "capacity", mixinStandardHelpOptions = true, description = "Searches the highest load at which a scenario keeps"
-            + " a service and a latency.")
+    @Command(
+            name = "capacity",
+            mixinStandardHelpOptions = true,
+            description = "Searches the highest load at which a scenario keeps" + " a service and a latency.")
     static final class CapacityOf extends Playing {
         @Option(names = "--service", defaultValue = "0.95", description = "At least (${DEFAULT-VALUE}).")
         private double service;
 
-        @Option(names = "--p99", defaultValue = "5000", paramLabel = "MS", description = "At the most (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--p99",
+                defaultValue = "5000",
+                paramLabel = "MS",
+                description = "At the most (${DEFAULT-VALUE}).")
         private double p99;
 
-        @Option(names = "--real", paramLabel = "DIR", description = "By whole relays on loopback, whose files go there, and beside"
-                + " them by a bare proxy that keeps and decides nothing.")
+        @Option(
+                names = "--real",
+                paramLabel = "DIR",
+                description = "By whole relays on loopback, whose files go there, and beside"
+                        + " them by a bare proxy that keeps and decides nothing.")
         private Path real;
 
-        @Option(names = "--core", defaultValue = "-1", description = "The core that whole relays run on; any if left out.")
+        @Option(
+                names = "--core",
+                defaultValue = "-1",
+                description = "The core that whole relays run on; any if left out.")
         private int core;
 
-        @Option(names = "--within", defaultValue = "0.05", description = "The answer may be off by that share (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--within",
+                defaultValue = "0.05",
+                description = "The answer may be off by that share (${DEFAULT-VALUE}).")
         private double within;
 
         @Override
@@ -472,21 +659,43 @@
                 return CLEAN;
             }
             for (boolean bare : new boolean[] {true, false}) {
-                say(bare ? "a bare proxy" : "relays", scenario, Lab.capacity(within, Lab.played(scenario, wanted,
-                        new RealRun.Fleet(new ServedRelay.Program(null, core), bare), real, progress)));
+                say(
+                        bare ? "a bare proxy" : "relays",
+                        scenario,
+                        Lab.capacity(
+                                within,
+                                Lab.played(
+                                        scenario,
+                                        wanted,
+                                        new RealRun.Fleet(new ServedRelay.Program(null, core), bare),
+                                        real,
+                                        progress)));
             }
             return CLEAN;
         }
 
         private void say(String who, Scenario scenario, Capacity found) {
-            double rate = scenario.classes().stream().mapToDouble(Scenario.MessageClass::rate).sum() * scenario.load();
-            out().println(String.format(Locale.ROOT, "%s: highest load that held: %.3f (%.1f messages a second); lowest that did not:"
-                    + " %.3f; %d runs", who, found.answer(), found.answer() * rate, found.beyond(), found.runs()));
+            double rate = scenario.classes().stream()
+                            .mapToDouble(Scenario.MessageClass::rate)
+                            .sum()
+                    * scenario.load();
+            out().println(String.format(
+                    Locale.ROOT,
+                    "%s: highest load that held: %.3f (%.1f messages a second); lowest that did not:"
+                            + " %.3f; %d runs",
+                    who,
+                    found.answer(),
+                    found.answer() * rate,
+                    found.beyond(),
+                    found.runs()));
         }
     }
 
-    @Command(name = "minimize", mixinStandardHelpOptions = true, description = "Makes a scenario that breaks a rule smaller, as long"
-            + " as it breaks it, and keeps the small one.")
+    @Command(
+            name = "minimize",
+            mixinStandardHelpOptions = true,
+            description = "Makes a scenario that breaks a rule smaller, as long"
+                    + " as it breaks it, and keeps the small one.")
     static final class Minimize extends Playing {
         @Option(names = "--seed", required = true, description = "The seed by which it breaks the rule.")
         private long seed;
@@ -494,8 +703,11 @@
         @Option(names = "--rule", required = true, description = "${COMPLETION-CANDIDATES}.")
         private Judge.Rule rule;
 
-        @Option(names = "--cases", required = true, paramLabel = "DIR", description = "The folder of cases in which the small one is"
-                + " kept; lab cases plays them all.")
+        @Option(
+                names = "--cases",
+                required = true,
+                paramLabel = "DIR",
+                description = "The folder of cases in which the small one is" + " kept; lab cases plays them all.")
         private Path cases;
 
         @Option(names = "--runs", defaultValue = "300", description = "Runs at the most (${DEFAULT-VALUE}).")
@@ -510,9 +722,12 @@
             try {
                 Scenario small = Lab.minimize(scenario, seed, rule, Lab.OWN, runs);
                 Path to = Cases.save(cases, small, seed, rule);
-                out().println(to + ": " + small.failures().size() + " of " + scenario.failures().size() + " failures, "
-                        + small.groups().size() + " of " + scenario.groups().size() + " groups, " + small.classes().size() + " of "
-                        + scenario.classes().size() + " classes, " + small.fleet().relays() + " of " + scenario.fleet().relays()
+                out().println(to + ": " + small.failures().size() + " of "
+                        + scenario.failures().size() + " failures, "
+                        + small.groups().size() + " of " + scenario.groups().size() + " groups, "
+                        + small.classes().size() + " of "
+                        + scenario.classes().size() + " classes, "
+                        + small.fleet().relays() + " of " + scenario.fleet().relays()
                         + " relays");
                 return CLEAN;
             } catch (IllegalArgumentException e) {
@@ -521,8 +736,10 @@
         }
     }
 
-    @Command(name = "cases", mixinStandardHelpOptions = true, description = "Plays every case of a folder, each by its seed, and tells"
-            + " which break a rule.")
+    @Command(
+            name = "cases",
+            mixinStandardHelpOptions = true,
+            description = "Plays every case of a folder, each by its seed, and tells" + " which break a rule.")
     static final class PlayCases implements Callable<Integer> {
         @Parameters(paramLabel = "DIR", description = "A folder that lab minimize has kept cases in.")
         private Path folder;
@@ -536,16 +753,21 @@
             int broken = 0;
             List<Cases.Case> cases = Cases.in(folder);
             for (Cases.Case one : cases) {
-                Map<Judge.Rule, Integer> found = Lab.play(one.scenario(), one.seed()).rules().counts();
+                Map<Judge.Rule, Integer> found =
+                        Lab.play(one.scenario(), one.seed()).rules().counts();
                 broken += found.isEmpty() ? 0 : 1;
-                out.println(one.file().getFileName() + ": " + (found.isEmpty() ? "no rule was broken" : "breaks " + found));
+                out.println(
+                        one.file().getFileName() + ": " + (found.isEmpty() ? "no rule was broken" : "breaks " + found));
             }
             out.println(broken + " of " + cases.size() + " cases break a rule");
             return broken == 0 ? CLEAN : FOUND;
         }
     }
 
-    @Command(name = "reference", mixinStandardHelpOptions = true, description = "Prints every setting of scenario files as Markdown.")
+    @Command(
+            name = "reference",
+            mixinStandardHelpOptions = true,
+            description = "Prints every setting of scenario files as Markdown.")
     static final class Reference implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
--- a/src/main/java/pipitstage/cli/LabScreen.java
+++ b/src/main/java/pipitstage/cli/LabScreen.java
@@ -39,25 +39,58 @@
     /** Shows how a run stands. */
     void show(Snapshot s) throws IOException {
         for (KeyStroke key = screen.pollInput(); key != null; key = screen.pollInput()) {
-            left |= key.getKeyType() == KeyType.EOF || key.getKeyType() == KeyType.Character && key.getCharacter() == 'q';
+            left |= key.getKeyType() == KeyType.EOF
+                    || key.getKeyType() == KeyType.Character && key.getCharacter() == 'q';
         }
         screen.doResizeIfNecessary();
         screen.clear();
         TextGraphics text = screen.newTextGraphics();
         line(text, 0, TextColor.ANSI.DEFAULT, "%s   %5.1f s   q: leave the screen", title, s.at() / 1e6);
-        line(text, 1, s.service() < 0.9 ? TextColor.ANSI.RED : TextColor.ANSI.GREEN, "service so far %.4f", s.service());
-        line(text, 2, TextColor.ANSI.DEFAULT, "asked %d (%d/s)  delivered %d (%d/s)  refused %d  failed %d  open %d", s.asked(),
-                s.asking(), s.delivered(), s.delivering(), s.refused(), s.failed(), s.open());
-        line(text, HEAD - 1, TextColor.ANSI.DEFAULT, "%-6s %-14s %-10s %7s %8s  %s", "host", "partner", "building", "calls/s",
-                "can do", "load, full at 2.5 times");
+        line(
+                text,
+                1,
+                s.service() < 0.9 ? TextColor.ANSI.RED : TextColor.ANSI.GREEN,
+                "service so far %.4f",
+                s.service());
+        line(
+                text,
+                2,
+                TextColor.ANSI.DEFAULT,
+                "asked %d (%d/s)  delivered %d (%d/s)  refused %d  failed %d  open %d",
+                s.asked(),
+                s.asking(),
+                s.delivered(),
+                s.delivering(),
+                s.refused(),
+                s.failed(),
+                s.open());
+        line(
+                text,
+                HEAD - 1,
+                TextColor.ANSI.DEFAULT,
+                "%-6s %-14s %-10s %7s %8s  %s",
+                "host",
+                "partner",
+                "building",
+                "calls/s",
+                "can do",
+                "load, full at 2.5 times");
         int rows = screen.getTerminalSize().getRows() - HEAD;
         for (int i = 0; i < Math.min(rows, s.endpoints().size()); i++) {
             Snapshot.OfEndpoint e = s.endpoints().get(i);
             boolean well = e.meets() == Faults.Meets.CALLS;
             int bar = (int) Math.min(BAR, Math.round(e.load() / FULL * BAR));
-            line(text, HEAD + i, !well ? TextColor.ANSI.RED : e.load() > 1 ? TextColor.ANSI.YELLOW : TextColor.ANSI.DEFAULT,
-                    "%-6s %-14.14s %-10.10s %7d %8.1f  %s", e.name(), e.partner(), e.building(), e.calls(), e.able(), well
-                            ? "#".repeat(bar) : e.meets().name().toLowerCase(Locale.ROOT));
+            line(
+                    text,
+                    HEAD + i,
+                    !well ? TextColor.ANSI.RED : e.load() > 1 ? TextColor.ANSI.YELLOW : TextColor.ANSI.DEFAULT,
+                    "%-6s %-14.14s %-10.10s %7d %8.1f  %s",
+                    e.name(),
+                    e.partner(),
+                    e.building(),
+                    e.calls(),
+                    e.able(),
+                    well ? "#".repeat(bar) : e.meets().name().toLowerCase(Locale.ROOT));
         }
         screen.refresh();
     }
--- a/src/main/java/pipitstage/cli/Main.java
+++ b/src/main/java/pipitstage/cli/Main.java
@@ -16,7 +16,7 @@
 public final class Main {
     private static final int MISUSE = 2;
 
-    private Main() { }
+    private Main() {}
 
     /** Runs a command. */
     public static void main(String[] args) throws IOException {
--- a/src/main/java/pipitstage/cli/TraceCommand.java
+++ b/src/main/java/pipitstage/cli/TraceCommand.java
@@ -37,7 +37,10 @@
 import pipitstage.trace.read.TraceReader;
 
 /** Public cluster traces in CSV. */
-@Command(name = "trace", mixinStandardHelpOptions = true, description = "Public cluster traces in CSV.",
+@Command(
+        name = "trace",
+        mixinStandardHelpOptions = true,
+        description = "Public cluster traces in CSV.",
         subcommands = {TraceCommand.Check.class, TraceCommand.Map.class})
 final class TraceCommand implements Callable<Integer> {
     @Spec
@@ -60,24 +63,39 @@
 
         /** A published form or a mapping file. */
         static final class Which {
-            @Option(names = "--form", paramLabel = "FORM", description = "One of google-2011-task-events,"
-                    + " alibaba-2018-batch-task, azure-v1-vmtable, azure-functions-2021, azure-functions-2019.")
+            @Option(
+                    names = "--form",
+                    paramLabel = "FORM",
+                    description = "One of google-2011-task-events,"
+                            + " alibaba-2018-batch-task, azure-v1-vmtable, azure-functions-2021, azure-functions-2019.")
             private String form;
 
-            @Option(names = "--map", paramLabel = "MAP.toml", description = "A file that names the columns of any other CSV.")
+            @Option(
+                    names = "--map",
+                    paramLabel = "MAP.toml",
+                    description = "A file that names the columns of any other CSV.")
             private Path map;
         }
 
-        @Option(names = "--window", defaultValue = "10s", paramLabel = "SPAN", description = "Rows no further apart than this are"
-                + " put in order (10s).")
+        @Option(
+                names = "--window",
+                defaultValue = "10s",
+                paramLabel = "SPAN",
+                description = "Rows no further apart than this are" + " put in order (10s).")
         private String window;
 
-        @Option(names = "--late", defaultValue = "drop", paramLabel = "RULE", description = "Rows further behind: drop, clamp to"
-                + " the row sent last, or fail.")
+        @Option(
+                names = "--late",
+                defaultValue = "drop",
+                paramLabel = "RULE",
+                description = "Rows further behind: drop, clamp to" + " the row sent last, or fail.")
         private String late;
 
-        @Option(names = "--from", defaultValue = "0s", paramLabel = "SPAN", description = "Rows before this time of the trace's"
-                + " clock are cut.")
+        @Option(
+                names = "--from",
+                defaultValue = "0s",
+                paramLabel = "SPAN",
+                description = "Rows before this time of the trace's" + " clock are cut.")
         private String from;
 
         @Option(names = "--to", paramLabel = "SPAN", description = "Rows from this time on are cut.")
@@ -91,8 +109,12 @@
             Tally tally = new Tally();
             long first = from();
             long end = to == null ? Long.MAX_VALUE : span("--to", to);
-            new TraceReader(formOf(), time -> time >= first && time < end, new Arrivals(span("--window", window), MOST_HELD,
-                    rule(), tally, out), tally).read(files);
+            new TraceReader(
+                            formOf(),
+                            time -> time >= first && time < end,
+                            new Arrivals(span("--window", window), MOST_HELD, rule(), tally, out),
+                            tally)
+                    .read(files);
             return tally;
         }
 
@@ -108,8 +130,9 @@
                     throw misuse(e.getMessage());
                 }
             }
-            return Form.of(which.form).orElseThrow(() -> misuse("--form: " + which.form + " is none of " + Stream.of(
-                    Form.values()).map(Form::word).collect(Collectors.joining(", "))));
+            return Form.of(which.form)
+                    .orElseThrow(() -> misuse("--form: " + which.form + " is none of "
+                            + Stream.of(Form.values()).map(Form::word).collect(Collectors.joining(", "))));
         }
 
         private long span(String option, String text) {
@@ -121,7 +144,9 @@
         }
 
         private Arrivals.Late rule() {
-            return Stream.of(Arrivals.Late.values()).filter(l -> l.name().toLowerCase(Locale.ROOT).equals(late)).findFirst()
+            return Stream.of(Arrivals.Late.values())
+                    .filter(l -> l.name().toLowerCase(Locale.ROOT).equals(late))
+                    .findFirst()
                     .orElseThrow(() -> misuse("--late: " + late + " is none of drop, clamp, fail"));
         }
 
@@ -131,23 +156,41 @@
     }
 
     static void print(Tally tally, PrintWriter out) {
-        out.printf(Locale.ROOT, "%d rows read = %d sent + %d cut + %d rejected%n", tally.rowsRead(), tally.rowsSent(),
-                tally.rowsCut(), tally.rowsRejected());
-        tally.rejected().forEach((fault, r) -> out.printf(Locale.ROOT, "%s: %d (lines %s%s), such as: %s%n", fault.text(),
-                r.count(), r.lines().stream().map(String::valueOf).collect(Collectors.joining(", ")),
-                r.count() > r.lines().size() ? " ..." : "", r.sample()));
+        out.printf(
+                Locale.ROOT,
+                "%d rows read = %d sent + %d cut + %d rejected%n",
+                tally.rowsRead(),
+                tally.rowsSent(),
+                tally.rowsCut(),
+                tally.rowsRejected());
+        tally.rejected()
+                .forEach((fault, r) -> out.printf(
+                        Locale.ROOT,
+                        "%s: %d (lines %s%s), such as: %s%n",
+                        fault.text(),
+                        r.count(),
+                        r.lines().stream().map(String::valueOf).collect(Collectors.joining(", ")),
+                        r.count() > r.lines().size() ? " ..." : "",
+                        r.sample()));
         out.flush();
     }
 
     static int unreadable(CommandSpec spec, Exception e) {
-        spec.commandLine().getErr().println("loftflow: " + (e instanceof IOException io ? Commands.why(io) : e.getMessage()));
+        spec.commandLine()
+                .getErr()
+                .println("loftflow: " + (e instanceof IOException io ? Commands.why(io) : e.getMessage()));
         return 2;
     }
 
     /** Reads a trace, and tells what would be sent of it and what is wrong with the rest. */
-    @Command(name = "check", mixinStandardHelpOptions = true, description = {"Reads a trace as a replay would, and tells which"
-            + " rows would be sent and which are rejected, and why.", "Exit code 1 where a row is rejected, 2 where a file can't"
-            + " be read."})
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Reads a trace as a replay would, and tells which"
+                        + " rows would be sent and which are rejected, and why.",
+                "Exit code 1 where a row is rejected, 2 where a file can't" + " be read."
+            })
     static final class Check implements Callable<Integer> {
         @Mixin
         private Files files;
@@ -163,36 +206,63 @@
                 PrintWriter out = spec.commandLine().getOut();
                 print(tally, out);
                 if (tally.rowsSent() > 0) {
-                    out.printf(Locale.ROOT, "from %s to %s of the trace's clock; at the most %d in one second%n",
-                            Units.ofSpan(spread.first), Units.ofSpan(spread.last), spread.busiest);
+                    out.printf(
+                            Locale.ROOT,
+                            "from %s to %s of the trace's clock; at the most %d in one second%n",
+                            Units.ofSpan(spread.first),
+                            Units.ofSpan(spread.last),
+                            spread.busiest);
                 }
                 return tally.rowsRejected() == 0 ? 0 : 1;
-            } catch (IOException | Arrivals.LateException | Columns.NoSuchColumnException | SourceFile.UnreadableException e) {
+            } catch (IOException
+                    | Arrivals.LateException
+                    | Columns.NoSuchColumnException
+                    | SourceFile.UnreadableException e) {
                 return unreadable(spec, e);
             }
         }
     }
 
     /** Maps a trace to the messages of an application. */
-    @Command(name = "map", mixinStandardHelpOptions = true, description = {"Maps a trace to the messages of an application, one"
-            + " line of CSV each: at_us, class, tenant, destination, key, size, budget_us, line.", "The same trace and seed give"
-            + " the same messages. Exit codes as of check."})
+    @Command(
+            name = "map",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Maps a trace to the messages of an application, one"
+                        + " line of CSV each: at_us, class, tenant, destination, key, size, budget_us, line.",
+                "The same trace and seed give" + " the same messages. Exit codes as of check."
+            })
     static final class Map implements Callable<Integer> {
         @Mixin
         private Files files;
 
-        @Option(names = "--app", required = true, paramLabel = "APP.toml", description = "The application: its classes, whose"
-                + " peak rates are the shares, its tenants and its partners.")
+        @Option(
+                names = "--app",
+                required = true,
+                paramLabel = "APP.toml",
+                description = "The application: its classes, whose"
+                        + " peak rates are the shares, its tenants and its partners.")
         private Path app;
 
-        @Option(names = "--seed", defaultValue = "1", paramLabel = "N", description = "Another one maps flows to other classes,"
-                + " destinations and tenants (1).")
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                paramLabel = "N",
+                description = "Another one maps flows to other classes," + " destinations and tenants (1).")
         private long seed;
 
-        @Option(names = "--speed", defaultValue = "1", paramLabel = "X", description = "How many times as fast as the trace (1).")
+        @Option(
+                names = "--speed",
+                defaultValue = "1",
+                paramLabel = "X",
+                description = "How many times as fast as the trace (1).")
         private double speed;
 
-        @Option(names = {"-o", "--out"}, required = true, paramLabel = "CALLS.csv", description = "Where the messages go.")
+        @Option(
+                names = {"-o", "--out"},
+                required = true,
+                paramLabel = "CALLS.csv",
+                description = "Where the messages go.")
         private Path out;
 
         @Spec
@@ -216,7 +286,10 @@
                 print(tally, spec.commandLine().getOut());
                 spec.commandLine().getOut().println("classes " + types + ", destinations " + destinations);
                 return tally.rowsRejected() == 0 ? 0 : 1;
-            } catch (IOException | UncheckedIOException | Arrivals.LateException | Columns.NoSuchColumnException
+            } catch (IOException
+                    | UncheckedIOException
+                    | Arrivals.LateException
+                    | Columns.NoSuchColumnException
                     | SourceFile.UnreadableException e) {
                 return unreadable(spec, e);
             } catch (IllegalArgumentException e) {
@@ -226,10 +299,21 @@
 
         private Mapping.Scheme scheme() throws SourceFile.UnreadableException {
             Declared declared = declared(app);
-            return new Mapping.Scheme(declared.classes().stream().map(c -> new Mapping.Type(c.name(), c.peakRate(),
-                    c.repeat() == Declared.Repeat.BY_KEY, c.body(), c.largestBody(), c.deadline(), declared.partners().stream()
-                            .filter(p -> c.to() == null || c.to().contains(p.kind())).map(Declared.Partner::number).toList()))
-                    .toList(), declared.tenants().stream().map(Declared.Tenant::name).toList());
+            return new Mapping.Scheme(
+                    declared.classes().stream()
+                            .map(c -> new Mapping.Type(
+                                    c.name(),
+                                    c.peakRate(),
+                                    c.repeat() == Declared.Repeat.BY_KEY,
+                                    c.body(),
+                                    c.largestBody(),
+                                    c.deadline(),
+                                    declared.partners().stream()
+                                            .filter(p -> c.to() == null || c.to().contains(p.kind()))
+                                            .map(Declared.Partner::number)
+                                            .toList()))
+                            .toList(),
+                    declared.tenants().stream().map(Declared.Tenant::name).toList());
         }
     }
 
@@ -241,8 +325,11 @@
     static Declared declared(Path app) throws SourceFile.UnreadableException {
         CheckedFile checked = CheckedFile.of(app.toString(), SourceFile.text(app), Surroundings.UNKNOWN);
         if (!checked.isClean()) {
-            throw new IllegalArgumentException(checked.findings().stream().filter(Finding::isError).findFirst()
-                    .orElseThrow().toString());
+            throw new IllegalArgumentException(checked.findings().stream()
+                    .filter(Finding::isError)
+                    .findFirst()
+                    .orElseThrow()
+                    .toString());
         }
         return checked.declared();
     }
--- a/src/main/java/pipitstage/cli/UndeliverableCommand.java
+++ b/src/main/java/pipitstage/cli/UndeliverableCommand.java
@@ -27,13 +27,25 @@
 import pipitstage.undeliverable.store.SqliteShelf;
 
 /** What could not be delivered: seen, sent again, confirmed, discarded. Asks a running relay, or reads a stopped one's file. */
-@Command(name = "undeliverable", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-        description = {"Messages that a relay has kept since they could not be delivered.",
-            "Asks the relay over admin.sock in its folder; list, show, export and stats read the file of a stopped one."},
-        subcommands = {UndeliverableCommand.ListEntries.class, UndeliverableCommand.Show.class,
-            UndeliverableCommand.Export.class, UndeliverableCommand.Resend.class, UndeliverableCommand.Confirm.class,
-            UndeliverableCommand.Discard.class, UndeliverableCommand.Stats.class, UndeliverableCommand.Pause.class,
-            UndeliverableCommand.GoOn.class})
+@Command(
+        name = "undeliverable",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "COMMAND",
+        description = {
+            "Messages that a relay has kept since they could not be delivered.",
+            "Asks the relay over admin.sock in its folder; list, show, export and stats read the file of a stopped one."
+        },
+        subcommands = {
+            UndeliverableCommand.ListEntries.class,
+            UndeliverableCommand.Show.class,
+            UndeliverableCommand.Export.class,
+            UndeliverableCommand.Resend.class,
+            UndeliverableCommand.Confirm.class,
+            UndeliverableCommand.Discard.class,
+            UndeliverableCommand.Stats.class,
+            UndeliverableCommand.Pause.class,
+            UndeliverableCommand.GoOn.class
+        })
 final class UndeliverableCommand implements Runnable {
     private static final int PAGE = 500;
     private static final String WIDE = "%-7s %-24s %-14s %5s %-9s %-6s %-20s %s%n";
@@ -43,7 +55,8 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(),
+        throw new CommandLine.ParameterException(
+                spec.commandLine(),
                 "a command is needed: list, show, export, resend, confirm, discard, stats, pause or go-on");
     }
 
@@ -130,18 +143,25 @@
     static final class Which {
         @Option(names = "--destination", paramLabel = "N", description = "The number of the destination.")
         private String destination;
+
         @Option(names = "--class", paramLabel = "NAME", description = "The class.")
         private String type;
+
         @Option(names = "--tenant", paramLabel = "NAME", description = "The tenant.")
         private String tenant;
+
         @Option(names = "--state", paramLabel = "STATE", description = "kept, resending, delivered or discarded.")
         private String state;
+
         @Option(names = "--ran", paramLabel = "RAN", description = "never, maybe or did.")
         private String ran;
+
         @Option(names = "--since", paramLabel = "TIME", description = "Kept at or after, such as 2026-12-01T08:00:00Z.")
         private String since;
+
         @Option(names = "--until", paramLabel = "TIME", description = "Kept before.")
         private String until;
+
         @Option(names = "--most", paramLabel = "N", description = "So many at the most.")
         private String most;
 
@@ -171,6 +191,7 @@
     static final class ListEntries extends Asking {
         @Mixin
         private Which which;
+
         @Option(names = "--json", description = "Lines of JSON instead of a table.")
         private boolean json;
 
@@ -182,9 +203,16 @@
             int code = ask(request, take, () -> fromFile(request, take));
             if (!json) {
                 out().printf(WIDE, "id", "kept", "class", "dest", "state", "ran", "ref", "verdict");
-                rows.forEach(r -> out().printf(WIDE, member(r, "id"), member(r, "kept"), member(r, "class"),
-                        member(r, "destination"), member(r, "state"), member(r, "ran"), member(r, "ref"),
-                        member(r, "verdict").equals("-") ? member(r, "why") : member(r, "verdict")));
+                rows.forEach(r -> out().printf(
+                                WIDE,
+                                member(r, "id"),
+                                member(r, "kept"),
+                                member(r, "class"),
+                                member(r, "destination"),
+                                member(r, "state"),
+                                member(r, "ran"),
+                                member(r, "ref"),
+                                member(r, "verdict").equals("-") ? member(r, "why") : member(r, "verdict")));
                 out().println(rows.size() + " entries");
                 out().flush();
             }
@@ -193,10 +221,14 @@
     }
 
     /** Shows one. */
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Shows an entry with its attempts and audit.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Shows an entry with its attempts and audit.")
     static final class Show extends Asking {
         @Parameters(paramLabel = "ID")
         private String id;
+
         @Option(names = "--body", description = "With its body, in Base64.")
         private boolean body;
 
@@ -208,8 +240,8 @@
             }
             return ask(request, out()::println, () -> {
                 try (Shelf shelf = file()) {
-                    Entry entry = shelf.get(Filters.of(request).id()).orElseThrow(
-                            () -> new IllegalArgumentException("there is no entry " + id));
+                    Entry entry = shelf.get(Filters.of(request).id())
+                            .orElseThrow(() -> new IllegalArgumentException("there is no entry " + id));
                     out().println(Lines.entry(entry, body, null, shelf.audits(entry.id())));
                 }
             });
@@ -221,6 +253,7 @@
     static final class Export extends Asking {
         @Mixin
         private Which which;
+
         @Option(names = "--body", description = "With their bodies, in Base64.")
         private boolean body;
 
@@ -235,20 +268,29 @@
     }
 
     /** Sends again. */
-    @Command(name = "resend", mixinStandardHelpOptions = true, description = {
-        "Makes entries due now, one by its number or all that are meant; each goes out at its destination's pace.",
-        "One that may have run and needs a person's word is left as it is, and said so."})
+    @Command(
+            name = "resend",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Makes entries due now, one by its number or all that are meant; each goes out at its destination's pace.",
+                "One that may have run and needs a person's word is left as it is, and said so."
+            })
     static final class Resend extends Asking {
         @Parameters(paramLabel = "ID", arity = "0..1")
         private String id;
+
         @Mixin
         private Which which;
+
         @Option(names = "--all", description = "Without a number or a filter: all of them.")
         private boolean all;
+
         @Option(names = "--dry-run", description = "Says what would be done.")
         private boolean dryRun;
+
         @Option(names = "--cancel", description = "Makes them not due any more instead.")
         private boolean cancel;
+
         @Option(names = "--by", paramLabel = "NAME", required = true, description = "Who asks for it.")
         private String by;
 
@@ -268,14 +310,20 @@
     }
 
     /** Takes a person's word. */
-    @Command(name = "confirm", mixinStandardHelpOptions = true, description = {
-        "Records, with name and reason, that the partner did not post the message, so that it may be sent again.",
-        "It speaks of the attempts made until now, not of later ones."})
+    @Command(
+            name = "confirm",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Records, with name and reason, that the partner did not post the message, so that it may be sent again.",
+                "It speaks of the attempts made until now, not of later ones."
+            })
     static final class Confirm extends Asking {
         @Parameters(paramLabel = "ID")
         private String id;
+
         @Option(names = "--by", paramLabel = "NAME", required = true, description = "Whose word it is.")
         private String by;
+
         @Option(names = "--reason", paramLabel = "TEXT", required = true, description = "How they know.")
         private String reason;
 
@@ -286,12 +334,17 @@
     }
 
     /** Lets an entry be. */
-    @Command(name = "discard", mixinStandardHelpOptions = true, description = "Records that an entry is not sent again.")
+    @Command(
+            name = "discard",
+            mixinStandardHelpOptions = true,
+            description = "Records that an entry is not sent again.")
     static final class Discard extends Asking {
         @Parameters(paramLabel = "ID")
         private String id;
+
         @Option(names = "--by", paramLabel = "NAME", required = true, description = "Who decides it.")
         private String by;
+
         @Option(names = "--reason", paramLabel = "TEXT", required = true, description = "Why.")
         private String reason;
 
@@ -328,9 +381,9 @@
 
     /** Holds resending. */
     @Command(name = "pause", mixinStandardHelpOptions = true, description = "Sends nothing again until go-on.")
-    static final class Pause extends Holding { }
+    static final class Pause extends Holding {}
 
     /** Ends a pause. */
     @Command(name = "go-on", mixinStandardHelpOptions = true, description = "Ends a pause.")
-    static final class GoOn extends Holding { }
+    static final class GoOn extends Holding {}
 }
--- a/src/main/java/pipitstage/config/Config.java
+++ b/src/main/java/pipitstage/config/Config.java
@@ -35,10 +35,26 @@
  * @param memory what is remembered of partners over a restart; null where nothing is
  * @param source the file that all this was read from
  */
-public record Config(List<InetSocketAddress> listen, InetSocketAddress discovery, InetSocketAddress notices,
-        Path state, int clientConnections, int hostConnections, long diskBytes, Policy.Settings settings, long period,
-        long idleSpan, boolean reports, Policy.ListKind knownKind, long knownVersion, List<Target> known,
-        Keeping keeping, Amqp amqp, Http2 http2, Memory memory, byte[] source) {
+public record Config(
+        List<InetSocketAddress> listen,
+        InetSocketAddress discovery,
+        InetSocketAddress notices,
+        Path state,
+        int clientConnections,
+        int hostConnections,
+        long diskBytes,
+        Policy.Settings settings,
+        long period,
+        long idleSpan,
+        boolean reports,
+        Policy.ListKind knownKind,
+        long knownVersion,
+        List<Target> known,
+        Keeping keeping,
+        Amqp amqp,
+        Http2 http2,
+        Memory memory,
+        byte[] source) {
 
     /**
      * What is remembered of partners over a restart. Spans in microseconds.
@@ -51,7 +67,7 @@
      * @param margin added to waits that outlast a restart
      * @param sync whether what is saved must be on the disk itself
      */
-    public record Memory(String owner, long limit, long rate, long halfLife, long settle, long margin, boolean sync) { }
+    public record Memory(String owner, long limit, long rate, long halfLife, long settle, long margin, boolean sync) {}
 
     /**
      * What is kept of messages that could not be delivered: bytes, messages a second, microseconds.
@@ -61,8 +77,18 @@
      * @param low share of it below which it is not full any more
      * @param shelfLives by class
      */
-    public record Keeping(long limit, long entries, double high, double low, boolean refuseWhenFull, long age,
-            double pace, long pause, long clockMargin, long listenOn, Map<String, Long> shelfLives) { }
+    public record Keeping(
+            long limit,
+            long entries,
+            double high,
+            double low,
+            boolean refuseWhenFull,
+            long age,
+            double pace,
+            long pause,
+            long clockMargin,
+            long listenOn,
+            Map<String, Long> shelfLives) {}
 
     /**
      * What is spoken of AMQP 0-9-1.
@@ -72,27 +98,54 @@
      * @param span for which ids are remembered
      * @param entries ids that are remembered
      */
-    public record Amqp(Map<String, BrokerRoute> routes, List<AmqpFront> fronts, List<AmqpQueue> queues,
-            List<MappingRule> mappings, int connections, long span, int entries) { }
+    public record Amqp(
+            Map<String, BrokerRoute> routes,
+            List<AmqpFront> fronts,
+            List<AmqpQueue> queues,
+            List<MappingRule> mappings,
+            int connections,
+            long span,
+            int entries) {}
 
     /** How to log in at a broker; {@code trust} and {@code tlsName} may be null. The heartbeat is in seconds. */
-    public record Login(String user, String password, String virtualHost, int heartbeat, boolean tls, Path trust,
-            String tlsName) { }
+    public record Login(
+            String user, String password, String virtualHost, int heartbeat, boolean tls, Path trust, String tlsName) {}
 
     /** Where messages of an endpoint are published. */
-    public record BrokerRoute(Login login, String exchange, String routingKey) { }
+    public record BrokerRoute(Login login, String exchange, String routingKey) {}
 
     /** A listener; {@code user} and {@code password} are null where everyone may come in. The heartbeat is in seconds. */
-    public record AmqpFront(String name, InetSocketAddress listen, String exchange, String user, String password,
-            int heartbeat, int channels, int frame, long replyHold) { }
+    public record AmqpFront(
+            String name,
+            InetSocketAddress listen,
+            String exchange,
+            String user,
+            String password,
+            int heartbeat,
+            int channels,
+            int frame,
+            long replyHold) {}
 
     /** A queue to take messages from; {@code replyQueue} may be null. */
-    public record AmqpQueue(String name, InetSocketAddress address, Login login, String queue, int prefetch,
-            boolean autoAcknowledge, String ends, String replyQueue) { }
+    public record AmqpQueue(
+            String name,
+            InetSocketAddress address,
+            Login login,
+            String queue,
+            int prefetch,
+            boolean autoAcknowledge,
+            String ends,
+            String replyQueue) {}
 
     /** Sources of a message's parts, as text; {@code contentType} and those that may be left out may be null. */
-    public record MappingRule(String contentType, String id, String requestClass, String tenant, String key,
-            String destination, String budget) { }
+    public record MappingRule(
+            String contentType,
+            String id,
+            String requestClass,
+            String tenant,
+            String key,
+            String destination,
+            String budget) {}
 
     /**
      * What is spoken of HTTP/2.
@@ -100,15 +153,24 @@
      * @param streams that all connections of one front may have open
      * @param buffer bytes that half-read bodies of one front may take
      */
-    public record Http2(List<Http2Front> fronts, int streams, long buffer) { }
+    public record Http2(List<Http2Front> fronts, int streams, long buffer) {}
 
     /** A listener for HTTP/2; spans in microseconds, sizes in bytes, {@code resets} a second, {@code age} 0 for any. */
-    public record Http2Front(InetSocketAddress listen, int streams, int headerList, int window, long idle, long age,
-            long stall, double resets, long drain) { }
+    public record Http2Front(
+            InetSocketAddress listen,
+            int streams,
+            int headerList,
+            int window,
+            long idle,
+            long age,
+            long stall,
+            double resets,
+            long drain) {}
 
     private static final long MIB = 1 << 20;
     /** Descriptors for all but connections: the JVM's own, the journal's, discovery's, and one just accepted. */
     private static final int OTHER_DESCRIPTORS = 36;
+
     private static final double CLIENT_SHARE = 0.55;
     /** What the journal leaves of the platform's disk at its fullest, less some for rounding up to whole blocks. */
     private static final double MOST_MEMORY = 0.08;
@@ -187,14 +249,37 @@
     private Config remembering(Fields m) {
         double share = m.number("disk-share");
         if (!(share > 0 && share <= MOST_MEMORY)) {
-            throw new IllegalArgumentException("disk-share: from 0 to " + MOST_MEMORY + ": the journal may need the rest");
+            throw new IllegalArgumentException(
+                    "disk-share: from 0 to " + MOST_MEMORY + ": the journal may need the rest");
         }
-        Memory remembers = new Memory("platform#" + settings.relay(), (long) (diskBytes * share),
-                atLeast(m, "write-rate", 1, m.whole("write-rate")), atLeast(m, "half-life-s", 1_000_000, m.micros("half-life-s")),
-                atLeast(m, "settle-s", 0, m.micros("settle-s")), atLeast(m, "wait-margin-s", 0,
-                        m.micros("wait-margin-s")), false);
-        return new Config(listen, discovery, notices, state, clientConnections, hostConnections, diskBytes, settings, period,
-                idleSpan, reports, knownKind, knownVersion, known, keeping, amqp, http2, remembers, source);
+        Memory remembers = new Memory(
+                "platform#" + settings.relay(),
+                (long) (diskBytes * share),
+                atLeast(m, "write-rate", 1, m.whole("write-rate")),
+                atLeast(m, "half-life-s", 1_000_000, m.micros("half-life-s")),
+                atLeast(m, "settle-s", 0, m.micros("settle-s")),
+                atLeast(m, "wait-margin-s", 0, m.micros("wait-margin-s")),
+                false);
+        return new Config(
+                listen,
+                discovery,
+                notices,
+                state,
+                clientConnections,
+                hostConnections,
+                diskBytes,
+                settings,
+                period,
+                idleSpan,
+                reports,
+                knownKind,
+                knownVersion,
+                known,
+                keeping,
+                amqp,
+                http2,
+                remembers,
+                source);
     }
 
     private static long atLeast(Fields m, String name, long least, long value) {
@@ -221,14 +306,31 @@
             version = list.whole("rev");
             known = Targets.readAll(list);
         }
-        String how = params.value("stats") == null ? null : params.object("stats").textOrNull("how");
+        String how =
+                params.value("stats") == null ? null : params.object("stats").textOrNull("how");
         int connections = sockets(limits) - OTHER_DESCRIPTORS;
         int clients = (int) Math.ceil(CLIENT_SHARE * connections);
         InetSocketAddress discovery = Target.address(json.text("discovery"));
-        return new Config(List.of(Target.address(json.text("listen"))), discovery, discovery, state, clients,
-                Math.max(1, connections - clients), (long) (limits.number("disk_mb") * MIB), settings,
-                params.micros("period-s", 0), params.object("limits").micros("conn-idle-s"),
-                how != null && !how.equals("off"), Policy.ListKind.CACHED, version, known, null, null, null, null, source);
+        return new Config(
+                List.of(Target.address(json.text("listen"))),
+                discovery,
+                discovery,
+                state,
+                clients,
+                Math.max(1, connections - clients),
+                (long) (limits.number("disk_mb") * MIB),
+                settings,
+                params.micros("period-s", 0),
+                params.object("limits").micros("conn-idle-s"),
+                how != null && !how.equals("off"),
+                Policy.ListKind.CACHED,
+                version,
+                known,
+                null,
+                null,
+                null,
+                null,
+                source);
     }
 
     private static int sockets(Fields limits) {
--- a/src/main/java/pipitstage/config/file/Finding.java
+++ b/src/main/java/pipitstage/config/file/Finding.java
@@ -13,11 +13,16 @@
  */
 public record Finding(Severity severity, String file, int line, int column, String key, String reason) {
     /** Whether a relay would refuse the file. */
-    public enum Severity { ERROR, WARNING }
+    public enum Severity {
+        ERROR,
+        WARNING
+    }
 
     /** In the order of the file. */
     public static final Comparator<Finding> IN_ORDER = Comparator.comparing(Finding::file)
-            .thenComparingInt(Finding::line).thenComparingInt(Finding::column).thenComparing(Finding::key)
+            .thenComparingInt(Finding::line)
+            .thenComparingInt(Finding::column)
+            .thenComparing(Finding::key)
             .thenComparing(Finding::reason);
 
     public boolean isError() {
--- a/src/main/java/pipitstage/config/file/SourceFile.java
+++ b/src/main/java/pipitstage/config/file/SourceFile.java
@@ -15,7 +15,7 @@
     /** Far above any configuration; guards against reading what is none. */
     static final int LARGEST = 1 << 20;
 
-    private SourceFile() { }
+    private SourceFile() {}
 
     /** A file that can't be read at all; the message is for staff and names the file. */
     public static final class UnreadableException extends Exception {
@@ -54,8 +54,12 @@
     public static String text(Path file) throws UnreadableException {
         byte[] bytes = bytes(file);
         try {
-            String text = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT)
-                    .onUnmappableCharacter(CodingErrorAction.REPORT).decode(ByteBuffer.wrap(bytes)).toString();
+            String text = StandardCharsets.UTF_8
+                    .newDecoder()
+                    .onMalformedInput(CodingErrorAction.REPORT)
+                    .onUnmappableCharacter(CodingErrorAction.REPORT)
+                    .decode(ByteBuffer.wrap(bytes))
+                    .toString();
             if (text.startsWith("\uFEFF")) {
                 throw new UnreadableException(file, "begins with a byte-order mark: save it as UTF-8 without one");
             }
--- a/src/main/java/pipitstage/config/file/TomlFile.java
+++ b/src/main/java/pipitstage/config/file/TomlFile.java
@@ -12,7 +12,7 @@
 
 /** Reads TOML 1.0 into {@link Node}s. The only class that knows the parser. */
 public final class TomlFile {
-    private TomlFile() { }
+    private TomlFile() {}
 
     /**
      * Reads a text.
@@ -29,8 +29,14 @@
             findings.add(new Finding(Finding.Severity.ERROR, file, 1, 1, "", "nests too deeply to be read"));
             return new Node(Map.of(), 1, 1);
         }
-        result.errors().forEach(error -> findings.add(new Finding(Finding.Severity.ERROR, file,
-                error.position().line(), error.position().column(), "", plain(error.getMessage()))));
+        result.errors()
+                .forEach(error -> findings.add(new Finding(
+                        Finding.Severity.ERROR,
+                        file,
+                        error.position().line(),
+                        error.position().column(),
+                        "",
+                        plain(error.getMessage()))));
         return table(result, 1, 1);
     }
 
@@ -61,8 +67,8 @@
             }
             return new Node(entries, line, column);
         }
-        boolean known = value instanceof String || value instanceof Long || value instanceof Double
-                || value instanceof Boolean;
+        boolean known =
+                value instanceof String || value instanceof Long || value instanceof Double || value instanceof Boolean;
         return new Node(known ? value : null, line, column);
     }
 }
--- a/src/main/java/pipitstage/config/file/Units.java
+++ b/src/main/java/pipitstage/config/file/Units.java
@@ -10,17 +10,18 @@
 public final class Units {
     /** The longest span; anything longer is a slip of the pen, and sums of a few stay far from an overflow. */
     public static final long LONGEST_SPAN = 366L * 24 * 3_600 * 1_000_000;
+
     private static final long LARGEST_SIZE = 1L << 40;
     private static final double HIGHEST_RATE = 1e6;
 
     private static final Pattern FORM = Pattern.compile("(\\d{1,18}(?:\\.\\d{1,9})?)\\s*([A-Za-z/]*)");
-    private static final Map<String, Long> SPANS = Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L, "m", 60_000_000L,
-            "h", 3_600_000_000L, "d", 86_400_000_000L);
+    private static final Map<String, Long> SPANS = Map.of(
+            "us", 1L, "ms", 1_000L, "s", 1_000_000L, "m", 60_000_000L, "h", 3_600_000_000L, "d", 86_400_000_000L);
     private static final Map<String, Long> SIZES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
     /** Calls in an hour, so that every unit is a whole number. */
     private static final Map<String, Long> RATES = Map.of("/s", 3_600L, "/m", 60L, "/h", 1L);
 
-    private Units() { }
+    private Units() {}
 
     private static BigDecimal number(String text, Map<String, Long> units, String example) {
         Matcher matcher = FORM.matcher(text.strip());
--- a/src/main/java/pipitstage/config/plan/Planner.java
+++ b/src/main/java/pipitstage/config/plan/Planner.java
@@ -22,19 +22,23 @@
     static final double OPEN_SHARE = 0.3;
     /** The part of the heap that held messages may take. */
     static final double HELD_SHARE = 0.5;
+
     static final double JOURNAL_SHARE = 0.8;
     /** Bytes that a remembered id takes on the heap, and the part of the heap that all may take. */
     static final long SEEN_HELD = 300;
+
     static final double SEEN_SHARE = 0.25;
     /** Bytes that a remembered id takes on the disk, twice for those that are over and while the file is written anew. */
     static final long SEEN_RECORD = 3 * 60;
     /** Bytes that a remembered endpoint takes in a picture, and the part of {@code memory.limit} that a picture may take. */
     static final long REMEMBERED = 150;
+
     static final double PICTURE_SHARE = 0.3;
     /** Bytes that an open HTTP/2 stream takes on the heap beside its body, as measured with room. */
     static final long STREAM_HELD = 3 << 10;
     /** The part of the heap that open streams may take, and half-read bodies. */
     static final double STREAM_SHARE = 0.2;
+
     private static final long LARGEST_BUFFER = 4 << 20;
     private static final int BUFFER_PART = 8;
     private static final int LEAST_STREAMS = 16;
@@ -53,28 +57,36 @@
     private static final int FEWEST_CLIENTS = 8;
 
     /** The figures, and for each derived key how it came about. */
-    public record Plan(Figures figures, Map<String, String> reasons) { }
+    public record Plan(Figures figures, Map<String, String> reasons) {}
 
-    private Planner() { }
+    private Planner() {}
 
     /** Messages that may be open at once: each class's peak rate for as long as its messages may stay. */
     static double mostOpen(Declared declared) {
-        return declared.classes().stream().mapToDouble(c -> c.peakRate() * c.deadline() / 1e6).sum();
+        return declared.classes().stream()
+                .mapToDouble(c -> c.peakRate() * c.deadline() / 1e6)
+                .sum();
     }
 
     /** Calls that are out at once by Little's law: rate times response, at the slowest partner of each class. */
     static double mostCalls(Declared declared) {
-        return declared.classes().stream().mapToDouble(c -> c.peakRate() * slowest(declared, c) / 1e6).sum();
+        return declared.classes().stream()
+                .mapToDouble(c -> c.peakRate() * slowest(declared, c) / 1e6)
+                .sum();
     }
 
     private static long slowest(Declared declared, Declared.MessageClass type) {
         // With partners known to discovery alone, the wanted time is all that is said of their pace.
-        return declared.partnersOf(type).stream().mapToLong(Declared.Partner::response).max().orElse(type.wanted());
+        return declared.partnersOf(type).stream()
+                .mapToLong(Declared.Partner::response)
+                .max()
+                .orElse(type.wanted());
     }
 
     /** Bytes of the bodies of all messages that may be open, each class at its usual size and most messages. */
     static double openBytes(Declared declared, long beside) {
-        return declared.classes().stream().mapToDouble(c -> c.peakRate() * c.deadline() / 1e6 * (c.body() + beside))
+        return declared.classes().stream()
+                .mapToDouble(c -> c.peakRate() * c.deadline() / 1e6 * (c.body() + beside))
                 .sum();
     }
 
@@ -90,27 +102,48 @@
         Declared.Machine machine = declared.machine();
         double open = mostOpen(declared);
         int messages = whole(Math.max(LEAST_MESSAGES, Math.ceil(open * HEAD_ROOM)));
-        why.put("buffer.messages", text("peak rate times deadline over all classes is %.1f; with a tenth to spare, %d"
-                + " at least", open, LEAST_MESSAGES));
+        why.put(
+                "buffer.messages",
+                text(
+                        "peak rate times deadline over all classes is %.1f; with a tenth to spare, %d" + " at least",
+                        open, LEAST_MESSAGES));
         double calls = mostCalls(declared);
         int slots = whole(Math.max(LEAST_SLOTS, Math.ceil(calls * SLOT_ROOM)));
-        why.put("calls.slots", text("Little's law: peak rate times response at the slowest partner keeps %.1f calls"
-                + " out; twice that, %d at least", calls, LEAST_SLOTS));
-        int sockets = Math.max(2, machine.descriptors() - OTHER_DESCRIPTORS - declared.amqp().queues().size());
+        why.put(
+                "calls.slots",
+                text(
+                        "Little's law: peak rate times response at the slowest partner keeps %.1f calls"
+                                + " out; twice that, %d at least",
+                        calls, LEAST_SLOTS));
+        int sockets = Math.max(
+                2,
+                machine.descriptors()
+                        - OTHER_DESCRIPTORS
+                        - declared.amqp().queues().size());
         int endpoints = declared.endpoints().size();
         int listeners = declared.undeliverable().keep() ? Math.max(2, slots / 3) : 0;
         int connections = Math.max(slots, Math.min(slots + endpoints + listeners, sockets * 45 / 100));
-        why.put("calls.connections", text("one for each slot and, where descriptors allow, one idle for each of %d"
-                + " endpoints%s", endpoints, listeners > 0 ? " and some that listen for late answers" : ""));
+        why.put(
+                "calls.connections",
+                text(
+                        "one for each slot and, where descriptors allow, one idle for each of %d" + " endpoints%s",
+                        endpoints, listeners > 0 ? " and some that listen for late answers" : ""));
         int clients = Math.max(FEWEST_CLIENTS, sockets - connections);
-        why.put("clients.connections", text("the rest of %d descriptors after %d for the process itself and %d calls",
-                machine.descriptors(), OTHER_DESCRIPTORS, connections));
-        long shortest = declared.classes().stream().mapToLong(Declared.MessageClass::deadline).min()
+        why.put(
+                "clients.connections",
+                text(
+                        "the rest of %d descriptors after %d for the process itself and %d calls",
+                        machine.descriptors(), OTHER_DESCRIPTORS, connections));
+        long shortest = declared.classes().stream()
+                .mapToLong(Declared.MessageClass::deadline)
+                .min()
                 .orElse(USUAL_CONNECT * CONNECT_PART);
         long connect = Math.max(LEAST_CONNECT, Math.min(USUAL_CONNECT, shortest / CONNECT_PART / 1000 * 1000));
-        why.put("calls.connect-timeout", text("an eighth of the shortest deadline (%s), 1.5s at the most",
-                Units.ofSpan(shortest)));
-        long idle = declared.kinds().stream().mapToLong(Declared.Kind::idle).min().orElse(10_000_000);
+        why.put(
+                "calls.connect-timeout",
+                text("an eighth of the shortest deadline (%s), 1.5s at the most", Units.ofSpan(shortest)));
+        long idle =
+                declared.kinds().stream().mapToLong(Declared.Kind::idle).min().orElse(10_000_000);
         why.put("calls.idle", "the shortest after which a kind of partner closes idle connections");
         boolean copies = declared.classes().stream().anyMatch(Declared.MessageClass::secondCopies);
         why.put("calls.second-copies", copies ? "a class asks for them" : "no class asks for them");
@@ -119,35 +152,70 @@
         long remembered = declared.memory().keep() ? declared.memory().limit() : 0;
         long disk = Math.max(0, machine.disk() - (kept.keep() ? kept.limit() : 0) - seen - remembered);
         long journal = Math.max(LEAST_JOURNAL, wholeKib(disk * JOURNAL_SHARE));
-        why.put("journal.limit", text("four fifths of machine.disk (%s)" + (kept.keep() ? " less undeliverable.limit" : "")
-                + (seen > 0 ? " less what duplicates.entries take" : "")
-                + (remembered > 0 ? " less memory.limit" : "")
-                + "; open messages may take %.0f%% of it and need"
-                + " %s", Units.ofSize(machine.disk()), OPEN_SHARE * 100,
-                kib(bytes(declared, messages, RECORD))));
+        why.put(
+                "journal.limit",
+                text(
+                        "four fifths of machine.disk (%s)" + (kept.keep() ? " less undeliverable.limit" : "")
+                                + (seen > 0 ? " less what duplicates.entries take" : "")
+                                + (remembered > 0 ? " less memory.limit" : "")
+                                + "; open messages may take %.0f%% of it and need"
+                                + " %s",
+                        Units.ofSize(machine.disk()),
+                        OPEN_SHARE * 100,
+                        kib(bytes(declared, messages, RECORD))));
         long direct = machine.memory() >= SMALL_MACHINE ? 16 * MIB : 8 * MIB;
         why.put("process.direct", "buffers of sockets");
         long heap = Math.max(16 * MIB, Math.min(LARGEST_HEAP, (machine.memory() - direct - JVM_OWN) / MIB * MIB));
-        why.put("process.heap", text("machine.memory (%s) less direct memory and %s for the JVM itself, 1GiB at the"
-                + " most", Units.ofSize(machine.memory()), Units.ofSize(JVM_OWN)));
+        why.put(
+                "process.heap",
+                text(
+                        "machine.memory (%s) less direct memory and %s for the JVM itself, 1GiB at the" + " most",
+                        Units.ofSize(machine.memory()), Units.ofSize(JVM_OWN)));
         int streams = whole(Math.max(LEAST_STREAMS, Math.min(2.0 * messages, heap * STREAM_SHARE / 2 / STREAM_HELD)));
         long buffer = Math.min(LARGEST_BUFFER, heap / BUFFER_PART);
         if (!declared.http2().isEmpty()) {
-            why.put("clients.streams", text("twice buffer.messages, since some are half read and some wait for their answer,"
-                    + " as far as a tenth of the heap holds them at %s each", Units.ofSize(STREAM_HELD)));
-            why.put("clients.buffer", "an eighth of the heap, 4MiB at the most; half of it belongs to classes by their worth");
+            why.put(
+                    "clients.streams",
+                    text(
+                            "twice buffer.messages, since some are half read and some wait for their answer,"
+                                    + " as far as a tenth of the heap holds them at %s each",
+                            Units.ofSize(STREAM_HELD)));
+            why.put(
+                    "clients.buffer",
+                    "an eighth of the heap, 4MiB at the most; half of it belongs to classes by their worth");
         }
-        Figures figures = new Figures(key -> declaredFor(declared, key), messages, fallback("buffer.round"), slots,
-                connections, (int) fallback("calls.attempts"), connect, idle, true, true, true, copies, clients,
-                streams, buffer, journal, heap, direct, fallback("rules.drain-grace"), fraction("rules.fall-multiple"),
-                fallback("rules.fall-span"), fraction("rules.cold-from"), fallback("rules.warm-up"),
+        Figures figures = new Figures(
+                key -> declaredFor(declared, key),
+                messages,
+                fallback("buffer.round"),
+                slots,
+                connections,
+                (int) fallback("calls.attempts"),
+                connect,
+                idle,
+                true,
+                true,
+                true,
+                copies,
+                clients,
+                streams,
+                buffer,
+                journal,
+                heap,
+                direct,
+                fallback("rules.drain-grace"),
+                fraction("rules.fall-multiple"),
+                fallback("rules.fall-span"),
+                fraction("rules.cold-from"),
+                fallback("rules.warm-up"),
                 fallback("rules.order-pause"));
         return new Plan(figures, why);
     }
 
     /** Streams that one connection of a front is offered at the most. */
     public static int streams(Declared.Http2 front, Figures figures) {
-        return front.streams() > 0 ? front.streams()
+        return front.streams() > 0
+                ? front.streams()
                 : Math.min(USUAL_STREAMS, Math.min(figures.messages(), figures.streams()));
     }
 
@@ -162,12 +230,17 @@
 
     /** What staff can change where a derived figure doesn't fit: what it was derived from. */
     private static Place declaredFor(Declared declared, String key) {
-        String name = switch (key) {
-            case "journal.limit" -> "disk";
-            case "process.heap", "process.direct", "buffer.messages", "clients.streams", "clients.buffer" -> "memory";
-            case "rules.drain-grace" -> "stop-time";
-            default -> "descriptors";
-        };
+        String name =
+                switch (key) {
+                    case "journal.limit" -> "disk";
+                    case "process.heap",
+                            "process.direct",
+                            "buffer.messages",
+                            "clients.streams",
+                            "clients.buffer" -> "memory";
+                    case "rules.drain-grace" -> "stop-time";
+                    default -> "descriptors";
+                };
         return declared.machine().at().at(name);
     }
 
--- a/src/main/java/pipitstage/config/schema/Addresses.java
+++ b/src/main/java/pipitstage/config/schema/Addresses.java
@@ -5,7 +5,7 @@
     private static final int LARGEST_PORT = 65_535;
     private static final int LARGEST_BYTE = 255;
 
-    private Addresses() { }
+    private Addresses() {}
 
     /**
      * Checks an address.
@@ -15,10 +15,11 @@
     static String literal(String text) {
         int colon = text.lastIndexOf(':');
         String host = host(text);
-        if (colon < 0 || !text.substring(colon + 1).matches("\\d{1,5}")
+        if (colon < 0
+                || !text.substring(colon + 1).matches("\\d{1,5}")
                 || Integer.parseInt(text.substring(colon + 1)) > LARGEST_PORT) {
-            throw new IllegalArgumentException("\"" + text + "\" has no port from 0 to 65535: write it like"
-                    + " 127.0.0.1:8080");
+            throw new IllegalArgumentException(
+                    "\"" + text + "\" has no port from 0 to 65535: write it like" + " 127.0.0.1:8080");
         }
         if (host.matches("\\[[0-9a-fA-F:]{2,39}]")) {
             return text;
@@ -43,7 +44,8 @@
     /** True where two listeners on these can't both be there; port 0 is never the same twice. */
     public static boolean collide(String a, String b) {
         String port = a.substring(a.lastIndexOf(':') + 1);
-        return !port.equals("0") && port.equals(b.substring(b.lastIndexOf(':') + 1))
+        return !port.equals("0")
+                && port.equals(b.substring(b.lastIndexOf(':') + 1))
                 && (host(a).equals(host(b)) || isAny(host(a)) || isAny(host(b)));
     }
 
--- a/src/main/java/pipitstage/config/schema/Catalog.java
+++ b/src/main/java/pipitstage/config/schema/Catalog.java
@@ -16,6 +16,7 @@
 public class Catalog {
     /** No upper bound. */
     protected static final double ANY = Double.MAX_VALUE;
+
     protected static final double MS = 1_000;
     protected static final double SECOND = 1_000_000;
     protected static final double DAY = 24 * 3_600 * SECOND;
@@ -32,9 +33,16 @@
         this.preface = preface;
     }
 
-
-    private void add(String key, Setting.Type type, boolean required, String fallback, List<String> words,
-            double least, double most, boolean derived, String text) {
+    private void add(
+            String key,
+            Setting.Type type,
+            boolean required,
+            String fallback,
+            List<String> words,
+            double least,
+            double most,
+            boolean derived,
+            String text) {
         settings.put(key, new Setting(key, type, required, fallback, words, least, most, derived, text));
     }
 
@@ -66,8 +74,8 @@
         add(key, TABLE, false, null, List.of(), 0, ANY, true, text);
     }
 
-    protected final void derived(String key, Setting.Type type, String fallback, double least, double most,
-            String text) {
+    protected final void derived(
+            String key, Setting.Type type, String fallback, double least, double most, String text) {
         add(key, type, fallback == null, fallback, List.of(), least, most, true, text);
     }
 
@@ -107,7 +115,9 @@
         List<Setting> candidates = new ArrayList<>(settings.values());
         candidates.removeIf(s -> s.derived() && !withDerived);
         int most = Math.max(2, plain.substring(plain.lastIndexOf('.') + 1).length() / 3);
-        return candidates.stream().map(Setting::key).min(Comparator.comparingInt(k -> distance(bare(k), bare(plain))))
+        return candidates.stream()
+                .map(Setting::key)
+                .min(Comparator.comparingInt(k -> distance(bare(k), bare(plain))))
                 .filter(k -> distance(bare(k), bare(plain)) <= most);
     }
 
@@ -135,12 +145,23 @@
         StringBuilder text = new StringBuilder(preface);
         for (Setting setting : settings.values()) {
             if (setting.type() == TABLE || setting.type() == TABLES) {
-                text.append("\n## ").append(setting.key()).append("\n\n").append(setting.text())
-                        .append(setting.derived() ? " Derived." : "").append("\n\n");
+                text.append("\n## ")
+                        .append(setting.key())
+                        .append("\n\n")
+                        .append(setting.text())
+                        .append(setting.derived() ? " Derived." : "")
+                        .append("\n\n");
             } else {
-                text.append(setting.key().indexOf('.') < 0 ? "\n" : "").append("- `").append(setting.key())
-                        .append("`: ").append(setting.form()).append(bounds(setting)).append(holds(setting))
-                        .append(' ').append(setting.text()).append('\n');
+                text.append(setting.key().indexOf('.') < 0 ? "\n" : "")
+                        .append("- `")
+                        .append(setting.key())
+                        .append("`: ")
+                        .append(setting.form())
+                        .append(bounds(setting))
+                        .append(holds(setting))
+                        .append(' ')
+                        .append(setting.text())
+                        .append('\n');
             }
         }
         return text.toString();
@@ -149,16 +170,17 @@
     /** What {@code config explain} prints for one setting. */
     public static String explanation(Setting setting) {
         return setting.key() + "\n  " + setting.text() + "\n  Form: " + setting.form() + bounds(setting)
-                + holds(setting) + "\n  In: " + (setting.derived() ? "relay files (derived by config write)"
-                : "application files and relay files");
+                + holds(setting) + "\n  In: "
+                + (setting.derived() ? "relay files (derived by config write)" : "application files and relay files");
     }
 
     private static String holds(Setting setting) {
         if (setting.type() == TABLE || setting.type() == TABLES) {
             return ".";
         }
-        return setting.required() ? "; must be there." : setting.fallback() == null ? "; may be left out."
-                : "; " + setting.fallback() + " if left out.";
+        return setting.required()
+                ? "; must be there."
+                : setting.fallback() == null ? "; may be left out." : "; " + setting.fallback() + " if left out.";
     }
 
     /** The bounds in the setting's own unit, empty where there are none. */
@@ -167,7 +189,8 @@
             return "";
         }
         String least = inUnit(setting, setting.least());
-        return setting.most() == ANY ? ", " + least + " at least"
+        return setting.most() == ANY
+                ? ", " + least + " at least"
                 : ", from " + least + " to " + inUnit(setting, setting.most());
     }
 
