--- a/src/main/java/pipitstage/config/schema/Section.java
+++ b/src/main/java/pipitstage/config/schema/Section.java
@@ -58,8 +58,10 @@
         node.table().forEach((name, value) -> {
             Setting setting = known.get(name);
             if (setting == null) {
-                findings.add(at(name).error("unknown setting" + catalog.nearest(full(name), derived)
-                        .map(near -> "; did you mean " + near + "?").orElse("")));
+                findings.add(at(name).error("unknown setting"
+                        + catalog.nearest(full(name), derived)
+                                .map(near -> "; did you mean " + near + "?")
+                                .orElse("")));
             } else if (setting.derived() && !derived) {
                 findings.add(at(name).error("is derived by config write and has no place in an application file"));
             }
@@ -162,22 +164,27 @@
             }
             case NAMES -> {
                 if (node.array() != null) {
-                    return node.array().stream().map(entry -> text(Setting.Type.NAME, List.of(), entry)).toList();
+                    return node.array().stream()
+                            .map(entry -> text(Setting.Type.NAME, List.of(), entry))
+                            .toList();
                 }
             }
             default -> {
                 return text(setting.type(), setting.words(), node);
             }
         }
-        throw new IllegalArgumentException(setting.form() + " is needed, not " + (value instanceof Double
-                ? value.toString() : node.kind()));
+        throw new IllegalArgumentException(
+                setting.form() + " is needed, not " + (value instanceof Double ? value.toString() : node.kind()));
     }
 
     private static Object text(Setting.Type type, List<String> words, Node node) {
         if (!(node.value() instanceof String text)) {
-            throw new IllegalArgumentException((type == Setting.Type.WORD ? "one of " + String.join(", ", words)
-                    : type.form()) + " is needed" + (type == Setting.Type.SPAN || type == Setting.Type.SIZE
-                    || type == Setting.Type.RATE ? ", with its unit and in quotes" : "") + ", not " + node.kind());
+            throw new IllegalArgumentException(
+                    (type == Setting.Type.WORD ? "one of " + String.join(", ", words) : type.form()) + " is needed"
+                            + (type == Setting.Type.SPAN || type == Setting.Type.SIZE || type == Setting.Type.RATE
+                                    ? ", with its unit and in quotes"
+                                    : "")
+                            + ", not " + node.kind());
         }
         return switch (type) {
             case SPAN -> Units.span(text);
@@ -185,12 +192,18 @@
             case RATE -> Units.rate(text);
             case ADDRESS -> Addresses.literal(text);
             case WORD -> oneOf(words, text);
-            case TEXT -> matching(text, "[^\\p{Cntrl}]{0,255}", "must be up to 255 characters, none of them control ones");
-            case SOURCE -> matching(text, SOURCE, "must be header:NAME, property:NAME of a property of AMQP's class basic,"
-                    + " routing-key, exchange or fixed:VALUE");
+            case TEXT -> matching(
+                    text, "[^\\p{Cntrl}]{0,255}", "must be up to 255 characters, none of them control ones");
+            case SOURCE -> matching(
+                    text,
+                    SOURCE,
+                    "must be header:NAME, property:NAME of a property of AMQP's class basic,"
+                            + " routing-key, exchange or fixed:VALUE");
             case FOLDER -> matching(text, "/[^\\p{Cntrl}]*", "must be an absolute path");
-            default -> matching(text, NAME, "must be letters, digits and . _ -, 100 at the most, and begin with a"
-                    + " letter or digit");
+            default -> matching(
+                    text,
+                    NAME,
+                    "must be letters, digits and . _ -, 100 at the most, and begin with a" + " letter or digit");
         };
     }
 
--- a/src/main/java/pipitstage/config/schema/Setting.java
+++ b/src/main/java/pipitstage/config/schema/Setting.java
@@ -13,8 +13,16 @@
  * @param derived true where the tool works it out, so that it belongs in relay files alone
  * @param text what it is for, in a sentence or two
  */
-public record Setting(String key, Type type, boolean required, String fallback, List<String> words, double least,
-        double most, boolean derived, String text) {
+public record Setting(
+        String key,
+        Type type,
+        boolean required,
+        String fallback,
+        List<String> words,
+        double least,
+        double most,
+        boolean derived,
+        String text) {
 
     /** What a value is. */
     public enum Type {
--- a/src/main/java/pipitstage/config/tool/CheckedFile.java
+++ b/src/main/java/pipitstage/config/tool/CheckedFile.java
@@ -23,7 +23,11 @@
  */
 public record CheckedFile(Kind kind, Node node, Declared declared, Figures figures, List<Finding> findings) {
     /** What a file is. */
-    public enum Kind { APPLICATION, RELAY, PLATFORM }
+    public enum Kind {
+        APPLICATION,
+        RELAY,
+        PLATFORM
+    }
 
     /** Reads and checks a text in TOML. A file with any table of derived settings is a relay file. */
     public static CheckedFile of(String file, String text, Surroundings surroundings) {
--- a/src/main/java/pipitstage/config/tool/MachineSurroundings.java
+++ b/src/main/java/pipitstage/config/tool/MachineSurroundings.java
@@ -10,12 +10,14 @@
 record MachineSurroundings(Optional<String> temporary) implements Surroundings {
 
     static MachineSurroundings of(Map<String, String> environment) {
-        return new MachineSurroundings(Optional.ofNullable(environment.get("TMPDIR")).filter(dir -> !dir.isEmpty()));
+        return new MachineSurroundings(
+                Optional.ofNullable(environment.get("TMPDIR")).filter(dir -> !dir.isEmpty()));
     }
 
     @Override
     public Optional<String> unreadable(String file) {
-        return Files.isReadable(Path.of(file)) && Files.isRegularFile(Path.of(file)) ? Optional.empty()
+        return Files.isReadable(Path.of(file)) && Files.isRegularFile(Path.of(file))
+                ? Optional.empty()
                 : Optional.of(file + " is no file that this user can read");
     }
 
@@ -31,7 +33,8 @@
         }
         for (Path above = path.getParent(); above != null; above = above.getParent()) {
             if (Files.exists(above)) {
-                return Files.isDirectory(above) ? Optional.empty()
+                return Files.isDirectory(above)
+                        ? Optional.empty()
                         : Optional.of(folder + " can't be made: " + above + " is no folder on this machine");
             }
         }
--- a/src/main/java/pipitstage/config/tool/PlatformFile.java
+++ b/src/main/java/pipitstage/config/tool/PlatformFile.java
@@ -58,8 +58,10 @@
             contradictions(Config.of(Fields.ofObject("config", Fields.read(parser)), Path.of("/"), new byte[0]));
         } catch (IOException | WireException | IllegalArgumentException e) {
             String reason = e.getMessage();
-            String key = places.keySet().stream().filter(k -> !k.isEmpty() && reason.contains(k))
-                    .max((a, b) -> a.length() - b.length()).orElse("");
+            String key = places.keySet().stream()
+                    .filter(k -> !k.isEmpty() && reason.contains(k))
+                    .max((a, b) -> a.length() - b.length())
+                    .orElse("");
             add(Finding.Severity.ERROR, places.get(key), key, reason);
         }
     }
@@ -72,7 +74,11 @@
                 String key = prefix.isEmpty() ? parser.currentName() : prefix + "." + parser.currentName();
                 JsonLocation at = parser.currentTokenLocation();
                 if (places.putIfAbsent(key, at) != null) {
-                    add(Finding.Severity.ERROR, at, key, "stands in line " + places.get(key).getLineNr() + " already");
+                    add(
+                            Finding.Severity.ERROR,
+                            at,
+                            key,
+                            "stands in line " + places.get(key).getLineNr() + " already");
                 }
                 parser.nextToken();
                 index(parser, key);
@@ -88,24 +94,33 @@
         Policy.Settings settings = config.settings();
         Policy.Limits limits = settings.limits();
         if (config.hostConnections() < limits.callSlots()) {
-            warn("limits.sockets", config.hostConnections() + " connections to hosts are left, fewer than"
-                    + " settings.family-info.call-slots = " + limits.callSlots() + "; calls will wait for one another");
+            warn(
+                    "limits.sockets",
+                    config.hostConnections() + " connections to hosts are left, fewer than"
+                            + " settings.family-info.call-slots = " + limits.callSlots()
+                            + "; calls will wait for one another");
         }
         if (settings.rules().drainGrace() >= STOP_TIME) {
-            warn("settings.contract.drain-grace-s", Units.ofSpan(settings.rules().drainGrace()) + " is no shorter than "
-                    + Units.ofSpan(STOP_TIME) + ", after which a stopped relay may be killed");
+            warn(
+                    "settings.contract.drain-grace-s",
+                    Units.ofSpan(settings.rules().drainGrace()) + " is no shorter than " + Units.ofSpan(STOP_TIME)
+                            + ", after which a stopped relay may be killed");
         }
         for (int i = 0; i < settings.classes().size(); i++) {
             Policy.RequestClass type = settings.classes().get(i);
             String key = "settings.classes[" + (i + 1) + "]";
             if (type.deadline() <= limits.connectTimeout()) {
-                warn(key + ".deadline-s", Units.ofSpan(type.deadline()) + " is no longer than"
-                        + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeout()));
+                warn(
+                        key + ".deadline-s",
+                        Units.ofSpan(type.deadline()) + " is no longer than" + " settings.limits.connect-timeout-s, "
+                                + Units.ofSpan(limits.connectTimeout()));
             }
             if (type.repeat() == Policy.Repeat.BY_KEY && type.keyWindow() <= limits.connectTimeout()) {
-                warn(key + ".dedup-window-s", Units.ofSpan(type.keyWindow()) + " is no longer than"
-                        + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeout())
-                        + ": no retry could be made");
+                warn(
+                        key + ".dedup-window-s",
+                        Units.ofSpan(type.keyWindow()) + " is no longer than"
+                                + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeout())
+                                + ": no retry could be made");
             }
         }
     }
@@ -115,7 +130,12 @@
     }
 
     private void add(Finding.Severity severity, JsonLocation at, String key, String reason) {
-        findings.add(new Finding(severity, file, at == null ? 1 : at.getLineNr(), at == null ? 1 : at.getColumnNr(),
-                key, reason.replaceAll("\\p{Cntrl}+", " ")));
+        findings.add(new Finding(
+                severity,
+                file,
+                at == null ? 1 : at.getLineNr(),
+                at == null ? 1 : at.getColumnNr(),
+                key,
+                reason.replaceAll("\\p{Cntrl}+", " ")));
     }
 }
--- a/src/main/java/pipitstage/config/tool/RelayFile.java
+++ b/src/main/java/pipitstage/config/tool/RelayFile.java
@@ -26,7 +26,7 @@
     /** What brokers of RabbitMQ's kind let in from their own machine where nobody has set anything. */
     private static final String USUAL_PASSWORD = "guest";
 
-    private RelayFile() { }
+    private RelayFile() {}
 
     /** A relay file as a source of configuration. What is wrong with it is told in the words of {@code config check}. */
     public static Config.Source source(Path file) {
@@ -48,12 +48,14 @@
             String text = SourceFile.text(file);
             CheckedFile checked = CheckedFile.of(file.toString(), text, MachineSurroundings.of(System.getenv()));
             if (!checked.isClean()) {
-                throw new Config.BadConfigException(checked.findings().stream().filter(Finding::isError)
-                        .map(Finding::toString).collect(Collectors.joining("\n")));
+                throw new Config.BadConfigException(checked.findings().stream()
+                        .filter(Finding::isError)
+                        .map(Finding::toString)
+                        .collect(Collectors.joining("\n")));
             }
             if (checked.kind() != CheckedFile.Kind.RELAY) {
-                throw new Config.BadConfigException(file + ": is no relay file; loftflow config write makes one of an"
-                        + " application file");
+                throw new Config.BadConfigException(
+                        file + ": is no relay file; loftflow config write makes one of an" + " application file");
             }
             return config(checked.declared(), checked.figures(), text.getBytes(StandardCharsets.UTF_8));
         } catch (SourceFile.UnreadableException e) {
@@ -70,20 +72,44 @@
         Declared.Discovery discovery = declared.discovery();
         boolean whole = discovery.agent() == null;
         List<Target> known = targets(declared);
-        return new Config(declared.fronts().stream().filter(f -> f.protocol() == Declared.Protocol.HTTP).map(f -> Target.address(f.listen())).toList(),
-                addressOrNull(discovery.agent()), addressOrNull(discovery.notices()),
-                Path.of(declared.machine().folder()), figures.clients(), figures.connections(), figures.journal(),
-                settings(declared, figures), figures.round(), figures.idle(), figures.reports(),
-                whole ? Policy.ListKind.FULL : Policy.ListKind.CACHED, whole ? 0 : -1, known,
-                keeping(declared), amqp(declared, figures), http2(declared, figures), memory(declared), source);
+        return new Config(
+                declared.fronts().stream()
+                        .filter(f -> f.protocol() == Declared.Protocol.HTTP)
+                        .map(f -> Target.address(f.listen()))
+                        .toList(),
+                addressOrNull(discovery.agent()),
+                addressOrNull(discovery.notices()),
+                Path.of(declared.machine().folder()),
+                figures.clients(),
+                figures.connections(),
+                figures.journal(),
+                settings(declared, figures),
+                figures.round(),
+                figures.idle(),
+                figures.reports(),
+                whole ? Policy.ListKind.FULL : Policy.ListKind.CACHED,
+                whole ? 0 : -1,
+                known,
+                keeping(declared),
+                amqp(declared, figures),
+                http2(declared, figures),
+                memory(declared),
+                source);
     }
 
     private static Config.Amqp amqp(Declared declared, Figures figures) throws Config.BadConfigException {
         Map<String, Config.Login> logins = new HashMap<>();
         for (Declared.Broker b : declared.amqp().brokers()) {
-            logins.put(b.name(), new Config.Login(b.user(), b.passwordFile() == null ? USUAL_PASSWORD
-                    : password(b.passwordFile()), b.virtualHost(), seconds(b.heartbeat()), b.tls(),
-                    b.trustFile() == null ? null : Path.of(b.trustFile()), b.tlsName()));
+            logins.put(
+                    b.name(),
+                    new Config.Login(
+                            b.user(),
+                            b.passwordFile() == null ? USUAL_PASSWORD : password(b.passwordFile()),
+                            b.virtualHost(),
+                            seconds(b.heartbeat()),
+                            b.tls(),
+                            b.trustFile() == null ? null : Path.of(b.trustFile()),
+                            b.tlsName()));
         }
         Map<String, Config.BrokerRoute> routes = new HashMap<>();
         for (Declared.Endpoint e : declared.endpoints()) {
@@ -94,27 +120,64 @@
         List<Config.AmqpFront> fronts = new ArrayList<>();
         for (Declared.Front f : declared.fronts()) {
             if (f.amqp()) {
-                fronts.add(new Config.AmqpFront(f.name(), Target.address(f.listen()), f.exchange(), f.user(),
-                        f.passwordFile() == null ? null : password(f.passwordFile()), seconds(f.heartbeat()), f.channels(),
-                        (int) f.frame(), f.replyHold()));
+                fronts.add(new Config.AmqpFront(
+                        f.name(),
+                        Target.address(f.listen()),
+                        f.exchange(),
+                        f.user(),
+                        f.passwordFile() == null ? null : password(f.passwordFile()),
+                        seconds(f.heartbeat()),
+                        f.channels(),
+                        (int) f.frame(),
+                        f.replyHold()));
             }
         }
-        List<Config.AmqpQueue> queues = declared.amqp().queues().stream().map(q -> new Config.AmqpQueue(q.name(),
-                Target.address(q.address()), logins.get(q.broker()), q.queue(), q.prefetch(), q.autoAcknowledge(),
-                q.ends(), q.replyQueue())).toList();
+        List<Config.AmqpQueue> queues = declared.amqp().queues().stream()
+                .map(q -> new Config.AmqpQueue(
+                        q.name(),
+                        Target.address(q.address()),
+                        logins.get(q.broker()),
+                        q.queue(),
+                        q.prefetch(),
+                        q.autoAcknowledge(),
+                        q.ends(),
+                        q.replyQueue()))
+                .toList();
         if (routes.isEmpty() && fronts.isEmpty() && queues.isEmpty()) {
             return null;
         }
-        return new Config.Amqp(routes, fronts, queues, declared.amqp().mappings().stream().map(m -> new Config.MappingRule(
-                m.contentType(), m.id(), m.requestClass(), m.tenant(), m.key(), m.destination(), m.budget())).toList(),
-                figures.clients() / Math.max(1, declared.fronts().size()), declared.amqp().duplicates().span(),
+        return new Config.Amqp(
+                routes,
+                fronts,
+                queues,
+                declared.amqp().mappings().stream()
+                        .map(m -> new Config.MappingRule(
+                                m.contentType(),
+                                m.id(),
+                                m.requestClass(),
+                                m.tenant(),
+                                m.key(),
+                                m.destination(),
+                                m.budget()))
+                        .toList(),
+                figures.clients() / Math.max(1, declared.fronts().size()),
+                declared.amqp().duplicates().span(),
                 declared.amqp().duplicates().entries());
     }
 
     private static Config.Http2 http2(Declared declared, Figures figures) {
-        List<Config.Http2Front> fronts = declared.http2().stream().map(f -> new Config.Http2Front(Target.address(f.listen()),
-                Planner.streams(f.http2(), figures), (int) f.http2().headerList(), (int) f.http2().window(), f.http2().idle(),
-                f.http2().age(), f.http2().stall(), f.http2().resets(), f.http2().drain())).toList();
+        List<Config.Http2Front> fronts = declared.http2().stream()
+                .map(f -> new Config.Http2Front(
+                        Target.address(f.listen()),
+                        Planner.streams(f.http2(), figures),
+                        (int) f.http2().headerList(),
+                        (int) f.http2().window(),
+                        f.http2().idle(),
+                        f.http2().age(),
+                        f.http2().stall(),
+                        f.http2().resets(),
+                        f.http2().drain()))
+                .toList();
         return fronts.isEmpty() ? null : new Config.Http2(fronts, figures.streams(), figures.buffer());
     }
 
@@ -132,15 +195,36 @@
 
     private static Config.Keeping keeping(Declared declared) {
         Declared.Undeliverable u = declared.undeliverable();
-        return !u.keep() ? null : new Config.Keeping(u.limit(), u.entries(), u.high(), u.low(), u.refuseWhenFull(),
-                u.age(), u.pace(), u.pause(), u.clockMargin(), u.listenOn(), declared.classes().stream().collect(
-                Collectors.toMap(Declared.MessageClass::name, Declared.MessageClass::shelfLife)));
+        return !u.keep()
+                ? null
+                : new Config.Keeping(
+                        u.limit(),
+                        u.entries(),
+                        u.high(),
+                        u.low(),
+                        u.refuseWhenFull(),
+                        u.age(),
+                        u.pace(),
+                        u.pause(),
+                        u.clockMargin(),
+                        u.listenOn(),
+                        declared.classes().stream()
+                                .collect(Collectors.toMap(
+                                        Declared.MessageClass::name, Declared.MessageClass::shelfLife)));
     }
 
     private static Config.Memory memory(Declared declared) {
         Declared.Memory m = declared.memory();
-        return !m.keep() ? null : new Config.Memory(declared.name() + "#" + declared.fleet().number(), m.limit(),
-                m.rate(), m.halfLife(), m.settle(), m.margin(), m.sync());
+        return !m.keep()
+                ? null
+                : new Config.Memory(
+                        declared.name() + "#" + declared.fleet().number(),
+                        m.limit(),
+                        m.rate(),
+                        m.halfLife(),
+                        m.settle(),
+                        m.margin(),
+                        m.sync());
     }
 
     private static InetSocketAddress addressOrNull(String address) {
@@ -151,8 +235,14 @@
         List<Target> targets = new ArrayList<>();
         for (Declared.Partner partner : declared.partners()) {
             for (Declared.Endpoint endpoint : partner.endpoints()) {
-                targets.add(new Target(new Policy.Listed(endpoint.id(), partner.number(), partner.kind(),
-                        endpoint.building(), Policy.Availability.LISTED, partner.limit()),
+                targets.add(new Target(
+                        new Policy.Listed(
+                                endpoint.id(),
+                                partner.number(),
+                                partner.kind(),
+                                endpoint.building(),
+                                Policy.Availability.LISTED,
+                                partner.limit()),
                         Target.address(endpoint.address())));
             }
         }
@@ -165,16 +255,36 @@
         declared.partners().forEach(p -> p.endpoints().forEach(e -> buildings.add(e.building())));
         // A limit of 0 is one that nobody knows: a hint would then be worse than none.
         boolean limits = declared.partners().stream().allMatch(p -> p.limit() > 0);
-        return new Policy.Settings(seed(declared), declared.fleet().number(), declared.fleet().relays(),
-                declared.machine().building(), declared.classes().stream().map(RelayFile::requestClass).toList(),
-                declared.tenants().stream().map(t -> new Policy.Tenant(t.name(), t.rate())).toList(),
-                declared.kinds().stream().map(k -> new Policy.Kind(k.name(), k.routesApart(), k.batch())).toList(),
+        return new Policy.Settings(
+                seed(declared),
+                declared.fleet().number(),
+                declared.fleet().relays(),
+                declared.machine().building(),
+                declared.classes().stream().map(RelayFile::requestClass).toList(),
+                declared.tenants().stream()
+                        .map(t -> new Policy.Tenant(t.name(), t.rate()))
+                        .toList(),
+                declared.kinds().stream()
+                        .map(k -> new Policy.Kind(k.name(), k.routesApart(), k.batch()))
+                        .toList(),
                 buildings.stream().map(b -> new Policy.Zone(b, 0)).toList(),
-                new Policy.Limits(f.slots(), f.messages(), f.attempts(), f.cancel(), f.probes(), false,
-                        f.secondCopies(), true, f.connectTimeout()),
-                new Policy.Rules(0, f.drainGrace(), f.fallMultiple(), f.fallSpan(), f.coldFrom(), f.warmUp(), 0,
-                        f.orderPause()),
-                1, false, false, limits ? Policy.RateHint.NOMINAL : Policy.RateHint.NONE, 0);
+                new Policy.Limits(
+                        f.slots(),
+                        f.messages(),
+                        f.attempts(),
+                        f.cancel(),
+                        f.probes(),
+                        false,
+                        f.secondCopies(),
+                        true,
+                        f.connectTimeout()),
+                new Policy.Rules(
+                        0, f.drainGrace(), f.fallMultiple(), f.fallSpan(), f.coldFrom(), f.warmUp(), 0, f.orderPause()),
+                1,
+                false,
+                false,
+                limits ? Policy.RateHint.NOMINAL : Policy.RateHint.NONE,
+                0);
     }
 
     /** New with each start, so that relays that start together don't act in step. */
@@ -183,13 +293,21 @@
     }
 
     private static Policy.RequestClass requestClass(Declared.MessageClass c) {
-        Policy.Repeat repeat = switch (c.repeat()) {
-            case REPEATABLE -> Policy.Repeat.REPEATABLE;
-            case BY_KEY -> Policy.Repeat.BY_KEY;
-            case ONCE -> Policy.Repeat.ONCE;
-        };
-        return new Policy.RequestClass(c.name(), repeat,
-                c.keysByBuilding() ? Policy.KeyScope.ZONE : Policy.KeyScope.ALL, c.keyWindow(), c.wanted(),
-                c.deadline(), c.worth(), c.lateWorth(), c.inOrder());
+        Policy.Repeat repeat =
+                switch (c.repeat()) {
+                    case REPEATABLE -> Policy.Repeat.REPEATABLE;
+                    case BY_KEY -> Policy.Repeat.BY_KEY;
+                    case ONCE -> Policy.Repeat.ONCE;
+                };
+        return new Policy.RequestClass(
+                c.name(),
+                repeat,
+                c.keysByBuilding() ? Policy.KeyScope.ZONE : Policy.KeyScope.ALL,
+                c.keyWindow(),
+                c.wanted(),
+                c.deadline(),
+                c.worth(),
+                c.lateWorth(),
+                c.inOrder());
     }
 }
--- a/src/main/java/pipitstage/config/tool/RelayFileText.java
+++ b/src/main/java/pipitstage/config/tool/RelayFileText.java
@@ -18,14 +18,17 @@
 
     private final StringBuilder out = new StringBuilder();
 
-    private RelayFileText() { }
+    private RelayFileText() {}
 
     /** The text for an application file's tree and its plan. */
     public static String of(Node application, String fileName, Planner.Plan plan) {
         RelayFileText text = new RelayFileText();
-        text.out.append("# Written by loftflow config write. Change the application file and write again, or change this\n"
-                + "# file: the next write then shows the difference and wants --force.\n# Start line:\n#   ")
-                .append(Planner.startLine(plan.figures(), fileName)).append("\n\n");
+        text.out
+                .append(
+                        "# Written by loftflow config write. Change the application file and write again, or change this\n"
+                                + "# file: the next write then shows the difference and wants --force.\n# Start line:\n#   ")
+                .append(Planner.startLine(plan.figures(), fileName))
+                .append("\n\n");
         text.table("", "", application);
         text.derived(plan);
         String body = text.out.toString();
@@ -35,7 +38,8 @@
     /** True where a text is just as this class wrote it, for whatever application file. */
     public static boolean isUntouched(String text) {
         int end = text.indexOf('\n');
-        return text.startsWith(SEAL) && end > 0
+        return text.startsWith(SEAL)
+                && end > 0
                 && text.substring(SEAL.length(), end).equals(digest(text.substring(end + 1)));
     }
 
@@ -50,7 +54,9 @@
 
     /** The settings of a table in the schema's order: values first, since tables end what they stand in. */
     private void table(String pattern, String header, Node node) {
-        List<Setting> settings = Schema.RELAY.all().stream().filter(s -> s.parent().equals(pattern)).toList();
+        List<Setting> settings = Schema.RELAY.all().stream()
+                .filter(s -> s.parent().equals(pattern))
+                .toList();
         for (Setting setting : settings) {
             Node value = node.table().get(setting.name());
             if (value != null && value.table() == null && setting.type() != Setting.Type.TABLES) {
@@ -106,8 +112,14 @@
                 out.append("\n[").append(section).append("]\n");
             }
             String reason = plan.reasons().get(value.getKey());
-            out.append("# ").append(setting.text()).append(reason == null ? "" : " Here: " + reason + ".").append('\n')
-                    .append(setting.name()).append(" = ").append(value.getValue()).append('\n');
+            out.append("# ")
+                    .append(setting.text())
+                    .append(reason == null ? "" : " Here: " + reason + ".")
+                    .append('\n')
+                    .append(setting.name())
+                    .append(" = ")
+                    .append(value.getValue())
+                    .append('\n');
         }
     }
 }
--- a/src/main/java/pipitstage/config/tool/Tool.java
+++ b/src/main/java/pipitstage/config/tool/Tool.java
@@ -13,7 +13,7 @@
 
 /** What {@code loftflow config} does with files. */
 public final class Tool {
-    private Tool() { }
+    private Tool() {}
 
     /** Checks a file of any of the three kinds. A file in JSON is a platform's. */
     public static List<Finding> check(Path file) throws SourceFile.UnreadableException {
@@ -21,7 +21,8 @@
         if (text.stripLeading().startsWith("{")) {
             return PlatformFile.check(file.toString(), text);
         }
-        return CheckedFile.of(file.toString(), text, MachineSurroundings.of(System.getenv())).findings();
+        return CheckedFile.of(file.toString(), text, MachineSurroundings.of(System.getenv()))
+                .findings();
     }
 
     /** What a write did. */
@@ -43,19 +44,24 @@
      * @param before the text that was there, or null
      * @param after the text that is to be there, or null where the application file has errors
      */
-    public record Outcome(Written written, Path file, List<Finding> findings, String before, String after,
-            String startLine) { }
+    public record Outcome(
+            Written written, Path file, List<Finding> findings, String before, String after, String startLine) {}
 
     /** Writes the relay file of an application file into a folder; over one that was changed by hand only by force. */
     public static Outcome write(Path application, Path folder, boolean force)
             throws SourceFile.UnreadableException, IOException {
-        CheckedFile checked = CheckedFile.of(application.toString(), SourceFile.text(application),
-                MachineSurroundings.of(Map.of()));
+        CheckedFile checked =
+                CheckedFile.of(application.toString(), SourceFile.text(application), MachineSurroundings.of(Map.of()));
         if (!checked.isClean()) {
             return new Outcome(Written.REFUSED, null, checked.findings(), null, null, null);
         }
         if (checked.kind() != CheckedFile.Kind.APPLICATION) {
-            Finding finding = new Finding(Finding.Severity.ERROR, application.toString(), 1, 1, "",
+            Finding finding = new Finding(
+                    Finding.Severity.ERROR,
+                    application.toString(),
+                    1,
+                    1,
+                    "",
                     "is a relay file already; config write takes an application file");
             return new Outcome(Written.REFUSED, null, List.of(finding), null, null, null);
         }
@@ -72,8 +78,8 @@
         } else {
             replace(file, text);
         }
-        return new Outcome(written, file, checked.findings(), before, text,
-                Planner.startLine(plan.figures(), file.toString()));
+        return new Outcome(
+                written, file, checked.findings(), before, text, Planner.startLine(plan.figures(), file.toString()));
     }
 
     /** Guards against a file that is cut short by a full disk or a kill: the old one stays until the new one is whole. */
--- a/src/main/java/pipitstage/duplicates/Seen.java
+++ b/src/main/java/pipitstage/duplicates/Seen.java
@@ -15,7 +15,7 @@
         }
 
         @Override
-        public void add(String id) { }
+        public void add(String id) {}
     };
 
     /** True where a message of that id was taken on within the span. */
--- a/src/main/java/pipitstage/duplicates/SeenFile.java
+++ b/src/main/java/pipitstage/duplicates/SeenFile.java
@@ -23,6 +23,7 @@
     private static final int MOST_ID = 1_000;
     /** Records beyond twice the ids that are remembered, before the file is written anew. */
     private static final int SLACK = 1_000;
+
     private static final long PAUSE = 1_000_000;
 
     private final Path folder;
@@ -47,8 +48,8 @@
         ids = new SeenIds(span, most);
         Files.createDirectories(folder);
         Files.deleteIfExists(folder.resolve(UNFINISHED));
-        file = FileChannel.open(folder.resolve(NAME), StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE);
+        file = FileChannel.open(
+                folder.resolve(NAME), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         replay();
     }
 
@@ -98,8 +99,12 @@
     private void rewrite() {
         Path unfinished = folder.resolve(UNFINISHED);
         try {
-            FileChannel next = FileChannel.open(unfinished, StandardOpenOption.CREATE, StandardOpenOption.READ,
-                    StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
+            FileChannel next = FileChannel.open(
+                    unfinished,
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.READ,
+                    StandardOpenOption.TRUNCATE_EXISTING,
+                    StandardOpenOption.WRITE);
             long written = 0;
             try {
                 for (Map.Entry<String, Long> one : ids.all().entrySet()) {
@@ -128,7 +133,8 @@
         ByteBuffer all = Records.all(file);
         byte[] payload = Records.next(all);
         while (payload != null && payload.length > Long.BYTES && payload.length <= Long.BYTES + MOST_ID) {
-            ids.add(new String(payload, Long.BYTES, payload.length - Long.BYTES, StandardCharsets.UTF_8),
+            ids.add(
+                    new String(payload, Long.BYTES, payload.length - Long.BYTES, StandardCharsets.UTF_8),
                     ByteBuffer.wrap(payload).getLong());
             records++;
             size = all.position();
--- a/src/main/java/pipitstage/engine/Engine.java
+++ b/src/main/java/pipitstage/engine/Engine.java
@@ -24,6 +24,7 @@
 public final class Engine implements Intake, Membership, Policy.Actions, Partners.Results {
     /** When a message that the module has left open past its deadline is ended: in time for its notice. */
     private static final long LATEST_END = 200_000;
+
     private static final long COME_BACK = 1_000_000;
     /** Beyond this share of the messages that may be open, live ones have the room to themselves. */
     private static final double RESEND_SHARE = 0.5;
@@ -39,7 +40,7 @@
     private Partners partners;
     private Ends ends;
     private Keeper keeper = Keeper.NONE;
-    private Consumer<Event> observer = event -> { };
+    private Consumer<Event> observer = event -> {};
     private Consumer<String> staff = Log::line;
     private boolean spansUnknown;
     private final Map<String, RequestClass> classes = new HashMap<>();
@@ -64,7 +65,12 @@
      * @param period how long, in microseconds, what comes in is gathered before the module acts
      * @param module makes the decision module for the settings
      */
-    public Engine(Timers timers, Clock clock, Policy.Settings settings, long period, WriteAhead journal,
+    public Engine(
+            Timers timers,
+            Clock clock,
+            Policy.Settings settings,
+            long period,
+            WriteAhead journal,
             Function<Policy.Settings, Policy> module) {
         this.timers = timers;
         this.clock = clock;
@@ -126,7 +132,9 @@
         }
         List<Message> open = journal.open();
         if (!open.isEmpty()) {
-            long untried = open.stream().filter(m -> m.end == null && m.attempts.isEmpty()).count();
+            long untried = open.stream()
+                    .filter(m -> m.end == null && m.attempts.isEmpty())
+                    .count();
             staff.accept("resumed " + open.size() + " messages, " + untried + " of them untried");
         }
         for (Message message : open) {
@@ -147,8 +155,11 @@
             } else {
                 held++;
                 watchEnd(message);
-                add(new Policy.Resumed(acceptance(message), message.attempts.stream()
-                        .map(a -> new Policy.PastAttempt(a.route, spansUnknown ? 0 : a.sentAt, a.result)).toList()));
+                add(new Policy.Resumed(
+                        acceptance(message),
+                        message.attempts.stream()
+                                .map(a -> new Policy.PastAttempt(a.route, spansUnknown ? 0 : a.sentAt, a.result))
+                                .toList()));
             }
         }
     }
@@ -199,7 +210,8 @@
     @Override
     public boolean knows(Message.Content content) {
         RequestClass type = classes.get(content.requestClass());
-        return type != null && (type.repeat() != Policy.Repeat.BY_KEY || content.key() != null)
+        return type != null
+                && (type.repeat() != Policy.Repeat.BY_KEY || content.key() != null)
                 && (tenants.isEmpty() || tenants.contains(content.tenant()))
                 && reaches(content.destination());
     }
@@ -229,7 +241,13 @@
         boolean behind = clock.micros() - unreadSince > MOST_LAG;
         Message message = new Message(nextNumber, content);
         // Guards against messages that nobody tries before the restart, when little of their time is left.
-        if (!ready || frozen || behind || !reachable || keeper.refuses(content) || held >= settings.limits().maxOpen() || !journal.accept(message)) {
+        if (!ready
+                || frozen
+                || behind
+                || !reachable
+                || keeper.refuses(content)
+                || held >= settings.limits().maxOpen()
+                || !journal.accept(message)) {
             client.refused(COME_BACK);
             return null;
         }
@@ -253,7 +271,10 @@
      */
     public Message resend(long entry, Message.Content content, List<Policy.PastAttempt> past) {
         boolean busy = held > settings.limits().maxOpen() * RESEND_SHARE;
-        if (!ready || frozen || busy || byCallId.containsKey(content.callId())
+        if (!ready
+                || frozen
+                || busy
+                || byCallId.containsKey(content.callId())
                 || !destinations.contains(content.destination())) {
             return null;
         }
@@ -290,8 +311,13 @@
 
     private static Policy.Accepted acceptance(Message message) {
         Message.Content content = message.content;
-        return new Policy.Accepted(message.number, content.requestClass(), content.tenant(),
-                content.line() != null ? content.line() : content.key(), content.deadline(), content.destination());
+        return new Policy.Accepted(
+                message.number,
+                content.requestClass(),
+                content.tenant(),
+                content.line() != null ? content.line() : content.key(),
+                content.deadline(),
+                content.destination());
     }
 
     @Override
@@ -345,7 +371,8 @@
             }
         } catch (RuntimeException e) {
             // Guards against one bad event that would end the relay and all that it holds.
-            staff.accept("a round failed: " + e + " at " + List.of(e.getStackTrace()).stream().findFirst().orElse(null));
+            staff.accept("a round failed: " + e + " at "
+                    + List.of(e.getStackTrace()).stream().findFirst().orElse(null));
         }
         for (Message message : arrived) {
             if (message.client != null) {
@@ -393,7 +420,9 @@
             return;
         }
         outgoing.computeIfAbsent(route, r -> new ArrayList<>())
-                .add(new Partners.Outgoing(attempt, timeout > 0 ? Math.min(timeout, left) : left,
+                .add(new Partners.Outgoing(
+                        attempt,
+                        timeout > 0 ? Math.min(timeout, left) : left,
                         leaveWithin > 0 ? now + leaveWithin : Long.MAX_VALUE));
     }
 
@@ -420,8 +449,15 @@
             }
         }
         boolean closed = message.over || message.end != null;
-        add(new Policy.Outcome(message.number, attempt.number, attempt.route, result, closed, wait,
-                clock.micros() - attempt.sentAt, report));
+        add(new Policy.Outcome(
+                message.number,
+                attempt.number,
+                attempt.route,
+                result,
+                closed,
+                wait,
+                clock.micros() - attempt.sentAt,
+                report));
         forgetIfSettled(message);
     }
 
@@ -572,7 +608,8 @@
         ready = true;
         // What takes an endpoint away from an old list does not say what else there is.
         listTold |= kind == Policy.ListKind.FULL;
-        add(new Policy.RouteList(kind, version, targets.stream().map(Target::listed).toList()));
+        add(new Policy.RouteList(
+                kind, version, targets.stream().map(Target::listed).toList()));
     }
 
     @Override
@@ -610,15 +647,15 @@
 
     /** Relays on sockets have no way to talk to each other. */
     @Override
-    public void tell(int relay, byte[] bytes) { }
+    public void tell(int relay, byte[] bytes) {}
 
     /** The watch on discovery runs all the time. */
     @Override
-    public void subscribe(boolean on) { }
+    public void subscribe(boolean on) {}
 
     /** The watch on discovery runs all the time. */
     @Override
-    public void fetchList() { }
+    public void fetchList() {}
 
     @Override
     public void log(String text) {
--- a/src/main/java/pipitstage/engine/Keeper.java
+++ b/src/main/java/pipitstage/engine/Keeper.java
@@ -26,7 +26,7 @@
         }
 
         @Override
-        public void resumed(Message message) { }
+        public void resumed(Message message) {}
 
         @Override
         public void resent(Message message) {
@@ -34,10 +34,10 @@
         }
 
         @Override
-        public void learnt(Message.Attempt attempt) { }
+        public void learnt(Message.Attempt attempt) {}
 
         @Override
-        public void list(ListKind kind, long version, List<Target> targets) { }
+        public void list(ListKind kind, long version, List<Target> targets) {}
     };
 
     /** True where a message that its client was told is taken on, and that ends undelivered, is to be kept. */
--- a/src/main/java/pipitstage/engine/Message.java
+++ b/src/main/java/pipitstage/engine/Message.java
@@ -17,7 +17,7 @@
      * @param queue the name that its client listens by
      * @param correlation what the client knows its message by; may be null
      */
-    public record Reply(String via, String queue, String correlation) { }
+    public record Reply(String via, String queue, String correlation) {}
 
     /**
      * What a client handed in; {@code tenant} and {@code key} may be null.
@@ -25,16 +25,37 @@
      * @param reply null where the client asked for none, and hears of ends other than delivery by {@link Ends}' usual way
      * @param line what order is kept by where that is another than the key; null where it is not
      */
-    public record Content(String callId, String requestClass, String tenant, String key, long deadline,
-            int destination, byte[] body, Reply reply, String line) {
+    public record Content(
+            String callId,
+            String requestClass,
+            String tenant,
+            String key,
+            long deadline,
+            int destination,
+            byte[] body,
+            Reply reply,
+            String line) {
         /** A message whose order, where its class keeps one, is that of its key. */
-        public Content(String callId, String requestClass, String tenant, String key, long deadline, int destination,
-                byte[] body, Reply reply) {
+        public Content(
+                String callId,
+                String requestClass,
+                String tenant,
+                String key,
+                long deadline,
+                int destination,
+                byte[] body,
+                Reply reply) {
             this(callId, requestClass, tenant, key, deadline, destination, body, reply, null);
         }
 
         /** A message whose client asked for no reply. */
-        public Content(String callId, String requestClass, String tenant, String key, long deadline, int destination,
+        public Content(
+                String callId,
+                String requestClass,
+                String tenant,
+                String key,
+                long deadline,
+                int destination,
                 byte[] body) {
             this(callId, requestClass, tenant, key, deadline, destination, body, null);
         }
@@ -47,7 +68,11 @@
      */
     public record End(Kind kind, long retryIn) {
         /** What an end is: delivered, refused and never run, or failed with what became of it untold. */
-        public enum Kind { FAILED, REFUSED, DELIVERED }
+        public enum Kind {
+            FAILED,
+            REFUSED,
+            DELIVERED
+        }
 
         /** An end that is told as failed, or as refused with a time to come back. */
         public End(boolean refused, long retryIn) {
@@ -114,10 +139,12 @@
 
     /** Number in this relay's journal. */
     final long number;
+
     final Content content;
     final List<Attempt> attempts = new ArrayList<>();
     /** Where the client that handed the message in waits; null once it has its answer. */
     ClientReply client;
+
     End end;
     /** The timer that ends the message should the module leave it open. */
     Timers.Timer endWatch;
@@ -127,6 +154,7 @@
     boolean resumed;
     /** How many have still to hear how it ended. */
     int owed = 1;
+
     private final long entry;
     private int out;
 
--- a/src/main/java/pipitstage/engine/Partners.java
+++ b/src/main/java/pipitstage/engine/Partners.java
@@ -38,7 +38,7 @@
      * @param latest when a partner may meet it at the latest, on the clock of messages: what can't be there by then, since
      *     it still waits for a connection or is the first on one, ends as not sent. {@link Long#MAX_VALUE} where that is no matter
      */
-    record Outgoing(Message.Attempt attempt, long timeout, long latest) { }
+    record Outgoing(Message.Attempt attempt, long timeout, long latest) {}
 
     /** Takes in a list of hosts; what drains or is gone is sent nothing new from now on. */
     void list(ListKind kind, List<Target> targets);
--- a/src/main/java/pipitstage/front/Front.java
+++ b/src/main/java/pipitstage/front/Front.java
@@ -6,7 +6,7 @@
     void drain();
 
     /** Takes in what has come and lies unread, with connections that are not accepted yet. */
-    default void takeIn() { }
+    default void takeIn() {}
 
     /** True where everything that was begun has its answer. */
     boolean isIdle();
--- a/src/main/java/pipitstage/front/amqp/AmqpServer.java
+++ b/src/main/java/pipitstage/front/amqp/AmqpServer.java
@@ -43,11 +43,17 @@
      * @param connections that programs may hold
      * @param replyHold microseconds for which an end waits for its consumer, before it goes where others go
      */
-    public record Options(String name, String exchange, String user, String password, int connections,
-            ServerLink.Offer offer, long replyHold) { }
+    public record Options(
+            String name,
+            String exchange,
+            String user,
+            String password,
+            int connections,
+            ServerLink.Offer offer,
+            long replyHold) {}
 
     /** What everything here works with. */
-    record Parts(Intake intake, Clock clock, Pulse pulse, Mapping mapping, Seen seen, Options options) { }
+    record Parts(Intake intake, Clock clock, Pulse pulse, Mapping mapping, Seen seen, Options options) {}
 
     /** Someone who takes ends. */
     interface Taker {
@@ -64,7 +70,7 @@
         final Set<Taker> takers = new LinkedHashSet<>();
     }
 
-    private record Told(Message message, boolean again, long since) { }
+    private record Told(Message message, boolean again, long since) {}
 
     private static final int MOST_BODY = 64 << 10;
     private static final int MOST_BUFFERED = 4 << 20;
@@ -88,8 +94,15 @@
      * @param heard told of each end that a program has
      * @param others where ends go that nobody takes
      */
-    public AmqpServer(Intake intake, Clock clock, Pulse pulse, Mapping mapping, Seen seen, Options options,
-            Consumer<Message> heard, Ends others) {
+    public AmqpServer(
+            Intake intake,
+            Clock clock,
+            Pulse pulse,
+            Mapping mapping,
+            Seen seen,
+            Options options,
+            Consumer<Message> heard,
+            Ends others) {
         parts = new Parts(intake, clock, pulse, mapping, seen, options);
         this.heard = heard;
         this.others = others;
@@ -106,21 +119,25 @@
 
     private void accept(Channel ch) {
         Session session = new Session(this, parts);
-        ServerLink link = new ServerLink(parts.options().offer(), MOST_BODY, new Assembler.Room() {
-            @Override
-            public boolean take(int bytes) {
-                if (buffered + bytes > MOST_BUFFERED) {
-                    return false;
-                }
-                buffered += bytes;
-                return true;
-            }
-
-            @Override
-            public void give(int bytes) {
-                buffered -= bytes;
-            }
-        }, session);
+        ServerLink link = new ServerLink(
+                parts.options().offer(),
+                MOST_BODY,
+                new Assembler.Room() {
+                    @Override
+                    public boolean take(int bytes) {
+                        if (buffered + bytes > MOST_BUFFERED) {
+                            return false;
+                        }
+                        buffered += bytes;
+                        return true;
+                    }
+
+                    @Override
+                    public void give(int bytes) {
+                        buffered -= bytes;
+                    }
+                },
+                session);
         session.attach(link);
         // Guards against clients that take every descriptor: of those that are not in yet the oldest goes first.
         if (sessions.size() >= parts.options().connections()) {
@@ -135,11 +152,14 @@
         sessions.add(session);
         ch.pipeline().addLast(link);
         // Guards against clients that connect and never open, or send half a header.
-        loop.schedule(() -> {
-            if (!session.isIn()) {
-                session.close("it did not open in time");
-            }
-        }, OPENING_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (!session.isIn()) {
+                        session.close("it did not open in time");
+                    }
+                },
+                OPENING_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     void closed(Session session) {
@@ -220,10 +240,11 @@
     private void look() {
         loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
         long now = parts.clock().micros();
-        for (Iterator<Map.Entry<String, Waiting>> all = queues.entrySet().iterator(); all.hasNext();) {
+        for (Iterator<Map.Entry<String, Waiting>> all = queues.entrySet().iterator(); all.hasNext(); ) {
             Map.Entry<String, Waiting> queue = all.next();
             ArrayDeque<Told> ready = queue.getValue().ready;
-            while (!ready.isEmpty() && now - ready.peek().since() > parts.options().replyHold()) {
+            while (!ready.isEmpty()
+                    && now - ready.peek().since() > parts.options().replyHold()) {
                 Message message = ready.poll().message();
                 Log.line("nobody took the end of " + message.content().callId() + " from queue " + queue.getKey());
                 others.send(message);
--- a/src/main/java/pipitstage/front/amqp/QueueConsumer.java
+++ b/src/main/java/pipitstage/front/amqp/QueueConsumer.java
@@ -50,7 +50,15 @@
      * @param replyQueue where ends go of messages that ask for no reply; null where they are not told
      * @param connectTimeout microseconds until a connection is open in AMQP's sense
      */
-    public record Options(String name, ClientLink.Broker broker, String queue, int prefetch, boolean autoAcknowledge, Tells tells, String replyQueue, long connectTimeout) { }
+    public record Options(
+            String name,
+            ClientLink.Broker broker,
+            String queue,
+            int prefetch,
+            boolean autoAcknowledge,
+            Tells tells,
+            String replyQueue,
+            long connectTimeout) {}
 
     private static final int CONSUMING = 1;
     private static final int REPLYING = 2;
@@ -60,6 +68,7 @@
     private static final long LONGEST_PAUSE_MS = 10_000;
     /** Guards against a broker that hands out again and again, in no time, what is refused. */
     private static final long LEAST_BACK_MS = 200;
+
     private static final long MOST_BACK_MS = 5_000;
     private static final int OK = 200;
 
@@ -80,7 +89,8 @@
 
         @Override
         public void taken() {
-            // On file before the broker hears of it: what it hands out again after a lost acknowledgement is known by then.
+            // On file before the broker hears of it: what it hands out again after a lost acknowledgement is known by
+            // then.
             if (!anonymous) {
                 seen.add(id);
             }
@@ -126,6 +136,7 @@
     private final Set<Delivery> deliveries = new HashSet<>();
     /** Ends that are not published, the oldest first. */
     private final ArrayDeque<Message> untold = new ArrayDeque<>();
+
     private Confirms<Message> confirms = new Confirms<>();
     private ClientLink link;
     private boolean replies;
@@ -139,8 +150,16 @@
      * @param heard told of each end that the broker has
      * @param others where ends go whose queue is not there
      */
-    public QueueConsumer(EventLoop loop, Intake intake, Clock clock, Pulse pulse, Mapping mapping, Seen seen,
-            Options options, Consumer<Message> heard, Ends others) {
+    public QueueConsumer(
+            EventLoop loop,
+            Intake intake,
+            Clock clock,
+            Pulse pulse,
+            Mapping mapping,
+            Seen seen,
+            Options options,
+            Consumer<Message> heard,
+            Ends others) {
         this.loop = loop;
         this.intake = intake;
         this.clock = clock;
@@ -173,15 +192,27 @@
     public void received(Command command) throws AmqpException {
         Method m = command.method();
         switch (m.op()) {
-            case CHANNEL_OPEN_OK -> link.send(command.channel(), command.channel() == CONSUMING
-                    ? Method.of(Op.BASIC_QOS, 0L, options.prefetch(), false) : Method.of(Op.CONFIRM_SELECT, false));
-            case BASIC_QOS_OK -> link.send(CONSUMING, Method.of(Op.BASIC_CONSUME, options.queue(), TAG, false,
-                    options.autoAcknowledge(), false, false,
-                    Map.of()));
+            case CHANNEL_OPEN_OK -> link.send(
+                    command.channel(),
+                    command.channel() == CONSUMING
+                            ? Method.of(Op.BASIC_QOS, 0L, options.prefetch(), false)
+                            : Method.of(Op.CONFIRM_SELECT, false));
+            case BASIC_QOS_OK -> link.send(
+                    CONSUMING,
+                    Method.of(
+                            Op.BASIC_CONSUME,
+                            options.queue(),
+                            TAG,
+                            false,
+                            options.autoAcknowledge(),
+                            false,
+                            false,
+                            Map.of()));
             case BASIC_CONSUME_OK -> {
                 link.ready();
                 pause = FIRST_PAUSE_MS;
-                Log.line("amqp: consuming queue " + options.queue() + " at " + options.broker().address());
+                Log.line("amqp: consuming queue " + options.queue() + " at "
+                        + options.broker().address());
             }
             case CONFIRM_SELECT_OK -> {
                 replies = true;
@@ -190,7 +221,7 @@
             case BASIC_DELIVER -> deliver(command);
             case BASIC_ACK, BASIC_NACK -> confirmed(m);
             case BASIC_RETURN -> returned(command);
-            case BASIC_CANCEL_OK -> { }
+            case BASIC_CANCEL_OK -> {}
             case BASIC_CANCEL -> link.end(OK, "the queue is gone");
             case CHANNEL_CLOSE -> {
                 Log.line("amqp: queue " + options.queue() + ": the broker closed channel " + command.channel() + ": "
@@ -208,9 +239,16 @@
         Method m = command.method();
         long tag = m.number("delivery-tag");
         Properties properties = command.properties();
-        Mapping.Mapped mapped = command.isSkipped() ? new Mapping.Misfits(command.size() + " bytes are more than is taken")
-                : mapping.map(properties, m.text("exchange"), m.text("routing-key"), command.body(), pulse.unreadSince(),
-                        ids, reply(properties));
+        Mapping.Mapped mapped = command.isSkipped()
+                ? new Mapping.Misfits(command.size() + " bytes are more than is taken")
+                : mapping.map(
+                        properties,
+                        m.text("exchange"),
+                        m.text("routing-key"),
+                        command.body(),
+                        pulse.unreadSince(),
+                        ids,
+                        reply(properties));
         if (mapped instanceof Mapping.Misfits misfit) {
             rejectForGood(tag, misfit.reason());
             return;
@@ -242,9 +280,12 @@
 
     private Message.Reply reply(Properties properties) {
         String asked = properties.text(Property.REPLY_TO);
-        String queue = options.tells() == Tells.NEVER ? null : asked != null ? asked
-                : options.tells() == Tells.ALWAYS ? options.replyQueue() : null;
-        return queue == null ? null : new Message.Reply(options.name(), queue, properties.text(Property.CORRELATION_ID));
+        String queue = options.tells() == Tells.NEVER
+                ? null
+                : asked != null ? asked : options.tells() == Tells.ALWAYS ? options.replyQueue() : null;
+        return queue == null
+                ? null
+                : new Message.Reply(options.name(), queue, properties.text(Property.CORRELATION_ID));
     }
 
     private void rejectForGood(long tag, String reason) {
@@ -277,9 +318,18 @@
             Message message = untold.poll();
             long tag = confirms.publish(message);
             Confirms<Message> current = confirms;
-            link.send(REPLYING, Method.of(Op.BASIC_PUBLISH, "", message.content().reply().queue(), true, false),
-                    ReplyText.properties(message).with(Property.HEADERS, Map.<String, Object>of(Confirms.TAG, tag)),
-                    ReplyText.body(message)).addListener(done -> {
+            link.send(
+                            REPLYING,
+                            Method.of(
+                                    Op.BASIC_PUBLISH,
+                                    "",
+                                    message.content().reply().queue(),
+                                    true,
+                                    false),
+                            ReplyText.properties(message)
+                                    .with(Property.HEADERS, Map.<String, Object>of(Confirms.TAG, tag)),
+                            ReplyText.body(message))
+                    .addListener(done -> {
                         if (done.isSuccess()) {
                             current.written(tag);
                             tellAll();
@@ -289,8 +339,8 @@
     }
 
     private void confirmed(Method m) throws AmqpException {
-        List<Confirms.Settled<Message>> settled = confirms.confirmed(m.number("delivery-tag"), m.flag("multiple"),
-                m.op() == Op.BASIC_ACK);
+        List<Confirms.Settled<Message>> settled =
+                confirms.confirmed(m.number("delivery-tag"), m.flag("multiple"), m.op() == Op.BASIC_ACK);
         if (settled == null) {
             throw new AmqpException(AmqpException.PRECONDITION_FAILED, m + " speaks of no publish that is open");
         }
@@ -325,7 +375,8 @@
     @Override
     public void closed(String reason) {
         if (!stopped) {
-            Log.line("amqp: queue " + options.queue() + " at " + options.broker().address() + ": " + reason);
+            Log.line(
+                    "amqp: queue " + options.queue() + " at " + options.broker().address() + ": " + reason);
         }
         link = null;
         replies = false;
--- a/src/main/java/pipitstage/front/amqp/ReplyText.java
+++ b/src/main/java/pipitstage/front/amqp/ReplyText.java
@@ -14,14 +14,18 @@
     private static final int PERSISTENT = 2;
     private static final JsonFactory JSON = new JsonFactory();
 
-    private ReplyText() { }
+    private ReplyText() {}
 
     /** Its id is the same however often it is told, so that whoever hears it twice can tell. */
     static Properties properties(Message message) {
         String correlation = message.content().reply().correlation();
-        return Properties.NONE.with(Property.MESSAGE_ID, message.content().callId() + ".end")
-                .with(Property.CORRELATION_ID, correlation == null ? message.content().callId() : correlation)
-                .with(Property.TYPE, message.end().word()).with(Property.CONTENT_TYPE, "application/json")
+        return Properties.NONE
+                .with(Property.MESSAGE_ID, message.content().callId() + ".end")
+                .with(
+                        Property.CORRELATION_ID,
+                        correlation == null ? message.content().callId() : correlation)
+                .with(Property.TYPE, message.end().word())
+                .with(Property.CONTENT_TYPE, "application/json")
                 .with(Property.DELIVERY_MODE, PERSISTENT);
     }
 
--- a/src/main/java/pipitstage/front/amqp/Session.java
+++ b/src/main/java/pipitstage/front/amqp/Session.java
@@ -22,6 +22,7 @@
 final class Session implements ServerLink.Owner {
     /** Publishes without an answer from which on nothing more is read of the connection. */
     private static final int MOST_UNANSWERED = 256;
+
     private static final int MOST_NAME = 200;
 
     /** One publish that awaits its answer; one with no id of its own is not remembered. */
@@ -72,7 +73,7 @@
     }
 
     /** An end that was handed out. */
-    private record Out(Consumer consumer, Message message) { }
+    private record Out(Consumer consumer, Message message) {}
 
     /** Someone who consumes a queue of ends. */
     private final class Consumer implements AmqpServer.Taker {
@@ -99,8 +100,11 @@
             if (!noAck) {
                 channel.out.put(number, new Out(this, message));
             }
-            link.send(channel.number, Method.of(Op.BASIC_DELIVER, tag, number, again, "", queue),
-                    ReplyText.properties(message), ReplyText.body(message));
+            link.send(
+                    channel.number,
+                    Method.of(Op.BASIC_DELIVER, tag, number, again, "", queue),
+                    ReplyText.properties(message),
+                    ReplyText.body(message));
             if (noAck) {
                 server.heard(message);
             }
@@ -161,9 +165,12 @@
     @Override
     public boolean admits(String user, String password) {
         String needed = parts.options().user();
-        return !server.isDraining() && (needed == null || needed.equals(user)
-                && MessageDigest.isEqual(parts.options().password()
-                .getBytes(StandardCharsets.UTF_8), password.getBytes(StandardCharsets.UTF_8)));
+        return !server.isDraining()
+                && (needed == null
+                        || needed.equals(user)
+                                && MessageDigest.isEqual(
+                                        parts.options().password().getBytes(StandardCharsets.UTF_8),
+                                        password.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Override
@@ -234,8 +241,8 @@
                 link.send(channel.number, Method.of(Op.CHANNEL_FLOW_OK, channel.flows));
                 channel.consumers.values().forEach(c -> server.dispatch(c.queue));
             }
-            default -> throw new AmqpException(AmqpException.NOT_IMPLEMENTED, "NOT_IMPLEMENTED - a relay has no "
-                    + command.op());
+            default -> throw new AmqpException(
+                    AmqpException.NOT_IMPLEMENTED, "NOT_IMPLEMENTED - a relay has no " + command.op());
         }
     }
 
@@ -249,32 +256,54 @@
 
     private void checkExchange(String exchange) throws AmqpException {
         if (!exchange.isEmpty() && !exchange.equals(parts.options().exchange())) {
-            throw new AmqpException(AmqpException.NOT_FOUND, "NOT_FOUND - no exchange '" + exchange + "': this relay has '"
-                    + parts.options().exchange() + "' and the nameless one");
+            throw new AmqpException(
+                    AmqpException.NOT_FOUND,
+                    "NOT_FOUND - no exchange '" + exchange + "': this relay has '"
+                            + parts.options().exchange() + "' and the nameless one");
         }
     }
 
     private void publish(Channel channel, Command command) throws AmqpException {
         if (!channel.confirms) {
-            throw new AmqpException(AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - a relay takes messages on"
-                    + " channels in confirm mode alone, since its refusals would be lost on others");
+            throw new AmqpException(
+                    AmqpException.PRECONDITION_FAILED,
+                    "PRECONDITION_FAILED - a relay takes messages on"
+                            + " channels in confirm mode alone, since its refusals would be lost on others");
         }
         Method m = command.method();
         checkExchange(m.text("exchange"));
         long tag = ++channel.published;
         if (command.isSkipped()) {
-            refuse(channel, tag, command, AmqpException.CONTENT_TOO_LARGE, "CONTENT_TOO_LARGE - " + command.size()
-                    + " bytes are more than is taken, or more than there is room for now");
+            refuse(
+                    channel,
+                    tag,
+                    command,
+                    AmqpException.CONTENT_TOO_LARGE,
+                    "CONTENT_TOO_LARGE - " + command.size()
+                            + " bytes are more than is taken, or more than there is room for now");
             return;
         }
         Properties properties = command.properties();
         String replyTo = properties.text(Property.REPLY_TO);
-        Message.Reply reply = replyTo == null ? null : new Message.Reply(parts.options().name(), replyTo,
-                properties.text(Property.CORRELATION_ID));
-        Mapping.Mapped mapped = parts.mapping().map(properties, m.text("exchange"), m.text("routing-key"), command.body(),
-                parts.pulse().unreadSince(), server.ids(), reply);
+        Message.Reply reply = replyTo == null
+                ? null
+                : new Message.Reply(parts.options().name(), replyTo, properties.text(Property.CORRELATION_ID));
+        Mapping.Mapped mapped = parts.mapping()
+                .map(
+                        properties,
+                        m.text("exchange"),
+                        m.text("routing-key"),
+                        command.body(),
+                        parts.pulse().unreadSince(),
+                        server.ids(),
+                        reply);
         if (mapped instanceof Mapping.Misfits misfit) {
-            refuse(channel, tag, command, AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - " + misfit.reason());
+            refuse(
+                    channel,
+                    tag,
+                    command,
+                    AmqpException.PRECONDITION_FAILED,
+                    "PRECONDITION_FAILED - " + misfit.reason());
         } else {
             takeOn(channel, tag, command, (Mapping.Fits) mapped);
         }
@@ -285,8 +314,12 @@
         if (!parts.intake().reaches(content.destination())) {
             refuse(channel, tag, command, AmqpException.NO_ROUTE, "NO_ROUTE");
         } else if (!parts.intake().knows(content)) {
-            refuse(channel, tag, command, AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - its tenant is not known,"
-                    + " or its class needs a key");
+            refuse(
+                    channel,
+                    tag,
+                    command,
+                    AmqpException.PRECONDITION_FAILED,
+                    "PRECONDITION_FAILED - its tenant is not known," + " or its class needs a key");
         } else if (parts.seen().contains(content.callId())) {
             // Taken on before: its end is owed once, and this copy is no message of its own.
             link.send(channel.number, Method.of(Op.BASIC_ACK, tag, false));
@@ -309,8 +342,16 @@
     private void refuse(Channel channel, long tag, Command command, int code, String why) {
         Method m = command.method();
         if (m.flag("mandatory") && command.body() != null) {
-            link.send(channel.number, Method.of(Op.BASIC_RETURN, code, why.length() > MOST_NAME ? why.substring(0, MOST_NAME)
-                    : why, m.text("exchange"), m.text("routing-key")), command.properties(), command.body());
+            link.send(
+                    channel.number,
+                    Method.of(
+                            Op.BASIC_RETURN,
+                            code,
+                            why.length() > MOST_NAME ? why.substring(0, MOST_NAME) : why,
+                            m.text("exchange"),
+                            m.text("routing-key")),
+                    command.properties(),
+                    command.body());
         } else {
             Log.line("amqp: a publish is refused: " + why);
         }
@@ -321,8 +362,9 @@
 
     private static String queueName(String name) throws AmqpException {
         if (name.startsWith("amq.")) {
-            throw new AmqpException(AmqpException.ACCESS_REFUSED, "ACCESS_REFUSED - names that begin with amq. are the"
-                    + " relay's own");
+            throw new AmqpException(
+                    AmqpException.ACCESS_REFUSED,
+                    "ACCESS_REFUSED - names that begin with amq. are the" + " relay's own");
         }
         return name;
     }
@@ -347,10 +389,13 @@
 
     private void settle(Channel channel, Method m, boolean multiple, boolean done) throws AmqpException {
         long tag = m.number("delivery-tag");
-        Map<Long, Out> meant = new TreeMap<>(multiple ? channel.out.headMap(tag == 0 ? Long.MAX_VALUE : tag, true)
-                : channel.out.subMap(tag, true, tag, true));
+        Map<Long, Out> meant = new TreeMap<>(
+                multiple
+                        ? channel.out.headMap(tag == 0 ? Long.MAX_VALUE : tag, true)
+                        : channel.out.subMap(tag, true, tag, true));
         if (meant.isEmpty() && !(multiple && tag == 0)) {
-            throw new AmqpException(AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - unknown delivery tag " + tag);
+            throw new AmqpException(
+                    AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - unknown delivery tag " + tag);
         }
         List<Out> back = new ArrayList<>();
         meant.forEach((number, out) -> {
--- a/src/main/java/pipitstage/front/door/Door.java
+++ b/src/main/java/pipitstage/front/door/Door.java
@@ -35,15 +35,20 @@
 
     /** Listens at an address. */
     public ChannelFuture open(EventLoop loop, InetSocketAddress address) {
-        ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-                .handler(new Backlog()).childOption(ChannelOption.TCP_NODELAY, true)
+        ChannelFuture bound = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .handler(new Backlog())
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
                         accept.accept(ch);
                     }
-                }).bind(address);
+                })
+                .bind(address);
         listener = bound.channel();
         return bound;
     }
--- a/src/main/java/pipitstage/front/door/House.java
+++ b/src/main/java/pipitstage/front/door/House.java
@@ -20,6 +20,7 @@
     private final Set<C> all = new HashSet<>();
     /** Connections that have sent nothing yet, and those that are idle since their last answer, oldest first. */
     private final Set<C> silent = new LinkedHashSet<>();
+
     private final Set<C> idle = new LinkedHashSet<>();
 
     /**
--- a/src/main/java/pipitstage/front/http/ClientConnection.java
+++ b/src/main/java/pipitstage/front/http/ClientConnection.java
@@ -46,8 +46,8 @@
     private static final int MOST_PIPELINED = 8;
     private static final long IDLE_MS = 10_000;
     private static final long LINGER_MS = 2000;
-    private static final Map<Answer, ByteBuf> PLAIN = Arrays.stream(Answer.values()).collect(Collectors.toMap(a -> a,
-            ClientConnection::plain, (a, b) -> a, () -> new EnumMap<>(Answer.class)));
+    private static final Map<Answer, ByteBuf> PLAIN = Arrays.stream(Answer.values())
+            .collect(Collectors.toMap(a -> a, ClientConnection::plain, (a, b) -> a, () -> new EnumMap<>(Answer.class)));
 
     private final ClientServer server;
     private final Intake intake;
@@ -57,6 +57,7 @@
     private ChannelHandlerContext context;
     /** Bytes that are written here go out as they are. */
     private ChannelHandlerContext encoder;
+
     private Unread unread;
     private long bytesSince;
     private boolean idle = true;
@@ -67,10 +68,11 @@
     private boolean answering;
     /** The last request that is heeded can't be read on; its refusal is the last answer. */
     private Answer refusal;
+
     private boolean ending;
     private int buffered;
-    private final ConnectionTimer timer = new ConnectionTimer((nanos, task) -> context.executor().schedule(task, nanos,
-            TimeUnit.NANOSECONDS));
+    private final ConnectionTimer timer =
+            new ConnectionTimer((nanos, task) -> context.executor().schedule(task, nanos, TimeUnit.NANOSECONDS));
 
     ClientConnection(ClientServer server, Intake intake, Clock clock) {
         this.server = server;
@@ -146,7 +148,7 @@
     /** Guards against two lengths, of which only one can be true: both stay, for the reader to see. */
     private static final class Decoder extends HttpRequestDecoder {
         @Override
-        protected void handleTransferEncodingChunkedWithContentLength(HttpMessage request) { }
+        protected void handleTransferEncodingChunkedWithContentLength(HttpMessage request) {}
     }
 
     @Override
@@ -204,8 +206,8 @@
                 return;
             }
             if (HttpUtil.is100ContinueExpected(head) && !answering) {
-                ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                ctx.writeAndFlush(new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
         if (part instanceof HttpContent content && reading != null) {
@@ -279,14 +281,19 @@
         answering = true;
         HttpRequest head = request.head();
         keepAlive = HttpUtil.isKeepAlive(head);
-        exchange.handle(head.method().asciiName(), head.uri(), server.isDraining(), request::content,
+        exchange.handle(
+                head.method().asciiName(),
+                head.uri(),
+                server.isDraining(),
+                request::content,
                 server.door().unreadSince());
     }
 
     /** An answer that says nothing but its status, the same bytes each time: only these go out by the thousand. */
     private static ByteBuf plain(Answer answer) {
-        return Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(HttpVersion.HTTP_1_1 + " " + answer.status() + "\r\n"
-                + HttpHeaderNames.CONTENT_LENGTH + ": 0\r\n\r\n", StandardCharsets.US_ASCII));
+        return Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
+                HttpVersion.HTTP_1_1 + " " + answer.status() + "\r\n" + HttpHeaderNames.CONTENT_LENGTH + ": 0\r\n\r\n",
+                StandardCharsets.US_ASCII));
     }
 
     private static FullHttpResponse withHeaders(Answer answer, long retryIn, boolean last) {
@@ -307,7 +314,8 @@
         boolean last = ending;
         Message answered = exchange.release();
         answering = false;
-        ChannelFuture left = last || retryIn > 0 ? context.writeAndFlush(withHeaders(answer, retryIn, last))
+        ChannelFuture left = last || retryIn > 0
+                ? context.writeAndFlush(withHeaders(answer, retryIn, last))
                 : encoder.writeAndFlush(PLAIN.get(answer).duplicate());
         left.addListener(written -> {
             if (!written.isSuccess() && answered != null) {
--- a/src/main/java/pipitstage/front/http/ClientRequest.java
+++ b/src/main/java/pipitstage/front/http/ClientRequest.java
@@ -43,8 +43,7 @@
             return Answer.MALFORMED;
         }
         // The decoder has made sure that a length is a number.
-        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > Request.MOST_BODY
-                ? Answer.TOO_LARGE : null;
+        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > Request.MOST_BODY ? Answer.TOO_LARGE : null;
     }
 
     /** Takes in a piece of the body; false where the body is larger than any may be. */
--- a/src/main/java/pipitstage/front/http2/Http2Server.java
+++ b/src/main/java/pipitstage/front/http2/Http2Server.java
@@ -51,12 +51,21 @@
      * @param standing when a connection has stood long enough
      * @param drain how long the last answers may take once a connection goes
      */
-    public record Options(int connections, Offer.Bounds streams, int headerList, int window, long pool,
-            Map<String, Double> shares, double resets, Standing.Spans standing, long drain) { }
+    public record Options(
+            int connections,
+            Offer.Bounds streams,
+            int headerList,
+            int window,
+            long pool,
+            Map<String, Double> shares,
+            double resets,
+            Standing.Spans standing,
+            long drain) {}
 
     private static final long TICK_MS = 50;
     /** How long a body waits for room, in microseconds, before slower ones give way to it. */
     private static final long PATIENCE = 500_000;
+
     private static final int SEND_BUFFER = 64 << 10;
     private static final AsciiString H2C = AsciiString.cached("h2c");
     /** Guards against a line of Netty's for each frame that a client sends too late; held here, as only that keeps it. */
@@ -75,6 +84,7 @@
     private final Credit credit;
     /** Streams whose bodies wait for credit, in the order of their wishes. */
     private final ArrayDeque<Stream> waiting = new ArrayDeque<>();
+
     private int open;
     private int busy;
     private int refused;
@@ -88,8 +98,9 @@
         this.clock = clock;
         this.options = options;
         door = new Door(pulse, this::accept);
-        // What lies unread needs no look: the goodbye names the last stream that was taken, and its client sends the rest elsewhere.
-        house = new House<>(options.connections(), session -> { }, Session::letGo);
+        // What lies unread needs no look: the goodbye names the last stream that was taken, and its client sends the
+        // rest elsewhere.
+        house = new House<>(options.connections(), session -> {}, Session::letGo);
         offer = new Offer(options.streams());
         credit = new Credit(options.pool(), options.shares());
     }
@@ -107,9 +118,12 @@
         double spread = accepted++ * 0.618034 % 1;
         Session session = Session.of(this, intake, clock, ch, spread);
         HttpServerCodec http1 = new HttpServerCodec();
-        HttpServerUpgradeHandler upgrade = new HttpServerUpgradeHandler(http1, protocol ->
-                AsciiString.contentEquals(Http2CodecUtil.HTTP_UPGRADE_PROTOCOL_NAME, protocol)
-                        ? new Http2ServerUpgradeCodec(session) : null, Request.MOST_BODY);
+        HttpServerUpgradeHandler upgrade = new HttpServerUpgradeHandler(
+                http1,
+                protocol -> AsciiString.contentEquals(Http2CodecUtil.HTTP_UPGRADE_PROTOCOL_NAME, protocol)
+                        ? new Http2ServerUpgradeCodec(session)
+                        : null,
+                Request.MOST_BODY);
         ch.pipeline().addLast(new CleartextHttp2ServerUpgradeHandler(http1, upgrade, session), new Http1());
         ch.closeFuture().addListener(closed -> session.gone());
         house.opened(session);
@@ -120,8 +134,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpMessage request) {
             var answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.UPGRADE_REQUIRED);
-            answer.headers().set(HttpHeaderNames.UPGRADE, H2C).set(HttpHeaderNames.CONNECTION, HttpHeaderValues.UPGRADE)
-                    .add(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE).set(HttpHeaderNames.CONTENT_LENGTH, 0);
+            answer.headers()
+                    .set(HttpHeaderNames.UPGRADE, H2C)
+                    .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.UPGRADE)
+                    .add(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
+                    .set(HttpHeaderNames.CONTENT_LENGTH, 0);
             ctx.writeAndFlush(answer).addListener(written -> ctx.close());
         }
 
--- a/src/main/java/pipitstage/front/http2/Session.java
+++ b/src/main/java/pipitstage/front/http2/Session.java
@@ -57,21 +57,26 @@
 final class Session extends Http2ConnectionHandler {
     /** What a stream may bring of its body before a word is said; the rest is let in as there is room for it. */
     static final int FIRST_WINDOW = Room.ALWAYS;
+
     private static final int STEP = 16 << 10;
     /** One byte more than any body may have lets a client that told no length hear that its own is too large. */
     static final int MOST_WINDOW = Request.MOST_BODY + 1;
+
     private static final long COME_BACK = 1_000_000;
     private static final long LINGER_MS = 1_000;
     /** The share of an extended stream's window that may be used up before Netty tells of the rest: all but none. */
     private static final float AT_ONCE = 0.999f;
+
     private static final long FAREWELL_PING = 0x676f6f64627965L;
     private static final Map<Answer, Http2Headers> ANSWERS = new EnumMap<>(Answer.class);
-    private static final Http2Headers GO_ON = ReadOnlyHttp2Headers.serverHeaders(false,
-            HttpResponseStatus.CONTINUE.codeAsText());
+    private static final Http2Headers GO_ON =
+            ReadOnlyHttp2Headers.serverHeaders(false, HttpResponseStatus.CONTINUE.codeAsText());
 
     static {
         for (Answer answer : Answer.values()) {
-            ANSWERS.put(answer, ReadOnlyHttp2Headers.serverHeaders(false, answer.status().codeAsText()));
+            ANSWERS.put(
+                    answer,
+                    ReadOnlyHttp2Headers.serverHeaders(false, answer.status().codeAsText()));
         }
     }
 
@@ -88,16 +93,25 @@
     private final Unread unread;
     /** Streams whose requests are not whole, the oldest first. */
     private final Set<Stream> reading = new LinkedHashSet<>();
+
     private ChannelHandlerContext context;
     private int open;
     /** Half-read bytes by which the connection's window is to change yet. */
     private int lent;
+
     private boolean spoke;
     private boolean flushDue;
     private boolean over;
 
-    private Session(Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings, Http2Server server,
-            Intake intake, Clock clock, Channel channel, double spread) {
+    private Session(
+            Http2ConnectionDecoder decoder,
+            Http2ConnectionEncoder encoder,
+            Http2Settings settings,
+            Http2Server server,
+            Intake intake,
+            Clock clock,
+            Channel channel,
+            double spread) {
         // What closes the channel is decided here: GOAWAY goes apart.
         super(decoder, encoder, settings, true);
         this.server = server;
@@ -134,11 +148,15 @@
             this.spread = spread;
             Http2Connection connection = new DefaultHttp2Connection(true, 0);
             // Answers have no DATA, so that the plainest order of sending will do.
-            connection.remote().flowController(new DefaultHttp2RemoteFlowController(connection,
-                    new UniformStreamByteDistributor(connection)));
+            connection
+                    .remote()
+                    .flowController(new DefaultHttp2RemoteFlowController(
+                            connection, new UniformStreamByteDistributor(connection)));
             connection(connection);
-            initialSettings(new Http2Settings().maxConcurrentStreams(server.streamsForEach())
-                    .initialWindowSize(FIRST_WINDOW).maxHeaderListSize(server.options().headerList()));
+            initialSettings(new Http2Settings()
+                    .maxConcurrentStreams(server.streamsForEach())
+                    .initialWindowSize(FIRST_WINDOW)
+                    .maxHeaderListSize(server.options().headerList()));
             validateRequiredPseudoHeaders(true);
             decoderEnforceMaxRstFramesPerWindow(0, 0);
             encoderEnforceMaxRstFramesPerWindow(0, 0);
@@ -153,7 +171,8 @@
         }
 
         @Override
-        protected Session build(Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
+        protected Session build(
+                Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
             return new Session(decoder, encoder, settings, server, intake, clock, channel, spread);
         }
     }
@@ -202,8 +221,8 @@
     }
 
     @Override
-    protected void onStreamError(ChannelHandlerContext ctx, boolean outbound, Throwable cause,
-            Http2Exception.StreamException error) {
+    protected void onStreamError(
+            ChannelHandlerContext ctx, boolean outbound, Throwable cause, Http2Exception.StreamException error) {
         switch (error.error()) {
             case REFUSED_STREAM -> server.refusedOne();
             case STREAM_CLOSED -> allows(Budget.Cost.LATE);
@@ -275,8 +294,13 @@
      * connection, and with it those that are open.
      */
     private void sayLast(int last, Http2Error error, String why) {
-        frameWriter().writeGoAway(context, last, error.code(), Unpooled.copiedBuffer(why, StandardCharsets.US_ASCII),
-                context.newPromise());
+        frameWriter()
+                .writeGoAway(
+                        context,
+                        last,
+                        error.code(),
+                        Unpooled.copiedBuffer(why, StandardCharsets.US_ASCII),
+                        context.newPromise());
     }
 
     /** Guards against a last word that a reset takes with it, as what the client still sends is not read. */
@@ -320,7 +344,7 @@
         switch (standing.look(now, !channel.isWritable())) {
             case ENDS -> end(Http2Error.ENHANCE_YOUR_CALM, spoke ? "nothing is read" : "no settings were agreed on");
             case GOES -> sayGoodbye(now + server.options().drain());
-            case STAYS -> { }
+            case STAYS -> {}
         }
         for (Stream stream : List.copyOf(reading)) {
             if (now - stream.since() < Request.READ_MS * 1000) {
@@ -362,7 +386,7 @@
                 flushSoon();
             }
             case CLOSE -> finish();
-            case NOTHING -> { }
+            case NOTHING -> {}
         }
     }
 
@@ -445,7 +469,8 @@
 
     /** Lets so many more bytes come on a stream, or on the connection, and says so at once. */
     private void widen(Http2Stream which, int bytes) {
-        DefaultHttp2LocalFlowController flow = (DefaultHttp2LocalFlowController) connection().local().flowController();
+        DefaultHttp2LocalFlowController flow =
+                (DefaultHttp2LocalFlowController) connection().local().flowController();
         try {
             // Guards against a step that is too small to be told by itself, for which the client would wait for ever.
             flow.windowUpdateRatio(which, AT_ONCE);
@@ -473,7 +498,10 @@
 
     /** The longest half-read body gives way to others, if it has been slow. */
     void giveWay(long slowSince) {
-        reading.stream().filter(s -> s.held() > 0 && s.since() < slowSince).findFirst().ifPresent(s -> refuse(s, Answer.NO_ROOM));
+        reading.stream()
+                .filter(s -> s.held() > 0 && s.since() < slowSince)
+                .findFirst()
+                .ifPresent(s -> refuse(s, Answer.NO_ROOM));
     }
 
     private void whole(Stream stream) {
@@ -515,7 +543,8 @@
         returnCredit(stream);
         Http2Headers headers = ANSWERS.get(answer);
         if (retryIn > 0) {
-            headers = new DefaultHttp2Headers(false, 2).status(answer.status().codeAsText())
+            headers = new DefaultHttp2Headers(false, 2)
+                    .status(answer.status().codeAsText())
                     .add(HttpHeaderNames.RETRY_AFTER, Answer.retryAfter(retryIn));
         }
         encoder().writeHeaders(context, stream.stream().id(), headers, 0, true, context.newPromise());
@@ -559,7 +588,8 @@
         @Override
         public void onSettingsAckRead(ChannelHandlerContext ctx) {
             allowance.acknowledged();
-            // Guards against Netty's own rule: it would not create a stream that is one too many, and then end the whole
+            // Guards against Netty's own rule: it would not create a stream that is one too many, and then end the
+            // whole
             // connection for the DATA on it.
             connection().remote().maxActiveStreams(Integer.MAX_VALUE);
             if (over || spoke) {
@@ -582,8 +612,16 @@
         }
 
         @Override
-        public void onHeadersRead(ChannelHandlerContext ctx, int id, Http2Headers head, int dependency, short weight,
-                boolean exclusive, int padding, boolean last) throws Http2Exception {
+        public void onHeadersRead(
+                ChannelHandlerContext ctx,
+                int id,
+                Http2Headers head,
+                int dependency,
+                short weight,
+                boolean exclusive,
+                int padding,
+                boolean last)
+                throws Http2Exception {
             onHeadersRead(ctx, id, head, padding, last);
         }
 
--- a/src/main/java/pipitstage/front/http2/Stream.java
+++ b/src/main/java/pipitstage/front/http2/Stream.java
@@ -21,9 +21,10 @@
 
 /** One request on a connection, from its head to its one answer. */
 final class Stream extends Exchange {
-    private static final Map<String, AsciiString> NAMES = List.of(Headers.CALL_ID, Headers.CALL_CLASS, Headers.CALLER,
-            Headers.KEY, Headers.BUDGET, Headers.CONSIGNEE).stream().collect(Collectors.toMap(Function.identity(),
-                    name -> AsciiString.cached(name.toLowerCase(Locale.ROOT))));
+    private static final Map<String, AsciiString> NAMES = List.of(
+                    Headers.CALL_ID, Headers.CALL_CLASS, Headers.CALLER, Headers.KEY, Headers.BUDGET, Headers.CONSIGNEE)
+            .stream()
+            .collect(Collectors.toMap(Function.identity(), name -> AsciiString.cached(name.toLowerCase(Locale.ROOT))));
     private static final byte[] NONE = new byte[0];
     private static final long UNTOLD = -1;
 
@@ -113,7 +114,9 @@
 
     /** True where its length is untold and what its window lets come is nearly used up. */
     boolean mayNeedMore() {
-        return wished == 0 && granted < Session.MOST_WINDOW && granted - size < Session.FIRST_WINDOW / 2
+        return wished == 0
+                && granted < Session.MOST_WINDOW
+                && granted - size < Session.FIRST_WINDOW / 2
                 && length == UNTOLD;
     }
 
@@ -166,7 +169,10 @@
     }
 
     private Message.Content content(long came) {
-        return Request.content(head.path(), name -> head.get(NAMES.get(name)), came,
+        return Request.content(
+                head.path(),
+                name -> head.get(NAMES.get(name)),
+                came,
                 size == body.length ? body : Arrays.copyOf(body, size));
     }
 
--- a/src/main/java/pipitstage/front/http2/limits/Budget.java
+++ b/src/main/java/pipitstage/front/http2/limits/Budget.java
@@ -42,6 +42,7 @@
 
     /** So many seconds' worth may come at once where the rate is a setting. */
     private static final double BURST_SECONDS = 4;
+
     private static final double SECOND = 1e6;
 
     private static final class Bucket {
@@ -82,7 +83,11 @@
 
     /** One more has come; false where that is too many. */
     public boolean allows(Cost cost, long now) {
-        return buckets.computeIfAbsent(cost, c -> c == Cost.RESET ? new Bucket(resets, Math.max(1, resets * BURST_SECONDS), now)
-                : new Bucket(c.rate, c.burst, now)).take(now);
+        return buckets.computeIfAbsent(
+                        cost,
+                        c -> c == Cost.RESET
+                                ? new Bucket(resets, Math.max(1, resets * BURST_SECONDS), now)
+                                : new Bucket(c.rate, c.burst, now))
+                .take(now);
     }
 }
--- a/src/main/java/pipitstage/front/http2/limits/Credit.java
+++ b/src/main/java/pipitstage/front/http2/limits/Credit.java
@@ -15,6 +15,7 @@
     public static final int BASE_WINDOW = 65_535;
     /** A connection gets such a part of what is left of the pool at the most. */
     private static final int WINDOW_PART = 4;
+
     private static final double OWN_PART = 0.5;
 
     /** What one connection holds. */
@@ -22,7 +23,7 @@
         private long held;
         private long window;
 
-        private Account() { }
+        private Account() {}
 
         /** Bytes that it holds, half read or promised. */
         public long held() {
@@ -110,8 +111,8 @@
             return Verdict.GRANTED;
         }
         Account heaviest = heaviest();
-        boolean others = heaviest != null && heaviest != account && heaviest.held > fair()
-                && account.held + bytes <= fair();
+        boolean others =
+                heaviest != null && heaviest != account && heaviest.held > fair() && account.held + bytes <= fair();
         return others ? Verdict.OTHERS_FIRST : Verdict.NO_ROOM;
     }
 
--- a/src/main/java/pipitstage/front/http2/limits/Farewell.java
+++ b/src/main/java/pipitstage/front/http2/limits/Farewell.java
@@ -22,7 +22,12 @@
         CLOSE
     }
 
-    private enum State { OPEN, WARNED, NAMED, CLOSED }
+    private enum State {
+        OPEN,
+        WARNED,
+        NAMED,
+        CLOSED
+    }
 
     private State state = State.OPEN;
     private long since;
--- a/src/main/java/pipitstage/front/http2/limits/Offer.java
+++ b/src/main/java/pipitstage/front/http2/limits/Offer.java
@@ -16,6 +16,7 @@
     static final double ROOMY = 0.6;
     /** A pass of the loop that takes as long is a relay short of CPU; messages are refused from 400 ms on. */
     static final long SLOW = 150_000;
+
     private static final double GROWTH = 1.25;
 
     /**
@@ -41,7 +42,7 @@
      * @param lag how long what is read now may have waited
      * @param refused streams or messages that were refused for want of room since the step before
      */
-    public record Load(double fullness, long lag, int refused) { }
+    public record Load(double fullness, long lag, int refused) {}
 
     private final Bounds bounds;
     private double level = 1;
--- a/src/main/java/pipitstage/front/http2/limits/Standing.java
+++ b/src/main/java/pipitstage/front/http2/limits/Standing.java
@@ -10,7 +10,7 @@
      * @param age of a connection, so that clients find their way to new relays; 0 for any
      * @param stall while the client reads nothing of what waits for it
      */
-    public record Spans(long opening, long idle, long age, long stall) { }
+    public record Spans(long opening, long idle, long age, long stall) {}
 
     /** What is to become of it. */
     public enum Verdict {
--- a/src/main/java/pipitstage/front/request/Exchange.java
+++ b/src/main/java/pipitstage/front/request/Exchange.java
@@ -26,7 +26,11 @@
      * @param draining whether the front is about to end
      * @param content the message in it, or null where it makes no sense
      */
-    public final void handle(CharSequence method, CharSequence path, boolean draining, Supplier<Message.Content> content,
+    public final void handle(
+            CharSequence method,
+            CharSequence path,
+            boolean draining,
+            Supplier<Message.Content> content,
             long unreadSince) {
         if (Request.isMessage(path)) {
             if ("POST".contentEquals(method)) {
--- a/src/main/java/pipitstage/front/request/Request.java
+++ b/src/main/java/pipitstage/front/request/Request.java
@@ -23,12 +23,14 @@
         CharSequence get(String name);
     }
 
-    private Request() { }
+    private Request() {}
 
     /** True of the path that messages are handed in at: by itself, or with the line of a class in order behind it. */
     static boolean isMessage(CharSequence path) {
-        return PATH.contentEquals(path) || path.length() > PATH.length() + 1 && path.charAt(PATH.length()) == '/'
-                && PATH.contentEquals(path.subSequence(0, PATH.length()));
+        return PATH.contentEquals(path)
+                || path.length() > PATH.length() + 1
+                        && path.charAt(PATH.length()) == '/'
+                        && PATH.contentEquals(path.subSequence(0, PATH.length()));
     }
 
     /**
@@ -39,20 +41,32 @@
      * @param came when its last byte can have come at the earliest, by the engine's clock
      */
     public static Message.Content content(CharSequence path, Lookup headers, long came, byte[] body) {
-        String line = path.length() == PATH.length() ? null : path.subSequence(PATH.length() + 1, path.length()).toString();
+        String line = path.length() == PATH.length()
+                ? null
+                : path.subSequence(PATH.length() + 1, path.length()).toString();
         String callId = orEmpty(headers.get(Headers.CALL_ID));
         String requestClass = orEmpty(headers.get(Headers.CALL_CLASS));
         CharSequence tenant = headers.get(Headers.CALLER);
         CharSequence key = headers.get(Headers.KEY);
         String budget = orEmpty(headers.get(Headers.BUDGET));
         String destination = destination(orEmpty(headers.get(Headers.CONSIGNEE)));
-        if (!isToken(callId) || !isNumber(budget, 0) || destination == null || key != null && !isToken(key)
+        if (!isToken(callId)
+                || !isNumber(budget, 0)
+                || destination == null
+                || key != null && !isToken(key)
                 || line != null && !isToken(line)) {
             return null;
         }
-        return new Message.Content(callId, requestClass, tenant == null ? null : tenant.toString(),
-                key == null ? null : key.toString(), came + Long.parseLong(budget) * 1000,
-                Integer.parseInt(destination), body, null, line);
+        return new Message.Content(
+                callId,
+                requestClass,
+                tenant == null ? null : tenant.toString(),
+                key == null ? null : key.toString(),
+                came + Long.parseLong(budget) * 1000,
+                Integer.parseInt(destination),
+                body,
+                null,
+                line);
     }
 
     private static String destination(String consignee) {
--- a/src/main/java/pipitstage/http/Headers.java
+++ b/src/main/java/pipitstage/http/Headers.java
@@ -21,5 +21,5 @@
     /** {@code 1} where the call was not sent, since all slots of this relay were taken. */
     public static final String LINE_BUSY = "X-Line-Busy";
 
-    private Headers() { }
+    private Headers() {}
 }
--- a/src/main/java/pipitstage/http/UnreadBytes.java
+++ b/src/main/java/pipitstage/http/UnreadBytes.java
@@ -5,7 +5,7 @@
 
 /** Bytes that have come on a connection and that the pass of the loop has not read. */
 public final class UnreadBytes {
-    private UnreadBytes() { }
+    private UnreadBytes() {}
 
     /**
      * Reads them, if any; on the connection's loop. Guards against a decision by what is known, such as to give up or to close,
--- a/src/main/java/pipitstage/journal/Journal.java
+++ b/src/main/java/pipitstage/journal/Journal.java
@@ -42,6 +42,7 @@
 
     /** The route of an attempt that went to none. */
     private static final String NOWHERE = "";
+
     private static final int MOST_ATTEMPTS = 10_000;
 
     private static final int ACCEPTED = 1;
@@ -89,7 +90,8 @@
         Files.deleteIfExists(folder.resolve(UNFINISHED));
         List<Path> segments;
         try (var files = Files.list(folder)) {
-            segments = files.filter(f -> f.getFileName().toString().matches("journal-\\d{10}\\.log")).sorted()
+            segments = files.filter(f -> f.getFileName().toString().matches("journal-\\d{10}\\.log"))
+                    .sorted()
                     .toList();
         }
         path = folder.resolve(SEGMENT.formatted(0));
@@ -101,8 +103,7 @@
                 Files.delete(old);
             }
         }
-        segment = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE);
+        segment = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         replay();
     }
 
@@ -143,10 +144,13 @@
 
     @Override
     public void done(Message message) {
-        boolean noted = note(message, out -> {
-            out.writeByte(DONE);
-            out.writeLong(message.number());
-        }, LARGEST_WITH_ENDS);
+        boolean noted = note(
+                message,
+                out -> {
+                    out.writeByte(DONE);
+                    out.writeLong(message.number());
+                },
+                LARGEST_WITH_ENDS);
         boolean known = open.containsKey(message.number());
         forget(message.number());
         // Guards against a full disk that would bring a finished message back: a rewrite leaves it out.
@@ -217,8 +221,11 @@
         Path unfinished = folder.resolve(UNFINISHED);
         Path next = folder.resolve(SEGMENT.formatted(segmentNumber + 1));
         try {
-            FileChannel channel = FileChannel.open(unfinished, StandardOpenOption.CREATE,
-                    StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
+            FileChannel channel = FileChannel.open(
+                    unfinished,
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.TRUNCATE_EXISTING,
+                    StandardOpenOption.WRITE);
             long written = 0;
             Map<Long, Long> sizes = new LinkedHashMap<>();
             try {
@@ -270,8 +277,10 @@
         return out -> {
             Message.Reply reply = content.reply();
             boolean inLine = content.line() != null && reply == null && message.entry() == 0;
-            out.writeByte(message.entry() != 0 ? RESENT : reply != null ? ACCEPTED_FOR_REPLY
-                    : inLine ? ACCEPTED_IN_LINE : ACCEPTED);
+            out.writeByte(
+                    message.entry() != 0
+                            ? RESENT
+                            : reply != null ? ACCEPTED_FOR_REPLY : inLine ? ACCEPTED_IN_LINE : ACCEPTED);
             out.writeLong(message.number());
             if (message.entry() != 0) {
                 writePast(out, message);
@@ -299,7 +308,8 @@
         for (Message.Attempt attempt : message.attempts()) {
             out.writeUTF(attempt.route());
             out.writeLong(attempt.sentAt());
-            writeOptional(out, attempt.result() == null ? null : attempt.result().name());
+            writeOptional(
+                    out, attempt.result() == null ? null : attempt.result().name());
         }
     }
 
@@ -406,7 +416,8 @@
             switch (type) {
                 case ATTEMPT -> replayAttempt(message, in.readInt(), in.readUTF(), in.readLong());
                 case RESULT -> replayResult(message, in.readInt(), Policy.Result.valueOf(in.readUTF()));
-                case DECIDED -> message.decide(new Message.End(Message.End.Kind.values()[in.readByte()], in.readLong()));
+                case DECIDED -> message.decide(
+                        new Message.End(Message.End.Kind.values()[in.readByte()], in.readLong()));
                 case DONE -> forget(number);
                 default -> throw new IOException("unknown record " + type);
             }
@@ -445,7 +456,8 @@
         }
     }
 
-    private static Message.Content readContent(DataInputStream in, Message.Reply reply, String line) throws IOException {
+    private static Message.Content readContent(DataInputStream in, Message.Reply reply, String line)
+            throws IOException {
         String callId = in.readUTF();
         String requestClass = in.readUTF();
         String tenant = readOptional(in);
--- a/src/main/java/pipitstage/lab/experiment/Order.java
+++ b/src/main/java/pipitstage/lab/experiment/Order.java
@@ -14,9 +14,9 @@
  */
 public final class Order {
     /** One run. */
-    public record Run(int side, long seed) { }
+    public record Run(int side, long seed) {}
 
-    private Order() { }
+    private Order() {}
 
     /**
      * All runs, in order.
--- a/src/main/java/pipitstage/lab/experiment/Spread.java
+++ b/src/main/java/pipitstage/lab/experiment/Spread.java
@@ -18,9 +18,13 @@
     public static Spread of(List<Double> values) {
         double[] all = values.stream().mapToDouble(v -> v).toArray();
         double[] means = means(all);
-        return new Spread(all.length, Arrays.stream(all).average().orElseThrow(), Arrays.stream(all).min().orElseThrow(),
-                Arrays.stream(all).max().orElseThrow(), means[(int) (DRAWS * LEVEL / 2)], means[DRAWS - 1 - (int) (DRAWS
-                        * LEVEL / 2)]);
+        return new Spread(
+                all.length,
+                Arrays.stream(all).average().orElseThrow(),
+                Arrays.stream(all).min().orElseThrow(),
+                Arrays.stream(all).max().orElseThrow(),
+                means[(int) (DRAWS * LEVEL / 2)],
+                means[DRAWS - 1 - (int) (DRAWS * LEVEL / 2)]);
     }
 
     /** How far apart the least and the most are, beside the mean. */
--- a/src/main/java/pipitstage/lab/history/Ask.java
+++ b/src/main/java/pipitstage/lab/history/Ask.java
@@ -9,10 +9,22 @@
  */
 public final class Ask {
     /** What a client was told; {@code CUT} where its connection broke before an answer, so that it knows nothing. */
-    public enum Told { NOTHING, TAKEN, REFUSED, FAILED, CUT }
+    public enum Told {
+        NOTHING,
+        TAKEN,
+        REFUSED,
+        FAILED,
+        CUT
+    }
 
     /** How a partner answered a posting; {@code NONE} where no answer was sent, or it was lost. */
-    public enum Answer { NONE, DONE, FAULT, FULL, UNREACHED }
+    public enum Answer {
+        NONE,
+        DONE,
+        FAULT,
+        FULL,
+        UNREACHED
+    }
 
     /**
      * A call that carried it.
@@ -21,7 +33,7 @@
      * @param came at the endpoint; -1 where it never did
      * @param ran whether it was run there, whatever was answered; a repeat that was dropped by its key has not run
      */
-    public record Posting(int relay, int endpoint, long sent, long came, boolean ran, Answer answer) { }
+    public record Posting(int relay, int endpoint, long sent, long came, boolean ran, Answer answer) {}
 
     private final int type;
     private final int tenant;
--- a/src/main/java/pipitstage/lab/history/Costs.java
+++ b/src/main/java/pipitstage/lab/history/Costs.java
@@ -29,7 +29,7 @@
     public static final int NONE = -1;
 
     /** Who had the most of something, and how much; the first one where several had as much. */
-    public record Most(int who, long count) { }
+    public record Most(int who, long count) {}
 
     private final Map<Of, Map<Integer, Long>> byRelay = new EnumMap<>(Of.class);
     private final Map<Of, Map<Integer, Long>> byEndpoint = new EnumMap<>(Of.class);
@@ -64,7 +64,8 @@
     }
 
     private static Most most(Map<Of, Map<Integer, Long>> counts, Of what) {
-        return counts.getOrDefault(what, Map.of()).entrySet().stream().map(e -> new Most(e.getKey(), e.getValue()))
+        return counts.getOrDefault(what, Map.of()).entrySet().stream()
+                .map(e -> new Most(e.getKey(), e.getValue()))
                 .max(Comparator.comparingLong(Most::count).thenComparing(Most::who, Comparator.reverseOrder()))
                 .orElse(new Most(NONE, 0));
     }
--- a/src/main/java/pipitstage/lab/history/History.java
+++ b/src/main/java/pipitstage/lab/history/History.java
@@ -6,19 +6,19 @@
 /** Everything that happened in one run. */
 public final class History {
     /** A wait that an endpoint told a relay with a refusal; it binds from when the relay heard of it. */
-    public record Wait(int relay, int endpoint, long heard, long until) { }
+    public record Wait(int relay, int endpoint, long heard, long until) {}
 
     /** A relay heard that an endpoint drains or is gone. */
-    public record DrainTold(int relay, int endpoint, long at) { }
+    public record DrainTold(int relay, int endpoint, long at) {}
 
     /** An endpoint fell over while it was cold, by what relays sent that had seen it fail (BRIEF, rule 4), or by others. */
-    public record Fall(int endpoint, long at, double load, double able, double knowing) { }
+    public record Fall(int endpoint, long at, double load, double able, double knowing) {}
 
     /** A relay did not run. */
-    public record Away(int relay, long from, long to) { }
+    public record Away(int relay, long from, long to) {}
 
     /** What an endpoint got, and could do, in a span of time. */
-    public record Load(int endpoint, long from, int calls, double able) { }
+    public record Load(int endpoint, long from, int calls, double able) {}
 
     private final List<Ask> asks = new ArrayList<>();
     private final List<Wait> waits = new ArrayList<>();
--- a/src/main/java/pipitstage/lab/model/Keys.java
+++ b/src/main/java/pipitstage/lab/model/Keys.java
@@ -7,7 +7,7 @@
 
 /** What partners know of the keys of messages that have run there, each for its class's window. */
 public final class Keys {
-    private record Where(int ask, int partner, String building) { }
+    private record Where(int ask, int partner, String building) {}
 
     private final Map<Where, Long> ran = new HashMap<>();
 
--- a/src/main/java/pipitstage/lab/model/MemoryJournal.java
+++ b/src/main/java/pipitstage/lab/model/MemoryJournal.java
@@ -10,7 +10,7 @@
 
 /** What a relay has recorded. It outlasts the relay, and gives back messages of its own, so that no more than that does. */
 final class MemoryJournal implements WriteAhead {
-    private record Tried(String route, long sentAt) { }
+    private record Tried(String route, long sentAt) {}
 
     private static final class Kept {
         private final Message.Content content;
@@ -45,7 +45,8 @@
         kept.forEach((number, k) -> {
             Message message = new Message(number, k.content);
             for (int i = 0; i < k.attempts.size(); i++) {
-                message.addAttempt(k.attempts.get(i).route(), k.attempts.get(i).sentAt()).result(k.results.get(i));
+                message.addAttempt(k.attempts.get(i).route(), k.attempts.get(i).sentAt())
+                        .result(k.results.get(i));
             }
             message.decide(k.end);
             open.add(message);
--- a/src/main/java/pipitstage/lab/real/Pace.java
+++ b/src/main/java/pipitstage/lab/real/Pace.java
@@ -56,7 +56,7 @@
 
     /** How late messages left; to be read once it has ended. */
     RealRun.Lateness lateness() {
-        return new RealRun.Lateness(lateness.getValueAtPercentile(50), lateness.getValueAtPercentile(99),
-                lateness.getMaxValue());
+        return new RealRun.Lateness(
+                lateness.getValueAtPercentile(50), lateness.getValueAtPercentile(99), lateness.getMaxValue());
     }
 }
--- a/src/main/java/pipitstage/lab/real/World.java
+++ b/src/main/java/pipitstage/lab/real/World.java
@@ -57,7 +57,8 @@
     /** Whether a message that an endpoint runs takes effect there, as its key is new. */
     boolean takesEffect(String id, Scenario.Endpoint endpoint) {
         Ask ask = ask(id);
-        return keys.takesEffect(numbers.get(id), ask.partner(), scenario.classes().get(ask.type()), endpoint, now());
+        return keys.takesEffect(
+                numbers.get(id), ask.partner(), scenario.classes().get(ask.type()), endpoint, now());
     }
 
     void waits(int relay, int endpoint, long wait) {
--- a/src/main/java/pipitstage/lab/results/ResultsFolder.java
+++ b/src/main/java/pipitstage/lab/results/ResultsFolder.java
@@ -77,8 +77,13 @@
             if (held == null) {
                 throw new OverlappingFileLockException();
             }
-            return new ResultsFolder(lock, FileChannel.open(folder.resolve(FILE), StandardOpenOption.CREATE,
-                    StandardOpenOption.READ, StandardOpenOption.WRITE));
+            return new ResultsFolder(
+                    lock,
+                    FileChannel.open(
+                            folder.resolve(FILE),
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.READ,
+                            StandardOpenOption.WRITE));
         } catch (OverlappingFileLockException e) {
             lock.close();
             throw new IOException(folder + ": another run writes here; let it end, or name another folder", e);
@@ -101,7 +106,10 @@
     /** Keeps a finished run; it is on the disk when this returns. */
     public void add(Result result) throws IOException {
         byte[] text = write(result).getBytes(StandardCharsets.UTF_8);
-        byte[] record = Records.seal(ByteBuffer.allocate(Records.HEAD + text.length).position(Records.HEAD).put(text).array());
+        byte[] record = Records.seal(ByteBuffer.allocate(Records.HEAD + text.length)
+                .position(Records.HEAD)
+                .put(text)
+                .array());
         Records.append(file, record, end);
         file.force(false);
         end += record.length;
