--- a/src/main/java/pipitstage/lab/scenario/Arrival.java
+++ b/src/main/java/pipitstage/lab/scenario/Arrival.java
@@ -6,4 +6,4 @@
  * @param at microseconds from the beginning
  * @param type the number of its class, and so on; {@code tenant} is -1 where there is none
  */
-public record Arrival(long at, int type, int tenant, int partner, int relay) { }
+public record Arrival(long at, int type, int tenant, int partner, int relay) {}
--- a/src/main/java/pipitstage/lab/scenario/Arrivals.java
+++ b/src/main/java/pipitstage/lab/scenario/Arrivals.java
@@ -24,25 +24,44 @@
         private final DiscreteSampler relays;
         /** Partners that each class goes to, by weight. */
         private final List<int[]> reached = new ArrayList<>();
+
         private final List<DiscreteSampler> partners = new ArrayList<>();
 
         Picks(Scenario scenario, Scenario.Layout layout, UniformRandomProvider random) {
-            types = AliasMethodDiscreteSampler.of(random, scenario.classes().stream().mapToDouble(Scenario.MessageClass::rate)
-                    .toArray());
-            tenants = scenario.tenants().isEmpty() ? () -> -1 : AliasMethodDiscreteSampler.of(random, scenario.tenants().stream()
-                    .mapToDouble(Scenario.Tenant::share).toArray());
-            relays = AliasMethodDiscreteSampler.of(random, Scenario.weights(scenario.fleet().relays(), scenario.fleet().skew()));
+            types = AliasMethodDiscreteSampler.of(
+                    random,
+                    scenario.classes().stream()
+                            .mapToDouble(Scenario.MessageClass::rate)
+                            .toArray());
+            tenants = scenario.tenants().isEmpty()
+                    ? () -> -1
+                    : AliasMethodDiscreteSampler.of(
+                            random,
+                            scenario.tenants().stream()
+                                    .mapToDouble(Scenario.Tenant::share)
+                                    .toArray());
+            relays = AliasMethodDiscreteSampler.of(
+                    random,
+                    Scenario.weights(scenario.fleet().relays(), scenario.fleet().skew()));
             for (Scenario.MessageClass type : scenario.classes()) {
-                List<Scenario.Partner> to = layout.partners().stream().filter(p -> type.goesTo(p.group().kind()) && p.weight() > 0)
+                List<Scenario.Partner> to = layout.partners().stream()
+                        .filter(p -> type.goesTo(p.group().kind()) && p.weight() > 0)
                         .toList();
                 reached.add(to.stream().mapToInt(Scenario.Partner::number).toArray());
-                partners.add(AliasMethodDiscreteSampler.of(random, to.stream().mapToDouble(Scenario.Partner::weight).toArray()));
+                partners.add(AliasMethodDiscreteSampler.of(
+                        random,
+                        to.stream().mapToDouble(Scenario.Partner::weight).toArray()));
             }
         }
 
         Arrival draw(long at) {
             int type = types.sample();
-            return new Arrival(at, type, tenants.sample(), reached.get(type)[partners.get(type).sample()], relays.sample());
+            return new Arrival(
+                    at,
+                    type,
+                    tenants.sample(),
+                    reached.get(type)[partners.get(type).sample()],
+                    relays.sample());
         }
     }
 
@@ -52,10 +71,12 @@
     private final Picks picks;
     /** Of a stream of its own, so that what comes later does not hang on what waits at the beginning. */
     private final Picks backlog;
+
     private final double clumps;
     private int waiting;
     /** Where it stands on the scale of full rates, and the microsecond that this is. */
     private double full;
+
     private double at;
     private Arrival next;
     private int left;
@@ -64,7 +85,10 @@
     public Arrivals(Scenario scenario, Scenario.Layout layout, long seed) {
         this.scenario = scenario;
         random = Draws.of(seed, "arrivals", 0);
-        double rate = scenario.classes().stream().mapToDouble(Scenario.MessageClass::rate).sum() * scenario.load();
+        double rate = scenario.classes().stream()
+                        .mapToDouble(Scenario.MessageClass::rate)
+                        .sum()
+                * scenario.load();
         Scenario.Clients clients = scenario.clients();
         double alone = 1 - clients.clumped();
         double together = clients.clumped() / clients.clump();
@@ -106,7 +130,8 @@
         Arrival arrival = next;
         if (left > 0) {
             left--;
-            next = new Arrival(arrival.at(), arrival.type(), arrival.tenant(), arrival.partner(), picks.relays.sample());
+            next = new Arrival(
+                    arrival.at(), arrival.type(), arrival.tenant(), arrival.partner(), picks.relays.sample());
         } else {
             begin();
         }
--- a/src/main/java/pipitstage/lab/scenario/ScenarioText.java
+++ b/src/main/java/pipitstage/lab/scenario/ScenarioText.java
@@ -9,7 +9,7 @@
 public final class ScenarioText {
     private final StringBuilder text = new StringBuilder();
 
-    private ScenarioText() { }
+    private ScenarioText() {}
 
     /** The file's text. */
     public static String of(Scenario s) {
--- a/src/main/java/pipitstage/lab/service/FleetCosts.java
+++ b/src/main/java/pipitstage/lab/service/FleetCosts.java
@@ -16,8 +16,17 @@
  * @param latest microseconds after its deadline at which the latest end was told; 0 where all were in time
  * @param latestAsk the number of that message, -1 where there is none
  */
-public record FleetCosts(Costs counts, long asked, long untried, long cut, long inTime, long within100, long within300, long later,
-        long latest, int latestAsk) {
+public record FleetCosts(
+        Costs counts,
+        long asked,
+        long untried,
+        long cut,
+        long inTime,
+        long within100,
+        long within300,
+        long later,
+        long latest,
+        int latestAsk) {
     private static final long MS = 1_000;
 
     /** Of a run that is over. */
@@ -41,7 +50,8 @@
                 }
             }
         }
-        return new FleetCosts(history.costs(), asks.size(), untried, cut, ends[0], ends[1], ends[2], ends[3], latest, latestAsk);
+        return new FleetCosts(
+                history.costs(), asks.size(), untried, cut, ends[0], ends[1], ends[2], ends[3], latest, latestAsk);
     }
 
     /** So many for a thousand messages. */
--- a/src/main/java/pipitstage/lab/service/Snapshot.java
+++ b/src/main/java/pipitstage/lab/service/Snapshot.java
@@ -19,12 +19,22 @@
  * @param asking messages handed in in the last second, and {@code delivering} those delivered
  * @param endpoints by how much they were asked of in the last whole second, the busiest for what it can do first
  */
-public record Snapshot(long at, double service, long asked, long delivered, long refused, long failed, long open, long asking,
-        long delivering, List<OfEndpoint> endpoints) {
+public record Snapshot(
+        long at,
+        double service,
+        long asked,
+        long delivered,
+        long refused,
+        long failed,
+        long open,
+        long asking,
+        long delivering,
+        List<OfEndpoint> endpoints) {
     private static final long SECOND = 1_000_000;
 
     /** One endpoint: calls in the last whole second, what it could do then, and how it meets calls. */
-    public record OfEndpoint(String name, String partner, String building, long calls, double able, Faults.Meets meets) {
+    public record OfEndpoint(
+            String name, String partner, String building, long calls, double able, Faults.Meets meets) {
         /** Calls beside what it can do. */
         public double load() {
             return calls / Math.max(0.01, able);
@@ -67,12 +77,26 @@
         for (Scenario.Endpoint e : layout.endpoints()) {
             Scenario.Group group = layout.partners().get(e.partner()).group();
             Faults.State state = faults.state(e.number(), now);
-            endpoints.add(new OfEndpoint(e.route(), group.name(), e.building(), calls.getOrDefault(e.number(), 0L),
-                    group.capacity() * state.able() / state.slower(), state.meets()));
+            endpoints.add(new OfEndpoint(
+                    e.route(),
+                    group.name(),
+                    e.building(),
+                    calls.getOrDefault(e.number(), 0L),
+                    group.capacity() * state.able() / state.slower(),
+                    state.meets()));
         }
-        endpoints.sort(Comparator.comparing(OfEndpoint::meets).thenComparing(Comparator.comparingDouble(OfEndpoint::load)
-                .reversed()));
-        return new Snapshot(now, worth == 0 ? 1 : got / worth, history.asks().size(), counts[0], counts[1], counts[2], counts[3],
-                counts[4], counts[5], endpoints);
+        endpoints.sort(Comparator.comparing(OfEndpoint::meets)
+                .thenComparing(Comparator.comparingDouble(OfEndpoint::load).reversed()));
+        return new Snapshot(
+                now,
+                worth == 0 ? 1 : got / worth,
+                history.asks().size(),
+                counts[0],
+                counts[1],
+                counts[2],
+                counts[3],
+                counts[4],
+                counts[5],
+                endpoints);
     }
 }
--- a/src/main/java/pipitstage/log/Log.java
+++ b/src/main/java/pipitstage/log/Log.java
@@ -9,7 +9,7 @@
     private static long second = Long.MIN_VALUE;
     private static int lines;
 
-    private Log() { }
+    private Log() {}
 
     /** Writes a line; what a peer sent is cut short and can't break out of its line. */
     public static void line(String text) {
--- a/src/main/java/pipitstage/partner/amqp/Broker.java
+++ b/src/main/java/pipitstage/partner/amqp/Broker.java
@@ -10,4 +10,4 @@
  * @param tls null where the connection is plain
  * @param tlsName the name that the broker's certificate has to hold; null for its address
  */
-public record Broker(ClientLink.Login login, String exchange, String routingKey, SslContext tls, String tlsName) { }
+public record Broker(ClientLink.Login login, String exchange, String routingKey, SslContext tls, String tlsName) {}
--- a/src/main/java/pipitstage/partner/amqp/BrokerClient.java
+++ b/src/main/java/pipitstage/partner/amqp/BrokerClient.java
@@ -34,7 +34,8 @@
      * @param brokers how each of its routes is reached, by the route's name
      * @param connectTimeout microseconds until a connection is open in AMQP's sense
      */
-    public BrokerClient(EventLoop loop, Clock clock, long connectTimeout, Map<String, Broker> brokers, Results results) {
+    public BrokerClient(
+            EventLoop loop, Clock clock, long connectTimeout, Map<String, Broker> brokers, Results results) {
         this.loop = loop;
         this.clock = clock;
         this.connectTimeout = connectTimeout;
@@ -64,10 +65,13 @@
             }
         }
         if (kind != ListKind.CHANGES) {
-            routes.values().stream().filter(r -> !named.contains(r.name())).toList().forEach(gone -> {
-                gone.stop();
-                routes.remove(gone.name());
-            });
+            routes.values().stream()
+                    .filter(r -> !named.contains(r.name()))
+                    .toList()
+                    .forEach(gone -> {
+                        gone.stop();
+                        routes.remove(gone.name());
+                    });
         }
     }
 
--- a/src/main/java/pipitstage/partner/amqp/Route.java
+++ b/src/main/java/pipitstage/partner/amqp/Route.java
@@ -51,12 +51,13 @@
     private static final int MOST_OPEN = 5_000;
     /** How long the module is told to wait while the broker blocks publishers; it is told again then. */
     private static final long BLOCKED_WAIT = 1_000_000;
+
     private static final long PROBE_TIMEOUT = 1_000_000;
     private static final int PERSISTENT = 2;
     private static final long MS = 1_000;
     private static final int OK = 200;
 
-    private record Pending(Outgoing outgoing, Future<?> timeout) { }
+    private record Pending(Outgoing outgoing, Future<?> timeout) {}
 
     private final String name;
     private final Target target;
@@ -68,12 +69,14 @@
     private final Map<Message.Attempt, Pending> out = new HashMap<>();
     /** When each probe began that the broker has not answered. */
     private final ArrayDeque<Long> probes = new ArrayDeque<>();
+
     private Confirms<Message.Attempt> confirms = new Confirms<>();
     private ClientLink link;
     /** Publishes may leave. */
     private boolean ready;
     /** The connection has been ready, so that its end says nothing of whether the broker can be reached. */
     private boolean served;
+
     private boolean stopped;
 
     Route(String name, Target target, Broker broker, Owner owner) {
@@ -98,8 +101,8 @@
             owner.ended(outgoing.attempt(), Result.FULL, BLOCKED_WAIT);
             return;
         }
-        Future<?> timeout = owner.loop().schedule(() -> giveUp(outgoing.attempt(), Result.TIMEOUT), outgoing.timeout(),
-                TimeUnit.MICROSECONDS);
+        Future<?> timeout = owner.loop()
+                .schedule(() -> giveUp(outgoing.attempt(), Result.TIMEOUT), outgoing.timeout(), TimeUnit.MICROSECONDS);
         waiting.put(outgoing.attempt(), new Pending(outgoing, timeout));
         if (link == null) {
             connect();
@@ -134,11 +137,15 @@
         } else if (ready) {
             askForProbe();
         }
-        owner.loop().schedule(() -> {
-            if (!probes.isEmpty() && owner.now() - probes.peek() >= PROBE_TIMEOUT) {
-                endProbes(Result.TIMEOUT);
-            }
-        }, PROBE_TIMEOUT, TimeUnit.MICROSECONDS);
+        owner.loop()
+                .schedule(
+                        () -> {
+                            if (!probes.isEmpty() && owner.now() - probes.peek() >= PROBE_TIMEOUT) {
+                                endProbes(Result.TIMEOUT);
+                            }
+                        },
+                        PROBE_TIMEOUT,
+                        TimeUnit.MICROSECONDS);
     }
 
     private void askForProbe() {
@@ -176,8 +183,12 @@
     // ---- the connection
 
     private void connect() {
-        link = ClientLink.dial(owner.loop(), new ClientLink.Broker(target.address(), broker.login(), broker.tls(),
-                broker.tlsName()), MOST_BODY, owner.connectTimeout(), this);
+        link = ClientLink.dial(
+                owner.loop(),
+                new ClientLink.Broker(target.address(), broker.login(), broker.tls(), broker.tlsName()),
+                MOST_BODY,
+                owner.connectTimeout(),
+                this);
     }
 
     @Override
@@ -210,8 +221,8 @@
     private void probeAnswered() {
         Long began = probes.poll();
         if (began != null) {
-            owner.probed(name, mustWait() ? Result.FULL : Result.OK, mustWait() ? BLOCKED_WAIT : 0,
-                    owner.now() - began);
+            owner.probed(
+                    name, mustWait() ? Result.FULL : Result.OK, mustWait() ? BLOCKED_WAIT : 0, owner.now() - began);
         }
     }
 
@@ -264,12 +275,20 @@
         }
         long now = owner.now();
         long left = Math.max(1, (content.deadline() - now) / MS);
-        Properties properties = Properties.NONE.with(Property.HEADERS, headers).with(Property.DELIVERY_MODE, PERSISTENT)
-                .with(Property.EXPIRATION, Long.toString(left)).with(Property.MESSAGE_ID, content.callId())
-                .with(Property.TIMESTAMP, now / (MS * MS)).with(Property.TYPE, content.requestClass());
+        Properties properties = Properties.NONE
+                .with(Property.HEADERS, headers)
+                .with(Property.DELIVERY_MODE, PERSISTENT)
+                .with(Property.EXPIRATION, Long.toString(left))
+                .with(Property.MESSAGE_ID, content.callId())
+                .with(Property.TIMESTAMP, now / (MS * MS))
+                .with(Property.TYPE, content.requestClass());
         Confirms<Message.Attempt> current = confirms;
-        link.send(CHANNEL, Method.of(Op.BASIC_PUBLISH, broker.exchange(), broker.routingKey(), true, false), properties,
-                content.body()).addListener(done -> {
+        link.send(
+                        CHANNEL,
+                        Method.of(Op.BASIC_PUBLISH, broker.exchange(), broker.routingKey(), true, false),
+                        properties,
+                        content.body())
+                .addListener(done -> {
                     if (done.isSuccess()) {
                         current.written(tag);
                         publishWaiting();
@@ -279,8 +298,8 @@
 
     private void confirmed(Method method) throws AmqpException {
         long tag = method.number("delivery-tag");
-        List<Confirms.Settled<Message.Attempt>> settled = confirms.confirmed(tag, method.flag("multiple"),
-                method.op() == Op.BASIC_ACK);
+        List<Confirms.Settled<Message.Attempt>> settled =
+                confirms.confirmed(tag, method.flag("multiple"), method.op() == Op.BASIC_ACK);
         if (settled == null) {
             throw new AmqpException(AmqpException.PRECONDITION_FAILED, method + " speaks of no publish that is open");
         }
@@ -290,7 +309,8 @@
 
     private void returned(Command command) {
         Object tag = command.properties().headers().get(Confirms.TAG);
-        List<Confirms.Settled<Message.Attempt>> settled = tag instanceof Long number ? confirms.returned(number) : List.of();
+        List<Confirms.Settled<Message.Attempt>> settled =
+                tag instanceof Long number ? confirms.returned(number) : List.of();
         if (settled.isEmpty()) {
             Log.line("host " + name + ": a return speaks of no publish that is open");
         } else {
@@ -310,12 +330,16 @@
             }
             return;
         }
-        end(attempt, pending, switch (settled.fate()) {
-            case ACKED -> Result.OK;
-            case NACKED -> Result.ERROR;
-            case RETURNED, NEVER -> Result.NOT_SENT;
-            case UNKNOWN -> Result.RESET;
-        }, 0);
+        end(
+                attempt,
+                pending,
+                switch (settled.fate()) {
+                    case ACKED -> Result.OK;
+                    case NACKED -> Result.ERROR;
+                    case RETURNED, NEVER -> Result.NOT_SENT;
+                    case UNKNOWN -> Result.RESET;
+                },
+                0);
     }
 
     private void afterConfirm() {
--- a/src/main/java/pipitstage/partner/http/AnswerDecoder.java
+++ b/src/main/java/pipitstage/partner/http/AnswerDecoder.java
@@ -14,6 +14,7 @@
 final class AnswerDecoder extends HttpResponseDecoder {
     /** What {@link #status} says before the first line has come, and of one that can't be read. */
     static final int UNKNOWN = 0;
+
     static final int UNREADABLE = -1;
     private static final int LONGEST_LINE = 1024;
     private static final String START = "HTTP/1.";
@@ -67,7 +68,9 @@
         }
         line.append(next);
         // What is longer than the start was looked at when it was as long.
-        boolean started = skipping || line.length() > START.length() || START.startsWith(line.toString().strip());
+        boolean started = skipping
+                || line.length() > START.length()
+                || START.startsWith(line.toString().strip());
         if (!started || line.length() > LONGEST_LINE) {
             status = UNREADABLE;
         }
@@ -82,5 +85,5 @@
 
     /** Guards against two lengths, of which only one can be true: both stay, for the reader to see. */
     @Override
-    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) { }
+    protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {}
 }
--- a/src/main/java/pipitstage/partner/http/HostCall.java
+++ b/src/main/java/pipitstage/partner/http/HostCall.java
@@ -81,7 +81,7 @@
     private static final int ITEM_OVERHEAD = 40;
     private static final long LONGEST_WAIT_MS = 3_600_000;
 
-    private record Part(Message.Attempt attempt, long until, long latest, Future<?> timeout) { }
+    private record Part(Message.Attempt attempt, long until, long latest, Future<?> timeout) {}
 
     private final Owner owner;
     private final long startedAt;
@@ -92,9 +92,11 @@
      * time left share a slow call that would yet be answered: the former end with the latter.
      */
     private final long until;
+
     private final String probePath;
     /** Attempts that nothing is known of yet. */
     private final Map<Message.Attempt, Part> parts = new LinkedHashMap<>();
+
     private final boolean several;
     private final Future<?> probeTimeout;
     private Carrier connection;
@@ -106,6 +108,7 @@
     private boolean slotsTaken;
     /** The attempt whose late answer is listened for; null where none is. */
     private Message.Attempt late;
+
     private final ByteBuf body = Unpooled.buffer(0, MOST_ANSWER);
 
     /** A call for one or more attempts. */
@@ -115,7 +118,10 @@
         probePath = null;
         probeTimeout = null;
         several = outgoing.size() > 1;
-        until = outgoing.stream().mapToLong(o -> o.attempt().message().content().deadline()).min().orElse(startedAt);
+        until = outgoing.stream()
+                .mapToLong(o -> o.attempt().message().content().deadline())
+                .min()
+                .orElse(startedAt);
         for (Partners.Outgoing o : outgoing) {
             long span = Math.min(o.timeout(), until - startedAt);
             Future<?> timeout = owner.after(span, () -> giveUp(o.attempt(), Result.TIMEOUT));
@@ -151,7 +157,8 @@
 
     /** Ends, as not sent, attempts that may not begin to leave any more: their destination may have forgotten the key. */
     void endWhatIsLate(long now) {
-        List.copyOf(parts.values()).stream().filter(part -> now >= part.latest())
+        List.copyOf(parts.values()).stream()
+                .filter(part -> now >= part.latest())
                 .forEach(part -> end(part.attempt(), Result.NOT_SENT, false));
     }
 
@@ -194,8 +201,8 @@
     }
 
     private FullHttpRequest request(HttpMethod method, String path, byte[] content) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
-                Unpooled.wrappedBuffer(content));
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(content));
         request.headers().set(HttpHeaderNames.HOST, owner.authority());
         if (method == HttpMethod.POST) {
             HttpUtil.setContentLength(request, content.length);
--- a/src/main/java/pipitstage/partner/http/HostClient.java
+++ b/src/main/java/pipitstage/partner/http/HostClient.java
@@ -46,7 +46,7 @@
      * @param mostConnections how many connections to all hosts there may be
      * @param listenOn microseconds for which a late answer is listened for after a time-out; 0 for not at all
      */
-    public record Options(boolean reports, long idleSpan, int mostConnections, long listenOn) { }
+    public record Options(boolean reports, long idleSpan, int mostConnections, long listenOn) {}
 
     /** Until when a destination, or a route apart, has told this relay to wait. */
     private static final class Wait {
@@ -63,6 +63,7 @@
         private final ArrayDeque<HostConnection> resting = new ArrayDeque<>();
         /** Calls that wait for a connection, oldest first. */
         private final Set<HostCall> queue = new LinkedHashSet<>();
+
         private int connecting;
         /** How often its kept connections were found not worth trusting. */
         private int breaks;
@@ -151,7 +152,8 @@
         @Override
         public boolean mayListenOn() {
             // Guards against late answers that take the connections from calls that are not late.
-            return listenOn > 0 && crowdedOut.isEmpty()
+            return listenOn > 0
+                    && crowdedOut.isEmpty()
                     && listening.size() < Math.max(1, mostConnections / LISTENING_PART);
         }
 
@@ -201,7 +203,8 @@
             if (clock.micros() < wait.until) {
                 call.end(Result.NOT_SENT);
             }
-            // Guards against a first call that the host meets only once a handshake is over, as with TLS: by the settings
+            // Guards against a first call that the host meets only once a handshake is over, as with TLS: by the
+            // settings
             // that may take until the time for a connection is up.
             call.endWhatIsLate(clock.micros() + (connection.isNew() ? connectTimeout : 0));
             if (call.isOver()) {
@@ -255,11 +258,13 @@
     private final long connectTimeout;
     /** Connections that listen for a late answer, the one that has listened longest first. */
     private final Set<HostConnection> listening = new LinkedHashSet<>();
+
     private final Map<String, Policy.Kind> kinds = new HashMap<>();
     private final Map<String, Host> hosts = new HashMap<>();
     private final Map<Integer, Wait> waits = new HashMap<>();
     /** Idle connections of all hosts, the one that has stood longest first. */
     private final Set<HostConnection> allIdle = new LinkedHashSet<>();
+
     private final Map<Message.Attempt, HostCall> calls = new HashMap<>();
     private final Set<HostConnection> connections = new HashSet<>();
     /** Hosts whose calls wait until another connection has closed, as there may be no more. */
@@ -271,7 +276,12 @@
     }
 
     /** As above, over sockets that are made by a factory. */
-    HostClient(EventLoop loop, Clock clock, Policy.Settings settings, Options options, Results results,
+    HostClient(
+            EventLoop loop,
+            Clock clock,
+            Policy.Settings settings,
+            Options options,
+            Results results,
             ChannelFactory<Channel> sockets) {
         this.loop = loop;
         this.clock = clock;
@@ -283,7 +293,9 @@
         listenOn = options.listenOn();
         settings.kinds().forEach(kind -> kinds.put(kind.name(), kind));
         connectTimeout = settings.limits().connectTimeout();
-        bootstrap = new Bootstrap().group(loop).channelFactory(sockets)
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channelFactory(sockets)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / 1000));
     }
@@ -296,7 +308,9 @@
             replace(target);
         }
         if (kind != ListKind.CHANGES) {
-            hosts.values().stream().filter(host -> !named.contains(host.route())).toList()
+            hosts.values().stream()
+                    .filter(host -> !named.contains(host.route()))
+                    .toList()
                     .forEach(this::remove);
         }
     }
@@ -317,7 +331,8 @@
         if (!removed) {
             Policy.Kind kind = kinds.get(target.listed().kind());
             boolean apart = kind != null && kind.routesApart();
-            Wait wait = apart ? old == null ? new Wait() : old.wait
+            Wait wait = apart
+                    ? old == null ? new Wait() : old.wait
                     : waits.computeIfAbsent(target.listed().destination(), d -> new Wait());
             hosts.put(target.listed().route(), new Host(target, wait, kind == null ? 1 : kind.batch()));
         }
@@ -396,12 +411,15 @@
         }
         host.connecting++;
         HostConnection connection = new HostConnection(host);
-        ChannelFuture future = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel ch) {
-                ch.pipeline().addLast(connection.handlers());
-            }
-        }).connect(host.target.address());
+        ChannelFuture future = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                        ch.pipeline().addLast(connection.handlers());
+                    }
+                })
+                .connect(host.target.address());
         connections.add(connection);
         future.channel().closeFuture().addListener(closed -> gone(connection));
         future.addListener(connected -> {
--- a/src/main/java/pipitstage/partner/http/HostConnection.java
+++ b/src/main/java/pipitstage/partner/http/HostConnection.java
@@ -57,9 +57,11 @@
     private boolean answered;
     /** The call is over; only a late answer is awaited. */
     private boolean listening;
+
     private long restedAt;
     /** When bytes last went over it, or it came up: from then on it stands idle, to its host too. */
     private long quietSince = System.nanoTime();
+
     private final ConnectionTimer timer;
     private boolean isNew = true;
 
@@ -193,7 +195,7 @@
     private static boolean isSound(HttpResponse response) {
         return !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                 && !(response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
-                && response.headers().contains(HttpHeaderNames.CONTENT_LENGTH));
+                        && response.headers().contains(HttpHeaderNames.CONTENT_LENGTH));
     }
 
     private void spoil(HostCall broken) {
--- a/src/main/java/pipitstage/platform/AgentClient.java
+++ b/src/main/java/pipitstage/platform/AgentClient.java
@@ -43,6 +43,7 @@
     private Channel channel;
     /** How {@link #channel} came up, or is to. */
     private ChannelFuture opening;
+
     private Answer waiting;
     private ScheduledFuture<?> timeout;
 
@@ -54,14 +55,17 @@
     AgentClient(EventLoop loop, InetSocketAddress agent, ChannelFactory<Channel> sockets) {
         this.loop = loop;
         this.agent = agent;
-        bootstrap = new Bootstrap().group(loop).channelFactory(sockets)
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channelFactory(sockets)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LARGEST_ANSWER),
-                                new Answers());
+                        ch.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(), new HttpObjectAggregator(LARGEST_ANSWER), new Answers());
                     }
                 });
     }
@@ -76,8 +80,8 @@
         }
         waiting = answer;
         expectWithin(timeoutMs);
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path,
-                Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, method, path, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         request.headers().set(HttpHeaderNames.HOST, agent.getHostString() + ":" + agent.getPort());
         HttpUtil.setContentLength(request, request.content().readableBytes());
         open();
@@ -89,7 +93,8 @@
                 return;
             }
             if (soon && mine.channel() == channel && timeout.getDelay(TimeUnit.MILLISECONDS) < LEAST_FOR_ANSWER_MS) {
-                // Guards against a request whose time is up in the pass that sends it, as its connection has taken all of it:
+                // Guards against a request whose time is up in the pass that sends it, as its connection has taken all
+                // of it:
                 // a loop that is short of CPU would give up each one after it too, and never hear an answer.
                 timeout.cancel(false);
                 expectWithin(LEAST_FOR_ANSWER_MS);
--- a/src/main/java/pipitstage/platform/Discovery.java
+++ b/src/main/java/pipitstage/platform/Discovery.java
@@ -54,10 +54,12 @@
     private boolean allWanted;
     /** When the whole list is due again, by the system's nanoseconds. */
     private long wholeDue;
+
     private long openPauseMs = BREATH_MS;
     private Future<?> openAsk;
     /** What was told last of each host that is not gone. */
     private final Map<String, Target> known = new HashMap<>();
+
     private InetSocketAddress address;
     private Future<?> overdue;
 
@@ -67,7 +69,8 @@
      * @param silence is run each {@value #SILENCE_MS} ms for which nothing was heard
      * @param backoff how long to wait after an answer that was none
      */
-    public Discovery(EventLoop loop, InetSocketAddress address, Membership listener, Runnable silence, Backoff backoff) {
+    public Discovery(
+            EventLoop loop, InetSocketAddress address, Membership listener, Runnable silence, Backoff backoff) {
         this.loop = loop;
         this.listener = listener;
         this.silence = silence;
@@ -86,10 +89,13 @@
         if (overdue != null) {
             overdue.cancel(false);
         }
-        overdue = loop.schedule(() -> {
-            silence.run();
-            expectNews();
-        }, SILENCE_MS, TimeUnit.MILLISECONDS);
+        overdue = loop.schedule(
+                () -> {
+                    silence.run();
+                    expectNews();
+                },
+                SILENCE_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Watches at another address from now on; its versions need not be those of the old one. */
@@ -103,10 +109,15 @@
         boolean whole = version < 0 || allWanted || System.nanoTime() - wholeDue >= 0;
         if (whole) {
             allWanted = false;
-            agent.request(HttpMethod.GET, "/api/targets", "", PATIENCE_MS, (status, body) -> answered(status, body, true));
+            agent.request(
+                    HttpMethod.GET, "/api/targets", "", PATIENCE_MS, (status, body) -> answered(status, body, true));
         } else {
-            agent.request(HttpMethod.GET, "/api/targets?after=" + version + "&wait_ms=" + WAIT_MS, "",
-                    WAIT_MS + PATIENCE_MS, (status, body) -> answered(status, body, false));
+            agent.request(
+                    HttpMethod.GET,
+                    "/api/targets?after=" + version + "&wait_ms=" + WAIT_MS,
+                    "",
+                    WAIT_MS + PATIENCE_MS,
+                    (status, body) -> answered(status, body, false));
         }
     }
 
@@ -134,7 +145,11 @@
             boolean whole = list.flag("all");
             Targets.Reading read = Targets.read("discovery " + address, list, whole, known);
             // What a version that goes back, or on without a word, leaves untold is in the whole list alone.
-            boolean open = !read.sound() || !whole && (wholeAsked || rev < version || rev > version && read.targets().isEmpty());
+            boolean open = !read.sound()
+                    || !whole
+                            && (wholeAsked
+                                    || rev < version
+                                    || rev > version && read.targets().isEmpty());
             version = rev;
             expectNews();
             keep(whole, read);
--- a/src/main/java/pipitstage/platform/EndsFile.java
+++ b/src/main/java/pipitstage/platform/EndsFile.java
@@ -25,6 +25,7 @@
 public final class EndsFile implements Ends {
     /** The part of the disk that both files together may take is one in so many. */
     public static final int DISK_PART = 20;
+
     private static final String NAME = "ends.jsonl";
 
     private final Path file;
--- a/src/main/java/pipitstage/platform/Notices.java
+++ b/src/main/java/pipitstage/platform/Notices.java
@@ -81,13 +81,13 @@
     private void post() {
         List<Message> batch = new ArrayList<>();
         StringBuilder lines = new StringBuilder();
-        for (Iterator<Message> next = waiting.iterator(); next.hasNext() && batch.size() < most;) {
+        for (Iterator<Message> next = waiting.iterator(); next.hasNext() && batch.size() < most; ) {
             Message message = next.next();
             batch.add(message);
             lines.append(line(message)).append('\n');
         }
-        agent.request(HttpMethod.POST, "/status", lines.toString(), PATIENCE_MS,
-                (status, body) -> answered(batch, status));
+        agent.request(
+                HttpMethod.POST, "/status", lines.toString(), PATIENCE_MS, (status, body) -> answered(batch, status));
     }
 
     private void answered(List<Message> batch, int status) {
@@ -98,7 +98,8 @@
         } else if (read || status == 400) {
             if (!read) {
                 // Guards against asking for ever, which would block the others.
-                Log.line("notices: the platform can't read the end of " + batch.get(0).content().callId() + ", it is set apart");
+                Log.line("notices: the platform can't read the end of "
+                        + batch.get(0).content().callId() + ", it is set apart");
             }
             most = read ? Math.min(MOST_IN_ONE, 2 * most) : most;
             batch.forEach(message -> waiting.poll());
--- a/src/main/java/pipitstage/platform/Targets.java
+++ b/src/main/java/pipitstage/platform/Targets.java
@@ -19,9 +19,9 @@
      *
      * @param sound false where an entry could not be read: what it was to say has still to be asked for
      */
-    record Reading(List<Target> targets, boolean sound) { }
+    record Reading(List<Target> targets, boolean sound) {}
 
-    private Targets() { }
+    private Targets() {}
 
     /** Reads the entries of a list; one that makes no sense is logged and passed over. */
     public static List<Target> readAll(Fields list) {
@@ -64,30 +64,40 @@
             }
         }
         if (whole && nameless) {
-            known.values().stream().filter(t -> !named.contains(t.listed().route())).forEach(targets::add);
+            known.values().stream()
+                    .filter(t -> !named.contains(t.listed().route()))
+                    .forEach(targets::add);
         }
         return new Reading(targets, sound);
     }
 
     private static Target stillAs(Target before, Map<?, ?> entry) {
         Policy.Listed l = before.listed();
-        Availability now = switch (String.valueOf(entry.get("state"))) {
-            case "terminating" -> Availability.DRAINING;
-            case "terminated" -> Availability.REMOVED;
-            default -> l.availability();
-        };
-        return new Target(new Policy.Listed(l.route(), l.destination(), l.kind(), l.zone(), now, l.rate()), before.address());
+        Availability now =
+                switch (String.valueOf(entry.get("state"))) {
+                    case "terminating" -> Availability.DRAINING;
+                    case "terminated" -> Availability.REMOVED;
+                    default -> l.availability();
+                };
+        return new Target(
+                new Policy.Listed(l.route(), l.destination(), l.kind(), l.zone(), now, l.rate()), before.address());
     }
 
     private static Target read(Fields entry) {
-        Availability availability = switch (entry.text("state")) {
-            case "in_service" -> Availability.LISTED;
-            case "terminating" -> Availability.DRAINING;
-            case "terminated" -> Availability.REMOVED;
-            default -> throw new WireException("unknown state " + entry.text("state"));
-        };
-        Policy.Listed listed = new Policy.Listed(entry.text("uid"), Math.toIntExact(entry.whole("pod_group")),
-                entry.text("model"), entry.text("az"), availability, entry.number("capacity_hint", 0));
+        Availability availability =
+                switch (entry.text("state")) {
+                    case "in_service" -> Availability.LISTED;
+                    case "terminating" -> Availability.DRAINING;
+                    case "terminated" -> Availability.REMOVED;
+                    default -> throw new WireException("unknown state " + entry.text("state"));
+                };
+        Policy.Listed listed = new Policy.Listed(
+                entry.text("uid"),
+                Math.toIntExact(entry.whole("pod_group")),
+                entry.text("model"),
+                entry.text("az"),
+                availability,
+                entry.number("capacity_hint", 0));
         return new Target(listed, Target.address(entry.text("endpoint")));
     }
 }
--- a/src/main/java/pipitstage/records/Records.java
+++ b/src/main/java/pipitstage/records/Records.java
@@ -10,7 +10,7 @@
     /** Bytes of a record ahead of its payload. */
     public static final int HEAD = Integer.BYTES * 2;
 
-    private Records() { }
+    private Records() {}
 
     /** Fills the head of a record whose payload stands behind the {@link #HEAD} bytes that are left for it. */
     public static byte[] seal(byte[] record) {
--- a/src/main/java/pipitstage/relay/Amqp.java
+++ b/src/main/java/pipitstage/relay/Amqp.java
@@ -34,8 +34,14 @@
 
 /** All that is spoken of AMQP 0-9-1: brokers as partners, and the ways in. Not loaded where there is none of it. */
 final class Amqp {
-    private static final Config.MappingRule USUAL = new Config.MappingRule(null, "property:message-id", "property:type",
-            null, "header:Idempotency-Key", "routing-key", "property:expiration");
+    private static final Config.MappingRule USUAL = new Config.MappingRule(
+            null,
+            "property:message-id",
+            "property:type",
+            null,
+            "header:Idempotency-Key",
+            "routing-key",
+            "property:expiration");
 
     private final EventLoop loop;
     private final Clock clock;
@@ -57,21 +63,53 @@
         Config.Amqp amqp = config.amqp();
         boolean takes = !amqp.fronts().isEmpty() || !amqp.queues().isEmpty();
         Seen seen = takes ? seen(journal) : Seen.NOTHING;
-        Mapping mapping = new Mapping((amqp.mappings().isEmpty() ? List.of(USUAL) : amqp.mappings()).stream()
-                .map(Amqp::rule).toList(), config.settings().classes());
+        Mapping mapping = new Mapping(
+                (amqp.mappings().isEmpty() ? List.of(USUAL) : amqp.mappings())
+                        .stream().map(Amqp::rule).toList(),
+                config.settings().classes());
         for (Config.AmqpFront f : amqp.fronts()) {
-            AmqpServer server = new AmqpServer(engine, clock, pulse, mapping, seen, new AmqpServer.Options(f.name(),
-                    f.exchange(), f.user(), f.password(), amqp.connections(), new ServerLink.Offer("loftflow", f.channels(),
-                    f.frame(), f.heartbeat()), f.replyHold()), engine::noticeHeard, this::otherwise);
+            AmqpServer server = new AmqpServer(
+                    engine,
+                    clock,
+                    pulse,
+                    mapping,
+                    seen,
+                    new AmqpServer.Options(
+                            f.name(),
+                            f.exchange(),
+                            f.user(),
+                            f.password(),
+                            amqp.connections(),
+                            new ServerLink.Offer("loftflow", f.channels(), f.frame(), f.heartbeat()),
+                            f.replyHold()),
+                    engine::noticeHeard,
+                    this::otherwise);
             servers.add(server);
             replies.put(f.name(), server);
         }
         for (Config.AmqpQueue q : amqp.queues()) {
-            QueueConsumer consumer = new QueueConsumer(loop, engine, clock, pulse, mapping, seen,
-                    new QueueConsumer.Options(q.name(), new ClientLink.Broker(q.address(), login(q.login()),
-                            tls(q.login()), q.login().tlsName()), q.queue(), q.prefetch(), q.autoAcknowledge(), QueueConsumer.Tells.valueOf(
-                            q.ends().toUpperCase(Locale.ROOT)), q.replyQueue(),
-                            config.settings().limits().connectTimeout()), engine::noticeHeard, this::otherwise);
+            QueueConsumer consumer = new QueueConsumer(
+                    loop,
+                    engine,
+                    clock,
+                    pulse,
+                    mapping,
+                    seen,
+                    new QueueConsumer.Options(
+                            q.name(),
+                            new ClientLink.Broker(
+                                    q.address(),
+                                    login(q.login()),
+                                    tls(q.login()),
+                                    q.login().tlsName()),
+                            q.queue(),
+                            q.prefetch(),
+                            q.autoAcknowledge(),
+                            QueueConsumer.Tells.valueOf(q.ends().toUpperCase(Locale.ROOT)),
+                            q.replyQueue(),
+                            config.settings().limits().connectTimeout()),
+                    engine::noticeHeard,
+                    this::otherwise);
             consumers.add(consumer);
             replies.put(q.name(), consumer);
         }
@@ -79,7 +117,8 @@
 
     /** Guards against a kill between the journal's record of a message and the memory's of its id. */
     private Seen seen(WriteAhead journal) throws IOException {
-        SeenFile seen = new SeenFile(config.state(), config.amqp().span(), config.amqp().entries(), clock::micros);
+        SeenFile seen =
+                new SeenFile(config.state(), config.amqp().span(), config.amqp().entries(), clock::micros);
         for (Message message : journal.open()) {
             if (!seen.contains(message.content().callId())) {
                 seen.add(message.content().callId());
@@ -89,8 +128,14 @@
     }
 
     private static Mapping.Rule rule(Config.MappingRule r) {
-        return new Mapping.Rule(r.contentType(), Source.of(r.id()), Source.of(r.requestClass()), sourceOrNull(r.tenant()),
-                sourceOrNull(r.key()), Source.of(r.destination()), sourceOrNull(r.budget()));
+        return new Mapping.Rule(
+                r.contentType(),
+                Source.of(r.id()),
+                Source.of(r.requestClass()),
+                sourceOrNull(r.tenant()),
+                sourceOrNull(r.key()),
+                Source.of(r.destination()),
+                sourceOrNull(r.budget()));
     }
 
     private static Source sourceOrNull(String text) {
@@ -128,13 +173,23 @@
     /** Partners that are brokers beside the others. */
     Partners partners(Partners http) throws IOException {
         Map<String, Broker> brokers = new HashMap<>();
-        for (Map.Entry<String, Config.BrokerRoute> route : config.amqp().routes().entrySet()) {
+        for (Map.Entry<String, Config.BrokerRoute> route :
+                config.amqp().routes().entrySet()) {
             Config.BrokerRoute r = route.getValue();
-            brokers.put(route.getKey(), new Broker(login(r.login()), r.exchange(), r.routingKey(), tls(r.login()),
-                    r.login().tlsName()));
+            brokers.put(
+                    route.getKey(),
+                    new Broker(
+                            login(r.login()),
+                            r.exchange(),
+                            r.routingKey(),
+                            tls(r.login()),
+                            r.login().tlsName()));
         }
-        return brokers.isEmpty() ? http : new RoutedPartners(http, new BrokerClient(loop, clock,
-                config.settings().limits().connectTimeout(), brokers, engine));
+        return brokers.isEmpty()
+                ? http
+                : new RoutedPartners(
+                        http,
+                        new BrokerClient(loop, clock, config.settings().limits().connectTimeout(), brokers, engine));
     }
 
     /** Ends by replies where they were asked for, and as usual where not. */
@@ -165,8 +220,12 @@
     /** Listens, and begins to consume. */
     void start() throws InterruptedException {
         for (int i = 0; i < servers.size(); i++) {
-            Log.line("serving AMQP on " + servers.get(i).listen(loop, config.amqp().fronts().get(i).listen()).sync()
-                    .channel().localAddress());
+            Log.line("serving AMQP on "
+                    + servers.get(i)
+                            .listen(loop, config.amqp().fronts().get(i).listen())
+                            .sync()
+                            .channel()
+                            .localAddress());
         }
         consumers.forEach(consumer -> loop.execute(consumer::start));
     }
--- a/src/main/java/pipitstage/relay/Http2.java
+++ b/src/main/java/pipitstage/relay/Http2.java
@@ -30,14 +30,29 @@
     Http2(EventLoop loop, Clock clock, Pulse pulse, Intake intake, Config config, int connections) {
         this.loop = loop;
         this.config = config;
-        double worth = config.settings().classes().stream().mapToDouble(Policy.RequestClass::worth).sum();
-        Map<String, Double> shares = config.settings().classes().stream().collect(Collectors.toMap(
-                Policy.RequestClass::name, c -> worth > 0 ? c.worth() / worth : 0));
+        double worth = config.settings().classes().stream()
+                .mapToDouble(Policy.RequestClass::worth)
+                .sum();
+        Map<String, Double> shares = config.settings().classes().stream()
+                .collect(Collectors.toMap(Policy.RequestClass::name, c -> worth > 0 ? c.worth() / worth : 0));
         for (Config.Http2Front f : config.http2().fronts()) {
-            servers.add(new Http2Server(intake, clock, pulse, new Http2Server.Options(connections,
-                    new Offer.Bounds(Math.min(FLOOR, f.streams()), f.streams(), config.http2().streams()), f.headerList(),
-                    f.window(), config.http2().buffer(), shares, f.resets(), new Standing.Spans(Request.READ_MS * 1000,
-                    f.idle(), f.age(), f.stall()), f.drain())));
+            servers.add(new Http2Server(
+                    intake,
+                    clock,
+                    pulse,
+                    new Http2Server.Options(
+                            connections,
+                            new Offer.Bounds(
+                                    Math.min(FLOOR, f.streams()),
+                                    f.streams(),
+                                    config.http2().streams()),
+                            f.headerList(),
+                            f.window(),
+                            config.http2().buffer(),
+                            shares,
+                            f.resets(),
+                            new Standing.Spans(Request.READ_MS * 1000, f.idle(), f.age(), f.stall()),
+                            f.drain())));
         }
     }
 
@@ -48,8 +63,12 @@
     /** Listens. */
     void start() throws InterruptedException {
         for (int i = 0; i < servers.size(); i++) {
-            Log.line("serving HTTP/2 on " + servers.get(i).listen(loop, config.http2().fronts().get(i).listen()).sync()
-                    .channel().localAddress());
+            Log.line("serving HTTP/2 on "
+                    + servers.get(i)
+                            .listen(loop, config.http2().fronts().get(i).listen())
+                            .sync()
+                            .channel()
+                            .localAddress());
         }
     }
 }
--- a/src/main/java/pipitstage/relay/Keeping.java
+++ b/src/main/java/pipitstage/relay/Keeping.java
@@ -34,9 +34,20 @@
         } catch (Shelf.ShelfException e) {
             throw new IOException(e.getMessage(), e);
         }
-        desk = new Desk(timers, clock, engine, thread, new Desk.Options(shelves,
-                new Rules(k.clockMargin(), k.pause()), k.pace(), (long) (k.limit() * k.high()),
-                (long) (k.limit() * k.low()), k.entries(), k.refuseWhenFull(), k.age()));
+        desk = new Desk(
+                timers,
+                clock,
+                engine,
+                thread,
+                new Desk.Options(
+                        shelves,
+                        new Rules(k.clockMargin(), k.pause()),
+                        k.pace(),
+                        (long) (k.limit() * k.high()),
+                        (long) (k.limit() * k.low()),
+                        k.entries(),
+                        k.refuseWhenFull(),
+                        k.age()));
         engine.keepBy(desk);
         admin = new AdminServer(config.state(), new UndeliverableDesk(desk, thread, clock, loop));
     }
--- a/src/main/java/pipitstage/relay/Relay.java
+++ b/src/main/java/pipitstage/relay/Relay.java
@@ -51,6 +51,7 @@
     private final Amqp amqp;
     /** Null where nothing is spoken of HTTP/2. */
     private final Http2 http2;
+
     private final List<ClientServer> servers = new ArrayList<>();
     private final List<Front> fronts = new ArrayList<>();
     private final CountDownLatch stopped = new CountDownLatch(1);
@@ -65,22 +66,39 @@
         Timers timers = new LoopTimers(loop);
         Journal journal = new Journal(config.state(), config.diskBytes());
         engine = new Engine(timers, clock, config.settings(), config.period(), journal, Logic::new);
-        notices = config.notices() == null ? null : new Notices(loop, config.notices(), engine::noticeHeard, discoveryIsSilent);
+        notices = config.notices() == null
+                ? null
+                : new Notices(loop, config.notices(), engine::noticeHeard, discoveryIsSilent);
         keeping = config.keeping() == null ? null : new Keeping(loop, timers, clock, engine, config);
         long listenOn = config.keeping() == null ? 0 : config.keeping().listenOn();
-        Partners partners = new HostClient(loop, clock, config.settings(), new HostClient.Options(config.reports(),
-                config.idleSpan(), config.hostConnections(), listenOn), engine);
-        Ends ends = notices != null ? notices
+        Partners partners = new HostClient(
+                loop,
+                clock,
+                config.settings(),
+                new HostClient.Options(config.reports(), config.idleSpan(), config.hostConnections(), listenOn),
+                engine);
+        Ends ends = notices != null
+                ? notices
                 : new EndsFile(config.state(), config.diskBytes() / EndsFile.DISK_PART, engine::noticeHeard);
-        discovery = config.discovery() == null ? null
-                : new Discovery(loop, config.discovery(), remembering == null ? engine : remembering, discoveryIsSilent,
-                        remembering == null ? Backoff.steady(DISCOVERY_PAUSE_MS)
-                                : Backoff.growing(DISCOVERY_PAUSE_MS, LONGEST_PAUSE_MS, config.settings().seed()));
+        discovery = config.discovery() == null
+                ? null
+                : new Discovery(
+                        loop,
+                        config.discovery(),
+                        remembering == null ? engine : remembering,
+                        discoveryIsSilent,
+                        remembering == null
+                                ? Backoff.steady(DISCOVERY_PAUSE_MS)
+                                : Backoff.growing(
+                                        DISCOVERY_PAUSE_MS,
+                                        LONGEST_PAUSE_MS,
+                                        config.settings().seed()));
         pulse = new Pulse(timers, clock);
         amqp = config.amqp() == null ? null : new Amqp(loop, clock, pulse, engine, config, journal, ends);
         engine.attach(amqp == null ? partners : amqp.partners(partners), amqp == null ? ends : amqp.ends());
         // Guards against fronts that together hold more connections than there are.
-        int listeners = config.listen().size() + (amqp == null ? 0 : amqp.listeners())
+        int listeners = config.listen().size()
+                + (amqp == null ? 0 : amqp.listeners())
                 + (config.http2() == null ? 0 : config.http2().fronts().size());
         int each = Math.max(1, config.clientConnections() / Math.max(1, listeners));
         for (int i = 0; i < config.listen().size(); i++) {
@@ -100,28 +118,33 @@
     void start() throws IOException {
         try {
             loop.submit(() -> {
-                pulse.start();
-                if (notices != null) {
-                    notices.start();
-                }
-                if (remembering != null) {
-                    remembering.start(engine, discovery == null ? () -> { } : discovery::askForAll);
-                } else {
-                    engine.start(config.knownKind(), config.knownVersion(), config.known());
-                }
-                if (discovery != null) {
-                    engine.awaitList(TimeUnit.MILLISECONDS.toMicros(Discovery.PATIENCE_MS));
-                }
-                if (keeping != null) {
-                    keeping.start();
-                }
-                if (discovery != null) {
-                    discovery.start();
-                }
-            }).sync();
+                        pulse.start();
+                        if (notices != null) {
+                            notices.start();
+                        }
+                        if (remembering != null) {
+                            remembering.start(engine, discovery == null ? () -> {} : discovery::askForAll);
+                        } else {
+                            engine.start(config.knownKind(), config.knownVersion(), config.known());
+                        }
+                        if (discovery != null) {
+                            engine.awaitList(TimeUnit.MILLISECONDS.toMicros(Discovery.PATIENCE_MS));
+                        }
+                        if (keeping != null) {
+                            keeping.start();
+                        }
+                        if (discovery != null) {
+                            discovery.start();
+                        }
+                    })
+                    .sync();
             for (int i = 0; i < servers.size(); i++) {
-                Log.line("serving on " + servers.get(i).listen(loop, config.listen().get(i)).sync().channel()
-                        .localAddress());
+                Log.line("serving on "
+                        + servers.get(i)
+                                .listen(loop, config.listen().get(i))
+                                .sync()
+                                .channel()
+                                .localAddress());
             }
             if (http2 != null) {
                 http2.start();
--- a/src/main/java/pipitstage/relay/Remembering.java
+++ b/src/main/java/pipitstage/relay/Remembering.java
@@ -38,7 +38,7 @@
     private final Moment startedAt;
     private final Clock clock;
     private Engine engine;
-    private Runnable askForAll = () -> { };
+    private Runnable askForAll = () -> {};
     private long askAt = Lists.NEVER;
     private long savedAt = Long.MIN_VALUE / 2;
     private boolean spansUnknown;
@@ -50,7 +50,8 @@
         saver = new Saver(new Saver.Options(config.state(), memory.limit(), memory.rate(), memory.sync()), loop);
         left = saver.load(memory.owner());
         startedAt = Clocks.now();
-        long time = left.picture() == null ? startedAt.wall()
+        long time = left.picture() == null
+                ? startedAt.wall()
                 : Elapsed.goOn(left.picture().time(), left.picture().at(), startedAt);
         if (Math.abs(time - startedAt.wall()) > SECOND) {
             Log.line("remembered: the wall clock is " + (startedAt.wall() - time) / SECOND
@@ -58,9 +59,16 @@
         }
         clock = Clock.from(time);
         saver.start(left.picture(), startedAt, time);
-        spansUnknown = left.picture() != null && Elapsed.between(left.picture().at(), startedAt).doubtful();
-        book = new Book(new Book.Rules(new Trust(memory.halfLife()), memory.settle(), memory.margin(),
-                config.settings().rules().warmUp(), config.discovery() == null), memory.owner());
+        spansUnknown = left.picture() != null
+                && Elapsed.between(left.picture().at(), startedAt).doubtful();
+        book = new Book(
+                new Book.Rules(
+                        new Trust(memory.halfLife()),
+                        memory.settle(),
+                        memory.margin(),
+                        config.settings().rules().warmUp(),
+                        config.discovery() == null),
+                memory.owner());
     }
 
     /** The relay's own time, which goes on over a restart. */
@@ -137,7 +145,12 @@
     }
 
     private static Told told(Policy.ListKind kind, long version, List<Target> targets) {
-        return new Told(kind, version, targets.stream().map(t -> new Listing(t.listed(), text(t.address()))).toList());
+        return new Told(
+                kind,
+                version,
+                targets.stream()
+                        .map(t -> new Listing(t.listed(), text(t.address())))
+                        .toList());
     }
 
     private static String text(InetSocketAddress address) {
@@ -146,6 +159,8 @@
     }
 
     private static List<Target> targets(List<Listing> list) {
-        return list.stream().map(l -> new Target(l.listed(), Target.address(l.address()))).toList();
+        return list.stream()
+                .map(l -> new Target(l.listed(), Target.address(l.address())))
+                .toList();
     }
 }
--- a/src/main/java/pipitstage/relay/Serve.java
+++ b/src/main/java/pipitstage/relay/Serve.java
@@ -7,7 +7,7 @@
 
 /** Starts a relay that serves until the process ends. */
 public final class Serve {
-    private Serve() { }
+    private Serve() {}
 
     /** Starts a relay; returns once it serves, and signals end it from then on. */
     public static void start(Config.Source source) throws Config.BadConfigException, IOException {
--- a/src/main/java/pipitstage/remembered/Book.java
+++ b/src/main/java/pipitstage/remembered/Book.java
@@ -21,6 +21,7 @@
     private static final long STRIKE_PAUSE = 1_000_000;
     /** A call that ends so soon by its own deadline says nothing of a hang. */
     private static final long HANG = 1_000_000;
+
     private static final int FAILURES_DOWN = 3;
     /** Before a process has served so long, the rates of the one before tell more. */
     private static final long LEARNING = 20_000_000;
@@ -35,7 +36,7 @@
      * @param warmUp how long an endpoint is cold after its return
      * @param fixed the list is on file: it is all there is, and nothing is struck out
      */
-    public record Rules(Trust trust, long settle, long margin, long warmUp, boolean fixed) { }
+    public record Rules(Trust trust, long settle, long margin, long warmUp, boolean fixed) {}
 
     /**
      * What a relay starts with.
@@ -44,7 +45,7 @@
      * @param revision of the list that they come from; -1 where there was none
      * @param remembered what the decision module is told of each
      */
-    public record Opening(List<Listing> list, long revision, List<Policy.Remembered> remembered, List<String> log) { }
+    public record Opening(List<Listing> list, long revision, List<Policy.Remembered> remembered, List<String> log) {}
 
     /**
      * What follows from something heard or seen.
@@ -54,7 +55,8 @@
      * @param notes what is to be noted at once
      * @param askAt when the whole list is to be asked for again; {@link Lists#NEVER} for not at all
      */
-    public record Heard(Told passOn, List<Policy.Remembered> remembered, List<Note> notes, List<String> log, long askAt) {
+    public record Heard(
+            Told passOn, List<Policy.Remembered> remembered, List<Note> notes, List<String> log, long askAt) {
         static final Heard NOTHING = new Heard(null, List.of(), List.of(), List.of(), Lists.NEVER);
     }
 
@@ -111,8 +113,8 @@
                 revision = others.revision();
             }
             for (Known one : List.copyOf(known.values())) {
-                Degree degree = rules.fixed() ? Degree.AS_LISTED
-                        : rules.trust().degree(one, picture.time(), elapsed, all);
+                Degree degree =
+                        rules.fixed() ? Degree.AS_LISTED : rules.trust().degree(one, picture.time(), elapsed, all);
                 count.merge(degree, 1, Integer::sum);
                 known.put(one.id(), one.notAfter(rules.trust().latestEvidence(degree, time)));
                 if (degree != Degree.NEVER) {
@@ -121,8 +123,10 @@
                 }
             }
             log.add("remembered " + known.size() + " endpoints of revision " + revision + ", saved "
-                    + (elapsed.most() == Elapsed.UNKNOWN ? "at a time that the clock does not tell"
-                            : elapsed.most() / 1_000_000 + " s ago" + (elapsed.doubtful() ? " if the clock is right" : ""))
+                    + (elapsed.most() == Elapsed.UNKNOWN
+                            ? "at a time that the clock does not tell"
+                            : elapsed.most() / 1_000_000 + " s ago"
+                                    + (elapsed.doubtful() ? " if the clock is right" : ""))
                     + ": " + count.getOrDefault(Degree.AS_LISTED, 0) + " as listed, "
                     + count.getOrDefault(Degree.TRY_FIRST, 0) + " to be tried first, "
                     + count.getOrDefault(Degree.LAST, 0) + " if nothing else is left, "
@@ -146,9 +150,11 @@
         known.clear();
         for (Listing entry : all.entries()) {
             Known one = old.get(entry.id());
-            known.put(entry.id(), one == null || !one.address().equals(entry.address())
-                    ? Known.fresh(entry.listed(), entry.address(), time)
-                    : one.listed(entry.listed(), entry.address(), one.listedAt()));
+            known.put(
+                    entry.id(),
+                    one == null || !one.address().equals(entry.address())
+                            ? Known.fresh(entry.listed(), entry.address(), time)
+                            : one.listed(entry.listed(), entry.address(), one.listedAt()));
         }
     }
 
@@ -178,8 +184,8 @@
     }
 
     private static Standing waiting(Standing s, long wait) {
-        return new Standing(s.route(), Math.max(s.waitLeft(), wait), s.limit(), s.usual(), s.response(), s.out(),
-                s.warmLeft());
+        return new Standing(
+                s.route(), Math.max(s.waitLeft(), wait), s.limit(), s.usual(), s.response(), s.out(), s.warmLeft());
     }
 
     private static Standing out(Standing s, boolean out) {
@@ -244,11 +250,15 @@
             in.add(entry.id());
             confirmed.add(entry.id());
             if (before != null && before.state() == Known.State.STRUCK) {
-                // Guards against a rush to one that did not answer just now: it is tried first, and released as after an outage.
+                // Guards against a rush to one that did not answer just now: it is tried first, and released as after
+                // an outage.
                 remembered.add(new Policy.Remembered(Policy.Belief.TRY_FIRST, out(standing(before), true)));
             }
-            known.put(entry.id(), before == null ? Known.fresh(entry.listed(), entry.address(), now)
-                    : before.listed(entry.listed(), entry.address(), now));
+            known.put(
+                    entry.id(),
+                    before == null
+                            ? Known.fresh(entry.listed(), entry.address(), now)
+                            : before.listed(entry.listed(), entry.address(), now));
         }
         if (told.kind() == ListKind.FULL) {
             known.keySet().stream().filter(id -> !in.contains(id)).toList().forEach(id -> gone(id, notes, now));
@@ -329,7 +339,7 @@
                     notes.add(new Note(Note.Kind.DOWN, id, now));
                 }
             }
-            case CANCELLED, NOT_SENT -> { }
+            case CANCELLED, NOT_SENT -> {}
         }
         known.put(id, one);
         if (confirmed.contains(id)) {
@@ -346,9 +356,14 @@
         changed = true;
         notes.add(new Note(Note.Kind.STRUCK, id, now));
         Listing listing = new Listing(one.listed(), one.address()).gone();
-        return new Heard(new Told(ListKind.CHANGES, revision, List.of(listing)), List.of(), notes, List.of(id + " at "
-                + one.address() + (unlike ? " answers as something else" : " refused or hung twice")
-                + ", and is out until discovery lists it"), Lists.NEVER);
+        return new Heard(
+                new Told(ListKind.CHANGES, revision, List.of(listing)),
+                List.of(),
+                notes,
+                List.of(id + " at "
+                        + one.address() + (unlike ? " answers as something else" : " refused or hung twice")
+                        + ", and is out until discovery lists it"),
+                Lists.NEVER);
     }
 
     /** True where the list has changed since the last picture. */
@@ -369,8 +384,14 @@
             Standing now = byId.get(one.id());
             Standing before = one.standing();
             if (now != null && before != null && time - openedAt < LEARNING) {
-                now = new Standing(now.route(), now.waitLeft(), now.limit(), Math.max(now.usual(), before.usual()),
-                        now.response() > 0 ? now.response() : before.response(), now.out(), now.warmLeft());
+                now = new Standing(
+                        now.route(),
+                        now.waitLeft(),
+                        now.limit(),
+                        Math.max(now.usual(), before.usual()),
+                        now.response() > 0 ? now.response() : before.response(),
+                        now.out(),
+                        now.warmLeft());
             }
             endpoints.add(now == null ? one : one.with(now));
         }
--- a/src/main/java/pipitstage/remembered/Budget.java
+++ b/src/main/java/pipitstage/remembered/Budget.java
@@ -8,6 +8,7 @@
     private static final long SECOND = 1_000_000;
     /** What may be written at once is what the rate allows in so many seconds. */
     private static final long BURST_SPAN = 60;
+
     private static final long RESERVE_PART = 4;
 
     private final long rate;
--- a/src/main/java/pipitstage/remembered/Known.java
+++ b/src/main/java/pipitstage/remembered/Known.java
@@ -12,8 +12,15 @@
  * @param returnedAt when it served again after it was out; it is cold until its warm-up has passed
  * @param standing what the decision module knew of it; null where that is nothing
  */
-public record Known(Policy.Listed listed, String address, State state, long listedAt, long answeredAt, long failedAt,
-        long returnedAt, Policy.Standing standing) {
+public record Known(
+        Policy.Listed listed,
+        String address,
+        State state,
+        long listedAt,
+        long answeredAt,
+        long failedAt,
+        long returnedAt,
+        Policy.Standing standing) {
 
     /** What is known of its membership. */
     public enum State {
@@ -51,8 +58,15 @@
 
     /** The same with evidence that is no later. */
     public Known notAfter(long latest) {
-        return new Known(listed, address, state, Math.min(listedAt, latest), Math.min(answeredAt, latest), failedAt,
-                returnedAt, standing);
+        return new Known(
+                listed,
+                address,
+                state,
+                Math.min(listedAt, latest),
+                Math.min(answeredAt, latest),
+                failedAt,
+                returnedAt,
+                standing);
     }
 
     /** The same after an answer. */
--- a/src/main/java/pipitstage/remembered/Listing.java
+++ b/src/main/java/pipitstage/remembered/Listing.java
@@ -15,7 +15,14 @@
 
     /** The same endpoint, gone. */
     Listing gone() {
-        return new Listing(new Policy.Listed(listed.route(), listed.destination(), listed.kind(), listed.zone(),
-                Availability.REMOVED, listed.rate()), address);
+        return new Listing(
+                new Policy.Listed(
+                        listed.route(),
+                        listed.destination(),
+                        listed.kind(),
+                        listed.zone(),
+                        Availability.REMOVED,
+                        listed.rate()),
+                address);
     }
 }
--- a/src/main/java/pipitstage/remembered/Lists.java
+++ b/src/main/java/pipitstage/remembered/Lists.java
@@ -26,6 +26,7 @@
 public final class Lists {
     /** In place of a time: there is nothing to wait for. */
     public static final long NEVER = Long.MAX_VALUE;
+
     static final int FLAPS = 3;
     static final int FEWEST = 10;
     private static final double MOST_LOST = 0.9;
@@ -41,7 +42,7 @@
      * @param log lines for staff
      * @param askAt when the whole list is to be asked for again; {@link #NEVER} for not at all
      */
-    public record Verdict(Told passOn, List<String> log, long askAt) { }
+    public record Verdict(Told passOn, List<String> log, long askAt) {}
 
     private static final class Member {
         Listing listing;
@@ -97,7 +98,9 @@
             revision = Math.max(revision, told.revision());
             return verdict(passOn, log, behind ? now : NEVER);
         }
-        String doubt = !doubts() ? null : behind ? "its revision went back from " + revision + " to " + told.revision() : lost(told);
+        String doubt = !doubts()
+                ? null
+                : behind ? "its revision went back from " + revision + " to " + told.revision() : lost(told);
         if (doubt == null) {
             doubtedSince = NEVER;
         } else {
@@ -132,7 +135,9 @@
         // An entry that says so itself takes away with a word.
         told.entries().forEach(e -> listed.add(e.id()));
         long in = members.values().stream().filter(m -> m.in).count();
-        long missing = members.values().stream().filter(m -> m.in && !listed.contains(m.listing.id())).count();
+        long missing = members.values().stream()
+                .filter(m -> m.in && !listed.contains(m.listing.id()))
+                .count();
         boolean most = in >= FEWEST && missing >= MOST_LOST * in;
         return missing > 0 && listed.isEmpty() || most ? "it leaves out " + missing + " of " + in + " endpoints" : null;
     }
@@ -196,8 +201,8 @@
             known.heldUntil = now + hold;
             // Guards against the count being forgotten while the endpoint is held for longer than the span.
             known.returnsSince = known.heldUntil;
-            log.add("discovery: " + entry.id() + " has come back " + known.returns + " times in a minute, and is held back"
-                    + " for " + hold / SECOND + " s");
+            log.add("discovery: " + entry.id() + " has come back " + known.returns
+                    + " times in a minute, and is held back" + " for " + hold / SECOND + " s");
             return false;
         }
         known.in = true;
@@ -216,7 +221,11 @@
 
     /** When the next endpoint that is held back comes in; {@link #NEVER} where none is. */
     public long nextAt() {
-        return members.values().stream().filter(m -> m.heldUntil > 0).mapToLong(m -> m.heldUntil).min().orElse(NEVER);
+        return members.values().stream()
+                .filter(m -> m.heldUntil > 0)
+                .mapToLong(m -> m.heldUntil)
+                .min()
+                .orElse(NEVER);
     }
 
     /** What was held back and has been listed for long enough; null where that is nothing. */
--- a/src/main/java/pipitstage/remembered/Note.java
+++ b/src/main/java/pipitstage/remembered/Note.java
@@ -27,9 +27,11 @@
 
     /** One note in place of several that may not be written: what it says holds whatever they say. */
     public static Note inPlaceOf(List<Note> notes) {
-        long until = notes.stream().filter(n -> n.kind() == Kind.WAIT || n.kind() == Kind.LOST).mapToLong(Note::at)
-                .max().orElse(0);
+        long until = notes.stream()
+                .filter(n -> n.kind() == Kind.WAIT || n.kind() == Kind.LOST)
+                .mapToLong(Note::at)
+                .max()
+                .orElse(0);
         return new Note(Kind.LOST, "", until);
     }
-
 }
--- a/src/main/java/pipitstage/remembered/store/Clocks.java
+++ b/src/main/java/pipitstage/remembered/store/Clocks.java
@@ -10,7 +10,7 @@
     private static final Path UPTIME = Path.of("/proc/uptime");
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
 
-    private Clocks() { }
+    private Clocks() {}
 
     /** The clocks now; where the machine does not tell of its start, the wall clock alone. */
     public static Moment now() {
--- a/src/main/java/pipitstage/remembered/store/Codec.java
+++ b/src/main/java/pipitstage/remembered/store/Codec.java
@@ -26,6 +26,7 @@
     static final short FORMAT = 1;
     /** Bytes ahead of the first record. */
     static final int HEAD = MAGIC.length + Short.BYTES;
+
     private static final int MOST_TEXT = 1 << 10;
     private static final int MOST_ENDPOINTS = 1 << 20;
 
@@ -38,7 +39,7 @@
         }
     }
 
-    private Codec() { }
+    private Codec() {}
 
     /** The bytes that every file begins with. */
     static byte[] head() {
@@ -139,16 +140,29 @@
     }
 
     private static Known known(DataInputStream in) throws IOException {
-        Policy.Listed listed = new Policy.Listed(text(in), in.readInt(), text(in), text(in),
-                of(Policy.Availability.values(), in.readByte()), number(in));
+        Policy.Listed listed = new Policy.Listed(
+                text(in),
+                in.readInt(),
+                text(in),
+                text(in),
+                of(Policy.Availability.values(), in.readByte()),
+                number(in));
         String address = text(in);
         Known.State state = of(Known.State.values(), in.readByte());
         long listedAt = in.readLong();
         long answeredAt = in.readLong();
         long failedAt = in.readLong();
         long returnedAt = in.readLong();
-        Policy.Standing standing = in.readBoolean() ? new Policy.Standing(listed.route(), in.readLong(), number(in),
-                number(in), number(in), in.readBoolean(), in.readLong()) : null;
+        Policy.Standing standing = in.readBoolean()
+                ? new Policy.Standing(
+                        listed.route(),
+                        in.readLong(),
+                        number(in),
+                        number(in),
+                        number(in),
+                        in.readBoolean(),
+                        in.readLong())
+                : null;
         return new Known(listed, address, state, listedAt, answeredAt, failedAt, returnedAt, standing);
     }
 
@@ -179,7 +193,10 @@
     static byte[] notesHead(long generation) {
         byte[] record = new byte[Records.HEAD + Long.BYTES];
         ByteBuffer.wrap(record).putLong(Records.HEAD, generation);
-        return ByteBuffer.allocate(HEAD + record.length).put(head()).put(Records.seal(record)).array();
+        return ByteBuffer.allocate(HEAD + record.length)
+                .put(head())
+                .put(Records.seal(record))
+                .array();
     }
 
     /** A note as a record. */
--- a/src/main/java/pipitstage/remembered/store/Folder.java
+++ b/src/main/java/pipitstage/remembered/store/Folder.java
@@ -35,8 +35,11 @@
 
             @Override
             public void write(String name, byte[] bytes, boolean sync) throws IOException {
-                try (FileChannel file = FileChannel.open(path.resolve(name), StandardOpenOption.CREATE,
-                        StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                try (FileChannel file = FileChannel.open(
+                        path.resolve(name),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.TRUNCATE_EXISTING,
+                        StandardOpenOption.WRITE)) {
                     Records.write(file, bytes, 0);
                     if (sync) {
                         file.force(true);
@@ -53,7 +56,10 @@
 
             @Override
             public void move(String from, String to) throws IOException {
-                Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE,
+                Files.move(
+                        path.resolve(from),
+                        path.resolve(to),
+                        StandardCopyOption.ATOMIC_MOVE,
                         StandardCopyOption.REPLACE_EXISTING);
             }
 
--- a/src/main/java/pipitstage/remembered/store/Saver.java
+++ b/src/main/java/pipitstage/remembered/store/Saver.java
@@ -36,7 +36,7 @@
      * @param rate bytes a second, on average over a minute
      * @param sync whether a picture must be on the disk itself before it counts
      */
-    public record Options(Path folder, long limit, long rate, boolean sync) { }
+    public record Options(Path folder, long limit, long rate, boolean sync) {}
 
     private final Options options;
     private final Store store;
@@ -51,10 +51,12 @@
     private boolean trimmed;
     /** Guards against the work for a picture each second that may not be written anyway. */
     private int lastSize;
+
     private long nextTry;
     private long pause = SECOND;
     /** What could not be noted since the picture that stands, as one note; null for nothing. */
     private Note lost;
+
     private boolean lostIsNoted;
     private long lostAt = Long.MIN_VALUE / 2;
 
@@ -75,7 +77,7 @@
      * @param picture null where nothing can be used
      * @param whole false where notes since the picture may be missing
      */
-    public record Left(Picture picture, List<Note> notes, boolean whole) { }
+    public record Left(Picture picture, List<Note> notes, boolean whole) {}
 
     /** Reads what an earlier process left, once and before anything else; what can't be used is set aside and told. */
     public Left load(String owner) {
@@ -91,7 +93,8 @@
      * @param time the relay's own time
      */
     public void start(Picture last, Moment now, long time) {
-        long rest = last == null ? Elapsed.UNKNOWN : Elapsed.between(last.at(), now).least();
+        long rest =
+                last == null ? Elapsed.UNKNOWN : Elapsed.between(last.at(), now).least();
         budget = new Budget(options.rate(), rest, time);
     }
 
@@ -172,18 +175,20 @@
             return bytes;
         }
         List<Known> kept = new ArrayList<>(picture.endpoints());
-        kept.sort(Comparator.comparingLong((Known k) -> Math.max(k.listedAt(), k.answeredAt())).reversed()
+        kept.sort(Comparator.comparingLong((Known k) -> Math.max(k.listedAt(), k.answeredAt()))
+                .reversed()
                 .thenComparing(Comparator.comparingLong(Known::answeredAt).reversed()));
         while (bytes.length > most && !kept.isEmpty()) {
             // One picture's mean says how many fit; a tenth more goes each time where it does not.
             int fit = (int) Math.min(kept.size() * 0.9, kept.size() * most / bytes.length);
             kept.subList(fit, kept.size()).clear();
-            bytes = Codec.picture(new Picture(picture.owner(), picture.generation(), picture.at(), picture.time(),
-                    picture.revision(), kept));
+            bytes = Codec.picture(new Picture(
+                    picture.owner(), picture.generation(), picture.at(), picture.time(), picture.revision(), kept));
         }
         if (!trimmed) {
             trimmed = true;
-            Log.line("remembered: room for " + kept.size() + " of " + picture.endpoints().size()
+            Log.line("remembered: room for " + kept.size() + " of "
+                    + picture.endpoints().size()
                     + " endpoints, those heard of last; raise memory.limit or memory.write-rate");
         }
         return bytes;
--- a/src/main/java/pipitstage/remembered/store/Store.java
+++ b/src/main/java/pipitstage/remembered/store/Store.java
@@ -28,13 +28,14 @@
      * @param whole false where notes since the picture may be missing
      * @param complaints what was set aside, and why
      */
-    record Found(Picture picture, List<Note> notes, boolean whole, List<String> complaints) { }
+    record Found(Picture picture, List<Note> notes, boolean whole, List<String> complaints) {}
 
     private final Folder folder;
     private final long mostNotes;
     private final boolean sync;
     /** The generation that stands, 0 for none, and the one that is being written, 0 for none. */
     private long standing;
+
     private long coming;
     private long standingSize;
     private long comingSize;
--- a/src/main/java/pipitstage/standin/StandInClient.java
+++ b/src/main/java/pipitstage/standin/StandInClient.java
@@ -32,11 +32,14 @@
     public int handIn(String id, String type, String tenant, String key, int destination, long budgetMs, String body)
             throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        return exchange("POST /api HTTP/1.1\r\nHost: relay\r\n" + Headers.CALL_ID + ": " + id + "\r\n"
-                + Headers.CALL_CLASS + ": " + type + "\r\n" + (tenant == null ? "" : Headers.CALLER + ": " + tenant
-                + "\r\n") + Headers.BUDGET + ": " + budgetMs + "\r\n" + (key == null ? "" : Headers.KEY + ": " + key
-                + "\r\n") + "Content-Length: " + bytes.length + "\r\n" + Headers.CONSIGNEE + ": dest=" + destination
-                + "\r\n\r\n", bytes);
+        return exchange(
+                "POST /api HTTP/1.1\r\nHost: relay\r\n" + Headers.CALL_ID + ": " + id + "\r\n"
+                        + Headers.CALL_CLASS + ": " + type + "\r\n"
+                        + (tenant == null ? "" : Headers.CALLER + ": " + tenant + "\r\n") + Headers.BUDGET + ": "
+                        + budgetMs + "\r\n" + (key == null ? "" : Headers.KEY + ": " + key + "\r\n")
+                        + "Content-Length: " + bytes.length + "\r\n" + Headers.CONSIGNEE + ": dest=" + destination
+                        + "\r\n\r\n",
+                bytes);
     }
 
     /** True where the relay says that it is ready. */
--- a/src/main/java/pipitstage/standin/StandInPartner.java
+++ b/src/main/java/pipitstage/standin/StandInPartner.java
@@ -29,7 +29,7 @@
     }
 
     /** A call that came whole. */
-    public record Posting(String id, String key, long atNanos, boolean ran, int status) { }
+    public record Posting(String id, String key, long atNanos, boolean ran, int status) {}
 
     private static final long SECOND = 1_000_000_000;
     private static final int NO_ANSWER = 0;
@@ -124,8 +124,12 @@
             boolean full = limit > 0 && !hasRoom();
             boolean ran = now != Mood.SHUT && !full;
             int status = !ran ? 503 : now == Mood.WELL || now == Mood.LATE ? 200 : NO_ANSWER;
-            postings.add(new Posting(request.id(), request.headers().get(
-                    Headers.KEY.toLowerCase(java.util.Locale.ROOT)), System.nanoTime(), ran, status));
+            postings.add(new Posting(
+                    request.id(),
+                    request.headers().get(Headers.KEY.toLowerCase(java.util.Locale.ROOT)),
+                    System.nanoTime(),
+                    ran,
+                    status));
             if (!ran) {
                 return StubPeer.status(503);
             }
--- a/src/main/java/pipitstage/standin/StubPeer.java
+++ b/src/main/java/pipitstage/standin/StubPeer.java
@@ -27,6 +27,7 @@
 
     /** In place of an answer: the connection closes, or nothing comes at all. */
     public static final String CLOSE = "close";
+
     public static final String SILENCE = "silence";
 
     /** A request as it came; the names of headers are in lower case. */
@@ -41,6 +42,7 @@
     public final List<Request> requests = new CopyOnWriteArrayList<>();
     /** Every connection so far. */
     public final List<Socket> connections = new CopyOnWriteArrayList<>();
+
     private final ServerSocket listener;
     private volatile Function<Request, String> answers;
 
--- a/src/main/java/pipitstage/trace/Arrivals.java
+++ b/src/main/java/pipitstage/trace/Arrivals.java
@@ -33,8 +33,8 @@
     private final Late late;
     private final Tally tally;
     private final Consumer<Row> out;
-    private final PriorityQueue<Row> held = new PriorityQueue<>(Comparator.comparingLong(Row::time)
-            .thenComparingLong(Row::line));
+    private final PriorityQueue<Row> held =
+            new PriorityQueue<>(Comparator.comparingLong(Row::time).thenComparingLong(Row::line));
     private long newest = Long.MIN_VALUE;
     private long sentUntil = Long.MIN_VALUE;
 
--- a/src/main/java/pipitstage/trace/Call.java
+++ b/src/main/java/pipitstage/trace/Call.java
@@ -11,4 +11,5 @@
  * @param budget microseconds that it may take
  * @param line the row that it comes from
  */
-public record Call(long at, String type, String tenant, int destination, String key, long size, long budget, long line) { }
+public record Call(
+        long at, String type, String tenant, int destination, String key, long size, long budget, long line) {}
--- a/src/main/java/pipitstage/trace/Columns.java
+++ b/src/main/java/pipitstage/trace/Columns.java
@@ -8,7 +8,9 @@
 public final class Columns implements RowForm {
     /** What a time is counted in. */
     public enum Unit {
-        US(1), MS(1_000), S(1_000_000),
+        US(1),
+        MS(1_000),
+        S(1_000_000),
         /** Text, read by {@link Clock}. */
         TEXT(0);
 
@@ -36,7 +38,7 @@
      * @param sort null for none
      * @param weight null for none
      */
-    public record Names(boolean header, String time, String owner, String flow, String sort, String weight) { }
+    public record Names(boolean header, String time, String owner, String flow, String sort, String weight) {}
 
     /** The file's first line lacks a column, or a number is none. */
     public static final class NoSuchColumnException extends RuntimeException {
@@ -82,8 +84,13 @@
         }
         String text = fields.get(time);
         long micros = unit != Unit.TEXT ? Form.time(text, unit.micros) : textTime(text);
-        return new Row(line, micros, Form.needed(fields.get(owner)), Form.needed(fields.get(flow)),
-                sort < 0 ? "" : fields.get(sort), weight < 0 ? 0 : Form.number(fields.get(weight)));
+        return new Row(
+                line,
+                micros,
+                Form.needed(fields.get(owner)),
+                Form.needed(fields.get(flow)),
+                sort < 0 ? "" : fields.get(sort),
+                weight < 0 ? 0 : Form.number(fields.get(weight)));
     }
 
     private long textTime(String text) throws BadRowException {
@@ -98,7 +105,8 @@
     }
 
     private int at(String name, List<String> fields) {
-        int index = names.header() ? fields.indexOf(name) : name.matches("[1-9]\\d{0,4}") ? Integer.parseInt(name) - 1 : -1;
+        int index =
+                names.header() ? fields.indexOf(name) : name.matches("[1-9]\\d{0,4}") ? Integer.parseInt(name) - 1 : -1;
         if (index < 0 || index >= fields.size()) {
             throw new NoSuchColumnException(name, fields);
         }
--- a/src/main/java/pipitstage/trace/Form.java
+++ b/src/main/java/pipitstage/trace/Form.java
@@ -24,7 +24,9 @@
                 throw new BadRowException(Fault.BAD_FIELD);
             }
             // Type 0 is SUBMIT; all others tell what became of a task that was submitted.
-            return type != 0 ? null : new Row(line, time, needed(f.get(6)), needed(f.get(2)), f.get(7), number(f.get(9)));
+            return type != 0
+                    ? null
+                    : new Row(line, time, needed(f.get(6)), needed(f.get(2)), f.get(7), number(f.get(9)));
         }
     },
     /** Alibaba cluster-trace-v2018, {@code batch_task}: seconds. */
@@ -42,7 +44,8 @@
     AZURE_V1_VMTABLE(11, false) {
         @Override
         Row read(List<String> f, long line) throws BadRowException {
-            return new Row(line, time(f.get(3), SECOND), needed(f.get(1)), needed(f.get(2)), f.get(8), number(f.get(9)));
+            return new Row(
+                    line, time(f.get(3), SECOND), needed(f.get(1)), needed(f.get(2)), f.get(8), number(f.get(9)));
         }
     },
     /** Azure Functions invocation trace 2021: seconds with fractions; what is told is the end and how long it took. */
@@ -52,7 +55,8 @@
             long end = time(f.get(2), SECOND);
             double took = number(f.get(3));
             // One that was running when the trace began counts from its beginning.
-            return new Row(line, Math.max(0, end - (long) (took * SECOND)), needed(f.get(0)), needed(f.get(1)), "", took);
+            return new Row(
+                    line, Math.max(0, end - (long) (took * SECOND)), needed(f.get(0)), needed(f.get(1)), "", took);
         }
     },
     /** Azure Functions 2019, invocations a minute: a file is a day, a line a function with its {@link Minutes#DAY} counts. */
--- a/src/main/java/pipitstage/trace/Mapping.java
+++ b/src/main/java/pipitstage/trace/Mapping.java
@@ -29,7 +29,13 @@
      * @param budget microseconds
      * @param destinations the numbers of its partners
      */
-    public record Type(String name, double share, boolean keyed, long body, long largest, long budget,
+    public record Type(
+            String name,
+            double share,
+            boolean keyed,
+            long body,
+            long largest,
+            long budget,
             List<Integer> destinations) {
         public Type {
             destinations = List.copyOf(destinations);
@@ -86,12 +92,21 @@
         Type type = type(row);
         count++;
         counts.merge(type.name(), 1L, Long::sum);
-        int destination = type.destinations().get(pick(row.flow(), 1, type.destinations().size()));
-        String tenant = scheme.tenants().isEmpty() ? null
+        int destination =
+                type.destinations().get(pick(row.flow(), 1, type.destinations().size()));
+        String tenant = scheme.tenants().isEmpty()
+                ? null
                 : scheme.tenants().get(pick(row.owner(), 2, scheme.tenants().size()));
         String key = type.keyed() ? Long.toHexString(hash(row.flow(), 3)) + "-" + row.line() : null;
-        return new Call((long) ((row.time() - from) / speed), type.name(), tenant, destination, key, size(row, type),
-                type.budget(), row.line());
+        return new Call(
+                (long) ((row.time() - from) / speed),
+                type.name(),
+                tenant,
+                destination,
+                key,
+                size(row, type),
+                type.budget(),
+                row.line());
     }
 
     private Type type(Row row) {
--- a/src/main/java/pipitstage/trace/Minutes.java
+++ b/src/main/java/pipitstage/trace/Minutes.java
@@ -14,6 +14,7 @@
 public final class Minutes {
     /** Minutes of a day. */
     public static final int DAY = 1_440;
+
     private static final int SATURATED = 255;
     private static final int SECONDS = 60;
     private static final long SECOND = 1_000_000;
--- a/src/main/java/pipitstage/trace/Row.java
+++ b/src/main/java/pipitstage/trace/Row.java
@@ -10,4 +10,4 @@
  * @param sort what sort of work it is by the trace's word: a scheduling class, a type, a category; may be empty
  * @param weight how much was asked for beside other rows of the trace: cores, instances, seconds; 0 where untold
  */
-public record Row(long line, long time, String owner, String flow, String sort, double weight) { }
+public record Row(long line, long time, String owner, String flow, String sort, double weight) {}
--- a/src/main/java/pipitstage/trace/Tally.java
+++ b/src/main/java/pipitstage/trace/Tally.java
@@ -11,7 +11,7 @@
     private static final int SAMPLE = 80;
 
     /** Rows of one fault: how many, the lines of the first ones, and the first one's text. */
-    public record Rejected(long count, List<Long> lines, String sample) { }
+    public record Rejected(long count, List<Long> lines, String sample) {}
 
     private static final class Count {
         long count;
--- a/src/main/java/pipitstage/trace/read/CallsFile.java
+++ b/src/main/java/pipitstage/trace/read/CallsFile.java
@@ -22,8 +22,15 @@
      * @throws java.io.UncheckedIOException where the disk fails
      */
     public void write(Call call) {
-        csv.writeRecord(Long.toString(call.at()), call.type(), call.tenant(), Integer.toString(call.destination()), call.key(),
-                Long.toString(call.size()), Long.toString(call.budget()), Long.toString(call.line()));
+        csv.writeRecord(
+                Long.toString(call.at()),
+                call.type(),
+                call.tenant(),
+                Integer.toString(call.destination()),
+                call.key(),
+                Long.toString(call.size()),
+                Long.toString(call.budget()),
+                Long.toString(call.line()));
     }
 
     @Override
--- a/src/main/java/pipitstage/trace/read/TraceReader.java
+++ b/src/main/java/pipitstage/trace/read/TraceReader.java
@@ -72,11 +72,14 @@
     private void read(Path file) throws IOException {
         long line = 0;
         try (InputStream bytes = open(file);
-                CsvReader<CsvRecord> csv = CsvReader.builder().skipEmptyLines(true).allowExtraFields(true)
-                        .allowMissingFields(true).maxBufferSize(LONGEST)
+                CsvReader<CsvRecord> csv = CsvReader.builder()
+                        .skipEmptyLines(true)
+                        .allowExtraFields(true)
+                        .allowMissingFields(true)
+                        .maxBufferSize(LONGEST)
                         .ofCsvRecord(new InputStreamReader(bytes, StandardCharsets.UTF_8))) {
             boolean first = true;
-            for (Iterator<CsvRecord> records = csv.iterator(); records.hasNext();) {
+            for (Iterator<CsvRecord> records = csv.iterator(); records.hasNext(); ) {
                 CsvRecord record = records.next();
                 line = record.getStartingLineNumber();
                 take(record.getFields(), linesBefore + line, first);
--- a/src/main/java/pipitstage/trace/read/ZonedClock.java
+++ b/src/main/java/pipitstage/trace/read/ZonedClock.java
@@ -40,7 +40,8 @@
         try {
             this.begin = begin == null ? 0 : epoch(begin);
         } catch (BadRowException e) {
-            throw new IllegalArgumentException("begin: " + begin + " is " + e.fault().text() + " in this pattern and zone", e);
+            throw new IllegalArgumentException(
+                    "begin: " + begin + " is " + e.fault().text() + " in this pattern and zone", e);
         }
     }
 
@@ -56,7 +57,8 @@
             if (offsets.isEmpty()) {
                 throw new BadRowException(Fault.SKIPPED_TIME);
             }
-            return ChronoUnit.MICROS.between(LocalDateTime.ofEpochSecond(0, 0, ZoneOffset.UTC).atOffset(ZoneOffset.UTC),
+            return ChronoUnit.MICROS.between(
+                    LocalDateTime.ofEpochSecond(0, 0, ZoneOffset.UTC).atOffset(ZoneOffset.UTC),
                     local.atOffset(offsets.get(0)));
         } catch (DateTimeParseException e) {
             throw new BadRowException(Fault.BAD_TIME);
