--- a/src/main/java/pipitstage/undeliverable/Desk.java
+++ b/src/main/java/pipitstage/undeliverable/Desk.java
@@ -37,8 +37,15 @@
      *        what fails is logged as lost
      * @param age microseconds after which entries that are over are removed
      */
-    public record Options(Map<String, Rules.Shelved> shelves, Rules rules, double pace, long high, long low,
-            long most, boolean refuseWhenFull, long age) { }
+    public record Options(
+            Map<String, Rules.Shelved> shelves,
+            Rules rules,
+            double pace,
+            long high,
+            long low,
+            long most,
+            boolean refuseWhenFull,
+            long age) {}
 
     private static final long LOOK = 100_000;
     private static final int MOST_DUE = 64;
@@ -53,7 +60,7 @@
     }
 
     /** What a look has found: entries that are due, and the size where something was removed. */
-    private record Looked(List<Entry> due, Shelf.Size smaller) { }
+    private record Looked(List<Entry> due, Shelf.Size smaller) {}
 
     private final Timers timers;
     private final Clock clock;
@@ -66,9 +73,11 @@
     private final Map<Long, Message> sending = new HashMap<>();
     /** What the shelf has not taken yet, since its queue was full or it failed; the journal holds all of it. */
     private final ArrayDeque<Runnable> again = new ArrayDeque<>();
+
     private boolean full;
     /** Classes of which something had to be kept since the store was last found not full. */
     private final Set<String> failing = new HashSet<>();
+
     private boolean looking;
     private boolean paused;
     private int lastLane = Integer.MIN_VALUE;
@@ -76,6 +85,7 @@
     private long lost;
     /** Nothing is steady until the store has told how far earlier processes have come. */
     private long steadySince = Long.MAX_VALUE;
+
     private long newestJournaled;
 
     /** A desk; {@link #start} sets it going. */
@@ -90,21 +100,28 @@
     /** Takes back what a crash left between the shelf and the journal, then looks for what is due again and again. */
     public void start() {
         List<Long> journaled = List.copyOf(sending.keySet());
-        insist(s -> {
-            for (Entry entry : s.list(new Shelf.Filter(Entry.State.RESENDING, null, null, null, null, 0, 0), 0,
-                    Integer.MAX_VALUE, false)) {
-                // Guards against a kill after the shelf was told and before the journal was: no attempt was made.
-                if (!journaled.contains(entry.id())) {
-                    s.move(entry.id(), Entry.State.RESENDING, Entry.State.KEPT, 0);
-                }
-            }
-            return s.newest();
-        }, newest -> {
-            // Guards against a clock that was set back between two processes: what is older than anything that the
-            // earlier one has left may in truth be older still.
-            steadySince = Math.max(clock.micros(), Math.max(newest, newestJournaled) + 1);
-            insist(Shelf::size, this::measured);
-        });
+        insist(
+                s -> {
+                    for (Entry entry : s.list(
+                            new Shelf.Filter(Entry.State.RESENDING, null, null, null, null, 0, 0),
+                            0,
+                            Integer.MAX_VALUE,
+                            false)) {
+                        // Guards against a kill after the shelf was told and before the journal was: no attempt was
+                        // made.
+                        if (!journaled.contains(entry.id())) {
+                            s.move(entry.id(), Entry.State.RESENDING, Entry.State.KEPT, 0);
+                        }
+                    }
+                    return s.newest();
+                },
+                newest -> {
+                    // Guards against a clock that was set back between two processes: what is older than anything that
+                    // the
+                    // earlier one has left may in truth be older still.
+                    steadySince = Math.max(clock.micros(), Math.max(newest, newestJournaled) + 1);
+                    insist(Shelf::size, this::measured);
+                });
         look();
     }
 
@@ -124,7 +141,8 @@
         boolean takes = !full || options.refuseWhenFull();
         if (!takes) {
             lost++;
-            Log.line("undeliverable: the store is full, " + message.content().callId() + " is lost, the " + lost + ". one");
+            Log.line("undeliverable: the store is full, " + message.content().callId() + " is lost, the " + lost
+                    + ". one");
         }
         return takes;
     }
@@ -138,13 +156,15 @@
     public void keep(Message message) {
         Entry entry = entry(message);
         failing.add(message.content().requestClass());
-        insist(s -> {
-            s.put(entry);
-            return s.size();
-        }, size -> {
-            measured(size);
-            engine.kept(message);
-        });
+        insist(
+                s -> {
+                    s.put(entry);
+                    return s.size();
+                },
+                size -> {
+                    measured(size);
+                    engine.kept(message);
+                });
     }
 
     private Entry entry(Message message) {
@@ -152,43 +172,60 @@
         boolean did = tries.stream().anyMatch(t -> t.ran() == Ran.DID);
         long now = clock.micros();
         Result last = tries.isEmpty() ? null : tries.get(tries.size() - 1).result();
-        String why = tries.isEmpty() ? "no attempt" : last == null ? "no outcome" : last.name().toLowerCase(
-                java.util.Locale.ROOT);
-        return new Entry(0, message.content(), now, why, "failed", did ? Entry.State.DELIVERED : Entry.State.KEPT,
-                now + options.rules().pause(), null, 0, tries);
+        String why = tries.isEmpty()
+                ? "no attempt"
+                : last == null ? "no outcome" : last.name().toLowerCase(java.util.Locale.ROOT);
+        return new Entry(
+                0,
+                message.content(),
+                now,
+                why,
+                "failed",
+                did ? Entry.State.DELIVERED : Entry.State.KEPT,
+                now + options.rules().pause(),
+                null,
+                0,
+                tries);
     }
 
     private List<Entry.Try> tries(Message message, int from) {
         List<Entry.Try> tries = new ArrayList<>();
-        for (Message.Attempt attempt : message.attempts().subList(from, message.attempts().size())) {
+        for (Message.Attempt attempt :
+                message.attempts().subList(from, message.attempts().size())) {
             tries.add(toTry(attempt));
         }
         return tries;
     }
 
     private Entry.Try toTry(Message.Attempt attempt) {
-        return new Entry.Try(attempt.route(), buildings.getOrDefault(attempt.route(), ""), attempt.sentAt(),
-                attempt.result());
+        return new Entry.Try(
+                attempt.route(), buildings.getOrDefault(attempt.route(), ""), attempt.sentAt(), attempt.result());
     }
 
     @Override
     public void learnt(Message.Attempt attempt) {
         Message message = attempt.message();
         Entry.Try more = toTry(attempt);
-        insist(s -> {
-            long id = message.entry() != 0 ? message.entry()
-                    : s.find(message.content().callId(), message.content().deadline()).orElse(0);
-            if (id != 0) {
-                s.learn(id, more);
-            }
-            return id;
-        }, id -> {
-            Message again = sending.get(id);
-            // Guards against a second posting of what has just been proven to be posted.
-            if (again != null && again != message && more.ran() == Ran.DID) {
-                engine.recall(again);
-            }
-        });
+        insist(
+                s -> {
+                    long id = message.entry() != 0
+                            ? message.entry()
+                            : s.find(
+                                            message.content().callId(),
+                                            message.content().deadline())
+                                    .orElse(0);
+                    if (id != 0) {
+                        s.learn(id, more);
+                    }
+                    return id;
+                },
+                id -> {
+                    Message again = sending.get(id);
+                    // Guards against a second posting of what has just been proven to be posted.
+                    if (again != null && again != message && more.ran() == Ran.DID) {
+                        engine.recall(again);
+                    }
+                });
     }
 
     // ---- what comes back
@@ -207,16 +244,19 @@
         if (!looking && !paused) {
             looking = true;
             long now = clock.micros();
-            boolean taken = submit(s -> {
-                // Guards against a store that stays full in the desk's eyes, where it has become smaller by age alone.
-                Shelf.Size smaller = s.removeSettled(now - options.age(), MOST_REMOVED) > 0 ? s.size() : null;
-                return new Looked(s.due(now, lastLane, MOST_DUE), smaller);
-            }, looked -> {
-                if (looked.smaller() != null) {
-                    measured(looked.smaller());
-                }
-                release(looked.due());
-            });
+            boolean taken = submit(
+                    s -> {
+                        // Guards against a store that stays full in the desk's eyes, where it has become smaller by age
+                        // alone.
+                        Shelf.Size smaller = s.removeSettled(now - options.age(), MOST_REMOVED) > 0 ? s.size() : null;
+                        return new Looked(s.due(now, lastLane, MOST_DUE), smaller);
+                    },
+                    looked -> {
+                        if (looked.smaller() != null) {
+                            measured(looked.smaller());
+                        }
+                        release(looked.due());
+                    });
             looking &= taken;
         }
     }
@@ -224,12 +264,14 @@
     private void release(List<Entry> due) {
         looking = false;
         // The next look goes on behind the last destination of this one, or begins anew.
-        lastLane = due.size() < MOST_DUE ? Integer.MIN_VALUE : due.get(due.size() - 1).content().destination();
+        lastLane = due.size() < MOST_DUE
+                ? Integer.MIN_VALUE
+                : due.get(due.size() - 1).content().destination();
         idleLooks = due.isEmpty() ? idleLooks + 1 : 0;
         for (Entry entry : due) {
             Lane lane = lane(entry.content().destination());
             if (lane.out == 0 && clock.micros() >= lane.next) {
-                tryNow(entry, verdict -> { });
+                tryNow(entry, verdict -> {});
             }
         }
     }
@@ -243,20 +285,24 @@
         long now = clock.micros();
         // Guards against a second resend beside one whose end the store has not taken yet, as after a restart: the
         // store would count it as kept, and know nothing of an attempt that is out.
-        Rules.Verdict verdict = sending.containsKey(entry.id()) ? new Rules.Later(now + options.rules().pause(),
-                "it is being sent again") : decide(entry);
+        Rules.Verdict verdict = sending.containsKey(entry.id())
+                ? new Rules.Later(now + options.rules().pause(), "it is being sent again")
+                : decide(entry);
         if (verdict instanceof Rules.Now) {
             Lane lane = lane(entry.content().destination());
             lane.out++;
             lane.next = now + (long) (SECOND / options.pace());
-            boolean taken = submit(s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.RESENDING, 0), won -> {
-                if (won) {
-                    send(entry, told);
-                } else {
-                    lane.out--;
-                    told.accept(new Rules.Later(now, "it is being sent again, or is over"));
-                }
-            }, () -> lane.out--);
+            boolean taken = submit(
+                    s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.RESENDING, 0),
+                    won -> {
+                        if (won) {
+                            send(entry, told);
+                        } else {
+                            lane.out--;
+                            told.accept(new Rules.Later(now, "it is being sent again, or is over"));
+                        }
+                    },
+                    () -> lane.out--);
             if (!taken) {
                 lane.out--;
                 told.accept(new Rules.Later(now, "the store is busy"));
@@ -264,13 +310,14 @@
             return;
         }
         long due = verdict instanceof Rules.Later later ? later.at() : Entry.NEVER_DUE;
-        submit(s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.KEPT, due), moved -> { });
+        submit(s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.KEPT, due), moved -> {});
         told.accept(verdict);
     }
 
     /** What the rules say of an entry now. */
     public Rules.Verdict decide(Entry entry) {
-        return options.rules().decide(entry, options.shelves().get(entry.content().requestClass()), clock.micros(), steadySince);
+        return options.rules()
+                .decide(entry, options.shelves().get(entry.content().requestClass()), clock.micros(), steadySince);
     }
 
     private void send(Entry entry, Consumer<Rules.Verdict> told) {
@@ -279,8 +326,19 @@
         Message message = null;
         if (verdict instanceof Rules.Now now) {
             Message.Content c = entry.content();
-            message = engine.resend(entry.id(), new Message.Content(c.callId(), c.requestClass(), c.tenant(), c.key(),
-                    now.deadline(), c.destination(), c.body(), null, c.line()), now.past());
+            message = engine.resend(
+                    entry.id(),
+                    new Message.Content(
+                            c.callId(),
+                            c.requestClass(),
+                            c.tenant(),
+                            c.key(),
+                            now.deadline(),
+                            c.destination(),
+                            c.body(),
+                            null,
+                            c.line()),
+                    now.past());
         }
         if (message != null) {
             sending.put(entry.id(), message);
@@ -288,10 +346,14 @@
             return;
         }
         lane(entry.content().destination()).out--;
-        long due = verdict instanceof Rules.AfterWord ? Entry.NEVER_DUE : clock.micros() + options.rules().pause();
-        insist(s -> s.move(entry.id(), Entry.State.RESENDING, Entry.State.KEPT, due), moved -> { });
-        told.accept(verdict instanceof Rules.Now ? new Rules.Later(due, "the relay has no room for it, or does not know"
-                + " its destination") : verdict);
+        long due = verdict instanceof Rules.AfterWord
+                ? Entry.NEVER_DUE
+                : clock.micros() + options.rules().pause();
+        insist(s -> s.move(entry.id(), Entry.State.RESENDING, Entry.State.KEPT, due), moved -> {});
+        told.accept(
+                verdict instanceof Rules.Now
+                        ? new Rules.Later(due, "the relay has no room for it, or does not know" + " its destination")
+                        : verdict);
     }
 
     @Override
@@ -300,25 +362,29 @@
         // The attempts that it began with are the entry's already.
         List<Entry.Try> known = tries(message, 0);
         long now = clock.micros();
-        insist(s -> {
-            Entry entry = s.get(id).orElse(null);
-            if (entry != null) {
-                List<Entry.Try> more = new ArrayList<>(known);
-                more.removeIf(t -> entry.tries().stream().anyMatch(
-                        e -> e.route().equals(t.route()) && e.sentAt() == t.sentAt()));
-                boolean did = entry.ran() == Ran.DID || more.stream().anyMatch(t -> t.ran() == Ran.DID);
-                Entry.State state = did ? Entry.State.DELIVERED : Entry.State.KEPT;
-                String why = more.isEmpty() ? entry.why() : "sent again: " + more.get(more.size() - 1).result();
-                s.resent(id, more, state, options.rules().nextTry(entry, now), why);
-            }
-            return s.size();
-        }, size -> {
-            measured(size);
-            if (sending.remove(id) != null) {
-                lane(message.content().destination()).out--;
-            }
-            engine.kept(message);
-        });
+        insist(
+                s -> {
+                    Entry entry = s.get(id).orElse(null);
+                    if (entry != null) {
+                        List<Entry.Try> more = new ArrayList<>(known);
+                        more.removeIf(t -> entry.tries().stream()
+                                .anyMatch(e -> e.route().equals(t.route()) && e.sentAt() == t.sentAt()));
+                        boolean did = entry.ran() == Ran.DID || more.stream().anyMatch(t -> t.ran() == Ran.DID);
+                        Entry.State state = did ? Entry.State.DELIVERED : Entry.State.KEPT;
+                        String why = more.isEmpty()
+                                ? entry.why()
+                                : "sent again: " + more.get(more.size() - 1).result();
+                        s.resent(id, more, state, options.rules().nextTry(entry, now), why);
+                    }
+                    return s.size();
+                },
+                size -> {
+                    measured(size);
+                    if (sending.remove(id) != null) {
+                        lane(message.content().destination()).out--;
+                    }
+                    engine.kept(message);
+                });
     }
 
     // ---- persons' words
--- a/src/main/java/pipitstage/undeliverable/Entry.java
+++ b/src/main/java/pipitstage/undeliverable/Entry.java
@@ -16,13 +16,27 @@
  * @param word the newest word of a person that it may be sent again, or null
  * @param resends how often it was sent again
  */
-public record Entry(long id, Message.Content content, long keptAt, String why, String told, State state, long due,
-        Word word, int resends, List<Try> tries) {
+public record Entry(
+        long id,
+        Message.Content content,
+        long keptAt,
+        String why,
+        String told,
+        State state,
+        long due,
+        Word word,
+        int resends,
+        List<Try> tries) {
     /** Not due by itself. */
     public static final long NEVER_DUE = Long.MAX_VALUE;
 
     /** Where an entry stands; a message ends in exactly one of these. */
-    public enum State { KEPT, RESENDING, DELIVERED, DISCARDED }
+    public enum State {
+        KEPT,
+        RESENDING,
+        DELIVERED,
+        DISCARDED
+    }
 
     /**
      * An attempt.
@@ -41,7 +55,7 @@
      * @param tries how many attempts it speaks of, the first ones
      * @param at when it was given
      */
-    public record Word(String by, String reason, int tries, long at) { }
+    public record Word(String by, String reason, int tries, long at) {}
 
     /** What is known of all attempts together. */
     public Ran ran() {
@@ -51,6 +65,8 @@
     /** The attempts that may have run and that no person has spoken for. */
     public List<Try> unproven() {
         int from = word == null ? 0 : Math.min(word.tries(), tries.size());
-        return tries.subList(from, tries.size()).stream().filter(t -> t.ran() == Ran.MAYBE).toList();
+        return tries.subList(from, tries.size()).stream()
+                .filter(t -> t.ran() == Ran.MAYBE)
+                .toList();
     }
 }
--- a/src/main/java/pipitstage/undeliverable/Rules.java
+++ b/src/main/java/pipitstage/undeliverable/Rules.java
@@ -32,7 +32,7 @@
     private static final long LEAST_TIME = 20_000_000;
 
     /** What may become of an entry. */
-    public sealed interface Verdict { }
+    public sealed interface Verdict {}
 
     /**
      * It may be sent now.
@@ -40,19 +40,19 @@
      * @param deadline until when it must have been delivered
      * @param past attempts that still bind where it may go
      */
-    public record Now(long deadline, List<PastAttempt> past) implements Verdict { }
+    public record Now(long deadline, List<PastAttempt> past) implements Verdict {}
 
     /** It may be sent later. */
-    public record Later(long at, String why) implements Verdict { }
+    public record Later(long at, String why) implements Verdict {}
 
     /** Only after a person's word. */
-    public record AfterWord(String why) implements Verdict { }
+    public record AfterWord(String why) implements Verdict {}
 
     /** It is over. */
-    public record Over(String why) implements Verdict { }
+    public record Over(String why) implements Verdict {}
 
     /** A class with how long its messages are worth sending again, in microseconds. */
-    public record Shelved(Policy.RequestClass type, long shelfLife) { }
+    public record Shelved(Policy.RequestClass type, long shelfLife) {}
 
     /**
      * Decides on an entry.
@@ -80,14 +80,15 @@
         boolean hasWord = entry.word() != null;
         boolean fresh = !clockIsBack && now - entry.keptAt() <= shelved.shelfLife();
         if (!fresh && !hasWord) {
-            return new AfterWord(clockIsBack ? "the clock was set back behind what is known of it"
-                    : "its shelf life is over");
+            return new AfterWord(
+                    clockIsBack ? "the clock was set back behind what is known of it" : "its shelf life is over");
         }
         Policy.RequestClass type = shelved.type();
         List<Entry.Try> unproven = entry.unproven();
         if (unproven.isEmpty() || type.repeat() == Repeat.REPEATABLE) {
             return now < entry.due() && entry.due() != Entry.NEVER_DUE && !hasWord
-                    ? new Later(entry.due(), "its pause is not over") : new Now(now + Math.max(LEAST_TIME, type.deadline()), List.of());
+                    ? new Later(entry.due(), "its pause is not over")
+                    : new Now(now + Math.max(LEAST_TIME, type.deadline()), List.of());
         }
         if (type.repeat() == Repeat.ONCE) {
             return new AfterWord("an attempt may have run");
@@ -95,12 +96,20 @@
         return keyed(entry, type, unproven, now, clockIsBack, steadySince);
     }
 
-    private Verdict keyed(Entry entry, Policy.RequestClass type, List<Entry.Try> unproven, long now,
-            boolean clockIsBack, long steadySince) {
-        Entry.Try first = unproven.stream().min(Comparator.comparingLong(Entry.Try::sentAt)).orElseThrow();
+    private Verdict keyed(
+            Entry entry,
+            Policy.RequestClass type,
+            List<Entry.Try> unproven,
+            long now,
+            boolean clockIsBack,
+            long steadySince) {
+        Entry.Try first = unproven.stream()
+                .min(Comparator.comparingLong(Entry.Try::sentAt))
+                .orElseThrow();
         long closes = first.sentAt() + type.keyWindow() - margin;
         if (first.sentAt() < steadySince) {
-            return new AfterWord("an attempt may have run before a restart, and its key window can't be measured since");
+            return new AfterWord(
+                    "an attempt may have run before a restart, and its key window can't be measured since");
         }
         if (clockIsBack || now >= closes) {
             return new AfterWord("an attempt may have run, and its key window is over");
@@ -113,8 +122,9 @@
             }
         }
         // The window is the deadline: what is not delivered within it must not be tried any more.
-        return new Now(Math.min(now + type.deadline(), closes), List.of(new PastAttempt(first.route(), first.sentAt(),
-                first.result())));
+        return new Now(
+                Math.min(now + type.deadline(), closes),
+                List.of(new PastAttempt(first.route(), first.sentAt(), first.result())));
     }
 
     /** When an entry that was tried without success is looked at next. */
--- a/src/main/java/pipitstage/undeliverable/Shelf.java
+++ b/src/main/java/pipitstage/undeliverable/Shelf.java
@@ -19,14 +19,20 @@
     }
 
     /** Which entries are meant; null and 0 mean any. {@code older} and {@code newer} are times when they were kept. */
-    record Filter(Entry.State state, Integer destination, String requestClass, String tenant, Ran ran, long newer,
+    record Filter(
+            Entry.State state,
+            Integer destination,
+            String requestClass,
+            String tenant,
+            Ran ran,
+            long newer,
             long older) {
         /** All entries. */
         public static final Filter ALL = new Filter(null, null, null, null, null, 0, 0);
     }
 
     /** How much there is. */
-    record Size(long entries, long bytes, long oldest) { }
+    record Size(long entries, long bytes, long oldest) {}
 
     /** Keeps an entry; its number. One with the same message id and deadline is there already: that one's number. */
     long put(Entry entry);
--- a/src/main/java/pipitstage/undeliverable/store/ShelfThread.java
+++ b/src/main/java/pipitstage/undeliverable/store/ShelfThread.java
@@ -21,8 +21,8 @@
 
     private final Shelf shelf;
     private final Executor loop;
-    private final ThreadPoolExecutor thread = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(MOST), work -> {
+    private final ThreadPoolExecutor thread =
+            new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST), work -> {
                 Thread made = new Thread(work, "undeliverable");
                 made.setDaemon(true);
                 return made;
--- a/src/main/java/pipitstage/undeliverable/store/SqliteShelf.java
+++ b/src/main/java/pipitstage/undeliverable/store/SqliteShelf.java
@@ -28,31 +28,35 @@
 public final class SqliteShelf implements Shelf {
     /** The file's name in the folder that lasts. */
     public static final String NAME = "undeliverable.db";
+
     private static final int VERSION = 2;
     /** A file of this version keeps no lines; it is brought up to date when a relay opens it. */
     private static final int WITHOUT_LINES = 1;
+
     private static final int BUSY_MS = 2_000;
     private static final byte[] NO_BODY = new byte[0];
 
     private static final String[] TABLES = {
         "CREATE TABLE entry (id INTEGER PRIMARY KEY AUTOINCREMENT, call_id TEXT NOT NULL, class TEXT NOT NULL,"
-            + " tenant TEXT, key TEXT, destination INTEGER NOT NULL, deadline INTEGER NOT NULL, body BLOB NOT NULL,"
-            + " kept_at INTEGER NOT NULL, why TEXT NOT NULL, told TEXT NOT NULL, state TEXT NOT NULL,"
-            + " ran TEXT NOT NULL, due INTEGER NOT NULL, resends INTEGER NOT NULL DEFAULT 0, word_by TEXT,"
-            + " word_reason TEXT, word_tries INTEGER, word_at INTEGER, line TEXT, UNIQUE (call_id, deadline))",
+                + " tenant TEXT, key TEXT, destination INTEGER NOT NULL, deadline INTEGER NOT NULL, body BLOB NOT NULL,"
+                + " kept_at INTEGER NOT NULL, why TEXT NOT NULL, told TEXT NOT NULL, state TEXT NOT NULL,"
+                + " ran TEXT NOT NULL, due INTEGER NOT NULL, resends INTEGER NOT NULL DEFAULT 0, word_by TEXT,"
+                + " word_reason TEXT, word_tries INTEGER, word_at INTEGER, line TEXT, UNIQUE (call_id, deadline))",
         "CREATE INDEX entry_due ON entry (state, destination, due)",
         "CREATE INDEX entry_kept ON entry (state, kept_at)",
         "CREATE TABLE try (entry INTEGER NOT NULL REFERENCES entry (id) ON DELETE CASCADE, n INTEGER NOT NULL,"
-            + " route TEXT NOT NULL, building TEXT NOT NULL, sent_at INTEGER NOT NULL, result TEXT,"
-            + " PRIMARY KEY (entry, n)) WITHOUT ROWID",
+                + " route TEXT NOT NULL, building TEXT NOT NULL, sent_at INTEGER NOT NULL, result TEXT,"
+                + " PRIMARY KEY (entry, n)) WITHOUT ROWID",
         "CREATE TABLE audit (id INTEGER PRIMARY KEY AUTOINCREMENT, at INTEGER NOT NULL, who TEXT NOT NULL,"
-            + " what TEXT NOT NULL, entry INTEGER NOT NULL, detail TEXT NOT NULL)",
+                + " what TEXT NOT NULL, entry INTEGER NOT NULL, detail TEXT NOT NULL)",
         "CREATE INDEX audit_entry ON audit (entry)",
         "CREATE TRIGGER audit_keeps BEFORE UPDATE ON audit BEGIN SELECT RAISE(ABORT, 'the audit is not changed'); END",
         "CREATE TRIGGER audit_stays BEFORE DELETE ON audit BEGIN SELECT RAISE(ABORT, 'the audit is not removed'); END",
-        "PRAGMA user_version = " + VERSION};
+        "PRAGMA user_version = " + VERSION
+    };
 
-    private static final String[] LINES = {"ALTER TABLE entry ADD COLUMN line TEXT", "PRAGMA user_version = " + VERSION};
+    private static final String[] LINES = {"ALTER TABLE entry ADD COLUMN line TEXT", "PRAGMA user_version = " + VERSION
+    };
 
     private final Connection db;
     private final String columns;
@@ -173,7 +177,8 @@
     }
 
     private static int version(Connection db) throws SQLException {
-        try (Statement statement = db.createStatement(); ResultSet result = statement.executeQuery("PRAGMA user_version")) {
+        try (Statement statement = db.createStatement();
+                ResultSet result = statement.executeQuery("PRAGMA user_version")) {
             return result.next() ? result.getInt(1) : 0;
         }
     }
@@ -255,11 +260,24 @@
     public long put(Entry entry) {
         return whole(() -> {
             Message.Content c = entry.content();
-            int made = change("INSERT INTO entry (call_id, class, tenant, key, destination, deadline, body, kept_at, why,"
-                    + " told, state, ran, due, line) VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
-                    + " ON CONFLICT (call_id, deadline) DO NOTHING", c.callId(), c.requestClass(), c.tenant(), c.key(),
-                    c.destination(), c.deadline(), c.body(), entry.keptAt(), entry.why(), entry.told(),
-                    entry.state().name(), entry.ran().name(), entry.due(), c.line());
+            int made = change(
+                    "INSERT INTO entry (call_id, class, tenant, key, destination, deadline, body, kept_at, why,"
+                            + " told, state, ran, due, line) VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
+                            + " ON CONFLICT (call_id, deadline) DO NOTHING",
+                    c.callId(),
+                    c.requestClass(),
+                    c.tenant(),
+                    c.key(),
+                    c.destination(),
+                    c.deadline(),
+                    c.body(),
+                    entry.keptAt(),
+                    entry.why(),
+                    entry.told(),
+                    entry.state().name(),
+                    entry.ran().name(),
+                    entry.due(),
+                    c.line());
             long id = findNow(c.callId(), c.deadline()).orElseThrow();
             // Guards against a second copy of its attempts, where a kill came before the journal forgot the message.
             if (made == 1) {
@@ -272,14 +290,21 @@
     private void add(long id, int from, List<Entry.Try> tries) throws SQLException {
         int n = from;
         for (Entry.Try t : tries) {
-            change("INSERT INTO try (entry, n, route, building, sent_at, result) VALUES (?, ?, ?, ?, ?, ?)", id, n++,
-                    t.route(), t.building(), t.sentAt(), t.result() == null ? null : t.result().name());
+            change(
+                    "INSERT INTO try (entry, n, route, building, sent_at, result) VALUES (?, ?, ?, ?, ?, ?)",
+                    id,
+                    n++,
+                    t.route(),
+                    t.building(),
+                    t.sentAt(),
+                    t.result() == null ? null : t.result().name());
         }
     }
 
     private OptionalLong findNow(String callId, long deadline) throws SQLException {
-        try (PreparedStatement statement = prepare("SELECT id FROM entry WHERE call_id = ? AND deadline = ?", callId,
-                deadline); ResultSet result = statement.executeQuery()) {
+        try (PreparedStatement statement =
+                        prepare("SELECT id FROM entry WHERE call_id = ? AND deadline = ?", callId, deadline);
+                ResultSet result = statement.executeQuery()) {
             return result.next() ? OptionalLong.of(result.getLong(1)) : OptionalLong.empty();
         }
     }
@@ -297,15 +322,32 @@
         byte[] body = r.getBytes(19);
         String by = r.getString(14);
         Entry.Word word = by == null ? null : new Entry.Word(by, r.getString(15), r.getInt(16), r.getLong(17));
-        return new Entry(r.getLong(1), new Message.Content(r.getString(2), r.getString(3), r.getString(4),
-                r.getString(5), r.getLong(7), r.getInt(6), body == null ? NO_BODY : body, null, r.getString(18)), r.getLong(8),
-                r.getString(9), r.getString(10), Entry.State.valueOf(r.getString(11)), r.getLong(12), word,
-                r.getInt(13), new ArrayList<>(1));
+        return new Entry(
+                r.getLong(1),
+                new Message.Content(
+                        r.getString(2),
+                        r.getString(3),
+                        r.getString(4),
+                        r.getString(5),
+                        r.getLong(7),
+                        r.getInt(6),
+                        body == null ? NO_BODY : body,
+                        null,
+                        r.getString(18)),
+                r.getLong(8),
+                r.getString(9),
+                r.getString(10),
+                Entry.State.valueOf(r.getString(11)),
+                r.getLong(12),
+                word,
+                r.getInt(13),
+                new ArrayList<>(1));
     }
 
     private List<Entry> read(PreparedStatement statement) throws SQLException {
         List<Entry> entries = new ArrayList<>();
-        try (statement; ResultSet r = statement.executeQuery()) {
+        try (statement;
+                ResultSet r = statement.executeQuery()) {
             while (r.next()) {
                 entries.add(row(r));
             }
@@ -318,9 +360,12 @@
 
     /** Fills the attempts of entries, which are in the order of their numbers, by one query in the same order. */
     private void addTries(List<Entry> entries) throws SQLException {
-        try (PreparedStatement statement = prepare("SELECT entry, route, building, sent_at, result FROM try WHERE"
-                + " entry BETWEEN ? AND ? ORDER BY entry, n", entries.get(0).id(),
-                entries.get(entries.size() - 1).id()); ResultSet r = statement.executeQuery()) {
+        try (PreparedStatement statement = prepare(
+                        "SELECT entry, route, building, sent_at, result FROM try WHERE"
+                                + " entry BETWEEN ? AND ? ORDER BY entry, n",
+                        entries.get(0).id(),
+                        entries.get(entries.size() - 1).id());
+                ResultSet r = statement.executeQuery()) {
             int at = 0;
             while (r.next()) {
                 long id = r.getLong(1);
@@ -329,8 +374,13 @@
                 }
                 if (at < entries.size() && entries.get(at).id() == id) {
                     String result = r.getString(5);
-                    entries.get(at).tries().add(new Entry.Try(r.getString(2), r.getString(3), r.getLong(4),
-                            result == null ? null : Result.valueOf(result)));
+                    entries.get(at)
+                            .tries()
+                            .add(new Entry.Try(
+                                    r.getString(2),
+                                    r.getString(3),
+                                    r.getLong(4),
+                                    result == null ? null : Result.valueOf(result)));
                 }
             }
         }
@@ -342,13 +392,15 @@
     }
 
     private Optional<Entry> one(long id) throws SQLException {
-        return read(prepare(columns + "body FROM entry WHERE id = ?", id)).stream().findFirst();
+        return read(prepare(columns + "body FROM entry WHERE id = ?", id)).stream()
+                .findFirst();
     }
 
     @Override
     public List<Entry> list(Filter f, long from, int most, boolean bodies) {
         List<Object> values = new ArrayList<>();
-        StringBuilder sql = new StringBuilder(columns + (bodies ? "body" : "NULL AS body") + " FROM entry WHERE id >= ?");
+        StringBuilder sql =
+                new StringBuilder(columns + (bodies ? "body" : "NULL AS body") + " FROM entry WHERE id >= ?");
         values.add(from);
         and(sql, values, " AND state = ?", f.state() == null ? null : f.state().name());
         and(sql, values, " AND destination = ?", f.destination());
@@ -375,8 +427,8 @@
         return whole(() -> {
             List<Entry> due = new ArrayList<>();
             long destination = after;
-            try (PreparedStatement next = db.prepareStatement("SELECT min(destination) FROM entry WHERE state = 'KEPT'"
-                    + " AND destination > ?")) {
+            try (PreparedStatement next = db.prepareStatement(
+                    "SELECT min(destination) FROM entry WHERE state = 'KEPT'" + " AND destination > ?")) {
                 while (due.size() < most) {
                     next.setLong(1, destination);
                     try (ResultSet r = next.executeQuery()) {
@@ -385,8 +437,11 @@
                         }
                         destination = r.getLong(1);
                     }
-                    due.addAll(read(prepare(columns + "body FROM entry WHERE state = 'KEPT' AND destination = ? AND"
-                            + " due <= ? ORDER BY due, id LIMIT 1", destination, now)));
+                    due.addAll(read(prepare(
+                            columns + "body FROM entry WHERE state = 'KEPT' AND destination = ? AND"
+                                    + " due <= ? ORDER BY due, id LIMIT 1",
+                            destination,
+                            now)));
                 }
             }
             return due;
@@ -396,8 +451,9 @@
     @Override
     public long newest() {
         return whole(() -> {
-            try (Statement statement = db.createStatement(); ResultSet r = statement.executeQuery("SELECT max(coalesce("
-                    + "(SELECT max(kept_at) FROM entry), 0), coalesce((SELECT max(sent_at) FROM try), 0))")) {
+            try (Statement statement = db.createStatement();
+                    ResultSet r = statement.executeQuery("SELECT max(coalesce("
+                            + "(SELECT max(kept_at) FROM entry), 0), coalesce((SELECT max(sent_at) FROM try), 0))")) {
                 return r.next() ? r.getLong(1) : 0;
             }
         });
@@ -405,8 +461,13 @@
 
     @Override
     public boolean move(long id, Entry.State from, Entry.State to, long due) {
-        return whole(() -> change("UPDATE entry SET state = ?, due = ? WHERE id = ? AND state = ?", to.name(), due, id,
-                from.name()) == 1);
+        return whole(() -> change(
+                        "UPDATE entry SET state = ?, due = ? WHERE id = ? AND state = ?",
+                        to.name(),
+                        due,
+                        id,
+                        from.name())
+                == 1);
     }
 
     @Override
@@ -416,9 +477,13 @@
             if (entry != null) {
                 add(id, entry.tries().size(), more);
                 // Guards against a resend that is recalled and would write over the proof that recalled it.
-                change("UPDATE entry SET state = CASE WHEN state = 'DELIVERED' THEN state ELSE ? END, due = ?,"
-                        + " why = CASE WHEN state = 'DELIVERED' THEN why ELSE ? END, resends = resends + 1 WHERE id = ?",
-                        state.name(), due, why, id);
+                change(
+                        "UPDATE entry SET state = CASE WHEN state = 'DELIVERED' THEN state ELSE ? END, due = ?,"
+                                + " why = CASE WHEN state = 'DELIVERED' THEN why ELSE ? END, resends = resends + 1 WHERE id = ?",
+                        state.name(),
+                        due,
+                        why,
+                        id);
                 settleRan(id);
             }
             return null;
@@ -428,13 +493,19 @@
     @Override
     public void learn(long id, Entry.Try more) {
         whole(() -> {
-            change("UPDATE try SET result = ? WHERE entry = ? AND route = ? AND sent_at = ? AND (result IS NULL OR"
-                    + " result NOT IN ('OK', 'FULL', 'CONNECT_FAILED', 'NOT_SENT'))",
-                    more.result() == null ? null : more.result().name(), id, more.route(), more.sentAt());
+            change(
+                    "UPDATE try SET result = ? WHERE entry = ? AND route = ? AND sent_at = ? AND (result IS NULL OR"
+                            + " result NOT IN ('OK', 'FULL', 'CONNECT_FAILED', 'NOT_SENT'))",
+                    more.result() == null ? null : more.result().name(),
+                    id,
+                    more.route(),
+                    more.sentAt());
             settleRan(id);
             if (more.ran() == Ran.DID) {
-                change("UPDATE entry SET state = 'DELIVERED', why = 'a late answer' WHERE id = ? AND state <>"
-                        + " 'DELIVERED'", id);
+                change(
+                        "UPDATE entry SET state = 'DELIVERED', why = 'a late answer' WHERE id = ? AND state <>"
+                                + " 'DELIVERED'",
+                        id);
             }
             return null;
         });
@@ -448,22 +519,31 @@
 
     @Override
     public boolean word(long id, Entry.Word word, long due) {
-        return whole(() -> change("UPDATE entry SET word_by = ?, word_reason = ?, word_tries = ?, word_at = ?, due = ?"
-                + " WHERE id = ? AND state = 'KEPT'", word.by(), word.reason(), word.tries(), word.at(), due, id) == 1);
+        return whole(() -> change(
+                        "UPDATE entry SET word_by = ?, word_reason = ?, word_tries = ?, word_at = ?, due = ?"
+                                + " WHERE id = ? AND state = 'KEPT'",
+                        word.by(),
+                        word.reason(),
+                        word.tries(),
+                        word.at(),
+                        due,
+                        id)
+                == 1);
     }
 
     @Override
     public void audit(long at, String who, String what, long id, String detail) {
-        whole(() -> change("INSERT INTO audit (at, who, what, entry, detail) VALUES (?, ?, ?, ?, ?)", at, who, what, id,
-                detail));
+        whole(() -> change(
+                "INSERT INTO audit (at, who, what, entry, detail) VALUES (?, ?, ?, ?, ?)", at, who, what, id, detail));
     }
 
     @Override
     public List<String> audits(long id) {
         return whole(() -> {
             List<String> lines = new ArrayList<>();
-            try (PreparedStatement statement = prepare("SELECT at, who, what, detail FROM audit WHERE entry = ?"
-                    + " ORDER BY id", id); ResultSet r = statement.executeQuery()) {
+            try (PreparedStatement statement =
+                            prepare("SELECT at, who, what, detail FROM audit WHERE entry = ?" + " ORDER BY id", id);
+                    ResultSet r = statement.executeQuery()) {
                 while (r.next()) {
                     lines.add(java.time.Instant.ofEpochMilli(r.getLong(1) / 1000) + " " + r.getString(2) + " "
                             + r.getString(3) + (r.getString(4).isEmpty() ? "" : ": " + r.getString(4)));
@@ -475,8 +555,11 @@
 
     @Override
     public int removeSettled(long olderThan, int most) {
-        return whole(() -> change("DELETE FROM entry WHERE id IN (SELECT id FROM entry WHERE state IN ('DELIVERED',"
-                + " 'DISCARDED') AND kept_at < ? ORDER BY state, kept_at LIMIT ?)", olderThan, most));
+        return whole(() -> change(
+                "DELETE FROM entry WHERE id IN (SELECT id FROM entry WHERE state IN ('DELIVERED',"
+                        + " 'DISCARDED') AND kept_at < ? ORDER BY state, kept_at LIMIT ?)",
+                olderThan,
+                most));
     }
 
     @Override
--- a/src/test/java/pipitstage/duplicates/SeenTest.java
+++ b/src/test/java/pipitstage/duplicates/SeenTest.java
@@ -16,8 +16,10 @@
 
 class SeenTest {
     private static final long SPAN = 1_000;
+
     @TempDir
     Path folder;
+
     private long now = 1_000_000;
 
     private SeenFile open(int most) throws IOException {
--- a/src/test/java/pipitstage/front/FakeIntake.java
+++ b/src/test/java/pipitstage/front/FakeIntake.java
@@ -12,14 +12,16 @@
 /** An intake whose answers a test gives, or that takes everything at once. */
 public final class FakeIntake implements Intake {
     /** A message that was handed in, with whoever waits for the answer. */
-    public record Handed(Message message, Message.ClientReply client) { }
+    public record Handed(Message message, Message.ClientReply client) {}
 
     /** Read by one thread while the loop adds; adding takes the same time however many there are, as floods are told here. */
     public final List<Handed> handed = Collections.synchronizedList(new ArrayList<>());
+
     public final Set<String> withdrawn = ConcurrentHashMap.newKeySet();
     private final AtomicLong numbers = new AtomicLong();
     /** Messages whose client left, which go on. */
     public final Set<String> left = ConcurrentHashMap.newKeySet();
+
     public volatile double fullness;
     public volatile boolean takesAll = true;
 
