--- a/src/test/java/pipitstage/pairs/Runs.java
+++ b/src/test/java/pipitstage/pairs/Runs.java
@@ -20,7 +20,7 @@
 
     private static final int WORD = 1_000;
 
-    private Runs() { }
+    private Runs() {}
 
     /** Plays so many, from a seed on, and says how far it has come each thousand. */
     static <T> T play(int runs, long seed, int sideBySide, T none, One<T> run, Broken<T> broken, BinaryOperator<T> plus)
