--- a/src/test/java/pipitstage/relay/RelayFileTestBase.java
+++ b/src/test/java/pipitstage/relay/RelayFileTestBase.java
@@ -15,6 +15,7 @@
 abstract class RelayFileTestBase {
     @TempDir
     Path folder;
+
     final List<ServedRelay> relays = new ArrayList<>();
 
     @AfterEach
--- a/src/test/java/pipitstage/relay/RelayTestBase.java
+++ b/src/test/java/pipitstage/relay/RelayTestBase.java
@@ -10,6 +10,7 @@
 abstract class RelayTestBase {
     @TempDir
     Path folder;
+
     StubPeer discovery;
     StubPeer host;
     RelayProcess relay;
