--- a/src/main/java/pipitstage/admin/AdminClient.java
+++ b/src/main/java/loftflow/admin/AdminClient.java
@@ -1,4 +1,4 @@
-package pipitstage.admin;
+package loftflow.admin;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -29,7 +29,8 @@
             return false;
         }
         try (channel) {
-            Channels.newOutputStream(channel).write((Lines.object(request) + "\n").getBytes(StandardCharsets.UTF_8));
+            Channels.newOutputStream(channel)
+                    .write((JsonLines.object(request) + "\n").getBytes(StandardCharsets.UTF_8));
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
--- a/src/main/java/pipitstage/admin/AdminServer.java
+++ b/src/main/java/loftflow/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package pipitstage.admin;
+package loftflow.admin;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -21,7 +21,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import pipitstage.log.Log;
+import loftflow.log.Log;
 
 /** Listens on the admin socket, one request at a time, on a thread of its own. */
 public final class AdminServer implements AutoCloseable {
@@ -88,7 +88,7 @@
         try {
             commands.carryOut(request(in.readLine()), lines);
         } catch (IllegalArgumentException e) {
-            lines.accept(Lines.error(e.getMessage()));
+            lines.accept(JsonLines.error(e.getMessage()));
         }
         out.flush();
     }
--- a/src/main/java/pipitstage/admin/UndeliverableDesk.java
+++ b/src/main/java/loftflow/admin/DeadLetterCommands.java
@@ -1,4 +1,4 @@
-package pipitstage.admin;
+package loftflow.admin;
 
 import java.util.List;
 import java.util.Map;
@@ -11,29 +11,29 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import pipitstage.engine.Clock;
-import pipitstage.undeliverable.Desk;
-import pipitstage.undeliverable.Entry;
-import pipitstage.undeliverable.Ran;
-import pipitstage.undeliverable.Rules;
-import pipitstage.undeliverable.Shelf;
-import pipitstage.undeliverable.ShelfQueue;
+import loftflow.deadletter.DeadLetter;
+import loftflow.deadletter.DeadLetterService;
+import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.DeadLetterStoreQueue;
+import loftflow.deadletter.ExecutionCertainty;
+import loftflow.deadletter.RedrivePolicy;
+import loftflow.engine.Clock;
 
 /**
  * What persons ask of the store: to see, to send again, to give their word, to discard. Each word and each resend that is
  * asked for is in the audit before anything else happens.
  */
-public final class UndeliverableDesk implements AdminServer.Commands {
+public final class DeadLetterCommands implements AdminServer.Commands {
     private static final int PAGE = 500;
     private static final int PATIENCE_S = 10;
 
-    private final Desk desk;
-    private final ShelfQueue shelf;
+    private final DeadLetterService desk;
+    private final DeadLetterStoreQueue shelf;
     private final Clock clock;
     private final Executor loop;
 
     /** Asks a desk and its shelf; {@code loop} is the event loop that the desk lives on. */
-    public UndeliverableDesk(Desk desk, ShelfQueue shelf, Clock clock, Executor loop) {
+    public DeadLetterCommands(DeadLetterService desk, DeadLetterStoreQueue shelf, Clock clock, Executor loop) {
         this.desk = desk;
         this.shelf = shelf;
         this.clock = clock;
@@ -44,9 +44,9 @@
     public void carryOut(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         switch (request.get("command")) {
             case "list" -> each(
-                    Filters.of(request),
+                    DeadLetterFilterReader.of(request),
                     entry -> out.accept(
-                            Lines.entry(entry, request.containsKey("body"), word(verdict(entry)), List.of())));
+                            JsonLines.entry(entry, request.containsKey("body"), word(verdict(entry)), List.of())));
             case "show" -> show(request, out);
             case "stats" -> out.accept(stats());
             case "resend" -> resend(request, out);
@@ -59,7 +59,7 @@
                     desk.pause(pauses);
                     return null;
                 });
-                out.accept(Lines.object(Map.of("paused", pauses)));
+                out.accept(JsonLines.object(Map.of("paused", pauses)));
             }
             default -> throw new IllegalArgumentException("unknown command " + request.get("command"));
         }
@@ -73,7 +73,7 @@
         }
     }
 
-    private <T> T ask(Function<Shelf, T> task) throws InterruptedException {
+    private <T> T ask(Function<DeadLetterStore, T> task) throws InterruptedException {
         CompletableFuture<T> answer = new CompletableFuture<>();
         if (!shelf.submit(task, answer::complete, () -> answer.completeExceptionally(new IllegalStateException()))) {
             throw new IllegalArgumentException("the store is busy; try again");
@@ -88,19 +88,19 @@
     }
 
     private interface PerEntry {
-        void accept(Entry entry) throws InterruptedException;
+        void accept(DeadLetter entry) throws InterruptedException;
     }
 
     /** In pages, so that a large store is neither held whole nor keeps others waiting. */
-    private void each(Filters filters, PerEntry action) throws InterruptedException {
+    private void each(DeadLetterFilterReader filters, PerEntry action) throws InterruptedException {
         // One that is named is the first from its number on, if it is meant at all.
         long from = filters.id();
         long left = filters.id() == 0 ? filters.most() : Math.min(1, filters.most());
         while (left > 0) {
             long start = from;
             int page = (int) Math.min(PAGE, left);
-            List<Entry> entries = ask(s -> s.list(filters.filter(), start, page, filters.bodies()));
-            for (Entry entry : entries) {
+            List<DeadLetter> entries = ask(s -> s.list(filters.filter(), start, page, filters.bodies()));
+            for (DeadLetter entry : entries) {
                 if (filters.id() == 0 || filters.id() == entry.id()) {
                     action.accept(entry);
                 }
@@ -110,38 +110,39 @@
         }
     }
 
-    private Entry one(Map<String, String> request) throws InterruptedException {
-        long id = Filters.id(request);
-        Optional<Entry> entry = ask(s -> s.get(id));
+    private DeadLetter one(Map<String, String> request) throws InterruptedException {
+        long id = DeadLetterFilterReader.id(request);
+        Optional<DeadLetter> entry = ask(s -> s.get(id));
         return entry.orElseThrow(() -> new IllegalArgumentException("there is no entry " + id));
     }
 
-    private Rules.Verdict verdict(Entry entry) throws InterruptedException {
+    private RedrivePolicy.Verdict verdict(DeadLetter entry) throws InterruptedException {
         return onLoop(() -> desk.decide(entry));
     }
 
-    private static String word(Rules.Verdict verdict) {
-        if (verdict instanceof Rules.Later later) {
+    private static String word(RedrivePolicy.Verdict verdict) {
+        if (verdict instanceof RedrivePolicy.Later later) {
             return "later: " + later.why();
-        } else if (verdict instanceof Rules.AfterWord after) {
+        } else if (verdict instanceof RedrivePolicy.AfterWord after) {
             return "after a person's word: " + after.why();
-        } else if (verdict instanceof Rules.Over over) {
+        } else if (verdict instanceof RedrivePolicy.Over over) {
             return "over: " + over.why();
         }
         return "may be sent";
     }
 
     private void show(Map<String, String> request, Consumer<String> out) throws InterruptedException {
-        Entry entry = one(request);
+        DeadLetter entry = one(request);
         List<String> audits = ask(s -> s.audits(entry.id()));
-        out.accept(Lines.entry(entry, request.containsKey("body"), word(verdict(entry)), audits));
+        out.accept(JsonLines.entry(entry, request.containsKey("body"), word(verdict(entry)), audits));
     }
 
     private String stats() throws InterruptedException {
-        Shelf.Size size = ask(Shelf::size);
+        DeadLetterStore.Size size = ask(DeadLetterStore::size);
         long lost = onLoop(desk::lost);
         boolean paused = onLoop(desk::isPaused);
-        return Lines.object(Map.of("entries", size.entries(), "bytes", size.bytes(), "lost", lost, "paused", paused));
+        return JsonLines.object(
+                Map.of("entries", size.entries(), "bytes", size.bytes(), "lost", lost, "paused", paused));
     }
 
     private static String by(Map<String, String> request) {
@@ -174,19 +175,19 @@
         boolean dry = request.containsKey("dry-run");
         boolean cancels = request.containsKey("cancel");
         by(request);
-        each(Filters.of(request), entry -> {
-            if (entry.state() != Entry.State.KEPT) {
+        each(DeadLetterFilterReader.of(request), entry -> {
+            if (entry.state() != DeadLetter.State.KEPT) {
                 return;
             }
-            Rules.Verdict verdict = verdict(entry);
-            boolean may = verdict instanceof Rules.Now || verdict instanceof Rules.Later;
+            RedrivePolicy.Verdict verdict = verdict(entry);
+            boolean may = verdict instanceof RedrivePolicy.Now || verdict instanceof RedrivePolicy.Later;
             boolean done = false;
             if (!dry && (may || cancels)) {
                 audit(request, cancels ? "cancel" : "resend", entry.id());
-                long due = cancels ? Entry.NEVER_DUE : clock.micros();
-                done = ask(s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.KEPT, due));
+                long due = cancels ? DeadLetter.NEVER_DUE : clock.micros();
+                done = ask(s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.KEPT, due));
             }
-            out.accept(Lines.object(
+            out.accept(JsonLines.object(
                     Map.of("id", entry.id(), "ref", entry.content().callId(), "verdict", word(verdict), "done", done)));
         });
     }
@@ -194,26 +195,27 @@
     private void confirm(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         String by = by(request);
         String reason = reason(request);
-        Entry entry = one(request);
-        if (entry.ran() == Ran.DID || entry.state() != Entry.State.KEPT) {
+        DeadLetter entry = one(request);
+        if (entry.ran() == ExecutionCertainty.DID || entry.state() != DeadLetter.State.KEPT) {
             throw new IllegalArgumentException("entry " + entry.id() + " is "
-                    + (entry.ran() == Ran.DID
+                    + (entry.ran() == ExecutionCertainty.DID
                             ? "proven to be delivered"
                             : entry.state().name().toLowerCase(java.util.Locale.ROOT)));
         }
         audit(request, "confirm not posted", entry.id());
         long now = clock.micros();
-        Entry.Word word = new Entry.Word(by, reason, entry.tries().size(), now);
+        DeadLetter.Word word = new DeadLetter.Word(by, reason, entry.tries().size(), now);
         boolean done = ask(s -> s.word(entry.id(), word, now));
-        out.accept(Lines.object(Map.of("id", entry.id(), "done", done)));
+        out.accept(JsonLines.object(Map.of("id", entry.id(), "done", done)));
     }
 
     private void discard(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         by(request);
         reason(request);
-        Entry entry = one(request);
+        DeadLetter entry = one(request);
         audit(request, "discard", entry.id());
-        boolean done = ask(s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.DISCARDED, Entry.NEVER_DUE));
-        out.accept(Lines.object(Map.of("id", entry.id(), "done", done)));
+        boolean done =
+                ask(s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, DeadLetter.NEVER_DUE));
+        out.accept(JsonLines.object(Map.of("id", entry.id(), "done", done)));
     }
 }
--- a/src/main/java/pipitstage/admin/Filters.java
+++ b/src/main/java/loftflow/admin/DeadLetterFilterReader.java
@@ -1,12 +1,12 @@
-package pipitstage.admin;
+package loftflow.admin;
 
 import java.time.Instant;
 import java.time.format.DateTimeParseException;
 import java.util.Locale;
 import java.util.Map;
-import pipitstage.undeliverable.Entry;
-import pipitstage.undeliverable.Ran;
-import pipitstage.undeliverable.Shelf;
+import loftflow.deadletter.DeadLetter;
+import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.ExecutionCertainty;
 
 /**
  * Which entries a request means, read from its members.
@@ -14,24 +14,24 @@
  * @param id one alone, or 0
  * @param most so many at the most
  */
-public record Filters(Shelf.Filter filter, long id, long most, boolean bodies) {
+public record DeadLetterFilterReader(DeadLetterStore.Filter filter, long id, long most, boolean bodies) {
 
     /**
      * Reads them.
      *
      * @throws IllegalArgumentException where a member makes no sense, naming it
      */
-    public static Filters of(Map<String, String> request) {
-        Shelf.Filter filter = new Shelf.Filter(
-                word(request, "state", Entry.State.class),
+    public static DeadLetterFilterReader of(Map<String, String> request) {
+        DeadLetterStore.Filter filter = new DeadLetterStore.Filter(
+                word(request, "state", DeadLetter.State.class),
                 request.containsKey("destination") ? (int) number(request, "destination") : null,
                 request.get("class"),
                 request.get("tenant"),
-                word(request, "ran", Ran.class),
+                word(request, "ran", ExecutionCertainty.class),
                 time(request, "since"),
                 time(request, "until"));
         long id = request.containsKey("id") ? id(request) : 0;
-        return new Filters(
+        return new DeadLetterFilterReader(
                 filter,
                 id,
                 request.containsKey("most") ? number(request, "most") : Long.MAX_VALUE,
--- a/src/main/java/pipitstage/admin/Lines.java
+++ b/src/main/java/loftflow/admin/JsonLines.java
@@ -1,4 +1,4 @@
-package pipitstage.admin;
+package loftflow.admin;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -8,13 +8,13 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Map;
-import pipitstage.undeliverable.Entry;
+import loftflow.deadletter.DeadLetter;
 
 /** Answers as lines of JSON. */
-public final class Lines {
+public final class JsonLines {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Lines() {}
+    private JsonLines() {}
 
     private interface Body {
         void write(JsonGenerator json) throws IOException;
@@ -46,7 +46,7 @@
     }
 
     /** An entry; its body, in Base64, only where it was asked for. {@code verdict} may be null. */
-    public static String entry(Entry entry, boolean body, String verdict, List<String> audits) {
+    public static String entry(DeadLetter entry, boolean body, String verdict, List<String> audits) {
         return line(json -> {
             json.writeNumberField("id", entry.id());
             json.writeStringField("ref", entry.content().callId());
@@ -69,13 +69,13 @@
                         "word", entry.word().by() + ": " + entry.word().reason());
             }
             json.writeArrayFieldStart("tries");
-            for (Entry.Try t : entry.tries()) {
+            for (DeadLetter.Try t : entry.tries()) {
                 json.writeStartObject();
                 json.writeStringField("route", t.route());
                 json.writeStringField("building", t.building());
                 json.writeStringField("sent", time(t.sentAt()));
                 json.writeStringField(
-                        "result", t.result() == null ? null : t.result().name());
+                        "result", t.result() == null ? null : t.result().code());
                 json.writeStringField("ran", t.ran().name().toLowerCase(java.util.Locale.ROOT));
                 json.writeEndObject();
             }
--- a/src/main/java/pipitstage/admin/package-info.java
+++ b/src/main/java/loftflow/admin/package-info.java
@@ -3,7 +3,7 @@
  * one line of JSON, {@code {"command":"list", ...}} with text values alone; the answer is lines of JSON, and the
  * end of the connection ends it. A line {@code {"error":"..."}} is the last one.
  *
- * <p>May use: {@code undeliverable} and its store, the engine's {@code Clock}, the log, Jackson; no Netty but an
+ * <p>May use: {@code deadletter} and its store, the engine's {@code Clock}, the log, Jackson; no Netty but an
  * {@code Executor} for the event loop.
  */
-package pipitstage.admin;
+package loftflow.admin;
--- a/src/main/java/pipitstage/amqp/codec/AmqpException.java
+++ b/src/main/java/loftflow/amqp/codec/AmqpException.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 /** What the other side sent breaks the protocol, or asks for what can't be had (AMQP 0-9-1, section 1.2, reply codes). */
 public final class AmqpException extends Exception {
--- a/src/main/java/pipitstage/amqp/codec/Command.java
+++ b/src/main/java/loftflow/amqp/codec/Command.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 /**
  * A method that has come whole, with its content where it carries one.
@@ -8,7 +8,7 @@
  * @param size bytes of the body as its header told them; 0 where there is none
  */
 public record Command(int channel, Method method, Properties properties, byte[] body, long size) {
-    public Op op() {
+    public MethodType op() {
         return method.op();
     }
 
--- a/src/main/java/pipitstage/amqp/codec/Assembler.java
+++ b/src/main/java/loftflow/amqp/codec/CommandAssembler.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -7,7 +7,7 @@
  * Puts the frames of one channel together (AMQP 0-9-1, section 4.2.6): a method, its header, and its body in pieces.
  * Content that may not be held is read past, so that the connection goes on behind it.
  */
-public final class Assembler {
+public final class CommandAssembler {
     /** What may be held of bodies that are not whole yet, all channels together. */
     public interface Room {
         /** Takes bytes; false where there are not so many left. */
@@ -35,7 +35,7 @@
      *
      * @param mostBody bytes of the largest body that is held
      */
-    public Assembler(int channel, int mostBody, Room room) {
+    public CommandAssembler(int channel, int mostBody, Room room) {
         this.channel = channel;
         this.mostBody = mostBody;
         this.room = room;
@@ -75,7 +75,7 @@
         if (method == null || properties != null) {
             throw unexpected("a header that no method awaits");
         }
-        Kind.need(payload, Short.BYTES + Short.BYTES + Long.BYTES);
+        ValueType.need(payload, Short.BYTES + Short.BYTES + Long.BYTES);
         int classId = payload.readUnsignedShort();
         payload.skipBytes(Short.BYTES);
         size = payload.readLong();
--- a/src/main/java/pipitstage/amqp/codec/Tables.java
+++ b/src/main/java/loftflow/amqp/codec/FieldTables.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import io.netty.buffer.ByteBuf;
 import java.math.BigDecimal;
@@ -15,13 +15,13 @@
  * specification differ. Values are Boolean, Byte, Short, Integer, Long, Float, Double, BigDecimal, String, Instant,
  * byte[], List, Map and null. Unsigned numbers come as the next larger type.
  */
-public final class Tables {
+public final class FieldTables {
     /** Guards against tables in tables that would end the stack. */
     static final int MOST_NESTED = 16;
 
     private static final int MOST_SCALE = 255;
 
-    private Tables() {}
+    private FieldTables() {}
 
     /** Reads a table with its length ahead. */
     public static Map<String, Object> read(ByteBuf in) throws AmqpException {
@@ -32,7 +32,7 @@
         ByteBuf part = part(in, nested);
         Map<String, Object> table = new LinkedHashMap<>();
         while (part.isReadable()) {
-            String name = Kind.text(part, part.readUnsignedByte());
+            String name = ValueType.text(part, part.readUnsignedByte());
             table.put(name, value(part, nested));
         }
         return table;
@@ -51,25 +51,25 @@
         if (nested > MOST_NESTED) {
             throw new AmqpException(AmqpException.SYNTAX_ERROR, "tables are nested more than " + MOST_NESTED + " deep");
         }
-        long length = Kind.need(in, Integer.BYTES).readUnsignedInt();
-        return Kind.need(in, length).readSlice((int) length);
+        long length = ValueType.need(in, Integer.BYTES).readUnsignedInt();
+        return ValueType.need(in, length).readSlice((int) length);
     }
 
     private static Object value(ByteBuf in, int nested) throws AmqpException {
-        char type = (char) Kind.need(in, 1).readUnsignedByte();
+        char type = (char) ValueType.need(in, 1).readUnsignedByte();
         return switch (type) {
-            case 't' -> Kind.need(in, 1).readByte() != 0;
-            case 'b' -> Kind.need(in, 1).readByte();
-            case 'B' -> Kind.need(in, 1).readUnsignedByte();
-            case 's' -> Kind.need(in, Short.BYTES).readShort();
-            case 'u' -> Kind.need(in, Short.BYTES).readUnsignedShort();
-            case 'I' -> Kind.need(in, Integer.BYTES).readInt();
-            case 'i' -> Kind.need(in, Integer.BYTES).readUnsignedInt();
-            case 'l', 'L' -> Kind.need(in, Long.BYTES).readLong();
-            case 'f' -> Kind.need(in, Float.BYTES).readFloat();
-            case 'd' -> Kind.need(in, Double.BYTES).readDouble();
+            case 't' -> ValueType.need(in, 1).readByte() != 0;
+            case 'b' -> ValueType.need(in, 1).readByte();
+            case 'B' -> ValueType.need(in, 1).readUnsignedByte();
+            case 's' -> ValueType.need(in, Short.BYTES).readShort();
+            case 'u' -> ValueType.need(in, Short.BYTES).readUnsignedShort();
+            case 'I' -> ValueType.need(in, Integer.BYTES).readInt();
+            case 'i' -> ValueType.need(in, Integer.BYTES).readUnsignedInt();
+            case 'l', 'L' -> ValueType.need(in, Long.BYTES).readLong();
+            case 'f' -> ValueType.need(in, Float.BYTES).readFloat();
+            case 'd' -> ValueType.need(in, Double.BYTES).readDouble();
             case 'D' -> decimal(in);
-            case 'S' -> Kind.LONGSTR.read(in);
+            case 'S' -> ValueType.LONGSTR.read(in);
             case 'T' -> instant(in);
             case 'x' -> bytes(in);
             case 'A' -> readArray(in, nested + 1);
@@ -80,12 +80,12 @@
     }
 
     private static BigDecimal decimal(ByteBuf in) throws AmqpException {
-        int scale = Kind.need(in, 1 + Integer.BYTES).readUnsignedByte();
+        int scale = ValueType.need(in, 1 + Integer.BYTES).readUnsignedByte();
         return new BigDecimal(BigInteger.valueOf(in.readInt()), scale);
     }
 
     private static Instant instant(ByteBuf in) throws AmqpException {
-        long seconds = Kind.need(in, Long.BYTES).readLong();
+        long seconds = ValueType.need(in, Long.BYTES).readLong();
         if (seconds < Instant.MIN.getEpochSecond() || seconds > Instant.MAX.getEpochSecond()) {
             throw new AmqpException(AmqpException.SYNTAX_ERROR, "a time is out of bounds");
         }
@@ -93,8 +93,8 @@
     }
 
     private static byte[] bytes(ByteBuf in) throws AmqpException {
-        long length = Kind.need(in, Integer.BYTES).readUnsignedInt();
-        byte[] bytes = new byte[Kind.need(in, length).readableBytes() < length ? 0 : (int) length];
+        long length = ValueType.need(in, Integer.BYTES).readUnsignedInt();
+        byte[] bytes = new byte[ValueType.need(in, length).readableBytes() < length ? 0 : (int) length];
         in.readBytes(bytes);
         return bytes;
     }
@@ -104,7 +104,7 @@
         int start = out.writerIndex();
         out.writeInt(0);
         table.forEach((name, value) -> {
-            Kind.writeShort(out, (String) name);
+            ValueType.writeShort(out, (String) name);
             writeValue(out, value);
         });
         out.setInt(start, out.writerIndex() - start - Integer.BYTES);
@@ -116,9 +116,9 @@
         } else if (value instanceof Boolean flag) {
             out.writeByte('t').writeBoolean(flag);
         } else if (value instanceof String text) {
-            Kind.writeLong(out.writeByte('S'), text.getBytes(StandardCharsets.UTF_8));
+            ValueType.writeLong(out.writeByte('S'), text.getBytes(StandardCharsets.UTF_8));
         } else if (value instanceof byte[] bytes) {
-            Kind.writeLong(out.writeByte('x'), bytes);
+            ValueType.writeLong(out.writeByte('x'), bytes);
         } else if (value instanceof Number number) {
             writeNumber(out, number);
         } else if (value instanceof Instant time) {
--- a/src/main/java/pipitstage/amqp/codec/Frame.java
+++ b/src/main/java/loftflow/amqp/codec/Frame.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import io.netty.buffer.ByteBuf;
 
--- a/src/main/java/pipitstage/amqp/codec/Method.java
+++ b/src/main/java/loftflow/amqp/codec/Method.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import io.netty.buffer.ByteBuf;
 import java.util.List;
@@ -6,10 +6,10 @@
 
 /** One method with its arguments, which are asked for by their names in the specification. */
 public final class Method {
-    private final Op op;
+    private final MethodType op;
     private final Object[] values;
 
-    private Method(Op op, Object[] values) {
+    private Method(MethodType op, Object[] values) {
         this.op = op;
         this.values = values;
     }
@@ -20,12 +20,12 @@
      * @param values the arguments that are not reserved, in order
      * @throws IllegalArgumentException where they are not what the method takes
      */
-    public static Method of(Op op, Object... values) {
-        List<Op.Argument> arguments = op.arguments();
+    public static Method of(MethodType op, Object... values) {
+        List<MethodType.Argument> arguments = op.arguments();
         Object[] all = new Object[arguments.size()];
         int used = 0;
         for (int i = 0; i < all.length; i++) {
-            Op.Argument argument = arguments.get(i);
+            MethodType.Argument argument = arguments.get(i);
             boolean reserved = argument.name().startsWith("reserved");
             all[i] = reserved ? nothing(argument.kind()) : used < values.length ? values[used++] : null;
             if (!argument.kind().fits(all[i])) {
@@ -38,7 +38,7 @@
         return new Method(op, all);
     }
 
-    private static Object nothing(Kind kind) {
+    private static Object nothing(ValueType kind) {
         return switch (kind) {
             case OCTET, SHORT -> 0;
             case BIT -> false;
@@ -49,10 +49,10 @@
 
     /** Reads a method frame's payload. */
     public static Method read(ByteBuf in) throws AmqpException {
-        Kind.need(in, Short.BYTES + Short.BYTES);
+        ValueType.need(in, Short.BYTES + Short.BYTES);
         int classId = in.readUnsignedShort();
         int methodId = in.readUnsignedShort();
-        Op op = Op.of(classId, methodId);
+        MethodType op = MethodType.of(classId, methodId);
         if (op == null) {
             throw new AmqpException(
                     AmqpException.NOT_IMPLEMENTED, "method " + classId + "." + methodId + " is not implemented");
@@ -61,10 +61,10 @@
         int bits = 0;
         int bit = Byte.SIZE;
         for (int i = 0; i < values.length; i++) {
-            Kind kind = op.arguments().get(i).kind();
-            if (kind == Kind.BIT) {
+            ValueType kind = op.arguments().get(i).kind();
+            if (kind == ValueType.BIT) {
                 if (bit == Byte.SIZE) {
-                    bits = Kind.need(in, 1).readUnsignedByte();
+                    bits = ValueType.need(in, 1).readUnsignedByte();
                     bit = 0;
                 }
                 values[i] = (bits >> bit++ & 1) != 0;
@@ -85,18 +85,18 @@
         int bits = 0;
         int bit = 0;
         for (int i = 0; i < values.length; i++) {
-            Kind kind = op.arguments().get(i).kind();
-            if (kind == Kind.BIT) {
+            ValueType kind = op.arguments().get(i).kind();
+            if (kind == ValueType.BIT) {
                 bits |= (Boolean) values[i] ? 1 << bit : 0;
                 bit++;
             }
-            boolean ends = bit > 0 && (kind != Kind.BIT || bit == Byte.SIZE);
+            boolean ends = bit > 0 && (kind != ValueType.BIT || bit == Byte.SIZE);
             if (ends) {
                 out.writeByte(bits);
                 bits = 0;
                 bit = 0;
             }
-            if (kind != Kind.BIT) {
+            if (kind != ValueType.BIT) {
                 kind.write(out, values[i]);
             }
         }
@@ -105,7 +105,7 @@
         }
     }
 
-    public Op op() {
+    public MethodType op() {
         return op;
     }
 
--- a/src/main/java/pipitstage/amqp/codec/Op.java
+++ b/src/main/java/loftflow/amqp/codec/MethodType.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,7 +10,7 @@
  * The methods that are understood, each with its arguments in order, as the specification lists them (AMQP 0-9-1,
  * section 1; those of class confirm, {@code basic.nack} and {@code connection.blocked} are RabbitMQ's extensions).
  */
-public enum Op {
+public enum MethodType {
     CONNECTION_START(10, 10, "octet major, octet minor, table server-properties, longstr mechanisms, longstr locales"),
     CONNECTION_START_OK(10, 11, "table client-properties, shortstr mechanism, longstr response, shortstr locale"),
     CONNECTION_SECURE(10, 20, "longstr challenge"),
@@ -87,12 +87,12 @@
     CONFIRM_SELECT_OK(85, 11, "");
 
     /** An argument: its kind, and its name in the specification. */
-    record Argument(Kind kind, String name) {}
+    record Argument(ValueType kind, String name) {}
 
-    private static final Map<Integer, Op> BY_NUMBER = new HashMap<>();
+    private static final Map<Integer, MethodType> BY_NUMBER = new HashMap<>();
 
     static {
-        for (Op op : values()) {
+        for (MethodType op : values()) {
             BY_NUMBER.put(number(op.classId, op.methodId), op);
         }
     }
@@ -101,12 +101,12 @@
     private final int methodId;
     private final List<Argument> arguments = new ArrayList<>();
 
-    Op(int classId, int methodId, String arguments) {
+    MethodType(int classId, int methodId, String arguments) {
         this.classId = classId;
         this.methodId = methodId;
         for (String argument : arguments.isEmpty() ? new String[0] : arguments.split(", ")) {
             String[] halves = argument.split(" ");
-            this.arguments.add(new Argument(Kind.valueOf(halves[0].toUpperCase(Locale.ROOT)), halves[1]));
+            this.arguments.add(new Argument(ValueType.valueOf(halves[0].toUpperCase(Locale.ROOT)), halves[1]));
         }
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** The method of two numbers; null where it is none that is understood. */
-    static Op of(int classId, int methodId) {
+    static MethodType of(int classId, int methodId) {
         return BY_NUMBER.get(number(classId, methodId));
     }
 
--- a/src/main/java/pipitstage/amqp/codec/Properties.java
+++ b/src/main/java/loftflow/amqp/codec/Properties.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import io.netty.buffer.ByteBuf;
 import java.util.EnumMap;
@@ -31,7 +31,7 @@
     }
 
     static Properties read(ByteBuf in) throws AmqpException {
-        int flags = Kind.need(in, Short.BYTES).readUnsignedShort();
+        int flags = ValueType.need(in, Short.BYTES).readUnsignedShort();
         if ((flags & (CONTINUES | 1 << 1)) != 0) {
             throw new AmqpException(AmqpException.SYNTAX_ERROR, "class basic has no more than 14 properties");
         }
--- a/src/main/java/pipitstage/amqp/codec/Kind.java
+++ b/src/main/java/loftflow/amqp/codec/ValueType.java
@@ -1,11 +1,11 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
 /** The kinds of a method's arguments and of properties (AMQP 0-9-1, section 4.2.5). */
-public enum Kind {
+public enum ValueType {
     OCTET(Integer.class),
     SHORT(Integer.class),
     LONG(Long.class),
@@ -22,7 +22,7 @@
 
     private final Class<?> type;
 
-    Kind(Class<?> type) {
+    ValueType(Class<?> type) {
         this.type = type;
     }
 
@@ -40,7 +40,7 @@
             case LONGLONG, TIMESTAMP -> need(in, Long.BYTES).readLong();
             case SHORTSTR -> text(in, need(in, Byte.BYTES).readUnsignedByte());
             case LONGSTR -> text(in, need(in, Integer.BYTES).readUnsignedInt());
-            case TABLE -> Tables.read(in);
+            case TABLE -> FieldTables.read(in);
             case BIT -> throw new IllegalStateException("bits are read together");
         };
     }
@@ -53,7 +53,7 @@
             case LONGLONG, TIMESTAMP -> out.writeLong((Long) value);
             case SHORTSTR -> writeShort(out, (String) value);
             case LONGSTR -> writeLong(out, ((String) value).getBytes(StandardCharsets.UTF_8));
-            case TABLE -> Tables.write(out, (Map<?, ?>) value);
+            case TABLE -> FieldTables.write(out, (Map<?, ?>) value);
             case BIT -> throw new IllegalStateException("bits are written together");
         }
     }
--- a/src/main/java/pipitstage/amqp/codec/package-info.java
+++ b/src/main/java/loftflow/amqp/codec/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: Netty's buffers alone.
  */
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
--- a/src/main/java/pipitstage/amqp/confirm/Confirms.java
+++ b/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.confirm;
+package loftflow.amqp.confirm;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,7 +12,7 @@
  *
  * @param <T> what is published
  */
-public final class Confirms<T> {
+public final class PublisherConfirms<T> {
     /** The header that a publish carries its tag in, since a return names none. */
     public static final String TAG = "x-loftflow-publish";
 
--- a/src/main/java/pipitstage/amqp/link/ClientLink.java
+++ b/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.link;
+package loftflow.amqp.link;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -14,14 +14,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Command;
-import pipitstage.amqp.codec.Frame;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.Command;
+import loftflow.amqp.codec.Frame;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
 
 /** A connection to a broker (AMQP 0-9-1, section 2.2.4), which logs in by PLAIN and opens channels that are asked for. */
-public final class ClientLink extends Link {
+public final class AmqpClientConnection extends AmqpConnection {
     /** The first bytes of every connection. */
     static final byte[] GREETING = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
 
@@ -69,7 +69,7 @@
     private boolean open;
     private boolean over;
 
-    private ClientLink(Login login, int mostBody, Owner owner) {
+    private AmqpClientConnection(Login login, int mostBody, Owner owner) {
         super(mostBody, ANY_ROOM);
         this.login = login;
         this.owner = owner;
@@ -81,8 +81,8 @@
      * @param mostBody bytes of the largest body that is held; larger ones are skipped
      * @param timeout microseconds until it has to be of use to its owner
      */
-    public static ClientLink dial(EventLoop loop, Broker broker, int mostBody, long timeout, Owner owner) {
-        ClientLink link = new ClientLink(broker.login(), mostBody, owner);
+    public static AmqpClientConnection dial(EventLoop loop, Broker broker, int mostBody, long timeout, Owner owner) {
+        AmqpClientConnection link = new AmqpClientConnection(broker.login(), mostBody, owner);
         InetSocketAddress address = broker.address();
         ChannelFuture connected = new Bootstrap()
                 .group(loop)
@@ -141,7 +141,7 @@
     /** Opens a channel; {@code CHANNEL_OPEN_OK} is told to the owner. */
     public void openChannel(int channel) {
         channels.add(channel);
-        send(channel, Method.of(Op.CHANNEL_OPEN));
+        send(channel, Method.of(MethodType.CHANNEL_OPEN));
     }
 
     @Override
@@ -191,7 +191,7 @@
         } else {
             stopped.add(channel);
         }
-        send(channel, Method.of(Op.CHANNEL_FLOW_OK, active));
+        send(channel, Method.of(MethodType.CHANNEL_FLOW_OK, active));
         owner.publishing(active ? "the broker lets the flow go on" : "the broker stops the flow");
     }
 
@@ -213,7 +213,7 @@
         send(
                 0,
                 Method.of(
-                        Op.CONNECTION_START_OK,
+                        MethodType.CONNECTION_START_OK,
                         Map.<String, Object>of("product", "loftflow", "capabilities", capabilities),
                         "PLAIN",
                         "\0" + login.user() + "\0" + login.password(),
@@ -232,9 +232,9 @@
         int heartbeat = login.heartbeat() == 0 || theirs == 0
                 ? Math.max(login.heartbeat(), theirs)
                 : Math.min(login.heartbeat(), theirs);
-        send(0, Method.of(Op.CONNECTION_TUNE_OK, most, (long) frames, heartbeat));
+        send(0, Method.of(MethodType.CONNECTION_TUNE_OK, most, (long) frames, heartbeat));
         agreed(frames, heartbeat);
-        send(0, Method.of(Op.CONNECTION_OPEN, login.virtualHost()));
+        send(0, Method.of(MethodType.CONNECTION_OPEN, login.virtualHost()));
     }
 
     @Override
--- a/src/main/java/pipitstage/amqp/link/Link.java
+++ b/src/main/java/loftflow/amqp/link/AmqpConnection.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.link;
+package loftflow.amqp.link;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
@@ -10,18 +10,18 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Assembler;
-import pipitstage.amqp.codec.Command;
-import pipitstage.amqp.codec.Frame;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Properties;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.Command;
+import loftflow.amqp.codec.CommandAssembler;
+import loftflow.amqp.codec.Frame;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Properties;
 
 /** One connection, of either role: frames in and out, heartbeats and the end. Everything happens on its event loop. */
-public abstract class Link extends ChannelInboundHandlerAdapter {
+public abstract class AmqpConnection extends ChannelInboundHandlerAdapter {
     /** What a link may hold of bodies that are not whole, where nobody counts. */
-    public static final Assembler.Room ANY_ROOM = new Assembler.Room() {
+    public static final CommandAssembler.Room ANY_ROOM = new CommandAssembler.Room() {
         @Override
         public boolean take(int bytes) {
             return true;
@@ -36,8 +36,8 @@
     private static final int SILENT_HALVES = 4;
 
     private final int mostBody;
-    private final Assembler.Room room;
-    private final Map<Integer, Assembler> assemblers = new HashMap<>();
+    private final CommandAssembler.Room room;
+    private final Map<Integer, CommandAssembler> assemblers = new HashMap<>();
     private ChannelHandlerContext context;
     /** What has come of a frame that is not whole; null where nothing has. */
     private ByteBuf half;
@@ -57,7 +57,7 @@
      *
      * @param mostBody bytes of the largest body that is held
      */
-    Link(int mostBody, Assembler.Room room) {
+    AmqpConnection(int mostBody, CommandAssembler.Room room) {
         this.mostBody = mostBody;
         this.room = room;
     }
@@ -146,16 +146,17 @@
         if (!mayCome(frame.channel())) {
             throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + frame.channel() + " is not open");
         }
-        Assembler assembler = assemblers.computeIfAbsent(frame.channel(), c -> new Assembler(c, mostBody, room));
+        CommandAssembler assembler =
+                assemblers.computeIfAbsent(frame.channel(), c -> new CommandAssembler(c, mostBody, room));
         Command command = assembler.add(frame);
         if (command == null) {
             return;
         }
-        if (command.op() == Op.CONNECTION_CLOSE) {
+        if (command.op() == MethodType.CONNECTION_CLOSE) {
             why = "the other side closed it: " + command.method().number("reply-code") + " "
                     + command.method().text("reply-text");
-            send(0, Method.of(Op.CONNECTION_CLOSE_OK)).addListener(ChannelFutureListener.CLOSE);
-        } else if (command.op() == Op.CONNECTION_CLOSE_OK) {
+            send(0, Method.of(MethodType.CONNECTION_CLOSE_OK)).addListener(ChannelFutureListener.CLOSE);
+        } else if (command.op() == MethodType.CONNECTION_CLOSE_OK) {
             context.close();
         } else if (!ending) {
             received(command);
@@ -167,7 +168,7 @@
 
     /** A channel is over: what was half read on it is dropped. */
     void forget(int channel) {
-        Assembler assembler = assemblers.remove(channel);
+        CommandAssembler assembler = assemblers.remove(channel);
         if (assembler != null) {
             assembler.close();
         }
@@ -251,7 +252,7 @@
     }
 
     /** Ends the connection for a fault of the other side, in words; by the method's numbers where one is at fault. */
-    public final void fail(AmqpException fault, Op op) {
+    public final void fail(AmqpException fault, MethodType op) {
         end(fault.code(), fault.getMessage(), op == null ? 0 : op.classId(), op == null ? 0 : op.methodId());
     }
 
@@ -269,7 +270,7 @@
         send(
                 0,
                 Method.of(
-                        Op.CONNECTION_CLOSE,
+                        MethodType.CONNECTION_CLOSE,
                         code,
                         text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) : text,
                         classId,
@@ -296,7 +297,7 @@
         if (beat != null) {
             beat.cancel(false);
         }
-        assemblers.values().forEach(Assembler::close);
+        assemblers.values().forEach(CommandAssembler::close);
         assemblers.clear();
     }
 
--- a/src/main/java/pipitstage/amqp/link/ServerLink.java
+++ b/src/main/java/loftflow/amqp/link/AmqpServerConnection.java
@@ -1,19 +1,19 @@
-package pipitstage.amqp.link;
+package loftflow.amqp.link;
 
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Assembler;
-import pipitstage.amqp.codec.Command;
-import pipitstage.amqp.codec.Frame;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.Command;
+import loftflow.amqp.codec.CommandAssembler;
+import loftflow.amqp.codec.Frame;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
 
 /** A connection that a client has opened to this side: lets it in, and keeps its channels. */
-public final class ServerLink extends Link {
+public final class AmqpServerConnection extends AmqpConnection {
     /**
      * What is offered.
      *
@@ -70,7 +70,7 @@
     private int channelMax;
 
     /** A link for a channel's pipeline. */
-    public ServerLink(Offer offer, int mostBody, Assembler.Room room, Owner owner) {
+    public AmqpServerConnection(Offer offer, int mostBody, CommandAssembler.Room room, Owner owner) {
         super(mostBody, room);
         this.offer = offer;
         this.owner = owner;
@@ -84,16 +84,16 @@
         if (state != State.GREETING) {
             return true;
         }
-        int there = Math.min(in.readableBytes(), ClientLink.GREETING.length);
+        int there = Math.min(in.readableBytes(), AmqpClientConnection.GREETING.length);
         byte[] bytes = new byte[there];
         in.getBytes(in.readerIndex(), bytes);
-        if (!Arrays.equals(bytes, Arrays.copyOf(ClientLink.GREETING, there))) {
+        if (!Arrays.equals(bytes, Arrays.copyOf(AmqpClientConnection.GREETING, there))) {
             // As the specification wants it (section 4.2.2): the greeting that would do, and the end.
             in.skipBytes(in.readableBytes());
-            sendRaw(ClientLink.GREETING).addListener(sent -> close("it does not greet in AMQP 0-9-1"));
+            sendRaw(AmqpClientConnection.GREETING).addListener(sent -> close("it does not greet in AMQP 0-9-1"));
             return false;
         }
-        if (there < ClientLink.GREETING.length) {
+        if (there < AmqpClientConnection.GREETING.length) {
             return false;
         }
         in.skipBytes(there);
@@ -101,7 +101,7 @@
         send(
                 0,
                 Method.of(
-                        Op.CONNECTION_START,
+                        MethodType.CONNECTION_START,
                         0,
                         9,
                         Map.<String, Object>of(
@@ -132,7 +132,7 @@
     }
 
     private void open(Method method) throws AmqpException {
-        if (state == State.START_OK && method.op() == Op.CONNECTION_START_OK) {
+        if (state == State.START_OK && method.op() == MethodType.CONNECTION_START_OK) {
             String[] plain = method.text("response").split("\0", -1);
             if (!method.text("mechanism").equals("PLAIN")
                     || plain.length != PLAIN_PARTS
@@ -140,14 +140,20 @@
                 throw new AmqpException(AmqpException.ACCESS_REFUSED, "ACCESS_REFUSED - login was refused");
             }
             state = State.TUNE_OK;
-            send(0, Method.of(Op.CONNECTION_TUNE, offer.channelMax(), (long) offer.frameMax(), offer.heartbeat()));
-        } else if (state == State.TUNE_OK && method.op() == Op.CONNECTION_TUNE_OK) {
+            send(
+                    0,
+                    Method.of(
+                            MethodType.CONNECTION_TUNE,
+                            offer.channelMax(),
+                            (long) offer.frameMax(),
+                            offer.heartbeat()));
+        } else if (state == State.TUNE_OK && method.op() == MethodType.CONNECTION_TUNE_OK) {
             tune(method);
             state = State.OPEN;
-        } else if (state == State.OPEN && method.op() == Op.CONNECTION_OPEN) {
+        } else if (state == State.OPEN && method.op() == MethodType.CONNECTION_OPEN) {
             state = State.SERVING;
             owner.opened(method.text("virtual-host"));
-            send(0, Method.of(Op.CONNECTION_OPEN_OK));
+            send(0, Method.of(MethodType.CONNECTION_OPEN_OK));
         } else {
             throw new AmqpException(AmqpException.COMMAND_INVALID, method.op() + " while the connection opens");
         }
@@ -169,31 +175,31 @@
         int channel = command.channel();
         if (closing.contains(channel)) {
             // Guards against what was on its way when this side closed the channel.
-            if (command.op() == Op.CHANNEL_CLOSE_OK || command.op() == Op.CHANNEL_CLOSE) {
+            if (command.op() == MethodType.CHANNEL_CLOSE_OK || command.op() == MethodType.CHANNEL_CLOSE) {
                 closing.remove(channel);
                 forget(channel);
             }
-            if (command.op() == Op.CHANNEL_CLOSE) {
-                send(channel, Method.of(Op.CHANNEL_CLOSE_OK));
+            if (command.op() == MethodType.CHANNEL_CLOSE) {
+                send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
             }
             return;
         }
-        if (command.op() == Op.CHANNEL_OPEN) {
+        if (command.op() == MethodType.CHANNEL_OPEN) {
             if (!channels.add(channel)) {
                 throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + channel + " is open already");
             }
             owner.channelOpened(channel);
-            send(channel, Method.of(Op.CHANNEL_OPEN_OK));
+            send(channel, Method.of(MethodType.CHANNEL_OPEN_OK));
             return;
         }
         if (!channels.contains(channel)) {
             throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + channel + " is not open");
         }
-        if (command.op() == Op.CHANNEL_CLOSE) {
+        if (command.op() == MethodType.CHANNEL_CLOSE) {
             channels.remove(channel);
             forget(channel);
             owner.channelClosed(channel);
-            send(channel, Method.of(Op.CHANNEL_CLOSE_OK));
+            send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
             return;
         }
         try {
@@ -208,10 +214,12 @@
     }
 
     /** Closes a channel for a fault; what still comes on it is dropped until its client knows. */
-    public void closeChannel(int channel, AmqpException fault, Op op) {
+    public void closeChannel(int channel, AmqpException fault, MethodType op) {
         if (channels.remove(channel)) {
             closing.add(channel);
-            send(channel, Method.of(Op.CHANNEL_CLOSE, fault.code(), fault.getMessage(), op.classId(), op.methodId()));
+            send(
+                    channel,
+                    Method.of(MethodType.CHANNEL_CLOSE, fault.code(), fault.getMessage(), op.classId(), op.methodId()));
             owner.channelClosed(channel);
         }
     }
--- a/src/main/java/pipitstage/amqp/link/package-info.java
+++ b/src/main/java/loftflow/amqp/link/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: {@code amqp.codec} and Netty.
  */
-package pipitstage.amqp.link;
+package loftflow.amqp.link;
--- a/src/main/java/pipitstage/amqp/mapping/NamelessIds.java
+++ b/src/main/java/loftflow/amqp/mapping/GeneratedIds.java
@@ -1,9 +1,9 @@
-package pipitstage.amqp.mapping;
+package loftflow.amqp.mapping;
 
 import java.util.function.Supplier;
 
 /** Ids for messages whose clients gave them none; no two are alike, also over restarts. */
-public final class NamelessIds implements Supplier<String> {
+public final class GeneratedIds implements Supplier<String> {
     private final String prefix;
     private long next;
 
@@ -13,7 +13,7 @@
      * @param name that of no other way in
      * @param start when this process began, in microseconds
      */
-    public NamelessIds(String name, long start) {
+    public GeneratedIds(String name, long start) {
         prefix = name + "-" + Long.toString(start, Character.MAX_RADIX) + "-";
     }
 
--- a/src/main/java/pipitstage/amqp/mapping/Mapping.java
+++ b/src/main/java/loftflow/amqp/mapping/MessageMapping.java
@@ -1,21 +1,22 @@
-package pipitstage.amqp.mapping;
+package loftflow.amqp.mapping;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
-import pipitstage.Policy;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.engine.Message;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.engine.Message;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.RequestClass;
 
 /**
  * Makes messages of what AMQP's clients publish, by the first rule that fits. It takes nothing for granted: what does not
  * fit is refused with a reason, and a message that may take effect once and has no id is refused too, since a second copy
  * of it could not be told from the first.
  */
-public final class Mapping {
+public final class MessageMapping {
     /**
      * A rule.
      *
@@ -26,12 +27,12 @@
      */
     public record Rule(
             String contentType,
-            Source id,
-            Source requestClass,
-            Source tenant,
-            Source key,
-            Source destination,
-            Source budget) {}
+            ValueSource id,
+            ValueSource requestClass,
+            ValueSource tenant,
+            ValueSource key,
+            ValueSource destination,
+            ValueSource budget) {}
 
     /** What a message is to the relay. */
     public sealed interface Mapped {}
@@ -52,10 +53,10 @@
     private static final long SECOND = 1_000_000;
 
     private final List<Rule> rules;
-    private final Map<String, Policy.RequestClass> classes = new HashMap<>();
+    private final Map<String, RequestClass> classes = new HashMap<>();
 
     /** A mapping by rules, the first one first. */
-    public Mapping(List<Rule> rules, List<Policy.RequestClass> classes) {
+    public MessageMapping(List<Rule> rules, List<RequestClass> classes) {
         this.rules = rules;
         classes.forEach(type -> this.classes.put(type.name(), type));
     }
@@ -83,12 +84,12 @@
             return new Misfits("no mapping is for content type " + properties.text(Property.CONTENT_TYPE));
         }
         String className = rule.requestClass().value(properties, exchange, routingKey);
-        Policy.RequestClass type = classes.get(className);
+        RequestClass type = classes.get(className);
         if (type == null) {
             return new Misfits("no class is named " + shown(className));
         }
         String id = rule.id().value(properties, exchange, routingKey);
-        if (id == null && type.repeat() == Policy.Repeat.ONCE) {
+        if (id == null && type.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return new Misfits("a message of class " + className + " needs an id: a second copy of it could not be told"
                     + " from the first");
         }
@@ -105,7 +106,8 @@
         if (budget != null && !MILLIS.matcher(budget).matches()) {
             return new Misfits(shown(budget) + " is no number of milliseconds");
         }
-        long deadline = sentAt(properties, cameAt) + (budget == null ? type.deadline() : Long.parseLong(budget) * MS);
+        long deadline =
+                sentAt(properties, cameAt) + (budget == null ? type.deadlineMicros() : Long.parseLong(budget) * MS);
         return new Fits(
                 new Message.Content(
                         id == null ? namelessIds.get() : id,
@@ -119,7 +121,7 @@
                 id == null);
     }
 
-    private static String optional(Source source, Properties properties, String exchange, String routingKey) {
+    private static String optional(ValueSource source, Properties properties, String exchange, String routingKey) {
         return source == null ? null : source.value(properties, exchange, routingKey);
     }
 
--- a/src/main/java/pipitstage/amqp/mapping/Source.java
+++ b/src/main/java/loftflow/amqp/mapping/ValueSource.java
@@ -1,14 +1,14 @@
-package pipitstage.amqp.mapping;
+package loftflow.amqp.mapping;
 
 import java.util.Arrays;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
 
 /**
  * Where a value of a message is taken from: {@code header:NAME}, {@code property:NAME}, {@code routing-key},
  * {@code exchange} or {@code fixed:VALUE}.
  */
-public final class Source {
+public final class ValueSource {
     private enum Kind {
         HEADER,
         PROPERTY,
@@ -21,7 +21,7 @@
     private final String name;
     private final Property property;
 
-    private Source(Kind kind, String name, Property property) {
+    private ValueSource(Kind kind, String name, Property property) {
         this.kind = kind;
         this.name = name;
         this.property = property;
@@ -32,25 +32,25 @@
      *
      * @throws IllegalArgumentException where it is none, in words for staff
      */
-    public static Source of(String text) {
+    public static ValueSource of(String text) {
         int colon = text.indexOf(':');
         String name = colon < 0 ? "" : text.substring(colon + 1);
         switch (colon < 0 ? text : text.substring(0, colon)) {
             case "header":
-                return new Source(Kind.HEADER, name, null);
+                return new ValueSource(Kind.HEADER, name, null);
             case "property":
                 Property property = Arrays.stream(Property.values())
                         .filter(p -> p.label().equals(name) && p != Property.HEADERS)
                         .findFirst()
                         .orElseThrow(
                                 () -> new IllegalArgumentException("\"" + name + "\" is no property of a message"));
-                return new Source(Kind.PROPERTY, name, property);
+                return new ValueSource(Kind.PROPERTY, name, property);
             case "fixed":
-                return new Source(Kind.FIXED, name, null);
+                return new ValueSource(Kind.FIXED, name, null);
             case "routing-key":
-                return new Source(Kind.ROUTING_KEY, "", null);
+                return new ValueSource(Kind.ROUTING_KEY, "", null);
             case "exchange":
-                return new Source(Kind.EXCHANGE, "", null);
+                return new ValueSource(Kind.EXCHANGE, "", null);
             default:
                 throw new IllegalArgumentException("\"" + text + "\" is no source");
         }
--- a/src/main/java/pipitstage/amqp/mapping/package-info.java
+++ b/src/main/java/loftflow/amqp/mapping/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: the module's types, the engine's {@code Message}, and {@code amqp.codec}.
  */
-package pipitstage.amqp.mapping;
+package loftflow.amqp.mapping;
--- a/src/main/java/pipitstage/cli/Commands.java
+++ b/src/main/java/loftflow/cli/Commands.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -13,6 +13,12 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.Callable;
+import loftflow.config.file.Finding;
+import loftflow.config.file.SourceFile;
+import loftflow.config.schema.Catalog;
+import loftflow.config.schema.Schema;
+import loftflow.config.schema.Setting;
+import loftflow.config.tool.ConfigTool;
 import picocli.AutoComplete;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -20,12 +26,6 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.SourceFile;
-import pipitstage.config.schema.Catalog;
-import pipitstage.config.schema.Schema;
-import pipitstage.config.schema.Setting;
-import pipitstage.config.tool.Tool;
 
 /** The command line beside {@code serve} and {@code simhost}. Exit codes: 0 clean, 1 findings, 2 unreadable or misuse. */
 @Command(
@@ -39,9 +39,9 @@
             Commands.SimhostHelp.class,
             Commands.ConfigCommand.class,
             TraceCommand.class,
-            LabCommand.class,
+            ExperimentCommand.class,
             ReplayCommand.class,
-            UndeliverableCommand.class,
+            DeadLetterCommand.class,
             DemoCommand.class,
             AutoComplete.GenerateCompletion.class,
             CommandLine.HelpCommand.class
@@ -183,7 +183,7 @@
         @Override
         public Integer call() throws SourceFile.UnreadableException, IOException {
             PrintWriter out = spec.commandLine().getOut();
-            Tool.Outcome outcome = Tool.write(application, folder, force);
+            ConfigTool.Outcome outcome = ConfigTool.write(application, folder, force);
             print(spec, outcome.findings());
             switch (outcome.written()) {
                 case NEW -> out.println("wrote " + outcome.file() + "\nstart it by:\n  " + outcome.startLine());
@@ -197,11 +197,12 @@
             }
             out.flush();
             spec.commandLine().getErr().flush();
-            boolean done = outcome.written() == Tool.Written.NEW || outcome.written() == Tool.Written.UNCHANGED;
+            boolean done =
+                    outcome.written() == ConfigTool.Written.NEW || outcome.written() == ConfigTool.Written.UNCHANGED;
             return done ? CLEAN : FINDINGS;
         }
 
-        private static List<String> difference(Tool.Outcome outcome) {
+        private static List<String> difference(ConfigTool.Outcome outcome) {
             List<String> before = outcome.before().lines().toList();
             return UnifiedDiffUtils.generateUnifiedDiff(
                     "there",
@@ -249,7 +250,7 @@
             boolean unreadable = false;
             for (Path file : files) {
                 try {
-                    findings.addAll(Tool.check(file));
+                    findings.addAll(ConfigTool.check(file));
                 } catch (SourceFile.UnreadableException e) {
                     unreadable = true;
                     spec.commandLine().getErr().println("loftflow: " + e.getMessage());
--- a/src/main/java/pipitstage/cli/UndeliverableCommand.java
+++ b/src/main/java/loftflow/cli/DeadLetterCommand.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -11,6 +11,13 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.function.Consumer;
+import loftflow.admin.AdminClient;
+import loftflow.admin.DeadLetterFilterReader;
+import loftflow.admin.JsonLines;
+import loftflow.deadletter.DeadLetter;
+import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.store.SqliteDeadLetterStore;
+import loftflow.json.JsonFields;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -18,13 +25,6 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import pipitstage.Fields;
-import pipitstage.admin.AdminClient;
-import pipitstage.admin.Filters;
-import pipitstage.admin.Lines;
-import pipitstage.undeliverable.Entry;
-import pipitstage.undeliverable.Shelf;
-import pipitstage.undeliverable.store.SqliteShelf;
 
 /** What could not be delivered: seen, sent again, confirmed, discarded. Asks a running relay, or reads a stopped one's file. */
 @Command(
@@ -36,17 +36,17 @@
             "Asks the relay over admin.sock in its folder; list, show, export and stats read the file of a stopped one."
         },
         subcommands = {
-            UndeliverableCommand.ListEntries.class,
-            UndeliverableCommand.Show.class,
-            UndeliverableCommand.Export.class,
-            UndeliverableCommand.Resend.class,
-            UndeliverableCommand.Confirm.class,
-            UndeliverableCommand.Discard.class,
-            UndeliverableCommand.Stats.class,
-            UndeliverableCommand.Pause.class,
-            UndeliverableCommand.GoOn.class
+            DeadLetterCommand.ListEntries.class,
+            DeadLetterCommand.Show.class,
+            DeadLetterCommand.Export.class,
+            DeadLetterCommand.Resend.class,
+            DeadLetterCommand.Confirm.class,
+            DeadLetterCommand.Discard.class,
+            DeadLetterCommand.Stats.class,
+            DeadLetterCommand.Pause.class,
+            DeadLetterCommand.GoOn.class
         })
-final class UndeliverableCommand implements Runnable {
+final class DeadLetterCommand implements Runnable {
     private static final int PAGE = 500;
     private static final String WIDE = "%-7s %-24s %-14s %5s %-9s %-6s %-20s %s%n";
 
@@ -97,7 +97,7 @@
             if (!runs) {
                 try {
                     stopped.run();
-                } catch (IllegalArgumentException | Shelf.ShelfException e) {
+                } catch (IllegalArgumentException | DeadLetterStore.ShelfException e) {
                     throw new IOException(e.getMessage(), e);
                 }
             }
@@ -106,21 +106,21 @@
             return failed ? 1 : 0;
         }
 
-        Shelf file() {
-            return SqliteShelf.reading(folder);
+        DeadLetterStore file() {
+            return SqliteDeadLetterStore.reading(folder);
         }
 
         /** Hands on the entries that a request means, from the file of a stopped relay. */
         void fromFile(Map<String, String> request, Consumer<String> lines) {
-            Filters filters = Filters.of(request);
-            try (Shelf shelf = file()) {
+            DeadLetterFilterReader filters = DeadLetterFilterReader.of(request);
+            try (DeadLetterStore shelf = file()) {
                 long from = 0;
                 long left = filters.most();
                 while (left > 0) {
                     int page = (int) Math.min(PAGE, left);
-                    List<Entry> entries = shelf.list(filters.filter(), from, page, filters.bodies());
-                    for (Entry entry : entries) {
-                        lines.accept(Lines.entry(entry, filters.bodies(), null, List.of()));
+                    List<DeadLetter> entries = shelf.list(filters.filter(), from, page, filters.bodies());
+                    for (DeadLetter entry : entries) {
+                        lines.accept(JsonLines.entry(entry, filters.bodies(), null, List.of()));
                         from = entry.id() + 1;
                     }
                     left = entries.size() < page ? 0 : left - page;
@@ -132,7 +132,7 @@
     static String member(String line, String name) {
         try (JsonParser parser = new JsonFactory().createParser(line)) {
             parser.nextToken();
-            Object value = Fields.ofObject("line", Fields.read(parser)).value(name);
+            Object value = JsonFields.ofObject("line", JsonFields.read(parser)).value(name);
             return value == null ? "-" : String.valueOf(value);
         } catch (IOException e) {
             return "-";
@@ -239,10 +239,11 @@
                 request.put("body", "yes");
             }
             return ask(request, out()::println, () -> {
-                try (Shelf shelf = file()) {
-                    Entry entry = shelf.get(Filters.of(request).id())
+                try (DeadLetterStore shelf = file()) {
+                    DeadLetter entry = shelf.get(
+                                    DeadLetterFilterReader.of(request).id())
                             .orElseThrow(() -> new IllegalArgumentException("there is no entry " + id));
-                    out().println(Lines.entry(entry, body, null, shelf.audits(entry.id())));
+                    out().println(JsonLines.entry(entry, body, null, shelf.audits(entry.id())));
                 }
             });
         }
@@ -360,9 +361,9 @@
         @Override
         public Integer call() throws IOException {
             return ask(Map.of("command", "stats"), out()::println, () -> {
-                try (Shelf shelf = file()) {
-                    Shelf.Size size = shelf.size();
-                    out().println(Lines.object(Map.of("entries", size.entries(), "bytes", size.bytes())));
+                try (DeadLetterStore shelf = file()) {
+                    DeadLetterStore.Size size = shelf.size();
+                    out().println(JsonLines.object(Map.of("entries", size.entries(), "bytes", size.bytes())));
                 }
             });
         }
--- a/src/main/java/pipitstage/cli/DemoCommand.java
+++ b/src/main/java/loftflow/cli/DemoCommand.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -12,15 +12,15 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakeDiscoveryAgent;
+import loftflow.fake.FakePartner;
+import loftflow.fake.ServedRelay;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import pipitstage.config.tool.Tool;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInDiscovery;
-import pipitstage.standin.StandInPartner;
 
 /** A first run: a relay from a file that the tool just wrote, with stand-ins round it, all on loopback. */
 @Command(
@@ -60,13 +60,13 @@
         Path folder = Files.createTempDirectory("loftflow-demo");
         Thread cleaning = new Thread(() -> delete(folder));
         Runtime.getRuntime().addShutdownHook(cleaning);
-        try (StandInPartner limited = new StandInPartner(40, LIMIT);
-                StandInPartner failing = new StandInPartner(60, 0);
-                StandInDiscovery platform = new StandInDiscovery()) {
+        try (FakePartner limited = new FakePartner(40, LIMIT);
+                FakePartner failing = new FakePartner(60, 0);
+                FakeDiscoveryAgent platform = new FakeDiscoveryAgent()) {
             Path application = folder.resolve("demo.toml");
             Files.writeString(application, application(folder, limited, failing, platform));
-            Tool.Outcome written = Tool.write(application, folder, false);
-            if (written.written() != Tool.Written.NEW) {
+            ConfigTool.Outcome written = ConfigTool.write(application, folder, false);
+            if (written.written() != ConfigTool.Written.NEW) {
                 throw new IOException("the demonstration's own file has findings: " + written.findings());
             }
             out.println("wrote " + written.file().getFileName() + " from " + application.getFileName());
@@ -83,9 +83,9 @@
             PrintWriter out,
             Path folder,
             Path relayFile,
-            StandInPartner limited,
-            StandInPartner failing,
-            StandInDiscovery platform)
+            FakePartner limited,
+            FakePartner failing,
+            FakeDiscoveryAgent platform)
             throws IOException, InterruptedException {
         ServedRelay relay = ServedRelay.start(relayFile, folder.resolve("relay.log"), "-Xmx72m");
         try {
@@ -94,7 +94,7 @@
             out.flush();
             Map<String, Tally> tallies = new LinkedHashMap<>();
             CLASSES.forEach(name -> tallies.put(name, new Tally()));
-            try (StandInClient client = relay.client()) {
+            try (FakeClient client = relay.client()) {
                 handIn(out, client, tallies, limited, failing);
             }
             awaitEnds(tallies, limited, failing, platform);
@@ -105,11 +105,7 @@
     }
 
     private void handIn(
-            PrintWriter out,
-            StandInClient client,
-            Map<String, Tally> tallies,
-            StandInPartner limited,
-            StandInPartner failing)
+            PrintWriter out, FakeClient client, Map<String, Tally> tallies, FakePartner limited, FakePartner failing)
             throws IOException, InterruptedException {
         long start = System.nanoTime();
         int count = seconds * RATE;
@@ -119,7 +115,7 @@
             if (i % RATE == 0) {
                 int second = i / RATE;
                 boolean down = second >= seconds / 4 && second < seconds / 2;
-                failing.be(down ? StandInPartner.Mood.SHUT : StandInPartner.Mood.WELL);
+                failing.be(down ? FakePartner.Mood.SHUT : FakePartner.Mood.WELL);
                 out.printf(
                         Locale.ROOT,
                         "%2d s: %d handed in, %d and %d calls at the partners%s%n",
@@ -145,15 +141,14 @@
         }
     }
 
-    private static boolean isOver(
-            String id, StandInPartner limited, StandInPartner failing, StandInDiscovery platform) {
+    private static boolean isOver(String id, FakePartner limited, FakePartner failing, FakeDiscoveryAgent platform) {
         return limited.effects().containsKey(id)
                 || failing.effects().containsKey(id)
                 || platform.notices().stream().anyMatch(n -> n.ref().equals(id));
     }
 
     private static void awaitEnds(
-            Map<String, Tally> tallies, StandInPartner limited, StandInPartner failing, StandInDiscovery platform)
+            Map<String, Tally> tallies, FakePartner limited, FakePartner failing, FakeDiscoveryAgent platform)
             throws InterruptedException {
         for (int i = 0; i < PATIENCE_S * TENTHS; i++) {
             if (tallies.values().stream()
@@ -167,9 +162,9 @@
     private static void report(
             PrintWriter out,
             Map<String, Tally> tallies,
-            StandInPartner limited,
-            StandInPartner failing,
-            StandInDiscovery platform) {
+            FakePartner limited,
+            FakePartner failing,
+            FakeDiscoveryAgent platform) {
         out.printf(
                 "%-14s %9s %9s %9s %9s %9s %9s%n",
                 "class", "handed in", "delivered", "refused", "failed", "twice", "no end");
@@ -184,9 +179,9 @@
                 twice += effects > 1 ? 1 : 0;
                 if (effects > 0) {
                     delivered++;
-                } else if (platform.notices().contains(new StandInDiscovery.Notice(id, "bounced"))) {
+                } else if (platform.notices().contains(new FakeDiscoveryAgent.Notice(id, "bounced"))) {
                     bounced++;
-                } else if (platform.notices().contains(new StandInDiscovery.Notice(id, "dead"))) {
+                } else if (platform.notices().contains(new FakeDiscoveryAgent.Notice(id, "dead"))) {
                     dead++;
                 }
             }
@@ -204,7 +199,7 @@
     }
 
     private static String application(
-            Path folder, StandInPartner limited, StandInPartner failing, StandInDiscovery platform) {
+            Path folder, FakePartner limited, FakePartner failing, FakeDiscoveryAgent platform) {
         return """
                 format = 1
                 name = "demo"
--- a/src/main/java/pipitstage/cli/LabCommand.java
+++ b/src/main/java/loftflow/cli/ExperimentCommand.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -13,33 +13,33 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.function.Consumer;
+import loftflow.config.file.SourceFile;
+import loftflow.experiment.ComparisonReport;
+import loftflow.experiment.ExperimentRunner;
+import loftflow.experiment.RegressionCases;
+import loftflow.experiment.design.CapacitySearch;
+import loftflow.experiment.design.PairedComparison;
+import loftflow.experiment.evaluation.FleetCostReport;
+import loftflow.experiment.evaluation.ProgressSnapshot;
+import loftflow.experiment.evaluation.RuleChecker;
+import loftflow.experiment.evaluation.ServiceReport;
+import loftflow.experiment.history.CallCounts;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.loopback.LoopbackRun;
+import loftflow.experiment.results.ResultsFolder;
+import loftflow.experiment.results.RunReport;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.experiment.scenario.ScenarioReader;
+import loftflow.experiment.scenario.ScenarioSchema;
+import loftflow.experiment.scenario.TraceArrivals;
+import loftflow.fake.ServedRelay;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import pipitstage.config.file.SourceFile;
-import pipitstage.lab.Cases;
-import pipitstage.lab.ComparePage;
-import pipitstage.lab.Lab;
-import pipitstage.lab.experiment.Capacity;
-import pipitstage.lab.experiment.Verdict;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.Costs;
-import pipitstage.lab.history.History;
-import pipitstage.lab.real.RealRun;
-import pipitstage.lab.results.ResultsFolder;
-import pipitstage.lab.results.RunPage;
-import pipitstage.lab.scenario.Replayed;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.scenario.ScenarioFile;
-import pipitstage.lab.scenario.ScenarioForm;
-import pipitstage.lab.service.FleetCosts;
-import pipitstage.lab.service.Judge;
-import pipitstage.lab.service.Service;
-import pipitstage.lab.service.Snapshot;
-import pipitstage.standin.ServedRelay;
 
 /** The laboratory. Exit codes: 0 clean, 1 a rule was broken, or a side is worse, or a file has errors; 2 misuse. */
 @Command(
@@ -49,17 +49,17 @@
         description =
                 "Plays scenarios in an emulator of programs, partners and failures, and compares what comes of them.",
         subcommands = {
-            LabCommand.Scenarios.class,
-            LabCommand.Check.class,
-            LabCommand.Run.class,
-            LabCommand.Compare.class,
-            LabCommand.Sweep.class,
-            LabCommand.CapacityOf.class,
-            LabCommand.Minimize.class,
-            LabCommand.PlayCases.class,
-            LabCommand.Reference.class
+            ExperimentCommand.Scenarios.class,
+            ExperimentCommand.Check.class,
+            ExperimentCommand.Run.class,
+            ExperimentCommand.Compare.class,
+            ExperimentCommand.Sweep.class,
+            ExperimentCommand.CapacityOf.class,
+            ExperimentCommand.Minimize.class,
+            ExperimentCommand.PlayCases.class,
+            ExperimentCommand.Reference.class
         })
-final class LabCommand implements Runnable {
+final class ExperimentCommand implements Runnable {
     static final int CLEAN = 0;
     static final int FOUND = 1;
     private static final JsonFactory JSON = new JsonFactory();
@@ -99,16 +99,16 @@
         }
     }
 
-    static ScenarioFile.Read read(CommandSpec spec, String name) throws IOException, SourceFile.UnreadableException {
-        ScenarioFile.Read read = Lab.NAMED.contains(name)
-                ? Lab.read(name, Lab.named(name))
-                : Lab.read(name, SourceFile.text(Path.of(name)));
+    static ScenarioReader.Read read(CommandSpec spec, String name) throws IOException, SourceFile.UnreadableException {
+        ScenarioReader.Read read = ExperimentRunner.NAMED.contains(name)
+                ? ExperimentRunner.read(name, ExperimentRunner.named(name))
+                : ExperimentRunner.read(name, SourceFile.text(Path.of(name)));
         read.findings().forEach(finding -> spec.commandLine().getErr().println(finding));
         return read;
     }
 
-    static void print(PrintWriter out, Lab.Played played) {
-        Service.Report s = played.service();
+    static void print(PrintWriter out, ExperimentRunner.Played played) {
+        ServiceReport.Report s = played.service();
         out.println(String.format(
                 Locale.ROOT,
                 "%s, seed %d: service %.4f (whole %.4f, worst 10 s %.4f, worst class %.4f, worst tenant" + " %.4f)",
@@ -131,7 +131,7 @@
                 "p50 ms",
                 "p99 ms",
                 "attempts"));
-        for (Service.OfClass c : s.classes()) {
+        for (ServiceReport.OfClass c : s.classes()) {
             out.println(String.format(
                     Locale.ROOT,
                     "  %-16s %8d %9d %8d %7d %8.4f %9.0f %9.0f %8.2f",
@@ -159,13 +159,13 @@
         }
     }
 
-    private static void print(PrintWriter out, FleetCosts costs, History history) {
+    private static void print(PrintWriter out, FleetCostReport costs, RunHistory history) {
         out.println("  all relays together, and for a thousand messages:");
-        for (Costs.Of what : Costs.Of.values()) {
+        for (CallCounts.Of what : CallCounts.Of.values()) {
             long total = costs.counts().total(what);
             if (total > 0) {
-                Costs.Most relay = costs.counts().mostOfRelays(what);
-                Costs.Most endpoint = costs.counts().mostOfEndpoints(what);
+                CallCounts.Most relay = costs.counts().mostOfRelays(what);
+                CallCounts.Most endpoint = costs.counts().mostOfEndpoints(what);
                 out.println(String.format(
                         Locale.ROOT,
                         "    %-12s %9d %9.1f%s%s",
@@ -208,14 +208,16 @@
 
         @Override
         public Integer call() throws IOException {
-            for (String name : Lab.NAMED) {
+            for (String name : ExperimentRunner.NAMED) {
                 spec.commandLine()
                         .getOut()
                         .println(String.format(
                                 Locale.ROOT,
                                 "%-22s %s",
                                 name,
-                                Lab.read(name, Lab.named(name)).scenario().text()));
+                                ExperimentRunner.read(name, ExperimentRunner.named(name))
+                                        .scenario()
+                                        .text()));
             }
             return CLEAN;
         }
@@ -282,11 +284,11 @@
             if (scenario == null) {
                 return FOUND;
             }
-            List<Lab.Played> all = new ArrayList<>();
+            List<ExperimentRunner.Played> all = new ArrayList<>();
             boolean clean = true;
             for (int i = 0; i < seeds; i++) {
-                Lab.Played played = real == null
-                        ? Lab.play(scenario, seed + i)
+                ExperimentRunner.Played played = real == null
+                        ? ExperimentRunner.play(scenario, seed + i)
                         : real(out(), scenario, seed + i, null, real.resolve("seed" + (seed + i)));
                 print(out(), played);
                 if (follow != null) {
@@ -307,12 +309,12 @@
             return clean ? CLEAN : FOUND;
         }
 
-        private void follow(Lab.Played played, int number) {
-            List<Ask> asks = played.history().asks();
+        private void follow(ExperimentRunner.Played played, int number) {
+            List<MessageHistory> asks = played.history().asks();
             if (number < 0 || number >= asks.size()) {
                 throw wrong("--follow takes a message from 0 to " + (asks.size() - 1) + " of seed " + played.seed());
             }
-            Ask ask = asks.get(number);
+            MessageHistory ask = asks.get(number);
             out().println(String.format(
                     Locale.ROOT,
                     "  message %d, %s for partner %d: handed in at %d us to relay %d, %d times, due at %d us",
@@ -339,22 +341,22 @@
     }
 
     /** Writes a run's page where one is wanted. */
-    static void writePage(Path page, Lab.Played played) throws IOException {
+    static void writePage(Path page, ExperimentRunner.Played played) throws IOException {
         if (page != null) {
             Files.writeString(
                     page,
-                    RunPage.of(played.scenario(), played.seed(), played.service(), played.rules(), played.history()));
+                    RunReport.of(played.scenario(), played.seed(), played.service(), played.rules(), played.history()));
         }
     }
 
     /** Plays by whole relays, shown while it goes on, and says whether the machine kept up. */
-    static Lab.Played real(PrintWriter out, Scenario scenario, long seed, Replayed replayed, Path folder)
-            throws IOException {
-        Lab.Real real;
+    static ExperimentRunner.Played real(
+            PrintWriter out, Scenario scenario, long seed, TraceArrivals replayed, Path folder) throws IOException {
+        ExperimentRunner.Real real;
         try (Showing showing = new Showing(out, scenario.name() + ", seed " + seed)) {
-            real = Lab.real(scenario, seed, replayed, RealRun.Fleet.OWN, folder, showing);
+            real = ExperimentRunner.real(scenario, seed, replayed, LoopbackRun.Fleet.OWN, folder, showing);
         }
-        RealRun.Outcome o = real.outcome();
+        LoopbackRun.Outcome o = real.outcome();
         out.println(String.format(
                 Locale.ROOT,
                 "messages left late by %.1f ms at p50, %.1f at p99, %.1f at the most%s; %.0f us of CPU" + " a message",
@@ -367,23 +369,23 @@
     }
 
     /** A screen where there is a terminal, and a line every ten seconds where there is none, or it has been left. */
-    private static final class Showing implements Consumer<Snapshot>, AutoCloseable {
+    private static final class Showing implements Consumer<ProgressSnapshot>, AutoCloseable {
         private static final int EVERY = 10;
 
         private final PrintWriter out;
-        private LabScreen screen;
+        private ExperimentScreen screen;
         private int seen;
 
         Showing(PrintWriter out, String title) throws IOException {
             this.out = out;
             if (System.console() != null) {
-                screen = new LabScreen(
+                screen = new ExperimentScreen(
                         new DefaultTerminalFactory().setForceTextTerminal(true).createTerminal(), title);
             }
         }
 
         @Override
-        public void accept(Snapshot s) {
+        public void accept(ProgressSnapshot s) {
             try {
                 if (screen != null && screen.isLeft()) {
                     close();
@@ -418,10 +420,10 @@
         }
     }
 
-    private static void writeJson(Path file, List<Lab.Played> all) throws IOException {
+    private static void writeJson(Path file, List<ExperimentRunner.Played> all) throws IOException {
         try (JsonGenerator json = JSON.createGenerator(Files.newBufferedWriter(file))) {
             json.setRootValueSeparator(null);
-            for (Lab.Played played : all) {
+            for (ExperimentRunner.Played played : all) {
                 json.writeStartObject();
                 json.writeStringField("scenario", played.scenario().name());
                 json.writeNumberField("seed", played.seed());
@@ -434,7 +436,7 @@
         }
     }
 
-    private static void writeCsv(Path file, List<Lab.Played> all) throws IOException {
+    private static void writeCsv(Path file, List<ExperimentRunner.Played> all) throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add("scenario,seed," + String.join(",", all.get(0).figures().keySet()));
         all.forEach(p -> lines.add(p.scenario().name() + "," + p.seed() + ","
@@ -473,7 +475,7 @@
                 description = "A page with each figure's pairs, effect and interval.")
         private Path page;
 
-        int judge(String name, List<Lab.Side> sides) throws IOException {
+        int judge(String name, List<ExperimentRunner.Side> sides) throws IOException {
             List<Long> numbers = new ArrayList<>();
             for (long seed = 1; seed <= seeds; seed++) {
                 numbers.add(seed);
@@ -483,22 +485,24 @@
                 if (results.cut() > 0) {
                     out().println(results.cut() + " bytes of a run that was cut off were dropped: it is made again");
                 }
-                Lab.Player player = real ? Lab.relays(core, folder.resolve("relays")) : Lab.emulator();
+                ExperimentRunner.Player player =
+                        real ? ExperimentRunner.relays(core, folder.resolve("relays")) : ExperimentRunner.emulator();
                 String kept = real ? name + " by whole relays on core " + core : name;
-                Map<String, List<Lab.Compared>> all =
-                        Lab.compare(results, kept, sides, numbers, player, result -> out().println(String.format(
+                Map<String, List<ExperimentRunner.Compared>> all = ExperimentRunner.compare(
+                        results, kept, sides, numbers, player, result -> out().println(String.format(
                                 Locale.ROOT,
                                 "  %s, seed %d: service %.4f",
                                 result.side(),
                                 result.seed(),
                                 result.figures().get("service"))));
                 if (page != null) {
-                    Files.writeString(page, ComparePage.of(name, sides.get(0).name(), all));
+                    Files.writeString(
+                            page, ComparisonReport.of(name, sides.get(0).name(), all));
                 }
-                for (Map.Entry<String, List<Lab.Compared>> side : all.entrySet()) {
+                for (Map.Entry<String, List<ExperimentRunner.Compared>> side : all.entrySet()) {
                     out().println(side.getKey() + " beside " + sides.get(0).name() + ":");
-                    for (Lab.Compared c : side.getValue()) {
-                        Verdict v = c.verdict();
+                    for (ExperimentRunner.Compared c : side.getValue()) {
+                        PairedComparison v = c.verdict();
                         out().println(String.format(
                                 Locale.ROOT,
                                 "  %-14s %.5g, %.5g beside it: %+.5f [%+.5f, %+.5f] p %.3f, %d pairs:" + " %s",
@@ -511,7 +515,7 @@
                                 v.p(),
                                 v.pairs(),
                                 v.word()));
-                        worse |= c.figure().equals("service") && v.word() == Verdict.Word.WORSE;
+                        worse |= c.figure().equals("service") && v.word() == PairedComparison.Word.WORSE;
                     }
                 }
             }
@@ -550,7 +554,9 @@
                     ? FOUND
                     : judge(
                             first.name() + " | " + second.name() + " | " + other,
-                            List.of(new Lab.Side("A", first, null), new Lab.Side("B", second, build)));
+                            List.of(
+                                    new ExperimentRunner.Side("A", first, null),
+                                    new ExperimentRunner.Side("B", second, build)));
         }
     }
 
@@ -586,7 +592,7 @@
             judge(
                     scenario.name() + " by " + factor,
                     values.stream()
-                            .map(v -> new Lab.Side(factor + "=" + v, with(scenario, v), null))
+                            .map(v -> new ExperimentRunner.Side(factor + "=" + v, with(scenario, v), null))
                             .toList());
             return CLEAN;
         }
@@ -649,32 +655,35 @@
             if (!(within > 0)) {
                 throw wrong("--within takes a share above 0");
             }
-            Lab.Wanted wanted = new Lab.Wanted(service, p99);
+            ExperimentRunner.Wanted wanted = new ExperimentRunner.Wanted(service, p99);
             Consumer<String> progress = line -> {
                 out().println("  " + line);
                 out().flush();
             };
             if (real == null) {
-                say("relays", scenario, Lab.capacity(within, Lab.emulated(scenario, wanted, progress)));
+                say(
+                        "relays",
+                        scenario,
+                        ExperimentRunner.capacity(within, ExperimentRunner.emulated(scenario, wanted, progress)));
                 return CLEAN;
             }
             for (boolean bare : new boolean[] {true, false}) {
                 say(
                         bare ? "a bare proxy" : "relays",
                         scenario,
-                        Lab.capacity(
+                        ExperimentRunner.capacity(
                                 within,
-                                Lab.played(
+                                ExperimentRunner.played(
                                         scenario,
                                         wanted,
-                                        new RealRun.Fleet(new ServedRelay.Program(null, core), bare),
+                                        new LoopbackRun.Fleet(new ServedRelay.Program(null, core), bare),
                                         real,
                                         progress)));
             }
             return CLEAN;
         }
 
-        private void say(String who, Scenario scenario, Capacity found) {
+        private void say(String who, Scenario scenario, CapacitySearch found) {
             double rate = scenario.classes().stream()
                             .mapToDouble(Scenario.MessageClass::rate)
                             .sum()
@@ -701,7 +710,7 @@
         private long seed;
 
         @Option(names = "--rule", required = true, description = "${COMPLETION-CANDIDATES}.")
-        private Judge.Rule rule;
+        private RuleChecker.Rule rule;
 
         @Option(
                 names = "--cases",
@@ -720,8 +729,8 @@
                 return FOUND;
             }
             try {
-                Scenario small = Lab.minimize(scenario, seed, rule, Lab.OWN, runs);
-                Path to = Cases.save(cases, small, seed, rule);
+                Scenario small = ExperimentRunner.minimize(scenario, seed, rule, ExperimentRunner.OWN, runs);
+                Path to = RegressionCases.save(cases, small, seed, rule);
                 out().println(to + ": " + small.failures().size() + " of "
                         + scenario.failures().size() + " failures, "
                         + small.groups().size() + " of " + scenario.groups().size() + " groups, "
@@ -751,10 +760,11 @@
         public Integer call() throws IOException, SourceFile.UnreadableException {
             PrintWriter out = spec.commandLine().getOut();
             int broken = 0;
-            List<Cases.Case> cases = Cases.in(folder);
-            for (Cases.Case one : cases) {
-                Map<Judge.Rule, Integer> found =
-                        Lab.play(one.scenario(), one.seed()).rules().counts();
+            List<RegressionCases.Case> cases = RegressionCases.in(folder);
+            for (RegressionCases.Case one : cases) {
+                Map<RuleChecker.Rule, Integer> found = ExperimentRunner.play(one.scenario(), one.seed())
+                        .rules()
+                        .counts();
                 broken += found.isEmpty() ? 0 : 1;
                 out.println(
                         one.file().getFileName() + ": " + (found.isEmpty() ? "no rule was broken" : "breaks " + found));
@@ -774,7 +784,7 @@
 
         @Override
         public Integer call() {
-            spec.commandLine().getOut().print(ScenarioForm.SCENARIO.reference());
+            spec.commandLine().getOut().print(ScenarioSchema.SCENARIO.reference());
             spec.commandLine().getOut().flush();
             return CLEAN;
         }
--- a/src/main/java/pipitstage/cli/LabScreen.java
+++ b/src/main/java/loftflow/cli/ExperimentScreen.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import com.googlecode.lanterna.TextColor;
 import com.googlecode.lanterna.graphics.TextGraphics;
@@ -9,11 +9,11 @@
 import com.googlecode.lanterna.terminal.Terminal;
 import java.io.IOException;
 import java.util.Locale;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.service.Snapshot;
+import loftflow.experiment.evaluation.ProgressSnapshot;
+import loftflow.experiment.scenario.FaultSchedule;
 
 /** A run on a terminal's screen while it goes on: load, service, and each endpoint's load against what it can do. */
-final class LabScreen implements AutoCloseable {
+final class ExperimentScreen implements AutoCloseable {
     private static final int BAR = 24;
     private static final int HEAD = 5;
     /** A bar is full at so many times what an endpoint can do: there a cold one falls. */
@@ -24,7 +24,7 @@
     private boolean left;
 
     /** Takes a terminal over until it is closed. */
-    LabScreen(Terminal terminal, String title) throws IOException {
+    ExperimentScreen(Terminal terminal, String title) throws IOException {
         screen = new TerminalScreen(terminal);
         this.title = title;
         screen.startScreen();
@@ -37,7 +37,7 @@
     }
 
     /** Shows how a run stands. */
-    void show(Snapshot s) throws IOException {
+    void show(ProgressSnapshot s) throws IOException {
         for (KeyStroke key = screen.pollInput(); key != null; key = screen.pollInput()) {
             left |= key.getKeyType() == KeyType.EOF
                     || key.getKeyType() == KeyType.Character && key.getCharacter() == 'q';
@@ -77,8 +77,8 @@
                 "load, full at 2.5 times");
         int rows = screen.getTerminalSize().getRows() - HEAD;
         for (int i = 0; i < Math.min(rows, s.endpoints().size()); i++) {
-            Snapshot.OfEndpoint e = s.endpoints().get(i);
-            boolean well = e.meets() == Faults.Meets.CALLS;
+            ProgressSnapshot.OfEndpoint e = s.endpoints().get(i);
+            boolean well = e.meets() == FaultSchedule.Meets.CALLS;
             int bar = (int) Math.min(BAR, Math.round(e.load() / FULL * BAR));
             line(
                     text,
--- a/src/main/java/pipitstage/cli/Main.java
+++ b/src/main/java/loftflow/cli/Main.java
@@ -1,13 +1,13 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import java.io.IOException;
 import java.nio.file.Path;
-import pipitstage.SimHost;
-import pipitstage.WireException;
-import pipitstage.config.Config;
-import pipitstage.config.tool.RelayFile;
-import pipitstage.log.Log;
-import pipitstage.relay.Serve;
+import loftflow.config.Config;
+import loftflow.config.tool.RelayFile;
+import loftflow.json.MalformedInputException;
+import loftflow.log.Log;
+import loftflow.server.RelayMain;
+import loftflow.simulator.SimulatorHost;
 
 /**
  * Where the program starts. What serves is started here, at once: the command line's library, and the parser of files
@@ -35,7 +35,7 @@
 
     private static void serve(Config.Source source) {
         try {
-            Serve.start(source);
+            RelayMain.start(source);
         } catch (Config.BadConfigException e) {
             e.getMessage().lines().forEach(Log::line);
             System.exit(MISUSE);
@@ -47,8 +47,8 @@
 
     private static void simhost() throws IOException {
         try {
-            SimHost.runOnStandardStreams();
-        } catch (WireException e) {
+            SimulatorHost.runOnStandardStreams();
+        } catch (MalformedInputException e) {
             Log.line(e.getMessage());
             System.exit(1);
         }
--- a/src/main/java/pipitstage/cli/ReplayCommand.java
+++ b/src/main/java/loftflow/cli/ReplayCommand.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -7,24 +7,25 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
+import loftflow.config.file.SourceFile;
+import loftflow.config.plan.Declaration;
+import loftflow.config.tool.RelayFile;
+import loftflow.experiment.ExperimentRunner;
+import loftflow.experiment.design.SampleStatistics;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.experiment.scenario.TraceArrivals;
+import loftflow.policy.api.Idempotency;
+import loftflow.trace.ArrivalSorter;
+import loftflow.trace.ColumnMapping;
+import loftflow.trace.RowTally;
+import loftflow.trace.TraceMapping;
+import loftflow.trace.TraceMessage;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import pipitstage.Policy;
-import pipitstage.config.file.SourceFile;
-import pipitstage.config.plan.Declared;
-import pipitstage.lab.Lab;
-import pipitstage.lab.experiment.Spread;
-import pipitstage.lab.scenario.Replayed;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.trace.Arrivals;
-import pipitstage.trace.Call;
-import pipitstage.trace.Columns;
-import pipitstage.trace.Mapping;
-import pipitstage.trace.Tally;
 
 /** Replays a public trace against a scenario's partners and failures. */
 @Command(
@@ -92,41 +93,42 @@
         if (runs < 1) {
             throw new CommandLine.ParameterException(spec.commandLine(), "--runs takes 1 or more");
         }
-        Scenario read = LabCommand.read(spec, scenario).scenario();
+        Scenario read = ExperimentCommand.read(spec, scenario).scenario();
         if (read == null) {
-            return LabCommand.FOUND;
+            return ExperimentCommand.FOUND;
         }
         PrintWriter out = spec.commandLine().getOut();
         try {
             read = app == null ? read : with(read, TraceCommand.declared(app));
-            Mapping mapping = new Mapping(scheme(read), seed, files.from(), speed);
-            Replayed replayed = new Replayed(read, seed);
-            Tally tally = files.read(row -> {
-                Call call = mapping.call(row);
+            TraceMapping mapping = new TraceMapping(scheme(read), seed, files.from(), speed);
+            TraceArrivals replayed = new TraceArrivals(read, seed);
+            RowTally tally = files.read(row -> {
+                TraceMessage call = mapping.call(row);
                 replayed.add(call.at(), call.type(), call.tenant(), call.destination());
             });
             TraceCommand.print(tally, out);
             if (replayed.size() == 0) {
                 out.println("nothing is left to replay");
-                return LabCommand.FOUND;
+                return ExperimentCommand.FOUND;
             }
             Scenario lasting = replayed.lasting(read);
             out.println(String.format(Locale.ROOT, "%d messages in %.1f s", replayed.size(), replayed.last() / 1e6));
             List<Double> services = new ArrayList<>();
             boolean clean = tally.rowsRejected() == 0;
             for (int run = 1; run <= runs; run++) {
-                Lab.Played played = real == null
-                        ? Lab.replay(lasting, seed, replayed)
-                        : LabCommand.real(out, lasting, seed, replayed, runs == 1 ? real : real.resolve("run" + run));
-                LabCommand.print(out, played);
+                ExperimentRunner.Played played = real == null
+                        ? ExperimentRunner.replay(lasting, seed, replayed)
+                        : ExperimentCommand.real(
+                                out, lasting, seed, replayed, runs == 1 ? real : real.resolve("run" + run));
+                ExperimentCommand.print(out, played);
                 if (run == runs) {
-                    LabCommand.writePage(page, played);
+                    ExperimentCommand.writePage(page, played);
                 }
                 services.add(played.service().figure());
                 clean &= played.rules().isClean();
             }
             if (runs > 1) {
-                Spread s = Spread.of(services);
+                SampleStatistics s = SampleStatistics.of(services);
                 out.println(String.format(
                         Locale.ROOT,
                         "service in %d runs: mean %.4f [%.4f, %.4f], from %.4f to %.4f: %.2f%% apart",
@@ -138,8 +140,8 @@
                         s.most(),
                         s.range() * 100));
             }
-            return clean ? LabCommand.CLEAN : LabCommand.FOUND;
-        } catch (Arrivals.LateException | Columns.NoSuchColumnException e) {
+            return clean ? ExperimentCommand.CLEAN : ExperimentCommand.FOUND;
+        } catch (ArrivalSorter.LateException | ColumnMapping.NoSuchColumnException e) {
             return TraceCommand.unreadable(spec, e);
         } catch (IllegalArgumentException e) {
             throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage());
@@ -147,12 +149,12 @@
     }
 
     /** The scenario with an application's programs before it. */
-    private static Scenario with(Scenario scenario, Declared declared) {
+    private static Scenario with(Scenario scenario, Declaration declared) {
         List<Scenario.MessageClass> classes = new ArrayList<>();
-        for (Declared.MessageClass c : declared.classes()) {
+        for (Declaration.MessageClass c : declared.classes()) {
             Scenario.MessageClass type = new Scenario.MessageClass(
                     c.name(),
-                    Policy.Repeat.valueOf(c.repeat().name()),
+                    RelayFile.idempotency(c.repeat()),
                     c.keyWindow(),
                     c.keysByBuilding(),
                     c.wanted(),
@@ -174,14 +176,14 @@
                         .toList());
     }
 
-    private static Mapping.Scheme scheme(Scenario s) {
+    private static TraceMapping.Scheme scheme(Scenario s) {
         Scenario.Layout layout = s.layout();
-        return new Mapping.Scheme(
+        return new TraceMapping.Scheme(
                 s.classes().stream()
-                        .map(c -> new Mapping.Type(
+                        .map(c -> new TraceMapping.Type(
                                 c.name(),
                                 c.rate(),
-                                c.repeat() == Policy.Repeat.BY_KEY,
+                                c.repeat() == Idempotency.IDEMPOTENT_BY_KEY,
                                 1,
                                 1,
                                 c.deadline(),
--- a/src/main/java/pipitstage/cli/ColumnsFile.java
+++ b/src/main/java/loftflow/cli/TraceColumnsFile.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -7,22 +7,22 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.Node;
-import pipitstage.config.file.SourceFile;
-import pipitstage.config.file.TomlFile;
-import pipitstage.trace.Columns;
-import pipitstage.trace.read.ZonedClock;
+import loftflow.config.file.Finding;
+import loftflow.config.file.Node;
+import loftflow.config.file.SourceFile;
+import loftflow.config.file.TomlFile;
+import loftflow.trace.ColumnMapping;
+import loftflow.trace.read.ZonedClock;
 
 /** A mapping file: TOML that names the columns of a CSV. */
-final class ColumnsFile {
+final class TraceColumnsFile {
     private static final Set<String> KEYS =
             Set.of("header", "time", "unit", "pattern", "zone", "begin", "owner", "flow", "sort", "weight");
 
     private final Path file;
     private final Map<String, Node> members;
 
-    private ColumnsFile(Path file, Map<String, Node> members) {
+    private TraceColumnsFile(Path file, Map<String, Node> members) {
         this.file = file;
         this.members = members;
     }
@@ -32,16 +32,16 @@
      *
      * @throws IllegalArgumentException with the place of what is wrong
      */
-    static Columns read(Path file) throws SourceFile.UnreadableException {
+    static ColumnMapping read(Path file) throws SourceFile.UnreadableException {
         List<Finding> findings = new ArrayList<>();
         Node top = TomlFile.read(file.toString(), SourceFile.text(file), findings);
         if (!findings.isEmpty()) {
             throw new IllegalArgumentException(findings.get(0).toString());
         }
-        return new ColumnsFile(file, top.table()).columns();
+        return new TraceColumnsFile(file, top.table()).columns();
     }
 
-    private Columns columns() {
+    private ColumnMapping columns() {
         members.forEach((key, node) -> {
             if (!KEYS.contains(key)) {
                 throw fault(
@@ -51,24 +51,24 @@
             }
         });
         boolean header = !members.containsKey("header") || flag("header");
-        Columns.Unit unit = unit(text("unit"));
-        Columns.Clock clock = null;
-        if (unit == Columns.Unit.TEXT) {
+        ColumnMapping.Unit unit = unit(text("unit"));
+        ColumnMapping.Clock clock = null;
+        if (unit == ColumnMapping.Unit.TEXT) {
             try {
                 clock = new ZonedClock(text("pattern"), text("zone"), textOrNull("begin"));
             } catch (IllegalArgumentException e) {
                 throw fault("time", e.getMessage());
             }
         }
-        return new Columns(
-                new Columns.Names(
+        return new ColumnMapping(
+                new ColumnMapping.Names(
                         header, text("time"), text("owner"), text("flow"), textOrNull("sort"), textOrNull("weight")),
                 unit,
                 clock);
     }
 
-    private Columns.Unit unit(String word) {
-        return Stream.of(Columns.Unit.values())
+    private ColumnMapping.Unit unit(String word) {
+        return Stream.of(ColumnMapping.Unit.values())
                 .filter(u -> u.word().equals(word))
                 .findFirst()
                 .orElseThrow(() -> fault("unit", word + " is none of us, ms, s, text"));
--- a/src/main/java/pipitstage/cli/TraceCommand.java
+++ b/src/main/java/loftflow/cli/TraceCommand.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -11,6 +11,22 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import loftflow.config.file.Finding;
+import loftflow.config.file.SourceFile;
+import loftflow.config.file.Units;
+import loftflow.config.plan.Declaration;
+import loftflow.config.plan.MachineInspector;
+import loftflow.config.tool.CheckedFile;
+import loftflow.trace.ArrivalSorter;
+import loftflow.trace.ColumnMapping;
+import loftflow.trace.Row;
+import loftflow.trace.RowFormat;
+import loftflow.trace.RowTally;
+import loftflow.trace.TraceFormat;
+import loftflow.trace.TraceMapping;
+import loftflow.trace.TraceMessage;
+import loftflow.trace.read.TraceMessageFile;
+import loftflow.trace.read.TraceReader;
 import picocli.CommandLine;
 import picocli.CommandLine.ArgGroup;
 import picocli.CommandLine.Command;
@@ -19,22 +35,6 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.SourceFile;
-import pipitstage.config.file.Units;
-import pipitstage.config.plan.Declared;
-import pipitstage.config.plan.Surroundings;
-import pipitstage.config.tool.CheckedFile;
-import pipitstage.trace.Arrivals;
-import pipitstage.trace.Call;
-import pipitstage.trace.Columns;
-import pipitstage.trace.Form;
-import pipitstage.trace.Mapping;
-import pipitstage.trace.Row;
-import pipitstage.trace.RowForm;
-import pipitstage.trace.Tally;
-import pipitstage.trace.read.CallsFile;
-import pipitstage.trace.read.TraceReader;
 
 /** Public cluster traces in CSV. */
 @Command(
@@ -105,14 +105,14 @@
         private CommandSpec spec;
 
         /** Reads them; rows go to a consumer in the order of their times. */
-        Tally read(Consumer<Row> out) throws IOException, SourceFile.UnreadableException {
-            Tally tally = new Tally();
+        RowTally read(Consumer<Row> out) throws IOException, SourceFile.UnreadableException {
+            RowTally tally = new RowTally();
             long first = from();
             long end = to == null ? Long.MAX_VALUE : span("--to", to);
             new TraceReader(
                             formOf(),
                             time -> time >= first && time < end,
-                            new Arrivals(span("--window", window), MOST_HELD, rule(), tally, out),
+                            new ArrivalSorter(span("--window", window), MOST_HELD, rule(), tally, out),
                             tally)
                     .read(files);
             return tally;
@@ -122,17 +122,19 @@
             return span("--from", from);
         }
 
-        private RowForm formOf() throws SourceFile.UnreadableException {
+        private RowFormat formOf() throws SourceFile.UnreadableException {
             if (which.map != null) {
                 try {
-                    return ColumnsFile.read(which.map);
+                    return TraceColumnsFile.read(which.map);
                 } catch (IllegalArgumentException e) {
                     throw misuse(e.getMessage());
                 }
             }
-            return Form.of(which.form)
+            return TraceFormat.of(which.form)
                     .orElseThrow(() -> misuse("--form: " + which.form + " is none of "
-                            + Stream.of(Form.values()).map(Form::word).collect(Collectors.joining(", "))));
+                            + Stream.of(TraceFormat.values())
+                                    .map(TraceFormat::word)
+                                    .collect(Collectors.joining(", "))));
         }
 
         private long span(String option, String text) {
@@ -143,8 +145,8 @@
             }
         }
 
-        private Arrivals.Late rule() {
-            return Stream.of(Arrivals.Late.values())
+        private ArrivalSorter.Late rule() {
+            return Stream.of(ArrivalSorter.Late.values())
                     .filter(l -> l.name().toLowerCase(Locale.ROOT).equals(late))
                     .findFirst()
                     .orElseThrow(() -> misuse("--late: " + late + " is none of drop, clamp, fail"));
@@ -155,7 +157,7 @@
         }
     }
 
-    static void print(Tally tally, PrintWriter out) {
+    static void print(RowTally tally, PrintWriter out) {
         out.printf(
                 Locale.ROOT,
                 "%d rows read = %d sent + %d cut + %d rejected%n",
@@ -202,7 +204,7 @@
         public Integer call() {
             Spread spread = new Spread();
             try {
-                Tally tally = files.read(spread::take);
+                RowTally tally = files.read(spread::take);
                 PrintWriter out = spec.commandLine().getOut();
                 print(tally, out);
                 if (tally.rowsSent() > 0) {
@@ -215,8 +217,8 @@
                 }
                 return tally.rowsRejected() == 0 ? 0 : 1;
             } catch (IOException
-                    | Arrivals.LateException
-                    | Columns.NoSuchColumnException
+                    | ArrivalSorter.LateException
+                    | ColumnMapping.NoSuchColumnException
                     | SourceFile.UnreadableException e) {
                 return unreadable(spec, e);
             }
@@ -271,13 +273,13 @@
         @Override
         public Integer call() {
             try {
-                Mapping mapping = new Mapping(scheme(), seed, files.from(), speed);
+                TraceMapping mapping = new TraceMapping(scheme(), seed, files.from(), speed);
                 TreeMap<String, Long> types = new TreeMap<>();
                 TreeMap<Integer, Long> destinations = new TreeMap<>();
-                Tally tally;
-                try (CallsFile calls = new CallsFile(out)) {
+                RowTally tally;
+                try (TraceMessageFile calls = new TraceMessageFile(out)) {
                     tally = files.read(row -> {
-                        Call call = mapping.call(row);
+                        TraceMessage call = mapping.call(row);
                         types.merge(call.type(), 1L, Long::sum);
                         destinations.merge(call.destination(), 1L, Long::sum);
                         calls.write(call);
@@ -288,8 +290,8 @@
                 return tally.rowsRejected() == 0 ? 0 : 1;
             } catch (IOException
                     | UncheckedIOException
-                    | Arrivals.LateException
-                    | Columns.NoSuchColumnException
+                    | ArrivalSorter.LateException
+                    | ColumnMapping.NoSuchColumnException
                     | SourceFile.UnreadableException e) {
                 return unreadable(spec, e);
             } catch (IllegalArgumentException e) {
@@ -297,23 +299,23 @@
             }
         }
 
-        private Mapping.Scheme scheme() throws SourceFile.UnreadableException {
-            Declared declared = declared(app);
-            return new Mapping.Scheme(
+        private TraceMapping.Scheme scheme() throws SourceFile.UnreadableException {
+            Declaration declared = declared(app);
+            return new TraceMapping.Scheme(
                     declared.classes().stream()
-                            .map(c -> new Mapping.Type(
+                            .map(c -> new TraceMapping.Type(
                                     c.name(),
                                     c.peakRate(),
-                                    c.repeat() == Declared.Repeat.BY_KEY,
+                                    c.repeat() == Declaration.Repeat.BY_KEY,
                                     c.body(),
                                     c.largestBody(),
                                     c.deadline(),
                                     declared.partners().stream()
                                             .filter(p -> c.to() == null || c.to().contains(p.kind()))
-                                            .map(Declared.Partner::number)
+                                            .map(Declaration.Partner::number)
                                             .toList()))
                             .toList(),
-                    declared.tenants().stream().map(Declared.Tenant::name).toList());
+                    declared.tenants().stream().map(Declaration.Tenant::name).toList());
         }
     }
 
@@ -322,8 +324,8 @@
      *
      * @throws IllegalArgumentException with its first error
      */
-    static Declared declared(Path app) throws SourceFile.UnreadableException {
-        CheckedFile checked = CheckedFile.of(app.toString(), SourceFile.text(app), Surroundings.UNKNOWN);
+    static Declaration declared(Path app) throws SourceFile.UnreadableException {
+        CheckedFile checked = CheckedFile.of(app.toString(), SourceFile.text(app), MachineInspector.UNKNOWN);
         if (!checked.isClean()) {
             throw new IllegalArgumentException(checked.findings().stream()
                     .filter(Finding::isError)
--- a/src/main/java/pipitstage/platform/EndsFile.java
+++ b/src/main/java/loftflow/completion/CompletionLog.java
@@ -1,4 +1,4 @@
-package pipitstage.platform;
+package loftflow.completion;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -12,17 +12,17 @@
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
-import pipitstage.engine.Ends;
-import pipitstage.engine.Message;
-import pipitstage.log.Log;
-import pipitstage.records.Records;
+import loftflow.engine.CompletionNotifier;
+import loftflow.engine.Message;
+import loftflow.log.Log;
+import loftflow.recordfile.RecordFile;
 
 /**
  * Tells ends other than delivery in a file of JSON Lines in the folder that lasts, where no platform listens. When the
  * file has half its share of the disk it becomes {@code ends.jsonl.1}, in the place of an earlier one. An end that can't
  * be written is still owed: it is tried again with the next one, and at the next start.
  */
-public final class EndsFile implements Ends {
+public final class CompletionLog implements CompletionNotifier {
     /** The part of the disk that both files together may take is one in so many. */
     public static final int DISK_PART = 20;
 
@@ -36,7 +36,7 @@
     private final ArrayDeque<Message> waiting = new ArrayDeque<>();
 
     /** A file in a folder that takes, with the one before it, so many bytes at the most. */
-    public EndsFile(Path folder, long bytes, Consumer<Message> heard) {
+    public CompletionLog(Path folder, long bytes, Consumer<Message> heard) {
         file = folder.resolve(NAME);
         older = folder.resolve(NAME + ".1");
         most = bytes / 2;
@@ -61,7 +61,7 @@
             Files.move(file, older, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         }
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            Records.append(channel, line, channel.size());
+            RecordFile.append(channel, line, channel.size());
         }
     }
 
--- a/src/main/java/pipitstage/platform/Notices.java
+++ b/src/main/java/loftflow/completion/HttpCompletionNotifier.java
@@ -1,4 +1,4 @@
-package pipitstage.platform;
+package loftflow.completion;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -14,19 +14,20 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pipitstage.engine.Ends;
-import pipitstage.engine.Message;
-import pipitstage.log.Log;
+import loftflow.discovery.AgentConnection;
+import loftflow.engine.CompletionNotifier;
+import loftflow.engine.Message;
+import loftflow.log.Log;
 
 /** Tells the platform of messages that ended undelivered, and again until it has heard. */
-public final class Notices implements Ends {
+public final class HttpCompletionNotifier implements CompletionNotifier {
     private static final int MOST_IN_ONE = 100;
     private static final long PATIENCE_MS = 100;
     private static final long PAUSE_MS = 20;
     private static final long LOOK_MS = 500;
 
     private final EventLoop loop;
-    private final AgentClient agent;
+    private final AgentConnection agent;
     private final Consumer<Message> heard;
     private final Runnable unreachable;
     private final JsonFactory factory = new JsonFactory();
@@ -41,11 +42,12 @@
      * @param heard is told of each once the platform has taken it
      * @param unreachable is run each {@value #LOOK_MS} ms for which there is no connection to the platform
      */
-    public Notices(EventLoop loop, InetSocketAddress address, Consumer<Message> heard, Runnable unreachable) {
+    public HttpCompletionNotifier(
+            EventLoop loop, InetSocketAddress address, Consumer<Message> heard, Runnable unreachable) {
         this.loop = loop;
         this.heard = heard;
         this.unreachable = unreachable;
-        agent = new AgentClient(loop, address);
+        agent = new AgentConnection(loop, address);
     }
 
     /**
--- a/src/main/java/pipitstage/config/Config.java
+++ b/src/main/java/loftflow/config/Config.java
@@ -1,4 +1,4 @@
-package pipitstage.config;
+package loftflow.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -9,12 +9,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import pipitstage.Fields;
-import pipitstage.Policy;
-import pipitstage.WireCodec;
-import pipitstage.WireException;
-import pipitstage.engine.Target;
-import pipitstage.platform.Targets;
+import loftflow.discovery.EndpointListCodec;
+import loftflow.engine.Endpoint;
+import loftflow.json.JsonFields;
+import loftflow.json.MalformedInputException;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.PolicySettings;
+import loftflow.settings.PlatformSettingsReader;
 
 /**
  * Everything that a relay is told at its start. Spans are in microseconds.
@@ -43,13 +44,13 @@
         int clientConnections,
         int hostConnections,
         long diskBytes,
-        Policy.Settings settings,
+        PolicySettings settings,
         long period,
         long idleSpan,
         boolean reports,
-        Policy.ListKind knownKind,
+        EndpointListKind knownKind,
         long knownVersion,
-        List<Target> known,
+        List<Endpoint> known,
         Keeping keeping,
         Amqp amqp,
         Http2 http2,
@@ -234,26 +235,26 @@
         }
     }
 
-    private static Config read(String what, byte[] source, Function<Fields, Config> by) throws BadConfigException {
+    private static Config read(String what, byte[] source, Function<JsonFields, Config> by) throws BadConfigException {
         try (JsonParser parser = new JsonFactory().createParser(source)) {
             parser.nextToken();
-            return by.apply(Fields.ofObject("config", Fields.read(parser)));
+            return by.apply(JsonFields.ofObject("config", JsonFields.read(parser)));
         } catch (IOException e) {
             throw new BadConfigException(what + ": can't be read: " + e.getMessage());
-        } catch (WireException | IllegalArgumentException e) {
+        } catch (MalformedInputException | IllegalArgumentException e) {
             throw new BadConfigException(what + ": " + e.getMessage());
         }
     }
 
     /** The same with a memory, as the file for it says. */
-    private Config remembering(Fields m) {
+    private Config remembering(JsonFields m) {
         double share = m.number("disk-share");
         if (!(share > 0 && share <= MOST_MEMORY)) {
             throw new IllegalArgumentException(
                     "disk-share: from 0 to " + MOST_MEMORY + ": the journal may need the rest");
         }
         Memory remembers = new Memory(
-                "platform#" + settings.relay(),
+                "platform#" + settings.relayIndex(),
                 (long) (diskBytes * share),
                 atLeast(m, "write-rate", 1, m.whole("write-rate")),
                 atLeast(m, "half-life-s", 1_000_000, m.micros("half-life-s")),
@@ -282,7 +283,7 @@
                 source);
     }
 
-    private static long atLeast(Fields m, String name, long least, long value) {
+    private static long atLeast(JsonFields m, String name, long least, long value) {
         if (value < least) {
             throw new IllegalArgumentException(name + ": " + m.value(name) + " is too small");
         }
@@ -295,24 +296,24 @@
     }
 
     /** Makes sense of the platform's JSON. */
-    public static Config of(Fields json, Path state, byte[] source) {
-        Fields params = json.object("settings");
-        Fields limits = json.object("limits");
-        Policy.Settings settings = WireCodec.settings(Long.parseUnsignedLong(json.text("seed"), 16), params);
+    public static Config of(JsonFields json, Path state, byte[] source) {
+        JsonFields params = json.object("settings");
+        JsonFields limits = json.object("limits");
+        PolicySettings settings = PlatformSettingsReader.read(Long.parseUnsignedLong(json.text("seed"), 16), params);
         long version = -1;
-        List<Target> known = List.of();
+        List<Endpoint> known = List.of();
         if (json.value("known") != null) {
-            Fields list = json.object("known");
+            JsonFields list = json.object("known");
             version = list.whole("rev");
-            known = Targets.readAll(list);
+            known = EndpointListCodec.readAll(list);
         }
         String how =
                 params.value("stats") == null ? null : params.object("stats").textOrNull("how");
         int connections = sockets(limits) - OTHER_DESCRIPTORS;
         int clients = (int) Math.ceil(CLIENT_SHARE * connections);
-        InetSocketAddress discovery = Target.address(json.text("discovery"));
+        InetSocketAddress discovery = Endpoint.address(json.text("discovery"));
         return new Config(
-                List.of(Target.address(json.text("listen"))),
+                List.of(Endpoint.address(json.text("listen"))),
                 discovery,
                 discovery,
                 state,
@@ -323,7 +324,7 @@
                 params.micros("period-s", 0),
                 params.object("limits").micros("conn-idle-s"),
                 how != null && !how.equals("off"),
-                Policy.ListKind.CACHED,
+                EndpointListKind.CACHED,
                 version,
                 known,
                 null,
@@ -333,7 +334,7 @@
                 source);
     }
 
-    private static int sockets(Fields limits) {
+    private static int sockets(JsonFields limits) {
         long sockets = limits.whole("sockets");
         if (sockets <= OTHER_DESCRIPTORS) {
             throw new IllegalArgumentException("limits.sockets: more than " + OTHER_DESCRIPTORS + " are needed");
--- a/src/main/java/pipitstage/config/file/Finding.java
+++ b/src/main/java/loftflow/config/file/Finding.java
@@ -1,4 +1,4 @@
-package pipitstage.config.file;
+package loftflow.config.file;
 
 import java.util.Comparator;
 
--- a/src/main/java/pipitstage/config/file/package-info.java
+++ b/src/main/java/loftflow/config/file/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: files, and the TOML parser in {@code TomlFile} alone; nothing of the relay.
  */
-package pipitstage.config.file;
+package loftflow.config.file;
--- a/src/main/java/pipitstage/config/package-info.java
+++ b/src/main/java/loftflow/config/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: the decision module, {@code Target} and the reading of lists; files, but no network.
  */
-package pipitstage.config;
+package loftflow.config;
--- a/src/main/java/pipitstage/config/plan/Checks.java
+++ b/src/main/java/loftflow/config/plan/ConsistencyChecks.java
@@ -1,6 +1,6 @@
-package pipitstage.config.plan;
+package loftflow.config.plan;
 
-import static pipitstage.config.plan.Planner.text;
+import static loftflow.config.plan.Planner.text;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -12,19 +12,19 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.Units;
-import pipitstage.config.plan.Declared.MessageClass;
-import pipitstage.config.plan.Declared.Partner;
-import pipitstage.config.plan.Declared.Repeat;
-import pipitstage.config.schema.Addresses;
-import pipitstage.config.schema.Section;
+import loftflow.config.file.Finding;
+import loftflow.config.file.Units;
+import loftflow.config.plan.Declaration.MessageClass;
+import loftflow.config.plan.Declaration.Partner;
+import loftflow.config.plan.Declaration.Repeat;
+import loftflow.config.schema.Addresses;
+import loftflow.config.schema.TableReader;
 
 /**
  * Contradictions between settings that are each well formed. Errors are what no relay could keep its promises with;
  * warnings are what works less well than staff may think. Free of I/O.
  */
-public final class Checks {
+public final class ConsistencyChecks {
     private static final long LARGEST_PORTION = 64 << 10;
     /** The relay gives its last answers by then after SIGTERM. */
     private static final long OWN_STOP = 3_200_000;
@@ -34,20 +34,20 @@
     private static final List<String> HTTP2_FRONT =
             List.of("streams", "header-list", "window", "idle", "age", "stall", "resets", "drain");
 
-    private final Declared declared;
-    private final Figures figures;
-    private final Surroundings surroundings;
+    private final Declaration declared;
+    private final DerivedSettings figures;
+    private final MachineInspector surroundings;
     private final List<Finding> findings = new ArrayList<>();
 
-    private Checks(Declared declared, Figures figures, Surroundings surroundings) {
+    private ConsistencyChecks(Declaration declared, DerivedSettings figures, MachineInspector surroundings) {
         this.declared = declared;
         this.figures = figures;
         this.surroundings = surroundings;
     }
 
     /** Everything that contradicts something else, in no special order. */
-    public static List<Finding> of(Declared declared, Figures figures, Surroundings surroundings) {
-        Checks checks = new Checks(declared, figures, surroundings);
+    public static List<Finding> of(Declaration declared, DerivedSettings figures, MachineInspector surroundings) {
+        ConsistencyChecks checks = new ConsistencyChecks(declared, figures, surroundings);
         checks.names();
         checks.classes();
         checks.partners();
@@ -62,11 +62,11 @@
         return checks.findings;
     }
 
-    private void error(Section at, String key, String reason) {
+    private void error(TableReader at, String key, String reason) {
         findings.add(at.at(key).error(reason));
     }
 
-    private void warn(Section at, String key, String reason) {
+    private void warn(TableReader at, String key, String reason) {
         findings.add(at.at(key).warning(reason));
     }
 
@@ -110,7 +110,7 @@
                 "address");
         unique(declared.amqp().brokers(), b -> b.name(), b -> b.at(), "name");
         unique(declared.amqp().queues(), q -> q.name(), q -> q.at(), "name");
-        unique(declared.fronts().stream().filter(Declared.Front::amqp).toList(), f -> f.name(), f -> f.at(), "name");
+        unique(declared.fronts().stream().filter(Declaration.Front::amqp).toList(), f -> f.name(), f -> f.at(), "name");
         if (declared.fleet().number() >= declared.fleet().relays()) {
             error(
                     declared.fleet().at(),
@@ -122,7 +122,7 @@
         tenants();
         Set<String> used = new HashSet<>();
         declared.partners().forEach(p -> used.add(p.kind()));
-        for (Declared.Kind kind : declared.kinds()) {
+        for (Declaration.Kind kind : declared.kinds()) {
             if (!used.contains(kind.name()) && declared.discovery().agent() == null) {
                 warn(kind.at(), "name", "no partner is of kind " + kind.name());
             }
@@ -131,8 +131,9 @@
 
     /** Tenants' shares that fall short of what comes at the busiest make part of it count as beyond a share. */
     private void tenants() {
-        double shares =
-                declared.tenants().stream().mapToDouble(Declared.Tenant::rate).sum();
+        double shares = declared.tenants().stream()
+                .mapToDouble(Declaration.Tenant::rate)
+                .sum();
         double peak =
                 declared.classes().stream().mapToDouble(MessageClass::peakRate).sum();
         boolean all =
@@ -146,10 +147,10 @@
         }
     }
 
-    private <T> void unique(List<T> parts, Function<T, String> name, Function<T, Section> at, String key) {
-        Map<String, Section> seen = new HashMap<>();
+    private <T> void unique(List<T> parts, Function<T, String> name, Function<T, TableReader> at, String key) {
+        Map<String, TableReader> seen = new HashMap<>();
         for (T part : parts) {
-            Section first = seen.putIfAbsent(name.apply(part), at.apply(part));
+            TableReader first = seen.putIfAbsent(name.apply(part), at.apply(part));
             if (first != null) {
                 error(
                         at.apply(part),
@@ -223,7 +224,7 @@
         if (keyed && type.keysByBuilding()) {
             for (Partner partner : declared.partnersOf(type)) {
                 Set<String> buildings = partner.endpoints().stream()
-                        .map(Declared.Endpoint::building)
+                        .map(Declaration.Endpoint::building)
                         .collect(Collectors.toCollection(LinkedHashSet::new));
                 if (buildings.size() > 1) {
                     warn(
@@ -237,7 +238,7 @@
             }
         }
         if (type.inOrder()) {
-            for (Declared.Kind kind : declared.kinds()) {
+            for (Declaration.Kind kind : declared.kinds()) {
                 if (kind.batch() > 1 && (type.to() == null || type.to().contains(kind.name()))) {
                     error(
                             type.at(),
@@ -330,7 +331,7 @@
                 error(partner.at(), "limit", "0/s means that the partner takes nothing; leave it out if it is unknown");
             }
         }
-        for (Declared.Kind kind : declared.kinds()) {
+        for (Declaration.Kind kind : declared.kinds()) {
             if (figures.idle() > kind.idle()) {
                 error(
                         "calls.idle",
@@ -395,7 +396,7 @@
     // ---- addresses
 
     private void addresses() {
-        List<Declared.Front> fronts = declared.fronts();
+        List<Declaration.Front> fronts = declared.fronts();
         for (int i = 0; i < fronts.size(); i++) {
             String listen = fronts.get(i).listen();
             for (int j = 0; j < i; j++) {
@@ -409,7 +410,7 @@
                                     + "; give it another port");
                 }
             }
-            for (Declared.Endpoint endpoint : declared.endpoints()) {
+            for (Declaration.Endpoint endpoint : declared.endpoints()) {
                 if (Addresses.collide(listen, endpoint.address())) {
                     error(
                             fronts.get(i).at(),
@@ -423,7 +424,7 @@
                 error(fronts.get(i).at(), "listen", listen + " is discovery.agent's address; give it another port");
             }
         }
-        for (Declared.Endpoint endpoint : declared.endpoints()) {
+        for (Declaration.Endpoint endpoint : declared.endpoints()) {
             if (endpoint.address().endsWith(":0")) {
                 error(endpoint.at(), "address", endpoint.address() + " has port 0, where nobody can be called");
             }
@@ -512,7 +513,7 @@
     }
 
     private void memory() {
-        Declared.Memory memory = declared.memory();
+        Declaration.Memory memory = declared.memory();
         if (!memory.keep()) {
             return;
         }
@@ -546,7 +547,7 @@
     }
 
     private void undeliverable() {
-        Declared.Undeliverable kept = declared.undeliverable();
+        Declaration.Undeliverable kept = declared.undeliverable();
         if (!kept.keep()) {
             return;
         }
@@ -589,16 +590,16 @@
     // ---- AMQP and HTTP/2
 
     private void amqp() {
-        Map<String, Declared.Broker> brokers = new HashMap<>();
+        Map<String, Declaration.Broker> brokers = new HashMap<>();
         declared.amqp().brokers().forEach(b -> brokers.put(b.name(), b));
         Set<String> used = new HashSet<>();
-        for (Declared.Endpoint endpoint : declared.endpoints()) {
+        for (Declaration.Endpoint endpoint : declared.endpoints()) {
             endpoint(endpoint, brokers, used);
         }
-        for (Declared.Queue queue : declared.amqp().queues()) {
+        for (Declaration.Queue queue : declared.amqp().queues()) {
             queue(queue, brokers, used);
         }
-        for (Declared.Broker broker : declared.amqp().brokers()) {
+        for (Declaration.Broker broker : declared.amqp().brokers()) {
             if (!used.contains(broker.name())) {
                 warn(broker.at(), "name", "no endpoint and no queue is at broker " + broker.name());
             } else {
@@ -613,7 +614,7 @@
                         "is for TLS, and tls = false;" + " set that to true or leave this out");
             }
         }
-        for (Declared.Front front : declared.fronts()) {
+        for (Declaration.Front front : declared.fronts()) {
             if (front.amqp()) {
                 heartbeat(front.at(), front.heartbeat());
                 readable(front.at(), "password-file", front.passwordFile());
@@ -631,7 +632,7 @@
         duplicates();
     }
 
-    private void strays(Declared.Front front, List<String> keys, String spoken, String protocol) {
+    private void strays(Declaration.Front front, List<String> keys, String spoken, String protocol) {
         keys.stream()
                 .filter(front.at()::has)
                 .forEach(key -> error(
@@ -645,7 +646,7 @@
 
     private void http2() {
         declared.fronts().stream().filter(f -> !f.isHttp2()).forEach(f -> strays(f, HTTP2_FRONT, "HTTP/2", "http2"));
-        for (Declared.Front front : declared.http2()) {
+        for (Declaration.Front front : declared.http2()) {
             http2(front, front.http2());
         }
         if (declared.http2().isEmpty()) {
@@ -684,7 +685,7 @@
         }
     }
 
-    private void http2(Declared.Front front, Declared.Http2 http2) {
+    private void http2(Declaration.Front front, Declaration.Http2 http2) {
         if (http2.streams() > figures.streams()) {
             error(
                     front.at(),
@@ -735,7 +736,7 @@
                 });
     }
 
-    private void endpoint(Declared.Endpoint endpoint, Map<String, Declared.Broker> brokers, Set<String> used) {
+    private void endpoint(Declaration.Endpoint endpoint, Map<String, Declaration.Broker> brokers, Set<String> used) {
         if (endpoint.broker() == null) {
             for (String key : List.of("exchange", "routing-key")) {
                 if (endpoint.at().has(key)) {
@@ -761,7 +762,7 @@
         }
     }
 
-    private void queue(Declared.Queue queue, Map<String, Declared.Broker> brokers, Set<String> used) {
+    private void queue(Declaration.Queue queue, Map<String, Declaration.Broker> brokers, Set<String> used) {
         used.add(queue.broker());
         if (!brokers.containsKey(queue.broker())) {
             error(queue.at(), "broker", "no [[broker]] is named " + queue.broker());
@@ -795,7 +796,7 @@
     }
 
     /** A heartbeat longer than a deadline finds a dead connection only when its messages are lost. */
-    private void heartbeat(Section at, long heartbeat) {
+    private void heartbeat(TableReader at, long heartbeat) {
         declared.classes().stream()
                 .min(Comparator.comparingLong(MessageClass::deadline))
                 .ifPresent(type -> {
@@ -810,7 +811,7 @@
                 });
     }
 
-    private void readable(Section at, String key, String file) {
+    private void readable(TableReader at, String key, String file) {
         if (file != null) {
             surroundings.unreadable(file).ifPresent(fault -> error(at, key, fault));
         }
@@ -818,8 +819,8 @@
 
     private void mappings() {
         Set<String> seen = new HashSet<>();
-        Declared.Mapping all = null;
-        for (Declared.Mapping mapping : declared.amqp().mappings()) {
+        Declaration.Mapping all = null;
+        for (Declaration.Mapping mapping : declared.amqp().mappings()) {
             if (all != null) {
                 error(
                         mapping.at(),
@@ -844,7 +845,7 @@
         if (!declared.takesAmqp()) {
             return;
         }
-        Declared.Duplicates d = declared.amqp().duplicates();
+        Declaration.Duplicates d = declared.amqp().duplicates();
         double entries = declared.classes().stream()
                 .mapToDouble(c -> (c.meanRate() > 0 ? c.meanRate() : c.peakRate()) * d.span() / 1e6)
                 .sum();
@@ -885,7 +886,7 @@
     }
 
     private void machine() {
-        Declared.Machine machine = declared.machine();
+        Declaration.Machine machine = declared.machine();
         long memory = figures.heap() + figures.direct() + Planner.JVM_OWN;
         if (memory > machine.memory()) {
             error(
--- a/src/main/java/pipitstage/config/plan/Declared.java
+++ b/src/main/java/loftflow/config/plan/Declaration.java
@@ -1,18 +1,18 @@
-package pipitstage.config.plan;
+package loftflow.config.plan;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import pipitstage.config.schema.Section;
+import loftflow.config.schema.TableReader;
 
 /**
  * What a program's people declare: its messages, its partners, its machine. Spans are in microseconds, sizes in bytes,
  * rates a second; 0 where none is known. Each part knows the table that it was read from, for findings.
  */
-public record Declared(
-        Section at,
+public record Declaration(
+        TableReader at,
         String name,
         Machine machine,
         List<Front> fronts,
@@ -37,7 +37,7 @@
 
     /** The machine that a relay gets. */
     public record Machine(
-            Section at,
+            TableReader at,
             double cores,
             long memory,
             int descriptors,
@@ -59,7 +59,7 @@
      * @param http2 what is for HTTP/2 alone
      */
     public record Front(
-            Section at,
+            TableReader at,
             String listen,
             Protocol protocol,
             String name,
@@ -91,7 +91,7 @@
 
     /** A queue to take messages from; {@code replyQueue} may be null. */
     public record Queue(
-            Section at,
+            TableReader at,
             String name,
             String broker,
             String address,
@@ -103,7 +103,7 @@
 
     /** How AMQP messages are read, by sources as text; null where there is none. */
     public record Mapping(
-            Section at,
+            TableReader at,
             String contentType,
             String id,
             String requestClass,
@@ -114,7 +114,7 @@
 
     /** How to log in; files and the name may be null. */
     public record Broker(
-            Section at,
+            TableReader at,
             String name,
             String virtualHost,
             String user,
@@ -125,17 +125,17 @@
             String tlsName) {}
 
     /** What is remembered of messages that were taken on over AMQP. */
-    public record Duplicates(Section at, long span, int entries) {}
+    public record Duplicates(TableReader at, long span, int entries) {}
 
     /** Addresses in digits, each null where there is none. */
-    public record Discovery(Section at, String agent, String notices) {}
+    public record Discovery(TableReader at, String agent, String notices) {}
 
     /** The relays that share partners. */
-    public record Fleet(Section at, int relays, int number) {}
+    public record Fleet(TableReader at, int relays, int number) {}
 
     /** What is kept of messages that could not be delivered; nothing where {@code keep} is false. */
     public record Undeliverable(
-            Section at,
+            TableReader at,
             boolean keep,
             long limit,
             long entries,
@@ -150,14 +150,21 @@
 
     /** What is remembered of partners over a restart; nothing where {@code keep} is false. */
     public record Memory(
-            Section at, boolean keep, long limit, long rate, long halfLife, long settle, long margin, boolean sync) {}
+            TableReader at,
+            boolean keep,
+            long limit,
+            long rate,
+            long halfLife,
+            long settle,
+            long margin,
+            boolean sync) {}
 
     /** Whoever messages are sent for. */
-    public record Tenant(Section at, String name, double rate) {}
+    public record Tenant(TableReader at, String name, double rate) {}
 
     /** A class of messages; {@code to} is null where it goes to all kinds. */
     public record MessageClass(
-            Section at,
+            TableReader at,
             String name,
             Repeat repeat,
             long keyWindow,
@@ -181,15 +188,21 @@
     }
 
     /** A kind of partner. */
-    public record Kind(Section at, String name, int batch, boolean routesApart, long idle) {}
+    public record Kind(TableReader at, String name, int batch, boolean routesApart, long idle) {}
 
     /** A destination. */
     public record Partner(
-            Section at, String name, int number, String kind, double limit, long response, List<Endpoint> endpoints) {}
+            TableReader at,
+            String name,
+            int number,
+            String kind,
+            double limit,
+            long response,
+            List<Endpoint> endpoints) {}
 
     /** Where a partner takes calls; {@code broker} is null where it takes them over HTTP. */
     public record Endpoint(
-            Section at,
+            TableReader at,
             String id,
             String address,
             String building,
@@ -198,12 +211,12 @@
             String routingKey) {}
 
     /** Reads what is declared out of a file that has no finding yet. */
-    public static Declared of(Section top) {
-        Section machine = top.table("machine");
-        Section discovery = top.table("discovery");
-        Section fleet = top.table("fleet");
+    public static Declaration of(TableReader top) {
+        TableReader machine = top.table("machine");
+        TableReader discovery = top.table("discovery");
+        TableReader fleet = top.table("fleet");
         List<Partner> partners = new ArrayList<>();
-        for (Section partner : top.tables("partner")) {
+        for (TableReader partner : top.tables("partner")) {
             partners.add(new Partner(
                     partner,
                     partner.text("name"),
@@ -222,7 +235,7 @@
                                     e.text("routing-key")))
                             .toList()));
         }
-        return new Declared(
+        return new Declaration(
                 top,
                 top.text("name"),
                 new Machine(
@@ -243,7 +256,7 @@
                 top.tables("tenant").stream()
                         .map(t -> new Tenant(t, t.text("name"), t.number("rate")))
                         .toList(),
-                top.tables("class").stream().map(Declared::messageClass).toList(),
+                top.tables("class").stream().map(Declaration::messageClass).toList(),
                 kinds(top, partners),
                 partners,
                 undeliverable(top.table("undeliverable")),
@@ -251,9 +264,9 @@
                 amqp(top));
     }
 
-    private static List<Front> fronts(Section top) {
+    private static List<Front> fronts(TableReader top) {
         List<Front> fronts = new ArrayList<>();
-        for (Section f : top.tables("front")) {
+        for (TableReader f : top.tables("front")) {
             fronts.add(new Front(
                     f,
                     f.text("listen"),
@@ -279,8 +292,8 @@
         return fronts;
     }
 
-    private static Amqp amqp(Section top) {
-        Section d = top.table("duplicates");
+    private static Amqp amqp(TableReader top) {
+        TableReader d = top.table("duplicates");
         return new Amqp(
                 top.tables("queue").stream()
                         .map(q -> new Queue(
@@ -330,7 +343,7 @@
         return fronts.stream().filter(Front::isHttp2).toList();
     }
 
-    private static Undeliverable undeliverable(Section u) {
+    private static Undeliverable undeliverable(TableReader u) {
         return new Undeliverable(
                 u,
                 u.flag("keep"),
@@ -346,7 +359,7 @@
                 u.whole("listen-on"));
     }
 
-    private static Memory memory(Section m) {
+    private static Memory memory(TableReader m) {
         return new Memory(
                 m,
                 m.flag("keep"),
@@ -358,7 +371,7 @@
                 m.flag("sync"));
     }
 
-    private static MessageClass messageClass(Section c) {
+    private static MessageClass messageClass(TableReader c) {
         Repeat repeat =
                 switch (c.text("repeat")) {
                     case "once" -> Repeat.ONCE;
@@ -386,10 +399,10 @@
     }
 
     /** The kinds that are declared, and those that partners or classes name without a table of their own. */
-    private static List<Kind> kinds(Section top, List<Partner> partners) {
+    private static List<Kind> kinds(TableReader top, List<Partner> partners) {
         Map<String, Kind> kinds = new HashMap<>();
         List<Kind> inOrder = new ArrayList<>();
-        for (Section k : top.tables("kind")) {
+        for (TableReader k : top.tables("kind")) {
             inOrder.add(new Kind(k, k.text("name"), (int) k.whole("batch"), k.flag("routes-apart"), k.whole("idle")));
             kinds.put(k.text("name"), inOrder.get(inOrder.size() - 1));
         }
--- a/src/main/java/pipitstage/config/plan/Figures.java
+++ b/src/main/java/loftflow/config/plan/DerivedSettings.java
@@ -1,8 +1,8 @@
-package pipitstage.config.plan;
+package loftflow.config.plan;
 
 import java.util.function.Function;
-import pipitstage.config.schema.Place;
-import pipitstage.config.schema.Section;
+import loftflow.config.schema.SettingLocation;
+import loftflow.config.schema.TableReader;
 
 /**
  * What one relay runs by, beyond what was declared: worked out by {@link Planner} or read from a relay file. Spans are
@@ -10,8 +10,8 @@
  *
  * @param at where a figure stands, by its key, for findings
  */
-public record Figures(
-        Function<String, Place> at,
+public record DerivedSettings(
+        Function<String, SettingLocation> at,
         int messages,
         long round,
         int slots,
@@ -37,10 +37,10 @@
         long orderPause) {
 
     /** Reads the figures of a relay file. */
-    public static Figures of(Section top) {
-        Section calls = top.table("calls");
-        Section rules = top.table("rules");
-        return new Figures(
+    public static DerivedSettings of(TableReader top) {
+        TableReader calls = top.table("calls");
+        TableReader rules = top.table("rules");
+        return new DerivedSettings(
                 key -> {
                     int dot = key.indexOf('.');
                     return top.table(key.substring(0, dot)).at(key.substring(dot + 1));
--- a/src/main/java/pipitstage/config/plan/Surroundings.java
+++ b/src/main/java/loftflow/config/plan/MachineInspector.java
@@ -1,11 +1,11 @@
-package pipitstage.config.plan;
+package loftflow.config.plan;
 
 import java.util.Optional;
 
 /** What the checks ask of the machine that they run on; a port, so that they do no I/O themselves. */
-public interface Surroundings {
+public interface MachineInspector {
     /** Nothing is known of the machine. */
-    Surroundings UNKNOWN = new Surroundings() {
+    MachineInspector UNKNOWN = new MachineInspector() {
         @Override
         public Optional<String> temporary() {
             return Optional.empty();
--- a/src/main/java/pipitstage/config/plan/Planner.java
+++ b/src/main/java/loftflow/config/plan/Planner.java
@@ -1,12 +1,12 @@
-package pipitstage.config.plan;
+package loftflow.config.plan;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import pipitstage.config.file.Units;
-import pipitstage.config.schema.Place;
-import pipitstage.config.schema.Schema;
+import loftflow.config.file.Units;
+import loftflow.config.schema.Schema;
+import loftflow.config.schema.SettingLocation;
 
 /** Works out what a relay runs by from what was declared, and says how. Free of I/O: alike for alike. */
 public final class Planner {
@@ -57,49 +57,49 @@
     private static final int FEWEST_CLIENTS = 8;
 
     /** The figures, and for each derived key how it came about. */
-    public record Plan(Figures figures, Map<String, String> reasons) {}
+    public record Plan(DerivedSettings figures, Map<String, String> reasons) {}
 
     private Planner() {}
 
     /** Messages that may be open at once: each class's peak rate for as long as its messages may stay. */
-    static double mostOpen(Declared declared) {
+    static double mostOpen(Declaration declared) {
         return declared.classes().stream()
                 .mapToDouble(c -> c.peakRate() * c.deadline() / 1e6)
                 .sum();
     }
 
     /** Calls that are out at once by Little's law: rate times response, at the slowest partner of each class. */
-    static double mostCalls(Declared declared) {
+    static double mostCalls(Declaration declared) {
         return declared.classes().stream()
                 .mapToDouble(c -> c.peakRate() * slowest(declared, c) / 1e6)
                 .sum();
     }
 
-    private static long slowest(Declared declared, Declared.MessageClass type) {
+    private static long slowest(Declaration declared, Declaration.MessageClass type) {
         // With partners known to discovery alone, the wanted time is all that is said of their pace.
         return declared.partnersOf(type).stream()
-                .mapToLong(Declared.Partner::response)
+                .mapToLong(Declaration.Partner::response)
                 .max()
                 .orElse(type.wanted());
     }
 
     /** Bytes of the bodies of all messages that may be open, each class at its usual size and most messages. */
-    static double openBytes(Declared declared, long beside) {
+    static double openBytes(Declaration declared, long beside) {
         return declared.classes().stream()
                 .mapToDouble(c -> c.peakRate() * c.deadline() / 1e6 * (c.body() + beside))
                 .sum();
     }
 
     /** Bytes of so many open messages, mixed as declared. */
-    static double bytes(Declared declared, int messages, long beside) {
+    static double bytes(Declaration declared, int messages, long beside) {
         double open = mostOpen(declared);
         return open > 0 ? openBytes(declared, beside) / open * messages : (double) messages * beside;
     }
 
-    /** Works the figures out; what contradicts what was declared is for {@link Checks} to find. */
-    public static Plan plan(Declared declared) {
+    /** Works the figures out; what contradicts what was declared is for {@link ConsistencyChecks} to find. */
+    public static Plan plan(Declaration declared) {
         Map<String, String> why = new LinkedHashMap<>();
-        Declared.Machine machine = declared.machine();
+        Declaration.Machine machine = declared.machine();
         double open = mostOpen(declared);
         int messages = whole(Math.max(LEAST_MESSAGES, Math.ceil(open * HEAD_ROOM)));
         why.put(
@@ -135,19 +135,21 @@
                         "the rest of %d descriptors after %d for the process itself and %d calls",
                         machine.descriptors(), OTHER_DESCRIPTORS, connections));
         long shortest = declared.classes().stream()
-                .mapToLong(Declared.MessageClass::deadline)
+                .mapToLong(Declaration.MessageClass::deadline)
                 .min()
                 .orElse(USUAL_CONNECT * CONNECT_PART);
         long connect = Math.max(LEAST_CONNECT, Math.min(USUAL_CONNECT, shortest / CONNECT_PART / 1000 * 1000));
         why.put(
                 "calls.connect-timeout",
                 text("an eighth of the shortest deadline (%s), 1.5s at the most", Units.ofSpan(shortest)));
-        long idle =
-                declared.kinds().stream().mapToLong(Declared.Kind::idle).min().orElse(10_000_000);
+        long idle = declared.kinds().stream()
+                .mapToLong(Declaration.Kind::idle)
+                .min()
+                .orElse(10_000_000);
         why.put("calls.idle", "the shortest after which a kind of partner closes idle connections");
-        boolean copies = declared.classes().stream().anyMatch(Declared.MessageClass::secondCopies);
+        boolean copies = declared.classes().stream().anyMatch(Declaration.MessageClass::secondCopies);
         why.put("calls.second-copies", copies ? "a class asks for them" : "no class asks for them");
-        Declared.Undeliverable kept = declared.undeliverable();
+        Declaration.Undeliverable kept = declared.undeliverable();
         long seen = declared.takesAmqp() ? declared.amqp().duplicates().entries() * SEEN_RECORD : 0;
         long remembered = declared.memory().keep() ? declared.memory().limit() : 0;
         long disk = Math.max(0, machine.disk() - (kept.keep() ? kept.limit() : 0) - seen - remembered);
@@ -184,7 +186,7 @@
                     "clients.buffer",
                     "an eighth of the heap, 4MiB at the most; half of it belongs to classes by their worth");
         }
-        Figures figures = new Figures(
+        DerivedSettings figures = new DerivedSettings(
                 key -> declaredFor(declared, key),
                 messages,
                 fallback("buffer.round"),
@@ -213,7 +215,7 @@
     }
 
     /** Streams that one connection of a front is offered at the most. */
-    public static int streams(Declared.Http2 front, Figures figures) {
+    public static int streams(Declaration.Http2 front, DerivedSettings figures) {
         return front.streams() > 0
                 ? front.streams()
                 : Math.min(USUAL_STREAMS, Math.min(figures.messages(), figures.streams()));
@@ -229,7 +231,7 @@
     }
 
     /** What staff can change where a derived figure doesn't fit: what it was derived from. */
-    private static Place declaredFor(Declared declared, String key) {
+    private static SettingLocation declaredFor(Declaration declared, String key) {
         String name =
                 switch (key) {
                     case "journal.limit" -> "disk";
@@ -261,7 +263,7 @@
     }
 
     /** The keys of all derived settings with their values as a file writes them, in the order of the schema. */
-    public static Map<String, String> values(Figures f) {
+    public static Map<String, String> values(DerivedSettings f) {
         Map<String, String> values = new LinkedHashMap<>();
         values.put("buffer.messages", Integer.toString(f.messages()));
         values.put("buffer.round", span(f.round()));
@@ -298,7 +300,7 @@
     }
 
     /** The start line for a relay file. */
-    public static String startLine(Figures f, String relayFile) {
+    public static String startLine(DerivedSettings f, String relayFile) {
         return "java -XX:-UsePerfData -Xms" + Math.min(48, f.heap() / MIB) + "m -Xmx" + f.heap() / MIB
                 + "m -XX:MaxDirectMemorySize=" + f.direct() / MIB + "m -XX:MaxMetaspaceSize=40m"
                 + " -XX:ReservedCodeCacheSize=24m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
@@ -307,7 +309,7 @@
     }
 
     /** Kinds that classes go to, with partners that discovery tells of later. */
-    static List<String> kindNames(Declared declared) {
-        return declared.kinds().stream().map(Declared.Kind::name).toList();
+    static List<String> kindNames(Declaration declared) {
+        return declared.kinds().stream().map(Declaration.Kind::name).toList();
     }
 }
--- a/src/main/java/pipitstage/config/schema/Addresses.java
+++ b/src/main/java/loftflow/config/schema/Addresses.java
@@ -1,4 +1,4 @@
-package pipitstage.config.schema;
+package loftflow.config.schema;
 
 /** Addresses in digits with a port, kept as text. */
 public final class Addresses {
--- a/src/main/java/pipitstage/config/schema/Catalog.java
+++ b/src/main/java/loftflow/config/schema/Catalog.java
@@ -1,8 +1,8 @@
-package pipitstage.config.schema;
+package loftflow.config.schema;
 
-import static pipitstage.config.schema.Setting.Type.TABLE;
-import static pipitstage.config.schema.Setting.Type.TABLES;
-import static pipitstage.config.schema.Setting.Type.WORD;
+import static loftflow.config.schema.Setting.Type.TABLE;
+import static loftflow.config.schema.Setting.Type.TABLES;
+import static loftflow.config.schema.Setting.Type.WORD;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import pipitstage.config.file.Units;
+import loftflow.config.file.Units;
 
 /** Every setting of one form of file: the single source of what is accepted, explained and documented. */
 public class Catalog {
--- a/src/main/java/pipitstage/config/schema/Schema.java
+++ b/src/main/java/loftflow/config/schema/Schema.java
@@ -1,17 +1,17 @@
-package pipitstage.config.schema;
+package loftflow.config.schema;
 
-import static pipitstage.config.schema.Setting.Type.ADDRESS;
-import static pipitstage.config.schema.Setting.Type.FLAG;
-import static pipitstage.config.schema.Setting.Type.FOLDER;
-import static pipitstage.config.schema.Setting.Type.NAME;
-import static pipitstage.config.schema.Setting.Type.NAMES;
-import static pipitstage.config.schema.Setting.Type.NUMBER;
-import static pipitstage.config.schema.Setting.Type.RATE;
-import static pipitstage.config.schema.Setting.Type.SIZE;
-import static pipitstage.config.schema.Setting.Type.SOURCE;
-import static pipitstage.config.schema.Setting.Type.SPAN;
-import static pipitstage.config.schema.Setting.Type.TEXT;
-import static pipitstage.config.schema.Setting.Type.WHOLE;
+import static loftflow.config.schema.Setting.Type.ADDRESS;
+import static loftflow.config.schema.Setting.Type.FLAG;
+import static loftflow.config.schema.Setting.Type.FOLDER;
+import static loftflow.config.schema.Setting.Type.NAME;
+import static loftflow.config.schema.Setting.Type.NAMES;
+import static loftflow.config.schema.Setting.Type.NUMBER;
+import static loftflow.config.schema.Setting.Type.RATE;
+import static loftflow.config.schema.Setting.Type.SIZE;
+import static loftflow.config.schema.Setting.Type.SOURCE;
+import static loftflow.config.schema.Setting.Type.SPAN;
+import static loftflow.config.schema.Setting.Type.TEXT;
+import static loftflow.config.schema.Setting.Type.WHOLE;
 
 import java.util.List;
 
--- a/src/main/java/pipitstage/config/schema/Setting.java
+++ b/src/main/java/loftflow/config/schema/Setting.java
@@ -1,4 +1,4 @@
-package pipitstage.config.schema;
+package loftflow.config.schema;
 
 import java.util.List;
 
--- a/src/main/java/pipitstage/config/schema/Section.java
+++ b/src/main/java/loftflow/config/schema/TableReader.java
@@ -1,20 +1,20 @@
-package pipitstage.config.schema;
+package loftflow.config.schema;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.Node;
-import pipitstage.config.file.Units;
+import loftflow.config.file.Finding;
+import loftflow.config.file.Node;
+import loftflow.config.file.Units;
 
 /**
  * A table of a file, read by the schema: every key is known, every value is of its type and within its bounds, or a
  * finding says otherwise. Getters give what was read; after a finding they give the fallback or a harmless value, so
  * that reading goes on and every finding comes at once.
  */
-public final class Section {
+public final class TableReader {
     private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,99}";
     private static final String SOURCE = "header:[^\\p{Cntrl}]{1,200}|fixed:[^\\p{Cntrl}]{1,200}|routing-key|exchange|"
             + "property:(content-type|content-encoding|delivery-mode|priority|correlation-id|reply-to|expiration|message-id|"
@@ -26,11 +26,11 @@
     private final Node node;
     private final boolean derived;
     private final Map<String, Object> values = new HashMap<>();
-    private final Map<String, Section> tables = new HashMap<>();
-    private final Map<String, List<Section>> arrays = new HashMap<>();
+    private final Map<String, TableReader> tables = new HashMap<>();
+    private final Map<String, List<TableReader>> arrays = new HashMap<>();
     private boolean faulty;
 
-    private Section(Catalog catalog, String file, String key, Node node, boolean derived) {
+    private TableReader(Catalog catalog, String file, String key, Node node, boolean derived) {
         this.catalog = catalog;
         this.file = file;
         this.key = key;
@@ -45,8 +45,8 @@
      * @param derived whether derived settings may and must stand in it
      * @param findings takes everything that is wrong
      */
-    public static Section read(Catalog catalog, String file, Node top, boolean derived, List<Finding> findings) {
-        Section section = new Section(catalog, file, "", top, derived);
+    public static TableReader read(Catalog catalog, String file, Node top, boolean derived, List<Finding> findings) {
+        TableReader section = new TableReader(catalog, file, "", top, derived);
         section.readAll(findings);
         return section;
     }
@@ -84,7 +84,7 @@
                     findings.add(at(name).error("a table is needed, not " + value.kind()));
                 }
                 Node table = absent ? new Node(Map.of(), node.line(), node.column()) : value;
-                Section section = new Section(catalog, file, full(name), table, derived);
+                TableReader section = new TableReader(catalog, file, full(name), table, derived);
                 section.readAll(findings);
                 tables.put(name, section);
             }
@@ -103,8 +103,8 @@
         }
     }
 
-    private List<Section> readTables(String name, Node value, List<Finding> findings) {
-        List<Section> sections = new ArrayList<>();
+    private List<TableReader> readTables(String name, Node value, List<Finding> findings) {
+        List<TableReader> sections = new ArrayList<>();
         if (value == null) {
             return sections;
         }
@@ -115,11 +115,11 @@
         for (Node entry : value.array()) {
             String entryKey = full(name) + "[" + (sections.size() + 1) + "]";
             if (entry.table() == null) {
-                findings.add(new Place(file, entry.line(), entry.column(), entryKey)
+                findings.add(new SettingLocation(file, entry.line(), entry.column(), entryKey)
                         .error("a table is needed, not " + entry.kind()));
                 continue;
             }
-            Section section = new Section(catalog, file, entryKey, entry, derived);
+            TableReader section = new TableReader(catalog, file, entryKey, entry, derived);
             section.readAll(findings);
             sections.add(section);
         }
@@ -239,15 +239,15 @@
     }
 
     /** Where a setting of this table stands; the table's own place where it is left out. */
-    public Place at(String name) {
+    public SettingLocation at(String name) {
         Node value = node.table().get(name);
         Node where = value == null ? node : value;
-        return new Place(file, where.line(), where.column(), full(name));
+        return new SettingLocation(file, where.line(), where.column(), full(name));
     }
 
     /** Where this table stands. */
-    public Place place() {
-        return new Place(file, node.line(), node.column(), key);
+    public SettingLocation place() {
+        return new SettingLocation(file, node.line(), node.column(), key);
     }
 
     /** True where something in this table, or in one within it, can't be read. */
@@ -259,11 +259,11 @@
         return node.table().containsKey(name);
     }
 
-    public Section table(String name) {
+    public TableReader table(String name) {
         return tables.get(name);
     }
 
-    public List<Section> tables(String name) {
+    public List<TableReader> tables(String name) {
         return arrays.get(name);
     }
 
--- a/src/main/java/pipitstage/config/schema/package-info.java
+++ b/src/main/java/loftflow/config/schema/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: {@code config.file}. No I/O of its own.
  */
-package pipitstage.config.schema;
+package loftflow.config.schema;
--- a/src/main/java/pipitstage/config/tool/CheckedFile.java
+++ b/src/main/java/loftflow/config/tool/CheckedFile.java
@@ -1,17 +1,17 @@
-package pipitstage.config.tool;
+package loftflow.config.tool;
 
 import java.util.ArrayList;
 import java.util.List;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.Node;
-import pipitstage.config.file.TomlFile;
-import pipitstage.config.plan.Checks;
-import pipitstage.config.plan.Declared;
-import pipitstage.config.plan.Figures;
-import pipitstage.config.plan.Planner;
-import pipitstage.config.plan.Surroundings;
-import pipitstage.config.schema.Schema;
-import pipitstage.config.schema.Section;
+import loftflow.config.file.Finding;
+import loftflow.config.file.Node;
+import loftflow.config.file.TomlFile;
+import loftflow.config.plan.ConsistencyChecks;
+import loftflow.config.plan.Declaration;
+import loftflow.config.plan.DerivedSettings;
+import loftflow.config.plan.MachineInspector;
+import loftflow.config.plan.Planner;
+import loftflow.config.schema.Schema;
+import loftflow.config.schema.TableReader;
 
 /**
  * An application file or a relay file with everything that was found in it.
@@ -21,7 +21,7 @@
  * @param figures of a relay file those it holds, of an application file those derived; null with {@code declared}
  * @param findings in the order of the file
  */
-public record CheckedFile(Kind kind, Node node, Declared declared, Figures figures, List<Finding> findings) {
+public record CheckedFile(Kind kind, Node node, Declaration declared, DerivedSettings figures, List<Finding> findings) {
     /** What a file is. */
     public enum Kind {
         APPLICATION,
@@ -30,21 +30,23 @@
     }
 
     /** Reads and checks a text in TOML. A file with any table of derived settings is a relay file. */
-    public static CheckedFile of(String file, String text, Surroundings surroundings) {
+    public static CheckedFile of(String file, String text, MachineInspector surroundings) {
         List<Finding> findings = new ArrayList<>();
         Node node = TomlFile.read(file, text, findings);
         boolean derived = node.table().keySet().stream()
                 .anyMatch(List.of("buffer", "calls", "clients", "journal", "process", "rules")::contains);
         Kind kind = derived ? Kind.RELAY : Kind.APPLICATION;
-        Declared declared = null;
-        Figures figures = null;
+        Declaration declared = null;
+        DerivedSettings figures = null;
         // Guards against a second report of what the grammar's errors have left out.
         if (findings.isEmpty()) {
-            Section top = Section.read(Schema.RELAY, file, node, derived, findings);
+            TableReader top = TableReader.read(Schema.RELAY, file, node, derived, findings);
             if (!top.isFaulty()) {
-                declared = Declared.of(top);
-                figures = derived ? Figures.of(top) : Planner.plan(declared).figures();
-                findings.addAll(Checks.of(declared, figures, surroundings));
+                declared = Declaration.of(top);
+                figures = derived
+                        ? DerivedSettings.of(top)
+                        : Planner.plan(declared).figures();
+                findings.addAll(ConsistencyChecks.of(declared, figures, surroundings));
             }
         }
         findings.sort(Finding.IN_ORDER);
--- a/src/main/java/pipitstage/config/tool/Tool.java
+++ b/src/main/java/loftflow/config/tool/ConfigTool.java
@@ -1,4 +1,4 @@
-package pipitstage.config.tool;
+package loftflow.config.tool;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -7,13 +7,13 @@
 import java.nio.file.StandardCopyOption;
 import java.util.List;
 import java.util.Map;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.SourceFile;
-import pipitstage.config.plan.Planner;
+import loftflow.config.file.Finding;
+import loftflow.config.file.SourceFile;
+import loftflow.config.plan.Planner;
 
 /** What {@code loftflow config} does with files. */
-public final class Tool {
-    private Tool() {}
+public final class ConfigTool {
+    private ConfigTool() {}
 
     /** Checks a file of any of the three kinds. A file in JSON is a platform's. */
     public static List<Finding> check(Path file) throws SourceFile.UnreadableException {
@@ -21,7 +21,7 @@
         if (text.stripLeading().startsWith("{")) {
             return PlatformFile.check(file.toString(), text);
         }
-        return CheckedFile.of(file.toString(), text, MachineSurroundings.of(System.getenv()))
+        return CheckedFile.of(file.toString(), text, LocalMachineInspector.of(System.getenv()))
                 .findings();
     }
 
@@ -50,8 +50,8 @@
     /** Writes the relay file of an application file into a folder; over one that was changed by hand only by force. */
     public static Outcome write(Path application, Path folder, boolean force)
             throws SourceFile.UnreadableException, IOException {
-        CheckedFile checked =
-                CheckedFile.of(application.toString(), SourceFile.text(application), MachineSurroundings.of(Map.of()));
+        CheckedFile checked = CheckedFile.of(
+                application.toString(), SourceFile.text(application), LocalMachineInspector.of(Map.of()));
         if (!checked.isClean()) {
             return new Outcome(Written.REFUSED, null, checked.findings(), null, null, null);
         }
--- a/src/main/java/pipitstage/config/tool/MachineSurroundings.java
+++ b/src/main/java/loftflow/config/tool/LocalMachineInspector.java
@@ -1,16 +1,16 @@
-package pipitstage.config.tool;
+package loftflow.config.tool;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.Optional;
-import pipitstage.config.plan.Surroundings;
+import loftflow.config.plan.MachineInspector;
 
 /** The machine that this runs on. */
-record MachineSurroundings(Optional<String> temporary) implements Surroundings {
+record LocalMachineInspector(Optional<String> temporary) implements MachineInspector {
 
-    static MachineSurroundings of(Map<String, String> environment) {
-        return new MachineSurroundings(
+    static LocalMachineInspector of(Map<String, String> environment) {
+        return new LocalMachineInspector(
                 Optional.ofNullable(environment.get("TMPDIR")).filter(dir -> !dir.isEmpty()));
     }
 
--- a/src/main/java/pipitstage/config/tool/PlatformFile.java
+++ b/src/main/java/loftflow/config/tool/PlatformFile.java
@@ -1,4 +1,4 @@
-package pipitstage.config.tool;
+package loftflow.config.tool;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonLocation;
@@ -11,12 +11,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pipitstage.Fields;
-import pipitstage.Policy;
-import pipitstage.WireException;
-import pipitstage.config.Config;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.Units;
+import loftflow.config.Config;
+import loftflow.config.file.Finding;
+import loftflow.config.file.Units;
+import loftflow.json.JsonFields;
+import loftflow.json.MalformedInputException;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
 
 /**
  * Checks a platform's JSON ({@code EDGE_CONFIG}). Errors are what keeps a relay from starting, in the words of
@@ -55,8 +58,9 @@
         }
         try (JsonParser parser = json.createParser(text)) {
             parser.nextToken();
-            contradictions(Config.of(Fields.ofObject("config", Fields.read(parser)), Path.of("/"), new byte[0]));
-        } catch (IOException | WireException | IllegalArgumentException e) {
+            contradictions(
+                    Config.of(JsonFields.ofObject("config", JsonFields.read(parser)), Path.of("/"), new byte[0]));
+        } catch (IOException | MalformedInputException | IllegalArgumentException e) {
             String reason = e.getMessage();
             String key = places.keySet().stream()
                     .filter(k -> !k.isEmpty() && reason.contains(k))
@@ -91,35 +95,36 @@
     }
 
     private void contradictions(Config config) {
-        Policy.Settings settings = config.settings();
-        Policy.Limits limits = settings.limits();
-        if (config.hostConnections() < limits.callSlots()) {
+        PolicySettings settings = config.settings();
+        RelayLimits limits = settings.limits();
+        if (config.hostConnections() < limits.maxConcurrentCalls()) {
             warn(
                     "limits.sockets",
                     config.hostConnections() + " connections to hosts are left, fewer than"
-                            + " settings.family-info.call-slots = " + limits.callSlots()
+                            + " settings.family-info.call-slots = " + limits.maxConcurrentCalls()
                             + "; calls will wait for one another");
         }
-        if (settings.rules().drainGrace() >= STOP_TIME) {
+        if (settings.rules().drainGraceMicros() >= STOP_TIME) {
             warn(
                     "settings.contract.drain-grace-s",
-                    Units.ofSpan(settings.rules().drainGrace()) + " is no shorter than " + Units.ofSpan(STOP_TIME)
+                    Units.ofSpan(settings.rules().drainGraceMicros()) + " is no shorter than " + Units.ofSpan(STOP_TIME)
                             + ", after which a stopped relay may be killed");
         }
         for (int i = 0; i < settings.classes().size(); i++) {
-            Policy.RequestClass type = settings.classes().get(i);
+            RequestClass type = settings.classes().get(i);
             String key = "settings.classes[" + (i + 1) + "]";
-            if (type.deadline() <= limits.connectTimeout()) {
+            if (type.deadlineMicros() <= limits.connectTimeoutMicros()) {
                 warn(
                         key + ".deadline-s",
-                        Units.ofSpan(type.deadline()) + " is no longer than" + " settings.limits.connect-timeout-s, "
-                                + Units.ofSpan(limits.connectTimeout()));
+                        Units.ofSpan(type.deadlineMicros()) + " is no longer than"
+                                + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeoutMicros()));
             }
-            if (type.repeat() == Policy.Repeat.BY_KEY && type.keyWindow() <= limits.connectTimeout()) {
+            if (type.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                    && type.keyWindowMicros() <= limits.connectTimeoutMicros()) {
                 warn(
                         key + ".dedup-window-s",
-                        Units.ofSpan(type.keyWindow()) + " is no longer than"
-                                + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeout())
+                        Units.ofSpan(type.keyWindowMicros()) + " is no longer than"
+                                + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeoutMicros())
                                 + ": no retry could be made");
             }
         }
--- a/src/main/java/pipitstage/config/tool/RelayFile.java
+++ b/src/main/java/loftflow/config/tool/RelayFile.java
@@ -1,4 +1,4 @@
-package pipitstage.config.tool;
+package loftflow.config.tool;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,14 +12,26 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import pipitstage.Policy;
-import pipitstage.config.Config;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.SourceFile;
-import pipitstage.config.plan.Declared;
-import pipitstage.config.plan.Figures;
-import pipitstage.config.plan.Planner;
-import pipitstage.engine.Target;
+import loftflow.config.Config;
+import loftflow.config.file.Finding;
+import loftflow.config.file.SourceFile;
+import loftflow.config.plan.Declaration;
+import loftflow.config.plan.DerivedSettings;
+import loftflow.config.plan.Planner;
+import loftflow.engine.Endpoint;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
+import loftflow.policy.api.Tenant;
+import loftflow.policy.api.Zone;
 
 /** Runs a relay by a relay file: the same checks as the tool's, then what the relay is told. */
 public final class RelayFile {
@@ -46,7 +58,7 @@
     private static Config read(Path file) throws Config.BadConfigException {
         try {
             String text = SourceFile.text(file);
-            CheckedFile checked = CheckedFile.of(file.toString(), text, MachineSurroundings.of(System.getenv()));
+            CheckedFile checked = CheckedFile.of(file.toString(), text, LocalMachineInspector.of(System.getenv()));
             if (!checked.isClean()) {
                 throw new Config.BadConfigException(checked.findings().stream()
                         .filter(Finding::isError)
@@ -68,14 +80,15 @@
      *
      * @throws Config.BadConfigException where a password can't be read
      */
-    static Config config(Declared declared, Figures figures, byte[] source) throws Config.BadConfigException {
-        Declared.Discovery discovery = declared.discovery();
+    static Config config(Declaration declared, DerivedSettings figures, byte[] source)
+            throws Config.BadConfigException {
+        Declaration.Discovery discovery = declared.discovery();
         boolean whole = discovery.agent() == null;
-        List<Target> known = targets(declared);
+        List<Endpoint> known = targets(declared);
         return new Config(
                 declared.fronts().stream()
-                        .filter(f -> f.protocol() == Declared.Protocol.HTTP)
-                        .map(f -> Target.address(f.listen()))
+                        .filter(f -> f.protocol() == Declaration.Protocol.HTTP)
+                        .map(f -> Endpoint.address(f.listen()))
                         .toList(),
                 addressOrNull(discovery.agent()),
                 addressOrNull(discovery.notices()),
@@ -87,7 +100,7 @@
                 figures.round(),
                 figures.idle(),
                 figures.reports(),
-                whole ? Policy.ListKind.FULL : Policy.ListKind.CACHED,
+                whole ? EndpointListKind.FULL : EndpointListKind.CACHED,
                 whole ? 0 : -1,
                 known,
                 keeping(declared),
@@ -97,9 +110,9 @@
                 source);
     }
 
-    private static Config.Amqp amqp(Declared declared, Figures figures) throws Config.BadConfigException {
+    private static Config.Amqp amqp(Declaration declared, DerivedSettings figures) throws Config.BadConfigException {
         Map<String, Config.Login> logins = new HashMap<>();
-        for (Declared.Broker b : declared.amqp().brokers()) {
+        for (Declaration.Broker b : declared.amqp().brokers()) {
             logins.put(
                     b.name(),
                     new Config.Login(
@@ -112,17 +125,17 @@
                             b.tlsName()));
         }
         Map<String, Config.BrokerRoute> routes = new HashMap<>();
-        for (Declared.Endpoint e : declared.endpoints()) {
+        for (Declaration.Endpoint e : declared.endpoints()) {
             if (e.broker() != null) {
                 routes.put(e.id(), new Config.BrokerRoute(logins.get(e.broker()), e.exchange(), e.routingKey()));
             }
         }
         List<Config.AmqpFront> fronts = new ArrayList<>();
-        for (Declared.Front f : declared.fronts()) {
+        for (Declaration.Front f : declared.fronts()) {
             if (f.amqp()) {
                 fronts.add(new Config.AmqpFront(
                         f.name(),
-                        Target.address(f.listen()),
+                        Endpoint.address(f.listen()),
                         f.exchange(),
                         f.user(),
                         f.passwordFile() == null ? null : password(f.passwordFile()),
@@ -135,7 +148,7 @@
         List<Config.AmqpQueue> queues = declared.amqp().queues().stream()
                 .map(q -> new Config.AmqpQueue(
                         q.name(),
-                        Target.address(q.address()),
+                        Endpoint.address(q.address()),
                         logins.get(q.broker()),
                         q.queue(),
                         q.prefetch(),
@@ -165,10 +178,10 @@
                 declared.amqp().duplicates().entries());
     }
 
-    private static Config.Http2 http2(Declared declared, Figures figures) {
+    private static Config.Http2 http2(Declaration declared, DerivedSettings figures) {
         List<Config.Http2Front> fronts = declared.http2().stream()
                 .map(f -> new Config.Http2Front(
-                        Target.address(f.listen()),
+                        Endpoint.address(f.listen()),
                         Planner.streams(f.http2(), figures),
                         (int) f.http2().headerList(),
                         (int) f.http2().window(),
@@ -193,8 +206,8 @@
         }
     }
 
-    private static Config.Keeping keeping(Declared declared) {
-        Declared.Undeliverable u = declared.undeliverable();
+    private static Config.Keeping keeping(Declaration declared) {
+        Declaration.Undeliverable u = declared.undeliverable();
         return !u.keep()
                 ? null
                 : new Config.Keeping(
@@ -210,11 +223,11 @@
                         u.listenOn(),
                         declared.classes().stream()
                                 .collect(Collectors.toMap(
-                                        Declared.MessageClass::name, Declared.MessageClass::shelfLife)));
+                                        Declaration.MessageClass::name, Declaration.MessageClass::shelfLife)));
     }
 
-    private static Config.Memory memory(Declared declared) {
-        Declared.Memory m = declared.memory();
+    private static Config.Memory memory(Declaration declared) {
+        Declaration.Memory m = declared.memory();
         return !m.keep()
                 ? null
                 : new Config.Memory(
@@ -228,47 +241,47 @@
     }
 
     private static InetSocketAddress addressOrNull(String address) {
-        return address == null ? null : Target.address(address);
+        return address == null ? null : Endpoint.address(address);
     }
 
-    private static List<Target> targets(Declared declared) {
-        List<Target> targets = new ArrayList<>();
-        for (Declared.Partner partner : declared.partners()) {
-            for (Declared.Endpoint endpoint : partner.endpoints()) {
-                targets.add(new Target(
-                        new Policy.Listed(
+    private static List<Endpoint> targets(Declaration declared) {
+        List<Endpoint> targets = new ArrayList<>();
+        for (Declaration.Partner partner : declared.partners()) {
+            for (Declaration.Endpoint endpoint : partner.endpoints()) {
+                targets.add(new Endpoint(
+                        new EndpointEntry(
                                 endpoint.id(),
                                 partner.number(),
                                 partner.kind(),
                                 endpoint.building(),
-                                Policy.Availability.LISTED,
+                                Availability.LISTED,
                                 partner.limit()),
-                        Target.address(endpoint.address())));
+                        Endpoint.address(endpoint.address())));
             }
         }
         return targets;
     }
 
-    private static Policy.Settings settings(Declared declared, Figures f) {
+    private static PolicySettings settings(Declaration declared, DerivedSettings f) {
         Set<String> buildings = new LinkedHashSet<>();
         buildings.add(declared.machine().building());
         declared.partners().forEach(p -> p.endpoints().forEach(e -> buildings.add(e.building())));
         // A limit of 0 is one that nobody knows: a hint would then be worse than none.
         boolean limits = declared.partners().stream().allMatch(p -> p.limit() > 0);
-        return new Policy.Settings(
+        return new PolicySettings(
                 seed(declared),
                 declared.fleet().number(),
                 declared.fleet().relays(),
                 declared.machine().building(),
                 declared.classes().stream().map(RelayFile::requestClass).toList(),
                 declared.tenants().stream()
-                        .map(t -> new Policy.Tenant(t.name(), t.rate()))
+                        .map(t -> new Tenant(t.name(), t.rate()))
                         .toList(),
                 declared.kinds().stream()
-                        .map(k -> new Policy.Kind(k.name(), k.routesApart(), k.batch()))
+                        .map(k -> new DestinationKind(k.name(), k.routesApart(), k.batch()))
                         .toList(),
-                buildings.stream().map(b -> new Policy.Zone(b, 0)).toList(),
-                new Policy.Limits(
+                buildings.stream().map(b -> new Zone(b, 0)).toList(),
+                new RelayLimits(
                         f.slots(),
                         f.messages(),
                         f.attempts(),
@@ -278,31 +291,34 @@
                         f.secondCopies(),
                         true,
                         f.connectTimeout()),
-                new Policy.Rules(
+                new ServiceRules(
                         0, f.drainGrace(), f.fallMultiple(), f.fallSpan(), f.coldFrom(), f.warmUp(), 0, f.orderPause()),
                 1,
                 false,
                 false,
-                limits ? Policy.RateHint.NOMINAL : Policy.RateHint.NONE,
+                limits ? RateHint.NOMINAL : RateHint.NONE,
                 0);
     }
 
     /** New with each start, so that relays that start together don't act in step. */
-    private static long seed(Declared declared) {
+    private static long seed(Declaration declared) {
         return System.nanoTime() * 31 + declared.fleet().number();
     }
 
-    private static Policy.RequestClass requestClass(Declared.MessageClass c) {
-        Policy.Repeat repeat =
-                switch (c.repeat()) {
-                    case REPEATABLE -> Policy.Repeat.REPEATABLE;
-                    case BY_KEY -> Policy.Repeat.BY_KEY;
-                    case ONCE -> Policy.Repeat.ONCE;
-                };
-        return new Policy.RequestClass(
+    /** The policy's term for what an application file declares of a class. */
+    public static Idempotency idempotency(Declaration.Repeat repeat) {
+        return switch (repeat) {
+            case REPEATABLE -> Idempotency.IDEMPOTENT;
+            case BY_KEY -> Idempotency.IDEMPOTENT_BY_KEY;
+            case ONCE -> Idempotency.NON_IDEMPOTENT;
+        };
+    }
+
+    private static RequestClass requestClass(Declaration.MessageClass c) {
+        return new RequestClass(
                 c.name(),
-                repeat,
-                c.keysByBuilding() ? Policy.KeyScope.ZONE : Policy.KeyScope.ALL,
+                idempotency(c.repeat()),
+                c.keysByBuilding() ? KeyScope.ZONE : KeyScope.ALL,
                 c.keyWindow(),
                 c.wanted(),
                 c.deadline(),
--- a/src/main/java/pipitstage/config/tool/RelayFileText.java
+++ b/src/main/java/loftflow/config/tool/RelayFileText.java
@@ -1,4 +1,4 @@
-package pipitstage.config.tool;
+package loftflow.config.tool;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import pipitstage.config.file.Node;
-import pipitstage.config.plan.Planner;
-import pipitstage.config.schema.Schema;
-import pipitstage.config.schema.Setting;
+import loftflow.config.file.Node;
+import loftflow.config.plan.Planner;
+import loftflow.config.schema.Schema;
+import loftflow.config.schema.Setting;
 
 /** The text of a relay file: what was declared, then every derived figure with how it came about. Alike for alike. */
 public final class RelayFileText {
--- a/src/main/java/pipitstage/config/tool/package-info.java
+++ b/src/main/java/loftflow/config/tool/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: everything in {@code config}, the decision module's settings, and the engine's {@code Target}.
  */
-package pipitstage.config.tool;
+package loftflow.config.tool;
--- a/src/main/java/pipitstage/undeliverable/Entry.java
+++ b/src/main/java/loftflow/deadletter/DeadLetter.java
@@ -1,8 +1,8 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import java.util.List;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Message;
+import loftflow.engine.Message;
+import loftflow.policy.api.AttemptOutcome;
 
 /**
  * A message that could not be delivered. Times are wall time in microseconds since the epoch.
@@ -16,7 +16,7 @@
  * @param word the newest word of a person that it may be sent again, or null
  * @param resends how often it was sent again
  */
-public record Entry(
+public record DeadLetter(
         long id,
         Message.Content content,
         long keptAt,
@@ -43,9 +43,9 @@
      *
      * @param building where the route stood, empty where that is not known any more
      */
-    public record Try(String route, String building, long sentAt, Result result) {
-        public Ran ran() {
-            return Ran.of(result);
+    public record Try(String route, String building, long sentAt, AttemptOutcome result) {
+        public ExecutionCertainty ran() {
+            return ExecutionCertainty.of(result);
         }
     }
 
@@ -58,15 +58,15 @@
     public record Word(String by, String reason, int tries, long at) {}
 
     /** What is known of all attempts together. */
-    public Ran ran() {
-        return tries.stream().map(Try::ran).max(Enum::compareTo).orElse(Ran.NEVER);
+    public ExecutionCertainty ran() {
+        return tries.stream().map(Try::ran).max(Enum::compareTo).orElse(ExecutionCertainty.NEVER);
     }
 
     /** The attempts that may have run and that no person has spoken for. */
     public List<Try> unproven() {
         int from = word == null ? 0 : Math.min(word.tries(), tries.size());
         return tries.subList(from, tries.size()).stream()
-                .filter(t -> t.ran() == Ran.MAYBE)
+                .filter(t -> t.ran() == ExecutionCertainty.MAYBE)
                 .toList();
     }
 }
