--- a/src/main/java/pipitstage/undeliverable/Desk.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterService.java
@@ -1,4 +1,4 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,23 +8,24 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import pipitstage.Policy;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Keeper;
-import pipitstage.engine.Message;
-import pipitstage.engine.Target;
-import pipitstage.engine.Timers;
-import pipitstage.log.Log;
+import loftflow.engine.Clock;
+import loftflow.engine.DeadLetterSink;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.Timers;
+import loftflow.log.Log;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
 
 /**
  * Keeps what could not be delivered and brings it back: takes ended messages to the shelf, looks for entries that are
- * due, asks {@link Rules} and hands them to the engine at a pace of each destination's own. Everything happens on the
+ * due, asks {@link RedrivePolicy} and hands them to the engine at a pace of each destination's own. Everything happens on the
  * event loop; the shelf is reached through a queue.
  */
-public final class Desk implements Keeper {
+public final class DeadLetterService implements DeadLetterSink {
     /**
      * How it is set.
      *
@@ -38,8 +39,8 @@
      * @param age microseconds after which entries that are over are removed
      */
     public record Options(
-            Map<String, Rules.Shelved> shelves,
-            Rules rules,
+            Map<String, RedrivePolicy.Shelved> shelves,
+            RedrivePolicy rules,
             double pace,
             long high,
             long low,
@@ -60,12 +61,12 @@
     }
 
     /** What a look has found: entries that are due, and the size where something was removed. */
-    private record Looked(List<Entry> due, Shelf.Size smaller) {}
+    private record Looked(List<DeadLetter> due, DeadLetterStore.Size smaller) {}
 
     private final Timers timers;
     private final Clock clock;
-    private final Engine engine;
-    private final ShelfQueue shelf;
+    private final DeliveryEngine engine;
+    private final DeadLetterStoreQueue shelf;
     private final Options options;
     private final Map<Integer, Lane> lanes = new HashMap<>();
     private final Map<String, String> buildings = new HashMap<>();
@@ -89,7 +90,8 @@
     private long newestJournaled;
 
     /** A desk; {@link #start} sets it going. */
-    public Desk(Timers timers, Clock clock, Engine engine, ShelfQueue shelf, Options options) {
+    public DeadLetterService(
+            Timers timers, Clock clock, DeliveryEngine engine, DeadLetterStoreQueue shelf, Options options) {
         this.timers = timers;
         this.clock = clock;
         this.engine = engine;
@@ -102,15 +104,15 @@
         List<Long> journaled = List.copyOf(sending.keySet());
         insist(
                 s -> {
-                    for (Entry entry : s.list(
-                            new Shelf.Filter(Entry.State.RESENDING, null, null, null, null, 0, 0),
+                    for (DeadLetter entry : s.list(
+                            new DeadLetterStore.Filter(DeadLetter.State.RESENDING, null, null, null, null, 0, 0),
                             0,
                             Integer.MAX_VALUE,
                             false)) {
                         // Guards against a kill after the shelf was told and before the journal was: no attempt was
                         // made.
                         if (!journaled.contains(entry.id())) {
-                            s.move(entry.id(), Entry.State.RESENDING, Entry.State.KEPT, 0);
+                            s.move(entry.id(), DeadLetter.State.RESENDING, DeadLetter.State.KEPT, 0);
                         }
                     }
                     return s.newest();
@@ -120,7 +122,7 @@
                     // the
                     // earlier one has left may in truth be older still.
                     steadySince = Math.max(clock.micros(), Math.max(newest, newestJournaled) + 1);
-                    insist(Shelf::size, this::measured);
+                    insist(DeadLetterStore::size, this::measured);
                 });
         look();
     }
@@ -154,7 +156,7 @@
 
     @Override
     public void keep(Message message) {
-        Entry entry = entry(message);
+        DeadLetter entry = entry(message);
         failing.add(message.content().requestClass());
         insist(
                 s -> {
@@ -167,29 +169,30 @@
                 });
     }
 
-    private Entry entry(Message message) {
-        List<Entry.Try> tries = tries(message, 0);
-        boolean did = tries.stream().anyMatch(t -> t.ran() == Ran.DID);
+    private DeadLetter entry(Message message) {
+        List<DeadLetter.Try> tries = tries(message, 0);
+        boolean did = tries.stream().anyMatch(t -> t.ran() == ExecutionCertainty.DID);
         long now = clock.micros();
-        Result last = tries.isEmpty() ? null : tries.get(tries.size() - 1).result();
+        AttemptOutcome last =
+                tries.isEmpty() ? null : tries.get(tries.size() - 1).result();
         String why = tries.isEmpty()
                 ? "no attempt"
                 : last == null ? "no outcome" : last.name().toLowerCase(java.util.Locale.ROOT);
-        return new Entry(
+        return new DeadLetter(
                 0,
                 message.content(),
                 now,
                 why,
                 "failed",
-                did ? Entry.State.DELIVERED : Entry.State.KEPT,
+                did ? DeadLetter.State.DELIVERED : DeadLetter.State.KEPT,
                 now + options.rules().pause(),
                 null,
                 0,
                 tries);
     }
 
-    private List<Entry.Try> tries(Message message, int from) {
-        List<Entry.Try> tries = new ArrayList<>();
+    private List<DeadLetter.Try> tries(Message message, int from) {
+        List<DeadLetter.Try> tries = new ArrayList<>();
         for (Message.Attempt attempt :
                 message.attempts().subList(from, message.attempts().size())) {
             tries.add(toTry(attempt));
@@ -197,15 +200,15 @@
         return tries;
     }
 
-    private Entry.Try toTry(Message.Attempt attempt) {
-        return new Entry.Try(
+    private DeadLetter.Try toTry(Message.Attempt attempt) {
+        return new DeadLetter.Try(
                 attempt.route(), buildings.getOrDefault(attempt.route(), ""), attempt.sentAt(), attempt.result());
     }
 
     @Override
     public void learnt(Message.Attempt attempt) {
         Message message = attempt.message();
-        Entry.Try more = toTry(attempt);
+        DeadLetter.Try more = toTry(attempt);
         insist(
                 s -> {
                     long id = message.entry() != 0
@@ -222,7 +225,7 @@
                 id -> {
                     Message again = sending.get(id);
                     // Guards against a second posting of what has just been proven to be posted.
-                    if (again != null && again != message && more.ran() == Ran.DID) {
+                    if (again != null && again != message && more.ran() == ExecutionCertainty.DID) {
                         engine.recall(again);
                     }
                 });
@@ -248,7 +251,8 @@
                     s -> {
                         // Guards against a store that stays full in the desk's eyes, where it has become smaller by age
                         // alone.
-                        Shelf.Size smaller = s.removeSettled(now - options.age(), MOST_REMOVED) > 0 ? s.size() : null;
+                        DeadLetterStore.Size smaller =
+                                s.removeSettled(now - options.age(), MOST_REMOVED) > 0 ? s.size() : null;
                         return new Looked(s.due(now, lastLane, MOST_DUE), smaller);
                     },
                     looked -> {
@@ -261,14 +265,14 @@
         }
     }
 
-    private void release(List<Entry> due) {
+    private void release(List<DeadLetter> due) {
         looking = false;
         // The next look goes on behind the last destination of this one, or begins anew.
         lastLane = due.size() < MOST_DUE
                 ? Integer.MIN_VALUE
                 : due.get(due.size() - 1).content().destination();
         idleLooks = due.isEmpty() ? idleLooks + 1 : 0;
-        for (Entry entry : due) {
+        for (DeadLetter entry : due) {
             Lane lane = lane(entry.content().destination());
             if (lane.out == 0 && clock.micros() >= lane.next) {
                 tryNow(entry, verdict -> {});
@@ -281,50 +285,50 @@
     }
 
     /** Decides on an entry, at its turn, and acts on it; the verdict is told. */
-    public void tryNow(Entry entry, Consumer<Rules.Verdict> told) {
+    public void tryNow(DeadLetter entry, Consumer<RedrivePolicy.Verdict> told) {
         long now = clock.micros();
         // Guards against a second resend beside one whose end the store has not taken yet, as after a restart: the
         // store would count it as kept, and know nothing of an attempt that is out.
-        Rules.Verdict verdict = sending.containsKey(entry.id())
-                ? new Rules.Later(now + options.rules().pause(), "it is being sent again")
+        RedrivePolicy.Verdict verdict = sending.containsKey(entry.id())
+                ? new RedrivePolicy.Later(now + options.rules().pause(), "it is being sent again")
                 : decide(entry);
-        if (verdict instanceof Rules.Now) {
+        if (verdict instanceof RedrivePolicy.Now) {
             Lane lane = lane(entry.content().destination());
             lane.out++;
             lane.next = now + (long) (SECOND / options.pace());
             boolean taken = submit(
-                    s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.RESENDING, 0),
+                    s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.RESENDING, 0),
                     won -> {
                         if (won) {
                             send(entry, told);
                         } else {
                             lane.out--;
-                            told.accept(new Rules.Later(now, "it is being sent again, or is over"));
+                            told.accept(new RedrivePolicy.Later(now, "it is being sent again, or is over"));
                         }
                     },
                     () -> lane.out--);
             if (!taken) {
                 lane.out--;
-                told.accept(new Rules.Later(now, "the store is busy"));
+                told.accept(new RedrivePolicy.Later(now, "the store is busy"));
             }
             return;
         }
-        long due = verdict instanceof Rules.Later later ? later.at() : Entry.NEVER_DUE;
-        submit(s -> s.move(entry.id(), Entry.State.KEPT, Entry.State.KEPT, due), moved -> {});
+        long due = verdict instanceof RedrivePolicy.Later later ? later.at() : DeadLetter.NEVER_DUE;
+        submit(s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.KEPT, due), moved -> {});
         told.accept(verdict);
     }
 
     /** What the rules say of an entry now. */
-    public Rules.Verdict decide(Entry entry) {
+    public RedrivePolicy.Verdict decide(DeadLetter entry) {
         return options.rules()
                 .decide(entry, options.shelves().get(entry.content().requestClass()), clock.micros(), steadySince);
     }
 
-    private void send(Entry entry, Consumer<Rules.Verdict> told) {
+    private void send(DeadLetter entry, Consumer<RedrivePolicy.Verdict> told) {
         // Guards against a window that has closed, and a proof that has come, while the shelf was told.
-        Rules.Verdict verdict = decide(entry);
+        RedrivePolicy.Verdict verdict = decide(entry);
         Message message = null;
-        if (verdict instanceof Rules.Now now) {
+        if (verdict instanceof RedrivePolicy.Now now) {
             Message.Content c = entry.content();
             message = engine.resend(
                     entry.id(),
@@ -346,13 +350,14 @@
             return;
         }
         lane(entry.content().destination()).out--;
-        long due = verdict instanceof Rules.AfterWord
-                ? Entry.NEVER_DUE
+        long due = verdict instanceof RedrivePolicy.AfterWord
+                ? DeadLetter.NEVER_DUE
                 : clock.micros() + options.rules().pause();
-        insist(s -> s.move(entry.id(), Entry.State.RESENDING, Entry.State.KEPT, due), moved -> {});
+        insist(s -> s.move(entry.id(), DeadLetter.State.RESENDING, DeadLetter.State.KEPT, due), moved -> {});
         told.accept(
-                verdict instanceof Rules.Now
-                        ? new Rules.Later(due, "the relay has no room for it, or does not know" + " its destination")
+                verdict instanceof RedrivePolicy.Now
+                        ? new RedrivePolicy.Later(
+                                due, "the relay has no room for it, or does not know" + " its destination")
                         : verdict);
     }
 
@@ -360,17 +365,18 @@
     public void resent(Message message) {
         long id = message.entry();
         // The attempts that it began with are the entry's already.
-        List<Entry.Try> known = tries(message, 0);
+        List<DeadLetter.Try> known = tries(message, 0);
         long now = clock.micros();
         insist(
                 s -> {
-                    Entry entry = s.get(id).orElse(null);
+                    DeadLetter entry = s.get(id).orElse(null);
                     if (entry != null) {
-                        List<Entry.Try> more = new ArrayList<>(known);
+                        List<DeadLetter.Try> more = new ArrayList<>(known);
                         more.removeIf(t -> entry.tries().stream()
                                 .anyMatch(e -> e.route().equals(t.route()) && e.sentAt() == t.sentAt()));
-                        boolean did = entry.ran() == Ran.DID || more.stream().anyMatch(t -> t.ran() == Ran.DID);
-                        Entry.State state = did ? Entry.State.DELIVERED : Entry.State.KEPT;
+                        boolean did = entry.ran() == ExecutionCertainty.DID
+                                || more.stream().anyMatch(t -> t.ran() == ExecutionCertainty.DID);
+                        DeadLetter.State state = did ? DeadLetter.State.DELIVERED : DeadLetter.State.KEPT;
                         String why = more.isEmpty()
                                 ? entry.why()
                                 : "sent again: " + more.get(more.size() - 1).result();
@@ -405,23 +411,24 @@
 
     // ---- the shelf
 
-    private <T> boolean submit(java.util.function.Function<Shelf, T> task, Consumer<T> then, Runnable failed) {
+    private <T> boolean submit(
+            java.util.function.Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
         return shelf.submit(task, then, failed);
     }
 
-    private <T> boolean submit(java.util.function.Function<Shelf, T> task, Consumer<T> then) {
+    private <T> boolean submit(java.util.function.Function<DeadLetterStore, T> task, Consumer<T> then) {
         return submit(task, then, () -> looking = false);
     }
 
     /** Does something with the shelf, and again where it failed or its queue was full: the journal holds it meanwhile. */
-    private <T> void insist(java.util.function.Function<Shelf, T> task, Consumer<T> then) {
+    private <T> void insist(java.util.function.Function<DeadLetterStore, T> task, Consumer<T> then) {
         Runnable later = () -> insist(task, then);
         if (!submit(task, then, () -> again.add(later))) {
             again.add(later);
         }
     }
 
-    private void measured(Shelf.Size size) {
+    private void measured(DeadLetterStore.Size size) {
         boolean wasFull = full;
         if (size.bytes() >= options.high() || size.entries() >= options.most()) {
             full = true;
@@ -436,10 +443,10 @@
     }
 
     @Override
-    public void list(ListKind kind, long version, List<Target> targets) {
-        for (Target target : targets) {
-            Policy.Listed listed = target.listed();
-            if (listed.availability() == Policy.Availability.REMOVED) {
+    public void list(EndpointListKind kind, long version, List<Endpoint> targets) {
+        for (Endpoint target : targets) {
+            EndpointEntry listed = target.listed();
+            if (listed.availability() == Availability.REMOVED) {
                 buildings.remove(listed.route());
             } else {
                 buildings.put(listed.route(), listed.zone());
--- a/src/main/java/pipitstage/undeliverable/ShelfQueue.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterStoreQueue.java
@@ -1,10 +1,10 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The way to a {@link Shelf} that must not be waited for: a queue with a bound. */
-public interface ShelfQueue {
+/** The way to a {@link DeadLetterStore} that must not be waited for: a queue with a bound. */
+public interface DeadLetterStoreQueue {
     /**
      * Does something with the shelf, in order, and tells the result on the event loop.
      *
@@ -12,5 +12,5 @@
      * @param failed called instead, on the event loop
      * @return false where the queue is full; nothing will be done then
      */
-    <T> boolean submit(Function<Shelf, T> task, Consumer<T> then, Runnable failed);
+    <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed);
 }
--- a/src/main/java/pipitstage/undeliverable/Ran.java
+++ b/src/main/java/loftflow/deadletter/ExecutionCertainty.java
@@ -1,9 +1,9 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
-import pipitstage.Policy.Result;
+import loftflow.policy.api.AttemptOutcome;
 
 /** What is known about whether an attempt took effect. It only ever becomes more certain, by proof. */
-public enum Ran {
+public enum ExecutionCertainty {
     /** Proven never to have run. */
     NEVER,
     /** Nobody knows. */
@@ -12,13 +12,13 @@
     DID;
 
     /** What an outcome proves (PROTOCOL, Relays to hosts); null where there is none. */
-    public static Ran of(Result result) {
+    public static ExecutionCertainty of(AttemptOutcome result) {
         if (result == null) {
             return MAYBE;
         }
         return switch (result) {
             case OK -> DID;
-            case FULL, CONNECT_FAILED, NOT_SENT -> NEVER;
+            case REJECTED, CONNECT_FAILED, NOT_SENT -> NEVER;
             case ERROR, TIMEOUT, RESET, CANCELLED -> MAYBE;
         };
     }
--- a/src/main/java/pipitstage/undeliverable/Rules.java
+++ b/src/main/java/loftflow/deadletter/RedrivePolicy.java
@@ -1,12 +1,13 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import pipitstage.Policy;
-import pipitstage.Policy.PastAttempt;
-import pipitstage.Policy.Repeat;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.PastAttempt;
+import loftflow.policy.api.RequestClass;
 
 /**
  * Whether a kept message may be sent again, and when. An unknown outcome never becomes 'never ran' by age, restart or
@@ -23,7 +24,7 @@
  * @param margin microseconds by which clocks may differ
  * @param pause microseconds between tries of one entry at the least; doubles with each, 64 times at the most
  */
-public record Rules(long margin, long pause) {
+public record RedrivePolicy(long margin, long pause) {
     private static final int MOST_DOUBLINGS = 6;
     /**
      * A message that is sent again has so long at the least, since nobody waits for it: enough for the module to let it
@@ -52,7 +53,7 @@
     public record Over(String why) implements Verdict {}
 
     /** A class with how long its messages are worth sending again, in microseconds. */
-    public record Shelved(Policy.RequestClass type, long shelfLife) {}
+    public record Shelved(RequestClass type, long shelfLife) {}
 
     /**
      * Decides on an entry.
@@ -62,14 +63,14 @@
      *     anything that an earlier process has left. The wall clock may have been set between, forward or back, so that a
      *     key window that began before can't be told to be open
      */
-    public Verdict decide(Entry entry, Shelved shelved, long now, long steadySince) {
-        if (entry.state() == Entry.State.DELIVERED || entry.ran() == Ran.DID) {
+    public Verdict decide(DeadLetter entry, Shelved shelved, long now, long steadySince) {
+        if (entry.state() == DeadLetter.State.DELIVERED || entry.ran() == ExecutionCertainty.DID) {
             return new Over("it was delivered");
         }
-        if (entry.state() == Entry.State.DISCARDED) {
+        if (entry.state() == DeadLetter.State.DISCARDED) {
             return new Over("it was discarded");
         }
-        if (entry.state() == Entry.State.RESENDING) {
+        if (entry.state() == DeadLetter.State.RESENDING) {
             return new Later(now + pause, "it is being sent again");
         }
         if (shelved == null) {
@@ -83,30 +84,30 @@
             return new AfterWord(
                     clockIsBack ? "the clock was set back behind what is known of it" : "its shelf life is over");
         }
-        Policy.RequestClass type = shelved.type();
-        List<Entry.Try> unproven = entry.unproven();
-        if (unproven.isEmpty() || type.repeat() == Repeat.REPEATABLE) {
-            return now < entry.due() && entry.due() != Entry.NEVER_DUE && !hasWord
+        RequestClass type = shelved.type();
+        List<DeadLetter.Try> unproven = entry.unproven();
+        if (unproven.isEmpty() || type.idempotency() == Idempotency.IDEMPOTENT) {
+            return now < entry.due() && entry.due() != DeadLetter.NEVER_DUE && !hasWord
                     ? new Later(entry.due(), "its pause is not over")
-                    : new Now(now + Math.max(LEAST_TIME, type.deadline()), List.of());
+                    : new Now(now + Math.max(LEAST_TIME, type.deadlineMicros()), List.of());
         }
-        if (type.repeat() == Repeat.ONCE) {
+        if (type.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return new AfterWord("an attempt may have run");
         }
         return keyed(entry, type, unproven, now, clockIsBack, steadySince);
     }
 
     private Verdict keyed(
-            Entry entry,
-            Policy.RequestClass type,
-            List<Entry.Try> unproven,
+            DeadLetter entry,
+            RequestClass type,
+            List<DeadLetter.Try> unproven,
             long now,
             boolean clockIsBack,
             long steadySince) {
-        Entry.Try first = unproven.stream()
-                .min(Comparator.comparingLong(Entry.Try::sentAt))
+        DeadLetter.Try first = unproven.stream()
+                .min(Comparator.comparingLong(DeadLetter.Try::sentAt))
                 .orElseThrow();
-        long closes = first.sentAt() + type.keyWindow() - margin;
+        long closes = first.sentAt() + type.keyWindowMicros() - margin;
         if (first.sentAt() < steadySince) {
             return new AfterWord(
                     "an attempt may have run before a restart, and its key window can't be measured since");
@@ -114,26 +115,27 @@
         if (clockIsBack || now >= closes) {
             return new AfterWord("an attempt may have run, and its key window is over");
         }
-        if (type.keyScope() != Policy.KeyScope.ALL) {
+        if (type.keyScope() != KeyScope.ALL) {
             Set<String> places = new HashSet<>();
-            unproven.forEach(t -> places.add(type.keyScope() == Policy.KeyScope.ZONE ? t.building() : t.route()));
+            unproven.forEach(t -> places.add(type.keyScope() == KeyScope.ZONE ? t.building() : t.route()));
             if (places.size() > 1 || places.contains("")) {
                 return new AfterWord("attempts in several places may have run, which don't share their keys");
             }
         }
         // The window is the deadline: what is not delivered within it must not be tried any more.
         return new Now(
-                Math.min(now + type.deadline(), closes),
+                Math.min(now + type.deadlineMicros(), closes),
                 List.of(new PastAttempt(first.route(), first.sentAt(), first.result())));
     }
 
     /** When an entry that was tried without success is looked at next. */
-    public long nextTry(Entry entry, long now) {
+    public long nextTry(DeadLetter entry, long now) {
         return now + (pause << Math.min(MOST_DOUBLINGS, entry.resends()));
     }
 
-    private static long newest(Entry entry) {
-        long tried = entry.tries().stream().mapToLong(Entry.Try::sentAt).max().orElse(0);
+    private static long newest(DeadLetter entry) {
+        long tried =
+                entry.tries().stream().mapToLong(DeadLetter.Try::sentAt).max().orElse(0);
         return Math.max(entry.keptAt(), tried);
     }
 }
--- a/src/main/java/pipitstage/undeliverable/store/ShelfThread.java
+++ b/src/main/java/loftflow/deadletter/store/DeadLetterExecutor.java
@@ -1,4 +1,4 @@
-package pipitstage.undeliverable.store;
+package loftflow.deadletter.store;
 
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.Executor;
@@ -7,19 +7,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import pipitstage.log.Log;
-import pipitstage.undeliverable.Shelf;
-import pipitstage.undeliverable.ShelfQueue;
+import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.DeadLetterStoreQueue;
+import loftflow.log.Log;
 
 /**
  * The thread of a shelf, behind a queue of {@value #MOST} tasks. A full queue turns a task away, whoever asked keeps
  * what it is about (the journal, or the person who asked) and asks again. A task that fails is told to staff.
  */
-public final class ShelfThread implements ShelfQueue, AutoCloseable {
+public final class DeadLetterExecutor implements DeadLetterStoreQueue, AutoCloseable {
     static final int MOST = 1_000;
     private static final int PATIENCE_S = 2;
 
-    private final Shelf shelf;
+    private final DeadLetterStore shelf;
     private final Executor loop;
     private final ThreadPoolExecutor thread =
             new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST), work -> {
@@ -29,13 +29,13 @@
             });
 
     /** A thread for a shelf that tells results on an event loop. */
-    public ShelfThread(Shelf shelf, Executor loop) {
+    public DeadLetterExecutor(DeadLetterStore shelf, Executor loop) {
         this.shelf = shelf;
         this.loop = loop;
     }
 
     @Override
-    public <T> boolean submit(Function<Shelf, T> task, Consumer<T> then, Runnable failed) {
+    public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
         try {
             thread.execute(() -> {
                 try {
--- a/src/main/java/pipitstage/undeliverable/store/SqliteShelf.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
@@ -1,4 +1,4 @@
-package pipitstage.undeliverable.store;
+package loftflow.deadletter.store;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -13,19 +13,19 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalLong;
+import loftflow.deadletter.DeadLetter;
+import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.ExecutionCertainty;
+import loftflow.engine.Message;
+import loftflow.log.Log;
+import loftflow.policy.api.AttemptOutcome;
 import org.sqlite.SQLiteConfig;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Message;
-import pipitstage.log.Log;
-import pipitstage.undeliverable.Entry;
-import pipitstage.undeliverable.Ran;
-import pipitstage.undeliverable.Shelf;
 
 /**
  * A shelf in one SQLite file. Every call is one transaction; in write-ahead mode what is committed outlasts the process.
  * Triggers keep the record of who did what from being changed or removed.
  */
-public final class SqliteShelf implements Shelf {
+public final class SqliteDeadLetterStore implements DeadLetterStore {
     /** The file's name in the folder that lasts. */
     public static final String NAME = "undeliverable.db";
 
@@ -61,7 +61,7 @@
     private final Connection db;
     private final String columns;
 
-    private SqliteShelf(Connection db, String line) {
+    private SqliteDeadLetterStore(Connection db, String line) {
         this.db = db;
         columns = COLUMNS + line + ", ";
     }
@@ -73,7 +73,7 @@
      * @param most bytes that the database itself never grows beyond: what would is turned away whole
      * @throws ShelfException where there can be none, as on a full or read-only disk
      */
-    public static SqliteShelf open(Path folder, long most) {
+    public static SqliteDeadLetterStore open(Path folder, long most) {
         Path file = folder.resolve(NAME);
         try {
             Files.createDirectories(folder);
@@ -93,7 +93,7 @@
         }
     }
 
-    private static SqliteShelf anew(Path file, long most, DamagedException damage) {
+    private static SqliteDeadLetterStore anew(Path file, long most, DamagedException damage) {
         try {
             Path aside = file.resolveSibling(NAME + ".damaged-" + System.currentTimeMillis());
             Files.move(file, aside, StandardCopyOption.ATOMIC_MOVE);
@@ -111,7 +111,7 @@
         }
     }
 
-    private static SqliteShelf opened(Path file, long most) throws SQLException, DamagedException {
+    private static SqliteDeadLetterStore opened(Path file, long most) throws SQLException, DamagedException {
         SQLiteConfig config = new SQLiteConfig();
         config.setJournalMode(SQLiteConfig.JournalMode.WAL);
         config.setSynchronous(SQLiteConfig.SynchronousMode.NORMAL);
@@ -120,7 +120,7 @@
         Connection db = null;
         try {
             db = config.createConnection("jdbc:sqlite:" + file);
-            SqliteShelf shelf = new SqliteShelf(db, "line");
+            SqliteDeadLetterStore shelf = new SqliteDeadLetterStore(db, "line");
             shelf.check();
             shelf.bound(most);
             return shelf;
@@ -137,7 +137,7 @@
     }
 
     /** Opens a file to read it only, such as a stopped relay's. */
-    public static SqliteShelf reading(Path folder) {
+    public static SqliteDeadLetterStore reading(Path folder) {
         SQLiteConfig config = new SQLiteConfig();
         config.setReadOnly(true);
         Path file = folder.resolve(NAME);
@@ -146,7 +146,7 @@
         }
         try {
             Connection db = config.createConnection("jdbc:sqlite:" + file);
-            return new SqliteShelf(db, version(db) == WITHOUT_LINES ? "NULL AS line" : "line");
+            return new SqliteDeadLetterStore(db, version(db) == WITHOUT_LINES ? "NULL AS line" : "line");
         } catch (SQLException e) {
             throw new ShelfException(file + " can't be opened: " + e.getMessage(), e);
         }
@@ -257,7 +257,7 @@
     }
 
     @Override
-    public long put(Entry entry) {
+    public long put(DeadLetter entry) {
         return whole(() -> {
             Message.Content c = entry.content();
             int made = change(
@@ -287,9 +287,9 @@
         });
     }
 
-    private void add(long id, int from, List<Entry.Try> tries) throws SQLException {
+    private void add(long id, int from, List<DeadLetter.Try> tries) throws SQLException {
         int n = from;
-        for (Entry.Try t : tries) {
+        for (DeadLetter.Try t : tries) {
             change(
                     "INSERT INTO try (entry, n, route, building, sent_at, result) VALUES (?, ?, ?, ?, ?, ?)",
                     id,
@@ -297,7 +297,7 @@
                     t.route(),
                     t.building(),
                     t.sentAt(),
-                    t.result() == null ? null : t.result().name());
+                    t.result() == null ? null : t.result().code());
         }
     }
 
@@ -318,11 +318,12 @@
             + " told, state, due, resends, word_by, word_reason, word_tries, word_at, ";
 
     /** Reads by number: names are looked up anew for every value. */
-    private static Entry row(ResultSet r) throws SQLException {
+    private static DeadLetter row(ResultSet r) throws SQLException {
         byte[] body = r.getBytes(19);
         String by = r.getString(14);
-        Entry.Word word = by == null ? null : new Entry.Word(by, r.getString(15), r.getInt(16), r.getLong(17));
-        return new Entry(
+        DeadLetter.Word word =
+                by == null ? null : new DeadLetter.Word(by, r.getString(15), r.getInt(16), r.getLong(17));
+        return new DeadLetter(
                 r.getLong(1),
                 new Message.Content(
                         r.getString(2),
@@ -337,15 +338,15 @@
                 r.getLong(8),
                 r.getString(9),
                 r.getString(10),
-                Entry.State.valueOf(r.getString(11)),
+                DeadLetter.State.valueOf(r.getString(11)),
                 r.getLong(12),
                 word,
                 r.getInt(13),
                 new ArrayList<>(1));
     }
 
-    private List<Entry> read(PreparedStatement statement) throws SQLException {
-        List<Entry> entries = new ArrayList<>();
+    private List<DeadLetter> read(PreparedStatement statement) throws SQLException {
+        List<DeadLetter> entries = new ArrayList<>();
         try (statement;
                 ResultSet r = statement.executeQuery()) {
             while (r.next()) {
@@ -359,7 +360,7 @@
     }
 
     /** Fills the attempts of entries, which are in the order of their numbers, by one query in the same order. */
-    private void addTries(List<Entry> entries) throws SQLException {
+    private void addTries(List<DeadLetter> entries) throws SQLException {
         try (PreparedStatement statement = prepare(
                         "SELECT entry, route, building, sent_at, result FROM try WHERE"
                                 + " entry BETWEEN ? AND ? ORDER BY entry, n",
@@ -376,28 +377,28 @@
                     String result = r.getString(5);
                     entries.get(at)
                             .tries()
-                            .add(new Entry.Try(
+                            .add(new DeadLetter.Try(
                                     r.getString(2),
                                     r.getString(3),
                                     r.getLong(4),
-                                    result == null ? null : Result.valueOf(result)));
+                                    result == null ? null : AttemptOutcome.ofCode(result)));
                 }
             }
         }
     }
 
     @Override
-    public Optional<Entry> get(long id) {
+    public Optional<DeadLetter> get(long id) {
         return whole(() -> one(id));
     }
 
-    private Optional<Entry> one(long id) throws SQLException {
+    private Optional<DeadLetter> one(long id) throws SQLException {
         return read(prepare(columns + "body FROM entry WHERE id = ?", id)).stream()
                 .findFirst();
     }
 
     @Override
-    public List<Entry> list(Filter f, long from, int most, boolean bodies) {
+    public List<DeadLetter> list(Filter f, long from, int most, boolean bodies) {
         List<Object> values = new ArrayList<>();
         StringBuilder sql =
                 new StringBuilder(columns + (bodies ? "body" : "NULL AS body") + " FROM entry WHERE id >= ?");
@@ -423,9 +424,9 @@
 
     /** By destination, so that the backlog of one does not hide the others. */
     @Override
-    public List<Entry> due(long now, int after, int most) {
+    public List<DeadLetter> due(long now, int after, int most) {
         return whole(() -> {
-            List<Entry> due = new ArrayList<>();
+            List<DeadLetter> due = new ArrayList<>();
             long destination = after;
             try (PreparedStatement next = db.prepareStatement(
                     "SELECT min(destination) FROM entry WHERE state = 'KEPT'" + " AND destination > ?")) {
@@ -460,7 +461,7 @@
     }
 
     @Override
-    public boolean move(long id, Entry.State from, Entry.State to, long due) {
+    public boolean move(long id, DeadLetter.State from, DeadLetter.State to, long due) {
         return whole(() -> change(
                         "UPDATE entry SET state = ?, due = ? WHERE id = ? AND state = ?",
                         to.name(),
@@ -471,9 +472,9 @@
     }
 
     @Override
-    public void resent(long id, List<Entry.Try> more, Entry.State state, long due, String why) {
+    public void resent(long id, List<DeadLetter.Try> more, DeadLetter.State state, long due, String why) {
         whole(() -> {
-            Entry entry = one(id).orElse(null);
+            DeadLetter entry = one(id).orElse(null);
             if (entry != null) {
                 add(id, entry.tries().size(), more);
                 // Guards against a resend that is recalled and would write over the proof that recalled it.
@@ -491,17 +492,17 @@
     }
 
     @Override
-    public void learn(long id, Entry.Try more) {
+    public void learn(long id, DeadLetter.Try more) {
         whole(() -> {
             change(
                     "UPDATE try SET result = ? WHERE entry = ? AND route = ? AND sent_at = ? AND (result IS NULL OR"
                             + " result NOT IN ('OK', 'FULL', 'CONNECT_FAILED', 'NOT_SENT'))",
-                    more.result() == null ? null : more.result().name(),
+                    more.result() == null ? null : more.result().code(),
                     id,
                     more.route(),
                     more.sentAt());
             settleRan(id);
-            if (more.ran() == Ran.DID) {
+            if (more.ran() == ExecutionCertainty.DID) {
                 change(
                         "UPDATE entry SET state = 'DELIVERED', why = 'a late answer' WHERE id = ? AND state <>"
                                 + " 'DELIVERED'",
@@ -513,12 +514,12 @@
 
     /** What is known of all attempts together, for filters. */
     private void settleRan(long id) throws SQLException {
-        Ran ran = one(id).map(Entry::ran).orElse(Ran.NEVER);
+        ExecutionCertainty ran = one(id).map(DeadLetter::ran).orElse(ExecutionCertainty.NEVER);
         change("UPDATE entry SET ran = ? WHERE id = ?", ran.name(), id);
     }
 
     @Override
-    public boolean word(long id, Entry.Word word, long due) {
+    public boolean word(long id, DeadLetter.Word word, long due) {
         return whole(() -> change(
                         "UPDATE entry SET word_by = ?, word_reason = ?, word_tries = ?, word_at = ?, due = ?"
                                 + " WHERE id = ? AND state = 'KEPT'",
--- a/src/main/java/pipitstage/duplicates/SeenFile.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationFile.java
@@ -1,4 +1,4 @@
-package pipitstage.duplicates;
+package loftflow.deduplication;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -10,14 +10,14 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import pipitstage.log.Log;
-import pipitstage.records.Records;
+import loftflow.log.Log;
+import loftflow.recordfile.RecordFile;
 
 /**
  * A memory that outlasts the process: a file of records, each with its length and checksum, that is written anew without
  * what is over when it has grown to twice what is remembered. As with the journal, appending needs no sync.
  */
-public final class SeenFile implements Seen, AutoCloseable {
+public final class DeduplicationFile implements Deduplicator, AutoCloseable {
     private static final String NAME = "seen.log";
     private static final String UNFINISHED = "seen.new";
     private static final int MOST_ID = 1_000;
@@ -28,7 +28,7 @@
 
     private final Path folder;
     private final LongSupplier clock;
-    private final SeenIds ids;
+    private final DeduplicationWindow ids;
     private FileChannel file;
     private long size;
     private int records;
@@ -42,10 +42,10 @@
      * @param most ids that are remembered
      * @param clock microseconds since 1970
      */
-    public SeenFile(Path folder, long span, int most, LongSupplier clock) throws IOException {
+    public DeduplicationFile(Path folder, long span, int most, LongSupplier clock) throws IOException {
         this.folder = folder;
         this.clock = clock;
-        ids = new SeenIds(span, most);
+        ids = new DeduplicationWindow(span, most);
         Files.createDirectories(folder);
         Files.deleteIfExists(folder.resolve(UNFINISHED));
         file = FileChannel.open(
@@ -79,7 +79,7 @@
 
     private void append(byte[] record) {
         try {
-            Records.write(file, record, size);
+            RecordFile.write(file, record, size);
             size += record.length;
             records++;
         } catch (IOException e) {
@@ -90,9 +90,9 @@
 
     private static byte[] record(String id, long at) {
         byte[] text = id.getBytes(StandardCharsets.UTF_8);
-        byte[] record = new byte[Records.HEAD + Long.BYTES + text.length];
-        ByteBuffer.wrap(record).position(Records.HEAD).putLong(at).put(text);
-        return Records.seal(record);
+        byte[] record = new byte[RecordFile.HEAD + Long.BYTES + text.length];
+        ByteBuffer.wrap(record).position(RecordFile.HEAD).putLong(at).put(text);
+        return RecordFile.seal(record);
     }
 
     /** Writes what is remembered to a new file, which then takes the place of the old one. */
@@ -109,7 +109,7 @@
             try {
                 for (Map.Entry<String, Long> one : ids.all().entrySet()) {
                     byte[] record = record(one.getKey(), one.getValue());
-                    Records.write(next, record, written);
+                    RecordFile.write(next, record, written);
                     written += record.length;
                 }
                 Files.move(unfinished, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
@@ -130,15 +130,15 @@
     }
 
     private void replay() throws IOException {
-        ByteBuffer all = Records.all(file);
-        byte[] payload = Records.next(all);
+        ByteBuffer all = RecordFile.all(file);
+        byte[] payload = RecordFile.next(all);
         while (payload != null && payload.length > Long.BYTES && payload.length <= Long.BYTES + MOST_ID) {
             ids.add(
                     new String(payload, Long.BYTES, payload.length - Long.BYTES, StandardCharsets.UTF_8),
                     ByteBuffer.wrap(payload).getLong());
             records++;
             size = all.position();
-            payload = Records.next(all);
+            payload = RecordFile.next(all);
         }
         if (size < file.size()) {
             Log.line("seen: a torn tail of " + (file.size() - size) + " bytes is cut off");
--- a/src/main/java/pipitstage/duplicates/SeenIds.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationWindow.java
@@ -1,4 +1,4 @@
-package pipitstage.duplicates;
+package loftflow.deduplication;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -8,13 +8,13 @@
  * Which ids were taken on within a span. Free of clocks and files; times are microseconds of the caller's clock. It
  * never forgets an id before its span is over: where it is full, it says so, and the caller takes nothing on.
  */
-public final class SeenIds {
+public final class DeduplicationWindow {
     private final long span;
     private final int most;
     private final Map<String, Long> seen = new LinkedHashMap<>();
 
     /** Remembers up to {@code most} ids, each for {@code span} microseconds. */
-    public SeenIds(long span, int most) {
+    public DeduplicationWindow(long span, int most) {
         this.span = span;
         this.most = most;
     }
--- a/src/main/java/pipitstage/duplicates/Seen.java
+++ b/src/main/java/loftflow/deduplication/Deduplicator.java
@@ -1,9 +1,9 @@
-package pipitstage.duplicates;
+package loftflow.deduplication;
 
 /** What a front asks of the memory of what was taken on. */
-public interface Seen {
+public interface Deduplicator {
     /** Remembers nothing: every message is new. */
-    Seen NOTHING = new Seen() {
+    Deduplicator NOTHING = new Deduplicator() {
         @Override
         public boolean contains(String id) {
             return false;
--- a/src/main/java/pipitstage/platform/AgentClient.java
+++ b/src/main/java/loftflow/discovery/AgentConnection.java
@@ -1,4 +1,4 @@
-package pipitstage.platform;
+package loftflow.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -23,17 +23,17 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import pipitstage.http.UnreadBytes;
+import loftflow.http.UnreadBytes;
 
 /** One kept connection to discovery's agent that carries one request at a time. */
-final class AgentClient {
+public final class AgentConnection {
     private static final int LARGEST_ANSWER = 2 << 20;
     private static final int CONNECT_TIMEOUT_MS = 1000;
     /** An agent answers at once. */
     private static final long LEAST_FOR_ANSWER_MS = 100;
 
     /** What became of a request; {@code status} is 0 where no answer came. */
-    interface Answer {
+    public interface Answer {
         void come(int status, String body);
     }
 
@@ -47,12 +47,12 @@
     private Answer waiting;
     private ScheduledFuture<?> timeout;
 
-    AgentClient(EventLoop loop, InetSocketAddress agent) {
+    public AgentConnection(EventLoop loop, InetSocketAddress agent) {
         this(loop, agent, NioSocketChannel::new);
     }
 
     /** A connection whose sockets are made by a factory, which may fail. */
-    AgentClient(EventLoop loop, InetSocketAddress agent, ChannelFactory<Channel> sockets) {
+    public AgentConnection(EventLoop loop, InetSocketAddress agent, ChannelFactory<Channel> sockets) {
         this.loop = loop;
         this.agent = agent;
         bootstrap = new Bootstrap()
@@ -74,7 +74,7 @@
      * Sends a request; the answer, or the lack of one within the span, is told once and later. Where the connection takes most
      * of it, the answer has {@value #LEAST_FOR_ANSWER_MS} ms still.
      */
-    void request(HttpMethod method, String path, String body, long timeoutMs, Answer answer) {
+    public void request(HttpMethod method, String path, String body, long timeoutMs, Answer answer) {
         if (waiting != null) {
             throw new IllegalStateException("a request is out");
         }
@@ -108,12 +108,12 @@
     }
 
     /** True while a request would go out without waiting for a connection. */
-    boolean isOpen() {
+    public boolean isOpen() {
         return channel != null && channel.isActive();
     }
 
     /** Opens the connection where there is none and none is on its way. */
-    void open() {
+    public void open() {
         if (channel != null && (channel.isActive() || !opening.isDone())) {
             return;
         }
@@ -129,7 +129,7 @@
     }
 
     /** Goes to another address from now on; a request that has no answer yet gets none. */
-    void moveTo(InetSocketAddress next) {
+    public void moveTo(InetSocketAddress next) {
         agent = next;
         drop();
         finish(0, "");
--- a/src/main/java/pipitstage/platform/Backoff.java
+++ b/src/main/java/loftflow/discovery/Backoff.java
@@ -1,4 +1,4 @@
-package pipitstage.platform;
+package loftflow.discovery;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/pipitstage/platform/Targets.java
+++ b/src/main/java/loftflow/discovery/EndpointListCodec.java
@@ -1,30 +1,30 @@
-package pipitstage.platform;
+package loftflow.discovery;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pipitstage.Fields;
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
-import pipitstage.WireException;
-import pipitstage.engine.Target;
-import pipitstage.log.Log;
+import loftflow.engine.Endpoint;
+import loftflow.json.JsonFields;
+import loftflow.json.MalformedInputException;
+import loftflow.log.Log;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
 
 /** Hosts as discovery lists them (PROTOCOL, Discovery). */
-public final class Targets {
+public final class EndpointListCodec {
     /**
      * What a list says.
      *
      * @param sound false where an entry could not be read: what it was to say has still to be asked for
      */
-    record Reading(List<Target> targets, boolean sound) {}
+    record Reading(List<Endpoint> targets, boolean sound) {}
 
-    private Targets() {}
+    private EndpointListCodec() {}
 
     /** Reads the entries of a list; one that makes no sense is logged and passed over. */
-    public static List<Target> readAll(Fields list) {
+    public static List<Endpoint> readAll(JsonFields list) {
         return read("known list", list, false, Map.of()).targets();
     }
 
@@ -35,11 +35,11 @@
      * @param from who told the list, for staff
      * @param whole true where a host that the list leaves out is gone
      */
-    static Reading read(String from, Fields list, boolean whole, Map<String, Target> known) {
+    static Reading read(String from, JsonFields list, boolean whole, Map<String, Endpoint> known) {
         if (list.value("targets") == null) {
-            throw new WireException(from + ": targets: an array is needed");
+            throw new MalformedInputException(from + ": targets: an array is needed");
         }
-        List<Target> targets = new ArrayList<>();
+        List<Endpoint> targets = new ArrayList<>();
         Set<String> named = new HashSet<>();
         boolean sound = true;
         boolean nameless = false;
@@ -47,15 +47,15 @@
         for (Object json : list.list("targets")) {
             place++;
             try {
-                Target target = read(Fields.ofObject("targets", json));
+                Endpoint target = read(JsonFields.ofObject("targets", json));
                 named.add(target.listed().route());
                 targets.add(target);
-            } catch (WireException | IllegalArgumentException | ArithmeticException e) {
+            } catch (MalformedInputException | IllegalArgumentException | ArithmeticException e) {
                 sound = false;
                 Object uid = json instanceof Map<?, ?> members ? members.get("uid") : null;
                 Log.line(from + ": entry " + place + (uid == null ? "" : " (" + uid + ")") + " is passed over: "
                         + e.getMessage());
-                Target before = uid == null ? null : known.get(uid);
+                Endpoint before = uid == null ? null : known.get(uid);
                 nameless |= before == null;
                 if (before != null) {
                     named.add(before.listed().route());
@@ -71,33 +71,34 @@
         return new Reading(targets, sound);
     }
 
-    private static Target stillAs(Target before, Map<?, ?> entry) {
-        Policy.Listed l = before.listed();
+    private static Endpoint stillAs(Endpoint before, Map<?, ?> entry) {
+        EndpointEntry l = before.listed();
         Availability now =
                 switch (String.valueOf(entry.get("state"))) {
                     case "terminating" -> Availability.DRAINING;
                     case "terminated" -> Availability.REMOVED;
                     default -> l.availability();
                 };
-        return new Target(
-                new Policy.Listed(l.route(), l.destination(), l.kind(), l.zone(), now, l.rate()), before.address());
+        return new Endpoint(
+                new EndpointEntry(l.route(), l.destination(), l.kind(), l.zone(), now, l.ratePerSecond()),
+                before.address());
     }
 
-    private static Target read(Fields entry) {
+    private static Endpoint read(JsonFields entry) {
         Availability availability =
                 switch (entry.text("state")) {
                     case "in_service" -> Availability.LISTED;
                     case "terminating" -> Availability.DRAINING;
                     case "terminated" -> Availability.REMOVED;
-                    default -> throw new WireException("unknown state " + entry.text("state"));
+                    default -> throw new MalformedInputException("unknown state " + entry.text("state"));
                 };
-        Policy.Listed listed = new Policy.Listed(
+        EndpointEntry listed = new EndpointEntry(
                 entry.text("uid"),
                 Math.toIntExact(entry.whole("pod_group")),
                 entry.text("model"),
                 entry.text("az"),
                 availability,
                 entry.number("capacity_hint", 0));
-        return new Target(listed, Target.address(entry.text("endpoint")));
+        return new Endpoint(listed, Endpoint.address(entry.text("endpoint")));
     }
 }
--- a/src/main/java/pipitstage/platform/Discovery.java
+++ b/src/main/java/loftflow/discovery/EndpointWatcher.java
@@ -1,4 +1,4 @@
-package pipitstage.platform;
+package loftflow.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -10,19 +10,19 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Fields;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.ListKind;
-import pipitstage.WireException;
-import pipitstage.engine.Membership;
-import pipitstage.engine.Target;
-import pipitstage.log.Log;
+import loftflow.engine.Endpoint;
+import loftflow.engine.EndpointListListener;
+import loftflow.json.JsonFields;
+import loftflow.json.MalformedInputException;
+import loftflow.log.Log;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointListKind;
 
 /**
  * Fetches the list of hosts and then watches it for changes. The whole list is asked for again now and then, as a watch may
  * go on answering and tell nothing more, and soon where an answer leaves something open.
  */
-public final class Discovery {
+public final class EndpointWatcher {
     /**
      * Guards against a discovery that falls silent: a watch that waits long would learn only after its end
      * of what was told meanwhile. Every answer is followed by the next call within a moment.
@@ -44,8 +44,8 @@
     private static final long LONGEST_OPEN_MS = CHECK_MS;
 
     private final EventLoop loop;
-    private final AgentClient agent;
-    private final Membership listener;
+    private final AgentConnection agent;
+    private final EndpointListListener listener;
     private final Runnable silence;
     private final Backoff backoff;
     private final JsonFactory json = new JsonFactory();
@@ -58,7 +58,7 @@
     private long openPauseMs = BREATH_MS;
     private Future<?> openAsk;
     /** What was told last of each host that is not gone. */
-    private final Map<String, Target> known = new HashMap<>();
+    private final Map<String, Endpoint> known = new HashMap<>();
 
     private InetSocketAddress address;
     private Future<?> overdue;
@@ -69,14 +69,18 @@
      * @param silence is run each {@value #SILENCE_MS} ms for which nothing was heard
      * @param backoff how long to wait after an answer that was none
      */
-    public Discovery(
-            EventLoop loop, InetSocketAddress address, Membership listener, Runnable silence, Backoff backoff) {
+    public EndpointWatcher(
+            EventLoop loop,
+            InetSocketAddress address,
+            EndpointListListener listener,
+            Runnable silence,
+            Backoff backoff) {
         this.loop = loop;
         this.listener = listener;
         this.silence = silence;
         this.backoff = backoff;
         this.address = address;
-        agent = new AgentClient(loop, address);
+        agent = new AgentConnection(loop, address);
     }
 
     /** Asks for the whole list, then watches. */
@@ -137,13 +141,13 @@
     private boolean take(String body, boolean wholeAsked) {
         try (JsonParser parser = json.createParser(body)) {
             parser.nextToken();
-            Fields list = Fields.ofObject("list", Fields.read(parser));
+            JsonFields list = JsonFields.ofObject("list", JsonFields.read(parser));
             if (parser.nextToken() != null) {
-                throw new WireException("more than a list");
+                throw new MalformedInputException("more than a list");
             }
             long rev = list.whole("rev");
             boolean whole = list.flag("all");
-            Targets.Reading read = Targets.read("discovery " + address, list, whole, known);
+            EndpointListCodec.Reading read = EndpointListCodec.read("discovery " + address, list, whole, known);
             // What a version that goes back, or on without a word, leaves untold is in the whole list alone.
             boolean open = !read.sound()
                     || !whole
@@ -154,7 +158,7 @@
             expectNews();
             keep(whole, read);
             if (whole || !read.targets().isEmpty()) {
-                listener.list(whole ? ListKind.FULL : ListKind.CHANGES, rev, read.targets());
+                listener.list(whole ? EndpointListKind.FULL : EndpointListKind.DELTA, rev, read.targets());
             }
             if (whole) {
                 wholeDue = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CHECK_MS);
@@ -173,7 +177,7 @@
         }
     }
 
-    private void keep(boolean whole, Targets.Reading read) {
+    private void keep(boolean whole, EndpointListCodec.Reading read) {
         if (whole) {
             known.clear();
         }
--- a/src/main/java/pipitstage/engine/Clock.java
+++ b/src/main/java/loftflow/engine/Clock.java
@@ -1,4 +1,4 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 /** The time in microseconds since the epoch, which never steps back while a process lives. */
 public interface Clock {
--- a/src/main/java/pipitstage/engine/Ends.java
+++ b/src/main/java/loftflow/engine/CompletionNotifier.java
@@ -1,10 +1,10 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 /**
  * The port through which ends are told: those other than delivery, and all of messages whose client asked for a reply.
  * Each is told until it has been heard.
  */
-public interface Ends {
-    /** Tells how a message ended; {@link Engine#noticeHeard} is called once that is known to have been heard. */
+public interface CompletionNotifier {
+    /** Tells how a message ended; {@link DeliveryEngine#noticeHeard} is called once that is known to have been heard. */
     void send(Message message);
 }
--- a/src/main/java/pipitstage/engine/Keeper.java
+++ b/src/main/java/loftflow/engine/DeadLetterSink.java
@@ -1,15 +1,15 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 import java.util.List;
-import pipitstage.Policy.ListKind;
+import loftflow.policy.api.EndpointListKind;
 
 /**
  * The port through which messages that could not be delivered are kept, and come back to be sent again. To be called
- * on the event loop only; {@link Engine#kept} answers {@link #keep} and {@link #resent}, then or later.
+ * on the event loop only; {@link DeliveryEngine#kept} answers {@link #keep} and {@link #resent}, then or later.
  */
-public interface Keeper extends Membership {
+public interface DeadLetterSink extends EndpointListListener {
     /** Keeps nothing. */
-    Keeper NONE = new Keeper() {
+    DeadLetterSink NONE = new DeadLetterSink() {
         @Override
         public boolean takes(Message message) {
             return false;
@@ -37,7 +37,7 @@
         public void learnt(Message.Attempt attempt) {}
 
         @Override
-        public void list(ListKind kind, long version, List<Target> targets) {}
+        public void list(EndpointListKind kind, long version, List<Endpoint> targets) {}
     };
 
     /** True where a message that its client was told is taken on, and that ends undelivered, is to be kept. */
@@ -46,13 +46,13 @@
     /** True where work of that class is refused, since what it might leave could not be kept. */
     boolean refuses(Message.Content content);
 
-    /** Keeps a message that has ended; {@link Engine#kept} is called once it outlasts the process there. */
+    /** Keeps a message that has ended; {@link DeliveryEngine#kept} is called once it outlasts the process there. */
     void keep(Message message);
 
     /** A restart has brought back a message from the journal, before anything else is told of it. */
     void resumed(Message message);
 
-    /** A message that was sent again has ended; {@link Engine#kept} is called once that outlasts the process. */
+    /** A message that was sent again has ended; {@link DeliveryEngine#kept} is called once that outlasts the process. */
     void resent(Message message);
 
     /** More has become known of an attempt whose message has ended or been kept. */
--- a/src/main/java/pipitstage/engine/Engine.java
+++ b/src/main/java/loftflow/engine/DeliveryEngine.java
@@ -1,4 +1,4 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,19 +9,38 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import pipitstage.Policy;
-import pipitstage.Policy.Event;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Result;
-import pipitstage.log.Log;
+import loftflow.log.Log;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.CompletionAcknowledged;
+import loftflow.policy.api.CompletionPending;
+import loftflow.policy.api.DeliveryPolicy;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListPending;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.MessageResumed;
+import loftflow.policy.api.MessageWithdrawn;
+import loftflow.policy.api.PastAttempt;
+import loftflow.policy.api.PolicyActions;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.ProbeCompleted;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.RetryAfterReceived;
+import loftflow.policy.api.RouteRestored;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.policy.api.TimerFired;
 
 /**
  * Drives the decision module: gathers what has come in into rounds and carries out what the module answers.
  * It owns the table of messages and takes no decision of its own. Everything runs on one event loop; what it needs of
  * fronts, partners, journal and platform it knows by ports alone.
  */
-public final class Engine implements Intake, Membership, Policy.Actions, Partners.Results {
+public final class DeliveryEngine
+        implements MessageAcceptor, EndpointListListener, PolicyActions, UpstreamClient.ResultListener {
     /** When a message that the module has left open past its deadline is ended: in time for its notice. */
     private static final long LATEST_END = 200_000;
 
@@ -33,14 +52,14 @@
 
     private final Timers timers;
     private final Clock clock;
-    private final Policy.Settings settings;
+    private final PolicySettings settings;
     private final long period;
-    private final WriteAhead journal;
-    private final Policy policy;
-    private Partners partners;
-    private Ends ends;
-    private Keeper keeper = Keeper.NONE;
-    private Consumer<Event> observer = event -> {};
+    private final WriteAheadLog journal;
+    private final DeliveryPolicy policy;
+    private UpstreamClient partners;
+    private CompletionNotifier ends;
+    private DeadLetterSink keeper = DeadLetterSink.NONE;
+    private Consumer<PolicyEvent> observer = event -> {};
     private Consumer<String> staff = Log::line;
     private boolean spansUnknown;
     private final Map<String, RequestClass> classes = new HashMap<>();
@@ -48,8 +67,8 @@
     private final Set<Integer> destinations = new HashSet<>();
     private final Map<Long, Message> messages = new LinkedHashMap<>();
     private final Map<String, Message> byCallId = new HashMap<>();
-    private final Map<String, List<Partners.Outgoing>> outgoing = new LinkedHashMap<>();
-    private List<Event> events = new ArrayList<>();
+    private final Map<String, List<UpstreamClient.Outgoing>> outgoing = new LinkedHashMap<>();
+    private List<PolicyEvent> events = new ArrayList<>();
     private List<Message> arrivals = new ArrayList<>();
     private long nextNumber;
     private int held;
@@ -65,13 +84,13 @@
      * @param period how long, in microseconds, what comes in is gathered before the module acts
      * @param module makes the decision module for the settings
      */
-    public Engine(
+    public DeliveryEngine(
             Timers timers,
             Clock clock,
-            Policy.Settings settings,
+            PolicySettings settings,
             long period,
-            WriteAhead journal,
-            Function<Policy.Settings, Policy> module) {
+            WriteAheadLog journal,
+            Function<PolicySettings, DeliveryPolicy> module) {
         this.timers = timers;
         this.clock = clock;
         this.settings = settings;
@@ -84,18 +103,18 @@
     }
 
     /** Sets what calls partners and what tells ends; once, before {@link #start}. */
-    public void attach(Partners calls, Ends notices) {
+    public void attach(UpstreamClient calls, CompletionNotifier notices) {
         partners = calls;
         ends = notices;
     }
 
     /** Sets what keeps messages that can't be delivered; once, before {@link #start}. */
-    public void keepBy(Keeper keeps) {
+    public void keepBy(DeadLetterSink keeps) {
         keeper = keeps;
     }
 
     /** Sets who is shown every event that the module is told; once, before {@link #start}. */
-    public void observeBy(Consumer<Event> sees) {
+    public void observeBy(Consumer<PolicyEvent> sees) {
         observer = sees;
     }
 
@@ -110,22 +129,22 @@
     }
 
     /** Tells the module what is known of routes from before a restart; with a list that names them. */
-    public void remembered(List<Policy.Remembered> routes) {
+    public void remembered(List<RouteRestored> routes) {
         routes.forEach(this::add);
     }
 
     /** What is worth remembering of each listed route over a restart. */
-    public List<Policy.Standing> standings() {
-        return policy.standings(clock.micros());
+    public List<RouteSnapshot> standings() {
+        return policy.routeSnapshots(clock.micros());
     }
 
     /** Takes in the list that is known at the start, empty where there is none, and what the journal holds. */
-    public void start(Policy.ListKind kind, long knownVersion, List<Target> known) {
+    public void start(EndpointListKind kind, long knownVersion, List<Endpoint> known) {
         start(kind, knownVersion, known, List.of());
     }
 
     /** As above, with what is remembered of the list's routes: the module learns it before anything goes to them. */
-    public void start(Policy.ListKind kind, long knownVersion, List<Target> known, List<Policy.Remembered> routes) {
+    public void start(EndpointListKind kind, long knownVersion, List<Endpoint> known, List<RouteRestored> routes) {
         if (!known.isEmpty()) {
             list(kind, knownVersion, known);
             remembered(routes);
@@ -145,7 +164,7 @@
                 keeper.resent(message);
             } else if (message.end != null) {
                 if (isInOrder(message)) {
-                    add(new Policy.Ending(acceptance(message)));
+                    add(new CompletionPending(acceptance(message)));
                 }
                 tellEnd(message);
             } else if (!classes.containsKey(message.content.requestClass())) {
@@ -155,10 +174,10 @@
             } else {
                 held++;
                 watchEnd(message);
-                add(new Policy.Resumed(
+                add(new MessageResumed(
                         acceptance(message),
                         message.attempts.stream()
-                                .map(a -> new Policy.PastAttempt(a.route, spansUnknown ? 0 : a.sentAt, a.result))
+                                .map(a -> new PastAttempt(a.route, spansUnknown ? 0 : a.sentAt, a.result))
                                 .toList()));
             }
         }
@@ -171,13 +190,13 @@
     private void endUnknown(Message message) {
         staff.accept("message " + message.content.callId() + " is of class " + message.content.requestClass()
                 + ", which the settings do not name any more");
-        boolean neverRan = message.attempts.stream().allMatch(a -> a.result != null && a.result.neverRan());
+        boolean neverRan = message.attempts.stream().allMatch(a -> a.result != null && a.result.isProvenNotExecuted());
         end(message.number, new Message.End(neverRan, 0));
     }
 
     /** Lets nothing go by the list of the start until discovery tells its own, for so many microseconds; after the start. */
     public void awaitList(long micros) {
-        add(new Policy.AwaitList(micros));
+        add(new EndpointListPending(micros));
     }
 
     @Override
@@ -211,7 +230,7 @@
     public boolean knows(Message.Content content) {
         RequestClass type = classes.get(content.requestClass());
         return type != null
-                && (type.repeat() != Policy.Repeat.BY_KEY || content.key() != null)
+                && (type.idempotency() != Idempotency.IDEMPOTENT_BY_KEY || content.key() != null)
                 && (tenants.isEmpty() || tenants.contains(content.tenant()))
                 && reaches(content.destination());
     }
@@ -246,7 +265,7 @@
                 || behind
                 || !reachable
                 || keeper.refuses(content)
-                || held >= settings.limits().maxOpen()
+                || held >= settings.limits().maxOpenMessages()
                 || !journal.accept(message)) {
             client.refused(COME_BACK);
             return null;
@@ -269,8 +288,8 @@
      * @param past attempts, in order, that may have run
      * @return the message, or null where it can't be taken on just now; nothing has happened then
      */
-    public Message resend(long entry, Message.Content content, List<Policy.PastAttempt> past) {
-        boolean busy = held > settings.limits().maxOpen() * RESEND_SHARE;
+    public Message resend(long entry, Message.Content content, List<PastAttempt> past) {
+        boolean busy = held > settings.limits().maxOpenMessages() * RESEND_SHARE;
         if (!ready
                 || frozen
                 || busy
@@ -279,7 +298,7 @@
             return null;
         }
         Message message = new Message(nextNumber, content, entry);
-        past.forEach(p -> message.addAttempt(p.route(), p.sentAt()).result = p.result());
+        past.forEach(p -> message.addAttempt(p.route(), p.sentAtMicros()).result = p.outcome());
         if (!journal.accept(message)) {
             return null;
         }
@@ -287,14 +306,14 @@
         held++;
         remember(message);
         watchEnd(message);
-        add(new Policy.Resumed(acceptance(message), past));
+        add(new MessageResumed(acceptance(message), past));
         return message;
     }
 
     /** Stops sending a message again, since an earlier attempt has turned out to have taken effect. */
     public void recall(Message message) {
         if (message.end == null && !message.over) {
-            add(new Policy.Withdrawn(message.number));
+            add(new MessageWithdrawn(message.number));
             endResend(message);
         }
     }
@@ -309,9 +328,9 @@
         byCallId.put(message.content.callId(), message);
     }
 
-    private static Policy.Accepted acceptance(Message message) {
+    private static MessageAccepted acceptance(Message message) {
         Message.Content content = message.content;
-        return new Policy.Accepted(
+        return new MessageAccepted(
                 message.number,
                 content.requestClass(),
                 content.tenant(),
@@ -324,7 +343,7 @@
     public void withdraw(Message message) {
         message.client = null;
         if (messages.containsKey(message.number) && message.end == null && !message.over) {
-            add(new Policy.Withdrawn(message.number));
+            add(new MessageWithdrawn(message.number));
             close(message);
         }
     }
@@ -336,7 +355,7 @@
 
     @Override
     public double fullness() {
-        return (double) held / settings.limits().maxOpen();
+        return (double) held / settings.limits().maxOpenMessages();
     }
 
     /** Guards against a message that an error in a round has left behind. */
@@ -348,7 +367,7 @@
         });
     }
 
-    private void add(Event event) {
+    private void add(PolicyEvent event) {
         events.add(event);
         observer.accept(event);
         if (!roundDue) {
@@ -361,7 +380,7 @@
     private void round() {
         roundDue = false;
         long now = clock.micros();
-        List<Event> came = events;
+        List<PolicyEvent> came = events;
         events = new ArrayList<>();
         List<Message> arrived = arrivals;
         arrivals = new ArrayList<>();
@@ -385,14 +404,14 @@
     }
 
     private void sendAll() {
-        Map<String, List<Partners.Outgoing>> batches = new LinkedHashMap<>(outgoing);
+        Map<String, List<UpstreamClient.Outgoing>> batches = new LinkedHashMap<>(outgoing);
         outgoing.clear();
         batches.forEach((route, calls) -> {
             // Guards against a call for a message whose client has not heard: its 202 could not be written just now.
-            List<Partners.Outgoing> owed = new ArrayList<>(calls.size());
-            for (Partners.Outgoing one : calls) {
+            List<UpstreamClient.Outgoing> owed = new ArrayList<>(calls.size());
+            for (UpstreamClient.Outgoing one : calls) {
                 if (one.attempt().message.over) {
-                    ended(one.attempt(), Result.NOT_SENT, false, 0, LimitReport.NONE);
+                    ended(one.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
                 } else {
                     owed.add(one);
                 }
@@ -416,23 +435,23 @@
         long left = message.content.deadline() - now;
         if (left <= 0 || !journal.attempt(attempt)) {
             // Guards against an attempt that a restart would know nothing of.
-            ended(attempt, Result.NOT_SENT, false, 0, LimitReport.NONE);
+            ended(attempt, AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
             return;
         }
         outgoing.computeIfAbsent(route, r -> new ArrayList<>())
-                .add(new Partners.Outgoing(
+                .add(new UpstreamClient.Outgoing(
                         attempt,
                         timeout > 0 ? Math.min(timeout, left) : left,
                         leaveWithin > 0 ? now + leaveWithin : Long.MAX_VALUE));
     }
 
     @Override
-    public void ended(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+    public void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
         Message message = attempt.message;
         attempt.result = result;
         message.attemptEnded();
         attemptsOut--;
-        boolean late = result == Result.OK && clock.micros() > message.content.deadline();
+        boolean late = result == AttemptOutcome.OK && clock.micros() > message.content.deadline();
         if (late) {
             // Guards against a delivery that comes after the time that its client counts: that is none.
             journal.result(attempt);
@@ -441,7 +460,7 @@
             journal.result(attempt);
             endResend(message);
         } else if (over && message.end == null && !message.over) {
-            finish(message, result == Result.OK);
+            finish(message, result == AttemptOutcome.OK);
         } else if (!message.over) {
             journal.result(attempt);
             if (message.end != null) {
@@ -449,7 +468,7 @@
             }
         }
         boolean closed = message.over || message.end != null;
-        add(new Policy.Outcome(
+        add(new AttemptCompleted(
                 message.number,
                 attempt.number,
                 attempt.route,
@@ -464,7 +483,7 @@
     @Override
     public void late(Message.Attempt attempt) {
         Message message = attempt.message;
-        attempt.result = Result.OK;
+        attempt.result = AttemptOutcome.OK;
         if (messages.get(message.number) != message) {
             keeper.learnt(attempt);
             return;
@@ -476,7 +495,7 @@
             recall(message);
         } else if (!message.over && clock.micros() <= message.content.deadline()) {
             // Guards against a further attempt for what has turned out to be delivered.
-            add(new Policy.Withdrawn(message.number));
+            add(new MessageWithdrawn(message.number));
             finish(message, true);
         }
     }
@@ -496,12 +515,12 @@
 
     @Override
     public void toldToWait(String route, long wait) {
-        add(new Policy.WaitTold(route, wait));
+        add(new RetryAfterReceived(route, wait));
     }
 
     @Override
-    public void probed(String route, Result result, long wait, long elapsed, LimitReport report) {
-        add(new Policy.ProbeDone(route, result, wait, elapsed, report));
+    public void probed(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
+        add(new ProbeCompleted(route, result, wait, elapsed, report));
     }
 
     /** Nothing more is owed for a message, and no notice either. */
@@ -572,7 +591,7 @@
         keeper.resent(message);
     }
 
-    /** The end of a message, given to {@link Ends}, has been heard. */
+    /** The end of a message, given to {@link CompletionNotifier}, has been heard. */
     public void noticeHeard(Message message) {
         heard(message);
     }
@@ -584,32 +603,32 @@
             journal.done(message);
             forgetIfSettled(message);
             if (isInOrder(message)) {
-                add(new Policy.EndHeard(message.number));
+                add(new CompletionAcknowledged(message.number));
             }
         }
     }
 
     private boolean isInOrder(Message message) {
         RequestClass type = classes.get(message.content.requestClass());
-        return type != null && type.inOrder();
+        return type != null && type.ordered();
     }
 
     @Override
-    public boolean isHeard(long id) {
+    public boolean isCompletionAcknowledged(long id) {
         Message message = messages.get(id);
         return message == null || message.end == null || message.over;
     }
 
     @Override
-    public void list(Policy.ListKind kind, long version, List<Target> targets) {
+    public void list(EndpointListKind kind, long version, List<Endpoint> targets) {
         targets.forEach(target -> destinations.add(target.listed().destination()));
         partners.list(kind, targets);
         keeper.list(kind, version, targets);
         ready = true;
         // What takes an endpoint away from an old list does not say what else there is.
-        listTold |= kind == Policy.ListKind.FULL;
-        add(new Policy.RouteList(
-                kind, version, targets.stream().map(Target::listed).toList()));
+        listTold |= kind == EndpointListKind.FULL;
+        add(new EndpointListReceived(
+                kind, version, targets.stream().map(Endpoint::listed).toList()));
     }
 
     @Override
@@ -621,7 +640,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryIn) {
+    public void reject(long id, long retryIn) {
         end(id, new Message.End(true, retryIn));
     }
 
@@ -631,8 +650,8 @@
     }
 
     @Override
-    public void remind(long name, long delay) {
-        timers.after(delay, () -> add(new Policy.TimerFired(name)));
+    public void setTimer(long name, long delay) {
+        timers.after(delay, () -> add(new TimerFired(name)));
     }
 
     @Override
@@ -641,13 +660,13 @@
     }
 
     @Override
-    public void closeIdle(String route) {
+    public void closeIdleConnections(String route) {
         partners.closeIdle(route);
     }
 
     /** Relays on sockets have no way to talk to each other. */
     @Override
-    public void tell(int relay, byte[] bytes) {}
+    public void sendToPeer(int relay, byte[] bytes) {}
 
     /** The watch on discovery runs all the time. */
     @Override
@@ -655,7 +674,7 @@
 
     /** The watch on discovery runs all the time. */
     @Override
-    public void fetchList() {}
+    public void fetchEndpointList() {}
 
     @Override
     public void log(String text) {
--- a/src/main/java/pipitstage/engine/Target.java
+++ b/src/main/java/loftflow/engine/Endpoint.java
@@ -1,12 +1,12 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
-import pipitstage.Policy;
+import loftflow.policy.api.EndpointEntry;
 
 /** A host in a list and the address at which this relay reaches it. */
-public record Target(Policy.Listed listed, InetSocketAddress address) {
+public record Endpoint(EndpointEntry listed, InetSocketAddress address) {
 
     /**
      * Reads an address in digits with its port, such as {@code 127.0.0.1:8080} or {@code [::1]:8080}: there is no DNS.
--- a/src/main/java/pipitstage/engine/Pulse.java
+++ b/src/main/java/loftflow/engine/EventLoopLag.java
@@ -1,10 +1,10 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 /**
  * Tells since when bytes that are read now may have lain unread. A pass of the loop reads, then runs its timers:
  * what it reads had not come when the pass before it looked, and no pass runs two beats.
  */
-public final class Pulse {
+public final class EventLoopLag {
     /** Every message counts as up to two beats older than it is. */
     private static final long BEAT = 10_000;
 
@@ -13,7 +13,7 @@
     private long last;
     private long beforeLast;
 
-    public Pulse(Timers timers, Clock clock) {
+    public EventLoopLag(Timers timers, Clock clock) {
         this.timers = timers;
         this.clock = clock;
         last = clock.micros();
--- a/src/main/java/pipitstage/engine/Message.java
+++ b/src/main/java/loftflow/engine/Message.java
@@ -1,9 +1,9 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import pipitstage.Policy;
+import loftflow.policy.api.AttemptOutcome;
 
 /**
  * A message that a client handed in, and how far its delivery has come. Times are the {@link Clock}'s, in
@@ -22,7 +22,7 @@
     /**
      * What a client handed in; {@code tenant} and {@code key} may be null.
      *
-     * @param reply null where the client asked for none, and hears of ends other than delivery by {@link Ends}' usual way
+     * @param reply null where the client asked for none, and hears of ends other than delivery by {@link CompletionNotifier}' usual way
      * @param line what order is kept by where that is another than the key; null where it is not
      */
     public record Content(
@@ -100,7 +100,7 @@
         final int number;
         final String route;
         final long sentAt;
-        Policy.Result result;
+        AttemptOutcome result;
 
         private Attempt(Message message, int number, String route, long sentAt) {
             this.message = message;
@@ -127,12 +127,12 @@
         }
 
         /** How it ended, or null while nothing is known. */
-        public Policy.Result result() {
+        public AttemptOutcome result() {
             return result;
         }
 
         /** Takes in how it ended. */
-        public void result(Policy.Result known) {
+        public void result(AttemptOutcome known) {
             result = known;
         }
     }
@@ -163,7 +163,7 @@
         this(number, content, 0);
     }
 
-    /** A message that was kept as an entry of the {@link Keeper} and is sent again; 0 for one from a client. */
+    /** A message that was kept as an entry of the {@link DeadLetterSink} and is sent again; 0 for one from a client. */
     public Message(long number, Content content, long entry) {
         this.number = number;
         this.content = content;
@@ -177,7 +177,7 @@
 
     /** True where some attempt is known to have taken effect. */
     public boolean isDelivered() {
-        return attempts.stream().anyMatch(attempt -> attempt.result == Policy.Result.OK);
+        return attempts.stream().anyMatch(attempt -> attempt.result == AttemptOutcome.OK);
     }
 
     public long number() {
--- a/src/main/java/pipitstage/engine/Intake.java
+++ b/src/main/java/loftflow/engine/MessageAcceptor.java
@@ -1,9 +1,9 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 /**
  * The port through which any front hands messages in and hears their end. To be called on the event loop only.
  */
-public interface Intake {
+public interface MessageAcceptor {
     /** True once a list of hosts is known, also an old one. */
     boolean isReady();
 
--- a/src/main/java/pipitstage/engine/Timers.java
+++ b/src/main/java/loftflow/engine/Timers.java
@@ -1,4 +1,4 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 /** Runs tasks later, on the thread that everything in the engine happens on. */
 public interface Timers {
--- a/src/main/java/pipitstage/engine/Partners.java
+++ b/src/main/java/loftflow/engine/UpstreamClient.java
@@ -1,25 +1,25 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 import java.util.List;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.LimitReport;
 
 /**
  * The port through which the engine calls partners of any kind. Every attempt that is sent ends by exactly one call
- * of {@link Results#ended}, every probe by one of {@link Results#probed}; both may come before {@code send} or
+ * of {@link ResultListener#ended}, every probe by one of {@link ResultListener#probed}; both may come before {@code send} or
  * {@code probe} returns. Nothing is sent a second time by itself. To be called on the event loop only.
  */
-public interface Partners {
+public interface UpstreamClient {
     /** Takes in what became of attempts and probes. */
-    interface Results {
+    interface ResultListener {
         /**
          * An attempt ended.
          *
          * @param over nothing more is owed for its message
          * @param wait how long the partner told this relay to wait, in microseconds; 0 where it did not
          */
-        void ended(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report);
+        void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report);
 
         /** A partner has told this relay to wait; what becomes of the call that it told so is told for itself. */
         void toldToWait(String route, long wait);
@@ -28,7 +28,7 @@
         void late(Message.Attempt attempt);
 
         /** A probe ended after so many microseconds; {@code wait} as above. */
-        void probed(String route, Result result, long wait, long elapsed, LimitReport report);
+        void probed(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report);
     }
 
     /**
@@ -41,7 +41,7 @@
     record Outgoing(Message.Attempt attempt, long timeout, long latest) {}
 
     /** Takes in a list of hosts; what drains or is gone is sent nothing new from now on. */
-    void list(ListKind kind, List<Target> targets);
+    void list(EndpointListKind kind, List<Endpoint> targets);
 
     /** Sends what one round has for one route, in as few calls as its kind allows. */
     void send(String route, List<Outgoing> outgoing);
--- a/src/main/java/pipitstage/engine/WriteAhead.java
+++ b/src/main/java/loftflow/engine/WriteAheadLog.java
@@ -1,9 +1,9 @@
-package pipitstage.engine;
+package loftflow.engine;
 
 import java.util.List;
 
 /** The port behind which accepted work outlasts the process. Every call has taken effect when it returns. */
-public interface WriteAhead {
+public interface WriteAheadLog {
     /** The number for the next message; higher than any in use. */
     long nextNumber();
 
--- a/src/main/java/pipitstage/lab/ComparePage.java
+++ b/src/main/java/loftflow/experiment/ComparisonReport.java
@@ -1,25 +1,25 @@
-package pipitstage.lab;
+package loftflow.experiment;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Stream;
-import pipitstage.lab.experiment.Verdict;
-import pipitstage.lab.results.Page;
+import loftflow.experiment.design.PairedComparison;
+import loftflow.experiment.results.HtmlPage;
 
 /**
  * A comparison as a page by itself: for each figure the effect with its interval, and the pairs, one line from the first side's
  * value to the second's for each seed.
  */
-public final class ComparePage {
+public final class ComparisonReport {
     private static final int WIDTH = 340;
     private static final int HEIGHT = 90;
     private static final int EDGE = 12;
 
-    private final Page page;
+    private final HtmlPage page;
 
-    private ComparePage(String name) {
-        page = new Page(name);
+    private ComparisonReport(String name) {
+        page = new HtmlPage(name);
     }
 
     /**
@@ -28,13 +28,13 @@
      * @param first the side that all others are beside
      * @param sides each other side's figures, by its name
      */
-    public static String of(String name, String first, Map<String, List<Lab.Compared>> sides) {
-        ComparePage compared = new ComparePage(name);
-        sides.forEach((second, figures) -> compared.side(Page.plain(first), Page.plain(second), figures));
+    public static String of(String name, String first, Map<String, List<ExperimentRunner.Compared>> sides) {
+        ComparisonReport compared = new ComparisonReport(name);
+        sides.forEach((second, figures) -> compared.side(HtmlPage.plain(first), HtmlPage.plain(second), figures));
         return compared.page.end();
     }
 
-    private void side(String first, String second, List<Lab.Compared> figures) {
+    private void side(String first, String second, List<ExperimentRunner.Compared> figures) {
         page.line("<h2>%s beside %s</h2>", second, first);
         page.line(
                 "<table><tr><th>figure</th><th>%s</th><th>%s</th><th>effect</th><th>95%% interval</th><th>p</th><th>verdict</th>"
@@ -44,11 +44,11 @@
         page.line("</table>");
     }
 
-    private void row(Lab.Compared c) {
-        Verdict v = c.verdict();
+    private void row(ExperimentRunner.Compared c) {
+        PairedComparison v = c.verdict();
         page.line(
                 "<tr><td>%s</td><td>%.5g</td><td>%.5g</td><td>%+.5g</td><td>%+.5g to %+.5g</td><td>%.3f</td><td class=\"%s\">%s</td>",
-                Page.plain(c.figure()),
+                HtmlPage.plain(c.figure()),
                 c.firstMean(),
                 c.secondMean(),
                 v.effect(),
@@ -62,12 +62,12 @@
         page.line("</tr>");
     }
 
-    private void interval(String figure, Verdict v) {
+    private void interval(String figure, PairedComparison v) {
         double least = Math.min(0, v.low());
         double most = Math.max(0, v.high());
         page.line(
                 "<td><svg width=\"%d\" height=\"24\" role=\"img\" aria-label=\"effect of %s\">",
-                WIDTH, Page.plain(figure));
+                WIDTH, HtmlPage.plain(figure));
         double zero = x(0, least, most);
         page.line("<line x1=\"%.1f\" y1=\"0\" x2=\"%.1f\" y2=\"24\" stroke=\"#999\"/>", zero, zero);
         page.line(
@@ -80,7 +80,7 @@
         return most == least ? WIDTH / 2.0 : EDGE + (value - least) / (most - least) * (WIDTH - 2 * EDGE);
     }
 
-    private void pairs(Lab.Compared c) {
+    private void pairs(ExperimentRunner.Compared c) {
         double least = Stream.concat(c.first().stream(), c.second().stream())
                 .min(Double::compare)
                 .orElse(0.0);
@@ -89,7 +89,7 @@
                 .orElse(0.0);
         page.line(
                 "<td><svg width=\"120\" height=\"%d\" role=\"img\" aria-label=\"pairs of %s\">",
-                HEIGHT, Page.plain(c.figure()));
+                HEIGHT, HtmlPage.plain(c.figure()));
         for (int i = 0; i < c.first().size(); i++) {
             page.line(
                     "<line x1=\"15\" y1=\"%.1f\" x2=\"105\" y2=\"%.1f\" stroke=\"#2060c0\" stroke-opacity=\"0.5\"/>",
--- a/src/main/java/pipitstage/lab/Lab.java
+++ b/src/main/java/loftflow/experiment/ExperimentRunner.java
@@ -1,4 +1,4 @@
-package pipitstage.lab;
+package loftflow.experiment;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -18,36 +18,36 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import pipitstage.Logic;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.TomlFile;
-import pipitstage.lab.experiment.Capacity;
-import pipitstage.lab.experiment.Order;
-import pipitstage.lab.experiment.Shrink;
-import pipitstage.lab.experiment.Verdict;
-import pipitstage.lab.history.Costs;
-import pipitstage.lab.history.History;
-import pipitstage.lab.model.ModelRun;
-import pipitstage.lab.model.Program;
-import pipitstage.lab.real.RealRun;
-import pipitstage.lab.results.ResultsFolder;
-import pipitstage.lab.scenario.Arrival;
-import pipitstage.lab.scenario.Arrivals;
-import pipitstage.lab.scenario.Replayed;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.scenario.ScenarioFile;
-import pipitstage.lab.scenario.ScenarioText;
-import pipitstage.lab.service.FleetCosts;
-import pipitstage.lab.service.Judge;
-import pipitstage.lab.service.Service;
-import pipitstage.lab.service.Snapshot;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.ServedRelay;
+import loftflow.config.file.Finding;
+import loftflow.config.file.TomlFile;
+import loftflow.experiment.design.CapacitySearch;
+import loftflow.experiment.design.PairedComparison;
+import loftflow.experiment.design.RunOrder;
+import loftflow.experiment.design.ScenarioMinimizer;
+import loftflow.experiment.emulator.EmulatorRun;
+import loftflow.experiment.emulator.RelayComponents;
+import loftflow.experiment.evaluation.FleetCostReport;
+import loftflow.experiment.evaluation.ProgressSnapshot;
+import loftflow.experiment.evaluation.RuleChecker;
+import loftflow.experiment.evaluation.ServiceReport;
+import loftflow.experiment.history.CallCounts;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.loopback.LoopbackRun;
+import loftflow.experiment.results.ResultsFolder;
+import loftflow.experiment.scenario.Arrival;
+import loftflow.experiment.scenario.ArrivalGenerator;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.experiment.scenario.ScenarioReader;
+import loftflow.experiment.scenario.ScenarioWriter;
+import loftflow.experiment.scenario.TraceArrivals;
+import loftflow.fake.ServedRelay;
+import loftflow.fake.TemporaryFolder;
+import loftflow.policy.DefaultDeliveryPolicy;
 
 /** Plays scenarios in the emulator and says what came of it. */
-public final class Lab {
+public final class ExperimentRunner {
     /** The program that this is. */
-    public static final Program OWN = Program.of(Logic::new);
+    public static final RelayComponents OWN = RelayComponents.of(DefaultDeliveryPolicy::new);
 
     private static final int FINGERPRINT = 8;
     private static final Scenario.Rules RULES = Scenario.Rules.USUAL;
@@ -66,16 +66,16 @@
             "hundred-roll",
             "hundred-outage");
 
-    private Lab() {}
+    private ExperimentRunner() {}
 
     /** What came of one run; {@code events} is how much happened in the emulator. */
     public record Played(
             Scenario scenario,
             long seed,
-            Service.Report service,
-            FleetCosts costs,
-            Judge.Found rules,
-            History history,
+            ServiceReport.Report service,
+            FleetCostReport costs,
+            RuleChecker.Found rules,
+            RunHistory history,
             long events) {
         /** The figures that are kept and compared. */
         public Map<String, Double> figures() {
@@ -91,12 +91,12 @@
             figures.put("failed", (double) service.failed());
             figures.put("attempts", service.attempts());
             figures.put("peak-load", service.peakLoad());
-            figures.put("checks", (double) costs.counts().total(Costs.Of.CHECKS));
-            figures.put("calls-refused", (double) costs.counts().total(Costs.Of.REFUSED));
+            figures.put("checks", (double) costs.counts().total(CallCounts.Of.CHECKS));
+            figures.put("calls-refused", (double) costs.counts().total(CallCounts.Of.REFUSED));
             figures.put(
                     "calls-lost",
-                    (double) costs.counts().total(Costs.Of.UNREACHED)
-                            + costs.counts().total(Costs.Of.UNANSWERED));
+                    (double) costs.counts().total(CallCounts.Of.UNREACHED)
+                            + costs.counts().total(CallCounts.Of.UNANSWERED));
             figures.put("untried", (double) costs.untried());
             figures.put("latest-end-ms", costs.latest() / 1_000.0);
             figures.put("breaches", (double)
@@ -115,7 +115,7 @@
 
     /** The text of a scenario that comes with the program. */
     public static String named(String name) throws IOException {
-        try (InputStream in = Lab.class.getResourceAsStream("/scenarios/" + name + ".toml")) {
+        try (InputStream in = ExperimentRunner.class.getResourceAsStream("/scenarios/" + name + ".toml")) {
             if (in == null) {
                 throw new IOException("there is no scenario " + name + ": " + String.join(", ", NAMED));
             }
@@ -124,9 +124,9 @@
     }
 
     /** Reads a scenario's text. */
-    public static ScenarioFile.Read read(String file, String text) {
+    public static ScenarioReader.Read read(String file, String text) {
         List<Finding> grammar = new ArrayList<>();
-        return ScenarioFile.read(file, TomlFile.read(file, text, grammar), grammar);
+        return ScenarioReader.read(file, TomlFile.read(file, text, grammar), grammar);
     }
 
     /** Plays a scenario with the module of this program. */
@@ -135,34 +135,37 @@
     }
 
     /** Plays a scenario with a program. */
-    public static Played play(Scenario scenario, long seed, Program program) {
-        return play(scenario, seed, layout -> new Arrivals(scenario, layout, seed), program);
+    public static Played play(Scenario scenario, long seed, RelayComponents program) {
+        return play(scenario, seed, layout -> new ArrivalGenerator(scenario, layout, seed), program);
     }
 
     /** Plays a scenario with what a trace asks for in place of its rates. */
-    public static Played replay(Scenario scenario, long seed, Replayed replayed) {
+    public static Played replay(Scenario scenario, long seed, TraceArrivals replayed) {
         return play(scenario, seed, layout -> replayed.iterator(), OWN);
     }
 
     private static Played play(
-            Scenario scenario, long seed, Function<Scenario.Layout, Iterator<Arrival>> arrivals, Program program) {
-        ModelRun.Outcome outcome = new ModelRun(scenario, RULES, seed, arrivals, program).run();
+            Scenario scenario,
+            long seed,
+            Function<Scenario.Layout, Iterator<Arrival>> arrivals,
+            RelayComponents program) {
+        EmulatorRun.Outcome outcome = new EmulatorRun(scenario, RULES, seed, arrivals, program).run();
         return judged(scenario, seed, outcome.history(), outcome.events());
     }
 
-    private static Played judged(Scenario scenario, long seed, History history, long events) {
+    private static Played judged(Scenario scenario, long seed, RunHistory history, long events) {
         return new Played(
                 scenario,
                 seed,
-                Service.of(scenario, RULES, history),
-                FleetCosts.of(history),
-                Judge.of(scenario, RULES, history),
+                ServiceReport.of(scenario, RULES, history),
+                FleetCostReport.of(history),
+                RuleChecker.of(scenario, RULES, history),
                 history,
                 events);
     }
 
     /** A run by whole relays, with how late its messages left and what the relays used. */
-    public record Real(Played played, RealRun.Outcome outcome) {}
+    public record Real(Played played, LoopbackRun.Outcome outcome) {}
 
     /**
      * Plays a scenario by whole relays on loopback, in real time.
@@ -175,16 +178,18 @@
     public static Real real(
             Scenario scenario,
             long seed,
-            Replayed replayed,
-            RealRun.Fleet fleet,
+            TraceArrivals replayed,
+            LoopbackRun.Fleet fleet,
             Path folder,
-            Consumer<Snapshot> progress)
+            Consumer<ProgressSnapshot> progress)
             throws IOException {
         Scenario.Layout layout = scenario.layout();
         Files.createDirectories(folder);
-        try (RealRun run = new RealRun(scenario, RULES, seed, fleet, folder)) {
-            RealRun.Outcome outcome = run.play(
-                    replayed == null ? new Arrivals(scenario, layout, seed) : replayed.iterator(), at -> {}, progress);
+        try (LoopbackRun run = new LoopbackRun(scenario, RULES, seed, fleet, folder)) {
+            LoopbackRun.Outcome outcome = run.play(
+                    replayed == null ? new ArrivalGenerator(scenario, layout, seed) : replayed.iterator(),
+                    at -> {},
+                    progress);
             return new Real(judged(scenario, seed, outcome.history(), 0), outcome);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -198,7 +203,7 @@
      * @param first the first side's figures, seed by seed
      * @param second the other side's, in the same order
      */
-    public record Compared(String figure, Verdict verdict, List<Double> first, List<Double> second) {
+    public record Compared(String figure, PairedComparison verdict, List<Double> first, List<Double> second) {
         public double firstMean() {
             return mean(first);
         }
@@ -223,17 +228,17 @@
 
     /** Plays in the emulator, each build's decision module by itself. */
     public static Player emulator() {
-        Map<Path, Program> programs = new HashMap<>();
+        Map<Path, RelayComponents> programs = new HashMap<>();
         return (side, seed) -> {
-            Program program = OWN;
+            RelayComponents program = OWN;
             if (side.build() != null) {
                 program = programs.get(side.build());
                 if (program == null) {
-                    program = Program.of(ModuleOf.at(side.build()));
+                    program = RelayComponents.of(PolicyLoader.at(side.build()));
                     programs.put(side.build(), program);
                 }
             }
-            return Lab.play(side.scenario(), seed, program).figures();
+            return ExperimentRunner.play(side.scenario(), seed, program).figures();
         };
     }
 
@@ -248,7 +253,7 @@
      */
     public static Player relays(int core, Path folder) {
         return (side, seed) -> {
-            RealRun.Fleet fleet = new RealRun.Fleet(new ServedRelay.Program(side.build(), core), false);
+            LoopbackRun.Fleet fleet = new LoopbackRun.Fleet(new ServedRelay.Program(side.build(), core), false);
             for (int run = 1; run <= LATE_RUNS; run++) {
                 Real real = realOnce(side.scenario(), seed, fleet, folder);
                 if (real.outcome().isValid()) {
@@ -262,8 +267,9 @@
         };
     }
 
-    private static Real realOnce(Scenario scenario, long seed, RealRun.Fleet fleet, Path folder) throws IOException {
-        try (Scratch run = Scratch.in(folder, "run")) {
+    private static Real realOnce(Scenario scenario, long seed, LoopbackRun.Fleet fleet, Path folder)
+            throws IOException {
+        try (TemporaryFolder run = TemporaryFolder.in(folder, "run")) {
             return real(scenario, seed, null, fleet, run.folder(), snapshot -> {});
         }
     }
@@ -284,7 +290,7 @@
             Player player,
             Consumer<ResultsFolder.Result> progress)
             throws IOException {
-        Map<Order.Run, Map<String, Double>> finished = new LinkedHashMap<>();
+        Map<RunOrder.Run, Map<String, Double>> finished = new LinkedHashMap<>();
         List<String> names = new ArrayList<>();
         for (Side side : sides) {
             names.add(experiment + " " + fingerprint(side));
@@ -293,11 +299,12 @@
             for (int side = 0; side < sides.size(); side++) {
                 if (result.experiment().equals(names.get(side))
                         && result.side().equals(sides.get(side).name())) {
-                    finished.put(new Order.Run(side, result.seed()), result.figures());
+                    finished.put(new RunOrder.Run(side, result.seed()), result.figures());
                 }
             }
         }
-        for (Order.Run run : Order.left(Order.of(sides.size(), seeds, experiment.hashCode()), finished.keySet())) {
+        for (RunOrder.Run run :
+                RunOrder.left(RunOrder.of(sides.size(), seeds, experiment.hashCode()), finished.keySet())) {
             Side side = sides.get(run.side());
             Map<String, Double> figures = player.play(side, run.seed());
             ResultsFolder.Result result =
@@ -315,7 +322,8 @@
                     .toList()) {
                 List<Double> first = figures(finished, 0, seeds, figure);
                 List<Double> second = figures(finished, of, seeds, figure);
-                compared.add(new Compared(figure, Verdict.of(first, second, HIGHER.contains(figure)), first, second));
+                compared.add(new Compared(
+                        figure, PairedComparison.of(first, second, HIGHER.contains(figure)), first, second));
             }
             verdicts.put(sides.get(side).name(), compared);
         }
@@ -326,10 +334,10 @@
     private static String fingerprint(Side side) throws IOException {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            digest.update(ScenarioText.of(side.scenario()).getBytes(StandardCharsets.UTF_8));
-            ModuleOf.digest(ModuleOf.own(), digest);
+            digest.update(ScenarioWriter.of(side.scenario()).getBytes(StandardCharsets.UTF_8));
+            PolicyLoader.digest(PolicyLoader.own(), digest);
             if (side.build() != null) {
-                ModuleOf.digest(side.build(), digest);
+                PolicyLoader.digest(side.build(), digest);
             }
             return HexFormat.of().formatHex(digest.digest(), 0, FINGERPRINT);
         } catch (NoSuchAlgorithmException e) {
@@ -338,9 +346,9 @@
     }
 
     private static List<Double> figures(
-            Map<Order.Run, Map<String, Double>> finished, int side, List<Long> seeds, String figure) {
+            Map<RunOrder.Run, Map<String, Double>> finished, int side, List<Long> seeds, String figure) {
         return seeds.stream()
-                .map(seed -> finished.get(new Order.Run(side, seed)).get(figure))
+                .map(seed -> finished.get(new RunOrder.Run(side, seed)).get(figure))
                 .toList();
     }
 
@@ -371,12 +379,12 @@
 
     /** Runs of whole relays at a load. One whose messages leave late does not hold: the machine is at its end, and that is said. */
     public static Trial played(
-            Scenario scenario, Wanted wanted, RealRun.Fleet fleet, Path folder, Consumer<String> progress) {
+            Scenario scenario, Wanted wanted, LoopbackRun.Fleet fleet, Path folder, Consumer<String> progress) {
         return (load, seed) -> {
             Real real;
             try {
                 real = realOnce(scenario.withSpan(scenario.span(), scenario.load() * load), seed, fleet, folder);
-            } catch (RealRun.EndedException e) {
+            } catch (LoopbackRun.EndedException e) {
                 progress.accept(
                         String.format(Locale.ROOT, "load %.3f seed %d: not held, %s", load, seed, e.getMessage()));
                 return false;
@@ -404,8 +412,8 @@
     }
 
     /** The highest load that a trial holds. */
-    public static Capacity capacity(double tolerance, Trial trial) throws IOException {
-        Capacity search = new Capacity(1, tolerance, 0.01, 100);
+    public static CapacitySearch capacity(double tolerance, Trial trial) throws IOException {
+        CapacitySearch search = new CapacitySearch(1, tolerance, 0.01, 100);
         for (long seed = 1; !search.isDone(); seed++) {
             search.ran(trial.holds(search.next(), seed));
         }
@@ -413,7 +421,10 @@
     }
 
     /** The smallest scenario that still breaks a rule by one seed. */
-    public static Scenario minimize(Scenario scenario, long seed, Judge.Rule rule, Program program, int most) {
-        return new Shrink(s -> play(s, seed, program).rules().counts().containsKey(rule), most).of(scenario);
+    public static Scenario minimize(
+            Scenario scenario, long seed, RuleChecker.Rule rule, RelayComponents program, int most) {
+        return new ScenarioMinimizer(
+                        s -> play(s, seed, program).rules().counts().containsKey(rule), most)
+                .of(scenario);
     }
 }
--- a/src/main/java/pipitstage/lab/ModuleOf.java
+++ b/src/main/java/loftflow/experiment/PolicyLoader.java
@@ -1,4 +1,4 @@
-package pipitstage.lab;
+package loftflow.experiment;
 
 import java.io.IOException;
 import java.lang.reflect.Constructor;
@@ -12,23 +12,24 @@
 import java.security.MessageDigest;
 import java.util.function.Function;
 import java.util.stream.Stream;
-import pipitstage.Logic;
-import pipitstage.Policy;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.policy.api.DeliveryPolicy;
+import loftflow.policy.api.PolicySettings;
 
 /** The decision module of another build of this program, to be played beside this one's. */
-final class ModuleOf {
-    private static final String PACKAGE = "pipitstage";
+final class PolicyLoader {
+    private static final String PACKAGE = "loftflow";
 
-    private ModuleOf() {}
+    private PolicyLoader() {}
 
     /** Finds the module's own classes in the other build first; what it speaks in is this one's. */
     private static final class Loader extends URLClassLoader {
         Loader(URL from) {
-            super(new URL[] {from}, Logic.class.getClassLoader());
+            super(new URL[] {from}, DefaultDeliveryPolicy.class.getClassLoader());
         }
 
         private static boolean isOfTheModule(String name) {
-            return name.matches("pipitstage\\.(Logic|State)(\\$.*)?");
+            return name.matches("loftflow\\.policy\\.[A-Z].*");
         }
 
         @Override
@@ -48,16 +49,17 @@
      *
      * @throws IOException where there is none, or it is none for this program
      */
-    static Function<Policy.Settings, Policy> at(Path build) throws IOException {
+    static Function<PolicySettings, DeliveryPolicy> at(Path build) throws IOException {
         if (!Files.exists(build)) {
             throw new IOException(build + ": does not exist");
         }
         Loader loader = new Loader(build.toUri().toURL());
         try {
-            Constructor<?> made = loader.loadClass(Logic.class.getName()).getConstructor(Policy.Settings.class);
+            Constructor<?> made =
+                    loader.loadClass(DefaultDeliveryPolicy.class.getName()).getConstructor(PolicySettings.class);
             return settings -> {
                 try {
-                    return (Policy) made.newInstance(settings);
+                    return (DeliveryPolicy) made.newInstance(settings);
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(build + ": its module can't be made: " + e.getCause(), e);
                 }
@@ -70,7 +72,7 @@
     /** Where this program's own classes are. */
     static Path own() {
         try {
-            return Path.of(Logic.class
+            return Path.of(DefaultDeliveryPolicy.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
--- a/src/main/java/pipitstage/lab/Cases.java
+++ b/src/main/java/loftflow/experiment/RegressionCases.java
@@ -1,4 +1,4 @@
-package pipitstage.lab;
+package loftflow.experiment;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,30 +9,30 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.SourceFile;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.scenario.ScenarioFile;
-import pipitstage.lab.scenario.ScenarioText;
-import pipitstage.lab.service.Judge;
+import loftflow.config.file.Finding;
+import loftflow.config.file.SourceFile;
+import loftflow.experiment.evaluation.RuleChecker;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.experiment.scenario.ScenarioReader;
+import loftflow.experiment.scenario.ScenarioWriter;
 
 /**
  * A folder of small scenarios that have each broken a rule once, and are played again by every later build. A file's name says
  * which rule and by which seed: {@code overrun-7-quiet-day.toml}.
  */
-public final class Cases {
+public final class RegressionCases {
     private static final Pattern NAME = Pattern.compile("([a-z]+)-(\\d{1,18})-.+\\.toml");
 
     /** One of them. */
-    public record Case(Path file, Scenario scenario, long seed, Judge.Rule rule) {}
+    public record Case(Path file, Scenario scenario, long seed, RuleChecker.Rule rule) {}
 
-    private Cases() {}
+    private RegressionCases() {}
 
     /** Keeps a scenario that breaks a rule by a seed; one of the same name is replaced. */
-    public static Path save(Path folder, Scenario scenario, long seed, Judge.Rule rule) throws IOException {
+    public static Path save(Path folder, Scenario scenario, long seed, RuleChecker.Rule rule) throws IOException {
         Path file = Files.createDirectories(folder)
                 .resolve(rule.name().toLowerCase(Locale.ROOT) + "-" + seed + "-" + scenario.name() + ".toml");
-        return Files.writeString(file, ScenarioText.of(scenario));
+        return Files.writeString(file, ScenarioWriter.of(scenario));
     }
 
     /**
@@ -52,12 +52,12 @@
         for (Path file : files) {
             Matcher name = NAME.matcher(file.getFileName().toString());
             if (!name.matches()
-                    || Stream.of(Judge.Rule.values())
+                    || Stream.of(RuleChecker.Rule.values())
                             .noneMatch(r -> r.name().toLowerCase(Locale.ROOT).equals(name.group(1)))) {
                 throw new IOException(
                         file + ": a case's name is RULE-SEED-NAME.toml, such as overrun-7-quiet-day.toml");
             }
-            ScenarioFile.Read read = Lab.read(file.toString(), SourceFile.text(file));
+            ScenarioReader.Read read = ExperimentRunner.read(file.toString(), SourceFile.text(file));
             if (read.scenario() == null) {
                 throw new IOException(read.findings().stream()
                         .filter(Finding::isError)
@@ -69,7 +69,7 @@
                     file,
                     read.scenario(),
                     Long.parseLong(name.group(2)),
-                    Judge.Rule.valueOf(name.group(1).toUpperCase(Locale.ROOT))));
+                    RuleChecker.Rule.valueOf(name.group(1).toUpperCase(Locale.ROOT))));
         }
         return cases;
     }
--- a/src/main/java/pipitstage/lab/experiment/Capacity.java
+++ b/src/main/java/loftflow/experiment/design/CapacitySearch.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.experiment;
+package loftflow.experiment.design;
 
 import java.util.TreeMap;
 
@@ -8,7 +8,7 @@
  * majority, and one that is far from the edge by fewer runs than one near it. A load that fails below one that held shows that
  * the noise is larger than the step: both are asked again before the search goes on.
  */
-public final class Capacity {
+public final class CapacitySearch {
     /** Runs that agree decide a load; or the majority of so many. */
     private static final int AGREE = 2;
 
@@ -42,7 +42,7 @@
      * @param tolerance the share by which the answer may be off, above 0
      * @param least and {@code most}: the bounds of the search
      */
-    public Capacity(double first, double tolerance, double least, double most) {
+    public CapacitySearch(double first, double tolerance, double least, double most) {
         if (!(tolerance > 0) || !(least > 0) || !(most > least) || !(first >= least && first <= most)) {
             throw new IllegalArgumentException(
                     "no search from " + first + " between " + least + " and " + most + " to " + tolerance);
--- a/src/main/java/pipitstage/lab/experiment/Verdict.java
+++ b/src/main/java/loftflow/experiment/design/PairedComparison.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.experiment;
+package loftflow.experiment.design;
 
 import java.util.List;
 import java.util.Locale;
@@ -16,7 +16,7 @@
  * @param low and {@code high}: the 95% interval of it
  * @param p how often pairs with no difference would lie as far from 0
  */
-public record Verdict(Word word, int pairs, double effect, double low, double high, double p) {
+public record PairedComparison(Word word, int pairs, double effect, double low, double high, double p) {
     /** What is to be said. */
     public enum Word {
         BETTER,
@@ -43,25 +43,25 @@
      * @param after the second side's, in the same order
      * @param higherIsBetter whether the figure is one to be raised
      */
-    public static Verdict of(List<Double> before, List<Double> after, boolean higherIsBetter) {
+    public static PairedComparison of(List<Double> before, List<Double> after, boolean higherIsBetter) {
         if (before.size() != after.size()) {
             throw new IllegalArgumentException(
                     before.size() + " figures beside " + after.size() + ": they are no pairs");
         }
         if (before.isEmpty()) {
-            return new Verdict(Word.TOO_FEW_RUNS, 0, 0, 0, 0, 1);
+            return new PairedComparison(Word.TOO_FEW_RUNS, 0, 0, 0, 0, 1);
         }
         List<Double> differences = IntStream.range(0, before.size())
                 .mapToObj(i -> after.get(i) - before.get(i))
                 .toList();
-        Spread spread = Spread.of(differences);
+        SampleStatistics spread = SampleStatistics.of(differences);
         double p = differences.stream().allMatch(d -> d == 0)
                 ? 1
                 : WilcoxonSignedRankTest.withDefaults()
                         .with(AlternativeHypothesis.TWO_SIDED)
                         .test(differences.stream().mapToDouble(d -> d).toArray())
                         .getPValue();
-        return new Verdict(
+        return new PairedComparison(
                 word(differences.size(), spread.mean(), p, higherIsBetter),
                 differences.size(),
                 spread.mean(),
--- a/src/main/java/pipitstage/lab/experiment/Order.java
+++ b/src/main/java/loftflow/experiment/design/RunOrder.java
@@ -1,22 +1,22 @@
-package pipitstage.lab.experiment;
+package loftflow.experiment.design;
 
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Set;
+import loftflow.experiment.scenario.RandomStreams;
 import org.apache.commons.rng.sampling.ListSampler;
-import pipitstage.lab.scenario.Draws;
 
 /**
  * In which order the sides of an experiment are run. Each seed is a block in which every side runs once, so that sides are
  * compared on the same seed. Where a machine grows warmer or busier meanwhile, no side may always come first: over each pair of
  * blocks every two sides follow each other as often in one order as in the other.
  */
-public final class Order {
+public final class RunOrder {
     /** One run. */
     public record Run(int side, long seed) {}
 
-    private Order() {}
+    private RunOrder() {}
 
     /**
      * All runs, in order.
@@ -28,7 +28,7 @@
         for (int i = 0; i < sides; i++) {
             first.add(i);
         }
-        var random = Draws.of(by, "order", sides);
+        var random = RandomStreams.of(by, "order", sides);
         List<Run> runs = new ArrayList<>();
         for (int block = 0; block < seeds.size(); block++) {
             if (block % 2 == 0) {
--- a/src/main/java/pipitstage/lab/experiment/Spread.java
+++ b/src/main/java/loftflow/experiment/design/SampleStatistics.java
@@ -1,24 +1,24 @@
-package pipitstage.lab.experiment;
+package loftflow.experiment.design;
 
 import java.util.Arrays;
 import java.util.List;
+import loftflow.experiment.scenario.RandomStreams;
 import org.apache.commons.rng.UniformRandomProvider;
-import pipitstage.lab.scenario.Draws;
 
 /**
  * What like runs came to: their mean, the least and the most of them, and the 95% interval of the mean, a bootstrap's.
  *
  * @param runs how many there were
  */
-public record Spread(int runs, double mean, double least, double most, double low, double high) {
+public record SampleStatistics(int runs, double mean, double least, double most, double low, double high) {
     private static final double LEVEL = 0.05;
     private static final int DRAWS = 4_000;
 
     /** The spread of some values, at least one. */
-    public static Spread of(List<Double> values) {
+    public static SampleStatistics of(List<Double> values) {
         double[] all = values.stream().mapToDouble(v -> v).toArray();
         double[] means = means(all);
-        return new Spread(
+        return new SampleStatistics(
                 all.length,
                 Arrays.stream(all).average().orElseThrow(),
                 Arrays.stream(all).min().orElseThrow(),
@@ -34,7 +34,7 @@
 
     /** Means of values drawn anew from those there are, in order. */
     private static double[] means(double[] values) {
-        UniformRandomProvider random = Draws.of(values.length, "bootstrap", 0);
+        UniformRandomProvider random = RandomStreams.of(values.length, "bootstrap", 0);
         double[] means = new double[DRAWS];
         Arrays.setAll(means, i -> {
             double sum = 0;
--- a/src/main/java/pipitstage/lab/experiment/Shrink.java
+++ b/src/main/java/loftflow/experiment/design/ScenarioMinimizer.java
@@ -1,17 +1,17 @@
-package pipitstage.lab.experiment;
+package loftflow.experiment.design;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
-import pipitstage.lab.scenario.Scenario;
+import loftflow.experiment.scenario.Scenario;
 
 /**
  * Makes a scenario smaller as long as it still shows what it showed: parts are left out by delta debugging (Zeller's ddmin),
  * then relays, the span and the load are cut. It ends with a scenario of which no single part can be left out.
  */
-public final class Shrink {
+public final class ScenarioMinimizer {
     private static final long SECOND = 1_000_000;
     private static final double LEAST_LOAD = 0.05;
 
@@ -25,7 +25,7 @@
      * @param shows runs a scenario and tells whether it still shows what matters; the same scenario must give the same answer
      * @param most runs at the most
      */
-    public Shrink(Predicate<Scenario> shows, int most) {
+    public ScenarioMinimizer(Predicate<Scenario> shows, int most) {
         this.shows = shows;
         this.most = most;
     }
@@ -50,7 +50,7 @@
             best = parts(best, Scenario::failures, Scenario::withFailures, 0);
             best = parts(best, Scenario::classes, Scenario::withClasses, 1);
             best = parts(best, Scenario::groups, Scenario::withGroups, 1);
-            best = halved(best, Shrink::halfTheRelays, s -> s.fleet().relays() >= 1);
+            best = halved(best, ScenarioMinimizer::halfTheRelays, s -> s.fleet().relays() >= 1);
             best = halved(best, s -> s.withSpan(s.span() / 2, s.load()), s -> s.span() >= SECOND);
             best = halved(best, s -> s.withSpan(s.span(), s.load() / 2), s -> s.load() >= LEAST_LOAD);
         }
--- a/src/main/java/pipitstage/lab/model/EndpointModel.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatedEndpoint.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.model;
+package loftflow.experiment.emulator;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,22 +6,22 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Set;
+import loftflow.experiment.history.CallCounts;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.RandomStreams;
+import loftflow.experiment.scenario.Scenario;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
 import org.apache.commons.rng.sampling.distribution.LogNormalSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.Costs;
-import pipitstage.lab.history.History;
-import pipitstage.lab.scenario.Draws;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.scenario.Scenario;
 
 /**
  * What an endpoint does with calls: servers that work for a drawn time, a queue before them, a limit, failures, and a cold
  * return on which it falls over where it gets too much.
  */
-public final class EndpointModel {
+public final class EmulatedEndpoint {
     private static final long SECOND = 1_000_000;
     private static final long CLOSES = 1_000;
 
@@ -31,7 +31,7 @@
      * @param ran it runs, or has run by the time of an answer
      * @param answerAt when the answer leaves; -1 where none does
      */
-    public record Met(Ask.Answer answer, boolean ran, long answerAt) {}
+    public record Met(MessageHistory.Answer answer, boolean ran, long answerAt) {}
 
     /** A limit that one partner's endpoints share, or that one has for itself: calls that were taken in the last second. */
     public static final class Limit {
@@ -80,9 +80,9 @@
     private final Scenario.Endpoint endpoint;
     private final Scenario.Group group;
     private final Scenario.Rules rules;
-    private final Faults faults;
+    private final FaultSchedule faults;
     private final Limit limit;
-    private final History history;
+    private final RunHistory history;
     private final UniformRandomProvider random;
     private final ContinuousSampler work;
     /** When each server is free, and when the calls that wait begin. */
@@ -104,13 +104,13 @@
     private long bucket;
     private int calls;
 
-    private EndpointModel(
+    private EmulatedEndpoint(
             Scenario.Endpoint endpoint,
             Scenario.Group group,
             Scenario.Rules rules,
-            Faults faults,
+            FaultSchedule faults,
             Limit limit,
-            History history,
+            RunHistory history,
             UniformRandomProvider random) {
         this.endpoint = endpoint;
         this.group = group;
@@ -146,21 +146,21 @@
     }
 
     /** All endpoints of a layout, by number; those of a partner share its limit where routes are not apart. */
-    public static List<EndpointModel> all(
-            Scenario.Layout layout, Scenario.Rules rules, Faults faults, History history, long seed) {
-        List<EndpointModel> all = new ArrayList<>();
+    public static List<EmulatedEndpoint> all(
+            Scenario.Layout layout, Scenario.Rules rules, FaultSchedule faults, RunHistory history, long seed) {
+        List<EmulatedEndpoint> all = new ArrayList<>();
         for (Scenario.Partner partner : layout.partners()) {
             Scenario.Group group = partner.group();
             Limit shared = new Limit(group.limit(), group.refusalsCount());
             for (Scenario.Endpoint e : partner.endpoints()) {
-                all.add(new EndpointModel(
+                all.add(new EmulatedEndpoint(
                         e,
                         group,
                         rules,
                         faults,
                         group.routesApart() ? new Limit(group.limit(), group.refusalsCount()) : shared,
                         history,
-                        Draws.of(seed, "endpoint", e.number())));
+                        RandomStreams.of(seed, "endpoint", e.number())));
             }
         }
         return all;
@@ -168,44 +168,44 @@
 
     /** The wait that an answer tells, in microseconds; 0 for none. */
     public long toldWait(Met met) {
-        return met.answer() == Ask.Answer.FULL ? group.toldWait() : 0;
+        return met.answer() == MessageHistory.Answer.FULL ? group.toldWait() : 0;
     }
 
     /** A call of a relay has come; times may not go back. */
     public Met meet(int relay, long now) {
-        return meet(relay, now, Costs.Of.CALLS);
+        return meet(relay, now, CallCounts.Of.CALLS);
     }
 
-    /** A check has come, of a relay or of {@link Costs#NONE}. */
+    /** A check has come, of a relay or of {@link CallCounts#NONE}. */
     public Met check(int relay, long now) {
-        return meet(relay, now, Costs.Of.CHECKS);
+        return meet(relay, now, CallCounts.Of.CHECKS);
     }
 
-    private Met meet(int relay, long now, Costs.Of what) {
-        Faults.State state = faults.state(endpoint.number(), now);
+    private Met meet(int relay, long now, CallCounts.Of what) {
+        FaultSchedule.State state = faults.state(endpoint.number(), now);
         count(now, state);
-        if (state.meets() == Faults.Meets.CALLS && state.able() < 1) {
+        if (state.meets() == FaultSchedule.Meets.CALLS && state.able() < 1) {
             watchFall(relay, now, state.able());
         }
         Met met = met(now, state);
         history.costs().count(what, relay, endpoint.number());
-        Costs.Of wrong =
+        CallCounts.Of wrong =
                 switch (met.answer()) {
-                    case FULL -> Costs.Of.REFUSED;
-                    case UNREACHED -> Costs.Of.UNREACHED;
-                    case NONE -> Costs.Of.UNANSWERED;
+                    case FULL -> CallCounts.Of.REFUSED;
+                    case UNREACHED -> CallCounts.Of.UNREACHED;
+                    case NONE -> CallCounts.Of.UNANSWERED;
                     case DONE, FAULT -> null;
                 };
         if (wrong != null) {
             history.costs().count(wrong, relay, endpoint.number());
         }
-        boolean outage = fallen || state.meets() != Faults.Meets.CALLS || state.failing() > MOST;
+        boolean outage = fallen || state.meets() != FaultSchedule.Meets.CALLS || state.failing() > MOST;
         if (outage && !out) {
             knowing.clear();
             unanswered.clear();
         }
         out = outage;
-        if (outage && met.answer() != Ask.Answer.DONE) {
+        if (outage && met.answer() != MessageHistory.Answer.DONE) {
             (met.answerAt() < 0 ? unanswered : knowing).add(relay);
         }
         return met;
@@ -218,18 +218,18 @@
         }
     }
 
-    private Met met(long now, Faults.State state) {
-        if (fallen || state.meets() == Faults.Meets.DOWN || state.meets() == Faults.Meets.GONE) {
-            return new Met(Ask.Answer.UNREACHED, false, now);
+    private Met met(long now, FaultSchedule.State state) {
+        if (fallen || state.meets() == FaultSchedule.Meets.DOWN || state.meets() == FaultSchedule.Meets.GONE) {
+            return new Met(MessageHistory.Answer.UNREACHED, false, now);
         }
-        if (state.meets() == Faults.Meets.SILENT) {
-            return new Met(Ask.Answer.NONE, true, -1);
+        if (state.meets() == FaultSchedule.Meets.SILENT) {
+            return new Met(MessageHistory.Answer.NONE, true, -1);
         }
-        if (state.meets() == Faults.Meets.SHUT || !limit.takes(now, state.limited()) || isFull(now)) {
-            return new Met(Ask.Answer.FULL, false, now + CLOSES);
+        if (state.meets() == FaultSchedule.Meets.SHUT || !limit.takes(now, state.limited()) || isFull(now)) {
+            return new Met(MessageHistory.Answer.FULL, false, now + CLOSES);
         }
         if (random.nextDouble() < state.failing()) {
-            return new Met(Ask.Answer.FAULT, random.nextBoolean(), now + CLOSES);
+            return new Met(MessageHistory.Answer.FAULT, random.nextBoolean(), now + CLOSES);
         }
         long lasts = (long) Math.max(1, work.sample() * state.slower() / state.able());
         long starts = Math.max(now, free.poll());
@@ -237,12 +237,12 @@
         begin.add(starts);
         long done = starts + lasts;
         // Guards against an answer from an endpoint that went down meanwhile: what it had begun may have run.
-        Faults.Meets then = faults.state(endpoint.number(), done).meets();
-        if (then == Faults.Meets.SILENT) {
-            return new Met(Ask.Answer.NONE, true, -1);
+        FaultSchedule.Meets then = faults.state(endpoint.number(), done).meets();
+        if (then == FaultSchedule.Meets.SILENT) {
+            return new Met(MessageHistory.Answer.NONE, true, -1);
         }
-        boolean lost = then == Faults.Meets.DOWN || then == Faults.Meets.GONE;
-        return lost ? new Met(Ask.Answer.NONE, true, done) : new Met(Ask.Answer.DONE, true, done);
+        boolean lost = then == FaultSchedule.Meets.DOWN || then == FaultSchedule.Meets.GONE;
+        return lost ? new Met(MessageHistory.Answer.NONE, true, done) : new Met(MessageHistory.Answer.DONE, true, done);
     }
 
     private boolean isFull(long now) {
@@ -252,11 +252,11 @@
         return begin.size() >= group.queue() && free.peek() > now;
     }
 
-    private void count(long now, Faults.State state) {
+    private void count(long now, FaultSchedule.State state) {
         if (now / SECOND != bucket) {
             if (calls > 0) {
-                history.loaded(
-                        new History.Load(endpoint.number(), bucket * SECOND, calls, group.capacity() * state.able()));
+                history.loaded(new RunHistory.Load(
+                        endpoint.number(), bucket * SECOND, calls, group.capacity() * state.able()));
             }
             bucket = now / SECOND;
             calls = 0;
@@ -275,7 +275,7 @@
         double most = rules.fallMultiple() * group.capacity() * able * rules.fallSpan() / SECOND;
         if (!fallen && lately.size() > Math.max(2, most)) {
             fallen = true;
-            history.fell(new History.Fall(
+            history.fell(new RunHistory.Fall(
                     endpoint.number(),
                     now,
                     lately.size(),
--- a/src/main/java/pipitstage/lab/model/RelayModel.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
@@ -1,21 +1,21 @@
-package pipitstage.lab.model;
+package loftflow.experiment.emulator;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pipitstage.Policy;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Ends;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
-import pipitstage.engine.Timers;
+import loftflow.engine.CompletionNotifier;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.Timers;
+import loftflow.engine.UpstreamClient;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.PolicySettings;
 
 /** One relay: an engine with its decision module, which dies and comes back with what its journal holds. */
-final class RelayModel {
+final class EmulatedRelay {
     /** What a relay needs of the world. */
     interface World {
         /** Carries a call to an endpoint. */
@@ -31,19 +31,20 @@
         void told(Message message);
 
         /** What discovery tells a relay that starts. */
-        List<Target> list(int relay);
+        List<Endpoint> list(int relay);
     }
 
     private final int number;
     private final VirtualTime time;
-    private final Policy.Settings settings;
+    private final PolicySettings settings;
     private final long round;
-    private final Program program;
+    private final RelayComponents program;
     private final World world;
-    private final MemoryJournal journal = new MemoryJournal();
+    private final InMemoryJournal journal = new InMemoryJournal();
     private Life life;
 
-    RelayModel(int number, VirtualTime time, Policy.Settings settings, long round, Program program, World world) {
+    EmulatedRelay(
+            int number, VirtualTime time, PolicySettings settings, long round, RelayComponents program, World world) {
         this.number = number;
         this.time = time;
         this.settings = settings;
@@ -64,7 +65,7 @@
     /** Starts with what was recorded. */
     void start() {
         life = new Life();
-        life.engine.start(ListKind.FULL, 1, world.list(number));
+        life.engine.start(EndpointListKind.FULL, 1, world.list(number));
     }
 
     /** Ends at once. What is on the wire goes on. */
@@ -78,15 +79,15 @@
     }
 
     /** It hears of a change of the list. */
-    void hears(List<Target> changes, long version) {
+    void hears(List<Endpoint> changes, long version) {
         if (life != null) {
-            life.engine.list(ListKind.CHANGES, version, changes);
+            life.engine.list(EndpointListKind.DELTA, version, changes);
         }
     }
 
     /** One process: what belongs to it ends with it. */
-    final class Life implements Partners, Ends {
-        private final Engine engine = new Engine(
+    final class Life implements UpstreamClient, CompletionNotifier {
+        private final DeliveryEngine engine = new DeliveryEngine(
                 this::later,
                 program.clock().apply(time),
                 settings,
@@ -122,31 +123,31 @@
 
         /** Whether anything is still sent to what drains is left to the module: the model's calls wait for no connection. */
         @Override
-        public void list(ListKind kind, List<Target> targets) {}
+        public void list(EndpointListKind kind, List<Endpoint> targets) {}
 
         @Override
         public void send(String route, List<Outgoing> outgoing) {
             for (Outgoing one : outgoing) {
                 out.put(
                         one.attempt(),
-                        later(one.timeout(), () -> end(one.attempt(), Result.TIMEOUT, 0, LimitReport.NONE)));
+                        later(one.timeout(), () -> end(one.attempt(), AttemptOutcome.TIMEOUT, 0, LimitReport.NONE)));
             }
             world.carry(this, route, outgoing.stream().map(Outgoing::attempt).toList());
         }
 
         /** An answer has come, or is known to be lost; without effect where the attempt is over. */
-        void end(Message.Attempt attempt, Result result, long wait, LimitReport report) {
+        void end(Message.Attempt attempt, AttemptOutcome result, long wait, LimitReport report) {
             Timers.Timer timer = over ? null : out.remove(attempt);
             if (timer != null) {
                 timer.cancel();
-                if (result == Result.TIMEOUT || result == Result.CANCELLED) {
+                if (result == AttemptOutcome.TIMEOUT || result == AttemptOutcome.CANCELLED) {
                     world.givenUp(this, attempt.route());
                 }
-                engine.ended(attempt, result, result == Result.OK, wait, report);
+                engine.ended(attempt, result, result == AttemptOutcome.OK, wait, report);
             }
         }
 
-        void probed(String route, Result result, long wait, long took, LimitReport report) {
+        void probed(String route, AttemptOutcome result, long wait, long took, LimitReport report) {
             if (!over) {
                 engine.probed(route, result, wait, took, report);
             }
@@ -154,7 +155,7 @@
 
         @Override
         public void cancel(Message.Attempt attempt) {
-            end(attempt, Result.CANCELLED, 0, LimitReport.NONE);
+            end(attempt, AttemptOutcome.CANCELLED, 0, LimitReport.NONE);
         }
 
         @Override
--- a/src/main/java/pipitstage/lab/model/ModelRun.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatorRun.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.model;
+package loftflow.experiment.emulator;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,22 +7,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.experiment.history.CallCounts;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.Arrival;
+import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.RandomStreams;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.LimitReport;
 import org.apache.commons.rng.UniformRandomProvider;
-import pipitstage.Policy;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Message;
-import pipitstage.engine.Target;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.Costs;
-import pipitstage.lab.history.History;
-import pipitstage.lab.scenario.Arrival;
-import pipitstage.lab.scenario.Draws;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.scenario.Scenario;
 
 /** One run of a scenario in virtual time. The same scenario, seed and module give the same history. */
-public final class ModelRun {
+public final class EmulatorRun {
     private static final long SECOND = 1_000_000;
     /** News of the list come to each relay within this span. */
     private static final long NEWS = 2 * SECOND;
@@ -32,19 +34,19 @@
     private final Scenario scenario;
     private final Scenario.Rules rules;
     private final Scenario.Layout layout;
-    private final Faults faults;
+    private final FaultSchedule faults;
     private final VirtualTime time = new VirtualTime();
-    private final History history = new History();
+    private final RunHistory history = new RunHistory();
     private final Iterator<Arrival> arrivals;
-    private final List<EndpointModel> endpoints;
-    private final Map<String, EndpointModel> byRoute = new HashMap<>();
-    private final List<RelayModel> relays = new ArrayList<>();
-    private final List<Target> list = new ArrayList<>();
-    private final Keys keys = new Keys();
+    private final List<EmulatedEndpoint> endpoints;
+    private final Map<String, EmulatedEndpoint> byRoute = new HashMap<>();
+    private final List<EmulatedRelay> relays = new ArrayList<>();
+    private final List<Endpoint> list = new ArrayList<>();
+    private final IdempotencyKeys keys = new IdempotencyKeys();
     private final Map<String, Integer> asks = new HashMap<>();
     private final UniformRandomProvider random;
     /** For each relay what its clients wait for an answer for, by number. */
-    private final List<Map<Integer, Ask>> waiting = new ArrayList<>();
+    private final List<Map<Integer, MessageHistory>> waiting = new ArrayList<>();
 
     private long version = 1;
 
@@ -54,26 +56,26 @@
      * @param arrivals in the order of their times
      * @param program what each relay is made of
      */
-    public ModelRun(
+    public EmulatorRun(
             Scenario scenario,
             Scenario.Rules rules,
             long seed,
             Function<Scenario.Layout, Iterator<Arrival>> arrivals,
-            Program program) {
+            RelayComponents program) {
         this.scenario = scenario;
         this.rules = rules;
         layout = scenario.layout();
-        faults = Faults.of(scenario, layout, seed);
+        faults = FaultSchedule.of(scenario, layout, seed);
         this.arrivals = arrivals.apply(layout);
-        random = Draws.of(seed, "news", 0);
-        endpoints = EndpointModel.all(layout, rules, faults, history, seed);
-        for (EndpointModel model : endpoints) {
+        random = RandomStreams.of(seed, "news", 0);
+        endpoints = EmulatedEndpoint.all(layout, rules, faults, history, seed);
+        for (EmulatedEndpoint model : endpoints) {
             byRoute.put(model.endpoint().route(), model);
-            list.add(target(model.endpoint(), Policy.Availability.LISTED));
+            list.add(target(model.endpoint(), Availability.LISTED));
         }
         for (int i = 0; i < scenario.fleet().relays(); i++) {
             waiting.add(new LinkedHashMap<>());
-            relays.add(new RelayModel(
+            relays.add(new EmulatedRelay(
                     i,
                     time,
                     scenario.settings(i, seed, layout, rules),
@@ -84,9 +86,9 @@
     }
 
     /** An entry of the list; it has no address, as the model carries calls by name. */
-    private Target target(Scenario.Endpoint e, Policy.Availability availability) {
-        return new Target(
-                new Policy.Listed(
+    private Endpoint target(Scenario.Endpoint e, Availability availability) {
+        return new Endpoint(
+                new EndpointEntry(
                         e.route(),
                         e.partner(),
                         layout.partners().get(e.partner()).group().kind(),
@@ -97,7 +99,7 @@
     }
 
     /** What came of it, and how much happened: the unit of the emulator's speed. */
-    public record Outcome(History history, long events) {}
+    public record Outcome(RunHistory history, long events) {}
 
     /** Runs until every message's time is up. */
     public Outcome run() {
@@ -113,8 +115,8 @@
             end = Math.max(
                     end,
                     history.asks().stream()
-                                    .filter(a -> a.told() == Ask.Told.TAKEN && a.doneAt() < 0)
-                                    .mapToLong(Ask::due)
+                                    .filter(a -> a.told() == MessageHistory.Told.TAKEN && a.doneAt() < 0)
+                                    .mapToLong(MessageHistory::due)
                                     .max()
                                     .orElse(0)
                             + SECOND);
@@ -124,12 +126,12 @@
 
     // ---- failures of the fleet and of discovery
 
-    private void dies(Faults.Death death) {
-        RelayModel relay = relays.get(death.relay());
+    private void dies(FaultSchedule.Death death) {
+        EmulatedRelay relay = relays.get(death.relay());
         time.at(death.at(), () -> {
             if (relay.isUp()) {
                 relay.die();
-                history.away(new History.Away(death.relay(), death.at(), death.back()));
+                history.away(new RunHistory.Away(death.relay(), death.at(), death.back()));
                 cut(waiting.get(death.relay()), death.back());
                 time.at(death.back(), relay::start);
             }
@@ -140,34 +142,34 @@
      * Clients whose connections broke before an answer: what is safe to repeat is handed in again once the relay is back; what
      * is not, and may have been taken on, is left alone. A key is no help: another building would not know it.
      */
-    private void cut(Map<Integer, Ask> clients, long back) {
+    private void cut(Map<Integer, MessageHistory> clients, long back) {
         clients.forEach((number, ask) -> {
             ask.cut();
-            if (scenario.classes().get(ask.type()).repeat() == Policy.Repeat.REPEATABLE) {
+            if (scenario.classes().get(ask.type()).repeat() == Idempotency.IDEMPOTENT) {
                 time.at(back + scenario.clients().pause(), () -> handIn(number, ask));
             }
         });
         clients.clear();
     }
 
-    private void drains(Faults.Drain drain) {
+    private void drains(FaultSchedule.Drain drain) {
         Scenario.Endpoint e = endpoints.get(drain.endpoint()).endpoint();
-        time.at(drain.from(), () -> news(e, Policy.Availability.DRAINING));
-        time.at(drain.gone(), () -> news(e, Policy.Availability.REMOVED));
+        time.at(drain.from(), () -> news(e, Availability.DRAINING));
+        time.at(drain.gone(), () -> news(e, Availability.REMOVED));
     }
 
-    private void news(Scenario.Endpoint e, Policy.Availability availability) {
+    private void news(Scenario.Endpoint e, Availability availability) {
         list.removeIf(t -> t.listed().route().equals(e.route()));
-        if (availability == Policy.Availability.DRAINING) {
+        if (availability == Availability.DRAINING) {
             list.add(target(e, availability));
         }
         version++;
         long now = version;
-        for (RelayModel relay : relays) {
+        for (EmulatedRelay relay : relays) {
             time.at(faults.told(time.micros() + random.nextLong(NEWS)), () -> {
                 if (relay.isUp()) {
-                    history.costs().count(Costs.Of.LISTS, relay.number(), Costs.NONE);
-                    history.drained(new History.DrainTold(relay.number(), e.number(), time.micros()));
+                    history.costs().count(CallCounts.Of.LISTS, relay.number(), CallCounts.NONE);
+                    history.drained(new RunHistory.DrainTold(relay.number(), e.number(), time.micros()));
                     relay.hears(List.of(target(e, availability)), now);
                 }
             });
@@ -181,7 +183,7 @@
             Arrival arrival = arrivals.next();
             time.at(arrival.at(), () -> {
                 Scenario.MessageClass type = scenario.classes().get(arrival.type());
-                Ask ask = new Ask(
+                MessageHistory ask = new MessageHistory(
                         arrival.type(),
                         arrival.tenant(),
                         arrival.partner(),
@@ -195,19 +197,19 @@
         }
     }
 
-    private void handIn(int number, Ask ask) {
+    private void handIn(int number, MessageHistory ask) {
         Scenario.MessageClass type = scenario.classes().get(ask.type());
         ask.tried(time.micros());
-        RelayModel relay = relays.get(ask.relay());
+        EmulatedRelay relay = relays.get(ask.relay());
         if (!relay.isUp()) {
             refused(number, ask, 0);
             return;
         }
         String id = number + "-" + ask.tries();
         asks.put(id, number);
-        Map<Integer, Ask> clients = waiting.get(ask.relay());
+        Map<Integer, MessageHistory> clients = waiting.get(ask.relay());
         clients.put(number, ask);
-        String key = type.repeat() == Policy.Repeat.BY_KEY ? "k" + number : null;
+        String key = type.repeat() == Idempotency.IDEMPOTENT_BY_KEY ? "k" + number : null;
         String tenant =
                 ask.tenant() < 0 ? null : scenario.tenants().get(ask.tenant()).name();
         relay.handIn(
@@ -222,20 +224,20 @@
                     @Override
                     public void refused(long retryIn) {
                         clients.remove(number);
-                        ModelRun.this.refused(number, ask, retryIn);
+                        EmulatorRun.this.refused(number, ask, retryIn);
                     }
 
                     @Override
                     public void failed() {
                         clients.remove(number);
-                        ask.ended(time.micros(), Ask.Told.FAILED);
+                        ask.ended(time.micros(), MessageHistory.Told.FAILED);
                     }
                 });
     }
 
     /** Nothing of it has run: its client may hand it in again. */
-    private void refused(int number, Ask ask, long retryIn) {
-        ask.ended(time.micros(), Ask.Told.REFUSED);
+    private void refused(int number, MessageHistory ask, long retryIn) {
+        ask.ended(time.micros(), MessageHistory.Told.REFUSED);
         if (ask.tries() <= scenario.clients().repeats()) {
             time.after(Math.max(scenario.clients().pause(), retryIn), () -> handIn(number, ask));
         }
@@ -243,42 +245,42 @@
 
     // ---- what relays need
 
-    private final class Hands implements RelayModel.World {
+    private final class Hands implements EmulatedRelay.World {
         @Override
-        public List<Target> list(int relay) {
-            history.costs().count(Costs.Of.LISTS, relay, Costs.NONE);
+        public List<Endpoint> list(int relay) {
+            history.costs().count(CallCounts.Of.LISTS, relay, CallCounts.NONE);
             return List.copyOf(list);
         }
 
         @Override
         public void told(Message message) {
             String id = message.content().callId();
-            Ask ask = history.asks().get(asks.get(id));
+            MessageHistory ask = history.asks().get(asks.get(id));
             switch (message.end().kind()) {
                 case REFUSED -> refused(asks.get(id), ask, message.end().retryIn());
-                case FAILED -> ask.ended(time.micros(), Ask.Told.FAILED);
+                case FAILED -> ask.ended(time.micros(), MessageHistory.Told.FAILED);
                 case DELIVERED -> {}
             }
         }
 
         @Override
-        public void carry(RelayModel.Life from, String route, List<Message.Attempt> attempts) {
-            EndpointModel endpoint = byRoute.get(route);
+        public void carry(EmulatedRelay.Life from, String route, List<Message.Attempt> attempts) {
+            EmulatedEndpoint endpoint = byRoute.get(route);
             int batch = endpoint.group().batch();
             for (int i = 0; i < attempts.size(); i += batch) {
                 call(from, endpoint, attempts.subList(i, Math.min(attempts.size(), i + batch)));
             }
         }
 
-        private long way(RelayModel.Life from, EndpointModel endpoint) {
+        private long way(EmulatedRelay.Life from, EmulatedEndpoint endpoint) {
             return scenario.way(from.relay(), endpoint.endpoint(), layout);
         }
 
-        private void call(RelayModel.Life from, EndpointModel endpoint, List<Message.Attempt> attempts) {
+        private void call(EmulatedRelay.Life from, EmulatedEndpoint endpoint, List<Message.Attempt> attempts) {
             long way = way(from, endpoint);
             long sent = time.micros();
             time.after(way, () -> {
-                EndpointModel.Met met = endpoint.meet(from.relay(), time.micros());
+                EmulatedEndpoint.Met met = endpoint.meet(from.relay(), time.micros());
                 for (Message.Attempt attempt : attempts) {
                     arrived(from, endpoint, attempt, met, sent);
                 }
@@ -289,13 +291,13 @@
         }
 
         private void arrived(
-                RelayModel.Life from,
-                EndpointModel endpoint,
+                EmulatedRelay.Life from,
+                EmulatedEndpoint endpoint,
                 Message.Attempt attempt,
-                EndpointModel.Met met,
+                EmulatedEndpoint.Met met,
                 long sent) {
             int number = asks.get(attempt.message().content().callId());
-            Ask ask = history.asks().get(number);
+            MessageHistory ask = history.asks().get(number);
             boolean ran = met.ran()
                     && keys.takesEffect(
                             number,
@@ -303,44 +305,47 @@
                             scenario.classes().get(ask.type()),
                             endpoint.endpoint(),
                             time.micros());
-            ask.posted(new Ask.Posting(
+            ask.posted(new MessageHistory.Posting(
                     from.relay(), endpoint.endpoint().number(), sent, time.micros(), ran, met.answer()));
-            if (met.answer() == Ask.Answer.DONE) {
+            if (met.answer() == MessageHistory.Answer.DONE) {
                 time.at(met.answerAt(), () -> ask.answeredDone(time.micros()));
             }
         }
 
         private void answered(
-                RelayModel.Life from, EndpointModel endpoint, List<Message.Attempt> attempts, EndpointModel.Met met) {
+                EmulatedRelay.Life from,
+                EmulatedEndpoint endpoint,
+                List<Message.Attempt> attempts,
+                EmulatedEndpoint.Met met) {
             Scenario.Group group = endpoint.group();
             long wait = endpoint.toldWait(met);
             if (wait > 0) {
-                history.waited(new History.Wait(
+                history.waited(new RunHistory.Wait(
                         from.relay(), endpoint.endpoint().number(), time.micros(), time.micros() + wait));
             }
             LimitReport report = group.told()
                     ? new LimitReport(endpoint.limit().left(), endpoint.limit().rate())
                     : LimitReport.NONE;
-            Result result = result(met.answer());
+            AttemptOutcome result = result(met.answer());
             attempts.forEach(attempt -> from.end(attempt, result, wait, report));
         }
 
         @Override
-        public void givenUp(RelayModel.Life from, String route) {
+        public void givenUp(EmulatedRelay.Life from, String route) {
             byRoute.get(route).givenUpBy(from.relay());
         }
 
         @Override
-        public void check(RelayModel.Life from, String route) {
-            EndpointModel endpoint = byRoute.get(route);
+        public void check(EmulatedRelay.Life from, String route) {
+            EmulatedEndpoint endpoint = byRoute.get(route);
             long way = way(from, endpoint);
             long sent = time.micros();
             time.after(way, () -> {
-                EndpointModel.Met met = endpoint.check(from.relay(), time.micros());
+                EmulatedEndpoint.Met met = endpoint.check(from.relay(), time.micros());
                 long back = met.answerAt() < 0 ? sent + SECOND : met.answerAt() + way;
-                Result result = met.answerAt() < 0 ? Result.TIMEOUT : result(met.answer());
+                AttemptOutcome result = met.answerAt() < 0 ? AttemptOutcome.TIMEOUT : result(met.answer());
                 time.at(back, () -> {
-                    if (result == Result.TIMEOUT) {
+                    if (result == AttemptOutcome.TIMEOUT) {
                         givenUp(from, route);
                     }
                     from.probed(route, result, endpoint.toldWait(met), time.micros() - sent, LimitReport.NONE);
@@ -349,13 +354,13 @@
         }
     }
 
-    private static Result result(Ask.Answer answer) {
+    private static AttemptOutcome result(MessageHistory.Answer answer) {
         return switch (answer) {
-            case DONE -> Result.OK;
-            case FAULT -> Result.ERROR;
-            case FULL -> Result.FULL;
-            case UNREACHED -> Result.CONNECT_FAILED;
-            case NONE -> Result.RESET;
+            case DONE -> AttemptOutcome.OK;
+            case FAULT -> AttemptOutcome.ERROR;
+            case FULL -> AttemptOutcome.REJECTED;
+            case UNREACHED -> AttemptOutcome.CONNECT_FAILED;
+            case NONE -> AttemptOutcome.RESET;
         };
     }
 }
--- a/src/main/java/pipitstage/lab/model/MemoryJournal.java
+++ b/src/main/java/loftflow/experiment/emulator/InMemoryJournal.java
@@ -1,21 +1,21 @@
-package pipitstage.lab.model;
+package loftflow.experiment.emulator;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pipitstage.Policy;
-import pipitstage.engine.Message;
-import pipitstage.engine.WriteAhead;
+import loftflow.engine.Message;
+import loftflow.engine.WriteAheadLog;
+import loftflow.policy.api.AttemptOutcome;
 
 /** What a relay has recorded. It outlasts the relay, and gives back messages of its own, so that no more than that does. */
-final class MemoryJournal implements WriteAhead {
+final class InMemoryJournal implements WriteAheadLog {
     private record Tried(String route, long sentAt) {}
 
     private static final class Kept {
         private final Message.Content content;
         private final List<Tried> attempts = new ArrayList<>(2);
-        private final List<Policy.Result> results = new ArrayList<>(2);
+        private final List<AttemptOutcome> results = new ArrayList<>(2);
         private Message.End end;
 
         Kept(Message.Content content) {
@@ -26,7 +26,7 @@
         void upTo(int count) {
             while (attempts.size() < count) {
                 attempts.add(new Tried("", 0));
-                results.add(Policy.Result.NOT_SENT);
+                results.add(AttemptOutcome.NOT_SENT);
             }
         }
     }
--- a/src/main/java/pipitstage/lab/model/VirtualTime.java
+++ b/src/main/java/loftflow/experiment/emulator/VirtualTime.java
@@ -1,8 +1,8 @@
-package pipitstage.lab.model;
+package loftflow.experiment.emulator;
 
 import java.util.PriorityQueue;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Timers;
+import loftflow.engine.Clock;
+import loftflow.engine.Timers;
 
 /** Time that passes from one thing to happen to the next. What is due at one time happens in the order it was asked for. */
 final class VirtualTime implements Clock, Timers {
--- a/src/main/java/pipitstage/lab/service/FleetCosts.java
+++ b/src/main/java/loftflow/experiment/evaluation/FleetCostReport.java
@@ -1,9 +1,9 @@
-package pipitstage.lab.service;
+package loftflow.experiment.evaluation;
 
 import java.util.List;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.Costs;
-import pipitstage.lab.history.History;
+import loftflow.experiment.history.CallCounts;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
 
 /**
  * What a run cost beside its service: totals over all relays, what ended without an attempt or without an answer, and how late
@@ -16,8 +16,8 @@
  * @param latest microseconds after its deadline at which the latest end was told; 0 where all were in time
  * @param latestAsk the number of that message, -1 where there is none
  */
-public record FleetCosts(
-        Costs counts,
+public record FleetCostReport(
+        CallCounts counts,
         long asked,
         long untried,
         long cut,
@@ -30,17 +30,18 @@
     private static final long MS = 1_000;
 
     /** Of a run that is over. */
-    public static FleetCosts of(History history) {
-        List<Ask> asks = history.asks();
+    public static FleetCostReport of(RunHistory history) {
+        List<MessageHistory> asks = history.asks();
         long untried = 0;
         long cut = 0;
         long[] ends = new long[4];
         long latest = 0;
         int latestAsk = -1;
         for (int i = 0; i < asks.size(); i++) {
-            Ask ask = asks.get(i);
-            untried += ask.told() == Ask.Told.REFUSED && ask.postings().isEmpty() ? 1 : 0;
-            cut += ask.told() == Ask.Told.CUT ? 1 : 0;
+            MessageHistory ask = asks.get(i);
+            untried +=
+                    ask.told() == MessageHistory.Told.REFUSED && ask.postings().isEmpty() ? 1 : 0;
+            cut += ask.told() == MessageHistory.Told.CUT ? 1 : 0;
             if (ask.endedAt() >= 0) {
                 long late = Math.max(0, ask.endedAt() - ask.due());
                 ends[late == 0 ? 0 : late <= 100 * MS ? 1 : late <= 300 * MS ? 2 : 3]++;
@@ -50,7 +51,7 @@
                 }
             }
         }
-        return new FleetCosts(
+        return new FleetCostReport(
                 history.costs(), asks.size(), untried, cut, ends[0], ends[1], ends[2], ends[3], latest, latestAsk);
     }
 
--- a/src/main/java/pipitstage/lab/service/Snapshot.java
+++ b/src/main/java/loftflow/experiment/evaluation/ProgressSnapshot.java
@@ -1,14 +1,14 @@
-package pipitstage.lab.service;
+package loftflow.experiment.evaluation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.History;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.scenario.Scenario;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.Scenario;
 
 /**
  * How a run stands while it goes on: what a screen shows.
@@ -19,7 +19,7 @@
  * @param asking messages handed in in the last second, and {@code delivering} those delivered
  * @param endpoints by how much they were asked of in the last whole second, the busiest for what it can do first
  */
-public record Snapshot(
+public record ProgressSnapshot(
         long at,
         double service,
         long asked,
@@ -34,40 +34,41 @@
 
     /** One endpoint: calls in the last whole second, what it could do then, and how it meets calls. */
     public record OfEndpoint(
-            String name, String partner, String building, long calls, double able, Faults.Meets meets) {
+            String name, String partner, String building, long calls, double able, FaultSchedule.Meets meets) {
         /** Calls beside what it can do. */
         public double load() {
             return calls / Math.max(0.01, able);
         }
     }
 
-    public Snapshot {
+    public ProgressSnapshot {
         endpoints = List.copyOf(endpoints);
     }
 
     /** Takes one, on the thread that writes the history. */
-    public static Snapshot of(Scenario scenario, Scenario.Layout layout, Faults faults, History history, long now) {
+    public static ProgressSnapshot of(
+            Scenario scenario, Scenario.Layout layout, FaultSchedule faults, RunHistory history, long now) {
         double worth = 0;
         double got = 0;
         long[] counts = new long[6];
         Map<Integer, Long> calls = new HashMap<>();
         long from = Math.max(0, now / SECOND - 1) * SECOND;
-        for (Ask ask : history.asks()) {
+        for (MessageHistory ask : history.asks()) {
             Scenario.MessageClass type = scenario.classes().get(ask.type());
             boolean delivered = ask.isDelivered();
-            boolean refused = ask.told() == Ask.Told.REFUSED;
-            boolean failed = ask.told() == Ask.Told.FAILED;
+            boolean refused = ask.told() == MessageHistory.Told.REFUSED;
+            boolean failed = ask.told() == MessageHistory.Told.FAILED;
             counts[0] += delivered ? 1 : 0;
             counts[1] += refused ? 1 : 0;
             counts[2] += failed ? 1 : 0;
-            counts[3] += ask.told() == Ask.Told.TAKEN && !delivered ? 1 : 0;
+            counts[3] += ask.told() == MessageHistory.Told.TAKEN && !delivered ? 1 : 0;
             counts[4] += now - ask.at() < SECOND ? 1 : 0;
             counts[5] += delivered && now - ask.doneAt() < SECOND ? 1 : 0;
             if (delivered || refused || failed) {
                 worth += type.worth();
-                got += delivered ? type.worth() * Service.left(type, ask.doneAt() - ask.at()) : 0;
+                got += delivered ? type.worth() * ServiceReport.left(type, ask.doneAt() - ask.at()) : 0;
             }
-            for (Ask.Posting posting : ask.postings()) {
+            for (MessageHistory.Posting posting : ask.postings()) {
                 if (posting.came() >= from && posting.came() < from + SECOND) {
                     calls.merge(posting.endpoint(), 1L, Long::sum);
                 }
@@ -76,7 +77,7 @@
         List<OfEndpoint> endpoints = new ArrayList<>();
         for (Scenario.Endpoint e : layout.endpoints()) {
             Scenario.Group group = layout.partners().get(e.partner()).group();
-            Faults.State state = faults.state(e.number(), now);
+            FaultSchedule.State state = faults.state(e.number(), now);
             endpoints.add(new OfEndpoint(
                     e.route(),
                     group.name(),
@@ -87,7 +88,7 @@
         }
         endpoints.sort(Comparator.comparing(OfEndpoint::meets)
                 .thenComparing(Comparator.comparingDouble(OfEndpoint::load).reversed()));
-        return new Snapshot(
+        return new ProgressSnapshot(
                 now,
                 worth == 0 ? 1 : got / worth,
                 history.asks().size(),
--- a/src/main/java/pipitstage/lab/service/Judge.java
+++ b/src/main/java/loftflow/experiment/evaluation/RuleChecker.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.service;
+package loftflow.experiment.evaluation;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import pipitstage.Policy;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.History;
-import pipitstage.lab.scenario.Scenario;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.policy.api.Idempotency;
 
 /**
  * The rules (BRIEF), judged from what partners recorded and what clients were told, never from what a relay says of itself.
  */
-public final class Judge {
+public final class RuleChecker {
     /** What a rule forbids. */
     public enum Rule {
         /** A message that was taken on, or handed in, was never answered. */
@@ -45,12 +45,12 @@
     private final Scenario scenario;
     private final Scenario.Layout layout;
     private final Scenario.Rules rules;
-    private final History history;
-    private final Map<Integer, List<History.Away>> aways = new HashMap<>();
+    private final RunHistory history;
+    private final Map<Integer, List<RunHistory.Away>> aways = new HashMap<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private final List<Breach> breaches = new ArrayList<>();
 
-    private Judge(Scenario scenario, Scenario.Rules rules, History history) {
+    private RuleChecker(Scenario scenario, Scenario.Rules rules, RunHistory history) {
         this.scenario = scenario;
         this.rules = rules;
         this.history = history;
@@ -72,8 +72,8 @@
     }
 
     /** Judges a run that is over. */
-    public static Found of(Scenario scenario, Scenario.Rules rules, History history) {
-        Judge judge = new Judge(scenario, rules, history);
+    public static Found of(Scenario scenario, Scenario.Rules rules, RunHistory history) {
+        RuleChecker judge = new RuleChecker(scenario, rules, history);
         for (int i = 0; i < history.asks().size(); i++) {
             judge.answered(i, history.asks().get(i));
             judge.effects(i, history.asks().get(i));
@@ -98,9 +98,9 @@
         }
     }
 
-    private void answered(int number, Ask ask) {
+    private void answered(int number, MessageHistory ask) {
         boolean done = ask.doneAt() >= 0 && ask.doneAt() <= ask.due();
-        if (ask.told() == Ask.Told.NOTHING || ask.told() == Ask.Told.TAKEN && !done) {
+        if (ask.told() == MessageHistory.Told.NOTHING || ask.told() == MessageHistory.Told.TAKEN && !done) {
             found(Rule.MISSING, number, ask.due(), "told " + ask.told());
         }
         if (ask.endedAt() > latest(ask)) {
@@ -109,26 +109,28 @@
     }
 
     /** A relay that is away as the time is up tells the end when it is back. */
-    private long latest(Ask ask) {
+    private long latest(MessageHistory ask) {
         return aways.getOrDefault(ask.relay(), List.of()).stream()
                         .filter(a -> a.from() <= ask.due() + rules.endSlack() && a.to() > ask.due())
-                        .mapToLong(History.Away::to)
+                        .mapToLong(RunHistory.Away::to)
                         .reduce(ask.due(), Math::max)
                 + rules.endSlack();
     }
 
-    private void effects(int number, Ask ask) {
-        Policy.Repeat repeat = scenario.classes().get(ask.type()).repeat();
-        if (repeat == Policy.Repeat.REPEATABLE) {
+    private void effects(int number, MessageHistory ask) {
+        Idempotency repeat = scenario.classes().get(ask.type()).repeat();
+        if (repeat == Idempotency.IDEMPOTENT) {
             return;
         }
-        long ran = ask.postings().stream().filter(Ask.Posting::ran).count();
+        long ran = ask.postings().stream().filter(MessageHistory.Posting::ran).count();
         if (ran > 1) {
             found(Rule.TWICE, number, ask.at(), ran + " effects");
         }
-        for (Ask.Posting first : repeat == Policy.Repeat.ONCE ? ask.postings() : List.<Ask.Posting>of()) {
-            boolean never = first.answer() == Ask.Answer.FULL || first.answer() == Ask.Answer.UNREACHED;
-            for (Ask.Posting second : ask.postings()) {
+        for (MessageHistory.Posting first :
+                repeat == Idempotency.NON_IDEMPOTENT ? ask.postings() : List.<MessageHistory.Posting>of()) {
+            boolean never =
+                    first.answer() == MessageHistory.Answer.FULL || first.answer() == MessageHistory.Answer.UNREACHED;
+            for (MessageHistory.Posting second : ask.postings()) {
                 if (second != first
                         && second.sent() >= first.sent()
                         && !(never && second.sent() > first.came())
@@ -150,7 +152,7 @@
     }
 
     private void waits() {
-        Map<Pair, List<History.Wait>> told = new HashMap<>();
+        Map<Pair, List<RunHistory.Wait>> told = new HashMap<>();
         history.waits()
                 .forEach(w -> told.computeIfAbsent(new Pair(w.relay(), scope(w.endpoint())), p -> new ArrayList<>())
                         .add(w));
@@ -166,9 +168,9 @@
         return layout.partners().get(partner).group().routesApart() ? endpoint : -1 - partner;
     }
 
-    private void eachPosting(Rule rule, Predicate<Ask.Posting> forbidden) {
+    private void eachPosting(Rule rule, Predicate<MessageHistory.Posting> forbidden) {
         for (int i = 0; i < history.asks().size(); i++) {
-            for (Ask.Posting posting : history.asks().get(i).postings()) {
+            for (MessageHistory.Posting posting : history.asks().get(i).postings()) {
                 if (forbidden.test(posting)) {
                     found(rule, i, posting.sent(), "relay " + posting.relay() + " to e" + posting.endpoint());
                 }
--- a/src/main/java/pipitstage/lab/service/Service.java
+++ b/src/main/java/loftflow/experiment/evaluation/ServiceReport.java
@@ -1,18 +1,18 @@
-package pipitstage.lab.service;
+package loftflow.experiment.evaluation;
 
 import java.util.Arrays;
 import java.util.List;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.Scenario;
 import org.HdrHistogram.Histogram;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.History;
-import pipitstage.lab.scenario.Scenario;
 
 /**
  * Service as the users define it: worth delivered over worth asked. A delivery within the wanted time counts in full, then
  * less and less down to the stated share at the deadline; repeats count with the first try; traffic beyond a tenant's share
  * counts a tenth. The figure is 40% the whole run, 30% the worst 10 s, 20% the worst class, 10% the worst tenant.
  */
-public final class Service {
+public final class ServiceReport {
     private static final long SECOND = 1_000_000;
     private static final long WINDOW = 10;
     /** A window with less of the run's worth than this share of the mean tells nothing. */
@@ -76,17 +76,17 @@
 
     private final Scenario scenario;
     private final Scenario.Rules rules;
-    private final History history;
+    private final RunHistory history;
 
-    private Service(Scenario scenario, Scenario.Rules rules, History history) {
+    private ServiceReport(Scenario scenario, Scenario.Rules rules, RunHistory history) {
         this.scenario = scenario;
         this.rules = rules;
         this.history = history;
     }
 
     /** What a history is worth. */
-    public static Report of(Scenario scenario, Scenario.Rules rules, History history) {
-        return new Service(scenario, rules, history).report();
+    public static Report of(Scenario scenario, Scenario.Rules rules, RunHistory history) {
+        return new ServiceReport(scenario, rules, history).report();
     }
 
     /** The share of its worth that a message of a class still has, so long after it was handed in. */
@@ -112,7 +112,7 @@
         Quota[] quotas =
                 scenario.tenants().stream().map(t -> new Quota(t.rate())).toArray(Quota[]::new);
         long[] posted = new long[scenario.classes().size()];
-        for (Ask ask : history.asks()) {
+        for (MessageHistory ask : history.asks()) {
             int c = ask.type();
             Scenario.MessageClass type = scenario.classes().get(c);
             boolean within = ask.tenant() < 0 || quotas[ask.tenant()].holds(ask.at());
@@ -129,7 +129,7 @@
                 counts[c][1]++;
                 latencies[c].recordValue(Math.min(LONGEST, ask.doneAt() - ask.at()));
             } else {
-                counts[c][ask.told() == Ask.Told.REFUSED ? 2 : 3]++;
+                counts[c][ask.told() == MessageHistory.Told.REFUSED ? 2 : 3]++;
             }
             posted[c] += ask.postings().size();
         }
--- a/src/main/java/pipitstage/lab/history/Costs.java
+++ b/src/main/java/loftflow/experiment/history/CallCounts.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.history;
+package loftflow.experiment.history;
 
 import java.util.Comparator;
 import java.util.EnumMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** What a fleet's relays cost its partners, counted by relay and by endpoint as it happens. */
-public final class Costs {
+public final class CallCounts {
     /** What is counted. */
     public enum Of {
         /** Calls that came to an endpoint. */
--- a/src/main/java/pipitstage/lab/history/Ask.java
+++ b/src/main/java/loftflow/experiment/history/MessageHistory.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.history;
+package loftflow.experiment.history;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,7 +7,7 @@
  * Something that a client wants delivered, with all that became of it: its first try and the repeats after refusals. Times
  * are in microseconds from the beginning of the run; -1 for never.
  */
-public final class Ask {
+public final class MessageHistory {
     /** What a client was told; {@code CUT} where its connection broke before an answer, so that it knows nothing. */
     public enum Told {
         NOTHING,
@@ -55,7 +55,7 @@
      * @param tenant -1 for none
      * @param due when its time is up
      */
-    public Ask(int type, int tenant, int partner, int relay, long at, long due) {
+    public MessageHistory(int type, int tenant, int partner, int relay, long at, long due) {
         this.type = type;
         this.tenant = tenant;
         this.partner = partner;
--- a/src/main/java/pipitstage/lab/history/History.java
+++ b/src/main/java/loftflow/experiment/history/RunHistory.java
@@ -1,10 +1,10 @@
-package pipitstage.lab.history;
+package loftflow.experiment.history;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** Everything that happened in one run. */
-public final class History {
+public final class RunHistory {
     /** A wait that an endpoint told a relay with a refusal; it binds from when the relay heard of it. */
     public record Wait(int relay, int endpoint, long heard, long until) {}
 
@@ -20,15 +20,15 @@
     /** What an endpoint got, and could do, in a span of time. */
     public record Load(int endpoint, long from, int calls, double able) {}
 
-    private final List<Ask> asks = new ArrayList<>();
+    private final List<MessageHistory> asks = new ArrayList<>();
     private final List<Wait> waits = new ArrayList<>();
     private final List<DrainTold> drains = new ArrayList<>();
     private final List<Fall> falls = new ArrayList<>();
     private final List<Away> aways = new ArrayList<>();
     private final List<Load> loads = new ArrayList<>();
-    private final Costs costs = new Costs();
+    private final CallCounts costs = new CallCounts();
 
-    public void asked(Ask ask) {
+    public void asked(MessageHistory ask) {
         asks.add(ask);
     }
 
@@ -53,11 +53,11 @@
     }
 
     /** What the run cost, to be counted on. */
-    public Costs costs() {
+    public CallCounts costs() {
         return costs;
     }
 
-    public List<Ask> asks() {
+    public List<MessageHistory> asks() {
         return asks;
     }
 
--- a/src/main/java/pipitstage/lab/history/package-info.java
+++ b/src/main/java/loftflow/experiment/history/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: nothing of ours. No I/O, clock or thread.
  */
-package pipitstage.lab.history;
+package loftflow.experiment.history;
--- a/src/main/java/pipitstage/lab/real/BareProxy.java
+++ b/src/main/java/loftflow/experiment/loopback/BaselineProxy.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -20,30 +20,31 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import pipitstage.http.Headers;
+import loftflow.http.Headers;
 
 /**
  * What a relay would be that decides nothing and keeps nothing: it sends each message to its destination's next endpoint and gives
  * the endpoint's answer, 202 for 200 and 503 for the rest. One event loop and Netty's own codecs, as a relay has them; what a
  * relay takes beside it is the price of journal, decisions and rules.
  */
-public final class BareProxy {
+public final class BaselineProxy {
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Map<String, List<Loopback.Pool>> destinations = new HashMap<>();
+    private final Map<String, List<LoopbackHttp.Pool>> destinations = new HashMap<>();
     private int turn;
 
-    private BareProxy() {}
+    private BaselineProxy() {}
 
     /** Serves on a free loopback port until it is ended; arguments are {@code DESTINATION=HOST:PORT}. */
     public static void main(String[] arguments) {
-        BareProxy proxy = new BareProxy();
+        BaselineProxy proxy = new BaselineProxy();
         for (String argument : arguments) {
             String[] parts = argument.split("[=:]");
             proxy.destinations
                     .computeIfAbsent("dest=" + parts[0], d -> new ArrayList<>())
-                    .add(new Loopback.Pool(proxy.loop, new InetSocketAddress(parts[1], Integer.parseInt(parts[2]))));
+                    .add(new LoopbackHttp.Pool(
+                            proxy.loop, new InetSocketAddress(parts[1], Integer.parseInt(parts[2]))));
         }
-        Channel listener = Loopback.listen(proxy.loop, 0, () -> proxy.new Requests())
+        Channel listener = LoopbackHttp.listen(proxy.loop, 0, () -> proxy.new Requests())
                 .syncUninterruptibly()
                 .channel();
         System.out.println("serving on " + listener.localAddress());
@@ -54,7 +55,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             Channel client = ctx.channel();
-            List<Loopback.Pool> endpoints = destinations.get(request.headers().get(Headers.CONSIGNEE, ""));
+            List<LoopbackHttp.Pool> endpoints =
+                    destinations.get(request.headers().get(Headers.CONSIGNEE, ""));
             if (endpoints == null) {
                 answer(client, HttpResponseStatus.NOT_FOUND);
                 return;
@@ -73,7 +75,7 @@
                     call.headers().set(name, value);
                 }
             }
-            endpoints.get(Math.floorMod(turn++, endpoints.size())).send(call, new Loopback.Reply() {
+            endpoints.get(Math.floorMod(turn++, endpoints.size())).send(call, new LoopbackHttp.Reply() {
                 @Override
                 public void answered(FullHttpResponse response) {
                     answer(
--- a/src/main/java/pipitstage/lab/real/NoticesServer.java
+++ b/src/main/java/loftflow/experiment/loopback/CompletionServer.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,15 +15,15 @@
 import java.net.InetSocketAddress;
 
 /** Where relays tell ends (PROTOCOL, Notices): each is heard at once, with its time. */
-final class NoticesServer {
+final class CompletionServer {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private final Programs programs;
+    private final LoadGenerator programs;
     private final int port;
 
-    NoticesServer(World world, Programs programs) {
+    CompletionServer(RunContext world, LoadGenerator programs) {
         this.programs = programs;
-        Channel listener = Loopback.listen(world.loop(), 0, Hears::new)
+        Channel listener = LoopbackHttp.listen(world.loop(), 0, Hears::new)
                 .syncUninterruptibly()
                 .channel();
         port = ((InetSocketAddress) listener.localAddress()).getPort();
--- a/src/main/java/pipitstage/lab/real/EndpointServer.java
+++ b/src/main/java/loftflow/experiment/loopback/EndpointServer.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -26,11 +26,11 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import pipitstage.http.Headers;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.Costs;
-import pipitstage.lab.model.EndpointModel;
-import pipitstage.lab.scenario.Scenario;
+import loftflow.experiment.emulator.EmulatedEndpoint;
+import loftflow.experiment.history.CallCounts;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.http.Headers;
 
 /**
  * An endpoint on a loopback port (PROTOCOL, Relays to hosts): what it answers, and when, is the emulator's word; this class
@@ -41,14 +41,14 @@
     /** Whose call on a connection has no answer to come. */
     private static final AttributeKey<Integer> SILENT_FOR = AttributeKey.valueOf("lab.silent-for");
 
-    private final World world;
-    private final EndpointModel model;
+    private final RunContext world;
+    private final EmulatedEndpoint model;
     private final Scenario.Layout layout;
     private final Set<Channel> open = new HashSet<>();
     private Channel listener;
     private int port;
 
-    EndpointServer(World world, EndpointModel model, Scenario.Layout layout) {
+    EndpointServer(RunContext world, EmulatedEndpoint model, Scenario.Layout layout) {
         this.world = world;
         this.model = model;
         this.layout = layout;
@@ -64,7 +64,7 @@
         if (listener != null && listener.isOpen()) {
             return listener.newSucceededFuture();
         }
-        ChannelFuture bound = Loopback.listen(world.loop(), port, Calls::new);
+        ChannelFuture bound = LoopbackHttp.listen(world.loop(), port, Calls::new);
         listener = bound.channel();
         return bound;
     }
@@ -82,7 +82,10 @@
             open.add(ctx.channel());
             world.history()
                     .costs()
-                    .count(Costs.Of.CONNECTIONS, Costs.NONE, model.endpoint().number());
+                    .count(
+                            CallCounts.Of.CONNECTIONS,
+                            CallCounts.NONE,
+                            model.endpoint().number());
         }
 
         @Override
@@ -98,7 +101,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) throws IOException {
             String path = request.uri();
             if (path.startsWith("/-/")) {
-                answer(ctx, model.check(Costs.NONE, world.now()), Costs.NONE, 0, List.of(), false);
+                answer(ctx, model.check(CallCounts.NONE, world.now()), CallCounts.NONE, 0, List.of(), false);
             } else if (path.equals("/receive")) {
                 call(ctx, List.of(request.headers().get(Headers.CALL_ID, "")), false);
             } else {
@@ -126,7 +129,7 @@
     }
 
     private void call(ChannelHandlerContext ctx, List<String> ids, boolean several) {
-        Ask first = world.ask(ids.get(0));
+        MessageHistory first = world.ask(ids.get(0));
         if (first == null) {
             respond(ctx, HttpResponseStatus.BAD_REQUEST, "", 0);
             return;
@@ -137,11 +140,11 @@
         world.loop()
                 .schedule(
                         () -> {
-                            EndpointModel.Met met = model.meet(relay, world.now());
+                            EmulatedEndpoint.Met met = model.meet(relay, world.now());
                             for (String id : ids) {
                                 boolean ran = met.ran() && world.takesEffect(id, model.endpoint());
                                 world.ask(id)
-                                        .posted(new Ask.Posting(
+                                        .posted(new MessageHistory.Posting(
                                                 relay,
                                                 model.endpoint().number(),
                                                 sent,
@@ -156,7 +159,12 @@
     }
 
     private void answer(
-            ChannelHandlerContext ctx, EndpointModel.Met met, int relay, long way, List<String> ids, boolean several) {
+            ChannelHandlerContext ctx,
+            EmulatedEndpoint.Met met,
+            int relay,
+            long way,
+            List<String> ids,
+            boolean several) {
         if (met.answerAt() < 0) {
             ctx.channel().attr(SILENT_FOR).set(relay);
             return;
--- a/src/main/java/pipitstage/lab/real/Programs.java
+++ b/src/main/java/loftflow/experiment/loopback/LoadGenerator.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -10,38 +10,38 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Policy;
-import pipitstage.http.Headers;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.scenario.Arrival;
-import pipitstage.lab.scenario.Scenario;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.scenario.Arrival;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.http.Headers;
+import loftflow.policy.api.Idempotency;
 
 /** The programs before a fleet: each message on a connection that waits for nothing else, handed in again as scenarios say. */
-final class Programs {
+final class LoadGenerator {
     private static final byte[] BODY = "lab".getBytes(StandardCharsets.US_ASCII);
     private static final int ACCEPTED = 202;
     private static final int REFUSED = 503;
 
-    private final World world;
+    private final RunContext world;
     /** Connections to each relay; null while it takes no messages. */
-    private final Loopback.Pool[] relays;
+    private final LoopbackHttp.Pool[] relays;
 
     private int unsettled;
 
-    Programs(World world) {
+    LoadGenerator(RunContext world) {
         this.world = world;
-        relays = new Loopback.Pool[world.scenario().fleet().relays()];
+        relays = new LoopbackHttp.Pool[world.scenario().fleet().relays()];
     }
 
     /** A relay takes messages at an address from now on; null while it takes none. */
     void at(int relay, InetSocketAddress address) {
-        relays[relay] = address == null ? null : new Loopback.Pool(world.loop(), address);
+        relays[relay] = address == null ? null : new LoopbackHttp.Pool(world.loop(), address);
     }
 
     /** A message is due. Its times count from then, however late it leaves. */
     void arrive(Arrival arrival) {
         Scenario.MessageClass type = world.scenario().classes().get(arrival.type());
-        Ask ask = new Ask(
+        MessageHistory ask = new MessageHistory(
                 arrival.type(),
                 arrival.tenant(),
                 arrival.partner(),
@@ -57,13 +57,13 @@
         return unsettled;
     }
 
-    private void handIn(int number, Ask ask) {
+    private void handIn(int number, MessageHistory ask) {
         unsettled++;
         Scenario.MessageClass type = world.scenario().classes().get(ask.type());
         ask.tried(ask.tries() == 0 ? ask.at() : world.now());
         String id = number + "-" + ask.tries();
         world.named(id, number);
-        Loopback.Pool relay = relays[ask.relay()];
+        LoopbackHttp.Pool relay = relays[ask.relay()];
         if (relay == null) {
             refused(number, ask, 0);
             return;
@@ -83,19 +83,19 @@
                             Headers.CALLER,
                             world.scenario().tenants().get(ask.tenant()).name());
         }
-        if (type.repeat() == Policy.Repeat.BY_KEY) {
+        if (type.repeat() == Idempotency.IDEMPOTENT_BY_KEY) {
             request.headers().set(Headers.KEY, "k" + number);
         }
         relay.send(request, new Handing(number, ask));
     }
 
-    private void refused(int number, Ask ask, long retryIn) {
+    private void refused(int number, MessageHistory ask, long retryIn) {
         unsettled--;
-        ask.ended(world.now(), Ask.Told.REFUSED);
+        ask.ended(world.now(), MessageHistory.Told.REFUSED);
         again(number, ask, Math.max(world.scenario().clients().pause(), retryIn));
     }
 
-    private void again(int number, Ask ask, long pause) {
+    private void again(int number, MessageHistory ask, long pause) {
         if (ask.tries() <= world.scenario().clients().repeats()) {
             unsettled++;
             world.loop()
@@ -111,15 +111,15 @@
 
     /** An end is told by notice. */
     void told(String id, boolean refused, long retryIn) {
-        Ask ask = world.ask(id);
+        MessageHistory ask = world.ask(id);
         // A notice may be told once more, and one of an earlier try says nothing of the last.
         if (ask == null
                 || !id.endsWith("-" + ask.tries())
-                || ask.told() == Ask.Told.REFUSED
-                || ask.told() == Ask.Told.FAILED) {
+                || ask.told() == MessageHistory.Told.REFUSED
+                || ask.told() == MessageHistory.Told.FAILED) {
             return;
         }
-        ask.ended(world.now(), refused ? Ask.Told.REFUSED : Ask.Told.FAILED);
+        ask.ended(world.now(), refused ? MessageHistory.Told.REFUSED : MessageHistory.Told.FAILED);
         if (refused) {
             again(
                     Integer.parseInt(id.substring(0, id.indexOf('-'))),
@@ -129,11 +129,11 @@
     }
 
     /** One try of a message. */
-    private final class Handing implements Loopback.Reply {
+    private final class Handing implements LoopbackHttp.Reply {
         private final int number;
-        private final Ask ask;
+        private final MessageHistory ask;
 
-        Handing(int number, Ask ask) {
+        Handing(int number, MessageHistory ask) {
             this.number = number;
             this.ask = ask;
         }
@@ -149,7 +149,7 @@
                 refused(number, ask, (long) (Double.parseDouble(retry) * 1e6));
             } else {
                 unsettled--;
-                ask.ended(world.now(), Ask.Told.FAILED);
+                ask.ended(world.now(), MessageHistory.Told.FAILED);
             }
         }
 
@@ -162,7 +162,7 @@
         public void cut() {
             unsettled--;
             ask.cut();
-            if (world.scenario().classes().get(ask.type()).repeat() == Policy.Repeat.REPEATABLE) {
+            if (world.scenario().classes().get(ask.type()).repeat() == Idempotency.IDEMPOTENT) {
                 again(number, ask, world.scenario().clients().pause());
             }
         }
--- a/src/main/java/pipitstage/lab/real/Loopback.java
+++ b/src/main/java/loftflow/experiment/loopback/LoopbackHttp.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -23,10 +23,10 @@
 import java.util.function.Supplier;
 
 /** HTTP/1.1 on loopback by Netty's own codecs, as all around a relay speak it: whole requests, whole answers. */
-final class Loopback {
+final class LoopbackHttp {
     private static final int LARGEST = 1 << 20;
 
-    private Loopback() {}
+    private LoopbackHttp() {}
 
     /** Listens on a port, 0 for a free one; each connection's requests go to a handler of its own. */
     static ChannelFuture listen(EventLoopGroup loop, int port, Supplier<ChannelHandler> handlers) {
