--- a/src/main/java/pipitstage/lab/real/RealRun.java
+++ b/src/main/java/loftflow/experiment/loopback/LoopbackRun.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -18,21 +18,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.History;
-import pipitstage.lab.model.EndpointModel;
-import pipitstage.lab.scenario.Arrival;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.service.Snapshot;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInDiscovery;
+import loftflow.experiment.emulator.EmulatedEndpoint;
+import loftflow.experiment.evaluation.ProgressSnapshot;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.Arrival;
+import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.fake.FakeDiscoveryAgent;
+import loftflow.fake.ServedRelay;
 
 /**
  * One run of a scenario by whole relays. Threads beside the relays' own processes: one for all sockets and the history, one
  * that lets messages go at their times, one that starts and kills relays and changes discovery's list.
  */
-public final class RealRun implements AutoCloseable {
+public final class LoopbackRun implements AutoCloseable {
     /** Several relays may start at once. */
     private static final int STAGE_THREADS = 8;
 
@@ -53,7 +53,7 @@
      * @param cpu microseconds of all relays for a message, from the time on when a quarter of the span is over, by when a relay
      *     has compiled what it uses; with what restarts take
      */
-    public record Outcome(History history, Lateness lateness, double cpu) {
+    public record Outcome(RunHistory history, Lateness lateness, double cpu) {
         /** Beyond this lateness of one message in a hundred the run says more of this machine than of a relay. */
         public static final long MOST_LATE = 50_000;
 
@@ -66,7 +66,7 @@
     /**
      * What runs as each relay of a fleet.
      *
-     * @param bare whether a {@link BareProxy} stands in each relay's place
+     * @param bare whether a {@link BaselineProxy} stands in each relay's place
      */
     public record Fleet(ServedRelay.Program program, boolean bare) {
         /** Relays of this program, on any core. */
@@ -87,13 +87,13 @@
 
     private final Scenario scenario;
     private final Scenario.Layout layout;
-    private final Faults faults;
+    private final FaultSchedule faults;
     private final Fleet fleet;
     private final Path folder;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final ScheduledExecutorService stage = new ScheduledThreadPoolExecutor(STAGE_THREADS);
-    private final StandInDiscovery discovery = new StandInDiscovery();
+    private final FakeDiscoveryAgent discovery = new FakeDiscoveryAgent();
     private final List<EndpointServer> endpoints = new ArrayList<>();
     private final List<String> states = new ArrayList<>();
     private final List<ServedRelay> relays = new CopyOnWriteArrayList<>();
@@ -102,9 +102,9 @@
     /** Relays that are dead, or not yet back. */
     private final Set<Integer> away = ConcurrentHashMap.newKeySet();
 
-    private final World world;
-    private final Programs programs;
-    private final NoticesServer notices;
+    private final RunContext world;
+    private final LoadGenerator programs;
+    private final CompletionServer notices;
     private final long startNanos;
     /** What those used that have died. */
     private double cpuOfTheDead;
@@ -117,20 +117,20 @@
      * @param fleet what runs as each relay of the fleet
      * @param folder for the relays' files, journals and logs
      */
-    public RealRun(Scenario scenario, Scenario.Rules rules, long seed, Fleet fleet, Path folder)
+    public LoopbackRun(Scenario scenario, Scenario.Rules rules, long seed, Fleet fleet, Path folder)
             throws IOException, InterruptedException {
         this.scenario = scenario;
         this.fleet = fleet;
         this.folder = folder;
         layout = scenario.layout();
-        faults = Faults.of(scenario, layout, seed);
+        faults = FaultSchedule.of(scenario, layout, seed);
         // The time that starting takes is not known: the clock of the run begins when it is over.
-        StartClock clock = new StartClock();
-        world = new World(scenario, loop, clock);
-        programs = new Programs(world);
+        RunClock clock = new RunClock();
+        world = new RunContext(scenario, loop, clock);
+        programs = new LoadGenerator(world);
         try {
-            notices = new NoticesServer(world, programs);
-            for (EndpointModel model : EndpointModel.all(layout, rules, faults, world.history(), seed)) {
+            notices = new CompletionServer(world, programs);
+            for (EmulatedEndpoint model : EmulatedEndpoint.all(layout, rules, faults, world.history(), seed)) {
                 endpoints.add(new EndpointServer(world, model, layout));
                 states.add("in_service");
             }
@@ -139,7 +139,7 @@
                 commands.add(
                         fleet.bare()
                                 ? proxy()
-                                : ServedRelay.serving(RelayFiles.write(
+                                : ServedRelay.serving(RelayFileWriter.write(
                                         scenario, layout, i, discovery.address(), notices.address(), folder)));
                 relays.add(start(i));
             }
@@ -159,7 +159,7 @@
     }
 
     private List<String> proxy() {
-        List<String> command = new ArrayList<>(List.of(BareProxy.class.getName()));
+        List<String> command = new ArrayList<>(List.of(BaselineProxy.class.getName()));
         layout.endpoints()
                 .forEach(e -> command.add(
                         e.partner() + "=" + endpoints.get(e.number()).address()));
@@ -191,7 +191,7 @@
     private synchronized void tell() {
         List<String> entries = new ArrayList<>();
         for (Scenario.Endpoint e : layout.endpoints()) {
-            entries.add(StandInDiscovery.entry(
+            entries.add(FakeDiscoveryAgent.entry(
                     e.route(),
                     e.partner(),
                     layout.partners().get(e.partner()).group().kind(),
@@ -210,10 +210,11 @@
      * @throws EndedException where a relay has ended that nobody killed
      * @throws IOException where a relay did not come back, or discovery did not
      */
-    public Outcome play(Iterator<Arrival> arrivals, LongConsumer beforeEach, Consumer<Snapshot> progress)
+    public Outcome play(Iterator<Arrival> arrivals, LongConsumer beforeEach, Consumer<ProgressSnapshot> progress)
             throws IOException, InterruptedException {
         schedule();
-        Pace pace = new Pace(arrivals, startNanos, arrival -> loop.execute(() -> programs.arrive(arrival)), beforeEach);
+        OpenLoopSchedule pace = new OpenLoopSchedule(
+                arrivals, startNanos, arrival -> loop.execute(() -> programs.arrive(arrival)), beforeEach);
         Thread thread = new Thread(pace, "lab-pace");
         thread.start();
         long end = scenario.span() + scenario.patience();
@@ -226,10 +227,10 @@
                 TimeUnit.MILLISECONDS.sleep(LOOK_MS);
                 if (System.nanoTime() >= shown + TimeUnit.SECONDS.toNanos(1)) {
                     shown = System.nanoTime();
-                    progress.accept(
-                            loop.submit(() -> Snapshot.of(scenario, layout, faults, world.history(), world.now()))
-                                    .syncUninterruptibly()
-                                    .getNow());
+                    progress.accept(loop.submit(
+                                    () -> ProgressSnapshot.of(scenario, layout, faults, world.history(), world.now()))
+                            .syncUninterruptibly()
+                            .getNow());
                 }
                 if (counted < 0 && world.now() >= scenario.span() / WARM) {
                     counted = world.now();
@@ -245,7 +246,7 @@
         checkStage();
         double cpu = cpuSeconds() - cpuBefore;
         long from = counted;
-        History history = loop.submit(() -> {
+        RunHistory history = loop.submit(() -> {
                     endpoints.forEach(EndpointServer::down);
                     return world.history();
                 })
@@ -284,7 +285,8 @@
 
     private boolean isSettled() {
         return loop.submit(() -> programs.unsettled() == 0
-                        && world.history().asks().stream().allMatch(a -> a.told() != Ask.Told.TAKEN || a.doneAt() >= 0))
+                        && world.history().asks().stream()
+                                .allMatch(a -> a.told() != MessageHistory.Told.TAKEN || a.doneAt() >= 0))
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -293,7 +295,7 @@
 
     private void schedule() {
         Set<Long> restarts = new HashSet<>();
-        for (Faults.Strike strike : faults.strikes()) {
+        for (FaultSchedule.Strike strike : faults.strikes()) {
             if (strike.failure().kind() == Scenario.Kind.DISCOVERY) {
                 at(strike.from(), discovery::stop);
                 if (faults.told(strike.to()) == strike.to() && restarts.add(strike.to())) {
@@ -302,9 +304,9 @@
             } else if (strike.failure().kind() == Scenario.Kind.DOWN) {
                 for (int e = 0; e < endpoints.size(); e++) {
                     EndpointServer endpoint = endpoints.get(e);
-                    if (faults.state(e, strike.from()).meets() == Faults.Meets.DOWN) {
+                    if (faults.state(e, strike.from()).meets() == FaultSchedule.Meets.DOWN) {
                         at(strike.from(), () -> loop.submit(endpoint::down).sync());
-                        if (faults.state(e, strike.to()).meets() != Faults.Meets.DOWN) {
+                        if (faults.state(e, strike.to()).meets() != FaultSchedule.Meets.DOWN) {
                             at(strike.to(), () -> loop.submit(endpoint::up)
                                     .sync()
                                     .getNow()
@@ -314,20 +316,20 @@
                 }
             }
         }
-        for (Faults.Drain drain : faults.drains()) {
+        for (FaultSchedule.Drain drain : faults.drains()) {
             at(drain.from(), () -> drains(drain.endpoint(), "terminating"));
             at(drain.gone(), () -> {
                 drains(drain.endpoint(), "terminated");
                 loop.submit(endpoints.get(drain.endpoint())::down).sync();
             });
         }
-        for (Faults.Death death : faults.deaths()) {
+        for (FaultSchedule.Death death : faults.deaths()) {
             at(death.at(), () -> dies(death));
         }
     }
 
     /** One that is away already does not die once more. */
-    private void dies(Faults.Death death) throws IOException, InterruptedException {
+    private void dies(FaultSchedule.Death death) throws IOException, InterruptedException {
         int number = death.relay();
         if (!away.add(number)) {
             return;
@@ -340,7 +342,7 @@
             relays.set(number, start(number));
             serves(number);
             long back = world.now();
-            loop.submit(() -> world.history().away(new History.Away(number, death.at(), back)))
+            loop.submit(() -> world.history().away(new RunHistory.Away(number, death.at(), back)))
                     .sync();
             away.remove(number);
         });
--- a/src/main/java/pipitstage/lab/real/Pace.java
+++ b/src/main/java/loftflow/experiment/loopback/OpenLoopSchedule.java
@@ -1,18 +1,18 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import java.util.Iterator;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
+import loftflow.experiment.scenario.Arrival;
 import org.HdrHistogram.Histogram;
-import pipitstage.lab.scenario.Arrival;
 
 /**
  * An open loop: each message is due at its own time, whatever became of those before. How late each leaves is counted, so that a
  * machine that can't keep up shows as that; and what a message takes is counted from when it was due, never from when it left.
  */
-final class Pace implements Runnable {
+final class OpenLoopSchedule implements Runnable {
     private static final long LONGEST = 3_600_000_000L;
     private static final long SPIN_NANOS = 50_000;
 
@@ -28,7 +28,7 @@
      * @param startNanos the system's time of what is due at 0
      * @param beforeEach is told what is due next, in microseconds; a test stalls there
      */
-    Pace(Iterator<Arrival> arrivals, long startNanos, Consumer<Arrival> out, LongConsumer beforeEach) {
+    OpenLoopSchedule(Iterator<Arrival> arrivals, long startNanos, Consumer<Arrival> out, LongConsumer beforeEach) {
         this.arrivals = arrivals;
         this.startNanos = startNanos;
         this.out = out;
@@ -55,8 +55,8 @@
     }
 
     /** How late messages left; to be read once it has ended. */
-    RealRun.Lateness lateness() {
-        return new RealRun.Lateness(
+    LoopbackRun.Lateness lateness() {
+        return new LoopbackRun.Lateness(
                 lateness.getValueAtPercentile(50), lateness.getValueAtPercentile(99), lateness.getMaxValue());
     }
 }
--- a/src/main/java/pipitstage/lab/real/RelayFiles.java
+++ b/src/main/java/loftflow/experiment/loopback/RelayFileWriter.java
@@ -1,23 +1,22 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Locale;
-import pipitstage.Policy;
-import pipitstage.config.file.SourceFile;
-import pipitstage.config.file.Units;
-import pipitstage.config.tool.Tool;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.scenario.ScenarioText;
+import loftflow.config.file.SourceFile;
+import loftflow.config.file.Units;
+import loftflow.config.tool.ConfigTool;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.policy.api.Idempotency;
 
 /** Writes the relay files of a scenario's fleet, by the tool that operators use. */
-final class RelayFiles {
+final class RelayFileWriter {
     private static final double MICROS = 1e6;
     private static final int DESCRIPTORS = 4_096;
     private static final double ROOM = 0.95;
 
-    private RelayFiles() {}
+    private RelayFileWriter() {}
 
     /**
      * Writes one.
@@ -71,14 +70,14 @@
                     "[[class]]\nname = \"%s\"\nrepeat = \"%s\"\nkey-scope = \"%s\"\nwanted = \"%s\"\n"
                             + "deadline = \"%s\"\nworth = %s\nlate-worth = %s\npeak-rate = \"%s\"\nbody = \"64B\"\n",
                     c.name(),
-                    ScenarioText.word(c.repeat()),
+                    c.repeat().settingName(),
                     c.keysByBuilding() ? "building" : "all",
                     Units.ofSpan(c.wanted()),
                     Units.ofSpan(c.deadline()),
                     c.worth(),
                     c.lateWorth(),
                     Units.ofRate(Math.max(1e-3, c.rate() * declared))));
-            if (c.repeat() == Policy.Repeat.BY_KEY) {
+            if (c.repeat() == Idempotency.IDEMPOTENT_BY_KEY) {
                 text.append("key-window = \"")
                         .append(Units.ofSpan(c.keyWindow()))
                         .append("\"\n");
@@ -113,8 +112,8 @@
         }
         Path application = Files.writeString(folder.resolve("app" + relay + ".toml"), text);
         try {
-            Tool.Outcome outcome =
-                    Tool.write(application, Files.createDirectories(folder.resolve("relay" + relay)), true);
+            ConfigTool.Outcome outcome =
+                    ConfigTool.write(application, Files.createDirectories(folder.resolve("relay" + relay)), true);
             if (outcome.file() == null) {
                 throw new IOException("no relay runs by this scenario: " + outcome.findings());
             }
--- a/src/main/java/pipitstage/lab/real/StartClock.java
+++ b/src/main/java/loftflow/experiment/loopback/RunClock.java
@@ -1,7 +1,7 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 /** The time of a run, which begins when all that takes part is ready; it is 0 until then. */
-final class StartClock {
+final class RunClock {
     private volatile long startNanos;
     private volatile boolean begun;
 
--- a/src/main/java/pipitstage/lab/real/World.java
+++ b/src/main/java/loftflow/experiment/loopback/RunContext.java
@@ -1,26 +1,26 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
 import java.util.Map;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.History;
-import pipitstage.lab.model.Keys;
-import pipitstage.lab.scenario.Scenario;
+import loftflow.experiment.emulator.IdempotencyKeys;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.Scenario;
 
 /** What programs and partners of one run know in common. Everything happens on one event loop. */
-final class World {
+final class RunContext {
     /** What left before a word was heard may come after it: so much is granted. */
     private static final long ON_THE_WAY = 100_000;
 
     private final Scenario scenario;
     private final EventLoop loop;
-    private final StartClock clock;
-    private final History history = new History();
-    private final Keys keys = new Keys();
+    private final RunClock clock;
+    private final RunHistory history = new RunHistory();
+    private final IdempotencyKeys keys = new IdempotencyKeys();
     private final Map<String, Integer> numbers = new HashMap<>();
 
-    World(Scenario scenario, EventLoop loop, StartClock clock) {
+    RunContext(Scenario scenario, EventLoop loop, RunClock clock) {
         this.scenario = scenario;
         this.loop = loop;
         this.clock = clock;
@@ -34,7 +34,7 @@
         return loop;
     }
 
-    History history() {
+    RunHistory history() {
         return history;
     }
 
@@ -49,23 +49,23 @@
     }
 
     /** The message of an id; null where nobody handed it in. */
-    Ask ask(String id) {
+    MessageHistory ask(String id) {
         Integer number = numbers.get(id);
         return number == null ? null : history.asks().get(number);
     }
 
     /** Whether a message that an endpoint runs takes effect there, as its key is new. */
     boolean takesEffect(String id, Scenario.Endpoint endpoint) {
-        Ask ask = ask(id);
+        MessageHistory ask = ask(id);
         return keys.takesEffect(
                 numbers.get(id), ask.partner(), scenario.classes().get(ask.type()), endpoint, now());
     }
 
     void waits(int relay, int endpoint, long wait) {
-        history.waited(new History.Wait(relay, endpoint, now() + ON_THE_WAY, now() + wait));
+        history.waited(new RunHistory.Wait(relay, endpoint, now() + ON_THE_WAY, now() + wait));
     }
 
     void drains(int relay, int endpoint) {
-        history.drained(new History.DrainTold(relay, endpoint, now() + ON_THE_WAY));
+        history.drained(new RunHistory.DrainTold(relay, endpoint, now() + ON_THE_WAY));
     }
 }
--- a/src/main/java/pipitstage/lab/results/Page.java
+++ b/src/main/java/loftflow/experiment/results/HtmlPage.java
@@ -1,13 +1,13 @@
-package pipitstage.lab.results;
+package loftflow.experiment.results;
 
 import java.util.Locale;
 
 /** A page by itself that is being written: no script, no font and no picture from elsewhere. */
-public final class Page {
+public final class HtmlPage {
     private final StringBuilder text = new StringBuilder();
 
     /** A page that begins with its title. */
-    public Page(String title) {
+    public HtmlPage(String title) {
         line(
                 "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>%s</title><style>body{font:14px sans-serif;"
                         + "margin:2em;max-width:1100px;color:#222}table{border-collapse:collapse}td,th{padding:3px 10px;text-align:right;"
--- a/src/main/java/pipitstage/lab/results/ResultsFolder.java
+++ b/src/main/java/loftflow/experiment/results/ResultsFolder.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.results;
+package loftflow.experiment.results;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import pipitstage.records.Records;
+import loftflow.recordfile.RecordFile;
 
 /**
  * Finished runs, in a file that is only ever added to. A run counts once its record is whole on the disk; a record that a kill
@@ -51,9 +51,9 @@
     private ResultsFolder(FileChannel lock, FileChannel file) throws IOException {
         this.lock = lock;
         this.file = file;
-        ByteBuffer all = Records.all(file);
+        ByteBuffer all = RecordFile.all(file);
         int whole = 0;
-        for (byte[] record = Records.next(all); record != null; record = Records.next(all)) {
+        for (byte[] record = RecordFile.next(all); record != null; record = RecordFile.next(all)) {
             results.add(read(record));
             whole = all.position();
         }
@@ -106,11 +106,11 @@
     /** Keeps a finished run; it is on the disk when this returns. */
     public void add(Result result) throws IOException {
         byte[] text = write(result).getBytes(StandardCharsets.UTF_8);
-        byte[] record = Records.seal(ByteBuffer.allocate(Records.HEAD + text.length)
-                .position(Records.HEAD)
+        byte[] record = RecordFile.seal(ByteBuffer.allocate(RecordFile.HEAD + text.length)
+                .position(RecordFile.HEAD)
                 .put(text)
                 .array());
-        Records.append(file, record, end);
+        RecordFile.append(file, record, end);
         file.force(false);
         end += record.length;
         results.add(result);
--- a/src/main/java/pipitstage/lab/results/RunPage.java
+++ b/src/main/java/loftflow/experiment/results/RunReport.java
@@ -1,42 +1,43 @@
-package pipitstage.lab.results;
+package loftflow.experiment.results;
 
 import java.util.Arrays;
 import java.util.function.IntToDoubleFunction;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.history.History;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.scenario.ScenarioText;
-import pipitstage.lab.service.Judge;
-import pipitstage.lab.service.Service;
+import loftflow.experiment.evaluation.RuleChecker;
+import loftflow.experiment.evaluation.ServiceReport;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.experiment.scenario.ScenarioWriter;
 
 /** One run as a page by itself: no script, no font and no picture from elsewhere. */
-public final class RunPage {
+public final class RunReport {
     private static final long SECOND = 1_000_000;
     private static final int WIDTH = 900;
     private static final int HEIGHT = 150;
     private static final int LEFT = 60;
     private static final int BOTTOM = 20;
 
-    private final Page page;
+    private final HtmlPage page;
     private final Scenario scenario;
     private final int seconds;
-    private final Faults faults;
+    private final FaultSchedule faults;
 
-    private RunPage(Scenario scenario, long seed) {
+    private RunReport(Scenario scenario, long seed) {
         this.scenario = scenario;
-        page = new Page(scenario.name() + ", seed " + seed);
+        page = new HtmlPage(scenario.name() + ", seed " + seed);
         seconds = (int) ((scenario.span() + SECOND - 1) / SECOND);
-        faults = Faults.of(scenario, scenario.layout(), seed);
+        faults = FaultSchedule.of(scenario, scenario.layout(), seed);
     }
 
     /** The page's text. */
-    public static String of(Scenario scenario, long seed, Service.Report service, Judge.Found rules, History history) {
-        return new RunPage(scenario, seed).write(service, rules, history);
+    public static String of(
+            Scenario scenario, long seed, ServiceReport.Report service, RuleChecker.Found rules, RunHistory history) {
+        return new RunReport(scenario, seed).write(service, rules, history);
     }
 
-    private String write(Service.Report service, Judge.Found rules, History history) {
-        page.line("<p>%s</p>", Page.plain(scenario.text()));
+    private String write(ServiceReport.Report service, RuleChecker.Found rules, RunHistory history) {
+        page.line("<p>%s</p>", HtmlPage.plain(scenario.text()));
         page.line(
                 "<p><b>Service %.4f</b>: whole run %.4f, worst 10 s %.4f, worst class %.4f, worst tenant %.4f. %d asked, %d delivered,"
                         + " %d refused, %d failed; %.2f attempts a message.</p>",
@@ -56,11 +57,11 @@
         page.line(
                 "<table><tr><th>class</th><th>asked</th><th>delivered</th><th>refused</th><th>failed</th><th>service</th><th>p50 ms"
                         + "</th><th>p99 ms</th><th>attempts</th></tr>");
-        for (Service.OfClass c : service.classes()) {
+        for (ServiceReport.OfClass c : service.classes()) {
             page.line(
                     "<tr><td>%s</td><td>%d</td><td>%d</td><td>%d</td><td>%d</td><td>%.4f</td><td>%.0f</td><td>%.0f</td><td>%.2f</td>"
                             + "</tr>",
-                    Page.plain(c.name()),
+                    HtmlPage.plain(c.name()),
                     c.asked(),
                     c.delivered(),
                     c.refused(),
@@ -76,26 +77,26 @@
         return page.end();
     }
 
-    private void plots(History history) {
+    private void plots(RunHistory history) {
         double[] asked = new double[seconds];
         double[] delivered = new double[seconds];
         double[] worth = new double[seconds];
         double[] got = new double[seconds];
         double[] latency = new double[seconds];
         double[] calls = new double[seconds];
-        for (Ask ask : history.asks()) {
+        for (MessageHistory ask : history.asks()) {
             int second = (int) Math.min(seconds - 1, ask.at() / SECOND);
             Scenario.MessageClass type = scenario.classes().get(ask.type());
             asked[second]++;
             worth[second] += type.worth();
             if (ask.isDelivered()) {
                 delivered[second]++;
-                got[second] += type.worth() * Service.left(type, ask.doneAt() - ask.at());
+                got[second] += type.worth() * ServiceReport.left(type, ask.doneAt() - ask.at());
                 latency[second] = Math.max(latency[second], (ask.doneAt() - ask.at()) / 1_000.0);
             }
         }
         double[] load = new double[seconds];
-        for (History.Load l : history.loads()) {
+        for (RunHistory.Load l : history.loads()) {
             int second = (int) Math.min(seconds - 1, l.from() / SECOND);
             calls[second] += l.calls();
             load[second] = Math.max(load[second], l.calls() > 1 ? l.calls() / l.able() : 0);
@@ -119,7 +120,7 @@
         page.line(
                 "<h2>%s</h2><svg class=\"plot\" width=\"%d\" height=\"%d\" role=\"img\" aria-label=\"%s\">",
                 title, LEFT + WIDTH, HEIGHT + BOTTOM, title);
-        for (Faults.Strike strike : faults.strikes()) {
+        for (FaultSchedule.Strike strike : faults.strikes()) {
             double from = x(strike.from() / (double) SECOND);
             double to = x(Math.min(seconds, strike.to() / (double) SECOND));
             page.line(
@@ -127,7 +128,7 @@
                     from,
                     Math.max(2, to - from),
                     HEIGHT,
-                    ScenarioText.word(strike.failure().kind()));
+                    ScenarioWriter.word(strike.failure().kind()));
         }
         page.line(
                 "<line x1=\"%d\" y1=\"%d\" x2=\"%d\" y2=\"%d\" stroke=\"#888\"/>", LEFT, HEIGHT, LEFT + WIDTH, HEIGHT);
@@ -165,10 +166,10 @@
     private void failures() {
         if (!faults.strikes().isEmpty()) {
             page.line("<h2>What went wrong (red above)</h2><table><tr><th>what</th><th>from s</th><th>to s</th></tr>");
-            for (Faults.Strike s : faults.strikes()) {
+            for (FaultSchedule.Strike s : faults.strikes()) {
                 page.line(
                         "<tr><td>%s</td><td>%.1f</td><td>%.1f</td></tr>",
-                        ScenarioText.word(s.failure().kind()), s.from() / (double) SECOND, s.to() / (double) SECOND);
+                        ScenarioWriter.word(s.failure().kind()), s.from() / (double) SECOND, s.to() / (double) SECOND);
             }
             page.line("</table>");
         }
--- a/src/main/java/pipitstage/lab/scenario/Arrival.java
+++ b/src/main/java/loftflow/experiment/scenario/Arrival.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
 /**
  * A message that a program hands in.
--- a/src/main/java/pipitstage/lab/scenario/Arrivals.java
+++ b/src/main/java/loftflow/experiment/scenario/ArrivalGenerator.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -14,7 +14,7 @@
  * Messages as a scenario's rates ask for them, in the order of time: each comes by itself, or in a clump for one partner. What
  * relays do has no effect on them (an open loop).
  */
-public final class Arrivals implements Iterator<Arrival> {
+public final class ArrivalGenerator implements Iterator<Arrival> {
     private static final double SECOND = 1e6;
 
     /** Draws of what a message is, and of where it comes in. */
@@ -82,9 +82,9 @@
     private int left;
 
     /** The messages of one seed. */
-    public Arrivals(Scenario scenario, Scenario.Layout layout, long seed) {
+    public ArrivalGenerator(Scenario scenario, Scenario.Layout layout, long seed) {
         this.scenario = scenario;
-        random = Draws.of(seed, "arrivals", 0);
+        random = RandomStreams.of(seed, "arrivals", 0);
         double rate = scenario.classes().stream()
                         .mapToDouble(Scenario.MessageClass::rate)
                         .sum()
@@ -96,7 +96,7 @@
         clumps = together / (alone + together);
         gap = ZigguratSampler.Exponential.of(random, SECOND / (rate * (alone + together)));
         picks = new Picks(scenario, layout, random);
-        backlog = new Picks(scenario, layout, Draws.of(seed, "backlog", 0));
+        backlog = new Picks(scenario, layout, RandomStreams.of(seed, "backlog", 0));
         waiting = clients.backlog();
         begin();
     }
--- a/src/main/java/pipitstage/lab/scenario/Faults.java
+++ b/src/main/java/loftflow/experiment/scenario/FaultSchedule.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,7 +12,7 @@
  * When what is struck: a scenario's failures for one seed, and from them the state of every endpoint at a time. Both drivers
  * ask the same object, so that they play the same failures.
  */
-public final class Faults {
+public final class FaultSchedule {
     private static final double HOUR = 3_600e6;
     /** A schedule that never ends would not be one. */
     private static final int MOST_BEGINNINGS = 10_000;
@@ -62,7 +62,7 @@
     private final List<Strike> discovery = new ArrayList<>();
     private final List<Strike> all = new ArrayList<>();
 
-    private Faults(Scenario.Layout layout) {
+    private FaultSchedule(Scenario.Layout layout) {
         layout.endpoints().forEach(e -> {
             ofEndpoint.add(new ArrayList<>());
             groups.add(layout.partners().get(e.partner()).group());
@@ -70,11 +70,11 @@
     }
 
     /** Draws what a scenario leaves open. */
-    public static Faults of(Scenario scenario, Scenario.Layout layout, long seed) {
-        Faults faults = new Faults(layout);
+    public static FaultSchedule of(Scenario scenario, Scenario.Layout layout, long seed) {
+        FaultSchedule faults = new FaultSchedule(layout);
         for (int i = 0; i < scenario.failures().size(); i++) {
             Scenario.Failure failure = scenario.failures().get(i);
-            UniformRandomProvider random = Draws.of(seed, "failure", i);
+            UniformRandomProvider random = RandomStreams.of(seed, "failure", i);
             for (long at : beginnings(failure, scenario.span(), random)) {
                 faults.strike(failure, at, scenario, layout, random);
             }
--- a/src/main/java/pipitstage/lab/scenario/Draws.java
+++ b/src/main/java/loftflow/experiment/scenario/RandomStreams.java
@@ -1,11 +1,11 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Streams of random numbers: each use has its own, so that a change to one part of a run leaves the draws of others alone. */
-public final class Draws {
-    private Draws() {}
+public final class RandomStreams {
+    private RandomStreams() {}
 
     /** The stream of a seed that has a name and a number. */
     public static UniformRandomProvider of(long seed, String name, long number) {
--- a/src/main/java/pipitstage/lab/scenario/Scenario.java
+++ b/src/main/java/loftflow/experiment/scenario/Scenario.java
@@ -1,13 +1,21 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import pipitstage.Policy;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
+import loftflow.policy.api.Zone;
 
 /**
- * What an experiment plays. Spans are in microseconds, rates a second. Made by {@link ScenarioFile}, which checks what is in
+ * What an experiment plays. Spans are in microseconds, rates a second. Made by {@link ScenarioReader}, which checks what is in
  * it; changed by {@code with...} for parts of it.
  *
  * @param span how long clients hand messages in
@@ -64,7 +72,7 @@
     /** A class of messages; {@code rate} is that of all relays together, {@code to} is null where it goes to all kinds. */
     public record MessageClass(
             String name,
-            Policy.Repeat repeat,
+            Idempotency repeat,
             long keyWindow,
             boolean keysByBuilding,
             long wanted,
@@ -237,17 +245,17 @@
     }
 
     /** What a relay's decision module is told at its start. */
-    public Policy.Settings settings(int relay, long seed, Layout layout, Rules rules) {
-        return new Policy.Settings(
+    public PolicySettings settings(int relay, long seed, Layout layout, Rules rules) {
+        return new PolicySettings(
                 seed + relay * STEP,
                 relay,
                 fleet.relays(),
                 building(relay, layout),
                 classes.stream()
-                        .map(c -> new Policy.RequestClass(
+                        .map(c -> new RequestClass(
                                 c.name(),
                                 c.repeat(),
-                                c.keysByBuilding() ? Policy.KeyScope.ZONE : Policy.KeyScope.ALL,
+                                c.keysByBuilding() ? KeyScope.ZONE : KeyScope.ALL,
                                 c.keyWindow(),
                                 c.wanted(),
                                 c.deadline(),
@@ -255,13 +263,15 @@
                                 c.lateWorth(),
                                 false))
                         .toList(),
-                tenants.stream().map(t -> new Policy.Tenant(t.name(), t.rate())).toList(),
+                tenants.stream()
+                        .map(t -> new loftflow.policy.api.Tenant(t.name(), t.rate()))
+                        .toList(),
                 groups.stream()
-                        .map(g -> new Policy.Kind(g.kind(), g.routesApart(), g.batch()))
+                        .map(g -> new DestinationKind(g.kind(), g.routesApart(), g.batch()))
                         .distinct()
                         .toList(),
-                layout.buildings().stream().map(b -> new Policy.Zone(b, 0)).toList(),
-                new Policy.Limits(
+                layout.buildings().stream().map(b -> new Zone(b, 0)).toList(),
+                new RelayLimits(
                         fleet.slots(),
                         fleet.messages(),
                         rules.attempts(),
@@ -271,12 +281,12 @@
                         false,
                         true,
                         rules.connectTimeout()),
-                new Policy.Rules(
+                new ServiceRules(
                         0, rules.drainGrace(), rules.fallMultiple(), rules.fallSpan(), coldFrom(), warmUp(), 0, 0),
                 rules.overShare(),
                 false,
                 false,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
     }
 
--- a/src/main/java/pipitstage/lab/scenario/ScenarioFile.java
+++ b/src/main/java/loftflow/experiment/scenario/ScenarioReader.java
@@ -1,18 +1,18 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import pipitstage.Policy;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.Node;
-import pipitstage.config.file.Units;
-import pipitstage.config.schema.Section;
+import loftflow.config.file.Finding;
+import loftflow.config.file.Node;
+import loftflow.config.file.Units;
+import loftflow.config.schema.TableReader;
+import loftflow.policy.api.Idempotency;
 
 /** Reads a scenario and finds what contradicts itself in it. */
-public final class ScenarioFile {
+public final class ScenarioReader {
     /** A relay may not be asked to hold more than its machine could: messages at all relays together. */
     private static final double MOST_MESSAGES = 50e6;
 
@@ -26,12 +26,12 @@
      */
     public record Read(Scenario scenario, List<Finding> findings) {}
 
-    private final Section top;
+    private final TableReader top;
     private final List<Finding> findings;
     private final Set<String> groups = new HashSet<>();
     private final Set<String> buildings = new HashSet<>();
 
-    private ScenarioFile(Section top, List<Finding> findings) {
+    private ScenarioReader(TableReader top, List<Finding> findings) {
         this.top = top;
         this.findings = findings;
     }
@@ -46,9 +46,9 @@
         List<Finding> findings = new ArrayList<>(grammar);
         Scenario scenario = null;
         if (findings.isEmpty()) {
-            Section top = Section.read(ScenarioForm.SCENARIO, file, node, false, findings);
+            TableReader top = TableReader.read(ScenarioSchema.SCENARIO, file, node, false, findings);
             if (findings.isEmpty()) {
-                scenario = new ScenarioFile(top, findings).scenario();
+                scenario = new ScenarioReader(top, findings).scenario();
             }
         }
         findings.sort(Finding.IN_ORDER);
@@ -56,9 +56,9 @@
     }
 
     private Scenario scenario() {
-        Section fleet = top.table("fleet");
-        Section clients = top.table("clients");
-        Section network = top.table("network");
+        TableReader fleet = top.table("fleet");
+        TableReader clients = top.table("clients");
+        TableReader network = top.table("network");
         List<Scenario.Group> all = top.tables("group").stream().map(this::group).toList();
         List<Scenario.MessageClass> classes =
                 top.tables("class").stream().map(c -> messageClass(c, all)).toList();
@@ -93,7 +93,7 @@
         return scenario;
     }
 
-    private Scenario.Group group(Section g) {
+    private Scenario.Group group(TableReader g) {
         if (!groups.add(g.text("name"))) {
             findings.add(g.at("name").error("a group of this name stands above"));
         }
@@ -151,14 +151,14 @@
                 g.whole("warm-up"));
     }
 
-    private Scenario.MessageClass messageClass(Section c, List<Scenario.Group> all) {
-        Policy.Repeat repeat = named(Policy.Repeat.class, c.text("repeat"));
+    private Scenario.MessageClass messageClass(TableReader c, List<Scenario.Group> all) {
+        Idempotency repeat = Idempotency.ofSettingName(c.text("repeat"));
         if (c.whole("deadline") <= c.whole("wanted")) {
             findings.add(c.at("deadline")
                     .error(Units.ofSpan(c.whole("deadline")) + " is no longer than wanted = "
                             + Units.ofSpan(c.whole("wanted")) + ": a message would be given up before it is late"));
         }
-        if (repeat == Policy.Repeat.BY_KEY && !c.has("key-window")) {
+        if (repeat == Idempotency.IDEMPOTENT_BY_KEY && !c.has("key-window")) {
             findings.add(c.at("key-window")
                     .error("is missing: a class by key needs the span for which partners drop a key"));
         }
@@ -188,7 +188,7 @@
                 c.names("to"));
     }
 
-    private Scenario.Failure failure(Section f, List<Scenario.Group> all) {
+    private Scenario.Failure failure(TableReader f, List<Scenario.Group> all) {
         Scenario.Kind kind = named(Scenario.Kind.class, f.text("kind"));
         if (f.has("group") && !groups.contains(f.text("group"))) {
             findings.add(f.at("group").error("there is no group " + f.text("group")));
@@ -248,7 +248,7 @@
                 f.number("part"));
     }
 
-    /** The value that {@link ScenarioText#word} writes so. */
+    /** The value that {@link ScenarioWriter#word} writes so. */
     private static <E extends Enum<E>> E named(Class<E> type, String word) {
         return Enum.valueOf(type, word.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
--- a/src/main/java/pipitstage/lab/scenario/ScenarioForm.java
+++ b/src/main/java/loftflow/experiment/scenario/ScenarioSchema.java
@@ -1,23 +1,23 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
-import static pipitstage.config.schema.Setting.Type.FLAG;
-import static pipitstage.config.schema.Setting.Type.NAME;
-import static pipitstage.config.schema.Setting.Type.NAMES;
-import static pipitstage.config.schema.Setting.Type.NUMBER;
-import static pipitstage.config.schema.Setting.Type.RATE;
-import static pipitstage.config.schema.Setting.Type.SPAN;
-import static pipitstage.config.schema.Setting.Type.TEXT;
-import static pipitstage.config.schema.Setting.Type.WHOLE;
+import static loftflow.config.schema.Setting.Type.FLAG;
+import static loftflow.config.schema.Setting.Type.NAME;
+import static loftflow.config.schema.Setting.Type.NAMES;
+import static loftflow.config.schema.Setting.Type.NUMBER;
+import static loftflow.config.schema.Setting.Type.RATE;
+import static loftflow.config.schema.Setting.Type.SPAN;
+import static loftflow.config.schema.Setting.Type.TEXT;
+import static loftflow.config.schema.Setting.Type.WHOLE;
 
 import java.util.List;
-import pipitstage.config.schema.Catalog;
+import loftflow.config.schema.Catalog;
 
 /** Every setting of a scenario file. */
-public final class ScenarioForm extends Catalog {
+public final class ScenarioSchema extends Catalog {
     /** The one there is. */
-    public static final ScenarioForm SCENARIO = new ScenarioForm();
+    public static final ScenarioSchema SCENARIO = new ScenarioSchema();
 
-    private ScenarioForm() {
+    private ScenarioSchema() {
         super("# Scenarios\n\nWritten by `loftflow lab reference` from what `loftflow lab` reads.\n");
         need("format", WHOLE, 1, 1, "The version of this form of file: 1.");
         need("name", NAME, 0, ANY, "The scenario's name.");
--- a/src/main/java/pipitstage/lab/scenario/ScenarioText.java
+++ b/src/main/java/loftflow/experiment/scenario/ScenarioWriter.java
@@ -1,19 +1,19 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
-import pipitstage.config.file.Units;
+import loftflow.config.file.Units;
 
-/** Writes a scenario as the file that {@link ScenarioFile} reads the same scenario from. */
-public final class ScenarioText {
+/** Writes a scenario as the file that {@link ScenarioReader} reads the same scenario from. */
+public final class ScenarioWriter {
     private final StringBuilder text = new StringBuilder();
 
-    private ScenarioText() {}
+    private ScenarioWriter() {}
 
     /** The file's text. */
     public static String of(Scenario s) {
-        ScenarioText t = new ScenarioText();
+        ScenarioWriter t = new ScenarioWriter();
         t.plain("format", "1");
         t.quoted("name", s.name());
         t.quoted("text", s.text());
@@ -51,7 +51,7 @@
     private void messageClass(Scenario.MessageClass c) {
         table("[[class]]");
         quoted("name", c.name());
-        quoted("repeat", word(c.repeat()));
+        quoted("repeat", c.repeat().settingName());
         if (c.keyWindow() > 0) {
             span("key-window", c.keyWindow());
         }
--- a/src/main/java/pipitstage/lab/scenario/Replayed.java
+++ b/src/main/java/loftflow/experiment/scenario/TraceArrivals.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.scenario;
+package loftflow.experiment.scenario;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * tenant and partner; the scenario's fleet says at which relay. What is of one tenant and one partner comes in at one relay, as
  * one program's traffic does.
  */
-public final class Replayed {
+public final class TraceArrivals {
     /** Guards against a trace that no machine holds at once. */
     public static final int MOST = 20_000_000;
 
@@ -26,11 +26,11 @@
     private final List<Arrival> arrivals = new ArrayList<>();
 
     /** An empty replay at a scenario's fleet. */
-    public Replayed(Scenario scenario, long seed) {
+    public TraceArrivals(Scenario scenario, long seed) {
         scenario.classes().forEach(c -> types.put(c.name(), types.size()));
         scenario.tenants().forEach(t -> tenants.put(t.name(), tenants.size()));
         relays = AliasMethodDiscreteSampler.of(
-                Draws.of(seed, "homes", 0),
+                RandomStreams.of(seed, "homes", 0),
                 Scenario.weights(scenario.fleet().relays(), scenario.fleet().skew()));
     }
 
--- a/src/main/java/pipitstage/standin/ByteCut.java
+++ b/src/main/java/loftflow/fake/ConnectionCutter.java
@@ -1,4 +1,4 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelDuplexHandler;
@@ -8,11 +8,11 @@
 import io.netty.util.ReferenceCountUtil;
 
 /** Ends a connection after so many bytes in a direction, wherever in a frame that is; 0 for never. */
-final class ByteCut extends ChannelDuplexHandler {
+final class ConnectionCutter extends ChannelDuplexHandler {
     private long readLeft;
     private long writtenLeft;
 
-    ByteCut(int afterRead, int afterWritten) {
+    ConnectionCutter(int afterRead, int afterWritten) {
         readLeft = afterRead == 0 ? Long.MAX_VALUE : afterRead;
         writtenLeft = afterWritten == 0 ? Long.MAX_VALUE : afterWritten;
     }
--- a/src/main/java/pipitstage/standin/StandInBroker.java
+++ b/src/main/java/loftflow/fake/FakeBroker.java
@@ -1,4 +1,4 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -29,20 +29,20 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import java.util.function.IntSupplier;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Command;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.amqp.link.Link;
-import pipitstage.amqp.link.ServerLink;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.Command;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.amqp.link.AmqpConnection;
+import loftflow.amqp.link.AmqpServerConnection;
 
 /**
  * A broker of AMQP 0-9-1 on a loopback port: exchanges, queues, confirms, returns, consumers with prefetch and
  * redelivery. It fails as it is told, and records every message that took effect, which is one that reached a queue.
  */
-public final class StandInBroker implements AutoCloseable {
+public final class FakeBroker implements AutoCloseable {
     /** What becomes of a publish. */
     public enum Fate {
         /** It takes effect and is confirmed. */
@@ -158,12 +158,12 @@
     private int names;
 
     /** A broker on a free port. */
-    public StandInBroker() throws IOException {
+    public FakeBroker() throws IOException {
         this(null);
     }
 
     /** A broker on a free port that speaks TLS, where there is a context for it. */
-    public StandInBroker(SslContext tls) throws IOException {
+    public FakeBroker(SslContext tls) throws IOException {
         this.tls = tls;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
@@ -207,7 +207,7 @@
         Session session = new Session(ch);
         ch.config().setAutoRead(reading);
         ch.pipeline()
-                .addLast(new ByteCut(
+                .addLast(new ConnectionCutter(
                         cut.afterRead().getAsInt(), cut.afterWritten().getAsInt()));
         if (tls != null) {
             ch.pipeline().addLast(tls.newHandler(ch.alloc()));
@@ -488,7 +488,7 @@
                     consumer.session.link.send(
                             state.number,
                             Method.of(
-                                    Op.BASIC_DELIVER,
+                                    MethodType.BASIC_DELIVER,
                                     consumer.tag,
                                     tag,
                                     message.redelivered,
@@ -506,18 +506,18 @@
         delivery.queue.ready.addFirst(delivery.message);
     }
 
-    private final class Session implements ServerLink.Owner {
+    private final class Session implements AmqpServerConnection.Owner {
         private final SocketChannel ch;
-        private final ServerLink link;
+        private final AmqpServerConnection link;
         private final Map<Integer, ChannelState> channels = new HashMap<>();
         private boolean knowsBlocked;
 
         Session(SocketChannel ch) {
             this.ch = ch;
-            link = new ServerLink(
-                    new ServerLink.Offer("stand-in", MOST_CHANNELS, FRAME_MAX, heartbeat),
+            link = new AmqpServerConnection(
+                    new AmqpServerConnection.Offer("stand-in", MOST_CHANNELS, FRAME_MAX, heartbeat),
                     MOST_BODY,
-                    Link.ANY_ROOM,
+                    AmqpConnection.ANY_ROOM,
                     this);
         }
 
@@ -542,9 +542,11 @@
             }
             link.send(
                     0,
-                    blocked ? Method.of(Op.CONNECTION_BLOCKED, "low on memory") : Method.of(Op.CONNECTION_UNBLOCKED));
+                    blocked
+                            ? Method.of(MethodType.CONNECTION_BLOCKED, "low on memory")
+                            : Method.of(MethodType.CONNECTION_UNBLOCKED));
             if (blocked) {
-                channels.keySet().forEach(c -> link.send(c, Method.of(Op.CHANNEL_FLOW, true)));
+                channels.keySet().forEach(c -> link.send(c, Method.of(MethodType.CHANNEL_FLOW, true)));
             } else {
                 knowsBlocked = false;
             }
@@ -561,8 +563,8 @@
             ChannelState state = channels.remove(channel);
             state.consumers.forEach(c -> c.queue.consumers.remove(c));
             List<Delivery> back = new ArrayList<>(state.unacked.descendingMap().values());
-            back.forEach(StandInBroker.this::requeue);
-            back.stream().map(Delivery::queue).distinct().forEach(StandInBroker.this::dispatch);
+            back.forEach(FakeBroker.this::requeue);
+            back.stream().map(Delivery::queue).distinct().forEach(FakeBroker.this::dispatch);
         }
 
         @Override
@@ -577,11 +579,11 @@
             switch (command.op()) {
                 case EXCHANGE_DECLARE -> {
                     exchange(m);
-                    answer(state, m, Method.of(Op.EXCHANGE_DECLARE_OK));
+                    answer(state, m, Method.of(MethodType.EXCHANGE_DECLARE_OK));
                 }
                 case EXCHANGE_DELETE -> {
                     exchanges.remove(m.text("exchange"));
-                    answer(state, m, Method.of(Op.EXCHANGE_DELETE_OK));
+                    answer(state, m, Method.of(MethodType.EXCHANGE_DELETE_OK));
                 }
                 case QUEUE_DECLARE -> queue(state, m);
                 case QUEUE_BIND -> {
@@ -591,20 +593,20 @@
                                 AmqpException.NOT_FOUND, "NOT_FOUND - no exchange " + m.text("exchange"));
                     }
                     exchanges.get(m.text("exchange")).bindings.add(new Binding(m.text("routing-key"), m.text("queue")));
-                    answer(state, m, Method.of(Op.QUEUE_BIND_OK));
+                    answer(state, m, Method.of(MethodType.QUEUE_BIND_OK));
                 }
                 case QUEUE_PURGE -> {
                     long there = existing(m.text("queue")).ready.size();
                     existing(m.text("queue")).ready.clear();
-                    answer(state, m, Method.of(Op.QUEUE_PURGE_OK, there));
+                    answer(state, m, Method.of(MethodType.QUEUE_PURGE_OK, there));
                 }
                 case QUEUE_DELETE -> {
                     Queue gone = queues.remove(m.text("queue"));
-                    answer(state, m, Method.of(Op.QUEUE_DELETE_OK, gone == null ? 0L : gone.ready.size()));
+                    answer(state, m, Method.of(MethodType.QUEUE_DELETE_OK, gone == null ? 0L : gone.ready.size()));
                 }
                 case BASIC_QOS -> {
                     state.prefetch = (int) m.number("prefetch-count");
-                    link.send(state.number, Method.of(Op.BASIC_QOS_OK));
+                    link.send(state.number, Method.of(MethodType.BASIC_QOS_OK));
                 }
                 case BASIC_CONSUME -> consume(state, m);
                 case BASIC_CANCEL -> cancel(state, m);
@@ -616,9 +618,9 @@
                 case BASIC_REJECT -> settle(state, m.number("delivery-tag"), false, false, m.flag("requeue"));
                 case CONFIRM_SELECT -> {
                     state.confirms = true;
-                    answer(state, m, Method.of(Op.CONFIRM_SELECT_OK));
+                    answer(state, m, Method.of(MethodType.CONFIRM_SELECT_OK));
                 }
-                case CHANNEL_FLOW -> link.send(state.number, Method.of(Op.CHANNEL_FLOW_OK, m.flag("active")));
+                case CHANNEL_FLOW -> link.send(state.number, Method.of(MethodType.CHANNEL_FLOW_OK, m.flag("active")));
                 case CHANNEL_FLOW_OK -> knowsBlocked = blocked;
                 default -> throw new AmqpException(AmqpException.NOT_IMPLEMENTED, command.op() + " is not implemented");
             }
@@ -655,7 +657,7 @@
         private void queue(ChannelState state, Method m) throws AmqpException {
             String name = m.text("queue").isEmpty() ? "amq.gen-" + names++ : m.text("queue");
             Queue queue = m.flag("passive") ? existing(name) : queues.computeIfAbsent(name, Queue::new);
-            answer(state, m, Method.of(Op.QUEUE_DECLARE_OK, name, (long) queue.ready.size(), (long)
+            answer(state, m, Method.of(MethodType.QUEUE_DECLARE_OK, name, (long) queue.ready.size(), (long)
                     queue.consumers.size()));
         }
 
@@ -663,7 +665,7 @@
             Queue queue = existing(m.text("queue"));
             String tag = m.text("consumer-tag").isEmpty() ? "ctag-" + names++ : m.text("consumer-tag");
             Consumer consumer = new Consumer(this, state, tag, queue, m.flag("no-ack"));
-            answer(state, m, Method.of(Op.BASIC_CONSUME_OK, tag));
+            answer(state, m, Method.of(MethodType.BASIC_CONSUME_OK, tag));
             state.consumers.add(consumer);
             queue.consumers.add(consumer);
             dispatch(queue);
@@ -677,14 +679,14 @@
                         state.consumers.remove(c);
                         c.queue.consumers.remove(c);
                     });
-            answer(state, m, Method.of(Op.BASIC_CANCEL_OK, m.text("consumer-tag")));
+            answer(state, m, Method.of(MethodType.BASIC_CANCEL_OK, m.text("consumer-tag")));
         }
 
         private void get(ChannelState state, Method m) throws AmqpException {
             Queue queue = existing(m.text("queue"));
             Stored message = queue.ready.poll();
             if (message == null) {
-                link.send(state.number, Method.of(Op.BASIC_GET_EMPTY));
+                link.send(state.number, Method.of(MethodType.BASIC_GET_EMPTY));
                 return;
             }
             long tag = ++state.delivered;
@@ -693,8 +695,13 @@
             }
             link.send(
                     state.number,
-                    Method.of(Op.BASIC_GET_OK, tag, message.redelivered, message.exchange, message.routingKey, (long)
-                            queue.ready.size()),
+                    Method.of(
+                            MethodType.BASIC_GET_OK,
+                            tag,
+                            message.redelivered,
+                            message.exchange,
+                            message.routingKey,
+                            (long) queue.ready.size()),
                     message.properties,
                     message.body);
         }
@@ -724,7 +731,7 @@
                     queues.computeIfAbsent(DEAD_LETTERS, Queue::new).ready.add(delivery.message);
                 }
             });
-            touched.forEach(StandInBroker.this::dispatch);
+            touched.forEach(FakeBroker.this::dispatch);
             state.consumers.forEach(c -> dispatch(c.queue));
         }
 
@@ -767,11 +774,16 @@
             if (runs && to.isEmpty() && m.flag("mandatory")) {
                 link.send(
                         state.number,
-                        Method.of(Op.BASIC_RETURN, AmqpException.NO_ROUTE, "NO_ROUTE", exchange, m.text("routing-key")),
+                        Method.of(
+                                MethodType.BASIC_RETURN,
+                                AmqpException.NO_ROUTE,
+                                "NO_ROUTE",
+                                exchange,
+                                m.text("routing-key")),
                         properties,
                         command.body());
             }
-            to.forEach(StandInBroker.this::dispatch);
+            to.forEach(FakeBroker.this::dispatch);
             if (fate == Fate.DROP_BEFORE || fate == Fate.DROP_AFTER) {
                 ch.close();
             } else if (fate == Fate.CLOSE_CHANNEL) {
@@ -779,7 +791,7 @@
                         state.number,
                         new AmqpException(
                                 AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - as the script wants it"),
-                        Op.BASIC_ACK);
+                        MethodType.BASIC_ACK);
             } else if (fate == Fate.CLOSE_CONNECTION) {
                 link.end(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - as the script wants it");
             } else if (tag > 0) {
@@ -789,13 +801,13 @@
 
         private void confirm(ChannelState state, long tag, Fate fate) {
             switch (fate) {
-                case NACK -> link.send(state.number, Method.of(Op.BASIC_NACK, tag, false, false));
+                case NACK -> link.send(state.number, Method.of(MethodType.BASIC_NACK, tag, false, false));
                 case CONFIRM_LATE -> {
                     state.held.put(tag, fate);
                     loop.schedule(
                             () -> {
                                 if (state.held.remove(tag) != null && link.isOpen(state.number)) {
-                                    link.send(state.number, Method.of(Op.BASIC_ACK, tag, false));
+                                    link.send(state.number, Method.of(MethodType.BASIC_ACK, tag, false));
                                 }
                             },
                             lateMillis,
@@ -808,14 +820,14 @@
 
         private void confirmHeld(ChannelState state, long tag) {
             boolean multiple = state.held.containsValue(Fate.CONFIRM_WITH_NEXT);
-            link.send(state.number, Method.of(Op.BASIC_ACK, tag, multiple));
+            link.send(state.number, Method.of(MethodType.BASIC_ACK, tag, multiple));
             if (multiple) {
                 state.held.clear();
             }
             state.held.entrySet().removeIf(held -> {
                 boolean next = held.getValue() == Fate.CONFIRM_AFTER_NEXT;
                 if (next) {
-                    link.send(state.number, Method.of(Op.BASIC_ACK, held.getKey(), false));
+                    link.send(state.number, Method.of(MethodType.BASIC_ACK, held.getKey(), false));
                 }
                 return next;
             });
--- a/src/main/java/pipitstage/standin/StandInClient.java
+++ b/src/main/java/loftflow/fake/FakeClient.java
@@ -1,14 +1,14 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import pipitstage.http.Headers;
+import loftflow.http.Headers;
 
 /** A program that hands messages in to a relay (PROTOCOL, Clients to relays), one at a time on a kept connection. */
-public final class StandInClient implements AutoCloseable {
+public final class FakeClient implements AutoCloseable {
     private static final int PATIENCE_MS = 5000;
 
     private final String host;
@@ -17,7 +17,7 @@
     private BufferedReader in;
 
     /** A client of the relay at an address. */
-    public StandInClient(String host, int port) {
+    public FakeClient(String host, int port) {
         this.host = host;
         this.port = port;
     }
--- a/src/main/java/pipitstage/standin/StandInDiscovery.java
+++ b/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
@@ -1,4 +1,4 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -12,20 +12,20 @@
  * Discovery's agent on a loopback port (PROTOCOL, Discovery and Notices): tells a list of endpoints and its changes to
  * those who watch, and records every notice.
  */
-public final class StandInDiscovery implements AutoCloseable {
+public final class FakeDiscoveryAgent implements AutoCloseable {
     /** A notice of an end. */
     public record Notice(String ref, String result) {}
 
     private static final Pattern AFTER = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
     private static final Pattern NOTICE = Pattern.compile("\"ref\":\"([^\"]*)\",\"result\":\"([a-z]*)\"");
 
-    private StubPeer peer;
+    private ScriptedPeer peer;
     private final List<Notice> notices = new CopyOnWriteArrayList<>();
     private List<String> entries = List.of();
     private long revision;
 
-    public StandInDiscovery() throws IOException {
-        peer = new StubPeer(this::answer);
+    public FakeDiscoveryAgent() throws IOException {
+        peer = new ScriptedPeer(this::answer);
     }
 
     public String address() {
@@ -65,26 +65,26 @@
 
     /** Is back at the same address. */
     public void restart() throws IOException {
-        peer = new StubPeer(peer.port(), this::answer);
+        peer = new ScriptedPeer(peer.port(), this::answer);
     }
 
-    private String answer(StubPeer.Request request) {
+    private String answer(ScriptedPeer.Request request) {
         if (request.line().startsWith("POST /status ")) {
             Matcher each = NOTICE.matcher(request.body());
             while (each.find()) {
                 notices.add(new Notice(each.group(1), each.group(2)));
             }
-            return StubPeer.status(204);
+            return ScriptedPeer.status(204);
         }
         if (!request.line().startsWith("GET /api/targets")) {
-            return StubPeer.status(404);
+            return ScriptedPeer.status(404);
         }
         Matcher watch = AFTER.matcher(request.line());
         return watch.find() ? changes(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2))) : whole();
     }
 
     private synchronized String whole() {
-        return StubPeer.answer(
+        return ScriptedPeer.answer(
                 200, "{\"rev\":" + revision + ",\"all\":true,\"targets\":[" + String.join(",", entries) + "]}");
     }
 
@@ -101,7 +101,7 @@
         }
         return revision > after
                 ? whole()
-                : StubPeer.answer(200, "{\"rev\":" + revision + ",\"all\":false,\"targets\":[]}");
+                : ScriptedPeer.answer(200, "{\"rev\":" + revision + ",\"all\":false,\"targets\":[]}");
     }
 
     @Override
--- a/src/main/java/pipitstage/standin/StandInPartner.java
+++ b/src/main/java/loftflow/fake/FakePartner.java
@@ -1,4 +1,4 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import pipitstage.http.Headers;
+import loftflow.http.Headers;
 
 /**
  * A partner's endpoint on a loopback port (PROTOCOL, Relays to hosts): takes calls of one message, within a limit and in
  * a stated time, fails as it is told, and records every posting. What took effect is counted by id, so that a message
  * that took effect twice shows.
  */
-public final class StandInPartner implements AutoCloseable {
+public final class FakePartner implements AutoCloseable {
     /** How a call is met. */
     public enum Mood {
         /** 200 after the response time. */
@@ -34,7 +34,7 @@
     private static final long SECOND = 1_000_000_000;
     private static final int NO_ANSWER = 0;
 
-    private final StubPeer peer;
+    private final ScriptedPeer peer;
     private final long responseMillis;
     private final int limit;
     private final List<Posting> postings = new ArrayList<>();
@@ -54,10 +54,10 @@
      * @param responseMillis how long a call takes
      * @param limit calls that it takes in any second; more are answered 503; 0 for no limit
      */
-    public StandInPartner(long responseMillis, int limit) throws IOException {
+    public FakePartner(long responseMillis, int limit) throws IOException {
         this.responseMillis = responseMillis;
         this.limit = limit;
-        peer = new StubPeer(this::meet);
+        peer = new ScriptedPeer(this::meet);
     }
 
     public String address() {
@@ -111,12 +111,12 @@
         return Map.copyOf(effects);
     }
 
-    private String meet(StubPeer.Request request) {
+    private String meet(ScriptedPeer.Request request) {
         if (request.line().startsWith("GET /-/")) {
             return check();
         }
         if (!request.line().startsWith("POST /receive ")) {
-            return StubPeer.status(404);
+            return ScriptedPeer.status(404);
         }
         Mood now;
         synchronized (this) {
@@ -131,23 +131,23 @@
                     ran,
                     status));
             if (!ran) {
-                return StubPeer.status(503);
+                return ScriptedPeer.status(503);
             }
             effects.merge(request.id(), 1, Integer::sum);
         }
         if (now == Mood.RESETS) {
-            return StubPeer.CLOSE;
+            return ScriptedPeer.CLOSE;
         }
         if (now == Mood.SILENT) {
-            return StubPeer.SILENCE;
+            return ScriptedPeer.SILENCE;
         }
         pause(now == Mood.LATE ? late() : responseMillis);
-        return StubPeer.status(200);
+        return ScriptedPeer.status(200);
     }
 
     private synchronized String check() {
         checks.add(System.nanoTime());
-        return StubPeer.status(mood == Mood.SHUT ? 503 : 200);
+        return ScriptedPeer.status(mood == Mood.SHUT ? 503 : 200);
     }
 
     private boolean hasRoom() {
--- a/src/main/java/pipitstage/standin/StubPeer.java
+++ b/src/main/java/loftflow/fake/ScriptedPeer.java
@@ -1,4 +1,4 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
@@ -21,7 +21,7 @@
  * A peer on a loopback port that speaks just enough HTTP/1.1 to stand in for a host or discovery: it keeps every
  * request and answers each as it is told, or breaks off, or says nothing. One thread a connection.
  */
-public final class StubPeer implements AutoCloseable {
+public final class ScriptedPeer implements AutoCloseable {
     private static final int PATIENCE_S = 10;
     private static final int BACKLOG = 50;
 
@@ -47,12 +47,12 @@
     private volatile Function<Request, String> answers;
 
     /** A peer on any free port. */
-    public StubPeer(Function<Request, String> answers) throws IOException {
+    public ScriptedPeer(Function<Request, String> answers) throws IOException {
         this(0, answers);
     }
 
     /** A peer on a port of its own, or on any where that is 0. */
-    public StubPeer(int port, Function<Request, String> answers) throws IOException {
+    public ScriptedPeer(int port, Function<Request, String> answers) throws IOException {
         this.answers = answers;
         listener = listen(port);
         daemon(this::accept);
@@ -74,8 +74,8 @@
     }
 
     /** A peer that gives one answer to everything. */
-    public static StubPeer always(String answer) throws IOException {
-        return new StubPeer(request -> answer);
+    public static ScriptedPeer always(String answer) throws IOException {
+        return new ScriptedPeer(request -> answer);
     }
 
     /** An answer with a status, headers such as {@code "X: y"} and no body. */
--- a/src/main/java/pipitstage/standin/ServedRelay.java
+++ b/src/main/java/loftflow/fake/ServedRelay.java
@@ -1,4 +1,4 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import java.io.File;
 import java.io.IOException;
@@ -18,7 +18,7 @@
     private static final Pattern SERVING_AMQP = Pattern.compile("serving AMQP on \\S*?([0-9.]+):(\\d+)");
     private static final Pattern SERVING_HTTP2 = Pattern.compile("serving HTTP/2 on \\S*?([0-9.]+):(\\d+)");
     private static final Pattern ANY = Pattern.compile("serving (AMQP |HTTP/2 )?on |amqp: consuming queue");
-    private static final String MAIN = "pipitstage.cli.Main";
+    private static final String MAIN = "loftflow.cli.Main";
     private static final int PATIENCE_S = 30;
     private static final int LOOK_MS = 20;
     private static final double TICKS = 100;
@@ -143,8 +143,8 @@
     }
 
     /** A new client of its first front, which speaks HTTP/1.1. */
-    public StandInClient client() throws IOException {
-        return new StandInClient(host(), port());
+    public FakeClient client() throws IOException {
+        return new FakeClient(host(), port());
     }
 
     /** All that it has printed. */
--- a/src/main/java/pipitstage/standin/Scratch.java
+++ b/src/main/java/loftflow/fake/TemporaryFolder.java
@@ -1,4 +1,4 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,15 +6,15 @@
 import java.util.Comparator;
 
 /** A folder for a while, which is gone with all that it holds when its work is done. */
-public record Scratch(Path folder) implements AutoCloseable {
+public record TemporaryFolder(Path folder) implements AutoCloseable {
     /** A new one among temporary files, with a name that begins so. */
-    public static Scratch named(String name) throws IOException {
-        return new Scratch(Files.createTempDirectory(name));
+    public static TemporaryFolder named(String name) throws IOException {
+        return new TemporaryFolder(Files.createTempDirectory(name));
     }
 
     /** A new one in a folder, which is made where it is not there. */
-    public static Scratch in(Path folder, String name) throws IOException {
-        return new Scratch(Files.createTempDirectory(Files.createDirectories(folder), name));
+    public static TemporaryFolder in(Path folder, String name) throws IOException {
+        return new TemporaryFolder(Files.createTempDirectory(Files.createDirectories(folder), name));
     }
 
     @Override
--- a/src/main/java/pipitstage/standin/package-info.java
+++ b/src/main/java/loftflow/fake/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: nothing of the relay but names of headers and, for the broker, {@code amqp.codec} and {@code amqp.link}.
  */
-package pipitstage.standin;
+package loftflow.fake;
--- a/src/main/java/pipitstage/http/ConnectionTimer.java
+++ b/src/main/java/loftflow/http/ConnectionTimer.java
@@ -1,4 +1,4 @@
-package pipitstage.http;
+package loftflow.http;
 
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/pipitstage/http/Headers.java
+++ b/src/main/java/loftflow/http/Headers.java
@@ -1,4 +1,4 @@
-package pipitstage.http;
+package loftflow.http;
 
 /** Names of headers that carry a message over HTTP/1.1, to a relay and from it (PROTOCOL). */
 public final class Headers {
--- a/src/main/java/pipitstage/http/UnreadBytes.java
+++ b/src/main/java/loftflow/http/UnreadBytes.java
@@ -1,4 +1,4 @@
-package pipitstage.http;
+package loftflow.http;
 
 import io.netty.channel.Channel;
 import io.netty.channel.nio.AbstractNioChannel;
--- a/src/main/java/pipitstage/http/package-info.java
+++ b/src/main/java/loftflow/http/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: Netty.
  */
-package pipitstage.http;
+package loftflow.http;
--- a/src/main/java/pipitstage/journal/Journal.java
+++ b/src/main/java/loftflow/journal/Journal.java
@@ -1,4 +1,4 @@
-package pipitstage.journal;
+package loftflow.journal;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -16,11 +16,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pipitstage.Policy;
-import pipitstage.engine.Message;
-import pipitstage.engine.WriteAhead;
-import pipitstage.log.Log;
-import pipitstage.records.Records;
+import loftflow.engine.Message;
+import loftflow.engine.WriteAheadLog;
+import loftflow.log.Log;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.PastAttempt;
+import loftflow.recordfile.RecordFile;
 
 /**
  * The write-ahead journal of accepted work: one segment of records, each with its length and checksum.
@@ -29,7 +30,7 @@
  *
  * <p>Appending needs no sync: what was written outlasts the process, and nothing outlasts the machine.
  */
-public final class Journal implements WriteAhead, AutoCloseable {
+public final class Journal implements WriteAheadLog, AutoCloseable {
     // Shares of the disk. Both segments are there during rewriting: 0.5 + 0.4 at the most.
     private static final double LARGEST_OPEN = 0.3; // what is open when a message is taken on
     private static final double LARGEST_FINISHED = 0.1; // then the segment is rewritten
@@ -197,7 +198,7 @@
             return false;
         }
         try {
-            Records.write(segment, record, size);
+            RecordFile.write(segment, record, size);
             size += record.length;
             return true;
         } catch (IOException e) {
@@ -231,7 +232,7 @@
             try {
                 for (Open entry : open.values()) {
                     byte[] records = recordsOf(entry.message);
-                    Records.write(channel, records, written);
+                    RecordFile.write(channel, records, written);
                     written += records.length;
                     sizes.put(entry.message.number(), (long) records.length);
                 }
@@ -309,22 +310,22 @@
             out.writeUTF(attempt.route());
             out.writeLong(attempt.sentAt());
             writeOptional(
-                    out, attempt.result() == null ? null : attempt.result().name());
+                    out, attempt.result() == null ? null : attempt.result().code());
         }
     }
 
     private static Message readResent(DataInputStream in, long number) throws IOException {
         long entry = in.readLong();
         int count = in.readInt();
-        List<Policy.PastAttempt> past = new ArrayList<>();
+        List<PastAttempt> past = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String route = in.readUTF();
             long sentAt = in.readLong();
             String result = readOptional(in);
-            past.add(new Policy.PastAttempt(route, sentAt, result == null ? null : Policy.Result.valueOf(result)));
+            past.add(new PastAttempt(route, sentAt, result == null ? null : AttemptOutcome.ofCode(result)));
         }
         Message message = new Message(number, readContent(in, null, null), entry);
-        past.forEach(p -> message.addAttempt(p.route(), p.sentAt()).result(p.result()));
+        past.forEach(p -> message.addAttempt(p.route(), p.sentAtMicros()).result(p.outcome()));
         return message;
     }
 
@@ -343,7 +344,7 @@
             out.writeByte(RESULT);
             out.writeLong(message.number());
             out.writeInt(attempt.number());
-            out.writeUTF(attempt.result().name());
+            out.writeUTF(attempt.result().code());
         };
     }
 
@@ -364,16 +365,16 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return Records.seal(bytes.toByteArray());
+        return RecordFile.seal(bytes.toByteArray());
     }
 
     private void replay() throws IOException {
-        ByteBuffer all = Records.all(segment);
-        byte[] payload = Records.next(all);
+        ByteBuffer all = RecordFile.all(segment);
+        byte[] payload = RecordFile.next(all);
         while (payload != null) {
             replay(payload, size);
             size = all.position();
-            payload = Records.next(all);
+            payload = RecordFile.next(all);
         }
         if (size < segment.size()) {
             Log.line("journal: a torn tail of " + (segment.size() - size) + " bytes is cut off");
@@ -388,21 +389,21 @@
             int type = in.readByte();
             number = in.readLong();
             if (type == ACCEPTED) {
-                add(new Message(number, readContent(in, null, null)), payload.length + Records.HEAD);
+                add(new Message(number, readContent(in, null, null)), payload.length + RecordFile.HEAD);
                 return;
             }
             if (type == ACCEPTED_IN_LINE) {
                 String line = in.readUTF();
-                add(new Message(number, readContent(in, null, line)), payload.length + Records.HEAD);
+                add(new Message(number, readContent(in, null, line)), payload.length + RecordFile.HEAD);
                 return;
             }
             if (type == ACCEPTED_FOR_REPLY) {
                 Message.Reply reply = new Message.Reply(in.readUTF(), in.readUTF(), readOptional(in));
-                add(new Message(number, readContent(in, reply, null)), payload.length + Records.HEAD);
+                add(new Message(number, readContent(in, reply, null)), payload.length + RecordFile.HEAD);
                 return;
             }
             if (type == RESENT) {
-                add(readResent(in, number), payload.length + Records.HEAD);
+                add(readResent(in, number), payload.length + RecordFile.HEAD);
                 return;
             }
             lastNumber = Math.max(lastNumber, number);
@@ -410,12 +411,12 @@
             if (entry == null) {
                 return;
             }
-            entry.bytes += payload.length + Records.HEAD;
-            openBytes += payload.length + Records.HEAD;
+            entry.bytes += payload.length + RecordFile.HEAD;
+            openBytes += payload.length + RecordFile.HEAD;
             Message message = entry.message;
             switch (type) {
                 case ATTEMPT -> replayAttempt(message, in.readInt(), in.readUTF(), in.readLong());
-                case RESULT -> replayResult(message, in.readInt(), Policy.Result.valueOf(in.readUTF()));
+                case RESULT -> replayResult(message, in.readInt(), AttemptOutcome.ofCode(in.readUTF()));
                 case DECIDED -> message.decide(
                         new Message.End(Message.End.Kind.values()[in.readByte()], in.readLong()));
                 case DONE -> forget(number);
@@ -441,7 +442,7 @@
     }
 
     /** Its attempt may have no record: one whose time was up before it could be sent has a result alone. */
-    private static void replayResult(Message message, int number, Policy.Result result) throws IOException {
+    private static void replayResult(Message message, int number, AttemptOutcome result) throws IOException {
         addUnrecorded(message, number + 1, NOWHERE, 0);
         message.attempts().get(number).result(result);
     }
@@ -452,7 +453,7 @@
             throw new IOException("attempt " + count + " is one of too many");
         }
         while (message.attempts().size() < count) {
-            message.addAttempt(route, sentAt).result(Policy.Result.NOT_SENT);
+            message.addAttempt(route, sentAt).result(AttemptOutcome.NOT_SENT);
         }
     }
 
--- a/src/main/java/pipitstage/Fields.java
+++ b/src/main/java/loftflow/json/JsonFields.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package loftflow.json;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -9,34 +9,34 @@
 import java.util.Map;
 
 /** Named access to a JSON object or to an array of values in a known order. */
-public final class Fields {
+public final class JsonFields {
     private final String where;
     private final Map<?, ?> members;
     private final List<?> values;
 
-    private Fields(String where, Map<?, ?> members, List<?> values) {
+    private JsonFields(String where, Map<?, ?> members, List<?> values) {
         this.where = where;
         this.members = members;
         this.values = values;
     }
 
-    public static Fields ofObject(String where, Object json) {
+    public static JsonFields ofObject(String where, Object json) {
         if (json instanceof Map<?, ?> members) {
-            return new Fields(where, members, List.of());
+            return new JsonFields(where, members, List.of());
         }
-        throw new WireException(where + ": an object is needed");
+        throw new MalformedInputException(where + ": an object is needed");
     }
 
-    public static Fields ofArray(String where, Object json) {
+    public static JsonFields ofArray(String where, Object json) {
         if (json instanceof List<?> values) {
-            return new Fields(where, Map.of(), values);
+            return new JsonFields(where, Map.of(), values);
         }
-        throw new WireException(where + ": an array is needed");
+        throw new MalformedInputException(where + ": an array is needed");
     }
 
     /** An array that begins with its own name. */
-    static Fields ofMessage(Object json) {
-        Fields message = ofArray("message", json);
+    public static JsonFields ofMessage(Object json) {
+        JsonFields message = ofArray("message", json);
         return ofArray(message.text(0), json);
     }
 
@@ -44,7 +44,7 @@
     public static Object read(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new WireException("the line ends early");
+            throw new MalformedInputException("the line ends early");
         }
         return switch (token) {
             case START_ARRAY -> readArray(parser);
@@ -54,7 +54,7 @@
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new WireException("unexpected " + token);
+            default -> throw new MalformedInputException("unexpected " + token);
         };
     }
 
@@ -83,7 +83,7 @@
         return members.get(at);
     }
 
-    public Fields object(Object at) {
+    public JsonFields object(Object at) {
         return ofObject(where + "." + at, value(at));
     }
 
@@ -151,7 +151,7 @@
         return value(at) == null ? absent : micros(at);
     }
 
-    private WireException missing(Object at, String what) {
-        return new WireException(where + ": value " + at + " must be " + what);
+    private MalformedInputException missing(Object at, String what) {
+        return new MalformedInputException(where + ": value " + at + " must be " + what);
     }
 }
--- a/src/main/java/pipitstage/front/Front.java
+++ b/src/main/java/loftflow/listener/Listener.java
@@ -1,7 +1,7 @@
-package pipitstage.front;
+package loftflow.listener;
 
 /** A way in for messages, as the relay's end sees it. To be called on the event loop. */
-public interface Front {
+public interface Listener {
     /** Takes nothing new where a client can go elsewhere; what a client has begun is still answered. */
     void drain();
 
--- a/src/main/java/pipitstage/front/amqp/AmqpServer.java
+++ b/src/main/java/loftflow/listener/amqp/AmqpListener.java
@@ -1,4 +1,4 @@
-package pipitstage.front.amqp;
+package loftflow.listener.amqp;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -13,27 +13,27 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Assembler;
-import pipitstage.amqp.link.ServerLink;
-import pipitstage.amqp.mapping.Mapping;
-import pipitstage.amqp.mapping.NamelessIds;
-import pipitstage.duplicates.Seen;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Ends;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Message;
-import pipitstage.engine.Pulse;
-import pipitstage.front.Front;
-import pipitstage.front.door.Door;
-import pipitstage.log.Log;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.CommandAssembler;
+import loftflow.amqp.link.AmqpServerConnection;
+import loftflow.amqp.mapping.GeneratedIds;
+import loftflow.amqp.mapping.MessageMapping;
+import loftflow.deduplication.Deduplicator;
+import loftflow.engine.Clock;
+import loftflow.engine.CompletionNotifier;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.Message;
+import loftflow.engine.MessageAcceptor;
+import loftflow.listener.Listener;
+import loftflow.listener.connection.Acceptor;
+import loftflow.log.Log;
 
 /**
  * Listens for programs that publish straight to the relay. Publishes are taken in confirm mode alone: a confirm means
  * that the message is taken on, a refusal that it is not and may be published again. Ends lie in the journal until a
  * consumer of their queue has acknowledged them.
  */
-public final class AmqpServer implements Front, Replies {
+public final class AmqpListener implements Listener, CompletionReplier {
     /**
      * How it is set.
      *
@@ -49,11 +49,17 @@
             String user,
             String password,
             int connections,
-            ServerLink.Offer offer,
+            AmqpServerConnection.Offer offer,
             long replyHold) {}
 
     /** What everything here works with. */
-    record Parts(Intake intake, Clock clock, Pulse pulse, Mapping mapping, Seen seen, Options options) {}
+    record Parts(
+            MessageAcceptor intake,
+            Clock clock,
+            EventLoopLag pulse,
+            MessageMapping mapping,
+            Deduplicator seen,
+            Options options) {}
 
     /** Someone who takes ends. */
     interface Taker {
@@ -79,11 +85,11 @@
 
     private final Parts parts;
     private final Consumer<Message> heard;
-    private final Ends others;
+    private final CompletionNotifier others;
     private final Map<String, Waiting> queues = new HashMap<>();
-    private final Set<Session> sessions = new LinkedHashSet<>();
-    private final NamelessIds ids;
-    private final Door door;
+    private final Set<PublisherSession> sessions = new LinkedHashSet<>();
+    private final GeneratedIds ids;
+    private final Acceptor door;
     private EventLoop loop;
     private int buffered;
     private boolean draining;
@@ -94,20 +100,20 @@
      * @param heard told of each end that a program has
      * @param others where ends go that nobody takes
      */
-    public AmqpServer(
-            Intake intake,
+    public AmqpListener(
+            MessageAcceptor intake,
             Clock clock,
-            Pulse pulse,
-            Mapping mapping,
-            Seen seen,
+            EventLoopLag pulse,
+            MessageMapping mapping,
+            Deduplicator seen,
             Options options,
             Consumer<Message> heard,
-            Ends others) {
+            CompletionNotifier others) {
         parts = new Parts(intake, clock, pulse, mapping, seen, options);
         this.heard = heard;
         this.others = others;
-        door = new Door(pulse, this::accept);
-        ids = new NamelessIds(options.name(), clock.micros());
+        door = new Acceptor(pulse, this::accept);
+        ids = new GeneratedIds(options.name(), clock.micros());
     }
 
     /** Listens at an address. */
@@ -118,11 +124,11 @@
     }
 
     private void accept(Channel ch) {
-        Session session = new Session(this, parts);
-        ServerLink link = new ServerLink(
+        PublisherSession session = new PublisherSession(this, parts);
+        AmqpServerConnection link = new AmqpServerConnection(
                 parts.options().offer(),
                 MOST_BODY,
-                new Assembler.Room() {
+                new CommandAssembler.Room() {
                     @Override
                     public boolean take(int bytes) {
                         if (buffered + bytes > MOST_BUFFERED) {
@@ -141,7 +147,8 @@
         session.attach(link);
         // Guards against clients that take every descriptor: of those that are not in yet the oldest goes first.
         if (sessions.size() >= parts.options().connections()) {
-            Session first = sessions.stream().filter(s -> !s.isIn()).findFirst().orElse(null);
+            PublisherSession first =
+                    sessions.stream().filter(s -> !s.isIn()).findFirst().orElse(null);
             if (first == null) {
                 ch.close();
                 return;
@@ -162,11 +169,11 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    void closed(Session session) {
+    void closed(PublisherSession session) {
         sessions.remove(session);
     }
 
-    NamelessIds ids() {
+    GeneratedIds ids() {
         return ids;
     }
 
@@ -270,7 +277,7 @@
 
     @Override
     public boolean isAnswering() {
-        return sessions.stream().anyMatch(Session::isAnswering);
+        return sessions.stream().anyMatch(PublisherSession::isAnswering);
     }
 
     @Override
--- a/src/main/java/pipitstage/front/amqp/Replies.java
+++ b/src/main/java/loftflow/listener/amqp/CompletionReplier.java
@@ -1,9 +1,9 @@
-package pipitstage.front.amqp;
+package loftflow.listener.amqp;
 
-import pipitstage.engine.Message;
+import loftflow.engine.Message;
 
 /** A front that tells the ends of messages that came by it; each is heard once whoever asked for it has it. */
-public interface Replies {
+public interface CompletionReplier {
     /** Tells how a message ended, then or as soon as that can be done. */
     void tell(Message message);
 }
--- a/src/main/java/pipitstage/front/amqp/Session.java
+++ b/src/main/java/loftflow/listener/amqp/PublisherSession.java
@@ -1,4 +1,4 @@
-package pipitstage.front.amqp;
+package loftflow.listener.amqp;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Command;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.amqp.link.ServerLink;
-import pipitstage.amqp.mapping.Mapping;
-import pipitstage.engine.Message;
-import pipitstage.log.Log;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.Command;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.amqp.link.AmqpServerConnection;
+import loftflow.amqp.mapping.MessageMapping;
+import loftflow.engine.Message;
+import loftflow.log.Log;
 
 /** One program's connection: its publishes, and the ends that it takes. */
-final class Session implements ServerLink.Owner {
+final class PublisherSession implements AmqpServerConnection.Owner {
     /** Publishes without an answer from which on nothing more is read of the connection. */
     private static final int MOST_UNANSWERED = 256;
 
@@ -44,17 +44,17 @@
             if (id != null) {
                 parts.seen().add(id);
             }
-            answer(Method.of(Op.BASIC_ACK, tag, false));
+            answer(Method.of(MethodType.BASIC_ACK, tag, false));
         }
 
         @Override
         public void refused(long retryIn) {
-            answer(Method.of(Op.BASIC_NACK, tag, false, false));
+            answer(Method.of(MethodType.BASIC_NACK, tag, false, false));
         }
 
         @Override
         public void failed() {
-            answer(Method.of(Op.BASIC_NACK, tag, false, false));
+            answer(Method.of(MethodType.BASIC_NACK, tag, false, false));
         }
 
         private void answer(Method method) {
@@ -76,7 +76,7 @@
     private record Out(Consumer consumer, Message message) {}
 
     /** Someone who consumes a queue of ends. */
-    private final class Consumer implements AmqpServer.Taker {
+    private final class Consumer implements AmqpListener.Taker {
         private final Channel channel;
         private final String queue;
         private final String tag;
@@ -102,9 +102,9 @@
             }
             link.send(
                     channel.number,
-                    Method.of(Op.BASIC_DELIVER, tag, number, again, "", queue),
-                    ReplyText.properties(message),
-                    ReplyText.body(message));
+                    Method.of(MethodType.BASIC_DELIVER, tag, number, again, "", queue),
+                    ReplyBody.properties(message),
+                    ReplyBody.body(message));
             if (noAck) {
                 server.heard(message);
             }
@@ -127,21 +127,21 @@
         }
     }
 
-    private final AmqpServer server;
-    private final AmqpServer.Parts parts;
+    private final AmqpListener server;
+    private final AmqpListener.Parts parts;
     private final Map<Integer, Channel> channels = new HashMap<>();
-    private ServerLink link;
+    private AmqpServerConnection link;
     private boolean in;
     private boolean paused;
     private int unanswered;
     private int names;
 
-    Session(AmqpServer server, AmqpServer.Parts parts) {
+    PublisherSession(AmqpListener server, AmqpListener.Parts parts) {
         this.server = server;
         this.parts = parts;
     }
 
-    void attach(ServerLink to) {
+    void attach(AmqpServerConnection to) {
         link = to;
     }
 
@@ -212,17 +212,17 @@
         switch (command.op()) {
             case CONFIRM_SELECT -> {
                 channel.confirms = true;
-                answer(channel, m, Method.of(Op.CONFIRM_SELECT_OK));
+                answer(channel, m, Method.of(MethodType.CONFIRM_SELECT_OK));
             }
             case BASIC_PUBLISH -> publish(channel, command);
             case EXCHANGE_DECLARE -> {
                 checkExchange(m.text("exchange"));
-                answer(channel, m, Method.of(Op.EXCHANGE_DECLARE_OK));
+                answer(channel, m, Method.of(MethodType.EXCHANGE_DECLARE_OK));
             }
             case QUEUE_DECLARE -> declare(channel, m);
             case BASIC_QOS -> {
                 channel.prefetch = (int) m.number("prefetch-count");
-                link.send(channel.number, Method.of(Op.BASIC_QOS_OK));
+                link.send(channel.number, Method.of(MethodType.BASIC_QOS_OK));
                 channel.consumers.values().forEach(c -> server.dispatch(c.queue));
             }
             case BASIC_CONSUME -> consume(channel, m);
@@ -231,14 +231,14 @@
                 if (gone != null) {
                     server.removeTaker(gone.queue, gone);
                 }
-                answer(channel, m, Method.of(Op.BASIC_CANCEL_OK, m.text("consumer-tag")));
+                answer(channel, m, Method.of(MethodType.BASIC_CANCEL_OK, m.text("consumer-tag")));
             }
             case BASIC_ACK -> settle(channel, m, m.flag("multiple"), true);
             case BASIC_NACK -> settle(channel, m, m.flag("multiple"), !m.flag("requeue"));
             case BASIC_REJECT -> settle(channel, m, false, !m.flag("requeue"));
             case CHANNEL_FLOW -> {
                 channel.flows = m.flag("active");
-                link.send(channel.number, Method.of(Op.CHANNEL_FLOW_OK, channel.flows));
+                link.send(channel.number, Method.of(MethodType.CHANNEL_FLOW_OK, channel.flows));
                 channel.consumers.values().forEach(c -> server.dispatch(c.queue));
             }
             default -> throw new AmqpException(
@@ -288,7 +288,7 @@
         Message.Reply reply = replyTo == null
                 ? null
                 : new Message.Reply(parts.options().name(), replyTo, properties.text(Property.CORRELATION_ID));
-        Mapping.Mapped mapped = parts.mapping()
+        MessageMapping.Mapped mapped = parts.mapping()
                 .map(
                         properties,
                         m.text("exchange"),
@@ -297,7 +297,7 @@
                         parts.pulse().unreadSince(),
                         server.ids(),
                         reply);
-        if (mapped instanceof Mapping.Misfits misfit) {
+        if (mapped instanceof MessageMapping.Misfits misfit) {
             refuse(
                     channel,
                     tag,
@@ -305,11 +305,11 @@
                     AmqpException.PRECONDITION_FAILED,
                     "PRECONDITION_FAILED - " + misfit.reason());
         } else {
-            takeOn(channel, tag, command, (Mapping.Fits) mapped);
+            takeOn(channel, tag, command, (MessageMapping.Fits) mapped);
         }
     }
 
-    private void takeOn(Channel channel, long tag, Command command, Mapping.Fits fits) {
+    private void takeOn(Channel channel, long tag, Command command, MessageMapping.Fits fits) {
         Message.Content content = fits.content();
         if (!parts.intake().reaches(content.destination())) {
             refuse(channel, tag, command, AmqpException.NO_ROUTE, "NO_ROUTE");
@@ -322,9 +322,9 @@
                     "PRECONDITION_FAILED - its tenant is not known," + " or its class needs a key");
         } else if (parts.seen().contains(content.callId())) {
             // Taken on before: its end is owed once, and this copy is no message of its own.
-            link.send(channel.number, Method.of(Op.BASIC_ACK, tag, false));
+            link.send(channel.number, Method.of(MethodType.BASIC_ACK, tag, false));
         } else if (!fits.anonymous() && !parts.seen().hasRoom() || server.isDraining()) {
-            link.send(channel.number, Method.of(Op.BASIC_NACK, tag, false, false));
+            link.send(channel.number, Method.of(MethodType.BASIC_NACK, tag, false, false));
         } else {
             Publish publish = new Publish(channel, tag, fits.anonymous() ? null : content.callId());
             channel.publishes.put(tag, publish);
@@ -345,7 +345,7 @@
             link.send(
                     channel.number,
                     Method.of(
-                            Op.BASIC_RETURN,
+                            MethodType.BASIC_RETURN,
                             code,
                             why.length() > MOST_NAME ? why.substring(0, MOST_NAME) : why,
                             m.text("exchange"),
@@ -355,7 +355,7 @@
         } else {
             Log.line("amqp: a publish is refused: " + why);
         }
-        link.send(channel.number, Method.of(Op.BASIC_NACK, tag, false, false));
+        link.send(channel.number, Method.of(MethodType.BASIC_NACK, tag, false, false));
     }
 
     // ---- ends out
@@ -372,7 +372,7 @@
     private void declare(Channel channel, Method m) throws AmqpException {
         String asked = m.text("queue");
         String name = asked.isEmpty() ? "ends-" + server.ids().get() + "-" + names++ : queueName(asked);
-        answer(channel, m, Method.of(Op.QUEUE_DECLARE_OK, name, (long) server.ready(name), 0L));
+        answer(channel, m, Method.of(MethodType.QUEUE_DECLARE_OK, name, (long) server.ready(name), 0L));
     }
 
     private void consume(Channel channel, Method m) throws AmqpException {
@@ -382,7 +382,7 @@
         if (channel.consumers.putIfAbsent(tag, consumer) != null) {
             throw new AmqpException(AmqpException.NOT_ALLOWED, "NOT_ALLOWED - consumer tag '" + tag + "' is in use");
         }
-        answer(channel, m, Method.of(Op.BASIC_CONSUME_OK, tag));
+        answer(channel, m, Method.of(MethodType.BASIC_CONSUME_OK, tag));
         server.addTaker(queue, consumer);
         server.dispatch(queue);
     }
--- a/src/main/java/pipitstage/front/amqp/QueueConsumer.java
+++ b/src/main/java/loftflow/listener/amqp/QueueConsumer.java
@@ -1,4 +1,4 @@
-package pipitstage.front.amqp;
+package loftflow.listener.amqp;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
@@ -8,30 +8,30 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Command;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.amqp.confirm.Confirms;
-import pipitstage.amqp.link.ClientLink;
-import pipitstage.amqp.mapping.Mapping;
-import pipitstage.amqp.mapping.NamelessIds;
-import pipitstage.duplicates.Seen;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Ends;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Message;
-import pipitstage.engine.Pulse;
-import pipitstage.front.Front;
-import pipitstage.log.Log;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.Command;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.amqp.confirm.PublisherConfirms;
+import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.amqp.mapping.GeneratedIds;
+import loftflow.amqp.mapping.MessageMapping;
+import loftflow.deduplication.Deduplicator;
+import loftflow.engine.Clock;
+import loftflow.engine.CompletionNotifier;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.Message;
+import loftflow.engine.MessageAcceptor;
+import loftflow.listener.Listener;
+import loftflow.log.Log;
 
 /**
  * Takes messages from a queue of a broker: each is acknowledged once it is taken on, goes back to the queue where it is
  * refused, and is rejected for good where it can never be taken on. Ends are published to reply queues at the same broker.
  */
-public final class QueueConsumer implements Front, Replies, ClientLink.Owner {
+public final class QueueConsumer implements Listener, CompletionReplier, AmqpClientConnection.Owner {
     /** Whether ends are told. */
     public enum Tells {
         /** To the queue that a message asks for. */
@@ -52,7 +52,7 @@
      */
     public record Options(
             String name,
-            ClientLink.Broker broker,
+            AmqpClientConnection.Broker broker,
             String queue,
             int prefetch,
             boolean autoAcknowledge,
@@ -74,13 +74,13 @@
 
     /** One delivery that awaits its answer, on the link that it came by and no other. */
     private final class Delivery implements Message.ClientReply {
-        private final ClientLink on;
+        private final AmqpClientConnection on;
         private final long tag;
         private final String id;
         private final boolean anonymous;
         private Message message;
 
-        Delivery(ClientLink on, long tag, Mapping.Fits fits) {
+        Delivery(AmqpClientConnection on, long tag, MessageMapping.Fits fits) {
             this.on = on;
             this.tag = tag;
             id = fits.content().callId();
@@ -94,19 +94,19 @@
             if (!anonymous) {
                 seen.add(id);
             }
-            answer(Method.of(Op.BASIC_ACK, tag, false));
+            answer(Method.of(MethodType.BASIC_ACK, tag, false));
         }
 
         @Override
         public void refused(long retryIn) {
             message = null;
             long wait = Math.max(LEAST_BACK_MS, Math.min(MOST_BACK_MS, retryIn / 1_000));
-            loop.schedule(() -> answer(Method.of(Op.BASIC_REJECT, tag, true)), wait, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> answer(Method.of(MethodType.BASIC_REJECT, tag, true)), wait, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void failed() {
-            answer(Method.of(Op.BASIC_REJECT, tag, false));
+            answer(Method.of(MethodType.BASIC_REJECT, tag, false));
         }
 
         private void answer(Method method) {
@@ -114,7 +114,7 @@
             deliveries.remove(this);
             // Guards against a tag of a connection that is gone, which would speak of another message on this one.
             if (options.autoAcknowledge()) {
-                if (method.op() != Op.BASIC_ACK) {
+                if (method.op() != MethodType.BASIC_ACK) {
                     Log.line("amqp: " + id + " is lost: it was refused, and the broker has forgotten it");
                 }
             } else if (on == link && on.isOpen()) {
@@ -124,21 +124,21 @@
     }
 
     private final EventLoop loop;
-    private final Intake intake;
+    private final MessageAcceptor intake;
     private final Clock clock;
-    private final Pulse pulse;
-    private final Mapping mapping;
-    private final Seen seen;
+    private final EventLoopLag pulse;
+    private final MessageMapping mapping;
+    private final Deduplicator seen;
     private final Options options;
     private final Consumer<Message> heard;
-    private final Ends others;
-    private final NamelessIds ids;
+    private final CompletionNotifier others;
+    private final GeneratedIds ids;
     private final Set<Delivery> deliveries = new HashSet<>();
     /** Ends that are not published, the oldest first. */
     private final ArrayDeque<Message> untold = new ArrayDeque<>();
 
-    private Confirms<Message> confirms = new Confirms<>();
-    private ClientLink link;
+    private PublisherConfirms<Message> confirms = new PublisherConfirms<>();
+    private AmqpClientConnection link;
     private boolean replies;
     private boolean draining;
     private boolean stopped;
@@ -152,14 +152,14 @@
      */
     public QueueConsumer(
             EventLoop loop,
-            Intake intake,
+            MessageAcceptor intake,
             Clock clock,
-            Pulse pulse,
-            Mapping mapping,
-            Seen seen,
+            EventLoopLag pulse,
+            MessageMapping mapping,
+            Deduplicator seen,
             Options options,
             Consumer<Message> heard,
-            Ends others) {
+            CompletionNotifier others) {
         this.loop = loop;
         this.intake = intake;
         this.clock = clock;
@@ -169,7 +169,7 @@
         this.options = options;
         this.heard = heard;
         this.others = others;
-        ids = new NamelessIds(options.name(), clock.micros());
+        ids = new GeneratedIds(options.name(), clock.micros());
     }
 
     /** Connects, and again after pauses that grow, until the end. */
@@ -177,7 +177,7 @@
         if (stopped) {
             return;
         }
-        link = ClientLink.dial(loop, options.broker(), MOST_BODY, options.connectTimeout(), this);
+        link = AmqpClientConnection.dial(loop, options.broker(), MOST_BODY, options.connectTimeout(), this);
     }
 
     @Override
@@ -195,12 +195,12 @@
             case CHANNEL_OPEN_OK -> link.send(
                     command.channel(),
                     command.channel() == CONSUMING
-                            ? Method.of(Op.BASIC_QOS, 0L, options.prefetch(), false)
-                            : Method.of(Op.CONFIRM_SELECT, false));
+                            ? Method.of(MethodType.BASIC_QOS, 0L, options.prefetch(), false)
+                            : Method.of(MethodType.CONFIRM_SELECT, false));
             case BASIC_QOS_OK -> link.send(
                     CONSUMING,
                     Method.of(
-                            Op.BASIC_CONSUME,
+                            MethodType.BASIC_CONSUME,
                             options.queue(),
                             TAG,
                             false,
@@ -226,7 +226,7 @@
             case CHANNEL_CLOSE -> {
                 Log.line("amqp: queue " + options.queue() + ": the broker closed channel " + command.channel() + ": "
                         + m.number("reply-code") + " " + m.text("reply-text"));
-                link.send(command.channel(), Method.of(Op.CHANNEL_CLOSE_OK));
+                link.send(command.channel(), Method.of(MethodType.CHANNEL_CLOSE_OK));
                 link.end(OK, "a channel was closed");
             }
             default -> throw new AmqpException(AmqpException.COMMAND_INVALID, m.op() + " was not asked for");
@@ -239,8 +239,8 @@
         Method m = command.method();
         long tag = m.number("delivery-tag");
         Properties properties = command.properties();
-        Mapping.Mapped mapped = command.isSkipped()
-                ? new Mapping.Misfits(command.size() + " bytes are more than is taken")
+        MessageMapping.Mapped mapped = command.isSkipped()
+                ? new MessageMapping.Misfits(command.size() + " bytes are more than is taken")
                 : mapping.map(
                         properties,
                         m.text("exchange"),
@@ -249,15 +249,15 @@
                         pulse.unreadSince(),
                         ids,
                         reply(properties));
-        if (mapped instanceof Mapping.Misfits misfit) {
+        if (mapped instanceof MessageMapping.Misfits misfit) {
             rejectForGood(tag, misfit.reason());
             return;
         }
-        Mapping.Fits fits = (Mapping.Fits) mapped;
+        MessageMapping.Fits fits = (MessageMapping.Fits) mapped;
         Message.Content content = fits.content();
         if (seen.contains(content.callId())) {
             // Taken on before, and acknowledged in vain: its end is owed once.
-            answer(Method.of(Op.BASIC_ACK, tag, false));
+            answer(Method.of(MethodType.BASIC_ACK, tag, false));
             return;
         }
         if (!intake.knows(content)) {
@@ -290,7 +290,7 @@
 
     private void rejectForGood(long tag, String reason) {
         Log.line("amqp: queue " + options.queue() + ": a message is rejected for good: " + reason);
-        answer(Method.of(Op.BASIC_REJECT, tag, false));
+        answer(Method.of(MethodType.BASIC_REJECT, tag, false));
     }
 
     private void answer(Method method) {
@@ -317,18 +317,18 @@
         while (replies && link.mayPublish(REPLYING) && !untold.isEmpty() && link.isWritable()) {
             Message message = untold.poll();
             long tag = confirms.publish(message);
-            Confirms<Message> current = confirms;
+            PublisherConfirms<Message> current = confirms;
             link.send(
                             REPLYING,
                             Method.of(
-                                    Op.BASIC_PUBLISH,
+                                    MethodType.BASIC_PUBLISH,
                                     "",
                                     message.content().reply().queue(),
                                     true,
                                     false),
-                            ReplyText.properties(message)
-                                    .with(Property.HEADERS, Map.<String, Object>of(Confirms.TAG, tag)),
-                            ReplyText.body(message))
+                            ReplyBody.properties(message)
+                                    .with(Property.HEADERS, Map.<String, Object>of(PublisherConfirms.TAG, tag)),
+                            ReplyBody.body(message))
                     .addListener(done -> {
                         if (done.isSuccess()) {
                             current.written(tag);
@@ -339,8 +339,8 @@
     }
 
     private void confirmed(Method m) throws AmqpException {
-        List<Confirms.Settled<Message>> settled =
-                confirms.confirmed(m.number("delivery-tag"), m.flag("multiple"), m.op() == Op.BASIC_ACK);
+        List<PublisherConfirms.Settled<Message>> settled =
+                confirms.confirmed(m.number("delivery-tag"), m.flag("multiple"), m.op() == MethodType.BASIC_ACK);
         if (settled == null) {
             throw new AmqpException(AmqpException.PRECONDITION_FAILED, m + " speaks of no publish that is open");
         }
@@ -348,7 +348,7 @@
     }
 
     /** An end is heard once the broker has it. One that it may have is told again, under the same id. */
-    private void settle(Confirms.Settled<Message> settled) {
+    private void settle(PublisherConfirms.Settled<Message> settled) {
         switch (settled.fate()) {
             case ACKED -> heard.accept(settled.what());
             case RETURNED -> {
@@ -365,7 +365,7 @@
     }
 
     private void returned(Command command) {
-        if (command.properties().headers().get(Confirms.TAG) instanceof Long tag) {
+        if (command.properties().headers().get(PublisherConfirms.TAG) instanceof Long tag) {
             confirms.returned(tag).forEach(this::settle);
         }
     }
@@ -389,8 +389,8 @@
                 intake.withdraw(message);
             }
         }
-        Confirms<Message> last = confirms;
-        confirms = new Confirms<>();
+        PublisherConfirms<Message> last = confirms;
+        confirms = new PublisherConfirms<>();
         last.closed(false).forEach(this::settle);
         if (!stopped) {
             loop.schedule(this::start, pause, TimeUnit.MILLISECONDS);
@@ -402,7 +402,7 @@
     public void drain() {
         draining = true;
         if (link != null && link.isOpen()) {
-            link.send(CONSUMING, Method.of(Op.BASIC_CANCEL, TAG, false));
+            link.send(CONSUMING, Method.of(MethodType.BASIC_CANCEL, TAG, false));
         }
     }
 
--- a/src/main/java/pipitstage/front/amqp/ReplyText.java
+++ b/src/main/java/loftflow/listener/amqp/ReplyBody.java
@@ -1,20 +1,20 @@
-package pipitstage.front.amqp;
+package loftflow.listener.amqp;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.engine.Message;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.engine.Message;
 
 /** What a reply says: the end of a message, in the words of the ends that are told over HTTP and in the file. */
-final class ReplyText {
+final class ReplyBody {
     private static final int PERSISTENT = 2;
     private static final JsonFactory JSON = new JsonFactory();
 
-    private ReplyText() {}
+    private ReplyBody() {}
 
     /** Its id is the same however often it is told, so that whoever hears it twice can tell. */
     static Properties properties(Message message) {
--- a/src/main/java/pipitstage/front/door/Door.java
+++ b/src/main/java/loftflow/listener/connection/Acceptor.java
@@ -1,4 +1,4 @@
-package pipitstage.front.door;
+package loftflow.listener.connection;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -13,22 +13,22 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pipitstage.engine.Pulse;
-import pipitstage.log.Log;
+import loftflow.engine.EventLoopLag;
+import loftflow.log.Log;
 
 /** A listening socket, and since when what it accepts may have waited. */
-public final class Door {
+public final class Acceptor {
     private static final int BACKLOG = 1024;
     private static final long PAUSE_MS = 50;
 
-    private final Pulse pulse;
+    private final EventLoopLag pulse;
     private final Consumer<Channel> accept;
     private Channel listener;
     /** Since when connections may have waited to be accepted that the last pass left behind. */
     private long leftSince = Long.MAX_VALUE;
 
     /** A door that is shut still; what it accepts is told with nothing in its pipeline. */
-    public Door(Pulse pulse, Consumer<Channel> accept) {
+    public Acceptor(EventLoopLag pulse, Consumer<Channel> accept) {
         this.pulse = pulse;
         this.accept = accept;
     }
--- a/src/main/java/pipitstage/front/door/House.java
+++ b/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
@@ -1,4 +1,4 @@
-package pipitstage.front.door;
+package loftflow.listener.connection;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -13,7 +13,7 @@
  *
  * @param <C> a connection
  */
-public final class House<C> {
+public final class ConnectionLimiter<C> {
     private final int most;
     private final Consumer<C> takeIn;
     private final Consumer<C> close;
@@ -29,7 +29,7 @@
      * @param takeIn reads what has come on one and is not read yet
      * @param close closes one
      */
-    public House(int most, Consumer<C> takeIn, Consumer<C> close) {
+    public ConnectionLimiter(int most, Consumer<C> takeIn, Consumer<C> close) {
         this.most = most;
         this.takeIn = takeIn;
         this.close = close;
--- a/src/main/java/pipitstage/front/door/Room.java
+++ b/src/main/java/loftflow/listener/connection/RequestBufferPool.java
@@ -1,7 +1,7 @@
-package pipitstage.front.door;
+package loftflow.listener.connection;
 
 /** The memory that half-read requests of a front share. */
-public final class Room {
+public final class RequestBufferPool {
     /** What the requests of one front may take together, in bytes. */
     private static final int MOST = 4 << 20;
     /** A request of so many bytes always has room. */
--- a/src/main/java/pipitstage/front/door/Unread.java
+++ b/src/main/java/loftflow/listener/connection/UnreadSince.java
@@ -1,15 +1,15 @@
-package pipitstage.front.door;
+package loftflow.listener.connection;
 
 /** Since when bytes that a connection brings now may have lain unread: a message's time counts from when it was sent. */
-public final class Unread {
-    private final Door door;
+public final class UnreadSince {
+    private final Acceptor door;
     private final long openedAt;
     private final long acceptableSince;
     /** Since when bytes may have waited while the connection was not read from. */
     private long pausedSince = Long.MAX_VALUE;
 
     /** A connection that is accepted now, by the engine's clock. */
-    public Unread(Door door, long now) {
+    public UnreadSince(Acceptor door, long now) {
         this.door = door;
         openedAt = now;
         acceptableSince = door.acceptableSince();
--- a/src/main/java/pipitstage/front/door/package-info.java
+++ b/src/main/java/loftflow/listener/connection/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: the engine's clock and pulse, the log and Netty.
  */
-package pipitstage.front.door;
+package loftflow.listener.connection;
--- a/src/main/java/pipitstage/front/http/ClientConnection.java
+++ b/src/main/java/loftflow/listener/http/HttpClientConnection.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http;
+package loftflow.listener.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -31,57 +31,58 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Message;
-import pipitstage.front.door.Unread;
-import pipitstage.front.request.Answer;
-import pipitstage.front.request.Exchange;
-import pipitstage.front.request.Request;
-import pipitstage.http.ConnectionTimer;
-import pipitstage.http.UnreadBytes;
+import loftflow.engine.Clock;
+import loftflow.engine.Message;
+import loftflow.engine.MessageAcceptor;
+import loftflow.http.ConnectionTimer;
+import loftflow.http.UnreadBytes;
+import loftflow.listener.connection.UnreadSince;
+import loftflow.listener.request.ClientResponse;
+import loftflow.listener.request.Exchange;
+import loftflow.listener.request.MessageRequest;
 
 /** One client's connection: reads its requests, answers them in order, and gives up a client that stalls. */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
+final class HttpClientConnection extends SimpleChannelInboundHandler<HttpObject> {
     private static final int MOST_PIPELINED = 8;
     private static final long IDLE_MS = 10_000;
     private static final long LINGER_MS = 2000;
-    private static final Map<Answer, ByteBuf> PLAIN = Arrays.stream(Answer.values())
-            .collect(Collectors.toMap(a -> a, ClientConnection::plain, (a, b) -> a, () -> new EnumMap<>(Answer.class)));
+    private static final Map<ClientResponse, ByteBuf> PLAIN = Arrays.stream(ClientResponse.values())
+            .collect(Collectors.toMap(
+                    a -> a, HttpClientConnection::plain, (a, b) -> a, () -> new EnumMap<>(ClientResponse.class)));
 
-    private final ClientServer server;
-    private final Intake intake;
+    private final HttpListener server;
+    private final MessageAcceptor intake;
     private final Clock clock;
-    private final ArrayDeque<ClientRequest> pipelined = new ArrayDeque<>();
+    private final ArrayDeque<HttpRequestReader> pipelined = new ArrayDeque<>();
     private final Exchange exchange;
     private ChannelHandlerContext context;
     /** Bytes that are written here go out as they are. */
     private ChannelHandlerContext encoder;
 
-    private Unread unread;
+    private UnreadSince unread;
     private long bytesSince;
     private boolean idle = true;
     private boolean served;
     private boolean keepAlive;
-    private ClientRequest reading;
+    private HttpRequestReader reading;
     private boolean handling;
     private boolean answering;
     /** The last request that is heeded can't be read on; its refusal is the last answer. */
-    private Answer refusal;
+    private ClientResponse refusal;
 
     private boolean ending;
     private int buffered;
     private final ConnectionTimer timer =
             new ConnectionTimer((nanos, task) -> context.executor().schedule(task, nanos, TimeUnit.NANOSECONDS));
 
-    ClientConnection(ClientServer server, Intake intake, Clock clock) {
+    HttpClientConnection(HttpListener server, MessageAcceptor intake, Clock clock) {
         this.server = server;
         this.intake = intake;
         this.clock = clock;
         exchange = new Exchange(intake) {
             @Override
-            protected void answer(Answer answer, long retryIn) {
-                ClientConnection.this.answer(answer, retryIn);
+            protected void answer(ClientResponse answer, long retryIn) {
+                HttpClientConnection.this.answer(answer, retryIn);
             }
         };
     }
@@ -128,9 +129,9 @@
             bytesSince = unread.since();
             if (idle) {
                 idle = false;
-                server.house().began(ClientConnection.this);
+                server.house().began(HttpClientConnection.this);
                 if (served) {
-                    timer.start(Request.READ_MS, TimeUnit.MILLISECONDS, ClientConnection.this::stalled);
+                    timer.start(MessageRequest.READ_MS, TimeUnit.MILLISECONDS, HttpClientConnection.this::stalled);
                 }
             }
             ctx.fireChannelRead(bytes);
@@ -155,8 +156,8 @@
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
         encoder = ctx.pipeline().context(HttpResponseEncoder.class);
-        unread = new Unread(server.door(), clock.micros());
-        timer.start(Request.READ_MS, TimeUnit.MILLISECONDS, this::stalled);
+        unread = new UnreadSince(server.door(), clock.micros());
+        timer.start(MessageRequest.READ_MS, TimeUnit.MILLISECONDS, this::stalled);
         server.house().opened(this);
     }
 
@@ -165,7 +166,7 @@
         if (idle) {
             close();
         } else if (!answering) {
-            refuse(Answer.TOO_SLOW);
+            refuse(ClientResponse.TOO_SLOW);
         }
     }
 
@@ -199,8 +200,8 @@
             return;
         }
         if (part instanceof HttpRequest head) {
-            reading = new ClientRequest(head);
-            Answer why = reading.refusal();
+            reading = new HttpRequestReader(head);
+            ClientResponse why = reading.refusal();
             if (why != null) {
                 refuse(why);
                 return;
@@ -218,12 +219,12 @@
     private void read(HttpContent content) {
         int bytes = content.content().readableBytes();
         if (content.decoderResult().isFailure()) {
-            refuse(Answer.MALFORMED);
+            refuse(ClientResponse.MALFORMED);
         } else if (!reading.add(content.content())) {
-            refuse(Answer.TOO_LARGE);
+            refuse(ClientResponse.TOO_LARGE);
         } else if (!server.room().take(bytes, reading.size())) {
             // Guards against half-read bodies that together take all the memory.
-            refuse(Answer.NO_ROOM);
+            refuse(ClientResponse.NO_ROOM);
         } else {
             buffered += bytes;
             if (content instanceof LastHttpContent) {
@@ -253,7 +254,7 @@
     }
 
     /** Answers, after all that came before it, a request that can't be read on; nothing after it is heeded. */
-    private void refuse(Answer why) {
+    private void refuse(ClientResponse why) {
         reading = null;
         refusal = why;
         handleNext();
@@ -265,7 +266,7 @@
         }
         handling = true;
         while (!answering && !pipelined.isEmpty()) {
-            ClientRequest next = pipelined.poll();
+            HttpRequestReader next = pipelined.poll();
             handle(next);
             buffered -= next.size();
             server.room().give(next.size());
@@ -277,7 +278,7 @@
         }
     }
 
-    private void handle(ClientRequest request) {
+    private void handle(HttpRequestReader request) {
         answering = true;
         HttpRequest head = request.head();
         keepAlive = HttpUtil.isKeepAlive(head);
@@ -290,13 +291,13 @@
     }
 
     /** An answer that says nothing but its status, the same bytes each time: only these go out by the thousand. */
-    private static ByteBuf plain(Answer answer) {
+    private static ByteBuf plain(ClientResponse answer) {
         return Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
                 HttpVersion.HTTP_1_1 + " " + answer.status() + "\r\n" + HttpHeaderNames.CONTENT_LENGTH + ": 0\r\n\r\n",
                 StandardCharsets.US_ASCII));
     }
 
-    private static FullHttpResponse withHeaders(Answer answer, long retryIn, boolean last) {
+    private static FullHttpResponse withHeaders(ClientResponse answer, long retryIn, boolean last) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(), Unpooled.EMPTY_BUFFER);
         HttpUtil.setContentLength(response, 0);
@@ -304,12 +305,12 @@
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         if (retryIn > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, Answer.retryAfter(retryIn));
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, ClientResponse.retryAfter(retryIn));
         }
         return response;
     }
 
-    private void answer(Answer answer, long retryIn) {
+    private void answer(ClientResponse answer, long retryIn) {
         ending = !keepAlive || server.isDraining() && pipelined.isEmpty();
         boolean last = ending;
         Message answered = exchange.release();
@@ -343,7 +344,7 @@
             server.house().fellIdle(this);
             timer.start(IDLE_MS, TimeUnit.MILLISECONDS, this::close);
         } else if (reading != null) {
-            timer.start(Request.READ_MS, TimeUnit.MILLISECONDS, this::stalled);
+            timer.start(MessageRequest.READ_MS, TimeUnit.MILLISECONDS, this::stalled);
         }
         readMore();
         handleNext();
--- a/src/main/java/pipitstage/front/http/ClientServer.java
+++ b/src/main/java/loftflow/listener/http/HttpListener.java
@@ -1,31 +1,33 @@
-package pipitstage.front.http;
+package loftflow.listener.http;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Pulse;
-import pipitstage.front.Front;
-import pipitstage.front.door.Door;
-import pipitstage.front.door.House;
-import pipitstage.front.door.Room;
+import loftflow.engine.Clock;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.MessageAcceptor;
+import loftflow.listener.Listener;
+import loftflow.listener.connection.Acceptor;
+import loftflow.listener.connection.ConnectionLimiter;
+import loftflow.listener.connection.RequestBufferPool;
 
 /** Listens for clients and keeps their connections, and what they have half sent, within bounds. */
-public final class ClientServer implements Front {
-    private final Intake intake;
+public final class HttpListener implements Listener {
+    private final MessageAcceptor intake;
     private final Clock clock;
-    private final Door door;
-    private final House<ClientConnection> house;
-    private final Room room = new Room();
+    private final Acceptor door;
+    private final ConnectionLimiter<HttpClientConnection> house;
+    private final RequestBufferPool room = new RequestBufferPool();
     private boolean draining;
 
     /** A front for so many connections at the most. */
-    public ClientServer(Intake intake, Clock clock, Pulse pulse, int mostConnections) {
+    public HttpListener(MessageAcceptor intake, Clock clock, EventLoopLag pulse, int mostConnections) {
         this.intake = intake;
         this.clock = clock;
-        door = new Door(pulse, ch -> ch.pipeline().addLast(new ClientConnection(this, intake, clock).handlers()));
-        house = new House<>(mostConnections, ClientConnection::readWhatCame, ClientConnection::close);
+        door = new Acceptor(
+                pulse, ch -> ch.pipeline().addLast(new HttpClientConnection(this, intake, clock).handlers()));
+        house = new ConnectionLimiter<>(
+                mostConnections, HttpClientConnection::readWhatCame, HttpClientConnection::close);
     }
 
     /** Listens for clients at an address. */
@@ -33,15 +35,15 @@
         return door.open(loop, address);
     }
 
-    Door door() {
+    Acceptor door() {
         return door;
     }
 
-    House<ClientConnection> house() {
+    ConnectionLimiter<HttpClientConnection> house() {
         return house;
     }
 
-    Room room() {
+    RequestBufferPool room() {
         return room;
     }
 
@@ -50,14 +52,14 @@
     public void drain() {
         draining = true;
         takeIn();
-        house.standing().stream().filter(c -> c.isFlushed() && !c.isEnding()).forEach(ClientConnection::close);
+        house.standing().stream().filter(c -> c.isFlushed() && !c.isEnding()).forEach(HttpClientConnection::close);
     }
 
     /** Guards against a request that lies unread on a connection that is about to close: it would end with no answer. */
     @Override
     public void takeIn() {
         door.takeIn();
-        house.standing().forEach(ClientConnection::readWhatCame);
+        house.standing().forEach(HttpClientConnection::readWhatCame);
     }
 
     boolean isDraining() {
@@ -67,13 +69,14 @@
     /** True where every request that was begun has its answer, and the system has taken it. */
     @Override
     public boolean isIdle() {
-        return house.isIdle(ClientConnection::isEnding) && house.all().stream().allMatch(ClientConnection::isFlushed);
+        return house.isIdle(HttpClientConnection::isEnding)
+                && house.all().stream().allMatch(HttpClientConnection::isFlushed);
     }
 
     /** True while a request that was read whole has no answer yet. */
     @Override
     public boolean isAnswering() {
-        return house.all().stream().anyMatch(ClientConnection::isAnswering);
+        return house.all().stream().anyMatch(HttpClientConnection::isAnswering);
     }
 
     /** Takes no new connection from now on. */
--- a/src/main/java/pipitstage/front/http/ClientRequest.java
+++ b/src/main/java/loftflow/listener/http/HttpRequestReader.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http;
+package loftflow.listener.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -8,17 +8,17 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import pipitstage.engine.Message;
-import pipitstage.front.request.Answer;
-import pipitstage.front.request.Request;
+import loftflow.engine.Message;
+import loftflow.listener.request.ClientResponse;
+import loftflow.listener.request.MessageRequest;
 
 /** A client's request as it comes in: whether it can be read at all, and the message that it holds. */
-final class ClientRequest {
+final class HttpRequestReader {
     private final HttpRequest head;
-    private final ByteBuf body = Unpooled.buffer(0, Request.MOST_BODY);
+    private final ByteBuf body = Unpooled.buffer(0, MessageRequest.MOST_BODY);
     private long came;
 
-    ClientRequest(HttpRequest head) {
+    HttpRequestReader(HttpRequest head) {
         this.head = head;
     }
 
@@ -27,23 +27,25 @@
     }
 
     /** Why the request can't be read, told from its head alone; null where nothing speaks against it. */
-    Answer refusal() {
+    ClientResponse refusal() {
         if (head.decoderResult().isFailure()) {
-            return Answer.MALFORMED;
+            return ClientResponse.MALFORMED;
         }
         // Guards against repeated lengths, of which the decoder takes the first in HTTP/1.0.
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-            return Answer.WRONG_VERSION;
+            return ClientResponse.WRONG_VERSION;
         }
         List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         // Guards against a second request hidden in the body, for those who heed the other of the two.
         if (lengths.size() + codings.size() > 1
                 || codings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
-            return Answer.MALFORMED;
+            return ClientResponse.MALFORMED;
         }
         // The decoder has made sure that a length is a number.
-        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > Request.MOST_BODY ? Answer.TOO_LARGE : null;
+        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > MessageRequest.MOST_BODY
+                ? ClientResponse.TOO_LARGE
+                : null;
     }
 
     /** Takes in a piece of the body; false where the body is larger than any may be. */
@@ -66,6 +68,6 @@
 
     /** The message that the request holds, or null where a header is missing or makes no sense. */
     Message.Content content() {
-        return Request.content(head.uri(), head.headers()::get, came, ByteBufUtil.getBytes(body));
+        return MessageRequest.content(head.uri(), head.headers()::get, came, ByteBufUtil.getBytes(body));
     }
 }
--- a/src/main/java/pipitstage/front/http2/Session.java
+++ b/src/main/java/loftflow/listener/http2/ClientSession.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2;
+package loftflow.listener.http2;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -39,28 +39,28 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Intake;
-import pipitstage.front.door.Room;
-import pipitstage.front.door.Unread;
-import pipitstage.front.http2.limits.Allowance;
-import pipitstage.front.http2.limits.Budget;
-import pipitstage.front.http2.limits.Credit;
-import pipitstage.front.http2.limits.Farewell;
-import pipitstage.front.http2.limits.Life;
-import pipitstage.front.http2.limits.Standing;
-import pipitstage.front.request.Answer;
-import pipitstage.front.request.Request;
-import pipitstage.http.UnreadBytes;
+import loftflow.engine.Clock;
+import loftflow.engine.MessageAcceptor;
+import loftflow.http.UnreadBytes;
+import loftflow.listener.connection.RequestBufferPool;
+import loftflow.listener.connection.UnreadSince;
+import loftflow.listener.http2.flowcontrol.AcknowledgedStreamLimit;
+import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
+import loftflow.listener.http2.flowcontrol.FrameBudget;
+import loftflow.listener.http2.flowcontrol.GracefulGoAway;
+import loftflow.listener.http2.flowcontrol.ReceiveWindowAllocator;
+import loftflow.listener.http2.flowcontrol.StreamLifecycle;
+import loftflow.listener.request.ClientResponse;
+import loftflow.listener.request.MessageRequest;
 
 /** One client's connection: its streams, and what it may cost. It carries out what {@code limits} decides. */
-final class Session extends Http2ConnectionHandler {
+final class ClientSession extends Http2ConnectionHandler {
     /** What a stream may bring of its body before a word is said; the rest is let in as there is room for it. */
-    static final int FIRST_WINDOW = Room.ALWAYS;
+    static final int FIRST_WINDOW = RequestBufferPool.ALWAYS;
 
     private static final int STEP = 16 << 10;
     /** One byte more than any body may have lets a client that told no length hear that its own is too large. */
-    static final int MOST_WINDOW = Request.MOST_BODY + 1;
+    static final int MOST_WINDOW = MessageRequest.MOST_BODY + 1;
 
     private static final long COME_BACK = 1_000_000;
     private static final long LINGER_MS = 1_000;
@@ -68,31 +68,31 @@
     private static final float AT_ONCE = 0.999f;
 
     private static final long FAREWELL_PING = 0x676f6f64627965L;
-    private static final Map<Answer, Http2Headers> ANSWERS = new EnumMap<>(Answer.class);
+    private static final Map<ClientResponse, Http2Headers> ANSWERS = new EnumMap<>(ClientResponse.class);
     private static final Http2Headers GO_ON =
             ReadOnlyHttp2Headers.serverHeaders(false, HttpResponseStatus.CONTINUE.codeAsText());
 
     static {
-        for (Answer answer : Answer.values()) {
+        for (ClientResponse answer : ClientResponse.values()) {
             ANSWERS.put(
                     answer,
                     ReadOnlyHttp2Headers.serverHeaders(false, answer.status().codeAsText()));
         }
     }
 
-    private final Http2Server server;
-    private final Intake intake;
+    private final Http2Listener server;
+    private final MessageAcceptor intake;
     private final Clock clock;
     private final Channel channel;
     private final Http2Connection.PropertyKey key;
-    private final Budget budget;
-    private final Standing standing;
-    private final Farewell farewell = new Farewell();
-    private final Credit.Account account;
-    private final Allowance allowance;
-    private final Unread unread;
+    private final FrameBudget budget;
+    private final ConnectionExpiry standing;
+    private final GracefulGoAway farewell = new GracefulGoAway();
+    private final ReceiveWindowAllocator.Account account;
+    private final AcknowledgedStreamLimit allowance;
+    private final UnreadSince unread;
     /** Streams whose requests are not whole, the oldest first. */
-    private final Set<Stream> reading = new LinkedHashSet<>();
+    private final Set<RequestStream> reading = new LinkedHashSet<>();
 
     private ChannelHandlerContext context;
     private int open;
@@ -103,12 +103,12 @@
     private boolean flushDue;
     private boolean over;
 
-    private Session(
+    private ClientSession(
             Http2ConnectionDecoder decoder,
             Http2ConnectionEncoder encoder,
             Http2Settings settings,
-            Http2Server server,
-            Intake intake,
+            Http2Listener server,
+            MessageAcceptor intake,
             Clock clock,
             Channel channel,
             double spread) {
@@ -119,28 +119,28 @@
         this.clock = clock;
         this.channel = channel;
         key = connection().newKey();
-        budget = new Budget(server.options().resets());
-        standing = new Standing(server.options().standing(), clock.micros(), spread);
+        budget = new FrameBudget(server.options().resets());
+        standing = new ConnectionExpiry(server.options().standing(), clock.micros(), spread);
         account = server.credit().open();
-        unread = new Unread(server.door(), clock.micros());
-        allowance = new Allowance(settings.maxConcurrentStreams().intValue());
+        unread = new UnreadSince(server.door(), clock.micros());
+        allowance = new AcknowledgedStreamLimit(settings.maxConcurrentStreams().intValue());
         Listener listener = new Listener();
         connection().addListener(listener);
         decoder.frameListener(listener);
     }
 
     /** Makes one; Netty's own guards stand aside where {@code limits} has one, and stay where it has none. */
-    private static final class Builder extends AbstractHttp2ConnectionHandlerBuilder<Session, Builder> {
+    private static final class Builder extends AbstractHttp2ConnectionHandlerBuilder<ClientSession, Builder> {
         private static final int CONTINUATIONS = 10;
         private static final int QUEUED_CONTROL_FRAMES = 2_000;
 
-        private final Http2Server server;
-        private final Intake intake;
+        private final Http2Listener server;
+        private final MessageAcceptor intake;
         private final Clock clock;
         private final Channel channel;
         private final double spread;
 
-        Builder(Http2Server server, Intake intake, Clock clock, Channel channel, double spread) {
+        Builder(Http2Listener server, MessageAcceptor intake, Clock clock, Channel channel, double spread) {
             this.server = server;
             this.intake = intake;
             this.clock = clock;
@@ -166,22 +166,22 @@
             frameListener(new Http2EventAdapter());
         }
 
-        Session make() {
+        ClientSession make() {
             return build();
         }
 
         @Override
-        protected Session build(
+        protected ClientSession build(
                 Http2ConnectionDecoder decoder, Http2ConnectionEncoder encoder, Http2Settings settings) {
-            return new Session(decoder, encoder, settings, server, intake, clock, channel, spread);
+            return new ClientSession(decoder, encoder, settings, server, intake, clock, channel, spread);
         }
     }
 
-    static Session of(Http2Server server, Intake intake, Clock clock, Channel channel, double spread) {
+    static ClientSession of(Http2Listener server, MessageAcceptor intake, Clock clock, Channel channel, double spread) {
         return new Builder(server, intake, clock, channel, spread).make();
     }
 
-    Credit.Account account() {
+    ReceiveWindowAllocator.Account account() {
         return account;
     }
 
@@ -204,8 +204,8 @@
     /** The request that asked for the upgrade is stream 1, and whole (RFC 7540, 3.2). */
     private void upgraded(FullHttpRequest request) throws Http2Exception {
         request.headers().set(HttpConversionUtil.ExtensionHeaderNames.SCHEME.text(), "http");
-        Stream stream = begin(connection().stream(1), HttpConversionUtil.toHttp2Headers(request, true));
-        if (stream.life().state() == Life.State.READING) {
+        RequestStream stream = begin(connection().stream(1), HttpConversionUtil.toHttp2Headers(request, true));
+        if (stream.life().state() == StreamLifecycle.State.READING) {
             stream.add(request.content());
             whole(stream);
         }
@@ -225,8 +225,8 @@
             ChannelHandlerContext ctx, boolean outbound, Throwable cause, Http2Exception.StreamException error) {
         switch (error.error()) {
             case REFUSED_STREAM -> server.refusedOne();
-            case STREAM_CLOSED -> allows(Budget.Cost.LATE);
-            default -> allows(Budget.Cost.FAULT);
+            case STREAM_CLOSED -> allows(FrameBudget.Cost.LATE);
+            default -> allows(FrameBudget.Cost.FAULT);
         }
         if (over) {
             return;
@@ -325,7 +325,7 @@
         }
     }
 
-    private boolean allows(Budget.Cost cost) {
+    private boolean allows(FrameBudget.Cost cost) {
         if (over) {
             return false;
         }
@@ -346,11 +346,11 @@
             case GOES -> sayGoodbye(now + server.options().drain());
             case STAYS -> {}
         }
-        for (Stream stream : List.copyOf(reading)) {
-            if (now - stream.since() < Request.READ_MS * 1000) {
+        for (RequestStream stream : List.copyOf(reading)) {
+            if (now - stream.since() < MessageRequest.READ_MS * 1000) {
                 break;
             }
-            refuse(stream, stream.wantsCredit() ? Answer.NO_ROOM : Answer.TOO_SLOW);
+            refuse(stream, stream.wantsCredit() ? ClientResponse.NO_ROOM : ClientResponse.TOO_SLOW);
         }
         if (farewell.hasBegun()) {
             boolean unsent = channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
@@ -374,7 +374,7 @@
         }
     }
 
-    private void step(Farewell.Step step) {
+    private void step(GracefulGoAway.Step step) {
         switch (step) {
             case WARN -> {
                 sayLast(Integer.MAX_VALUE, Http2Error.NO_ERROR, "going");
@@ -418,11 +418,11 @@
      *
      * @throws Http2Exception where its stream is refused, or its head makes no sense
      */
-    private Stream begin(Http2Stream http2, Http2Headers head) throws Http2Exception {
+    private RequestStream begin(Http2Stream http2, Http2Headers head) throws Http2Exception {
         if (farewell.refusesNew() || !allowance.allows(open) || !server.opens(open == 0)) {
             throw Http2Exception.streamError(http2.id(), Http2Error.REFUSED_STREAM, "never taken");
         }
-        Stream stream = new Stream(this, intake, http2, head, clock.micros());
+        RequestStream stream = new RequestStream(this, intake, http2, head, clock.micros());
         http2.setProperty(key, stream);
         open++;
         if (open == 1) {
@@ -434,8 +434,8 @@
                 || head.getAll(Http2Headers.PseudoHeaderName.METHOD.value()).size() > 1) {
             throw Http2Exception.streamError(http2.id(), Http2Error.PROTOCOL_ERROR, "two of a pseudo header");
         }
-        if (stream.length() > Request.MOST_BODY) {
-            refuse(stream, Answer.TOO_LARGE);
+        if (stream.length() > MessageRequest.MOST_BODY) {
+            refuse(stream, ClientResponse.TOO_LARGE);
         } else {
             if (stream.length() > FIRST_WINDOW) {
                 stream.wish((int) stream.length() - FIRST_WINDOW);
@@ -450,8 +450,8 @@
     }
 
     /** Hands out a larger window for what is still to come of a body; false where it waits for room in the pool. */
-    boolean extend(Stream stream, int bytes) {
-        if (server.credit().take(account, stream.type(), bytes) != Credit.Verdict.GRANTED) {
+    boolean extend(RequestStream stream, int bytes) {
+        if (server.credit().take(account, stream.type(), bytes) != ReceiveWindowAllocator.Verdict.GRANTED) {
             server.waits(stream);
             return false;
         }
@@ -461,8 +461,8 @@
     }
 
     /** Guards against slow bodies on another connection that hold what belongs to this one: one of them gives way. */
-    void insist(Stream stream, int bytes) {
-        if (server.credit().verdict(account, stream.type(), bytes) == Credit.Verdict.OTHERS_FIRST) {
+    void insist(RequestStream stream, int bytes) {
+        if (server.credit().verdict(account, stream.type(), bytes) == ReceiveWindowAllocator.Verdict.OTHERS_FIRST) {
             server.giveWay(server.credit().heaviest());
         }
     }
@@ -501,19 +501,19 @@
         reading.stream()
                 .filter(s -> s.held() > 0 && s.since() < slowSince)
                 .findFirst()
-                .ifPresent(s -> refuse(s, Answer.NO_ROOM));
+                .ifPresent(s -> refuse(s, ClientResponse.NO_ROOM));
     }
 
-    private void whole(Stream stream) {
+    private void whole(RequestStream stream) {
         reading.remove(stream);
         returnCredit(stream);
         stream.whole(server.isDraining(), unread.since(), server.door().unreadSince());
         if (stream.isWaiting()) {
-            stream.life().on(Life.Event.RECORDED);
+            stream.life().on(StreamLifecycle.Event.RECORDED);
         }
     }
 
-    private void returnCredit(Stream stream) {
+    private void returnCredit(RequestStream stream) {
         int held = stream.held();
         lend(-stream.lent());
         stream.returned();
@@ -524,19 +524,19 @@
     }
 
     /** Answers a request that is not read on, and lets its client know that the rest is not wanted (RFC 9113, 8.1). */
-    private void refuse(Stream stream, Answer answer) {
-        if (answer == Answer.NO_ROOM) {
+    private void refuse(RequestStream stream, ClientResponse answer) {
+        if (answer == ClientResponse.NO_ROOM) {
             server.refusedOne();
         }
-        answer(stream, answer, answer == Answer.NO_ROOM ? COME_BACK : 0, Life.Event.REFUSED);
+        answer(stream, answer, answer == ClientResponse.NO_ROOM ? COME_BACK : 0, StreamLifecycle.Event.REFUSED);
     }
 
     /** Sends the one answer of a stream, if somebody waits for it. */
-    void answer(Stream stream, Answer answer, long retryIn, Life.Event event) {
-        if (answer == Answer.REFUSED) {
+    void answer(RequestStream stream, ClientResponse answer, long retryIn, StreamLifecycle.Event event) {
+        if (answer == ClientResponse.REFUSED) {
             server.refusedOne();
         }
-        if (stream.life().on(event) != Life.Deed.ANSWER) {
+        if (stream.life().on(event) != StreamLifecycle.Deed.ANSWER) {
             return;
         }
         reading.remove(stream);
@@ -545,7 +545,7 @@
         if (retryIn > 0) {
             headers = new DefaultHttp2Headers(false, 2)
                     .status(answer.status().codeAsText())
-                    .add(HttpHeaderNames.RETRY_AFTER, Answer.retryAfter(retryIn));
+                    .add(HttpHeaderNames.RETRY_AFTER, ClientResponse.retryAfter(retryIn));
         }
         encoder().writeHeaders(context, stream.stream().id(), headers, 0, true, context.newPromise());
         if (!stream.isWhole()) {
@@ -553,13 +553,13 @@
         }
         flushSoon();
         if (answer.status().codeClass() == HttpStatusClass.CLIENT_ERROR) {
-            allows(Budget.Cost.SENSELESS);
+            allows(FrameBudget.Cost.SENSELESS);
         }
     }
 
     /** A stream is closed, by its answer, its client or the connection's end. */
-    private void closed(Stream stream, Life.Event event) {
-        if (stream.life().on(event) == Life.Deed.GO_ON) {
+    private void closed(RequestStream stream, StreamLifecycle.Event event) {
+        if (stream.life().on(event) == StreamLifecycle.Deed.GO_ON) {
             intake.left(stream.release());
         }
         reading.remove(stream);
@@ -572,7 +572,7 @@
         }
     }
 
-    private Stream stream(int id) {
+    private RequestStream stream(int id) {
         Http2Stream http2 = connection().stream(id);
         return http2 == null ? null : http2.getProperty(key);
     }
@@ -581,7 +581,7 @@
     private final class Listener extends Http2EventAdapter {
         @Override
         public void onSettingsRead(ChannelHandlerContext ctx, Http2Settings settings) {
-            allows(Budget.Cost.SETTINGS);
+            allows(FrameBudget.Cost.SETTINGS);
         }
 
         /** The client knows what it may: until then it may have as much half read as every connection may at first. */
@@ -598,7 +598,7 @@
             spoke = true;
             standing.spoke(clock.micros());
             if (open == 0) {
-                server.house().fellIdle(Session.this);
+                server.house().fellIdle(ClientSession.this);
             } else {
                 standing.busy(true, clock.micros());
             }
@@ -631,13 +631,13 @@
             if (over) {
                 return;
             }
-            Stream stream = stream(id);
+            RequestStream stream = stream(id);
             if (stream == null) {
                 stream = begin(connection().stream(id), head);
             } else if (!last) {
                 throw Http2Exception.streamError(id, Http2Error.PROTOCOL_ERROR, "a second head");
             }
-            if (last && stream.life().state() == Life.State.READING) {
+            if (last && stream.life().state() == StreamLifecycle.State.READING) {
                 whole(stream);
             }
         }
@@ -647,15 +647,15 @@
                 throws Http2Exception {
             int bytes = data.readableBytes();
             int all = bytes + padding;
-            if (over || bytes == 0 && !last && !allows(Budget.Cost.EMPTY_DATA)) {
+            if (over || bytes == 0 && !last && !allows(FrameBudget.Cost.EMPTY_DATA)) {
                 return all;
             }
-            Stream stream = stream(id);
-            if (stream == null || stream.life().state() != Life.State.READING) {
+            RequestStream stream = stream(id);
+            if (stream == null || stream.life().state() != StreamLifecycle.State.READING) {
                 return all;
             }
-            if (stream.size() + bytes > Request.MOST_BODY) {
-                refuse(stream, Answer.TOO_LARGE);
+            if (stream.size() + bytes > MessageRequest.MOST_BODY) {
+                refuse(stream, ClientResponse.TOO_LARGE);
                 return all;
             }
             stream.add(data);
@@ -674,20 +674,20 @@
 
         @Override
         public void onStreamClosed(Http2Stream http2) {
-            Stream stream = http2.getProperty(key);
+            RequestStream stream = http2.getProperty(key);
             if (stream != null) {
-                closed(stream, channel.isActive() ? Life.Event.RESET : Life.Event.LOST);
+                closed(stream, channel.isActive() ? StreamLifecycle.Event.RESET : StreamLifecycle.Event.LOST);
             }
         }
 
         @Override
         public void onRstStreamRead(ChannelHandlerContext ctx, int id, long error) {
-            allows(Budget.Cost.RESET);
+            allows(FrameBudget.Cost.RESET);
         }
 
         @Override
         public void onPingRead(ChannelHandlerContext ctx, long data) {
-            allows(Budget.Cost.PING);
+            allows(FrameBudget.Cost.PING);
         }
 
         @Override
@@ -699,17 +699,17 @@
 
         @Override
         public void onPriorityRead(ChannelHandlerContext ctx, int id, int dependency, short weight, boolean exclusive) {
-            allows(Budget.Cost.PRIORITY);
+            allows(FrameBudget.Cost.PRIORITY);
         }
 
         @Override
         public void onWindowUpdateRead(ChannelHandlerContext ctx, int id, int increment) {
-            allows(Budget.Cost.WINDOW_UPDATE);
+            allows(FrameBudget.Cost.WINDOW_UPDATE);
         }
 
         @Override
         public void onUnknownFrame(ChannelHandlerContext ctx, byte type, int id, Http2Flags flags, ByteBuf payload) {
-            allows(Budget.Cost.UNKNOWN);
+            allows(FrameBudget.Cost.UNKNOWN);
         }
     }
 }
--- a/src/main/java/pipitstage/front/http2/Http2Server.java
+++ b/src/main/java/loftflow/listener/http2/Http2Listener.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2;
+package loftflow.listener.http2;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -25,19 +25,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Pulse;
-import pipitstage.front.Front;
-import pipitstage.front.door.Door;
-import pipitstage.front.door.House;
-import pipitstage.front.http2.limits.Credit;
-import pipitstage.front.http2.limits.Offer;
-import pipitstage.front.http2.limits.Standing;
-import pipitstage.front.request.Request;
+import loftflow.engine.Clock;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.MessageAcceptor;
+import loftflow.listener.Listener;
+import loftflow.listener.connection.Acceptor;
+import loftflow.listener.connection.ConnectionLimiter;
+import loftflow.listener.http2.flowcontrol.ConcurrentStreamLimit;
+import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
+import loftflow.listener.http2.flowcontrol.ReceiveWindowAllocator;
+import loftflow.listener.request.MessageRequest;
 
 /** Listens for clients that speak HTTP/2 without TLS, and shares out among them what the relay can bear. */
-public final class Http2Server implements Front {
+public final class Http2Listener implements Listener {
     /**
      * How it is set. Spans are in microseconds, sizes in bytes.
      *
@@ -53,13 +53,13 @@
      */
     public record Options(
             int connections,
-            Offer.Bounds streams,
+            ConcurrentStreamLimit.Bounds streams,
             int headerList,
             int window,
             long pool,
             Map<String, Double> shares,
             double resets,
-            Standing.Spans standing,
+            ConnectionExpiry.Spans standing,
             long drain) {}
 
     private static final long TICK_MS = 50;
@@ -75,15 +75,15 @@
         NETTY.setLevel(Level.OFF);
     }
 
-    private final Intake intake;
+    private final MessageAcceptor intake;
     private final Clock clock;
     private final Options options;
-    private final Door door;
-    private final House<Session> house;
-    private final Offer offer;
-    private final Credit credit;
+    private final Acceptor door;
+    private final ConnectionLimiter<ClientSession> house;
+    private final ConcurrentStreamLimit offer;
+    private final ReceiveWindowAllocator credit;
     /** Streams whose bodies wait for credit, in the order of their wishes. */
-    private final ArrayDeque<Stream> waiting = new ArrayDeque<>();
+    private final ArrayDeque<RequestStream> waiting = new ArrayDeque<>();
 
     private int open;
     private int busy;
@@ -93,16 +93,16 @@
     private boolean returning;
 
     /** A front that listens nowhere yet. */
-    public Http2Server(Intake intake, Clock clock, Pulse pulse, Options options) {
+    public Http2Listener(MessageAcceptor intake, Clock clock, EventLoopLag pulse, Options options) {
         this.intake = intake;
         this.clock = clock;
         this.options = options;
-        door = new Door(pulse, this::accept);
+        door = new Acceptor(pulse, this::accept);
         // What lies unread needs no look: the goodbye names the last stream that was taken, and its client sends the
         // rest elsewhere.
-        house = new House<>(options.connections(), session -> {}, Session::letGo);
-        offer = new Offer(options.streams());
-        credit = new Credit(options.pool(), options.shares());
+        house = new ConnectionLimiter<>(options.connections(), session -> {}, ClientSession::letGo);
+        offer = new ConcurrentStreamLimit(options.streams());
+        credit = new ReceiveWindowAllocator(options.pool(), options.shares());
     }
 
     /** Listens for clients at an address. */
@@ -116,14 +116,14 @@
         ch.config().setOption(ChannelOption.SO_SNDBUF, SEND_BUFFER);
         // A golden ratio's multiples spread evenly, however many there are.
         double spread = accepted++ * 0.618034 % 1;
-        Session session = Session.of(this, intake, clock, ch, spread);
+        ClientSession session = ClientSession.of(this, intake, clock, ch, spread);
         HttpServerCodec http1 = new HttpServerCodec();
         HttpServerUpgradeHandler upgrade = new HttpServerUpgradeHandler(
                 http1,
                 protocol -> AsciiString.contentEquals(Http2CodecUtil.HTTP_UPGRADE_PROTOCOL_NAME, protocol)
                         ? new Http2ServerUpgradeCodec(session)
                         : null,
-                Request.MOST_BODY);
+                MessageRequest.MOST_BODY);
         ch.pipeline().addLast(new CleartextHttp2ServerUpgradeHandler(http1, upgrade, session), new Http1());
         ch.closeFuture().addListener(closed -> session.gone());
         house.opened(session);
@@ -152,15 +152,15 @@
         return options;
     }
 
-    Door door() {
+    Acceptor door() {
         return door;
     }
 
-    House<Session> house() {
+    ConnectionLimiter<ClientSession> house() {
         return house;
     }
 
-    Credit credit() {
+    ReceiveWindowAllocator credit() {
         return credit;
     }
 
@@ -203,7 +203,7 @@
     }
 
     /** A body waits for credit. */
-    void waits(Stream stream) {
+    void waits(RequestStream stream) {
         waiting.add(stream);
     }
 
@@ -221,7 +221,7 @@
     }
 
     /** Guards against one that holds what belongs to others: its longest half-read stream gives way. */
-    void giveWay(Credit.Account heaviest) {
+    void giveWay(ReceiveWindowAllocator.Account heaviest) {
         long slowSince = clock.micros() - PATIENCE;
         house.all().stream().filter(s -> s.account() == heaviest).findFirst().ifPresent(s -> s.giveWay(slowSince));
     }
@@ -229,11 +229,11 @@
     private void look(EventLoop loop) {
         loop.schedule(() -> look(loop), TICK_MS, TimeUnit.MILLISECONDS);
         long now = clock.micros();
-        offer.observe(new Offer.Load(intake.fullness(), now - door.unreadSince(), refused), now);
+        offer.observe(new ConcurrentStreamLimit.Load(intake.fullness(), now - door.unreadSince(), refused), now);
         refused = 0;
         int each = streamsForEach();
         house.all().forEach(session -> session.look(now, each));
-        List.copyOf(waiting).stream().filter(s -> now - s.since() > PATIENCE).forEach(Stream::insist);
+        List.copyOf(waiting).stream().filter(s -> now - s.since() > PATIENCE).forEach(RequestStream::insist);
     }
 
     // ---- the end
@@ -256,17 +256,17 @@
     @Override
     public void takeIn() {
         door.takeIn();
-        house.all().stream().filter(session -> !session.hasSpoken()).forEach(Session::readWhatCame);
+        house.all().stream().filter(session -> !session.hasSpoken()).forEach(ClientSession::readWhatCame);
     }
 
     @Override
     public boolean isIdle() {
-        return house.all().stream().allMatch(Session::isOver);
+        return house.all().stream().allMatch(ClientSession::isOver);
     }
 
     @Override
     public boolean isAnswering() {
-        return house.all().stream().anyMatch(Session::isAnswering);
+        return house.all().stream().anyMatch(ClientSession::isAnswering);
     }
 
     @Override
--- a/src/main/java/pipitstage/front/http2/Stream.java
+++ b/src/main/java/loftflow/listener/http2/RequestStream.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2;
+package loftflow.listener.http2;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -11,16 +11,16 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Message;
-import pipitstage.front.http2.limits.Life;
-import pipitstage.front.request.Answer;
-import pipitstage.front.request.Exchange;
-import pipitstage.front.request.Request;
-import pipitstage.http.Headers;
+import loftflow.engine.Message;
+import loftflow.engine.MessageAcceptor;
+import loftflow.http.Headers;
+import loftflow.listener.http2.flowcontrol.StreamLifecycle;
+import loftflow.listener.request.ClientResponse;
+import loftflow.listener.request.Exchange;
+import loftflow.listener.request.MessageRequest;
 
 /** One request on a connection, from its head to its one answer. */
-final class Stream extends Exchange {
+final class RequestStream extends Exchange {
     private static final Map<String, AsciiString> NAMES = List.of(
                     Headers.CALL_ID, Headers.CALL_CLASS, Headers.CALLER, Headers.KEY, Headers.BUDGET, Headers.CONSIGNEE)
             .stream()
@@ -28,11 +28,11 @@
     private static final byte[] NONE = new byte[0];
     private static final long UNTOLD = -1;
 
-    private final Session session;
+    private final ClientSession session;
     private final Http2Stream stream;
     private final Http2Headers head;
-    private final Life life = new Life();
-    private int granted = Session.FIRST_WINDOW;
+    private final StreamLifecycle life = new StreamLifecycle();
+    private int granted = ClientSession.FIRST_WINDOW;
     private int held;
     private int lent;
     private final long since;
@@ -43,7 +43,7 @@
     private boolean whole;
 
     /** A stream whose head has come. */
-    Stream(Session session, Intake intake, Http2Stream stream, Http2Headers head, long since) {
+    RequestStream(ClientSession session, MessageAcceptor intake, Http2Stream stream, Http2Headers head, long since) {
         super(intake);
         this.session = session;
         this.stream = stream;
@@ -57,7 +57,7 @@
         return stream;
     }
 
-    Life life() {
+    StreamLifecycle life() {
         return life;
     }
 
@@ -109,14 +109,14 @@
 
     /** True where its body waits for room. */
     boolean wantsCredit() {
-        return wished > 0 && life.state() == Life.State.READING;
+        return wished > 0 && life.state() == StreamLifecycle.State.READING;
     }
 
     /** True where its length is untold and what its window lets come is nearly used up. */
     boolean mayNeedMore() {
         return wished == 0
-                && granted < Session.MOST_WINDOW
-                && granted - size < Session.FIRST_WINDOW / 2
+                && granted < ClientSession.MOST_WINDOW
+                && granted - size < ClientSession.FIRST_WINDOW / 2
                 && length == UNTOLD;
     }
 
@@ -169,7 +169,7 @@
     }
 
     private Message.Content content(long came) {
-        return Request.content(
+        return MessageRequest.content(
                 head.path(),
                 name -> head.get(NAMES.get(name)),
                 came,
@@ -177,8 +177,8 @@
     }
 
     @Override
-    protected void answer(Answer answer, long retryIn) {
+    protected void answer(ClientResponse answer, long retryIn) {
         release();
-        session.answer(this, answer, retryIn, Life.Event.ANSWERED);
+        session.answer(this, answer, retryIn, StreamLifecycle.Event.ANSWERED);
     }
 }
--- a/src/main/java/pipitstage/front/http2/limits/Allowance.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimit.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2.limits;
+package loftflow.listener.http2.flowcontrol;
 
 import java.util.ArrayDeque;
 
@@ -6,13 +6,13 @@
  * How many streams a connection may have open: what it was offered and has acknowledged. One that has not heard yet of a
  * smaller offer may still use the larger one (RFC 9113, 6.5.3 and 5.1.2).
  */
-public final class Allowance {
+public final class AcknowledgedStreamLimit {
     private final ArrayDeque<Integer> unheard = new ArrayDeque<>();
     private int heard = Integer.MAX_VALUE;
     private int last;
 
     /** A connection whose first SETTINGS offer so many; until it has heard it may open any number. */
-    public Allowance(int first) {
+    public AcknowledgedStreamLimit(int first) {
         offer(first);
     }
 
--- a/src/main/java/pipitstage/front/http2/limits/Offer.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2.limits;
+package loftflow.listener.http2.flowcontrol;
 
 /**
  * How many streams clients are offered at once (SETTINGS_MAX_CONCURRENT_STREAMS), and how that changes in service. A level
@@ -6,7 +6,7 @@
  * that clients wait with what they have in place of having it refused. What is offered to all busy connections together
  * stays within the total, as far as each has its floor; the total itself is a hard bound ({@link #admits}).
  */
-public final class Offer {
+public final class ConcurrentStreamLimit {
     /** How long a level holds at the least, in microseconds: time for clients to heed it. */
     public static final long STEP = 250_000;
 
@@ -49,7 +49,7 @@
     private long changed = Long.MIN_VALUE / 2;
 
     /** Offers all at first. */
-    public Offer(Bounds bounds) {
+    public ConcurrentStreamLimit(Bounds bounds) {
         this.bounds = bounds;
     }
 
--- a/src/main/java/pipitstage/front/http2/limits/Standing.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
@@ -1,7 +1,7 @@
-package pipitstage.front.http2.limits;
+package loftflow.listener.http2.flowcontrol;
 
 /** When a connection has stood long enough: it never opened, nothing moves, its client does not read, or it is old. */
-public final class Standing {
+public final class ConnectionExpiry {
     /**
      * Spans in microseconds.
      *
@@ -15,7 +15,7 @@
     /** What is to become of it. */
     public enum Verdict {
         STAYS,
-        /** It goes in good order ({@link Farewell}). */
+        /** It goes in good order ({@link GracefulGoAway}). */
         GOES,
         /** GOAWAY and an end at once: nobody there reads, or speaks. */
         ENDS
@@ -33,7 +33,7 @@
      *
      * @param spread from 0 to 1: by how much of a tenth its age ends earlier, so that many that came at once don't go at once
      */
-    public Standing(Spans spans, long now, double spread) {
+    public ConnectionExpiry(Spans spans, long now, double spread) {
         this.spans = spans;
         opened = now;
         idleSince = now;
--- a/src/main/java/pipitstage/front/http2/limits/Budget.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2.limits;
+package loftflow.listener.http2.flowcontrol;
 
 import java.util.EnumMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * What a client may send beside its messages: each kind of frame has a token bucket, so that a burst passes and a flood
  * does not. One that is over its budget gets GOAWAY with ENHANCE_YOUR_CALM (RFC 9113, 10.5).
  */
-public final class Budget {
+public final class FrameBudget {
     /** A kind of frame that costs the relay work and brings it no message. */
     public enum Cost {
         /** RST_STREAM; its rate is a setting (CVE-2023-44487). */
@@ -77,7 +77,7 @@
      *
      * @param resets RST_STREAM frames a second
      */
-    public Budget(double resets) {
+    public FrameBudget(double resets) {
         this.resets = resets;
     }
 
--- a/src/main/java/pipitstage/front/http2/limits/Credit.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2.limits;
+package loftflow.listener.http2.flowcontrol;
 
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -10,7 +10,7 @@
  * pool belongs to classes by share, the other half is common. Where it is full, the connection that holds more than its fair
  * share gives way to one that holds less, so that nobody takes what belongs to others.
  */
-public final class Credit {
+public final class ReceiveWindowAllocator {
     /** Every connection starts with that by RFC 9113, 6.9.2; it can't be less. */
     public static final int BASE_WINDOW = 65_535;
     /** A connection gets such a part of what is left of the pool at the most. */
@@ -55,7 +55,7 @@
      * @param pool bytes that all connections may hold
      * @param shares of classes in the half that belongs to them, summing up to 1 at the most; others have the common half
      */
-    public Credit(long pool, Map<String, Double> shares) {
+    public ReceiveWindowAllocator(long pool, Map<String, Double> shares) {
         this.pool = pool;
         common = pool;
         shares.forEach((type, share) -> {
--- a/src/main/java/pipitstage/front/http2/limits/package-info.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: nothing of the relay; no sockets, files, clocks, threads or Netty.
  */
-package pipitstage.front.http2.limits;
+package loftflow.listener.http2.flowcontrol;
--- a/src/main/java/pipitstage/front/request/Answer.java
+++ b/src/main/java/loftflow/listener/request/ClientResponse.java
@@ -1,10 +1,10 @@
-package pipitstage.front.request;
+package loftflow.listener.request;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Locale;
 
 /** Every answer that a client may get (PROTOCOL). None has a body. */
-public enum Answer {
+public enum ClientResponse {
     /** The relay owes the message its end. */
     TAKEN(HttpResponseStatus.ACCEPTED),
     /** Never run: handing it in again is harmless. */
@@ -23,7 +23,7 @@
 
     private final HttpResponseStatus status;
 
-    Answer(HttpResponseStatus status) {
+    ClientResponse(HttpResponseStatus status) {
         this.status = status;
     }
 
--- a/src/main/java/pipitstage/front/request/Exchange.java
+++ b/src/main/java/loftflow/listener/request/Exchange.java
@@ -1,15 +1,15 @@
-package pipitstage.front.request;
+package loftflow.listener.request;
 
 import java.util.function.Supplier;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Message;
+import loftflow.engine.Message;
+import loftflow.engine.MessageAcceptor;
 
 /** One request and its one answer, whatever carries them. */
 public abstract class Exchange implements Message.ClientReply {
-    private final Intake intake;
+    private final MessageAcceptor intake;
     private Message message;
 
-    protected Exchange(Intake intake) {
+    protected Exchange(MessageAcceptor intake) {
         this.intake = intake;
     }
 
@@ -18,7 +18,7 @@
      *
      * @param retryIn microseconds after which to come back; 0 where that is not known
      */
-    protected abstract void answer(Answer answer, long retryIn);
+    protected abstract void answer(ClientResponse answer, long retryIn);
 
     /**
      * Does what a whole request asks for; the answer may come at once or later.
@@ -32,22 +32,22 @@
             boolean draining,
             Supplier<Message.Content> content,
             long unreadSince) {
-        if (Request.isMessage(path)) {
+        if (MessageRequest.isMessage(path)) {
             if ("POST".contentEquals(method)) {
                 takeOn(content.get(), unreadSince);
             } else {
-                answer(Answer.WRONG_METHOD, 0);
+                answer(ClientResponse.WRONG_METHOD, 0);
             }
         } else if ("/-/ready".contentEquals(path)) {
-            answer(intake.isReady() && !draining ? Answer.READY : Answer.NOT_READY, 0);
+            answer(intake.isReady() && !draining ? ClientResponse.READY : ClientResponse.NOT_READY, 0);
         } else {
-            answer(Answer.UNKNOWN_PATH, 0);
+            answer(ClientResponse.UNKNOWN_PATH, 0);
         }
     }
 
     private void takeOn(Message.Content content, long unreadSince) {
         if (content == null || !intake.knows(content)) {
-            answer(Answer.MALFORMED, 0);
+            answer(ClientResponse.MALFORMED, 0);
         } else {
             message = intake.takeOn(content, unreadSince, this);
         }
@@ -67,16 +67,16 @@
 
     @Override
     public final void taken() {
-        answer(Answer.TAKEN, 0);
+        answer(ClientResponse.TAKEN, 0);
     }
 
     @Override
     public final void refused(long retryIn) {
-        answer(Answer.REFUSED, retryIn);
+        answer(ClientResponse.REFUSED, retryIn);
     }
 
     @Override
     public final void failed() {
-        answer(Answer.FAILED, 0);
+        answer(ClientResponse.FAILED, 0);
     }
 }
--- a/src/main/java/pipitstage/front/request/Request.java
+++ b/src/main/java/loftflow/listener/request/MessageRequest.java
@@ -1,12 +1,12 @@
-package pipitstage.front.request;
+package loftflow.listener.request;
 
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import pipitstage.engine.Message;
-import pipitstage.http.Headers;
+import loftflow.engine.Message;
+import loftflow.http.Headers;
 
 /** What a client asks for, read of headers and body as any version of HTTP brings them. */
-public final class Request {
+public final class MessageRequest {
     /** The largest body, in bytes. */
     public static final int MOST_BODY = 64 << 10;
     /** For a whole request, from its first byte; a connection's first one from connecting. */
@@ -23,7 +23,7 @@
         CharSequence get(String name);
     }
 
-    private Request() {}
+    private MessageRequest() {}
 
     /** True of the path that messages are handed in at: by itself, or with the line of a class in order behind it. */
     static boolean isMessage(CharSequence path) {
--- a/src/main/java/pipitstage/front/request/package-info.java
+++ b/src/main/java/loftflow/listener/request/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: the engine's port for messages, names of headers and Netty's status codes.
  */
-package pipitstage.front.request;
+package loftflow.listener.request;
--- a/src/main/java/pipitstage/log/Log.java
+++ b/src/main/java/loftflow/log/Log.java
@@ -1,4 +1,4 @@
-package pipitstage.log;
+package loftflow.log;
 
 /** One plain line on standard error for staff, so many in a second at the most. */
 public final class Log {
--- a/src/main/java/pipitstage/log/package-info.java
+++ b/src/main/java/loftflow/log/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: nothing of the program.
  */
-package pipitstage.log;
+package loftflow.log;
--- /dev/null
+++ b/src/main/java/loftflow/policy/CircuitState.java
@@ -0,0 +1,7 @@
+package loftflow.policy;
+
+enum CircuitState {
+    CLOSED,
+    OPEN,
+    HALF_OPEN
+}
