--- a/src/main/java/pipitstage/Logic.java
+++ b/src/main/java/loftflow/policy/DefaultDeliveryPolicy.java
@@ -1,12 +1,53 @@
-// The interface is in Policy.java: settings, events and actions. docs/design.md explains the mechanism.
-package pipitstage;
+// The interface is DeliveryPolicy in policy.api: settings, events and actions. docs/design.md explains the mechanism.
+package loftflow.policy;
 
 import java.nio.ByteBuffer;
 import java.util.*;
-import pipitstage.State.*;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeSet;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.CompletionAcknowledged;
+import loftflow.policy.api.CompletionPending;
+import loftflow.policy.api.DeliveryPolicy;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListPending;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.MessageResumed;
+import loftflow.policy.api.MessageWithdrawn;
+import loftflow.policy.api.PastAttempt;
+import loftflow.policy.api.PeerMessage;
+import loftflow.policy.api.PolicyActions;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.ProbeCompleted;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.RetryAfterReceived;
+import loftflow.policy.api.RouteRestored;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.policy.api.TimerFired;
+import loftflow.policy.api.TrustLevel;
+import loftflow.policy.api.Zone;
 
 /** Every decision of a relay: which route, when, how long, and whether to hold, refuse or fail. */
-public final class Logic implements Policy {
+public final class DefaultDeliveryPolicy implements DeliveryPolicy {
     // Circuit.
     private static final int FAILURES_TO_OPEN = 3; // the source's
     private static final double CALLS_A_FAILURE = 2; // calls in ten seconds that ask for one failure more
@@ -77,35 +118,35 @@
     private static final long ASK = 2; // timer of the list
     private static final long ASK_AGAIN = 3_000_000; // far within the span of the rule
 
-    private final Settings settings;
+    private final PolicySettings settings;
     /** True in a fleet so large that a relay's own calls tell it little of a destination. */
     private final boolean many;
 
     private final SplittableRandom random;
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private final Map<String, Kind> kinds = new HashMap<>();
+    private final Map<String, DestinationKind> kinds = new HashMap<>();
     private final Map<String, Route> routes = new LinkedHashMap<>();
     private final Map<Integer, Destination> destinations = new LinkedHashMap<>();
-    private final Map<Integer, Group> groups = new HashMap<>();
-    private final Set<Group> kept = new LinkedHashSet<>();
-    private final Map<Long, Request> requests = new HashMap<>();
-    private final Map<String, OrderLine> lines = new HashMap<>();
-    private final TreeSet<Request> ends =
-            new TreeSet<>(Comparator.<Request>comparingLong(r -> r.deadline).thenComparingLong(r -> r.id));
+    private final Map<Integer, LimitGroup> groups = new HashMap<>();
+    private final Set<LimitGroup> kept = new LinkedHashSet<>();
+    private final Map<Long, PendingMessage> requests = new HashMap<>();
+    private final Map<String, KeyQueue> lines = new HashMap<>();
+    private final TreeSet<PendingMessage> ends = new TreeSet<>(
+            Comparator.<PendingMessage>comparingLong(r -> r.deadline).thenComparingLong(r -> r.id));
     /** Destinations with messages waiting: a round costs what these cost, however many are known. */
     private final Set<Destination> busy = new LinkedHashSet<>();
     /** Calls out, oldest first; each takes a slot. */
     private final Set<Call> out = new LinkedHashSet<>();
 
     private long now;
-    private Actions actions;
+    private PolicyActions actions;
     private int held;
     private long wakeAt = Long.MAX_VALUE;
     private boolean asked;
     private long awaitUntil;
 
     /** A module that starts knowing only its settings. */
-    public Logic(Settings settings) {
+    public DefaultDeliveryPolicy(PolicySettings settings) {
         this.settings = settings;
         many = settings.fleetSize() > FIRST_SENDERS;
         random = new SplittableRandom(settings.seed());
@@ -114,70 +155,72 @@
     }
 
     @Override
-    public void onRound(long now, List<Event> events, Actions actions) {
+    public void onRound(long now, List<PolicyEvent> events, PolicyActions actions) {
         this.now = now;
         this.actions = actions;
         askForList();
-        for (Event event : events) {
+        for (PolicyEvent event : events) {
             absorb(event);
         }
         endOverdue();
-        if (!events.stream().allMatch(Logic::onlyRestrains)) {
+        if (!events.stream().allMatch(DefaultDeliveryPolicy::onlyRestrains)) {
             dispatch();
             arm();
         }
     }
 
     /** Guards against a fleet whose every guard costs every relay a round's work: it lets nothing new go. */
-    private static boolean onlyRestrains(Event event) {
-        return event instanceof PeerNote e && e.bytes().length > 0 && Word.of(e.bytes()[0]) == Word.GUARD;
+    private static boolean onlyRestrains(PolicyEvent event) {
+        return event instanceof PeerMessage e
+                && e.payload().length > 0
+                && PeerMessageType.of(e.payload()[0]) == PeerMessageType.GUARD;
     }
 
-    private void absorb(Event event) {
-        if (event instanceof Accepted e) {
+    private void absorb(PolicyEvent event) {
+        if (event instanceof MessageAccepted e) {
             accept(e);
-        } else if (event instanceof Resumed e) {
+        } else if (event instanceof MessageResumed e) {
             resume(e);
-        } else if (event instanceof Outcome e) {
+        } else if (event instanceof AttemptCompleted e) {
             outcome(e);
-        } else if (event instanceof Withdrawn e) {
+        } else if (event instanceof MessageWithdrawn e) {
             Optional.ofNullable(requests.get(e.id())).filter(r -> !r.done).ifPresent(this::finish);
         } else if (event instanceof TimerFired e) {
-            timer(e.name());
-        } else if (event instanceof RouteList e) {
+            timer(e.timer());
+        } else if (event instanceof EndpointListReceived e) {
             list(e);
-        } else if (event instanceof Remembered e) {
-            Optional.ofNullable(routes.get(e.standing().route())).ifPresent(r -> remember(r, e));
-        } else if (event instanceof AwaitList e) {
-            awaitUntil = now + e.span();
-        } else if (event instanceof ProbeDone e) {
+        } else if (event instanceof RouteRestored e) {
+            Optional.ofNullable(routes.get(e.snapshot().route())).ifPresent(r -> remember(r, e));
+        } else if (event instanceof EndpointListPending e) {
+            awaitUntil = now + e.maxWaitMicros();
+        } else if (event instanceof ProbeCompleted e) {
             probed(e);
-        } else if (event instanceof Ending e) {
-            ending(e.request());
-        } else if (event instanceof EndHeard e) {
+        } else if (event instanceof CompletionPending e) {
+            ending(e.message());
+        } else if (event instanceof CompletionAcknowledged e) {
             Optional.ofNullable(requests.get(e.id())).ifPresent(this::heard);
-        } else if (event instanceof WaitTold e) {
-            Optional.ofNullable(routes.get(e.route())).ifPresent(r -> heed(r.group, e.span()));
-        } else if (event instanceof PeerNote e && e.bytes().length == Integer.BYTES + 1) {
-            ByteBuffer note = ByteBuffer.wrap(e.bytes());
-            hear(e.from(), Word.of(note.get()), note.getInt());
+        } else if (event instanceof RetryAfterReceived e) {
+            Optional.ofNullable(routes.get(e.route())).ifPresent(r -> heed(r.group, e.retryAfterMicros()));
+        } else if (event instanceof PeerMessage e && e.payload().length == Integer.BYTES + 1) {
+            ByteBuffer note = ByteBuffer.wrap(e.payload());
+            hear(e.sender(), PeerMessageType.of(note.get()), note.getInt());
         }
     }
 
-    private void accept(Accepted e) {
+    private void accept(MessageAccepted e) {
         add(e);
-        if (held >= settings.limits().maxOpen()) {
+        if (held >= settings.limits().maxOpenMessages()) {
             makeRoom();
         }
     }
 
     /** Past attempts count on; one without a known result may have run and can't be answered any more. */
-    private void resume(Resumed e) {
-        Request request = add(e.request());
+    private void resume(MessageResumed e) {
+        PendingMessage request = add(e.message());
         request.resumed = true;
         for (PastAttempt past : e.attempts()) {
-            Attempt attempt = new Attempt(new Call(routes.get(past.route()), past.sentAt(), false));
-            attempt.result = past.result() == null ? Result.RESET : past.result();
+            Attempt attempt = new Attempt(new Call(routes.get(past.route()), past.sentAtMicros(), false));
+            attempt.result = past.outcome() == null ? AttemptOutcome.RESET : past.outcome();
             request.attempts.add(attempt);
             rest(request, attempt.result);
         }
@@ -185,8 +228,8 @@
         tryAgain(request);
     }
 
-    private Request add(Accepted e) {
-        Request request = know(e);
+    private PendingMessage add(MessageAccepted e) {
+        PendingMessage request = know(e);
         ends.add(request);
         count(request.destination.came);
         held++;
@@ -194,39 +237,39 @@
         return request;
     }
 
-    private Request know(Accepted e) {
+    private PendingMessage know(MessageAccepted e) {
         RequestClass type = classes.get(e.requestClass());
         if (type == null) {
             throw new IllegalArgumentException("unknown request class " + e.requestClass());
         }
-        Request request = new Request(e, type, destination(e.destination()));
+        PendingMessage request = new PendingMessage(e, type, destination(e.destination()));
         requests.put(request.id, request);
         if (request.key != null) {
-            lines.computeIfAbsent(request.key, k -> new OrderLine()).requests.add(request);
+            lines.computeIfAbsent(request.key, k -> new KeyQueue()).requests.add(request);
         }
         return request;
     }
 
     /** It holds up those behind it, and that is all. */
-    private void ending(Accepted e) {
-        Request request = know(e);
+    private void ending(MessageAccepted e) {
+        PendingMessage request = know(e);
         request.done = true;
         request.unheard = true;
         // How its last attempt ended may be unknown.
-        rest(request, Result.RESET);
+        rest(request, AttemptOutcome.RESET);
     }
 
-    private void heard(Request request) {
+    private void heard(PendingMessage request) {
         request.unheard = false;
         settle(request);
     }
 
-    private void hold(Request request) {
+    private void hold(PendingMessage request) {
         request.destination.waiting.add(request);
         busy.add(request.destination);
     }
 
-    private void unhold(Request request) {
+    private void unhold(PendingMessage request) {
         request.destination.waiting.remove(request);
         if (request.destination.waiting.isEmpty()) {
             busy.remove(request.destination);
@@ -249,18 +292,18 @@
                 .ifPresent(this::end);
     }
 
-    private boolean refusable(Request request) {
-        return switch (request.type.repeat()) {
-            case REPEATABLE -> true;
-            case BY_KEY -> request.type.keyScope() == KeyScope.ALL || firstThatMayHaveRun(request) == null;
-            case ONCE -> firstThatMayHaveRun(request) == null;
+    private boolean refusable(PendingMessage request) {
+        return switch (request.type.idempotency()) {
+            case IDEMPOTENT -> true;
+            case IDEMPOTENT_BY_KEY -> request.type.keyScope() == KeyScope.ALL || firstThatMayHaveRun(request) == null;
+            case NON_IDEMPOTENT -> firstThatMayHaveRun(request) == null;
         };
     }
 
     /** Ends a request that has no attempt out, undelivered. */
-    private void end(Request request) {
+    private void end(PendingMessage request) {
         if (refusable(request)) {
-            actions.refuse(request.id, settings.limits().retryAdvice() ? comeBackIn(request) : 0);
+            actions.reject(request.id, settings.limits().retryAfter() ? comeBackIn(request) : 0);
         } else {
             actions.fail(request.id);
         }
@@ -268,7 +311,7 @@
     }
 
     /** When a route of the request's destination may be free again: what the client had better wait for. */
-    private long comeBackIn(Request request) {
+    private long comeBackIn(PendingMessage request) {
         long due = request.destination.routes.values().stream()
                 .filter(route -> route.listed)
                 .mapToLong(this::dueAt)
@@ -277,10 +320,10 @@
         return due == Long.MAX_VALUE ? SECOND : Math.max(SECOND / 2, due - now);
     }
 
-    private void finish(Request request) {
+    private void finish(PendingMessage request) {
         request.done = true;
         // Guards against a call for the next in order while the end of this one is told but not heard.
-        request.unheard = request.key != null && !actions.isHeard(request.id);
+        request.unheard = request.key != null && !actions.isCompletionAcknowledged(request.id);
         held--;
         unhold(request);
         ends.remove(request);
@@ -288,12 +331,12 @@
     }
 
     /** Forgets a finished request once no attempt of it is out. */
-    private void settle(Request request) {
+    private void settle(PendingMessage request) {
         if (!request.done || request.out > 0 || request.unheard) {
             return;
         }
         requests.remove(request.id);
-        OrderLine line = request.key == null ? null : lines.get(request.key);
+        KeyQueue line = request.key == null ? null : lines.get(request.key);
         if (line != null) {
             line.requests.remove(request);
             if (line.requests.isEmpty() && line.restUntil <= now) {
@@ -302,18 +345,18 @@
         }
     }
 
-    private boolean hasTurn(Request request) {
+    private boolean hasTurn(PendingMessage request) {
         if (request.key == null) {
             return true;
         }
-        OrderLine line = lines.get(request.key);
+        KeyQueue line = lines.get(request.key);
         return line.requests.peek() == request && (!request.attempts.isEmpty() || line.restUntil <= now);
     }
 
     /** Ends what has run out of time; an attempt still out reports its own time-out. */
     private void endOverdue() {
         while (!ends.isEmpty() && ends.first().deadline <= now) {
-            Request request = ends.pollFirst();
+            PendingMessage request = ends.pollFirst();
             if (request.out == 0) {
                 count(request.destination.lost);
                 end(request);
@@ -322,24 +365,24 @@
     }
 
     /** What a request would earn if it were delivered at a time. */
-    private double value(Request request, long at) {
+    private double value(PendingMessage request, long at) {
         RequestClass type = request.type;
         long age = at - request.acceptedAt;
-        if (age <= type.goal()) {
-            return type.worth();
+        if (age <= type.latencyObjectiveMicros()) {
+            return type.priorityWeight();
         }
         if (at >= request.deadline) {
             return 0;
         }
-        double late = age - type.goal();
-        double part = settings.fadesByHalf()
-                ? Math.max(type.lateWorth(), Math.pow(0.5, late / Math.max(1, type.goal())))
-                : 1 - (1 - type.lateWorth()) * late / (type.deadline() - type.goal());
-        return type.worth() * part;
+        double late = age - type.latencyObjectiveMicros();
+        double part = settings.halvingDecay()
+                ? Math.max(type.lateWeight(), Math.pow(0.5, late / Math.max(1, type.latencyObjectiveMicros())))
+                : 1 - (1 - type.lateWeight()) * late / (type.deadlineMicros() - type.latencyObjectiveMicros());
+        return type.priorityWeight() * part;
     }
 
-    private void outcome(Outcome e) {
-        Request request = requests.get(e.id());
+    private void outcome(AttemptCompleted e) {
+        PendingMessage request = requests.get(e.id());
         if (request == null || e.attempt() >= request.attempts.size()) {
             return;
         }
@@ -347,7 +390,7 @@
         if (attempt.result != null) {
             return;
         }
-        attempt.result = e.result();
+        attempt.result = e.outcome();
         request.out--;
         Call call = attempt.call;
         if (--call.pending == 0) {
@@ -356,15 +399,20 @@
             call.route.group.calls--;
         }
         // Guards against a wait told to only some of the requests of one call.
-        heed(call.route.group, e.toldWait());
+        heed(call.route.group, e.retryAfterMicros());
         if (!call.judged) {
             call.judged = true;
             // Guards against blaming a route for a message that was sent shortly before its time was up.
-            boolean early = e.result() == Result.TIMEOUT && e.elapsed() < testTimeout(call.route);
-            judge(call, early ? Result.NOT_SENT : e.result(), e.toldWait(), e.elapsed(), e.report());
+            boolean early = e.outcome() == AttemptOutcome.TIMEOUT && e.elapsedMicros() < testTimeout(call.route);
+            judge(
+                    call,
+                    early ? AttemptOutcome.NOT_SENT : e.outcome(),
+                    e.retryAfterMicros(),
+                    e.elapsedMicros(),
+                    e.limitReport());
         }
         forgetIfGone(call.route);
-        rest(request, e.result());
+        rest(request, e.outcome());
         if (request.done) {
             settle(request);
         } else if (e.closed()) {
@@ -374,33 +422,33 @@
         }
     }
 
-    private void heed(Group group, long toldWait) {
+    private void heed(LimitGroup group, long toldWait) {
         if (toldWait > 0) {
             group.waitUntil = Math.max(group.waitUntil, now + toldWait);
         }
     }
 
-    private void rest(Request request, Result result) {
-        boolean answered = result == Result.OK || result == Result.ERROR;
-        if (request.key != null && !answered && !result.neverRan()) {
-            lines.get(request.key).restUntil = now + settings.rules().orderPause();
-            actions.remind(WAKE, settings.rules().orderPause());
+    private void rest(PendingMessage request, AttemptOutcome result) {
+        boolean answered = result == AttemptOutcome.OK || result == AttemptOutcome.ERROR;
+        if (request.key != null && !answered && !result.isProvenNotExecuted()) {
+            lines.get(request.key).restUntil = now + settings.rules().orderingPauseMicros();
+            actions.setTimer(WAKE, settings.rules().orderingPauseMicros());
         }
     }
 
-    private static Attempt firstThatMayHaveRun(Request request) {
+    private static Attempt firstThatMayHaveRun(PendingMessage request) {
         for (Attempt attempt : request.attempts) {
-            if (attempt.result == null || !attempt.result.neverRan()) {
+            if (attempt.result == null || !attempt.result.isProvenNotExecuted()) {
                 return attempt;
             }
         }
         return null;
     }
 
-    private void tryAgain(Request request) {
+    private void tryAgain(PendingMessage request) {
         boolean spent = request.attempts.size() >= settings.limits().maxAttempts();
         boolean ran = firstThatMayHaveRun(request) != null;
-        if (now >= request.deadline || spent || ran && request.type.repeat() == Repeat.ONCE) {
+        if (now >= request.deadline || spent || ran && request.type.idempotency() == Idempotency.NON_IDEMPOTENT) {
             end(request);
         } else {
             hold(request);
@@ -408,21 +456,21 @@
     }
 
     /** Lets one call's result count for its route and its group. */
-    private void judge(Call call, Result result, long wait, long elapsed, LimitReport report) {
+    private void judge(Call call, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
         Route route = call.route;
-        Group group = route.group;
-        if (report.rate() > 0) {
+        LimitGroup group = route.group;
+        if (report.limitPerSecond() > 0) {
             // Guards against a limit that is lowered, or comes back, of which a relay of many hears seldom.
             if (many && group.reportedRate > 0) {
-                group.pace *= report.rate() / group.reportedRate;
+                group.pace *= report.limitPerSecond() / group.reportedRate;
             }
-            group.reportedRate = report.rate();
+            group.reportedRate = report.limitPerSecond();
         }
         if (call.test) {
             route.circuit.testing = false;
             group.circuit.testing = false;
         }
-        if (result == Result.OK || result == Result.ERROR || result == Result.FULL) {
+        if (result == AttemptOutcome.OK || result == AttemptOutcome.ERROR || result == AttemptOutcome.REJECTED) {
             route.answeredAt = now;
             route.provenFrom = Math.max(route.provenFrom, call.sentAt);
         }
@@ -431,10 +479,10 @@
             case ERROR, TIMEOUT, CONNECT_FAILED, CANCELLED -> failed(call, 1);
                 // Guards against taking connections that break for a route that fails: that one refuses new ones.
             case RESET -> failed(call, 0);
-            case FULL -> refused(call, wait, report);
+            case REJECTED -> refused(call, wait, report);
             case NOT_SENT -> {}
         }
-        if (result == Result.OK || result == Result.FULL) {
+        if (result == AttemptOutcome.OK || result == AttemptOutcome.REJECTED) {
             route.unproven = false;
             route.last = false;
         }
@@ -442,13 +490,13 @@
 
     private void served(Call call, long elapsed, LimitReport report) {
         Route route = call.route;
-        Group group = route.group;
+        LimitGroup group = route.group;
         route.errorRate *= 1 - WEIGHT;
         route.response = route.response == 0 ? elapsed : route.response + WEIGHT * (elapsed - route.response);
         group.refusals = 0;
         if (group.reports || group.circuit.state != CircuitState.CLOSED) {
             group.reports = false;
-            report(group, Word.SERVED);
+            report(group, PeerMessageType.SERVED);
         }
         count(group.served);
         grow(group, report);
@@ -462,15 +510,15 @@
      * Guards, where a report tells what is left of the limit, against growth until all are refused: where
      * refused calls use the limit up too, nobody is served from then on.
      */
-    private void grow(Group group, LimitReport report) {
-        if (many && report.left() < SCARCE_LEFT) {
+    private void grow(LimitGroup group, LimitReport report) {
+        if (many && report.remainingShare() < SCARCE_LEFT) {
             if (now - group.cutAt >= CUT_PAUSE) {
                 group.cutAt = now;
                 group.pace = Math.max(part(group), Math.min(group.pace, usual(group.sent)) * SCARCE_CUT);
             }
-        } else if (many && report.left() >= SCARCE_LEFT) {
+        } else if (many && report.remainingShare() >= SCARCE_LEFT) {
             // The report speaks for all relays, and for the whole time since this one was served last.
-            double room = (report.left() - SCARCE_LEFT) / (1 - SCARCE_LEFT);
+            double room = (report.remainingShare() - SCARCE_LEFT) / (1 - SCARCE_LEFT);
             double grown = Math.pow(1 + ROOM_GROWTH * room, (now - group.grownAt) / (double) SECOND);
             group.pace = Math.max(part(group), group.pace * grown);
         } else if (group.seeking) {
@@ -515,7 +563,7 @@
 
     private void failed(Call call, int weight) {
         Route route = call.route;
-        Group group = route.group;
+        LimitGroup group = route.group;
         route.errorRate += WEIGHT * (1 - route.errorRate);
         route.circuit.run += weight;
         route.circuit.failedFrom = Math.max(route.circuit.failedFrom, weight * call.sentAt);
@@ -532,7 +580,7 @@
             }
         }
         if (group.reports || route.circuit.state == CircuitState.OPEN) {
-            report(group, Word.FAILED);
+            report(group, PeerMessageType.FAILED);
         }
         if (releasing(group)) {
             // Guards against release into an outage that goes on: a failure puts the release back.
@@ -541,10 +589,10 @@
     }
 
     private void refused(Call call, long wait, LimitReport report) {
-        Group group = call.route.group;
+        LimitGroup group = call.route.group;
         // Guards against taking a limit that a whole fleet has overrun for a destination that shut: each
         // relay sees refusals alone then. Where it is not used up, or all keep to their parts, it has shut.
-        boolean usedUp = limit(group) > 0 && report.left() < SCARCE_LEFT;
+        boolean usedUp = limit(group) > 0 && report.remainingShare() < SCARCE_LEFT;
         if (usedUp && group.pace > part(group)) {
             group.refusals = 0;
         }
@@ -553,7 +601,7 @@
         }
         // Guards against a shut destination, which refuses like one above its limit but returns cold.
         // A report is some hundred milliseconds old: a rest that it tells proves nothing of a first refusal.
-        int enough = many && report.left() >= SCARCE_LEFT ? FAILURES_TO_OPEN - 1 : FAILURES_TO_OPEN;
+        int enough = many && report.remainingShare() >= SCARCE_LEFT ? FAILURES_TO_OPEN - 1 : FAILURES_TO_OPEN;
         boolean shut = wait > SHUT_WAIT || group.refusals >= enough && now - group.refusedSince >= SHUT_SPAN;
         if (shut || group.circuit.state != CircuitState.CLOSED) {
             open(group.circuit, group, false, wait);
@@ -568,7 +616,7 @@
         }
         long until = Math.max(now, group.waitUntil);
         group.nextAt = Math.max(group.nextAt, until + spread(interval(group.pace)));
-        report(group, Word.REFUSED);
+        report(group, PeerMessageType.REFUSED);
     }
 
     /**
@@ -576,7 +624,7 @@
      * even a cold destination bears. Guards against relays with several times the mean, which would wait.
      * Where a call carries several messages, a part is calls: what this relay needs when they are full.
      */
-    private double part(Group group) {
+    private double part(LimitGroup group) {
         double equal = (limit(group) > 0 ? limit(group) : LEAST_PACE) / settings.fleetSize();
         if (!many || limit(group) == 0) {
             return equal;
@@ -600,7 +648,7 @@
      * The limit over sender count, which refusals teach: an equal part is too little for who has a clump.
      * Guards too against a pace that is none, since this relay sends less: many such cuts change nothing.
      */
-    private void cut(Group group) {
+    private void cut(LimitGroup group) {
         group.cutAt = now;
         group.grownAt = now;
         double senders = Math.min(FIRST_SENDERS, settings.fleetSize());
@@ -614,7 +662,7 @@
                 : Math.max(part(group), group.pace * PACE_CUT);
     }
 
-    private void open(Circuit circuit, Group group, boolean bySilence, long wait) {
+    private void open(Circuit circuit, LimitGroup group, boolean bySilence, long wait) {
         if (circuit.state == CircuitState.CLOSED) {
             circuit.openedAt = now;
             circuit.bySilence = bySilence;
@@ -634,7 +682,7 @@
      * Guards against a fleet that tests a destination to death: a relay tests as often as its part of the
      * calls lets a cold destination bear. Harms what is parked at one that calls rarely: it waits long.
      */
-    private long testPause(Group group) {
+    private long testPause(LimitGroup group) {
         long longest = settings.fleetSize() * TEST_SPACING;
         return spread(Math.max(RECOVERY, Math.min(interval(releaseRate(group, now)), longest)));
     }
@@ -644,22 +692,22 @@
     }
 
     /** Who calls a destination rarely can't wait for three failures; a single error costs it a pause. */
-    private static int failuresToOpen(Group group) {
+    private static int failuresToOpen(LimitGroup group) {
         return (int) Math.max(1, Math.min(FAILURES_TO_OPEN, group.sent.count / CALLS_A_FAILURE));
     }
 
-    private void probed(ProbeDone e) {
+    private void probed(ProbeCompleted e) {
         Route route = routes.get(e.route());
         if (route != null) {
             // Guards against calls that follow a probe which was told to wait.
-            heed(route.group, e.toldWait());
-            Call probe = new Call(route, now - e.elapsed(), true);
-            judge(probe, e.result(), e.toldWait(), e.elapsed(), e.report());
+            heed(route.group, e.retryAfterMicros());
+            Call probe = new Call(route, now - e.elapsedMicros(), true);
+            judge(probe, e.outcome(), e.retryAfterMicros(), e.elapsedMicros(), e.limitReport());
         }
     }
 
     /** Calls a second that the group takes from all relays, as reported or listed; 0 where unknown. */
-    private double limit(Group group) {
+    private double limit(LimitGroup group) {
         double listed = group.routes.stream()
                 .filter(r -> r.listed)
                 .mapToDouble(r -> r.rate)
@@ -675,43 +723,43 @@
     }
 
     /** Events a second over the last {@link #RATE_SPAN} or so. */
-    private double rate(Rate rate) {
+    private double rate(DecayingCounter rate) {
         return rate.count * Math.exp((rate.at - now) / (double) RATE_SPAN) * SECOND / RATE_SPAN;
     }
 
     /** As above; a count that began less than the span ago is no smaller for that, if it tells. */
-    private double usual(Rate rate) {
+    private double usual(DecayingCounter rate) {
         return rate(rate) / (tells(rate) ? 1 - Math.exp((rate.since - now) / (double) RATE_SPAN) : 1);
     }
 
-    private boolean tells(Rate rate) {
+    private boolean tells(DecayingCounter rate) {
         return rate.count >= LEAST_TO_TELL && now - rate.since >= LEAST_COUNTED;
     }
 
-    private void count(Rate rate) {
+    private void count(DecayingCounter rate) {
         rate.since = rate.since == 0 ? now : rate.since;
         rate.count = 1 + rate.count * Math.exp((rate.at - now) / (double) RATE_SPAN);
         rate.at = now;
     }
 
-    private boolean releasing(Group group) {
-        return now - group.releasedAt < settings.rules().warmUp();
+    private boolean releasing(LimitGroup group) {
+        return now - group.releasedAt < settings.rules().warmUpMicros();
     }
 
     /** How much of its usual calls a destination bears since its return: it warms up evenly. */
     private double bearable(long since) {
-        double warm = (now - since) / (double) Math.max(1, settings.rules().warmUp());
-        double part = settings.rules().coldFrom() * (1 - warm) + warm;
-        return RELEASE_MARGIN * settings.rules().fallMultiple() * part;
+        double warm = (now - since) / (double) Math.max(1, settings.rules().warmUpMicros());
+        double part = settings.rules().coldCapacityShare() * (1 - warm) + warm;
+        return RELEASE_MARGIN * settings.rules().overloadMultiple() * part;
     }
 
     /** Calls a second of this relay that a group bears since its return. */
-    private double releaseRate(Group group, long since) {
+    private double releaseRate(LimitGroup group, long since) {
         double usual = Math.max(group.usualRate, limit(group) / settings.fleetSize());
         return Math.max(LEAST_RELEASE / settings.fleetSize(), bearable(since) * usual);
     }
 
-    private double paceOf(Group group) {
+    private double paceOf(LimitGroup group) {
         return releasing(group) ? Math.min(group.pace, releaseRate(group, group.releasedAt)) : group.pace;
     }
 
@@ -750,8 +798,8 @@
     }
 
     /** Guards against one destination, above all a slow one, that holds every slot. */
-    private boolean crowded(Group group, Route route) {
-        int slots = settings.limits().callSlots();
+    private boolean crowded(LimitGroup group, Route route) {
+        int slots = settings.limits().maxConcurrentCalls();
         boolean slow = route.response > SLUGGISH / 2 || mute(route, 0.5);
         boolean scarce = slow || out.size() > slots * SCARCE_FROM;
         double part = scarce ? SCARCE_SLOT_SHARE : SLOT_SHARE;
@@ -759,7 +807,7 @@
     }
 
     private boolean usable(Route route) {
-        Group group = route.group;
+        LimitGroup group = route.group;
         openIfMute(route);
         return route.listed
                 && now >= group.waitUntil
@@ -779,11 +827,11 @@
     }
 
     private double placeBonus(String zone) {
-        double dearest = settings.zones().stream().mapToDouble(Zone::toll).max().orElse(0);
+        double dearest = settings.zones().stream().mapToDouble(Zone::cost).max().orElse(0);
         if (dearest > 0) {
             double toll = settings.zones().stream()
                     .filter(z -> z.name().equals(zone))
-                    .mapToDouble(Zone::toll)
+                    .mapToDouble(Zone::cost)
                     .findFirst()
                     .orElse(dearest);
             return PLACE_BONUS * (1 - toll / dearest);
@@ -792,12 +840,13 @@
     }
 
     /** True where the repeat rules let the request go to the route now. */
-    private boolean allowed(Request request, Route route) {
+    private boolean allowed(PendingMessage request, Route route) {
         Attempt first = firstThatMayHaveRun(request);
-        if (first == null || request.type.repeat() == Repeat.REPEATABLE) {
+        if (first == null || request.type.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        if (request.type.repeat() == Repeat.ONCE || now >= first.call.sentAt + request.type.keyWindow()) {
+        if (request.type.idempotency() == Idempotency.NON_IDEMPOTENT
+                || now >= first.call.sentAt + request.type.keyWindowMicros()) {
             return false;
         }
         return switch (request.type.keyScope()) {
@@ -807,7 +856,7 @@
         };
     }
 
-    private boolean anyAllowed(Request request, List<Route> routes) {
+    private boolean anyAllowed(PendingMessage request, List<Route> routes) {
         for (Route route : routes) {
             if (allowed(request, route)) {
                 return true;
@@ -816,7 +865,7 @@
         return false;
     }
 
-    private Route pick(Request request, List<Route> usable) {
+    private Route pick(PendingMessage request, List<Route> usable) {
         List<Route> open = new ArrayList<>(usable);
         open.removeIf(route -> !allowed(request, route));
         if (open.size() > 1) {
@@ -849,7 +898,7 @@
         return open.get(i);
     }
 
-    private record Candidate(Request request, Route route, double loss) {}
+    private record Candidate(PendingMessage request, Route route, double loss) {}
 
     private void dispatch() {
         // Guards against a host that was told to be draining while this relay was down.
@@ -864,7 +913,7 @@
             test(destination);
             addCandidate(destination, candidates);
         }
-        while (!candidates.isEmpty() && out.size() < settings.limits().callSlots()) {
+        while (!candidates.isEmpty() && out.size() < settings.limits().maxConcurrentCalls()) {
             Candidate next = candidates.poll();
             call(next.request, next.route, false);
             addCandidate(next.request.destination, candidates);
@@ -875,7 +924,7 @@
 
     /** Guards against calls whose answers are lost, which would hold every slot until their time is up. */
     private void dropOverdue(int wanted) {
-        if (wanted == 0 || !settings.limits().cancel()) {
+        if (wanted == 0 || !settings.limits().cancellation()) {
             return;
         }
         List<Call> overdue = out.stream()
@@ -884,7 +933,7 @@
                 .toList();
         for (Call call : overdue) {
             call.dropped = true;
-            for (Request request : call.requests) {
+            for (PendingMessage request : call.requests) {
                 for (int i = 0; i < request.attempts.size(); i++) {
                     if (request.attempts.get(i).call == call && request.attempts.get(i).result == null) {
                         actions.cancel(request.id, i);
@@ -903,9 +952,9 @@
         if (usable.isEmpty()) {
             return;
         }
-        Request best = null;
+        PendingMessage best = null;
         double most = -1;
-        for (Request request : destination.waiting) {
+        for (PendingMessage request : destination.waiting) {
             double loss = loss(request, usable.get(0));
             boolean earlier = best != null && loss == most && request.deadline < best.deadline;
             if ((loss > most || earlier)
@@ -925,7 +974,7 @@
      * What a request loses if others go first for a while. Where messages run out of time, one that waits is
      * lost: saving the oldest each time would deliver all of them late.
      */
-    private double loss(Request request, Route route) {
+    private double loss(PendingMessage request, Route route) {
         long arrival = now + (long) response(route);
         Destination destination = request.destination;
         double lost = rate(destination.lost);
@@ -936,12 +985,12 @@
     }
 
     /** Guards against calls that can't be answered in time any more. */
-    private boolean inTime(Request request, Route route) {
+    private boolean inTime(PendingMessage request, Route route) {
         return request.deadline - now > response(route) / 2;
     }
 
     /** Within pace; while all ask for turns, with a turn or after waiting for one in vain. */
-    private boolean mayGo(Group group) {
+    private boolean mayGo(LimitGroup group) {
         return now >= group.nextAt
                 && (now >= group.guardedUntil || now < group.turnUntil || group.asked && !waits(group));
     }
@@ -951,40 +1000,41 @@
      * or to find an outage: trouble is told to the group's keeper, which all know by the group's number and
      * which gives turns one at a time. A lost note, or a dead keeper, costs {@link #PATIENCE}.
      */
-    private void report(Group group, Word word) {
-        if (!settings.limits().peers()) {
+    private void report(LimitGroup group, PeerMessageType word) {
+        if (!settings.limits().peerMessages()) {
             return;
         }
-        if (word != Word.SERVED) {
+        if (word != PeerMessageType.SERVED) {
             group.asked = true;
             group.askedAt = now;
         }
         tell(Math.floorMod(group.number, settings.fleetSize()), word, group.number);
     }
 
-    private void tell(int relay, Word word, int number) {
-        if (relay == settings.relay()) {
+    private void tell(int relay, PeerMessageType word, int number) {
+        if (relay == settings.relayIndex()) {
             hear(relay, word, number);
         } else {
             ByteBuffer note = ByteBuffer.allocate(Integer.BYTES + 1);
-            actions.tell(relay, note.put((byte) word.ordinal()).putInt(number).array());
+            actions.sendToPeer(
+                    relay, note.put((byte) word.ordinal()).putInt(number).array());
         }
     }
 
-    private void hear(int from, Word word, int number) {
-        Group group = groups.get(number);
+    private void hear(int from, PeerMessageType word, int number) {
+        LimitGroup group = groups.get(number);
         if (group == null) {
             return;
         }
         switch (word) {
-            case TURN, TEST -> turn(group, word == Word.TEST);
+            case TURN, TEST -> turn(group, word == PeerMessageType.TEST);
             case GUARD -> group.guardedUntil = now + GUARD;
             case WANT, REFUSED, FAILED, SERVED -> keep(group, from, word);
             case NONE -> {}
         }
     }
 
-    private void turn(Group group, boolean test) {
+    private void turn(LimitGroup group, boolean test) {
         group.asked = false;
         group.reports = test;
         group.nextAt = now;
@@ -993,57 +1043,57 @@
         group.routes.forEach(route -> route.circuit.until = now);
     }
 
-    private void keep(Group group, int from, Word word) {
-        Keeper keeper = group.keeper;
-        if (word == Word.SERVED) {
+    private void keep(LimitGroup group, int from, PeerMessageType word) {
+        PermitLedger keeper = group.keeper;
+        if (word == PeerMessageType.SERVED) {
             keeper.upAt = keeper.failures >= FAILURES_TO_OPEN ? now : keeper.upAt;
             keeper.failures = 0;
             return;
         }
-        keeper.failures += word == Word.FAILED ? 1 : 0;
-        if (word == Word.REFUSED && now - keeper.cutAt >= CUT_PAUSE) {
+        keeper.failures += word == PeerMessageType.FAILED ? 1 : 0;
+        if (word == PeerMessageType.REFUSED && now - keeper.cutAt >= CUT_PAUSE) {
             keeper.factor *= KEEPER_CUT;
             keeper.cutAt = now;
         }
         keeper.askers.add(from);
         kept.add(group);
-        if (now - keeper.guardedAt > GUARD - SECOND && (word != Word.WANT || keeper.askers.size() > 1)) {
+        if (now - keeper.guardedAt > GUARD - SECOND && (word != PeerMessageType.WANT || keeper.askers.size() > 1)) {
             keeper.guardedAt = now;
             group.guardedUntil = now + GUARD;
-            tell(-1, Word.GUARD, group.number);
+            tell(-1, PeerMessageType.GUARD, group.number);
         }
     }
 
     /** Gives the turns that are due: tests while a destination fails, then as many as it bears. */
-    private void giveTurns(Group group) {
-        Keeper keeper = group.keeper;
+    private void giveTurns(LimitGroup group) {
+        PermitLedger keeper = group.keeper;
         while (!keeper.askers.isEmpty() && now >= keeper.nextAt) {
             int relay = keeper.askers.iterator().next();
             keeper.askers.remove(relay);
             boolean down = keeper.failures >= FAILURES_TO_OPEN;
             keeper.nextAt = Math.max(keeper.nextAt, now - SECOND / 2)
                     + (down ? TEST_SPACING : interval(turnRate(group, keeper)));
-            tell(relay, down ? Word.TEST : Word.TURN, group.number);
+            tell(relay, down ? PeerMessageType.TEST : PeerMessageType.TURN, group.number);
         }
     }
 
-    private double turnRate(Group group, Keeper keeper) {
+    private double turnRate(LimitGroup group, PermitLedger keeper) {
         double limit = limit(group) == 0 ? LEAST_PACE : limit(group);
         keeper.factor = Math.min(MOST_FACTOR, keeper.factor * growth(keeper.grownAt));
         keeper.grownAt = now;
-        boolean warm = now - keeper.upAt >= settings.rules().warmUp();
+        boolean warm = now - keeper.upAt >= settings.rules().warmUpMicros();
         return limit * (warm ? keeper.factor : Math.min(keeper.factor, bearable(keeper.upAt)));
     }
 
-    private boolean waits(Group group) {
+    private boolean waits(LimitGroup group) {
         return group.asked && now < group.askedAt + PATIENCE;
     }
 
     private void wantTurns(Destination destination) {
         for (Route route : destination.routes.values()) {
-            Group group = route.group;
+            LimitGroup group = route.group;
             if (route.listed && now < group.guardedUntil && !waits(group) && now >= group.turnUntil) {
-                report(group, Word.WANT);
+                report(group, PeerMessageType.WANT);
             }
         }
     }
@@ -1068,7 +1118,7 @@
                     && !spared(route)
                     && testable(circuit)
                     && now >= route.group.waitUntil
-                    && out.size() < settings.limits().callSlots()) {
+                    && out.size() < settings.limits().maxConcurrentCalls()) {
                 sendTest(destination, route, circuit);
             }
         }
@@ -1085,9 +1135,9 @@
 
     private void sendTest(Destination destination, Route route, Circuit circuit) {
         // Guards against a test that only tells that its message's time was up.
-        Request chosen = destination.waiting.stream()
+        PendingMessage chosen = destination.waiting.stream()
                 .filter(r -> hasTurn(r) && allowed(r, route) && r.deadline - now >= testTimeout(route))
-                .min(Comparator.comparingInt(Logic::testCost))
+                .min(Comparator.comparingInt(DefaultDeliveryPolicy::testCost))
                 .orElse(null);
         if (chosen == null) {
             return;
@@ -1096,8 +1146,9 @@
         // Guards against a test in vain that leaves a request with nowhere to go.
         // Guards too against a message for an address that may be another's by now: a check goes there first.
         boolean free = !route.unproven
-                && (chosen.type.repeat() == Repeat.REPEATABLE
-                        || chosen.type.repeat() == Repeat.BY_KEY && chosen.type.keyScope() == KeyScope.ALL);
+                && (chosen.type.idempotency() == Idempotency.IDEMPOTENT
+                        || chosen.type.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                                && chosen.type.keyScope() == KeyScope.ALL);
         if (!free && settings.limits().probes()) {
             count(route.group.sent);
             actions.probe(route.name);
@@ -1107,12 +1158,12 @@
     }
 
     /** Tests go by the request that loses least by an attempt in vain. */
-    private static int testCost(Request request) {
-        int cost = request.type.repeat().ordinal() * 100 + request.attempts.size();
+    private static int testCost(PendingMessage request) {
+        int cost = request.type.idempotency().ordinal() * 100 + request.attempts.size();
         return cost + (firstThatMayHaveRun(request) == null ? 0 : 50);
     }
 
-    private void call(Request request, Route route, boolean test) {
+    private void call(PendingMessage request, Route route, boolean test) {
         Call call = new Call(route, now, test);
         out.add(call);
         route.group.calls++;
@@ -1124,7 +1175,7 @@
         send(request, call);
         int room = test ? 0 : batch(route) - 1;
         if (room > 0) {
-            for (Request other : List.copyOf(request.destination.waiting)) {
+            for (PendingMessage other : List.copyOf(request.destination.waiting)) {
                 if (call.pending <= room && hasTurn(other) && allowed(other, route)) {
                     send(other, call);
                 }
@@ -1134,14 +1185,15 @@
 
     /** How many messages travel in one call to a route. */
     private int batch(Route route) {
-        Kind kind = kinds.get(route.kind);
-        return kind == null ? 1 : kind.batch();
+        DestinationKind kind = kinds.get(route.kind);
+        return kind == null ? 1 : kind.maxBatchSize();
     }
 
-    private void send(Request request, Call call) {
+    private void send(PendingMessage request, Call call) {
         // Guards against a repeat that waits for a connection until its destination has forgotten the key.
-        Attempt first = request.type.repeat() == Repeat.BY_KEY ? firstThatMayHaveRun(request) : null;
-        long windowLeft = first == null ? 0 : first.call.sentAt + request.type.keyWindow() - now;
+        Attempt first =
+                request.type.idempotency() == Idempotency.IDEMPOTENT_BY_KEY ? firstThatMayHaveRun(request) : null;
+        long windowLeft = first == null ? 0 : first.call.sentAt + request.type.keyWindowMicros() - now;
         unhold(request);
         request.attempts.add(new Attempt(call));
         request.out++;
@@ -1150,8 +1202,8 @@
         actions.send(request.id, call.route.name, timeout(request, call), windowLeft);
     }
 
-    private long timeout(Request request, Call call) {
-        boolean last = request.type.repeat() == Repeat.ONCE
+    private long timeout(PendingMessage request, Call call) {
+        boolean last = request.type.idempotency() == Idempotency.NON_IDEMPOTENT
                 || request.attempts.size() >= settings.limits().maxAttempts();
         if (last) {
             return 0;
@@ -1165,20 +1217,20 @@
         return Math.max(TEST_TIMEOUT, (long) (TEST_RATIO * response(route)));
     }
 
-    private void list(RouteList e) {
-        if (e.kind() == ListKind.FAILED) {
-            actions.remind(ASK, spread(ASK_AGAIN));
+    private void list(EndpointListReceived e) {
+        if (e.kind() == EndpointListKind.FAILED) {
+            actions.setTimer(ASK, spread(ASK_AGAIN));
             return;
         }
         awaitUntil = now;
-        if (e.kind() != ListKind.CHANGES) {
+        if (e.kind() != EndpointListKind.DELTA) {
             routes.values().forEach(route -> route.listed = false);
         }
-        for (Listed entry : e.entries()) {
+        for (EndpointEntry entry : e.entries()) {
             Route route = routes.computeIfAbsent(entry.route(), name -> newRoute(entry));
             route.listed = entry.availability() == Availability.LISTED;
-            route.rate = entry.rate();
-            route.unproven &= e.kind() == ListKind.CACHED;
+            route.rate = entry.ratePerSecond();
+            route.unproven &= e.kind() == EndpointListKind.CACHED;
             route.last &= route.unproven;
         }
         List.copyOf(routes.values()).forEach(this::forgetIfGone);
@@ -1189,23 +1241,23 @@
      * part of what all may send, and grows with serves. One that was out, or that is not believed, is tested
      * and then released. A check goes ahead of any message, for an address that may be another's by now.
      */
-    private void remember(Route route, Remembered e) {
-        Belief belief = e.belief();
-        Standing known = e.standing();
-        Group group = route.group;
-        group.waitUntil = Math.max(group.waitUntil, now + known.waitLeft());
-        group.reportedRate = group.reportedRate > 0 ? group.reportedRate : known.limit();
-        route.response = known.response();
+    private void remember(Route route, RouteRestored e) {
+        TrustLevel belief = e.trust();
+        RouteSnapshot known = e.snapshot();
+        LimitGroup group = route.group;
+        group.waitUntil = Math.max(group.waitUntil, now + known.retryAfterRemainingMicros());
+        group.reportedRate = group.reportedRate > 0 ? group.reportedRate : known.limitPerSecond();
+        route.response = known.responseTimeMicros();
         route.answeredAt = now;
-        boolean sound = belief == Belief.AS_LISTED && !known.out();
+        boolean sound = belief == TrustLevel.AS_LISTED && !known.circuitOpen();
         route.unproven = !sound || settings.limits().probes();
-        route.last = belief == Belief.LAST;
+        route.last = belief == TrustLevel.LAST_RESORT;
         // Guards against a fleet whose relays' parts add up to more than the limit that is known.
-        group.usualRate = limit(group) > 0 ? 0 : Math.max(group.usualRate, known.usual());
+        group.usualRate = limit(group) > 0 ? 0 : Math.max(group.usualRate, known.usualRatePerSecond());
         double least = limit(group) > 0
                 ? limit(group) / settings.fleetSize()
                 : LEAST_PACE / Math.min(FIRST_SENDERS, settings.fleetSize());
-        double part = Math.max(least, known.usual()) * (1 - START_JITTER * random.nextDouble());
+        double part = Math.max(least, known.usualRatePerSecond()) * (1 - START_JITTER * random.nextDouble());
         group.pace = Math.min(group.pace, part);
         group.grownAt = now;
         group.nextAt = Math.max(group.nextAt, now + (long) (random.nextDouble() * interval(part)));
@@ -1215,13 +1267,13 @@
                 startOut(group.circuit, group, group.routes.stream().allMatch(r -> r.circuit.forCheck));
             }
         }
-        if (sound && known.warmLeft() > 0) {
-            group.releasedAt = now - settings.rules().warmUp() + known.warmLeft();
+        if (sound && known.warmUpRemainingMicros() > 0) {
+            group.releasedAt = now - settings.rules().warmUpMicros() + known.warmUpRemainingMicros();
         }
     }
 
     /** Out from the start; the first test comes at a time of this relay's own, as a cold route bears it. */
-    private void startOut(Circuit circuit, Group group, boolean forCheck) {
+    private void startOut(Circuit circuit, LimitGroup group, boolean forCheck) {
         circuit.state = CircuitState.OPEN;
         circuit.openedAt = now;
         circuit.forCheck = forCheck;
@@ -1233,7 +1285,7 @@
     }
 
     @Override
-    public List<Standing> standings(long now) {
+    public List<RouteSnapshot> routeSnapshots(long now) {
         this.now = now;
         return routes.values().stream()
                 .filter(route -> route.listed)
@@ -1245,11 +1297,11 @@
         return circuit.state != CircuitState.CLOSED && !circuit.forCheck;
     }
 
-    private Standing standing(Route route) {
-        Group group = route.group;
+    private RouteSnapshot standing(Route route) {
+        LimitGroup group = route.group;
         boolean out = isOut(route.circuit) || isOut(group.circuit);
-        long warmLeft = Math.max(0, group.releasedAt + settings.rules().warmUp() - now);
-        return new Standing(
+        long warmLeft = Math.max(0, group.releasedAt + settings.rules().warmUpMicros() - now);
+        return new RouteSnapshot(
                 route.name,
                 Math.max(0, group.waitUntil - now),
                 group.reportedRate,
@@ -1264,7 +1316,7 @@
      * is out and no wait that it told runs. Requests keep what they need of it.
      */
     private void forgetIfGone(Route route) {
-        Group group = route.group;
+        LimitGroup group = route.group;
         if (route.listed || !route.out.isEmpty() || now < group.waitUntil) {
             return;
         }
@@ -1276,12 +1328,12 @@
         }
     }
 
-    private Route newRoute(Listed entry) {
+    private Route newRoute(EndpointEntry entry) {
         Destination destination = destination(entry.destination());
-        Kind kind = kinds.get(entry.kind());
-        boolean apart = kind != null && kind.routesApart();
+        DestinationKind kind = kinds.get(entry.kind());
+        boolean apart = kind != null && kind.independentRoutes();
         int number = apart ? entry.route().hashCode() : entry.destination();
-        Group group = groups.computeIfAbsent(number, Group::new);
+        LimitGroup group = groups.computeIfAbsent(number, LimitGroup::new);
         Route route = new Route(entry, destination, group, apart);
         route.placeBonus = placeBonus(route.zone);
         group.routes.add(route);
@@ -1323,13 +1375,13 @@
         }
         if (wake < wakeAt) {
             wakeAt = Math.max(wake, now + 1);
-            actions.remind(WAKE, wakeAt - now);
+            actions.setTimer(WAKE, wakeAt - now);
         }
     }
 
     /** When the route may be used or tested next, if only time stands in the way. */
     private long dueAt(Route route) {
-        Group group = route.group;
+        LimitGroup group = route.group;
         long guarded = Math.min(group.guardedUntil, group.asked ? group.askedAt + PATIENCE : Long.MAX_VALUE);
         long at = Math.max(Math.max(group.nextAt, group.waitUntil), guarded);
         if (route.circuit.state == CircuitState.OPEN) {
--- /dev/null
+++ b/src/main/java/loftflow/policy/api/MessageWithdrawn.java
@@ -0,0 +1,4 @@
+package loftflow.policy.api;
+
+/** The client gave the request up. */
+public record MessageWithdrawn(long id) implements PolicyEvent {}
--- a/src/main/java/pipitstage/records/Records.java
+++ b/src/main/java/loftflow/recordfile/RecordFile.java
@@ -1,4 +1,4 @@
-package pipitstage.records;
+package loftflow.recordfile;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -6,11 +6,11 @@
 import java.util.zip.CRC32;
 
 /** Records in a file, each with its length and checksum ahead, 4 bytes each. */
-public final class Records {
+public final class RecordFile {
     /** Bytes of a record ahead of its payload. */
     public static final int HEAD = Integer.BYTES * 2;
 
-    private Records() {}
+    private RecordFile() {}
 
     /** Fills the head of a record whose payload stands behind the {@link #HEAD} bytes that are left for it. */
     public static byte[] seal(byte[] record) {
--- a/src/main/java/pipitstage/records/package-info.java
+++ b/src/main/java/loftflow/recordfile/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: nothing of the relay.
  */
-package pipitstage.records;
+package loftflow.recordfile;
--- a/src/main/java/pipitstage/relay/Amqp.java
+++ b/src/main/java/loftflow/server/AmqpModule.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.ssl.SslContext;
@@ -10,30 +10,30 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import pipitstage.amqp.link.ClientLink;
-import pipitstage.amqp.link.ServerLink;
-import pipitstage.amqp.mapping.Mapping;
-import pipitstage.amqp.mapping.Source;
-import pipitstage.config.Config;
-import pipitstage.duplicates.Seen;
-import pipitstage.duplicates.SeenFile;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Ends;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Pulse;
-import pipitstage.engine.WriteAhead;
-import pipitstage.front.Front;
-import pipitstage.front.amqp.AmqpServer;
-import pipitstage.front.amqp.QueueConsumer;
-import pipitstage.front.amqp.Replies;
-import pipitstage.log.Log;
-import pipitstage.partner.amqp.Broker;
-import pipitstage.partner.amqp.BrokerClient;
+import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.amqp.link.AmqpServerConnection;
+import loftflow.amqp.mapping.MessageMapping;
+import loftflow.amqp.mapping.ValueSource;
+import loftflow.config.Config;
+import loftflow.deduplication.DeduplicationFile;
+import loftflow.deduplication.Deduplicator;
+import loftflow.engine.Clock;
+import loftflow.engine.CompletionNotifier;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.engine.WriteAheadLog;
+import loftflow.listener.Listener;
+import loftflow.listener.amqp.AmqpListener;
+import loftflow.listener.amqp.CompletionReplier;
+import loftflow.listener.amqp.QueueConsumer;
+import loftflow.log.Log;
+import loftflow.upstream.amqp.BrokerClient;
+import loftflow.upstream.amqp.BrokerDestination;
 
 /** All that is spoken of AMQP 0-9-1: brokers as partners, and the ways in. Not loaded where there is none of it. */
-final class Amqp {
+final class AmqpModule {
     private static final Config.MappingRule USUAL = new Config.MappingRule(
             null,
             "property:message-id",
@@ -45,15 +45,22 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Engine engine;
+    private final DeliveryEngine engine;
     private final Config config;
-    private final Ends others;
-    private final List<AmqpServer> servers = new ArrayList<>();
+    private final CompletionNotifier others;
+    private final List<AmqpListener> servers = new ArrayList<>();
     private final List<QueueConsumer> consumers = new ArrayList<>();
     /** The fronts that tell ends, by the names that the journal knows them by. */
-    private final Map<String, Replies> replies = new HashMap<>();
+    private final Map<String, CompletionReplier> replies = new HashMap<>();
 
-    Amqp(EventLoop loop, Clock clock, Pulse pulse, Engine engine, Config config, WriteAhead journal, Ends others)
+    AmqpModule(
+            EventLoop loop,
+            Clock clock,
+            EventLoopLag pulse,
+            DeliveryEngine engine,
+            Config config,
+            WriteAheadLog journal,
+            CompletionNotifier others)
             throws IOException {
         this.loop = loop;
         this.clock = clock;
@@ -62,25 +69,25 @@
         this.others = others;
         Config.Amqp amqp = config.amqp();
         boolean takes = !amqp.fronts().isEmpty() || !amqp.queues().isEmpty();
-        Seen seen = takes ? seen(journal) : Seen.NOTHING;
-        Mapping mapping = new Mapping(
+        Deduplicator seen = takes ? seen(journal) : Deduplicator.NOTHING;
+        MessageMapping mapping = new MessageMapping(
                 (amqp.mappings().isEmpty() ? List.of(USUAL) : amqp.mappings())
-                        .stream().map(Amqp::rule).toList(),
+                        .stream().map(AmqpModule::rule).toList(),
                 config.settings().classes());
         for (Config.AmqpFront f : amqp.fronts()) {
-            AmqpServer server = new AmqpServer(
+            AmqpListener server = new AmqpListener(
                     engine,
                     clock,
                     pulse,
                     mapping,
                     seen,
-                    new AmqpServer.Options(
+                    new AmqpListener.Options(
                             f.name(),
                             f.exchange(),
                             f.user(),
                             f.password(),
                             amqp.connections(),
-                            new ServerLink.Offer("loftflow", f.channels(), f.frame(), f.heartbeat()),
+                            new AmqpServerConnection.Offer("loftflow", f.channels(), f.frame(), f.heartbeat()),
                             f.replyHold()),
                     engine::noticeHeard,
                     this::otherwise);
@@ -97,7 +104,7 @@
                     seen,
                     new QueueConsumer.Options(
                             q.name(),
-                            new ClientLink.Broker(
+                            new AmqpClientConnection.Broker(
                                     q.address(),
                                     login(q.login()),
                                     tls(q.login()),
@@ -107,7 +114,7 @@
                             q.autoAcknowledge(),
                             QueueConsumer.Tells.valueOf(q.ends().toUpperCase(Locale.ROOT)),
                             q.replyQueue(),
-                            config.settings().limits().connectTimeout()),
+                            config.settings().limits().connectTimeoutMicros()),
                     engine::noticeHeard,
                     this::otherwise);
             consumers.add(consumer);
@@ -116,9 +123,9 @@
     }
 
     /** Guards against a kill between the journal's record of a message and the memory's of its id. */
-    private Seen seen(WriteAhead journal) throws IOException {
-        SeenFile seen =
-                new SeenFile(config.state(), config.amqp().span(), config.amqp().entries(), clock::micros);
+    private Deduplicator seen(WriteAheadLog journal) throws IOException {
+        DeduplicationFile seen = new DeduplicationFile(
+                config.state(), config.amqp().span(), config.amqp().entries(), clock::micros);
         for (Message message : journal.open()) {
             if (!seen.contains(message.content().callId())) {
                 seen.add(message.content().callId());
@@ -127,23 +134,23 @@
         return seen;
     }
 
-    private static Mapping.Rule rule(Config.MappingRule r) {
-        return new Mapping.Rule(
+    private static MessageMapping.Rule rule(Config.MappingRule r) {
+        return new MessageMapping.Rule(
                 r.contentType(),
-                Source.of(r.id()),
-                Source.of(r.requestClass()),
+                ValueSource.of(r.id()),
+                ValueSource.of(r.requestClass()),
                 sourceOrNull(r.tenant()),
                 sourceOrNull(r.key()),
-                Source.of(r.destination()),
+                ValueSource.of(r.destination()),
                 sourceOrNull(r.budget()));
     }
 
-    private static Source sourceOrNull(String text) {
-        return text == null ? null : Source.of(text);
+    private static ValueSource sourceOrNull(String text) {
+        return text == null ? null : ValueSource.of(text);
     }
 
-    private static ClientLink.Login login(Config.Login login) {
-        return new ClientLink.Login(login.user(), login.password(), login.virtualHost(), login.heartbeat());
+    private static AmqpClientConnection.Login login(Config.Login login) {
+        return new AmqpClientConnection.Login(login.user(), login.password(), login.virtualHost(), login.heartbeat());
     }
 
     private static SslContext tls(Config.Login login) throws IOException {
@@ -171,14 +178,14 @@
     }
 
     /** Partners that are brokers beside the others. */
-    Partners partners(Partners http) throws IOException {
-        Map<String, Broker> brokers = new HashMap<>();
+    UpstreamClient partners(UpstreamClient http) throws IOException {
+        Map<String, BrokerDestination> brokers = new HashMap<>();
         for (Map.Entry<String, Config.BrokerRoute> route :
                 config.amqp().routes().entrySet()) {
             Config.BrokerRoute r = route.getValue();
             brokers.put(
                     route.getKey(),
-                    new Broker(
+                    new BrokerDestination(
                             login(r.login()),
                             r.exchange(),
                             r.routingKey(),
@@ -187,13 +194,14 @@
         }
         return brokers.isEmpty()
                 ? http
-                : new RoutedPartners(
+                : new RoutingUpstreamClient(
                         http,
-                        new BrokerClient(loop, clock, config.settings().limits().connectTimeout(), brokers, engine));
+                        new BrokerClient(
+                                loop, clock, config.settings().limits().connectTimeoutMicros(), brokers, engine));
     }
 
     /** Ends by replies where they were asked for, and as usual where not. */
-    Ends ends() {
+    CompletionNotifier ends() {
         return message -> {
             Message.Reply reply = message.content().reply();
             if (reply == null) {
@@ -211,8 +219,8 @@
         return servers.size();
     }
 
-    List<Front> fronts() {
-        List<Front> fronts = new ArrayList<>(servers);
+    List<Listener> fronts() {
+        List<Listener> fronts = new ArrayList<>(servers);
         fronts.addAll(consumers);
         return fronts;
     }
--- a/src/main/java/pipitstage/relay/Reload.java
+++ b/src/main/java/loftflow/server/ConfigReloader.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import java.io.IOException;
 import java.util.Arrays;
@@ -6,15 +6,15 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pipitstage.config.Config;
-import pipitstage.log.Log;
+import loftflow.config.Config;
+import loftflow.log.Log;
 import sun.misc.Signal;
 
 /**
  * Keeps the newest configuration in force: reads its file again at each SIGHUP, and where discovery is silent, away
  * from the event loop. A read that fails is tried again every {@value #AGAIN_MS} ms, {@value #MOST_TRIES} times.
  */
-final class Reload {
+final class ConfigReloader {
     static final int AGAIN_MS = 100;
     static final int MOST_TRIES = 100;
 
@@ -29,13 +29,13 @@
     /** Only the newest of several signals goes on trying; read and written on the reader's thread. */
     private long newest;
 
-    private Reload(Config.Source source) {
+    private ConfigReloader(Config.Source source) {
         this.source = source;
     }
 
     /** Takes SIGHUP from now on; what came before {@link #start} is heeded then. */
-    static Reload onHangUp(Config.Source source) {
-        Reload reload = new Reload(source);
+    static ConfigReloader onHangUp(Config.Source source) {
+        ConfigReloader reload = new ConfigReloader(source);
         // Guards, by a single thread, against an older file that overtakes a newer one.
         Signal.handle(new Signal("HUP"), signal -> reload.reader.execute(reload::hungUp));
         return reload;
--- a/src/main/java/pipitstage/relay/LoopTimers.java
+++ b/src/main/java/loftflow/server/EventLoopTimers.java
@@ -1,12 +1,12 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import pipitstage.engine.Timers;
+import loftflow.engine.Timers;
 
 /** Timers of the one event loop. */
-record LoopTimers(EventLoop loop) implements Timers {
+record EventLoopTimers(EventLoop loop) implements Timers {
     @Override
     public Timer after(long micros, Runnable task) {
         Future<?> due = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
--- a/src/main/java/pipitstage/relay/Http2.java
+++ b/src/main/java/loftflow/server/Http2Module.java
@@ -1,48 +1,49 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import pipitstage.Policy;
-import pipitstage.config.Config;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Pulse;
-import pipitstage.front.Front;
-import pipitstage.front.http2.Http2Server;
-import pipitstage.front.http2.limits.Offer;
-import pipitstage.front.http2.limits.Standing;
-import pipitstage.front.request.Request;
-import pipitstage.log.Log;
+import loftflow.config.Config;
+import loftflow.engine.Clock;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.MessageAcceptor;
+import loftflow.listener.Listener;
+import loftflow.listener.http2.Http2Listener;
+import loftflow.listener.http2.flowcontrol.ConcurrentStreamLimit;
+import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
+import loftflow.listener.request.MessageRequest;
+import loftflow.log.Log;
+import loftflow.policy.api.RequestClass;
 
 /** All that is spoken of HTTP/2. Not loaded where there is none of it. */
-final class Http2 {
+final class Http2Module {
     /** What every connection is offered, however little the relay can bear. */
     private static final int FLOOR = 2;
 
     private final EventLoop loop;
     private final Config config;
-    private final List<Http2Server> servers = new ArrayList<>();
+    private final List<Http2Listener> servers = new ArrayList<>();
 
     /** Fronts that may hold so many connections each. */
-    Http2(EventLoop loop, Clock clock, Pulse pulse, Intake intake, Config config, int connections) {
+    Http2Module(
+            EventLoop loop, Clock clock, EventLoopLag pulse, MessageAcceptor intake, Config config, int connections) {
         this.loop = loop;
         this.config = config;
         double worth = config.settings().classes().stream()
-                .mapToDouble(Policy.RequestClass::worth)
+                .mapToDouble(RequestClass::priorityWeight)
                 .sum();
         Map<String, Double> shares = config.settings().classes().stream()
-                .collect(Collectors.toMap(Policy.RequestClass::name, c -> worth > 0 ? c.worth() / worth : 0));
+                .collect(Collectors.toMap(RequestClass::name, c -> worth > 0 ? c.priorityWeight() / worth : 0));
         for (Config.Http2Front f : config.http2().fronts()) {
-            servers.add(new Http2Server(
+            servers.add(new Http2Listener(
                     intake,
                     clock,
                     pulse,
-                    new Http2Server.Options(
+                    new Http2Listener.Options(
                             connections,
-                            new Offer.Bounds(
+                            new ConcurrentStreamLimit.Bounds(
                                     Math.min(FLOOR, f.streams()),
                                     f.streams(),
                                     config.http2().streams()),
@@ -51,12 +52,12 @@
                             config.http2().buffer(),
                             shares,
                             f.resets(),
-                            new Standing.Spans(Request.READ_MS * 1000, f.idle(), f.age(), f.stall()),
+                            new ConnectionExpiry.Spans(MessageRequest.READ_MS * 1000, f.idle(), f.age(), f.stall()),
                             f.drain())));
         }
     }
 
-    List<Front> fronts() {
+    List<Listener> fronts() {
         return List.copyOf(servers);
     }
 
--- a/src/main/java/pipitstage/relay/PatientIo.java
+++ b/src/main/java/loftflow/server/MillisecondIoHandler.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
@@ -13,19 +13,19 @@
  * span: rounded to the nearest, as the handler does by itself, the last half millisecond before each timer is spent in looking
  * again and again, and with a timer for each call that is most of the time. Timers fire up to a millisecond late instead.
  */
-final class PatientIo implements IoHandler {
+final class MillisecondIoHandler implements IoHandler {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandler nio;
 
-    private PatientIo(IoHandler nio) {
+    private MillisecondIoHandler(IoHandler nio) {
         this.nio = nio;
     }
 
     /** Makes handlers for event loops. */
     static IoHandlerFactory newFactory() {
         IoHandlerFactory nio = NioIoHandler.newFactory();
-        return executor -> new PatientIo(nio.newHandler(executor));
+        return executor -> new MillisecondIoHandler(nio.newHandler(executor));
     }
 
     /** Nanoseconds that a selector really waits for, where a timer is due in so many. */
--- a/src/main/java/pipitstage/relay/Relay.java
+++ b/src/main/java/loftflow/server/RelayServer.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -6,26 +6,26 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Logic;
-import pipitstage.config.Config;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Ends;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Pulse;
-import pipitstage.engine.Timers;
-import pipitstage.front.Front;
-import pipitstage.front.http.ClientServer;
-import pipitstage.journal.Journal;
-import pipitstage.log.Log;
-import pipitstage.partner.http.HostClient;
-import pipitstage.platform.Backoff;
-import pipitstage.platform.Discovery;
-import pipitstage.platform.EndsFile;
-import pipitstage.platform.Notices;
+import loftflow.completion.CompletionLog;
+import loftflow.completion.HttpCompletionNotifier;
+import loftflow.config.Config;
+import loftflow.discovery.Backoff;
+import loftflow.discovery.EndpointWatcher;
+import loftflow.engine.Clock;
+import loftflow.engine.CompletionNotifier;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.Timers;
+import loftflow.engine.UpstreamClient;
+import loftflow.journal.Journal;
+import loftflow.listener.Listener;
+import loftflow.listener.http.HttpListener;
+import loftflow.log.Log;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.upstream.http.HttpUpstreamClient;
 
 /** The relay as a whole: puts its parts together, starts them and ends them. */
-final class Relay {
+final class RelayServer {
     // After the signal to end; the kill comes no sooner than 3.7 s after it.
     private static final long SERVE_ON_MS = 500; // new connections still come
     private static final long BEGIN_NOTHING_MS = 2200; // calls take about a second
@@ -37,52 +37,53 @@
 
     private final EventLoop loop;
     private final Config config;
-    private final Engine engine;
-    private final Pulse pulse;
+    private final DeliveryEngine engine;
+    private final EventLoopLag pulse;
     /** Null where ends go to a file. */
-    private final Notices notices;
+    private final HttpCompletionNotifier notices;
     /** Null where the list of hosts is in the configuration. */
-    private final Discovery discovery;
+    private final EndpointWatcher discovery;
     /** Null where nothing is kept of what can't be delivered. */
-    private final Keeping keeping;
+    private final DeadLetterModule keeping;
     /** Null where nothing is remembered over a restart. */
-    private final Remembering remembering;
+    private final WarmStartModule remembering;
     /** Null where nothing is spoken of AMQP. */
-    private final Amqp amqp;
+    private final AmqpModule amqp;
     /** Null where nothing is spoken of HTTP/2. */
-    private final Http2 http2;
+    private final Http2Module http2;
 
-    private final List<ClientServer> servers = new ArrayList<>();
-    private final List<Front> fronts = new ArrayList<>();
+    private final List<HttpListener> servers = new ArrayList<>();
+    private final List<Listener> fronts = new ArrayList<>();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private long stopAt;
 
     /** A relay that asks for its configuration to be compared with its file while discovery is silent. */
-    Relay(EventLoop loop, Config config, Runnable discoveryIsSilent) throws IOException {
+    RelayServer(EventLoop loop, Config config, Runnable discoveryIsSilent) throws IOException {
         this.loop = loop;
         this.config = config;
-        remembering = config.memory() == null ? null : new Remembering(loop, config);
+        remembering = config.memory() == null ? null : new WarmStartModule(loop, config);
         Clock clock = remembering == null ? Clock.system() : remembering.clock();
-        Timers timers = new LoopTimers(loop);
+        Timers timers = new EventLoopTimers(loop);
         Journal journal = new Journal(config.state(), config.diskBytes());
-        engine = new Engine(timers, clock, config.settings(), config.period(), journal, Logic::new);
+        engine = new DeliveryEngine(
+                timers, clock, config.settings(), config.period(), journal, DefaultDeliveryPolicy::new);
         notices = config.notices() == null
                 ? null
-                : new Notices(loop, config.notices(), engine::noticeHeard, discoveryIsSilent);
-        keeping = config.keeping() == null ? null : new Keeping(loop, timers, clock, engine, config);
+                : new HttpCompletionNotifier(loop, config.notices(), engine::noticeHeard, discoveryIsSilent);
+        keeping = config.keeping() == null ? null : new DeadLetterModule(loop, timers, clock, engine, config);
         long listenOn = config.keeping() == null ? 0 : config.keeping().listenOn();
-        Partners partners = new HostClient(
+        UpstreamClient partners = new HttpUpstreamClient(
                 loop,
                 clock,
                 config.settings(),
-                new HostClient.Options(config.reports(), config.idleSpan(), config.hostConnections(), listenOn),
+                new HttpUpstreamClient.Options(config.reports(), config.idleSpan(), config.hostConnections(), listenOn),
                 engine);
-        Ends ends = notices != null
+        CompletionNotifier ends = notices != null
                 ? notices
-                : new EndsFile(config.state(), config.diskBytes() / EndsFile.DISK_PART, engine::noticeHeard);
+                : new CompletionLog(config.state(), config.diskBytes() / CompletionLog.DISK_PART, engine::noticeHeard);
         discovery = config.discovery() == null
                 ? null
-                : new Discovery(
+                : new EndpointWatcher(
                         loop,
                         config.discovery(),
                         remembering == null ? engine : remembering,
@@ -93,8 +94,8 @@
                                         DISCOVERY_PAUSE_MS,
                                         LONGEST_PAUSE_MS,
                                         config.settings().seed()));
-        pulse = new Pulse(timers, clock);
-        amqp = config.amqp() == null ? null : new Amqp(loop, clock, pulse, engine, config, journal, ends);
+        pulse = new EventLoopLag(timers, clock);
+        amqp = config.amqp() == null ? null : new AmqpModule(loop, clock, pulse, engine, config, journal, ends);
         engine.attach(amqp == null ? partners : amqp.partners(partners), amqp == null ? ends : amqp.ends());
         // Guards against fronts that together hold more connections than there are.
         int listeners = config.listen().size()
@@ -102,9 +103,9 @@
                 + (config.http2() == null ? 0 : config.http2().fronts().size());
         int each = Math.max(1, config.clientConnections() / Math.max(1, listeners));
         for (int i = 0; i < config.listen().size(); i++) {
-            servers.add(new ClientServer(engine, clock, pulse, each));
+            servers.add(new HttpListener(engine, clock, pulse, each));
         }
-        http2 = config.http2() == null ? null : new Http2(loop, clock, pulse, engine, config, each);
+        http2 = config.http2() == null ? null : new Http2Module(loop, clock, pulse, engine, config, each);
         fronts.addAll(servers);
         if (http2 != null) {
             fronts.addAll(http2.fronts());
@@ -128,7 +129,7 @@
                             engine.start(config.knownKind(), config.knownVersion(), config.known());
                         }
                         if (discovery != null) {
-                            engine.awaitList(TimeUnit.MILLISECONDS.toMicros(Discovery.PATIENCE_MS));
+                            engine.awaitList(TimeUnit.MILLISECONDS.toMicros(EndpointWatcher.PATIENCE_MS));
                         }
                         if (keeping != null) {
                             keeping.start();
@@ -177,7 +178,7 @@
     void stop() {
         stopAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GIVE_UP_MS);
         loop.schedule(engine::freeze, BEGIN_NOTHING_MS, TimeUnit.MILLISECONDS);
-        loop.schedule(() -> fronts.forEach(Front::drain), SERVE_ON_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> fronts.forEach(Listener::drain), SERVE_ON_MS, TimeUnit.MILLISECONDS);
         loop.schedule(this::endWhenDone, SERVE_ON_MS, TimeUnit.MILLISECONDS);
         try {
             stopped.await();
@@ -189,11 +190,11 @@
     private void endWhenDone() {
         boolean late = System.nanoTime() - stopAt >= 0;
         // What the last pass has not read is answered still, if only as refused.
-        fronts.forEach(Front::takeIn);
+        fronts.forEach(Listener::takeIn);
         boolean done = engine.isIdle() || engine.isFrozen() && engine.isQuiet();
-        boolean idle = fronts.stream().allMatch(Front::isIdle);
-        if (idle && done || late && fronts.stream().noneMatch(Front::isAnswering)) {
-            fronts.forEach(Front::stopListening);
+        boolean idle = fronts.stream().allMatch(Listener::isIdle);
+        if (idle && done || late && fronts.stream().noneMatch(Listener::isAnswering)) {
+            fronts.forEach(Listener::stopListening);
             if (keeping != null) {
                 keeping.close();
             }
--- a/src/main/java/pipitstage/relay/RoutedPartners.java
+++ b/src/main/java/loftflow/server/RoutingUpstreamClient.java
@@ -1,31 +1,31 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import java.util.ArrayList;
 import java.util.List;
-import pipitstage.Policy.ListKind;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
-import pipitstage.partner.amqp.BrokerClient;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.upstream.amqp.BrokerClient;
 
 /** Partners of both kinds: each route goes to the client that speaks its protocol. */
-final class RoutedPartners implements Partners {
-    private final Partners http;
+final class RoutingUpstreamClient implements UpstreamClient {
+    private final UpstreamClient http;
     private final BrokerClient amqp;
 
-    RoutedPartners(Partners http, BrokerClient amqp) {
+    RoutingUpstreamClient(UpstreamClient http, BrokerClient amqp) {
         this.http = http;
         this.amqp = amqp;
     }
 
-    private Partners of(String route) {
+    private UpstreamClient of(String route) {
         return amqp.has(route) ? amqp : http;
     }
 
     @Override
-    public void list(ListKind kind, List<Target> targets) {
-        List<Target> brokers = new ArrayList<>();
-        List<Target> hosts = new ArrayList<>();
+    public void list(EndpointListKind kind, List<Endpoint> targets) {
+        List<Endpoint> brokers = new ArrayList<>();
+        List<Endpoint> hosts = new ArrayList<>();
         targets.forEach(target -> (amqp.has(target.listed().route()) ? brokers : hosts).add(target));
         amqp.list(kind, brokers);
         http.list(kind, hosts);
--- a/src/main/java/pipitstage/relay/Remembering.java
+++ b/src/main/java/loftflow/server/WarmStartModule.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -6,25 +6,25 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Policy;
-import pipitstage.config.Config;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Membership;
-import pipitstage.engine.Target;
-import pipitstage.log.Log;
-import pipitstage.remembered.Book;
-import pipitstage.remembered.Elapsed;
-import pipitstage.remembered.Listing;
-import pipitstage.remembered.Lists;
-import pipitstage.remembered.Moment;
-import pipitstage.remembered.Told;
-import pipitstage.remembered.Trust;
-import pipitstage.remembered.store.Clocks;
-import pipitstage.remembered.store.Saver;
+import loftflow.config.Config;
+import loftflow.engine.Clock;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.Endpoint;
+import loftflow.engine.EndpointListListener;
+import loftflow.log.Log;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.warmstart.ClockReading;
+import loftflow.warmstart.DowntimeEstimate;
+import loftflow.warmstart.EndpointHistory;
+import loftflow.warmstart.EndpointListReconciler;
+import loftflow.warmstart.ListUpdate;
+import loftflow.warmstart.ListedEndpoint;
+import loftflow.warmstart.TrustPolicy;
+import loftflow.warmstart.store.SnapshotWriter;
+import loftflow.warmstart.store.SystemClocks;
 
 /** What is remembered over a restart: stands between discovery and the engine. Not loaded where it is off. */
-final class Remembering implements Membership {
+final class WarmStartModule implements EndpointListListener {
     private static final long LOOK_MS = 1_000;
     private static final long SECOND = 1_000_000;
     /** What changes all the time, such as rates, is saved so often; what discovery tells, each second. */
@@ -32,27 +32,28 @@
 
     private final EventLoop loop;
     private final Config config;
-    private final Saver saver;
-    private final Book book;
-    private final Saver.Left left;
-    private final Moment startedAt;
+    private final SnapshotWriter saver;
+    private final EndpointHistory book;
+    private final SnapshotWriter.Left left;
+    private final ClockReading startedAt;
     private final Clock clock;
-    private Engine engine;
+    private DeliveryEngine engine;
     private Runnable askForAll = () -> {};
-    private long askAt = Lists.NEVER;
+    private long askAt = EndpointListReconciler.NEVER;
     private long savedAt = Long.MIN_VALUE / 2;
     private boolean spansUnknown;
 
-    Remembering(EventLoop loop, Config config) throws IOException {
+    WarmStartModule(EventLoop loop, Config config) throws IOException {
         this.loop = loop;
         this.config = config;
         Config.Memory memory = config.memory();
-        saver = new Saver(new Saver.Options(config.state(), memory.limit(), memory.rate(), memory.sync()), loop);
+        saver = new SnapshotWriter(
+                new SnapshotWriter.Options(config.state(), memory.limit(), memory.rate(), memory.sync()), loop);
         left = saver.load(memory.owner());
-        startedAt = Clocks.now();
+        startedAt = SystemClocks.now();
         long time = left.picture() == null
                 ? startedAt.wall()
-                : Elapsed.goOn(left.picture().time(), left.picture().at(), startedAt);
+                : DowntimeEstimate.goOn(left.picture().time(), left.picture().at(), startedAt);
         if (Math.abs(time - startedAt.wall()) > SECOND) {
             Log.line("remembered: the wall clock is " + (startedAt.wall() - time) / SECOND
                     + " s from the relay's own time, which goes on as it was");
@@ -60,13 +61,13 @@
         clock = Clock.from(time);
         saver.start(left.picture(), startedAt, time);
         spansUnknown = left.picture() != null
-                && Elapsed.between(left.picture().at(), startedAt).doubtful();
-        book = new Book(
-                new Book.Rules(
-                        new Trust(memory.halfLife()),
+                && DowntimeEstimate.between(left.picture().at(), startedAt).doubtful();
+        book = new EndpointHistory(
+                new EndpointHistory.Rules(
+                        new TrustPolicy(memory.halfLife()),
                         memory.settle(),
                         memory.margin(),
-                        config.settings().rules().warmUp(),
+                        config.settings().rules().warmUpMicros(),
                         config.discovery() == null),
                 memory.owner());
     }
@@ -77,11 +78,13 @@
     }
 
     /** Starts the engine with what is remembered. */
-    void start(Engine starts, Runnable asksForAll) {
+    void start(DeliveryEngine starts, Runnable asksForAll) {
         engine = starts;
         askForAll = asksForAll;
-        Told others = config.known().isEmpty() ? null : told(config.knownKind(), config.knownVersion(), config.known());
-        Book.Opening opening = book.open(left.picture(), left.notes(), left.whole(), others, startedAt, clock.micros());
+        ListUpdate others =
+                config.known().isEmpty() ? null : told(config.knownKind(), config.knownVersion(), config.known());
+        EndpointHistory.Opening opening =
+                book.open(left.picture(), left.notes(), left.whole(), others, startedAt, clock.micros());
         opening.log().forEach(Log::line);
         if (spansUnknown) {
             engine.spansUnknown();
@@ -97,18 +100,18 @@
     }
 
     @Override
-    public void list(Policy.ListKind kind, long version, List<Target> targets) {
+    public void list(EndpointListKind kind, long version, List<Endpoint> targets) {
         take(book.heard(told(kind, version, targets), clock.micros()));
     }
 
-    private void take(Book.Heard heard) {
+    private void take(EndpointHistory.Heard heard) {
         heard.log().forEach(Log::line);
         saver.note(heard.notes(), clock.micros());
         askAt = Math.min(askAt, heard.askAt());
         if (heard.passOn() != null) {
             // Guards against a list in the midst of what the engine is just telling.
             loop.execute(() -> {
-                Told told = heard.passOn();
+                ListUpdate told = heard.passOn();
                 engine.list(told.kind(), told.revision(), targets(told.entries()));
                 engine.remembered(heard.remembered());
             });
@@ -122,7 +125,7 @@
             take(book.due(now));
         }
         if (askAt <= now) {
-            askAt = Lists.NEVER;
+            askAt = EndpointListReconciler.NEVER;
             askForAll.run();
         }
         if ((book.hasChanged() || saver.wantsPicture() || now - savedAt >= PAUSE) && saver.isFree(now)) {
@@ -132,7 +135,7 @@
     }
 
     private void save(long now) {
-        if (saver.save(book.picture(Clocks.now(), now, engine.standings()), now, book::notSaved)) {
+        if (saver.save(book.picture(SystemClocks.now(), now, engine.standings()), now, book::notSaved)) {
             book.saving();
             savedAt = now;
         }
@@ -144,12 +147,12 @@
         saver.close();
     }
 
-    private static Told told(Policy.ListKind kind, long version, List<Target> targets) {
-        return new Told(
+    private static ListUpdate told(EndpointListKind kind, long version, List<Endpoint> targets) {
+        return new ListUpdate(
                 kind,
                 version,
                 targets.stream()
-                        .map(t -> new Listing(t.listed(), text(t.address())))
+                        .map(t -> new ListedEndpoint(t.listed(), text(t.address())))
                         .toList());
     }
 
@@ -158,9 +161,9 @@
         return (address.getAddress() instanceof Inet6Address ? "[" + host + "]" : host) + ":" + address.getPort();
     }
 
-    private static List<Target> targets(List<Listing> list) {
+    private static List<Endpoint> targets(List<ListedEndpoint> list) {
         return list.stream()
-                .map(l -> new Target(l.listed(), Target.address(l.address())))
+                .map(l -> new Endpoint(l.listed(), Endpoint.address(l.address())))
                 .toList();
     }
 }
--- a/src/main/java/pipitstage/relay/package-info.java
+++ b/src/main/java/loftflow/server/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: every other package; nothing uses this one.
  */
-package pipitstage.relay;
+package loftflow.server;
--- a/src/main/java/pipitstage/SimHost.java
+++ b/src/main/java/loftflow/simulator/SimulatorHost.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package loftflow.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -19,23 +19,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import loftflow.json.JsonFields;
+import loftflow.json.MalformedInputException;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.policy.api.DeliveryPolicy;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.PolicySettings;
+import loftflow.settings.PlatformSettingsReader;
 
 /** Hosts one decision module for each simulated relay and speaks the simulator's wire. */
-public final class SimHost {
+public final class SimulatorHost {
     private final JsonFactory factory = new JsonFactory();
-    private final WireCodec codec = new WireCodec();
-    private final Function<Policy.Settings, Policy> start;
-    private final Map<Long, Policy> instances = new HashMap<>();
-    private final Map<Long, List<Policy.Event>> pending = new LinkedHashMap<>();
+    private final SimulatorWireCodec codec = new SimulatorWireCodec();
+    private final Function<PolicySettings, DeliveryPolicy> start;
+    private final Map<Long, DeliveryPolicy> instances = new HashMap<>();
+    private final Map<Long, List<PolicyEvent>> pending = new LinkedHashMap<>();
 
     /** A host that makes each instance's module by {@code start}. */
-    SimHost(Function<Policy.Settings, Policy> start) {
+    SimulatorHost(Function<PolicySettings, DeliveryPolicy> start) {
         this.start = start;
     }
 
     /** Runs the decision module on standard input and output until the input ends. */
     public static void runOnStandardStreams() throws IOException {
-        new SimHost(Logic::new)
+        new SimulatorHost(DefaultDeliveryPolicy::new)
                 .run(
                         new InputStreamReader(System.in, StandardCharsets.UTF_8),
                         new OutputStreamWriter(System.out, StandardCharsets.UTF_8));
@@ -51,9 +58,9 @@
             try {
                 replies.write(answer(line));
             } catch (JsonProcessingException e) {
-                throw new WireException("line " + number + ": not JSON: " + e.getOriginalMessage());
-            } catch (WireException e) {
-                throw new WireException("line " + number + ": " + e.getMessage());
+                throw new MalformedInputException("line " + number + ": not JSON: " + e.getOriginalMessage());
+            } catch (MalformedInputException e) {
+                throw new MalformedInputException("line " + number + ": " + e.getMessage());
             }
             replies.write('\n');
             replies.flush();
@@ -61,28 +68,28 @@
     }
 
     private String answer(String line) throws IOException {
-        Fields batch;
+        JsonFields batch;
         try (JsonParser parser = factory.createParser(line)) {
             parser.nextToken();
-            batch = Fields.ofObject("batch", Fields.read(parser));
+            batch = JsonFields.ofObject("batch", JsonFields.read(parser));
             if (parser.nextToken() != null) {
-                throw new WireException("batch: more than one value");
+                throw new MalformedInputException("batch: more than one value");
             }
         }
         long now = batch.micros("t-s");
         long number = batch.whole("n");
         pending.clear();
         for (Object json : batch.list("groups")) {
-            Fields group = Fields.ofObject("group", json);
+            JsonFields group = JsonFields.ofObject("group", json);
             long instance = group.whole("i");
             for (Object message : group.list("in")) {
-                take(instance, Fields.ofMessage(message));
+                take(instance, JsonFields.ofMessage(message));
             }
         }
         return reply(number, now);
     }
 
-    private void take(long instance, Fields message) {
+    private void take(long instance, JsonFields message) {
         String name = message.text(0);
         switch (name) {
             case "directory" -> codec.directory(message);
@@ -95,7 +102,7 @@
                 pending.remove(instance);
             }
             default -> {
-                Policy.Event event = codec.event(name, message);
+                PolicyEvent event = codec.event(name, message);
                 if (instances.containsKey(instance)) {
                     pending.computeIfAbsent(instance, i -> new ArrayList<>()).add(event);
                 }
@@ -103,11 +110,11 @@
         }
     }
 
-    private Policy launch(Fields message) {
+    private DeliveryPolicy launch(JsonFields message) {
         try {
-            return start.apply(WireCodec.settings(message.whole(1), message.object(2)));
+            return start.apply(PlatformSettingsReader.read(message.whole(1), message.object(2)));
         } catch (IllegalArgumentException e) {
-            throw new WireException("launch: " + e.getMessage());
+            throw new MalformedInputException("launch: " + e.getMessage());
         }
     }
 
@@ -117,11 +124,11 @@
             json.writeStartObject();
             json.writeNumberField("n", number);
             json.writeArrayFieldStart("groups");
-            for (Map.Entry<Long, List<Policy.Event>> entry : pending.entrySet()) {
+            for (Map.Entry<Long, List<PolicyEvent>> entry : pending.entrySet()) {
                 json.writeStartObject();
                 json.writeNumberField("i", entry.getKey());
                 json.writeArrayFieldStart("cmds");
-                decide(instances.get(entry.getKey()), now, entry.getValue(), new WireCodec.Commands(json));
+                decide(instances.get(entry.getKey()), now, entry.getValue(), new SimulatorWireCodec.Commands(json));
                 json.writeEndArray();
                 json.writeEndObject();
             }
@@ -131,7 +138,8 @@
         return text.toString();
     }
 
-    private static void decide(Policy policy, long now, List<Policy.Event> events, WireCodec.Commands commands) {
+    private static void decide(
+            DeliveryPolicy policy, long now, List<PolicyEvent> events, SimulatorWireCodec.Commands commands) {
         try {
             policy.onRound(now, events, commands);
         } catch (RuntimeException e) {
--- a/src/main/java/pipitstage/trace/Arrivals.java
+++ b/src/main/java/loftflow/trace/ArrivalSorter.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -8,7 +8,7 @@
  * Puts rows in the order of their times. Rows are held until one has come that is later by the window, so that any two that
  * stand no further apart than that come out in order; rows of one time keep the order of the file.
  */
-public final class Arrivals {
+public final class ArrivalSorter {
     /** What becomes of a row that is further behind. */
     public enum Late {
         /** It is rejected. */
@@ -31,7 +31,7 @@
     private final long window;
     private final int most;
     private final Late late;
-    private final Tally tally;
+    private final RowTally tally;
     private final Consumer<Row> out;
     private final PriorityQueue<Row> held =
             new PriorityQueue<>(Comparator.comparingLong(Row::time).thenComparingLong(Row::line));
@@ -45,7 +45,7 @@
      * @param most rows that are held at once; beyond it the earliest goes, as if the window were shorter
      * @param out takes rows in the order of their times
      */
-    public Arrivals(long window, int most, Late late, Tally tally, Consumer<Row> out) {
+    public ArrivalSorter(long window, int most, Late late, RowTally tally, Consumer<Row> out) {
         this.window = window;
         this.most = most;
         this.late = late;
@@ -60,7 +60,7 @@
                 throw new LateException(row, sentUntil - row.time());
             }
             if (late == Late.DROP) {
-                tally.rejected(Fault.LATE, row.line(), row.toString());
+                tally.rejected(RowFault.LATE, row.line(), row.toString());
             } else {
                 send(new Row(row.line(), sentUntil, row.owner(), row.flow(), row.sort(), row.weight()));
             }
--- a/src/main/java/pipitstage/trace/Columns.java
+++ b/src/main/java/loftflow/trace/ColumnMapping.java
@@ -1,11 +1,11 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import java.util.List;
 import java.util.Locale;
-import pipitstage.trace.Fault.BadRowException;
+import loftflow.trace.RowFault.BadRowException;
 
 /** A form that names which column of a file holds what; for any CSV that has no form of its own. */
-public final class Columns implements RowForm {
+public final class ColumnMapping implements RowFormat {
     /** What a time is counted in. */
     public enum Unit {
         US(1),
@@ -60,7 +60,7 @@
     private int weight;
 
     /** A form; {@code clock} reads times where the unit is {@link Unit#TEXT}. */
-    public Columns(Names names, Unit unit, Clock clock) {
+    public ColumnMapping(Names names, Unit unit, Clock clock) {
         this.names = names;
         this.unit = unit;
         this.clock = clock;
@@ -80,26 +80,26 @@
             }
         }
         if (fields.size() != width) {
-            throw new BadRowException(Fault.COLUMNS);
+            throw new BadRowException(RowFault.COLUMNS);
         }
         String text = fields.get(time);
-        long micros = unit != Unit.TEXT ? Form.time(text, unit.micros) : textTime(text);
+        long micros = unit != Unit.TEXT ? TraceFormat.time(text, unit.micros) : textTime(text);
         return new Row(
                 line,
                 micros,
-                Form.needed(fields.get(owner)),
-                Form.needed(fields.get(flow)),
+                TraceFormat.needed(fields.get(owner)),
+                TraceFormat.needed(fields.get(flow)),
                 sort < 0 ? "" : fields.get(sort),
-                weight < 0 ? 0 : Form.number(fields.get(weight)));
+                weight < 0 ? 0 : TraceFormat.number(fields.get(weight)));
     }
 
     private long textTime(String text) throws BadRowException {
         if (text.isBlank()) {
-            throw new BadRowException(Fault.NO_TIME);
+            throw new BadRowException(RowFault.NO_TIME);
         }
         long micros = clock.micros(text.strip());
         if (micros < 0) {
-            throw new BadRowException(Fault.NEGATIVE_TIME);
+            throw new BadRowException(RowFault.NEGATIVE_TIME);
         }
         return micros;
     }
--- a/src/main/java/pipitstage/trace/Minutes.java
+++ b/src/main/java/loftflow/trace/MinuteCounts.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,7 +11,7 @@
  * larger stand in a map beside, so that 46,000 functions of a day take some 70 MB. Within a minute a function's calls are
  * spread evenly, from a point of its own: no more is told of them.
  */
-public final class Minutes {
+public final class MinuteCounts {
     /** Minutes of a day. */
     public static final int DAY = 1_440;
 
--- a/src/main/java/pipitstage/trace/Row.java
+++ b/src/main/java/loftflow/trace/Row.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 /**
  * A row that asks for something, whatever the trace calls it.
--- a/src/main/java/pipitstage/trace/Fault.java
+++ b/src/main/java/loftflow/trace/RowFault.java
@@ -1,7 +1,7 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 /** Why a row is rejected. */
-public enum Fault {
+public enum RowFault {
     /** It has fewer or more columns than its form. */
     COLUMNS("a wrong number of columns"),
     /** The first line names columns, and the form has no header. */
@@ -26,7 +26,7 @@
 
     private final String text;
 
-    Fault(String text) {
+    RowFault(String text) {
         this.text = text;
     }
 
@@ -39,15 +39,15 @@
     public static final class BadRowException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        private final Fault fault;
+        private final RowFault fault;
 
-        public BadRowException(Fault fault) {
+        public BadRowException(RowFault fault) {
             super(fault.text, null, false, false);
             this.fault = fault;
         }
 
         /** Why. */
-        public Fault fault() {
+        public RowFault fault() {
             return fault;
         }
     }
--- a/src/main/java/pipitstage/trace/RowForm.java
+++ b/src/main/java/loftflow/trace/RowFormat.java
@@ -1,10 +1,10 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import java.util.List;
-import pipitstage.trace.Fault.BadRowException;
+import loftflow.trace.RowFault.BadRowException;
 
-/** What the records of a file mean: a published {@link Form}, or one that a mapping file describes. */
-public interface RowForm {
+/** What the records of a file mean: a published {@link TraceFormat}, or one that a mapping file describes. */
+public interface RowFormat {
     /**
      * What a record of a file means; its reader has seen that no field holds a NUL byte.
      *
@@ -15,7 +15,7 @@
      */
     Row row(List<String> fields, long line, boolean first) throws BadRowException;
 
-    /** True where a line is a day's counts, so that what it means is told by {@link Form#counts}. */
+    /** True where a line is a day's counts, so that what it means is told by {@link TraceFormat#counts}. */
     default boolean isByMinute() {
         return false;
     }
--- a/src/main/java/pipitstage/trace/Tally.java
+++ b/src/main/java/loftflow/trace/RowTally.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** What became of each row of a trace: the figures add up, rows read = sent + cut + rejected. */
-public final class Tally {
+public final class RowTally {
     private static final int FIRST_LINES = 5;
     private static final int SAMPLE = 80;
 
@@ -19,7 +19,7 @@
         String sample;
     }
 
-    private final Map<Fault, Count> faults = new EnumMap<>(Fault.class);
+    private final Map<RowFault, Count> faults = new EnumMap<>(RowFault.class);
     private long read;
     private long sent;
     private long cut;
@@ -40,7 +40,7 @@
     }
 
     /** It is rejected; of its text a part is kept, with what can't be printed as dots. */
-    public void rejected(Fault fault, long line, String text) {
+    public void rejected(RowFault fault, long line, String text) {
         Count count = faults.computeIfAbsent(fault, f -> new Count());
         count.count++;
         if (count.lines.size() < FIRST_LINES) {
@@ -69,8 +69,8 @@
     }
 
     /** What was rejected for each fault that there was. */
-    public Map<Fault, Rejected> rejected() {
-        Map<Fault, Rejected> all = new EnumMap<>(Fault.class);
+    public Map<RowFault, Rejected> rejected() {
+        Map<RowFault, Rejected> all = new EnumMap<>(RowFault.class);
         faults.forEach((f, c) -> all.put(f, new Rejected(c.count, List.copyOf(c.lines), c.sample)));
         return all;
     }
--- a/src/main/java/pipitstage/trace/Form.java
+++ b/src/main/java/loftflow/trace/TraceFormat.java
@@ -1,13 +1,13 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import java.math.BigDecimal;
 import java.util.List;
 import java.util.Locale;
 import java.util.Optional;
-import pipitstage.trace.Fault.BadRowException;
+import loftflow.trace.RowFault.BadRowException;
 
 /** Published forms of traces: what their columns mean, and which rows ask for something. */
-public enum Form implements RowForm {
+public enum TraceFormat implements RowFormat {
     /** ClusterData 2011, {@code task_events} (Google cluster-usage traces: format + schema, 2.1): microseconds. */
     GOOGLE_2011_TASK_EVENTS(13, false) {
         private static final long AFTER = Long.MAX_VALUE;
@@ -17,11 +17,11 @@
         Row read(List<String> f, long line) throws BadRowException {
             long time = time(f.get(0), 1);
             if (time == 0 || time == AFTER) {
-                throw new BadRowException(Fault.SPECIAL_TIME);
+                throw new BadRowException(RowFault.SPECIAL_TIME);
             }
             long type = whole(f.get(5));
             if (type >= TYPES) {
-                throw new BadRowException(Fault.BAD_FIELD);
+                throw new BadRowException(RowFault.BAD_FIELD);
             }
             // Type 0 is SUBMIT; all others tell what became of a task that was submitted.
             return type != 0
@@ -35,7 +35,7 @@
         Row read(List<String> f, long line) throws BadRowException {
             long time = time(f.get(5), SECOND);
             if (time == 0) {
-                throw new BadRowException(Fault.SPECIAL_TIME);
+                throw new BadRowException(RowFault.SPECIAL_TIME);
             }
             return new Row(line, time, needed(f.get(2)), needed(f.get(2)), f.get(3), number(f.get(1)));
         }
@@ -59,8 +59,8 @@
                     line, Math.max(0, end - (long) (took * SECOND)), needed(f.get(0)), needed(f.get(1)), "", took);
         }
     },
-    /** Azure Functions 2019, invocations a minute: a file is a day, a line a function with its {@link Minutes#DAY} counts. */
-    AZURE_FUNCTIONS_2019(4 + Minutes.DAY, true) {
+    /** Azure Functions 2019, invocations a minute: a file is a day, a line a function with its {@link MinuteCounts#DAY} counts. */
+    AZURE_FUNCTIONS_2019(4 + MinuteCounts.DAY, true) {
         @Override
         Row read(List<String> f, long line) throws BadRowException {
             int[] counts = counts(f);
@@ -81,7 +81,7 @@
     private final int columns;
     private final boolean header;
 
-    Form(int columns, boolean header) {
+    TraceFormat(int columns, boolean header) {
         this.columns = columns;
         this.header = header;
     }
@@ -92,7 +92,7 @@
     }
 
     /** The form of a word; empty where there is none. */
-    public static Optional<Form> of(String word) {
+    public static Optional<TraceFormat> of(String word) {
         return List.of(values()).stream().filter(f -> f.word().equals(word)).findFirst();
     }
 
@@ -103,7 +103,7 @@
 
     /** The counts of a line of {@link #AZURE_FUNCTIONS_2019}. */
     public static int[] counts(List<String> fields) throws BadRowException {
-        int[] counts = new int[Minutes.DAY];
+        int[] counts = new int[MinuteCounts.DAY];
         for (int minute = 0; minute < counts.length; minute++) {
             counts[minute] = (int) whole(fields.get(FIRST_COUNT + minute));
         }
@@ -113,7 +113,7 @@
     @Override
     public Row row(List<String> fields, long line, boolean first) throws BadRowException {
         if (fields.size() != columns) {
-            throw new BadRowException(Fault.COLUMNS);
+            throw new BadRowException(RowFault.COLUMNS);
         }
         if (first && header) {
             return null;
@@ -122,7 +122,7 @@
             return read(fields, line);
         } catch (BadRowException e) {
             boolean named = first && fields.stream().noneMatch(f -> f.matches(".*\\d{4,}.*|-?[0-9.]+"));
-            throw named ? new BadRowException(Fault.HEADER) : e;
+            throw named ? new BadRowException(RowFault.HEADER) : e;
         }
     }
 
@@ -132,32 +132,33 @@
     static long time(String text, long unit) throws BadRowException {
         String trimmed = text.strip();
         if (trimmed.isEmpty()) {
-            throw new BadRowException(Fault.NO_TIME);
+            throw new BadRowException(RowFault.NO_TIME);
         }
         // Guards against text whose exponent would be worked out in full.
         if (!trimmed.matches("[+-]?\\d{1,30}(\\.\\d{1,30})?")) {
-            throw new BadRowException(trimmed.matches("[+-]?\\d+(\\.\\d+)?") ? Fault.OVERFLOWING_TIME : Fault.BAD_TIME);
+            throw new BadRowException(
+                    trimmed.matches("[+-]?\\d+(\\.\\d+)?") ? RowFault.OVERFLOWING_TIME : RowFault.BAD_TIME);
         }
         BigDecimal micros = new BigDecimal(trimmed).multiply(BigDecimal.valueOf(unit));
         if (micros.signum() < 0) {
-            throw new BadRowException(Fault.NEGATIVE_TIME);
+            throw new BadRowException(RowFault.NEGATIVE_TIME);
         }
         if (micros.compareTo(BigDecimal.valueOf(Long.MAX_VALUE)) > 0) {
-            throw new BadRowException(Fault.OVERFLOWING_TIME);
+            throw new BadRowException(RowFault.OVERFLOWING_TIME);
         }
         return micros.longValue();
     }
 
     static String needed(String text) throws BadRowException {
         if (text.isBlank()) {
-            throw new BadRowException(Fault.BAD_FIELD);
+            throw new BadRowException(RowFault.BAD_FIELD);
         }
         return text;
     }
 
     private static long whole(String text) throws BadRowException {
         if (!text.matches("\\d{1,9}")) {
-            throw new BadRowException(Fault.BAD_FIELD);
+            throw new BadRowException(RowFault.BAD_FIELD);
         }
         return Long.parseLong(text);
     }
@@ -168,7 +169,7 @@
             return 0;
         }
         if (!text.strip().matches("\\d{1,15}(\\.\\d{1,30})?([eE]-?\\d{1,2})?")) {
-            throw new BadRowException(Fault.BAD_FIELD);
+            throw new BadRowException(RowFault.BAD_FIELD);
         }
         return Double.parseDouble(text.strip());
     }
--- a/src/main/java/pipitstage/trace/Mapping.java
+++ b/src/main/java/loftflow/trace/TraceMapping.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import java.util.HashMap;
 import java.util.List;
@@ -15,7 +15,7 @@
  * only where its own is ahead by more than one in two hundred.
  * </ul>
  */
-public final class Mapping {
+public final class TraceMapping {
     /** A class is ahead of its share beyond this part of all messages. */
     private static final double AHEAD = 0.005;
 
@@ -76,7 +76,7 @@
      * @param from the trace's time at which the replay starts, in microseconds
      * @param speed how many times as fast as the trace it runs
      */
-    public Mapping(Scheme scheme, long seed, long from, double speed) {
+    public TraceMapping(Scheme scheme, long seed, long from, double speed) {
         if (!(speed > 0) || speed == Double.POSITIVE_INFINITY) {
             throw new IllegalArgumentException("the speed must be above 0");
         }
@@ -88,7 +88,7 @@
     }
 
     /** What a row becomes; rows come in the order of their times. */
-    public Call call(Row row) {
+    public TraceMessage call(Row row) {
         Type type = type(row);
         count++;
         counts.merge(type.name(), 1L, Long::sum);
@@ -98,7 +98,7 @@
                 ? null
                 : scheme.tenants().get(pick(row.owner(), 2, scheme.tenants().size()));
         String key = type.keyed() ? Long.toHexString(hash(row.flow(), 3)) + "-" + row.line() : null;
-        return new Call(
+        return new TraceMessage(
                 (long) ((row.time() - from) / speed),
                 type.name(),
                 tenant,
--- a/src/main/java/pipitstage/trace/Call.java
+++ b/src/main/java/loftflow/trace/TraceMessage.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 /**
  * A message that a row becomes.
@@ -11,5 +11,5 @@
  * @param budget microseconds that it may take
  * @param line the row that it comes from
  */
-public record Call(
+public record TraceMessage(
         long at, String type, String tenant, int destination, String key, long size, long budget, long line) {}
--- a/src/main/java/pipitstage/trace/package-info.java
+++ b/src/main/java/loftflow/trace/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: nothing of the relay.
  */
-package pipitstage.trace;
+package loftflow.trace;
--- a/src/main/java/pipitstage/trace/read/CallsFile.java
+++ b/src/main/java/loftflow/trace/read/TraceMessageFile.java
@@ -1,17 +1,17 @@
-package pipitstage.trace.read;
+package loftflow.trace.read;
 
 import de.siegmar.fastcsv.writer.CsvWriter;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
-import pipitstage.trace.Call;
+import loftflow.trace.TraceMessage;
 
 /** A file of the messages that a trace is mapped to: CSV with a header; what a message has not is empty. */
-public final class CallsFile implements AutoCloseable {
+public final class TraceMessageFile implements AutoCloseable {
     private final CsvWriter csv;
 
     /** Writes a file anew. */
-    public CallsFile(Path file) throws IOException {
+    public TraceMessageFile(Path file) throws IOException {
         csv = CsvWriter.builder().build(file, StandardCharsets.UTF_8);
         csv.writeRecord("at_us", "class", "tenant", "destination", "key", "size", "budget_us", "line");
     }
@@ -21,7 +21,7 @@
      *
      * @throws java.io.UncheckedIOException where the disk fails
      */
-    public void write(Call call) {
+    public void write(TraceMessage call) {
         csv.writeRecord(
                 Long.toString(call.at()),
                 call.type(),
--- a/src/main/java/pipitstage/trace/read/TraceReader.java
+++ b/src/main/java/loftflow/trace/read/TraceReader.java
@@ -1,4 +1,4 @@
-package pipitstage.trace.read;
+package loftflow.trace.read;
 
 import de.siegmar.fastcsv.reader.CsvParseException;
 import de.siegmar.fastcsv.reader.CsvReader;
@@ -17,16 +17,16 @@
 import java.util.function.LongPredicate;
 import java.util.zip.GZIPInputStream;
 import java.util.zip.ZipException;
-import pipitstage.trace.Arrivals;
-import pipitstage.trace.Fault;
-import pipitstage.trace.Form;
-import pipitstage.trace.Minutes;
-import pipitstage.trace.Row;
-import pipitstage.trace.RowForm;
-import pipitstage.trace.Tally;
+import loftflow.trace.ArrivalSorter;
+import loftflow.trace.MinuteCounts;
+import loftflow.trace.Row;
+import loftflow.trace.RowFault;
+import loftflow.trace.RowFormat;
+import loftflow.trace.RowTally;
+import loftflow.trace.TraceFormat;
 
 /**
- * Reads the files of a trace, one after the other, into {@link Arrivals}. A file that begins with gzip's two bytes is
+ * Reads the files of a trace, one after the other, into {@link ArrivalSorter}. A file that begins with gzip's two bytes is
  * unpacked, whatever its name. Where a file is a day of counts, each call of it counts as a row. A record that is longer than {@value #LONGEST} characters, or a file that breaks off, ends that
  * file, which counts as a row that was read and rejected; the next file goes on.
  */
@@ -36,21 +36,21 @@
     private static final int GZIP = 0x1f8b;
     private static final long DAY = 86_400_000_000L;
 
-    private final RowForm form;
+    private final RowFormat form;
     private final LongPredicate wanted;
-    private final Arrivals arrivals;
-    private final Tally tally;
+    private final ArrivalSorter arrivals;
+    private final RowTally tally;
     private long linesBefore;
     private int filesBefore;
     /** A file's counts a minute; its calls are sent when it has been read, in the order of time. */
-    private Minutes minutes = new Minutes();
+    private MinuteCounts minutes = new MinuteCounts();
 
     /**
      * A reader of one form.
      *
      * @param wanted tells by a row's time whether it is replayed; the others are cut
      */
-    public TraceReader(RowForm form, LongPredicate wanted, Arrivals arrivals, Tally tally) {
+    public TraceReader(RowFormat form, LongPredicate wanted, ArrivalSorter arrivals, RowTally tally) {
         this.form = form;
         this.wanted = wanted;
         this.arrivals = arrivals;
@@ -95,29 +95,29 @@
             tally.read();
             arrive(row);
         });
-        minutes = new Minutes();
+        minutes = new MinuteCounts();
         filesBefore++;
     }
 
     private void brokenOff(long line, String why) {
         tally.read();
-        tally.rejected(Fault.TRUNCATED, linesBefore + line, why);
+        tally.rejected(RowFault.TRUNCATED, linesBefore + line, why);
     }
 
     private void take(List<String> fields, long line, boolean first) {
         try {
             if (fields.stream().anyMatch(f -> f.indexOf('\0') >= 0)) {
-                throw new Fault.BadRowException(Fault.NUL);
+                throw new RowFault.BadRowException(RowFault.NUL);
             }
             Row row = form.row(fields, line, first);
             if (row != null && form.isByMinute()) {
                 // Each call of it counts as a row, when it is sent.
-                minutes.add(row, Form.counts(fields));
+                minutes.add(row, TraceFormat.counts(fields));
             } else {
                 tally.read();
                 arrive(row);
             }
-        } catch (Fault.BadRowException e) {
+        } catch (RowFault.BadRowException e) {
             tally.read();
             tally.rejected(e.fault(), line, String.join(",", fields));
         }
--- a/src/main/java/pipitstage/trace/read/ZonedClock.java
+++ b/src/main/java/loftflow/trace/read/ZonedClock.java
@@ -1,4 +1,4 @@
-package pipitstage.trace.read;
+package loftflow.trace.read;
 
 import java.time.DateTimeException;
 import java.time.LocalDateTime;
@@ -9,15 +9,15 @@
 import java.time.temporal.ChronoUnit;
 import java.util.List;
 import java.util.Locale;
-import pipitstage.trace.Columns;
-import pipitstage.trace.Fault;
-import pipitstage.trace.Fault.BadRowException;
+import loftflow.trace.ColumnMapping;
+import loftflow.trace.RowFault;
+import loftflow.trace.RowFault.BadRowException;
 
 /**
  * Reads times as a zone's clocks show them. In the hour that clocks repeat when daylight saving ends, a time is taken as the
  * first of the two; one in the hour that they leave out is rejected.
  */
-public final class ZonedClock implements Columns.Clock {
+public final class ZonedClock implements ColumnMapping.Clock {
     private final DateTimeFormatter pattern;
     private final ZoneId zone;
     private final long begin;
@@ -55,15 +55,15 @@
             LocalDateTime local = LocalDateTime.parse(text, pattern);
             List<ZoneOffset> offsets = zone.getRules().getValidOffsets(local);
             if (offsets.isEmpty()) {
-                throw new BadRowException(Fault.SKIPPED_TIME);
+                throw new BadRowException(RowFault.SKIPPED_TIME);
             }
             return ChronoUnit.MICROS.between(
                     LocalDateTime.ofEpochSecond(0, 0, ZoneOffset.UTC).atOffset(ZoneOffset.UTC),
                     local.atOffset(offsets.get(0)));
         } catch (DateTimeParseException e) {
-            throw new BadRowException(Fault.BAD_TIME);
+            throw new BadRowException(RowFault.BAD_TIME);
         } catch (ArithmeticException e) {
-            throw new BadRowException(Fault.OVERFLOWING_TIME);
+            throw new BadRowException(RowFault.OVERFLOWING_TIME);
         }
     }
 }
--- a/src/main/java/pipitstage/trace/read/package-info.java
+++ b/src/main/java/loftflow/trace/read/package-info.java
@@ -3,4 +3,4 @@
  *
  * <p>May use: {@code trace}, the CSV library.
  */
-package pipitstage.trace.read;
+package loftflow.trace.read;
--- a/src/main/java/pipitstage/partner/amqp/BrokerClient.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerClient.java
@@ -1,4 +1,4 @@
-package pipitstage.partner.amqp;
+package loftflow.upstream.amqp;
 
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pipitstage.Policy;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
+import loftflow.engine.Clock;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.LimitReport;
 
 /**
  * Publishes attempts to brokers, one connection to each route, and tells what their confirms prove. A connection is made
  * when something is to be sent and none is there, never by itself: pauses and trials are the decision module's.
  */
-public final class BrokerClient implements Partners {
+public final class BrokerClient implements UpstreamClient {
     private final EventLoop loop;
     private final Clock clock;
-    private final Results results;
+    private final ResultListener results;
     private final long connectTimeout;
-    private final Map<String, Broker> brokers;
-    private final Map<String, Route> routes = new HashMap<>();
-    private final Map<Message.Attempt, Route> attempts = new HashMap<>();
+    private final Map<String, BrokerDestination> brokers;
+    private final Map<String, BrokerConnection> routes = new HashMap<>();
+    private final Map<Message.Attempt, BrokerConnection> attempts = new HashMap<>();
 
     /**
      * A client.
@@ -35,7 +35,11 @@
      * @param connectTimeout microseconds until a connection is open in AMQP's sense
      */
     public BrokerClient(
-            EventLoop loop, Clock clock, long connectTimeout, Map<String, Broker> brokers, Results results) {
+            EventLoop loop,
+            Clock clock,
+            long connectTimeout,
+            Map<String, BrokerDestination> brokers,
+            ResultListener results) {
         this.loop = loop;
         this.clock = clock;
         this.connectTimeout = connectTimeout;
@@ -49,22 +53,22 @@
     }
 
     @Override
-    public void list(ListKind kind, List<Target> targets) {
+    public void list(EndpointListKind kind, List<Endpoint> targets) {
         Set<String> named = new HashSet<>();
-        for (Target target : targets) {
+        for (Endpoint target : targets) {
             String name = target.listed().route();
             named.add(name);
-            boolean listed = target.listed().availability() == Policy.Availability.LISTED;
-            Route old = routes.get(name);
+            boolean listed = target.listed().availability() == Availability.LISTED;
+            BrokerConnection old = routes.get(name);
             if (old != null && (!listed || !old.isAt(target))) {
                 old.stop();
                 routes.remove(name);
             }
             if (listed) {
-                routes.computeIfAbsent(name, n -> new Route(n, target, brokers.get(n), new Owner()));
+                routes.computeIfAbsent(name, n -> new BrokerConnection(n, target, brokers.get(n), new Owner()));
             }
         }
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointListKind.DELTA) {
             routes.values().stream()
                     .filter(r -> !named.contains(r.name()))
                     .toList()
@@ -77,10 +81,10 @@
 
     @Override
     public void send(String route, List<Outgoing> outgoing) {
-        Route to = routes.get(route);
+        BrokerConnection to = routes.get(route);
         for (Outgoing one : outgoing) {
             if (to == null) {
-                results.ended(one.attempt(), Result.NOT_SENT, false, 0, LimitReport.NONE);
+                results.ended(one.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
             } else {
                 attempts.put(one.attempt(), to);
                 to.send(one);
@@ -90,17 +94,17 @@
 
     @Override
     public void cancel(Message.Attempt attempt) {
-        Route route = attempts.get(attempt);
+        BrokerConnection route = attempts.get(attempt);
         if (route != null) {
-            route.giveUp(attempt, Result.CANCELLED);
+            route.giveUp(attempt, AttemptOutcome.CANCELLED);
         }
     }
 
     @Override
     public void probe(String route) {
-        Route to = routes.get(route);
+        BrokerConnection to = routes.get(route);
         if (to == null) {
-            results.probed(route, Result.NOT_SENT, 0, 0, LimitReport.NONE);
+            results.probed(route, AttemptOutcome.NOT_SENT, 0, 0, LimitReport.NONE);
         } else {
             to.probe();
         }
@@ -108,14 +112,14 @@
 
     @Override
     public void closeIdle(String route) {
-        Route to = routes.get(route);
+        BrokerConnection to = routes.get(route);
         if (to != null) {
             to.closeIdle();
         }
     }
 
     /** What routes need of their client. */
-    private final class Owner implements Route.Owner {
+    private final class Owner implements BrokerConnection.Owner {
         @Override
         public EventLoop loop() {
             return loop;
@@ -132,9 +136,9 @@
         }
 
         @Override
-        public void ended(Message.Attempt attempt, Result result, long wait) {
+        public void ended(Message.Attempt attempt, AttemptOutcome result, long wait) {
             attempts.remove(attempt);
-            results.ended(attempt, result, result == Result.OK, wait, LimitReport.NONE);
+            results.ended(attempt, result, result == AttemptOutcome.OK, wait, LimitReport.NONE);
         }
 
         @Override
@@ -143,7 +147,7 @@
         }
 
         @Override
-        public void probed(String route, Result result, long wait, long elapsed) {
+        public void probed(String route, AttemptOutcome result, long wait, long elapsed) {
             results.probed(route, result, wait, elapsed, LimitReport.NONE);
         }
     }
--- a/src/main/java/pipitstage/partner/amqp/Route.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
@@ -1,4 +1,4 @@
-package pipitstage.partner.amqp;
+package loftflow.upstream.amqp;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
@@ -8,26 +8,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Policy.Result;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Command;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.amqp.confirm.Confirms;
-import pipitstage.amqp.link.ClientLink;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners.Outgoing;
-import pipitstage.engine.Target;
-import pipitstage.http.Headers;
-import pipitstage.log.Log;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.Command;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.amqp.confirm.PublisherConfirms;
+import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient.Outgoing;
+import loftflow.http.Headers;
+import loftflow.log.Log;
+import loftflow.policy.api.AttemptOutcome;
 
 /**
  * One route through a broker: its connection with a channel in confirm mode, and the attempts on it. What a broker does
- * becomes one of the module's results by the table in docs/operators/amqp.md; {@link Confirms} says what is proven.
+ * becomes one of the module's results by the table in docs/operators/amqp.md; {@link PublisherConfirms} says what is proven.
  */
-final class Route implements ClientLink.Owner {
+final class BrokerConnection implements AmqpClientConnection.Owner {
     /** What a route needs of its client. */
     interface Owner {
         EventLoop loop();
@@ -37,12 +37,12 @@
         long connectTimeout();
 
         /** An attempt ended; {@code wait} microseconds were asked for. */
-        void ended(Message.Attempt attempt, Result result, long wait);
+        void ended(Message.Attempt attempt, AttemptOutcome result, long wait);
 
         /** An attempt that ended as unknown has turned out to have taken effect. */
         void late(Message.Attempt attempt);
 
-        void probed(String route, Result result, long wait, long elapsed);
+        void probed(String route, AttemptOutcome result, long wait, long elapsed);
     }
 
     private static final int CHANNEL = 1;
@@ -60,8 +60,8 @@
     private record Pending(Outgoing outgoing, Future<?> timeout) {}
 
     private final String name;
-    private final Target target;
-    private final Broker broker;
+    private final Endpoint target;
+    private final BrokerDestination broker;
     private final Owner owner;
     /** What waits for the connection. */
     private final Map<Message.Attempt, Pending> waiting = new LinkedHashMap<>();
@@ -70,8 +70,8 @@
     /** When each probe began that the broker has not answered. */
     private final ArrayDeque<Long> probes = new ArrayDeque<>();
 
-    private Confirms<Message.Attempt> confirms = new Confirms<>();
-    private ClientLink link;
+    private PublisherConfirms<Message.Attempt> confirms = new PublisherConfirms<>();
+    private AmqpClientConnection link;
     /** Publishes may leave. */
     private boolean ready;
     /** The connection has been ready, so that its end says nothing of whether the broker can be reached. */
@@ -79,7 +79,7 @@
 
     private boolean stopped;
 
-    Route(String name, Target target, Broker broker, Owner owner) {
+    BrokerConnection(String name, Endpoint target, BrokerDestination broker, Owner owner) {
         this.name = name;
         this.target = target;
         this.broker = broker;
@@ -90,7 +90,7 @@
         return name;
     }
 
-    boolean isAt(Target other) {
+    boolean isAt(Endpoint other) {
         return target.address().equals(other.address());
     }
 
@@ -98,11 +98,14 @@
 
     void send(Outgoing outgoing) {
         if (mustWait()) {
-            owner.ended(outgoing.attempt(), Result.FULL, BLOCKED_WAIT);
+            owner.ended(outgoing.attempt(), AttemptOutcome.REJECTED, BLOCKED_WAIT);
             return;
         }
         Future<?> timeout = owner.loop()
-                .schedule(() -> giveUp(outgoing.attempt(), Result.TIMEOUT), outgoing.timeout(), TimeUnit.MICROSECONDS);
+                .schedule(
+                        () -> giveUp(outgoing.attempt(), AttemptOutcome.TIMEOUT),
+                        outgoing.timeout(),
+                        TimeUnit.MICROSECONDS);
         waiting.put(outgoing.attempt(), new Pending(outgoing, timeout));
         if (link == null) {
             connect();
@@ -112,10 +115,10 @@
     }
 
     /** Stops waiting for an attempt. What was handed to the socket may still leave, and run. */
-    void giveUp(Message.Attempt attempt, Result result) {
+    void giveUp(Message.Attempt attempt, AttemptOutcome result) {
         Pending pending = waiting.remove(attempt);
         if (pending != null) {
-            end(attempt, pending, ready ? Result.NOT_SENT : Result.CONNECT_FAILED, 0);
+            end(attempt, pending, ready ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, 0);
             return;
         }
         pending = out.remove(attempt);
@@ -124,7 +127,7 @@
         }
     }
 
-    private void end(Message.Attempt attempt, Pending pending, Result result, long wait) {
+    private void end(Message.Attempt attempt, Pending pending, AttemptOutcome result, long wait) {
         pending.timeout().cancel(false);
         owner.ended(attempt, result, wait);
     }
@@ -141,7 +144,7 @@
                 .schedule(
                         () -> {
                             if (!probes.isEmpty() && owner.now() - probes.peek() >= PROBE_TIMEOUT) {
-                                endProbes(Result.TIMEOUT);
+                                endProbes(AttemptOutcome.TIMEOUT);
                             }
                         },
                         PROBE_TIMEOUT,
@@ -149,10 +152,10 @@
     }
 
     private void askForProbe() {
-        link.send(CHANNEL, Method.of(Op.BASIC_QOS, 0L, 0, false));
+        link.send(CHANNEL, Method.of(MethodType.BASIC_QOS, 0L, 0, false));
     }
 
-    private void endProbes(Result result) {
+    private void endProbes(AttemptOutcome result) {
         while (!probes.isEmpty()) {
             owner.probed(name, result, 0, owner.now() - probes.poll());
         }
@@ -167,8 +170,8 @@
     /** Guards against a first byte after the grace: what waits never leaves. What is out may yet be confirmed. */
     void stop() {
         stopped = true;
-        endWaiting(Result.NOT_SENT, 0);
-        endProbes(Result.NOT_SENT);
+        endWaiting(AttemptOutcome.NOT_SENT, 0);
+        endProbes(AttemptOutcome.NOT_SENT);
         if (confirms.open() == 0) {
             closeLink("the route is not listed any more");
         }
@@ -183,9 +186,9 @@
     // ---- the connection
 
     private void connect() {
-        link = ClientLink.dial(
+        link = AmqpClientConnection.dial(
                 owner.loop(),
-                new ClientLink.Broker(target.address(), broker.login(), broker.tls(), broker.tlsName()),
+                new AmqpClientConnection.Broker(target.address(), broker.login(), broker.tls(), broker.tlsName()),
                 MOST_BODY,
                 owner.connectTimeout(),
                 this);
@@ -200,7 +203,7 @@
     public void received(Command command) throws AmqpException {
         Method method = command.method();
         switch (method.op()) {
-            case CHANNEL_OPEN_OK -> link.send(CHANNEL, Method.of(Op.CONFIRM_SELECT, false));
+            case CHANNEL_OPEN_OK -> link.send(CHANNEL, Method.of(MethodType.CONFIRM_SELECT, false));
             case CONFIRM_SELECT_OK -> ready();
             case BASIC_ACK, BASIC_NACK -> confirmed(method);
             case BASIC_RETURN -> returned(command);
@@ -222,7 +225,10 @@
         Long began = probes.poll();
         if (began != null) {
             owner.probed(
-                    name, mustWait() ? Result.FULL : Result.OK, mustWait() ? BLOCKED_WAIT : 0, owner.now() - began);
+                    name,
+                    mustWait() ? AttemptOutcome.REJECTED : AttemptOutcome.OK,
+                    mustWait() ? BLOCKED_WAIT : 0,
+                    owner.now() - began);
         }
     }
 
@@ -235,11 +241,11 @@
     public void publishing(String why) {
         Log.line("host " + name + ": " + why);
         if (mustWait()) {
-            endWaiting(Result.FULL, BLOCKED_WAIT);
+            endWaiting(AttemptOutcome.REJECTED, BLOCKED_WAIT);
         }
     }
 
-    private void endWaiting(Result result, long wait) {
+    private void endWaiting(AttemptOutcome result, long wait) {
         Map.copyOf(waiting).forEach((attempt, pending) -> {
             waiting.remove(attempt);
             end(attempt, pending, result, wait);
@@ -254,7 +260,7 @@
             Pending pending = waiting.remove(attempt);
             // Guards against a repeat that its destination may not know as one any more.
             if (owner.now() >= pending.outgoing().latest()) {
-                end(attempt, pending, Result.NOT_SENT, 0);
+                end(attempt, pending, AttemptOutcome.NOT_SENT, 0);
                 continue;
             }
             out.put(attempt, pending);
@@ -269,7 +275,7 @@
         Message.Content content = attempt.message().content();
         long tag = confirms.publish(attempt);
         Map<String, Object> headers = new LinkedHashMap<>();
-        headers.put(Confirms.TAG, tag);
+        headers.put(PublisherConfirms.TAG, tag);
         if (content.key() != null) {
             headers.put(Headers.KEY, content.key());
         }
@@ -282,10 +288,10 @@
                 .with(Property.MESSAGE_ID, content.callId())
                 .with(Property.TIMESTAMP, now / (MS * MS))
                 .with(Property.TYPE, content.requestClass());
-        Confirms<Message.Attempt> current = confirms;
+        PublisherConfirms<Message.Attempt> current = confirms;
         link.send(
                         CHANNEL,
-                        Method.of(Op.BASIC_PUBLISH, broker.exchange(), broker.routingKey(), true, false),
+                        Method.of(MethodType.BASIC_PUBLISH, broker.exchange(), broker.routingKey(), true, false),
                         properties,
                         content.body())
                 .addListener(done -> {
@@ -298,8 +304,8 @@
 
     private void confirmed(Method method) throws AmqpException {
         long tag = method.number("delivery-tag");
-        List<Confirms.Settled<Message.Attempt>> settled =
-                confirms.confirmed(tag, method.flag("multiple"), method.op() == Op.BASIC_ACK);
+        List<PublisherConfirms.Settled<Message.Attempt>> settled =
+                confirms.confirmed(tag, method.flag("multiple"), method.op() == MethodType.BASIC_ACK);
         if (settled == null) {
             throw new AmqpException(AmqpException.PRECONDITION_FAILED, method + " speaks of no publish that is open");
         }
@@ -308,8 +314,8 @@
     }
 
     private void returned(Command command) {
-        Object tag = command.properties().headers().get(Confirms.TAG);
-        List<Confirms.Settled<Message.Attempt>> settled =
+        Object tag = command.properties().headers().get(PublisherConfirms.TAG);
+        List<PublisherConfirms.Settled<Message.Attempt>> settled =
                 tag instanceof Long number ? confirms.returned(number) : List.of();
         if (settled.isEmpty()) {
             Log.line("host " + name + ": a return speaks of no publish that is open");
@@ -320,12 +326,12 @@
         settled.forEach(this::settle);
     }
 
-    private void settle(Confirms.Settled<Message.Attempt> settled) {
+    private void settle(PublisherConfirms.Settled<Message.Attempt> settled) {
         Message.Attempt attempt = settled.what();
         Pending pending = out.remove(attempt);
         if (pending == null) {
             // It has ended as timed out or cancelled. Only that it took effect is news of use.
-            if (settled.fate() == Confirms.Fate.ACKED) {
+            if (settled.fate() == PublisherConfirms.Fate.ACKED) {
                 owner.late(attempt);
             }
             return;
@@ -334,10 +340,10 @@
                 attempt,
                 pending,
                 switch (settled.fate()) {
-                    case ACKED -> Result.OK;
-                    case NACKED -> Result.ERROR;
-                    case RETURNED, NEVER -> Result.NOT_SENT;
-                    case UNKNOWN -> Result.RESET;
+                    case ACKED -> AttemptOutcome.OK;
+                    case NACKED -> AttemptOutcome.ERROR;
+                    case RETURNED, NEVER -> AttemptOutcome.NOT_SENT;
+                    case UNKNOWN -> AttemptOutcome.RESET;
                 },
                 0);
     }
@@ -353,17 +359,17 @@
     private void channelClosed(Method method) {
         long code = method.number("reply-code");
         Log.line("host " + name + ": the broker closed the channel: " + code + " " + method.text("reply-text"));
-        boolean publish = method.number("class-id") == Op.BASIC_PUBLISH.classId()
-                && method.number("method-id") == Op.BASIC_PUBLISH.methodId()
+        boolean publish = method.number("class-id") == MethodType.BASIC_PUBLISH.classId()
+                && method.number("method-id") == MethodType.BASIC_PUBLISH.methodId()
                 && (code == AmqpException.NOT_FOUND || code == AmqpException.ACCESS_REFUSED);
-        link.send(CHANNEL, Method.of(Op.CHANNEL_CLOSE_OK));
+        link.send(CHANNEL, Method.of(MethodType.CHANNEL_CLOSE_OK));
         settleAll(publish);
         link.end(OK, "its channel was closed");
     }
 
     private void settleAll(boolean publishAtFault) {
-        Confirms<Message.Attempt> last = confirms;
-        confirms = new Confirms<>();
+        PublisherConfirms<Message.Attempt> last = confirms;
+        confirms = new PublisherConfirms<>();
         ready = false;
         last.closed(publishAtFault).forEach(this::settle);
     }
@@ -378,7 +384,7 @@
         link = null;
         settleAll(false);
         // What still waits never left, and the module hears why.
-        endWaiting(opened ? Result.NOT_SENT : Result.CONNECT_FAILED, 0);
-        endProbes(opened ? Result.RESET : Result.CONNECT_FAILED);
+        endWaiting(opened ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, 0);
+        endProbes(opened ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 }
--- a/src/main/java/pipitstage/partner/amqp/Broker.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerDestination.java
@@ -1,7 +1,7 @@
-package pipitstage.partner.amqp;
+package loftflow.upstream.amqp;
 
 import io.netty.handler.ssl.SslContext;
-import pipitstage.amqp.link.ClientLink;
+import loftflow.amqp.link.AmqpClientConnection;
 
 /**
  * How a route is reached through a broker.
@@ -10,4 +10,5 @@
  * @param tls null where the connection is plain
  * @param tlsName the name that the broker's certificate has to hold; null for its address
  */
-public record Broker(ClientLink.Login login, String exchange, String routingKey, SslContext tls, String tlsName) {}
+public record BrokerDestination(
+        AmqpClientConnection.Login login, String exchange, String routingKey, SslContext tls, String tlsName) {}
--- a/src/main/java/pipitstage/partner/amqp/package-info.java
+++ b/src/main/java/loftflow/upstream/amqp/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: the module's types, the engine's ports, {@code amqp}, the names of headers, the log, and Netty.
  */
-package pipitstage.partner.amqp;
+package loftflow.upstream.amqp;
--- a/src/main/java/pipitstage/partner/http/HostClient.java
+++ b/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
@@ -1,4 +1,4 @@
-package pipitstage.partner.http;
+package loftflow.upstream.http;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -18,20 +18,22 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import pipitstage.Policy;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
+import loftflow.engine.Clock;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.PolicySettings;
 
 /**
  * Calls hosts over kept connections and tells what became of each attempt. It resends nothing: a call goes
  * out once, on one connection.
  */
-public final class HostClient implements Partners {
+public final class HttpUpstreamClient implements UpstreamClient {
     private static final long PROBE_TIMEOUT = 1_500_000;
     private static final long SECOND = 1_000_000;
     private static final int MOST_BODY = 64 << 10;
@@ -54,21 +56,21 @@
     }
 
     /** A listed host with its connections. */
-    private final class Host implements HostCall.Owner, HostConnection.Owner {
-        private Target target;
+    private final class Host implements UpstreamCall.Owner, UpstreamConnection.Owner {
+        private Endpoint target;
         private final Wait wait;
         private final int batch;
-        private final ArrayDeque<HostConnection> idle = new ArrayDeque<>();
+        private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
         /** Connections that rest from their last answer, the one that has rested longest first. */
-        private final ArrayDeque<HostConnection> resting = new ArrayDeque<>();
+        private final ArrayDeque<UpstreamConnection> resting = new ArrayDeque<>();
         /** Calls that wait for a connection, oldest first. */
-        private final Set<HostCall> queue = new LinkedHashSet<>();
+        private final Set<UpstreamCall> queue = new LinkedHashSet<>();
 
         private int connecting;
         /** How often its kept connections were found not worth trusting. */
         private int breaks;
 
-        private Host(Target target, Wait wait, int batch) {
+        private Host(Endpoint target, Wait wait, int batch) {
             this.target = target;
             this.wait = wait;
             this.batch = batch;
@@ -85,11 +87,11 @@
         }
 
         private boolean isListed() {
-            return target.listed().availability() == Policy.Availability.LISTED;
+            return target.listed().availability() == Availability.LISTED;
         }
 
         /** True where another entry speaks of the same place, so that connections and waits go on. */
-        private boolean isAt(Target other) {
+        private boolean isAt(Endpoint other) {
             return target.address().equals(other.address())
                     && target.listed().destination() == other.listed().destination()
                     && target.listed().kind().equals(other.listed().kind());
@@ -111,20 +113,20 @@
         }
 
         @Override
-        public void ended(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+        public void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
             calls.remove(attempt);
             results.ended(attempt, result, over, wait, report);
         }
 
         @Override
-        public void probed(HostCall call, Result result, long wait, LimitReport report) {
+        public void probed(UpstreamCall call, AttemptOutcome result, long wait, LimitReport report) {
             results.probed(route(), result, wait, clock.micros() - call.startedAt(), report);
         }
 
         @Override
-        public Result unqueue(HostCall call) {
+        public AttemptOutcome unqueue(UpstreamCall call) {
             queue.remove(call);
-            return connecting > 0 ? Result.CONNECT_FAILED : Result.NOT_SENT;
+            return connecting > 0 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
         }
 
         @Override
@@ -140,8 +142,8 @@
         @Override
         public void closeIdle() {
             breaks++;
-            List.copyOf(idle).forEach(HostConnection::close);
-            List.copyOf(resting).forEach(HostConnection::close);
+            List.copyOf(idle).forEach(UpstreamConnection::close);
+            List.copyOf(resting).forEach(UpstreamConnection::close);
         }
 
         @Override
@@ -158,16 +160,16 @@
         }
 
         @Override
-        public long listensOn(HostConnection connection) {
+        public long listensOn(UpstreamConnection connection) {
             listening.add(connection);
             return listenOn;
         }
 
         /** A connection can carry a call: one that waits for it, or a later one. */
         @Override
-        public void free(HostConnection connection) {
+        public void free(UpstreamConnection connection) {
             if (!queue.isEmpty()) {
-                HostCall call = queue.iterator().next();
+                UpstreamCall call = queue.iterator().next();
                 queue.remove(call);
                 begin(connection, call);
             } else if (hosts.get(route()) != this || !isListed() || !crowdedOut.isEmpty()) {
@@ -180,7 +182,7 @@
         }
 
         @Override
-        public boolean rests(HostConnection connection) {
+        public boolean rests(UpstreamConnection connection) {
             if (!queue.isEmpty() || hosts.get(route()) != this || !isListed() || !crowdedOut.isEmpty()) {
                 return false;
             }
@@ -191,17 +193,17 @@
         }
 
         @Override
-        public void closed(HostConnection connection) {
+        public void closed(UpstreamConnection connection) {
             idle.remove(connection);
             resting.remove(connection);
             allIdle.remove(connection);
             listening.remove(connection);
         }
 
-        private void begin(HostConnection connection, HostCall call) {
+        private void begin(UpstreamConnection connection, UpstreamCall call) {
             // Guards against a call that was connecting while its destination told this relay to wait.
             if (clock.micros() < wait.until) {
-                call.end(Result.NOT_SENT);
+                call.end(AttemptOutcome.NOT_SENT);
             }
             // Guards against a first call that the host meets only once a handshake is over, as with TLS: by the
             // settings
@@ -215,8 +217,8 @@
         }
 
         /** The idle connection that was used last, of those that a call may still leave on; null where there is none. */
-        private HostConnection pollIdle() {
-            for (HostConnection next = idle.pollLast(); next != null; next = idle.pollLast()) {
+        private UpstreamConnection pollIdle() {
+            for (UpstreamConnection next = idle.pollLast(); next != null; next = idle.pollLast()) {
                 allIdle.remove(next);
                 if (next.isFit(idleSpan)) {
                     return next;
@@ -227,18 +229,18 @@
         }
 
         /** Sends a call on an idle connection, or on one that is opened for it. */
-        private void start(HostCall call) {
+        private void start(UpstreamCall call) {
             while (!resting.isEmpty() && resting.peekFirst().hasRested()) {
                 idle.addLast(resting.pollFirst());
             }
-            HostConnection connection = pollIdle();
+            UpstreamConnection connection = pollIdle();
             if (connection != null) {
                 begin(connection, call);
                 return;
             }
             queue.add(call);
             // Whichever is sooner takes the call: one that rests still, or a new one.
-            HostConnection soon = resting.pollFirst();
+            UpstreamConnection soon = resting.pollFirst();
             if (soon != null) {
                 allIdle.remove(soon);
                 soon.freeOnceRested();
@@ -249,7 +251,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Results results;
+    private final ResultListener results;
     private final Bootstrap bootstrap;
     private final boolean reports;
     private final long idleSpan;
@@ -257,31 +259,32 @@
     private final long listenOn;
     private final long connectTimeout;
     /** Connections that listen for a late answer, the one that has listened longest first. */
-    private final Set<HostConnection> listening = new LinkedHashSet<>();
+    private final Set<UpstreamConnection> listening = new LinkedHashSet<>();
 
-    private final Map<String, Policy.Kind> kinds = new HashMap<>();
+    private final Map<String, DestinationKind> kinds = new HashMap<>();
     private final Map<String, Host> hosts = new HashMap<>();
     private final Map<Integer, Wait> waits = new HashMap<>();
     /** Idle connections of all hosts, the one that has stood longest first. */
-    private final Set<HostConnection> allIdle = new LinkedHashSet<>();
+    private final Set<UpstreamConnection> allIdle = new LinkedHashSet<>();
 
-    private final Map<Message.Attempt, HostCall> calls = new HashMap<>();
-    private final Set<HostConnection> connections = new HashSet<>();
+    private final Map<Message.Attempt, UpstreamCall> calls = new HashMap<>();
+    private final Set<UpstreamConnection> connections = new HashSet<>();
     /** Hosts whose calls wait until another connection has closed, as there may be no more. */
     private final Set<Host> crowdedOut = new LinkedHashSet<>();
 
     /** Calls hosts on an event loop; the settings tell kinds and the time for a connection. */
-    public HostClient(EventLoop loop, Clock clock, Policy.Settings settings, Options options, Results results) {
+    public HttpUpstreamClient(
+            EventLoop loop, Clock clock, PolicySettings settings, Options options, ResultListener results) {
         this(loop, clock, settings, options, results, NioSocketChannel::new);
     }
 
     /** As above, over sockets that are made by a factory. */
-    HostClient(
+    HttpUpstreamClient(
             EventLoop loop,
             Clock clock,
-            Policy.Settings settings,
+            PolicySettings settings,
             Options options,
-            Results results,
+            ResultListener results,
             ChannelFactory<Channel> sockets) {
         this.loop = loop;
         this.clock = clock;
@@ -292,7 +295,7 @@
         mostConnections = options.mostConnections();
         listenOn = options.listenOn();
         settings.kinds().forEach(kind -> kinds.put(kind.name(), kind));
-        connectTimeout = settings.limits().connectTimeout();
+        connectTimeout = settings.limits().connectTimeoutMicros();
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channelFactory(sockets)
@@ -301,13 +304,13 @@
     }
 
     @Override
-    public void list(ListKind kind, List<Target> targets) {
+    public void list(EndpointListKind kind, List<Endpoint> targets) {
         Set<String> named = new HashSet<>();
-        for (Target target : targets) {
+        for (Endpoint target : targets) {
             named.add(target.listed().route());
             replace(target);
         }
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointListKind.DELTA) {
             hosts.values().stream()
                     .filter(host -> !named.contains(host.route()))
                     .toList()
@@ -315,9 +318,9 @@
         }
     }
 
-    private void replace(Target target) {
+    private void replace(Endpoint target) {
         Host old = hosts.get(target.listed().route());
-        boolean removed = target.listed().availability() == Policy.Availability.REMOVED;
+        boolean removed = target.listed().availability() == Availability.REMOVED;
         if (old != null && !removed && old.isAt(target)) {
             old.target = target;
             if (!old.isListed()) {
@@ -329,12 +332,12 @@
             remove(old);
         }
         if (!removed) {
-            Policy.Kind kind = kinds.get(target.listed().kind());
-            boolean apart = kind != null && kind.routesApart();
+            DestinationKind kind = kinds.get(target.listed().kind());
+            boolean apart = kind != null && kind.independentRoutes();
             Wait wait = apart
                     ? old == null ? new Wait() : old.wait
                     : waits.computeIfAbsent(target.listed().destination(), d -> new Wait());
-            hosts.put(target.listed().route(), new Host(target, wait, kind == null ? 1 : kind.batch()));
+            hosts.put(target.listed().route(), new Host(target, wait, kind == null ? 1 : kind.maxBatchSize()));
         }
     }
 
@@ -347,7 +350,7 @@
     private void stopSending(Host host) {
         List.copyOf(host.queue).forEach(call -> {
             host.queue.remove(call);
-            call.end(Result.NOT_SENT);
+            call.end(AttemptOutcome.NOT_SENT);
         });
         host.closeIdle();
     }
@@ -356,13 +359,13 @@
     public void send(String route, List<Outgoing> outgoing) {
         Host host = hosts.get(route);
         if (host == null || !host.isListed()) {
-            outgoing.forEach(o -> results.ended(o.attempt(), Result.NOT_SENT, false, 0, LimitReport.NONE));
+            outgoing.forEach(o -> results.ended(o.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE));
             return;
         }
         List<Outgoing> batch = new ArrayList<>();
         int bytes = 0;
         for (Outgoing next : outgoing) {
-            int size = HostCall.encodedSize(next.attempt().message());
+            int size = UpstreamCall.encodedSize(next.attempt().message());
             // Guards against a call with a larger body than a host takes.
             if (!batch.isEmpty() && (batch.size() >= host.batch || bytes + size > MOST_BODY)) {
                 startBatch(host, batch);
@@ -376,7 +379,7 @@
     }
 
     private void startBatch(Host host, List<Outgoing> batch) {
-        HostCall call = new HostCall(host, batch);
+        UpstreamCall call = new UpstreamCall(host, batch);
         batch.forEach(o -> calls.put(o.attempt(), call));
         host.start(call);
     }
@@ -385,10 +388,10 @@
     public void probe(String route) {
         Host host = hosts.get(route);
         if (host == null || !host.isListed()) {
-            results.probed(route, Result.NOT_SENT, 0, 0, LimitReport.NONE);
+            results.probed(route, AttemptOutcome.NOT_SENT, 0, 0, LimitReport.NONE);
             return;
         }
-        host.start(new HostCall(host, reports ? "/-/load" : "/-/healthy", PROBE_TIMEOUT));
+        host.start(new UpstreamCall(host, reports ? "/-/load" : "/-/healthy", PROBE_TIMEOUT));
     }
 
     @Override
@@ -410,7 +413,7 @@
             return;
         }
         host.connecting++;
-        HostConnection connection = new HostConnection(host);
+        UpstreamConnection connection = new UpstreamConnection(host);
         ChannelFuture future = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<Channel>() {
@@ -433,18 +436,18 @@
         });
     }
 
-    private void notConnected(Host host, HostConnection connection) {
+    private void notConnected(Host host, UpstreamConnection connection) {
         host.connecting--;
         if (host.queue.size() > host.connecting) {
-            HostCall oldest = host.queue.iterator().next();
+            UpstreamCall oldest = host.queue.iterator().next();
             host.queue.remove(oldest);
-            oldest.end(Result.CONNECT_FAILED);
+            oldest.end(AttemptOutcome.CONNECT_FAILED);
         }
         gone(connection);
     }
 
     /** One connection less: those that wait for room come next. */
-    private void gone(HostConnection connection) {
+    private void gone(UpstreamConnection connection) {
         if (connections.remove(connection)) {
             for (Host host : List.copyOf(crowdedOut)) {
                 crowdedOut.remove(host);
@@ -457,9 +460,9 @@
 
     @Override
     public void cancel(Message.Attempt attempt) {
-        HostCall call = calls.get(attempt);
+        UpstreamCall call = calls.get(attempt);
         if (call != null) {
-            call.giveUp(attempt, Result.CANCELLED);
+            call.giveUp(attempt, AttemptOutcome.CANCELLED);
         }
     }
 }
--- a/src/main/java/pipitstage/partner/http/AnswerDecoder.java
+++ b/src/main/java/loftflow/upstream/http/ResponseDecoder.java
@@ -1,4 +1,4 @@
-package pipitstage.partner.http;
+package loftflow.upstream.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -11,7 +11,7 @@
  * Reads answers, and tells what the first line of the awaited one says as soon as that line has come: it holds
  * even where the rest of the head can't be read or never ends.
  */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
     /** What {@link #status} says before the first line has come, and of one that can't be read. */
     static final int UNKNOWN = 0;
 
--- a/src/main/java/pipitstage/partner/http/HostCall.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamCall.java
@@ -1,4 +1,4 @@
-package pipitstage.partner.http;
+package loftflow.upstream.http;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -23,17 +23,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import pipitstage.Fields;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Result;
-import pipitstage.WireException;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.http.Headers;
-import pipitstage.log.Log;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.http.Headers;
+import loftflow.json.JsonFields;
+import loftflow.json.MalformedInputException;
+import loftflow.log.Log;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.LimitReport;
 
 /** One call to a host, for one message, for several, or a probe; it knows the table of outcomes. */
-final class HostCall {
+final class UpstreamCall {
     /** What owns a call: the pool of the host that it goes to. */
     interface Owner {
         String route();
@@ -46,12 +46,12 @@
 
         Future<?> after(long micros, Runnable task);
 
-        void ended(Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report);
+        void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report);
 
-        void probed(HostCall call, Result result, long wait, LimitReport report);
+        void probed(UpstreamCall call, AttemptOutcome result, long wait, LimitReport report);
 
         /** Drops a call that was given up before it had a connection; the result says whether the host is to blame. */
-        Result unqueue(HostCall call);
+        AttemptOutcome unqueue(UpstreamCall call);
 
         void toldToWait(long span);
 
@@ -112,7 +112,7 @@
     private final ByteBuf body = Unpooled.buffer(0, MOST_ANSWER);
 
     /** A call for one or more attempts. */
-    HostCall(Owner owner, List<Partners.Outgoing> outgoing) {
+    UpstreamCall(Owner owner, List<UpstreamClient.Outgoing> outgoing) {
         this.owner = owner;
         startedAt = owner.now();
         probePath = null;
@@ -122,15 +122,15 @@
                 .mapToLong(o -> o.attempt().message().content().deadline())
                 .min()
                 .orElse(startedAt);
-        for (Partners.Outgoing o : outgoing) {
+        for (UpstreamClient.Outgoing o : outgoing) {
             long span = Math.min(o.timeout(), until - startedAt);
-            Future<?> timeout = owner.after(span, () -> giveUp(o.attempt(), Result.TIMEOUT));
+            Future<?> timeout = owner.after(span, () -> giveUp(o.attempt(), AttemptOutcome.TIMEOUT));
             parts.put(o.attempt(), new Part(o.attempt(), startedAt + span, o.latest(), timeout));
         }
     }
 
     /** A probe. */
-    HostCall(Owner owner, String path, long timeout) {
+    UpstreamCall(Owner owner, String path, long timeout) {
         this.owner = owner;
         startedAt = owner.now();
         until = startedAt + timeout;
@@ -139,7 +139,7 @@
         probeTimeout = owner.after(timeout, () -> {
             readWhatCame();
             if (!ended) {
-                abandon(Result.TIMEOUT);
+                abandon(AttemptOutcome.TIMEOUT);
             }
         });
     }
@@ -159,7 +159,7 @@
     void endWhatIsLate(long now) {
         List.copyOf(parts.values()).stream()
                 .filter(part -> now >= part.latest())
-                .forEach(part -> end(part.attempt(), Result.NOT_SENT, false));
+                .forEach(part -> end(part.attempt(), AttemptOutcome.NOT_SENT, false));
     }
 
     /** True where nothing waits for this call's answer. */
@@ -252,7 +252,7 @@
     /** The first line of an answer: that a single message is delivered holds, whatever follows. */
     void firstLine(int code) {
         if (probePath == null && !several && code == HttpResponseStatus.OK.code()) {
-            end(Result.OK, true);
+            end(AttemptOutcome.OK, true);
             if (late != null) {
                 Message.Attempt proven = late;
                 late = null;
@@ -265,7 +265,7 @@
     void spoilt(int code) {
         report = LimitReport.NONE;
         firstLine(code);
-        end(Result.ERROR);
+        end(AttemptOutcome.ERROR);
     }
 
     /** Takes in a piece of the answer's body; false where it is larger than any answer may be. */
@@ -287,13 +287,16 @@
             if (status == 200 && report.equals(LimitReport.NONE)) {
                 report = report(body.toString(StandardCharsets.UTF_8));
             }
-            probeEnd(status == 200 ? Result.OK : status == 503 || status == 429 ? Result.FULL : Result.ERROR);
+            probeEnd(
+                    status == 200
+                            ? AttemptOutcome.OK
+                            : status == 503 || status == 429 ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR);
         } else if (several && isLate()) {
-            end(Result.TIMEOUT);
+            end(AttemptOutcome.TIMEOUT);
         } else if (several && status == 200) {
             eachOutcome();
             // Guards against an answer that leaves a message out: it may have run.
-            end(Result.ERROR);
+            end(AttemptOutcome.ERROR);
         } else {
             outcome(status);
         }
@@ -306,12 +309,12 @@
 
     private void outcome(int code) {
         switch (code) {
-            case 200 -> end(Result.OK, true);
-            case 410 -> end(Result.NOT_SENT, true);
-            case 429 -> end(Result.FULL);
-            case 503 -> end(slotsTaken ? Result.NOT_SENT : Result.FULL);
-            case 400, 404, 413, 504 -> end(Result.NOT_SENT);
-            default -> end(Result.ERROR);
+            case 200 -> end(AttemptOutcome.OK, true);
+            case 410 -> end(AttemptOutcome.NOT_SENT, true);
+            case 429 -> end(AttemptOutcome.REJECTED);
+            case 503 -> end(slotsTaken ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED);
+            case 400, 404, 413, 504 -> end(AttemptOutcome.NOT_SENT);
+            default -> end(AttemptOutcome.ERROR);
         }
     }
 
@@ -319,19 +322,19 @@
         Map<String, String> states = new HashMap<>();
         try (JsonParser parser = JSON.createParser(body.toString(StandardCharsets.UTF_8))) {
             parser.nextToken();
-            if (!(Fields.read(parser) instanceof List<?> entries)) {
-                throw new WireException("no array");
+            if (!(JsonFields.read(parser) instanceof List<?> entries)) {
+                throw new MalformedInputException("no array");
             }
             for (Object json : entries) {
-                Fields entry = Fields.ofObject("answer", json);
+                JsonFields entry = JsonFields.ofObject("answer", json);
                 if (states.put(entry.text("id"), entry.text("state")) != null) {
-                    throw new WireException("a message is named twice");
+                    throw new MalformedInputException("a message is named twice");
                 }
             }
             if (parser.nextToken() != null) {
-                throw new WireException("more than an array");
+                throw new MalformedInputException("more than an array");
             }
-        } catch (IOException | WireException e) {
+        } catch (IOException | MalformedInputException e) {
             Log.line("host " + owner.route() + ": an answer can't be read: " + e.getMessage());
             return;
         }
@@ -342,26 +345,26 @@
 
     private void outcome(Message.Attempt attempt, String state) {
         switch (state) {
-            case "done" -> end(attempt, Result.OK, true);
-            case "busy" -> end(attempt, Result.FULL, false);
-            case "void" -> end(attempt, Result.NOT_SENT, true);
-            case "used_up" -> end(attempt, Result.NOT_SENT, false);
-            default -> end(attempt, Result.ERROR, false);
+            case "done" -> end(attempt, AttemptOutcome.OK, true);
+            case "busy" -> end(attempt, AttemptOutcome.REJECTED, false);
+            case "void" -> end(attempt, AttemptOutcome.NOT_SENT, true);
+            case "used_up" -> end(attempt, AttemptOutcome.NOT_SENT, false);
+            default -> end(attempt, AttemptOutcome.ERROR, false);
         }
     }
 
     /** The connection broke, or ended, before the answer was whole. */
     void broken() {
         owner.closeIdle();
-        end(sent ? Result.RESET : Result.CONNECT_FAILED);
+        end(sent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 
     /** Every attempt that is still open ends alike. */
-    void end(Result result) {
+    void end(AttemptOutcome result) {
         end(result, false);
     }
 
-    private void end(Result result, boolean over) {
+    private void end(AttemptOutcome result, boolean over) {
         if (probePath != null) {
             probeEnd(result);
         }
@@ -370,7 +373,7 @@
         }
     }
 
-    private void end(Message.Attempt attempt, Result result, boolean over) {
+    private void end(Message.Attempt attempt, AttemptOutcome result, boolean over) {
         Part part = parts.remove(attempt);
         if (part != null) {
             part.timeout().cancel(false);
@@ -378,7 +381,7 @@
         }
     }
 
-    private void probeEnd(Result result) {
+    private void probeEnd(AttemptOutcome result) {
         if (!ended) {
             ended = true;
             probeTimeout.cancel(false);
@@ -390,7 +393,7 @@
      * Stops waiting for one attempt. With the last one the connection closes too: the host must not take a
      * call for out that nobody waits for.
      */
-    void giveUp(Message.Attempt attempt, Result result) {
+    void giveUp(Message.Attempt attempt, AttemptOutcome result) {
         readWhatCame();
         if (!parts.containsKey(attempt)) {
             return;
@@ -399,7 +402,7 @@
             abandon(result);
         } else {
             // Guards against taking for never sent what goes on leaving with the rest of its call.
-            end(attempt, connection == null ? Result.CONNECT_FAILED : result, false);
+            end(attempt, connection == null ? AttemptOutcome.CONNECT_FAILED : result, false);
         }
     }
 
@@ -411,14 +414,15 @@
     }
 
     /** Gives the whole call up. What has not left whole never ran. */
-    private void abandon(Result result) {
+    private void abandon(AttemptOutcome result) {
         if (connection == null) {
             end(owner.unqueue(this));
             return;
         }
-        boolean listens = sent && result == Result.TIMEOUT && parts.size() == 1 && !several && owner.mayListenOn();
+        boolean listens =
+                sent && result == AttemptOutcome.TIMEOUT && parts.size() == 1 && !several && owner.mayListenOn();
         Message.Attempt only = listens ? parts.keySet().iterator().next() : null;
-        end(sent ? result : Result.CONNECT_FAILED);
+        end(sent ? result : AttemptOutcome.CONNECT_FAILED);
         owner.closeIdle();
         if (listens) {
             late = only;
--- a/src/main/java/pipitstage/partner/http/HostConnection.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package pipitstage.partner.http;
+package loftflow.upstream.http;
 
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -15,32 +15,32 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import pipitstage.http.ConnectionTimer;
-import pipitstage.http.UnreadBytes;
+import loftflow.http.ConnectionTimer;
+import loftflow.http.UnreadBytes;
 
 /**
  * One connection to a host; it carries one call at a time and is used again only after a whole answer with
  * nothing behind it.
  */
-final class HostConnection extends SimpleChannelInboundHandler<HttpObject> implements HostCall.Carrier {
+final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements UpstreamCall.Carrier {
     /** What owns a connection: the pool of one host. */
     interface Owner {
         /** How often kept connections to the host were found not worth trusting. */
         int breaks();
 
         /** The connection can carry another call. */
-        void free(HostConnection connection);
+        void free(UpstreamConnection connection);
 
         /** The connection can carry another call once it has rested; false where one waits for it, or nothing may. */
-        boolean rests(HostConnection connection);
+        boolean rests(UpstreamConnection connection);
 
         /** The connection has closed. */
-        void closed(HostConnection connection);
+        void closed(UpstreamConnection connection);
 
         Future<?> after(long micros, Runnable task);
 
         /** The connection listens for a late answer from now on; for how many microseconds. */
-        long listensOn(HostConnection connection);
+        long listensOn(UpstreamConnection connection);
     }
 
     /** Guards against an answer that begins and never ends: hosts write theirs in one go. */
@@ -49,9 +49,9 @@
     private static final long REST = TimeUnit.MILLISECONDS.toNanos(2);
 
     private final Owner owner;
-    private final AnswerDecoder decoder = new AnswerDecoder();
+    private final ResponseDecoder decoder = new ResponseDecoder();
     private ChannelHandlerContext context;
-    private HostCall call;
+    private UpstreamCall call;
     private boolean reusable;
     private boolean informational;
     private boolean answered;
@@ -65,7 +65,7 @@
     private final ConnectionTimer timer;
     private boolean isNew = true;
 
-    HostConnection(Owner owner) {
+    UpstreamConnection(Owner owner) {
         this.owner = owner;
         timer = new ConnectionTimer((nanos, task) -> owner.after(TimeUnit.NANOSECONDS.toMicros(nanos), task));
     }
@@ -86,7 +86,7 @@
     }
 
     /** Writes a call; only its last byte's leaving decides whether it may have run. */
-    void carry(HostCall next) {
+    void carry(UpstreamCall next) {
         timer.stop();
         call = next;
         isNew = false;
@@ -161,7 +161,7 @@
         }
         // Guards against an answer to a request that has not left whole: it has not run.
         if (!call.isSent()) {
-            lose(HostCall::broken);
+            lose(UpstreamCall::broken);
             return;
         }
         if (message.decoderResult().isFailure()) {
@@ -183,7 +183,7 @@
             if (!call.body(content.content())) {
                 lose(this::spoil);
             } else if (content instanceof LastHttpContent) {
-                HostCall done = call;
+                UpstreamCall done = call;
                 call = null;
                 answered = true;
                 done.complete();
@@ -198,13 +198,13 @@
                         && response.headers().contains(HttpHeaderNames.CONTENT_LENGTH));
     }
 
-    private void spoil(HostCall broken) {
+    private void spoil(UpstreamCall broken) {
         broken.spoilt(decoder.status());
     }
 
     /** The connection is of no further use, and its call ends as told. */
-    private void lose(Consumer<HostCall> how) {
-        HostCall lost = call;
+    private void lose(Consumer<UpstreamCall> how) {
+        UpstreamCall lost = call;
         call = null;
         if (lost != null) {
             how.accept(lost);
@@ -225,7 +225,7 @@
             } else {
                 ctx.close();
             }
-        } else if (call != null && decoder.status() == AnswerDecoder.UNREADABLE) {
+        } else if (call != null && decoder.status() == ResponseDecoder.UNREADABLE) {
             lose(this::spoil);
         } else if (call != null && decoder.hasBegun()) {
             if (!timer.isRunning()) {
@@ -248,7 +248,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         timer.end();
         owner.closed(this);
-        lose(HostCall::broken);
+        lose(UpstreamCall::broken);
     }
 
     @Override
--- a/src/main/java/pipitstage/remembered/Moment.java
+++ b/src/main/java/loftflow/warmstart/ClockReading.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 /**
  * A reading of a machine's clocks.
@@ -7,9 +7,9 @@
  * @param up microseconds since the machine's start, by a clock that is never set
  * @param boot which start of the machine that was; empty where it can't be told
  */
-public record Moment(long wall, long up, String boot) {
+public record ClockReading(long wall, long up, String boot) {
     /** A reading at another time of the same boot whose wall clock was not set. */
-    public Moment plus(long micros) {
-        return new Moment(wall + micros, up + micros, boot);
+    public ClockReading plus(long micros) {
+        return new ClockReading(wall + micros, up + micros, boot);
     }
 }
--- a/src/main/java/pipitstage/remembered/Elapsed.java
+++ b/src/main/java/loftflow/warmstart/DowntimeEstimate.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 /**
  * How long ago something was saved, as far as the clocks tell. Spans in microseconds.
@@ -7,7 +7,7 @@
  * @param most it is no longer: trust is reckoned by it, so that none is too high; {@link #UNKNOWN} where nothing tells
  * @param doubtful the clocks prove neither: the machine was started anew between, or does not tell
  */
-public record Elapsed(long least, long most, boolean doubtful) {
+public record DowntimeEstimate(long least, long most, boolean doubtful) {
     /** Longer than anything is believed for. */
     public static final long UNKNOWN = Long.MAX_VALUE / 4;
 
@@ -16,13 +16,13 @@
      * clock. Over a boot the wall clock alone tells, which may have been set between: nothing is proven then, and one that
      * stands before the earlier moment tells nothing at all.
      */
-    public static Elapsed between(Moment then, Moment now) {
+    public static DowntimeEstimate between(ClockReading then, ClockReading now) {
         if (!then.boot().isEmpty() && then.boot().equals(now.boot()) && now.up() >= then.up()) {
             long span = now.up() - then.up();
-            return new Elapsed(span, span, false);
+            return new DowntimeEstimate(span, span, false);
         }
         long span = now.wall() - then.wall();
-        return new Elapsed(0, span >= 0 ? span : UNKNOWN, true);
+        return new DowntimeEstimate(0, span >= 0 ? span : UNKNOWN, true);
     }
 
     /**
@@ -31,8 +31,8 @@
      *
      * @param time the relay's own time at the earlier moment
      */
-    public static long goOn(long time, Moment then, Moment now) {
-        Elapsed elapsed = between(then, now);
+    public static long goOn(long time, ClockReading then, ClockReading now) {
+        DowntimeEstimate elapsed = between(then, now);
         return elapsed.doubtful() ? Math.max(time, now.wall()) : time + elapsed.least();
     }
 }
--- a/src/main/java/pipitstage/remembered/Lists.java
+++ b/src/main/java/loftflow/warmstart/EndpointListReconciler.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.ListKind;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointListKind;
 
 /**
  * What of discovery's lists is believed, and when. Whatever an entry takes away is believed at once; what is in doubt is
@@ -23,7 +23,7 @@
  * ten seconds, twice as long with each time more, five minutes at the most.
  * </ul>
  */
-public final class Lists {
+public final class EndpointListReconciler {
     /** In place of a time: there is nothing to wait for. */
     public static final long NEVER = Long.MAX_VALUE;
 
@@ -42,17 +42,17 @@
      * @param log lines for staff
      * @param askAt when the whole list is to be asked for again; {@link #NEVER} for not at all
      */
-    public record Verdict(Told passOn, List<String> log, long askAt) {}
+    public record Verdict(ListUpdate passOn, List<String> log, long askAt) {}
 
     private static final class Member {
-        Listing listing;
+        ListedEndpoint listing;
         boolean in;
         int returns;
         long returnsSince;
         /** Listed again, but held back until then; 0 for not held. */
         long heldUntil;
 
-        Member(Listing listing) {
+        Member(ListedEndpoint listing) {
             this.listing = listing;
         }
     }
@@ -68,10 +68,10 @@
      * @param settle microseconds after which a list in doubt is believed; 0 where none is doubted
      * @param revision -1 where none is known
      */
-    public Lists(long settle, long revision, List<Listing> believed) {
+    public EndpointListReconciler(long settle, long revision, List<ListedEndpoint> believed) {
         this.settle = settle;
         this.revision = revision;
-        for (Listing listing : believed) {
+        for (ListedEndpoint listing : believed) {
             Member member = new Member(listing);
             member.in = true;
             members.put(listing.id(), member);
@@ -90,11 +90,11 @@
     }
 
     /** Takes a list in. */
-    public Verdict take(Told told, long now) {
+    public Verdict take(ListUpdate told, long now) {
         List<String> log = new ArrayList<>();
         boolean behind = doubts() && told.revision() < revision;
-        if (told.kind() == ListKind.CHANGES) {
-            Told passOn = new Told(ListKind.CHANGES, told.revision(), each(told, now, behind, log));
+        if (told.kind() == EndpointListKind.DELTA) {
+            ListUpdate passOn = new ListUpdate(EndpointListKind.DELTA, told.revision(), each(told, now, behind, log));
             revision = Math.max(revision, told.revision());
             return verdict(passOn, log, behind ? now : NEVER);
         }
@@ -109,28 +109,30 @@
                 log.add("discovery's list is in doubt, what it leaves out stays for now: " + doubt);
             }
             if (now - doubtedSince < settle) {
-                List<Listing> entries = each(told, now, behind, log);
-                return verdict(new Told(ListKind.CHANGES, told.revision(), entries), log, doubtedSince + settle);
+                List<ListedEndpoint> entries = each(told, now, behind, log);
+                return verdict(
+                        new ListUpdate(EndpointListKind.DELTA, told.revision(), entries), log, doubtedSince + settle);
             }
             log.add("discovery has told the like for long enough, and is believed: " + doubt);
             doubtedSince = NEVER;
         }
         revision = told.revision();
-        List<Listing> entries = each(told, now, false, log);
+        List<ListedEndpoint> entries = each(told, now, false, log);
         Set<String> named = new HashSet<>();
         told.entries().forEach(e -> named.add(e.id()));
         members.values().stream().filter(m -> !named.contains(m.listing.id())).forEach(this::out);
         forget(now);
-        return verdict(new Told(ListKind.FULL, told.revision(), entries), log, NEVER);
+        return verdict(new ListUpdate(EndpointListKind.FULL, told.revision(), entries), log, NEVER);
     }
 
-    private static Verdict verdict(Told passOn, List<String> log, long askAt) {
-        boolean nothing = passOn.kind() == ListKind.CHANGES && passOn.entries().isEmpty();
+    private static Verdict verdict(ListUpdate passOn, List<String> log, long askAt) {
+        boolean nothing =
+                passOn.kind() == EndpointListKind.DELTA && passOn.entries().isEmpty();
         return new Verdict(nothing ? null : passOn, log, askAt);
     }
 
     /** Why a list leaves out too much to be believed; null where it does not. */
-    private String lost(Told told) {
+    private String lost(ListUpdate told) {
         Set<String> listed = new HashSet<>();
         // An entry that says so itself takes away with a word.
         told.entries().forEach(e -> listed.add(e.id()));
@@ -143,11 +145,11 @@
     }
 
     /** What is believed of each entry; of a list whose revision is behind, only what takes away or confirms. */
-    private List<Listing> each(Told told, long now, boolean behind, List<String> log) {
-        List<Listing> believed = new ArrayList<>();
+    private List<ListedEndpoint> each(ListUpdate told, long now, boolean behind, List<String> log) {
+        List<ListedEndpoint> believed = new ArrayList<>();
         Set<String> named = new HashSet<>();
         told.entries().forEach(e -> named.add(e.id()));
-        for (Listing entry : told.entries()) {
+        for (ListedEndpoint entry : told.entries()) {
             Member member = members.get(entry.id());
             if (!entry.inService()) {
                 if (member != null) {
@@ -166,7 +168,7 @@
     }
 
     /** Guards against calls to an id whose address is another's now. */
-    private void supplant(Listing entry, Set<String> named, List<Listing> believed, List<String> log) {
+    private void supplant(ListedEndpoint entry, Set<String> named, List<ListedEndpoint> believed, List<String> log) {
         for (Member other : members.values()) {
             if (other.in && other.listing.address().equals(entry.address()) && !named.contains(other.listing.id())) {
                 log.add("discovery: " + entry.address() + " is " + entry.id() + " now, " + other.listing.id()
@@ -177,7 +179,7 @@
         }
     }
 
-    private boolean comesIn(Listing entry, Member known, long now, List<String> log) {
+    private boolean comesIn(ListedEndpoint entry, Member known, long now, List<String> log) {
         if (known == null) {
             Member member = new Member(entry);
             member.in = true;
@@ -229,8 +231,8 @@
     }
 
     /** What was held back and has been listed for long enough; null where that is nothing. */
-    public Told due(long now) {
-        List<Listing> entries = new ArrayList<>();
+    public ListUpdate due(long now) {
+        List<ListedEndpoint> entries = new ArrayList<>();
         for (Member member : members.values()) {
             if (member.heldUntil > 0 && member.heldUntil <= now) {
                 member.heldUntil = 0;
@@ -238,7 +240,7 @@
                 entries.add(member.listing);
             }
         }
-        return entries.isEmpty() ? null : new Told(ListKind.CHANGES, revision, entries);
+        return entries.isEmpty() ? null : new ListUpdate(EndpointListKind.DELTA, revision, entries);
     }
 
     /** True where an endpoint is believed to be in service. */
--- a/src/main/java/pipitstage/remembered/Degree.java
+++ b/src/main/java/loftflow/warmstart/EndpointTrust.java
@@ -1,9 +1,9 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
-import pipitstage.Policy;
+import loftflow.policy.api.TrustLevel;
 
 /** How far a remembered endpoint is believed to be what it was. */
-public enum Degree {
+public enum EndpointTrust {
     /** Like one that discovery has just listed, at the pace of a fleet that starts together. */
     AS_LISTED,
     /** A check, or one message where there are none, before anything else. */
@@ -14,11 +14,11 @@
     NEVER;
 
     /** What the decision module is told; {@link #NEVER} is not told at all. */
-    public Policy.Belief belief() {
+    public TrustLevel belief() {
         return switch (this) {
-            case AS_LISTED -> Policy.Belief.AS_LISTED;
-            case TRY_FIRST -> Policy.Belief.TRY_FIRST;
-            case LAST -> Policy.Belief.LAST;
+            case AS_LISTED -> TrustLevel.AS_LISTED;
+            case TRY_FIRST -> TrustLevel.PROBE_FIRST;
+            case LAST -> TrustLevel.LAST_RESORT;
             case NEVER -> throw new IllegalStateException("an endpoint that is never used is not listed");
         };
     }
--- a/src/main/java/pipitstage/remembered/Known.java
+++ b/src/main/java/loftflow/warmstart/KnownEndpoint.java
@@ -1,6 +1,7 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
-import pipitstage.Policy;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.RouteSnapshot;
 
 /**
  * What is remembered of an endpoint. Times are the relay's own, in microseconds; 0 for never.
@@ -12,15 +13,15 @@
  * @param returnedAt when it served again after it was out; it is cold until its warm-up has passed
  * @param standing what the decision module knew of it; null where that is nothing
  */
-public record Known(
-        Policy.Listed listed,
+public record KnownEndpoint(
+        EndpointEntry listed,
         String address,
         State state,
         long listedAt,
         long answeredAt,
         long failedAt,
         long returnedAt,
-        Policy.Standing standing) {
+        RouteSnapshot standing) {
 
     /** What is known of its membership. */
     public enum State {
@@ -33,8 +34,8 @@
     }
 
     /** An endpoint that discovery lists and that nothing else is known of. */
-    public static Known fresh(Policy.Listed listed, String address, long now) {
-        return new Known(listed, address, State.LISTED, now, 0, 0, 0, null);
+    public static KnownEndpoint fresh(EndpointEntry listed, String address, long now) {
+        return new KnownEndpoint(listed, address, State.LISTED, now, 0, 0, 0, null);
     }
 
     public String id() {
@@ -42,23 +43,23 @@
     }
 
     /** The same in another state. */
-    public Known in(State next) {
-        return new Known(listed, address, next, listedAt, answeredAt, failedAt, returnedAt, standing);
+    public KnownEndpoint in(State next) {
+        return new KnownEndpoint(listed, address, next, listedAt, answeredAt, failedAt, returnedAt, standing);
     }
 
     /** The same with what the module knows. */
-    public Known with(Policy.Standing next) {
-        return new Known(listed, address, state, listedAt, answeredAt, failedAt, returnedAt, next);
+    public KnownEndpoint with(RouteSnapshot next) {
+        return new KnownEndpoint(listed, address, state, listedAt, answeredAt, failedAt, returnedAt, next);
     }
 
     /** The same, listed again, with the entry that lists it. */
-    public Known listed(Policy.Listed entry, String at, long now) {
-        return new Known(entry, at, State.LISTED, now, answeredAt, failedAt, returnedAt, standing);
+    public KnownEndpoint listed(EndpointEntry entry, String at, long now) {
+        return new KnownEndpoint(entry, at, State.LISTED, now, answeredAt, failedAt, returnedAt, standing);
     }
 
     /** The same with evidence that is no later. */
-    public Known notAfter(long latest) {
-        return new Known(
+    public KnownEndpoint notAfter(long latest) {
+        return new KnownEndpoint(
                 listed,
                 address,
                 state,
@@ -70,17 +71,17 @@
     }
 
     /** The same after an answer. */
-    public Known answered(long now) {
-        return new Known(listed, address, state, listedAt, now, failedAt, returnedAt, standing);
+    public KnownEndpoint answered(long now) {
+        return new KnownEndpoint(listed, address, state, listedAt, now, failedAt, returnedAt, standing);
     }
 
     /** The same after a call with no answer. */
-    public Known failed(long now) {
-        return new Known(listed, address, state, listedAt, answeredAt, now, returnedAt, standing);
+    public KnownEndpoint failed(long now) {
+        return new KnownEndpoint(listed, address, state, listedAt, answeredAt, now, returnedAt, standing);
     }
 
     /** The same, back after it was out. */
-    public Known returned(long now) {
-        return new Known(listed, address, state, listedAt, answeredAt, failedAt, now, standing);
+    public KnownEndpoint returned(long now) {
+        return new KnownEndpoint(listed, address, state, listedAt, answeredAt, failedAt, now, standing);
     }
 }
--- a/src/main/java/pipitstage/remembered/Listing.java
+++ b/src/main/java/loftflow/warmstart/ListedEndpoint.java
@@ -1,10 +1,10 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
 
 /** An entry of a list and its address in digits with a port. */
-public record Listing(Policy.Listed listed, String address) {
+public record ListedEndpoint(EndpointEntry listed, String address) {
     public String id() {
         return listed.route();
     }
@@ -14,15 +14,15 @@
     }
 
     /** The same endpoint, gone. */
-    Listing gone() {
-        return new Listing(
-                new Policy.Listed(
+    ListedEndpoint gone() {
+        return new ListedEndpoint(
+                new EndpointEntry(
                         listed.route(),
                         listed.destination(),
                         listed.kind(),
                         listed.zone(),
                         Availability.REMOVED,
-                        listed.rate()),
+                        listed.ratePerSecond()),
                 address);
     }
 }
