--- a/src/main/java/pipitstage/remembered/Picture.java
+++ b/src/main/java/loftflow/warmstart/Snapshot.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 import java.util.List;
 
@@ -11,8 +11,9 @@
  * @param time the relay's own time then, in microseconds
  * @param revision of discovery's list; -1 where none was told
  */
-public record Picture(String owner, long generation, Moment at, long time, long revision, List<Known> endpoints) {
-    public Picture {
+public record Snapshot(
+        String owner, long generation, ClockReading at, long time, long revision, List<KnownEndpoint> endpoints) {
+    public Snapshot {
         endpoints = List.copyOf(endpoints);
     }
 }
--- a/src/main/java/pipitstage/remembered/Note.java
+++ b/src/main/java/loftflow/warmstart/SnapshotDelta.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 import java.util.List;
 
@@ -8,7 +8,7 @@
  * @param id the endpoint; empty for all of them
  * @param at microseconds of the relay's own time: when it was so, or until when the wait is
  */
-public record Note(Kind kind, String id, long at) {
+public record SnapshotDelta(Kind kind, String id, long at) {
     /** What is noted. */
     public enum Kind {
         /** Removed, or draining. */
@@ -26,12 +26,12 @@
     }
 
     /** One note in place of several that may not be written: what it says holds whatever they say. */
-    public static Note inPlaceOf(List<Note> notes) {
+    public static SnapshotDelta inPlaceOf(List<SnapshotDelta> notes) {
         long until = notes.stream()
                 .filter(n -> n.kind() == Kind.WAIT || n.kind() == Kind.LOST)
-                .mapToLong(Note::at)
+                .mapToLong(SnapshotDelta::at)
                 .max()
                 .orElse(0);
-        return new Note(Kind.LOST, "", until);
+        return new SnapshotDelta(Kind.LOST, "", until);
     }
 }
--- a/src/main/java/pipitstage/remembered/Trust.java
+++ b/src/main/java/loftflow/warmstart/TrustPolicy.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 /**
  * How far a remembered endpoint is believed, by age and evidence. Trust begins at 1 with the latest evidence (discovery
@@ -14,13 +14,13 @@
  *
  * @param halfLife microseconds
  */
-public record Trust(long halfLife) {
+public record TrustPolicy(long halfLife) {
     /** Half-lives after which an endpoint is the last to be tried. */
     public static final int LAST_AFTER = 30;
     /** Trust from which an endpoint is taken as listed: an address changes hands in minutes, not in seconds. */
     public static final double AS_LISTED_FROM = 0.95;
 
-    public Trust {
+    public TrustPolicy {
         if (halfLife <= 0) {
             throw new IllegalArgumentException("halfLife: must be above 0");
         }
@@ -44,7 +44,7 @@
      *
      * @param now the relay's own time
      */
-    long latestEvidence(Degree degree, long now) {
+    long latestEvidence(EndpointTrust degree, long now) {
         return switch (degree) {
             case AS_LISTED -> now;
             case TRY_FIRST -> now - asListedFor() - 1;
@@ -60,18 +60,18 @@
      * @param elapsed since then
      * @param whole false where something may have been told since that could not be written down
      */
-    public Degree degree(Known known, long savedAt, Elapsed elapsed, boolean whole) {
-        if (known.state() != Known.State.LISTED) {
-            return Degree.NEVER;
+    public EndpointTrust degree(KnownEndpoint known, long savedAt, DowntimeEstimate elapsed, boolean whole) {
+        if (known.state() != KnownEndpoint.State.LISTED) {
+            return EndpointTrust.NEVER;
         }
         long evidence = Math.max(known.listedAt(), known.answeredAt());
         // Guards against evidence from the future, which would make a young endpoint of an old one.
         long age = elapsed.most() + Math.max(0, savedAt - evidence);
         double trust = at(age);
         if (trust < Math.pow(0.5, LAST_AFTER)) {
-            return Degree.LAST;
+            return EndpointTrust.LAST;
         }
         boolean sound = whole && !elapsed.doubtful() && evidence <= savedAt && known.failedAt() <= known.answeredAt();
-        return age <= asListedFor() && sound ? Degree.AS_LISTED : Degree.TRY_FIRST;
+        return age <= asListedFor() && sound ? EndpointTrust.AS_LISTED : EndpointTrust.TRY_FIRST;
     }
 }
--- a/src/main/java/pipitstage/remembered/Budget.java
+++ b/src/main/java/loftflow/warmstart/WriteBudget.java
@@ -1,10 +1,10 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 /**
  * How much may be written: in any span no more than {@link #burst} and {@code rate} for each second of it. A part is set
  * by for notes, so that a picture never keeps a drain from being noted. Bytes and microseconds.
  */
-public final class Budget {
+public final class WriteBudget {
     private static final long SECOND = 1_000_000;
     /** What may be written at once is what the rate allows in so many seconds. */
     private static final long BURST_SPAN = 60;
@@ -22,7 +22,7 @@
      * @param rate bytes a second
      * @param rest microseconds since something was last written
      */
-    public Budget(long rate, long rest, long now) {
+    public WriteBudget(long rate, long rest, long now) {
         this.rate = rate;
         left = reserve();
         at = now - Math.min(rest, BURST_SPAN * SECOND);
--- a/src/main/java/pipitstage/remembered/package-info.java
+++ b/src/main/java/loftflow/warmstart/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>May use: the types of the decision module.
  */
-package pipitstage.remembered;
+package loftflow.warmstart;
--- a/src/main/java/pipitstage/remembered/store/Codec.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotCodec.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered.store;
+package loftflow.warmstart.store;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -9,18 +9,20 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import pipitstage.Policy;
-import pipitstage.records.Records;
-import pipitstage.remembered.Known;
-import pipitstage.remembered.Moment;
-import pipitstage.remembered.Note;
-import pipitstage.remembered.Picture;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.recordfile.RecordFile;
+import loftflow.warmstart.ClockReading;
+import loftflow.warmstart.KnownEndpoint;
+import loftflow.warmstart.Snapshot;
+import loftflow.warmstart.SnapshotDelta;
 
 /**
  * Pictures and notes as bytes. A file begins with eight bytes that tell what it is and in which format; records with
- * length and checksum follow ({@link Records}).
+ * length and checksum follow ({@link RecordFile}).
  */
-final class Codec {
+final class SnapshotCodec {
     private static final byte[] MAGIC = {'l', 'o', 'f', 't', 'r', 'm'};
     /** Raised with each change of the form: a file of another format is not read. */
     static final short FORMAT = 1;
@@ -39,7 +41,7 @@
         }
     }
 
-    private Codec() {}
+    private SnapshotCodec() {}
 
     /** The bytes that every file begins with. */
     static byte[] head() {
@@ -63,9 +65,9 @@
     }
 
     /** A whole file that holds a picture. */
-    static byte[] picture(Picture p) throws IOException {
+    static byte[] picture(Snapshot p) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.write(new byte[Records.HEAD]);
+        bytes.write(new byte[RecordFile.HEAD]);
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeUTF(p.owner());
         out.writeLong(p.generation());
@@ -75,62 +77,62 @@
         out.writeLong(p.time());
         out.writeLong(p.revision());
         out.writeInt(p.endpoints().size());
-        for (Known k : p.endpoints()) {
+        for (KnownEndpoint k : p.endpoints()) {
             write(out, k);
         }
-        byte[] record = Records.seal(bytes.toByteArray());
+        byte[] record = RecordFile.seal(bytes.toByteArray());
         return ByteBuffer.allocate(HEAD + record.length).put(head()).put(record).array();
     }
 
-    private static void write(DataOutputStream out, Known k) throws IOException {
-        Policy.Listed l = k.listed();
+    private static void write(DataOutputStream out, KnownEndpoint k) throws IOException {
+        EndpointEntry l = k.listed();
         out.writeUTF(l.route());
         out.writeInt(l.destination());
         out.writeUTF(l.kind());
         out.writeUTF(l.zone());
         out.writeByte(l.availability().ordinal());
-        out.writeFloat((float) l.rate());
+        out.writeFloat((float) l.ratePerSecond());
         out.writeUTF(k.address());
         out.writeByte(k.state().ordinal());
         out.writeLong(k.listedAt());
         out.writeLong(k.answeredAt());
         out.writeLong(k.failedAt());
         out.writeLong(k.returnedAt());
-        Policy.Standing s = k.standing();
+        RouteSnapshot s = k.standing();
         out.writeBoolean(s != null);
         if (s != null) {
-            out.writeLong(s.waitLeft());
-            out.writeFloat((float) s.limit());
-            out.writeFloat((float) s.usual());
-            out.writeFloat((float) s.response());
-            out.writeBoolean(s.out());
-            out.writeLong(s.warmLeft());
+            out.writeLong(s.retryAfterRemainingMicros());
+            out.writeFloat((float) s.limitPerSecond());
+            out.writeFloat((float) s.usualRatePerSecond());
+            out.writeFloat((float) s.responseTimeMicros());
+            out.writeBoolean(s.circuitOpen());
+            out.writeLong(s.warmUpRemainingMicros());
         }
     }
 
     /** Reads a whole file that holds a picture. */
-    static Picture picture(byte[] file) throws UnreadableException {
+    static Snapshot picture(byte[] file) throws UnreadableException {
         ByteBuffer all = ByteBuffer.wrap(file);
         readHead(all);
-        byte[] payload = Records.next(all);
+        byte[] payload = RecordFile.next(all);
         if (payload == null || all.hasRemaining()) {
             throw new UnreadableException("it is torn, or its checksum is wrong");
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
             String owner = in.readUTF();
             long generation = in.readLong();
-            Moment at = new Moment(in.readLong(), in.readLong(), in.readUTF());
+            ClockReading at = new ClockReading(in.readLong(), in.readLong(), in.readUTF());
             long time = in.readLong();
             long revision = in.readLong();
             int count = in.readInt();
             if (count < 0 || count > MOST_ENDPOINTS) {
                 throw new UnreadableException("it names " + count + " endpoints");
             }
-            List<Known> endpoints = new ArrayList<>();
+            List<KnownEndpoint> endpoints = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 endpoints.add(known(in));
             }
-            return new Picture(owner, generation, at, time, revision, endpoints);
+            return new Snapshot(owner, generation, at, time, revision, endpoints);
         } catch (UnreadableException e) {
             throw e;
         } catch (IOException | IllegalArgumentException e) {
@@ -139,22 +141,17 @@
         }
     }
 
-    private static Known known(DataInputStream in) throws IOException {
-        Policy.Listed listed = new Policy.Listed(
-                text(in),
-                in.readInt(),
-                text(in),
-                text(in),
-                of(Policy.Availability.values(), in.readByte()),
-                number(in));
+    private static KnownEndpoint known(DataInputStream in) throws IOException {
+        EndpointEntry listed = new EndpointEntry(
+                text(in), in.readInt(), text(in), text(in), of(Availability.values(), in.readByte()), number(in));
         String address = text(in);
-        Known.State state = of(Known.State.values(), in.readByte());
+        KnownEndpoint.State state = of(KnownEndpoint.State.values(), in.readByte());
         long listedAt = in.readLong();
         long answeredAt = in.readLong();
         long failedAt = in.readLong();
         long returnedAt = in.readLong();
-        Policy.Standing standing = in.readBoolean()
-                ? new Policy.Standing(
+        RouteSnapshot standing = in.readBoolean()
+                ? new RouteSnapshot(
                         listed.route(),
                         in.readLong(),
                         number(in),
@@ -163,7 +160,7 @@
                         in.readBoolean(),
                         in.readLong())
                 : null;
-        return new Known(listed, address, state, listedAt, answeredAt, failedAt, returnedAt, standing);
+        return new KnownEndpoint(listed, address, state, listedAt, answeredAt, failedAt, returnedAt, standing);
     }
 
     private static String text(DataInputStream in) throws IOException {
@@ -191,29 +188,29 @@
 
     /** The start of a file of notes: its head and the generation of the picture that they follow. */
     static byte[] notesHead(long generation) {
-        byte[] record = new byte[Records.HEAD + Long.BYTES];
-        ByteBuffer.wrap(record).putLong(Records.HEAD, generation);
+        byte[] record = new byte[RecordFile.HEAD + Long.BYTES];
+        ByteBuffer.wrap(record).putLong(RecordFile.HEAD, generation);
         return ByteBuffer.allocate(HEAD + record.length)
                 .put(head())
-                .put(Records.seal(record))
+                .put(RecordFile.seal(record))
                 .array();
     }
 
     /** A note as a record. */
-    static byte[] note(Note note) throws IOException {
+    static byte[] note(SnapshotDelta note) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.write(new byte[Records.HEAD]);
+        bytes.write(new byte[RecordFile.HEAD]);
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeByte(note.kind().ordinal());
         out.writeUTF(note.id());
         out.writeLong(note.at());
-        return Records.seal(bytes.toByteArray());
+        return RecordFile.seal(bytes.toByteArray());
     }
 
     /** The generation that a file of notes follows; its records are next. */
     static long readNotesHead(ByteBuffer file) throws UnreadableException {
         readHead(file);
-        byte[] payload = Records.next(file);
+        byte[] payload = RecordFile.next(file);
         if (payload == null || payload.length != Long.BYTES) {
             throw new UnreadableException("it is torn at its head");
         }
@@ -221,13 +218,13 @@
     }
 
     /** The next note, or null at the end and where one is torn. */
-    static Note nextNote(ByteBuffer file) {
-        byte[] payload = Records.next(file);
+    static SnapshotDelta nextNote(ByteBuffer file) {
+        byte[] payload = RecordFile.next(file);
         if (payload == null) {
             return null;
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
-            return new Note(of(Note.Kind.values(), in.readByte()), in.readUTF(), in.readLong());
+            return new SnapshotDelta(of(SnapshotDelta.Kind.values(), in.readByte()), in.readUTF(), in.readLong());
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/pipitstage/remembered/store/Folder.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotFolder.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered.store;
+package loftflow.warmstart.store;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -6,10 +6,10 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import pipitstage.records.Records;
+import loftflow.recordfile.RecordFile;
 
 /** What the store does to files, one step a call, so that a test can fail or end the process at each. */
-interface Folder {
+interface SnapshotFolder {
     /** Everything in a file; null where there is none. */
     byte[] read(String name) throws IOException;
 
@@ -25,8 +25,8 @@
     void delete(String name) throws IOException;
 
     /** The real one. */
-    static Folder at(Path path) {
-        return new Folder() {
+    static SnapshotFolder at(Path path) {
+        return new SnapshotFolder() {
             @Override
             public byte[] read(String name) throws IOException {
                 Path file = path.resolve(name);
@@ -40,7 +40,7 @@
                         StandardOpenOption.CREATE,
                         StandardOpenOption.TRUNCATE_EXISTING,
                         StandardOpenOption.WRITE)) {
-                    Records.write(file, bytes, 0);
+                    RecordFile.write(file, bytes, 0);
                     if (sync) {
                         file.force(true);
                     }
@@ -50,7 +50,7 @@
             @Override
             public void append(String name, byte[] bytes) throws IOException {
                 try (FileChannel file = FileChannel.open(path.resolve(name), StandardOpenOption.WRITE)) {
-                    Records.append(file, bytes, file.size());
+                    RecordFile.append(file, bytes, file.size());
                 }
             }
 
--- a/src/main/java/pipitstage/remembered/store/Store.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotStore.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered.store;
+package loftflow.warmstart.store;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import pipitstage.remembered.Note;
-import pipitstage.remembered.Picture;
+import loftflow.warmstart.Snapshot;
+import loftflow.warmstart.SnapshotDelta;
 
 /**
  * Two generations of a picture, each with the notes since it was taken. Pictures take turns at two places: a new one is
@@ -17,7 +17,7 @@
  * <p>{@link #begin}, {@link #note} and {@link #end} are for the event loop: they write little, and sync nothing.
  * {@link #write} may go on a thread of its own.
  */
-final class Store {
+final class SnapshotStore {
     static final String NEW = "remembered.new";
     private static final int PLACES = 2;
 
@@ -28,9 +28,9 @@
      * @param whole false where notes since the picture may be missing
      * @param complaints what was set aside, and why
      */
-    record Found(Picture picture, List<Note> notes, boolean whole, List<String> complaints) {}
+    record Found(Snapshot picture, List<SnapshotDelta> notes, boolean whole, List<String> complaints) {}
 
-    private final Folder folder;
+    private final SnapshotFolder folder;
     private final long mostNotes;
     private final boolean sync;
     /** The generation that stands, 0 for none, and the one that is being written, 0 for none. */
@@ -46,15 +46,15 @@
      * @param mostNotes bytes that the notes of one picture may take
      * @param sync whether a picture must be on the disk before it counts
      */
-    Store(Folder folder, long mostNotes, boolean sync) {
+    SnapshotStore(SnapshotFolder folder, long mostNotes, boolean sync) {
         this.folder = folder;
         this.mostNotes = mostNotes;
         this.sync = sync;
     }
 
-    static Store at(Path path, long mostNotes, boolean sync) throws IOException {
+    static SnapshotStore at(Path path, long mostNotes, boolean sync) throws IOException {
         Files.createDirectories(path);
-        return new Store(Folder.at(path), mostNotes, sync);
+        return new SnapshotStore(SnapshotFolder.at(path), mostNotes, sync);
     }
 
     static String picture(long generation) {
@@ -68,9 +68,9 @@
     /** Finds the newest picture that is whole and this relay's own; what can't be used is set aside. */
     Found load(String owner) {
         List<String> complaints = new ArrayList<>();
-        Picture newest = null;
+        Snapshot newest = null;
         for (int place = 0; place < PLACES; place++) {
-            Picture one = read(picture(place), owner, complaints);
+            Snapshot one = read(picture(place), owner, complaints);
             if (one != null && (newest == null || one.generation() > newest.generation())) {
                 newest = one;
             }
@@ -81,7 +81,7 @@
             return new Found(null, List.of(), true, complaints);
         }
         standing = newest.generation();
-        List<Note> notes = new ArrayList<>();
+        List<SnapshotDelta> notes = new ArrayList<>();
         boolean whole = readNotes(newest.generation(), notes, complaints);
         if (follows(newest.generation() + 1)) {
             // Guards against a newer picture that went bad: what was noted since that one holds all the same.
@@ -90,15 +90,16 @@
         return new Found(newest, notes, whole, complaints);
     }
 
-    private Picture read(String name, String owner, List<String> complaints) {
+    private Snapshot read(String name, String owner, List<String> complaints) {
         try {
             byte[] bytes = folder.read(name);
             if (bytes == null) {
                 return null;
             }
-            Picture picture = Codec.picture(bytes);
+            Snapshot picture = SnapshotCodec.picture(bytes);
             if (!picture.owner().equals(owner)) {
-                throw new Codec.UnreadableException("it is " + picture.owner() + "'s, and this relay is " + owner);
+                throw new SnapshotCodec.UnreadableException(
+                        "it is " + picture.owner() + "'s, and this relay is " + owner);
             }
             return picture;
         } catch (IOException e) {
@@ -127,13 +128,13 @@
     private boolean follows(long generation) {
         try {
             byte[] bytes = folder.read(notes(generation));
-            return bytes != null && Codec.readNotesHead(ByteBuffer.wrap(bytes)) == generation;
+            return bytes != null && SnapshotCodec.readNotesHead(ByteBuffer.wrap(bytes)) == generation;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private boolean readNotes(long generation, List<Note> into, List<String> complaints) {
+    private boolean readNotes(long generation, List<SnapshotDelta> into, List<String> complaints) {
         String name = notes(generation);
         try {
             byte[] bytes = folder.read(name);
@@ -142,13 +143,13 @@
                 return false;
             }
             ByteBuffer all = ByteBuffer.wrap(bytes);
-            long of = Codec.readNotesHead(all);
+            long of = SnapshotCodec.readNotesHead(all);
             if (of != generation) {
                 complaints.add(name + " follows picture " + of + ", and the newest that is whole is " + generation);
                 return false;
             }
             int end = all.position();
-            for (Note next = Codec.nextNote(all); next != null; next = Codec.nextNote(all)) {
+            for (SnapshotDelta next = SnapshotCodec.nextNote(all); next != null; next = SnapshotCodec.nextNote(all)) {
                 into.add(next);
                 end = all.position();
             }
@@ -170,7 +171,7 @@
         if (standing > 0 && generation != standing + 1) {
             throw new IllegalStateException("generation " + generation + " after " + standing);
         }
-        byte[] head = Codec.notesHead(generation);
+        byte[] head = SnapshotCodec.notesHead(generation);
         folder.write(notes(generation), head, false);
         coming = generation;
         comingSize = head.length;
@@ -179,7 +180,7 @@
     /**
      * Writes a picture.
      *
-     * @param bytes as of {@link Codec#picture(Picture)}
+     * @param bytes as of {@link SnapshotCodec#picture(Picture)}
      */
     void write(long generation, byte[] bytes) throws IOException {
         folder.write(NEW, bytes, sync);
@@ -200,7 +201,7 @@
         return coming == 0 && (standing == 0 || standingSize >= mostNotes);
     }
 
-    /** Notes something, as a record of {@link Codec#note}. */
+    /** Notes something, as a record of {@link SnapshotCodec#note}. */
     void note(byte[] record) throws IOException {
         IOException failed = null;
         if (standing > 0) {
--- a/src/main/java/pipitstage/remembered/store/Saver.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered.store;
+package loftflow.warmstart.store;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -9,20 +9,20 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import pipitstage.log.Log;
-import pipitstage.remembered.Budget;
-import pipitstage.remembered.Elapsed;
-import pipitstage.remembered.Known;
-import pipitstage.remembered.Moment;
-import pipitstage.remembered.Note;
-import pipitstage.remembered.Picture;
+import loftflow.log.Log;
+import loftflow.warmstart.ClockReading;
+import loftflow.warmstart.DowntimeEstimate;
+import loftflow.warmstart.KnownEndpoint;
+import loftflow.warmstart.Snapshot;
+import loftflow.warmstart.SnapshotDelta;
+import loftflow.warmstart.WriteBudget;
 
 /**
  * Saves pictures on a thread of its own and notes at once, within a budget of bytes. One picture at a time is on its way:
  * a later one waits for the next look. Notes that may not be written, for the budget's sake, for want of room or since the
- * disk fails, are told by one note that says that something was ({@link Note.Kind#LOST}). To be called on the event loop.
+ * disk fails, are told by one note that says that something was ({@link SnapshotDelta.Kind#LOST}). To be called on the event loop.
  */
-public final class Saver implements AutoCloseable {
+public final class SnapshotWriter implements AutoCloseable {
     private static final double PICTURE_SHARE = 0.3;
     private static final double NOTES_SHARE = 0.02;
     private static final int PATIENCE_S = 2;
@@ -39,14 +39,14 @@
     public record Options(Path folder, long limit, long rate, boolean sync) {}
 
     private final Options options;
-    private final Store store;
+    private final SnapshotStore store;
     private final Executor loop;
     private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> {
         Thread made = new Thread(work, "remember");
         made.setDaemon(true);
         return made;
     });
-    private Budget budget;
+    private WriteBudget budget;
     private boolean saving;
     private boolean trimmed;
     /** Guards against the work for a picture each second that may not be written anyway. */
@@ -55,17 +55,17 @@
     private long nextTry;
     private long pause = SECOND;
     /** What could not be noted since the picture that stands, as one note; null for nothing. */
-    private Note lost;
+    private SnapshotDelta lost;
 
     private boolean lostIsNoted;
     private long lostAt = Long.MIN_VALUE / 2;
 
     /** A saver that tells results on an event loop. */
-    public Saver(Options options, Executor loop) throws IOException {
-        this(options, Store.at(options.folder(), (long) (options.limit() * NOTES_SHARE), options.sync()), loop);
+    public SnapshotWriter(Options options, Executor loop) throws IOException {
+        this(options, SnapshotStore.at(options.folder(), (long) (options.limit() * NOTES_SHARE), options.sync()), loop);
     }
 
-    Saver(Options options, Store store, Executor loop) {
+    SnapshotWriter(Options options, SnapshotStore store, Executor loop) {
         this.options = options;
         this.store = store;
         this.loop = loop;
@@ -77,11 +77,11 @@
      * @param picture null where nothing can be used
      * @param whole false where notes since the picture may be missing
      */
-    public record Left(Picture picture, List<Note> notes, boolean whole) {}
+    public record Left(Snapshot picture, List<SnapshotDelta> notes, boolean whole) {}
 
     /** Reads what an earlier process left, once and before anything else; what can't be used is set aside and told. */
     public Left load(String owner) {
-        Store.Found found = store.load(owner);
+        SnapshotStore.Found found = store.load(owner);
         found.complaints().forEach(c -> Log.line("remembered: " + c));
         return new Left(found.picture(), found.notes(), found.whole());
     }
@@ -92,10 +92,11 @@
      * @param last the picture that an earlier process left; null for none
      * @param time the relay's own time
      */
-    public void start(Picture last, Moment now, long time) {
-        long rest =
-                last == null ? Elapsed.UNKNOWN : Elapsed.between(last.at(), now).least();
-        budget = new Budget(options.rate(), rest, time);
+    public void start(Snapshot last, ClockReading now, long time) {
+        long rest = last == null
+                ? DowntimeEstimate.UNKNOWN
+                : DowntimeEstimate.between(last.at(), now).least();
+        budget = new WriteBudget(options.rate(), rest, time);
     }
 
     /** True where notes have no room before the next picture. */
@@ -114,7 +115,7 @@
      * @param failed is run on the event loop where it was begun and failed later
      * @return false where it was not begun
      */
-    public boolean save(Picture picture, long time, Runnable failed) {
+    public boolean save(Snapshot picture, long time, Runnable failed) {
         if (!isFree(time)) {
             return false;
         }
@@ -126,7 +127,7 @@
             }
             store.begin(picture.generation());
             saving = true;
-            Note covered = lost;
+            SnapshotDelta covered = lost;
             thread.execute(() -> {
                 IOException fault = write(picture.generation(), bytes);
                 loop.execute(() -> {
@@ -168,21 +169,22 @@
     }
 
     /** The bytes of a picture; one that is too large goes without those that were heard of longest ago. */
-    private byte[] encoded(Picture picture) throws IOException {
+    private byte[] encoded(Snapshot picture) throws IOException {
         long most = Math.min((long) (options.limit() * PICTURE_SHARE), budget.largestPicture());
-        byte[] bytes = Codec.picture(picture);
+        byte[] bytes = SnapshotCodec.picture(picture);
         if (bytes.length <= most) {
             return bytes;
         }
-        List<Known> kept = new ArrayList<>(picture.endpoints());
-        kept.sort(Comparator.comparingLong((Known k) -> Math.max(k.listedAt(), k.answeredAt()))
+        List<KnownEndpoint> kept = new ArrayList<>(picture.endpoints());
+        kept.sort(Comparator.comparingLong((KnownEndpoint k) -> Math.max(k.listedAt(), k.answeredAt()))
                 .reversed()
-                .thenComparing(Comparator.comparingLong(Known::answeredAt).reversed()));
+                .thenComparing(
+                        Comparator.comparingLong(KnownEndpoint::answeredAt).reversed()));
         while (bytes.length > most && !kept.isEmpty()) {
             // One picture's mean says how many fit; a tenth more goes each time where it does not.
             int fit = (int) Math.min(kept.size() * 0.9, kept.size() * most / bytes.length);
             kept.subList(fit, kept.size()).clear();
-            bytes = Codec.picture(new Picture(
+            bytes = SnapshotCodec.picture(new Snapshot(
                     picture.owner(), picture.generation(), picture.at(), picture.time(), picture.revision(), kept));
         }
         if (!trimmed) {
@@ -195,16 +197,16 @@
     }
 
     /** Notes things at once; where that can't be, that something was. */
-    public void note(List<Note> notes, long time) {
+    public void note(List<SnapshotDelta> notes, long time) {
         if (notes.isEmpty()) {
             return;
         }
         if (lost != null || store.isFull() || !written(notes, time)) {
-            List<Note> all = new ArrayList<>(notes);
+            List<SnapshotDelta> all = new ArrayList<>(notes);
             if (lost != null) {
                 all.add(lost);
             }
-            Note whole = Note.inPlaceOf(all);
+            SnapshotDelta whole = SnapshotDelta.inPlaceOf(all);
             if (lost == null || saving || whole.at() > lost.at()) {
                 lost = whole;
                 lostIsNoted = false;
@@ -213,12 +215,12 @@
         }
     }
 
-    private boolean written(List<Note> notes, long time) {
+    private boolean written(List<SnapshotDelta> notes, long time) {
         try {
             List<byte[]> records = new ArrayList<>();
             long size = 0;
-            for (Note note : notes) {
-                records.add(Codec.note(note));
+            for (SnapshotDelta note : notes) {
+                records.add(SnapshotCodec.note(note));
                 size += records.get(records.size() - 1).length;
             }
             if (!budget.takeNotes(size, time)) {
@@ -241,7 +243,7 @@
         }
         lostAt = time;
         try {
-            store.note(Codec.note(lost));
+            store.note(SnapshotCodec.note(lost));
             lostIsNoted = true;
         } catch (IOException e) {
             Log.line("remembered: can't be noted: " + e.getMessage());
--- a/src/main/java/pipitstage/remembered/store/Clocks.java
+++ b/src/main/java/loftflow/warmstart/store/SystemClocks.java
@@ -1,26 +1,27 @@
-package pipitstage.remembered.store;
+package loftflow.warmstart.store;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import pipitstage.remembered.Moment;
+import loftflow.warmstart.ClockReading;
 
 /** Reads the machine's clocks: the wall clock, the time since its start, and which start that was. */
-public final class Clocks {
+public final class SystemClocks {
     private static final Path UPTIME = Path.of("/proc/uptime");
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
 
-    private Clocks() {}
+    private SystemClocks() {}
 
     /** The clocks now; where the machine does not tell of its start, the wall clock alone. */
-    public static Moment now() {
+    public static ClockReading now() {
         long wall = System.currentTimeMillis() * 1000;
         try {
             // Hundredths of a second, counted on while the machine sleeps.
             double up = Double.parseDouble(Files.readString(UPTIME).split(" ")[0]);
-            return new Moment(wall, (long) (up * 1e6), Files.readString(BOOT).strip());
+            return new ClockReading(
+                    wall, (long) (up * 1e6), Files.readString(BOOT).strip());
         } catch (IOException | NumberFormatException e) {
-            return new Moment(wall, 0, "");
+            return new ClockReading(wall, 0, "");
         }
     }
 }
--- a/src/main/java/pipitstage/remembered/store/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * The files in which a relay keeps what it remembers: two generations of a picture, and notes since each.
- *
- * <p>May use: {@code remembered}, {@code records}, the types of the decision module, {@code log}.
- */
-package pipitstage.remembered.store;
--- /dev/null
+++ b/src/test/java/loftflow/ArchitectureTest.java
@@ -0,0 +1,244 @@
+package loftflow;
+
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
+import static com.tngtech.archunit.core.domain.properties.HasName.Predicates.nameMatching;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaClass;
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import com.tngtech.archunit.lang.ArchRule;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Who may use whom: what each package-info.java says, held to. */
+class ArchitectureTest {
+    private static final JavaClasses ALL = new ClassFileImporter()
+            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+            .importPackages("loftflow");
+    /** The decision module and the types that it speaks in. */
+    private static final String MODULE = "(\\[+L)?loftflow\\.policy\\.(api\\.)?[A-Z][^;]*;?";
+    /** The modules that decide from files: what is derived, and what contradicts what. */
+    private static final String PLAN = "loftflow\\.config\\.(plan|schema)\\..*";
+    /** Whether what could not be delivered may be sent again, and when. */
+    private static final String DEAD_LETTERS = "loftflow\\.deadletter\\.[A-Z].*";
+    /** What confirms prove, what an AMQP message is to the relay, and which ids are known. */
+    private static final String AMQP = "loftflow\\.(amqp\\.(confirm|mapping)\\..*|deduplication\\.DeduplicationWindow)";
+    /** How far what is remembered is believed, and what of discovery's lists is. */
+    private static final String WARM_START = "loftflow\\.warmstart\\.[A-Z].*";
+    /** Sockets, files, clocks and threads. */
+    private static final DescribedPredicate<JavaClass> OUTSIDE = DescribedPredicate.or(
+                    resideInAnyPackage(
+                            "java.io..",
+                            "java.net..",
+                            "java.nio.file..",
+                            "java.nio.channels..",
+                            "java.time..",
+                            "java.util.concurrent..",
+                            "io.netty..",
+                            "com.fasterxml..",
+                            "sun.."),
+                    nameMatching("java\\.lang\\.(System|Thread|Process|Runtime)(\\$.*)?"))
+            .as("sockets, files, clocks or threads");
+
+    private static DescribedPredicate<JavaClass> ours() {
+        return resideInAnyPackage("loftflow..");
+    }
+
+    private static ArchRule module(String pattern) {
+        return noClasses().that().haveNameMatching(pattern).should().dependOnClassesThat(OUTSIDE);
+    }
+
+    @Test
+    void decisionsReachNoSocketFileClockOrThread() {
+        module(MODULE).check(ALL);
+        module(PLAN).check(ALL);
+        module(DEAD_LETTERS).check(ALL);
+        module(AMQP).check(ALL);
+        module(WARM_START).check(ALL);
+        module("loftflow\\.listener\\.http2\\.flowcontrol\\..*").check(ALL);
+        module("loftflow\\.trace\\.[A-Z].*").check(ALL);
+        module("loftflow\\.experiment\\.(scenario|history|emulator|evaluation|design)\\..*")
+                .check(ALL);
+        classes()
+                .that()
+                .haveNameMatching(MODULE)
+                .should()
+                .onlyDependOnClassesThat(DescribedPredicate.or(nameMatching(MODULE), DescribedPredicate.not(ours())))
+                .check(ALL);
+    }
+
+    /** Proves that the rule above can fail. */
+    @Test
+    void ruleOfDecisionsFindsOneThatReachesOut() {
+        assertThrows(AssertionError.class, () -> module("loftflow\\.simulator\\.SimulatorHost")
+                .check(ALL));
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "engine | loftflow.policy.api loftflow.engine loftflow.log",
+                "listener | loftflow.listener",
+                "listener.connection | loftflow.engine loftflow.listener.connection loftflow.log",
+                "listener.request | loftflow.engine loftflow.listener.request loftflow.http",
+                "listener.http | loftflow.listener loftflow.engine loftflow.listener.http loftflow.listener.connection loftflow.listener.request loftflow.http",
+                "listener.http2 | loftflow.listener loftflow.engine loftflow.listener.http2.. loftflow.listener.connection "
+                        + "loftflow.listener.request loftflow.http",
+                "listener.http2.flowcontrol | loftflow.listener.http2.flowcontrol",
+                "listener.amqp | loftflow.listener loftflow.listener.amqp loftflow.listener.connection loftflow.engine loftflow.amqp.. loftflow.deduplication "
+                        + "loftflow.log",
+                "upstream.amqp | loftflow.policy.api loftflow.engine loftflow.upstream.amqp loftflow.amqp.codec loftflow.amqp.link "
+                        + "loftflow.amqp.confirm loftflow.http loftflow.log",
+                "deduplication | loftflow.deduplication loftflow.recordfile loftflow.log",
+                "recordfile | loftflow.recordfile",
+                "upstream.http | loftflow.policy.api loftflow.json loftflow.engine loftflow.upstream.http loftflow.http loftflow.log",
+                "discovery | loftflow.policy.api loftflow.engine loftflow.discovery loftflow.http loftflow.json loftflow.log",
+                "completion | loftflow.engine loftflow.completion loftflow.discovery loftflow.recordfile loftflow.log",
+                "json | loftflow.json",
+                "policy | loftflow.policy loftflow.policy.api",
+                "policy.api | loftflow.policy.api",
+                "simulator | loftflow.policy loftflow.policy.api loftflow.json loftflow.settings loftflow.simulator",
+                "settings | loftflow.policy.api loftflow.json loftflow.settings",
+                "journal | loftflow.policy.api loftflow.engine loftflow.journal loftflow.recordfile loftflow.log",
+                "config | loftflow.policy.api loftflow.config loftflow.engine loftflow.discovery loftflow.json loftflow.settings",
+                "config.file | loftflow.config.file",
+                "config.schema | loftflow.config.schema loftflow.config.file",
+                "config.plan | loftflow.config.plan loftflow.config.schema loftflow.config.file",
+                "config.tool | loftflow.policy.api loftflow.engine loftflow.json loftflow.config..",
+                "server | loftflow.policy loftflow.policy.api loftflow.server loftflow.config loftflow.engine loftflow.listener.. loftflow.upstream.. "
+                        + "loftflow.discovery loftflow.completion loftflow.journal loftflow.log loftflow.deadletter.. loftflow.admin "
+                        + "loftflow.amqp.. loftflow.deduplication loftflow.warmstart..",
+                "deadletter | loftflow.policy.api loftflow.engine loftflow.deadletter loftflow.log",
+                "deadletter.store | loftflow.policy.api loftflow.engine loftflow.deadletter.. loftflow.log",
+                "admin | loftflow.policy.api loftflow.admin loftflow.deadletter loftflow.engine loftflow.log",
+                "trace | loftflow.trace",
+                "trace.read | loftflow.trace loftflow.trace.read",
+                "warmstart | loftflow.policy.api loftflow.warmstart",
+                "warmstart.store | loftflow.policy.api loftflow.warmstart loftflow.warmstart.store loftflow.recordfile loftflow.log",
+                "log | loftflow.log",
+                "http | loftflow.http",
+                "amqp.codec | loftflow.amqp.codec",
+                "amqp.link | loftflow.amqp.codec loftflow.amqp.link",
+                "amqp.confirm | loftflow.amqp.confirm",
+                "amqp.mapping | loftflow.policy.api loftflow.engine loftflow.amqp.codec loftflow.amqp.mapping",
+                "experiment.scenario | loftflow.policy.api loftflow.experiment.scenario loftflow.config.schema loftflow.config.file",
+                "experiment.history | loftflow.experiment.history",
+                "experiment.emulator | loftflow.policy.api loftflow.engine loftflow.experiment.emulator loftflow.experiment.scenario loftflow.experiment.history",
+                "experiment.evaluation | loftflow.policy.api loftflow.experiment.evaluation loftflow.experiment.scenario loftflow.experiment.history",
+                "experiment.design | loftflow.experiment.design loftflow.experiment.scenario",
+                "experiment.results | loftflow.experiment.results loftflow.experiment.scenario loftflow.experiment.history loftflow.experiment.evaluation "
+                        + "loftflow.recordfile",
+                "experiment.loopback | loftflow.policy.api loftflow.experiment.loopback loftflow.experiment.scenario loftflow.experiment.history loftflow.experiment.emulator "
+                        + "loftflow.experiment.evaluation loftflow.config.tool loftflow.config.file loftflow.fake loftflow.http",
+                "experiment | loftflow.policy loftflow.policy.api loftflow.experiment.. loftflow.engine loftflow.config.file loftflow.fake",
+                "fake | loftflow.fake loftflow.http loftflow.amqp.."
+            })
+    void packageUsesOnlyWhatItSays(String name, String allowed) {
+        classes()
+                .that()
+                .resideInAPackage("loftflow." + name)
+                .should()
+                .onlyDependOnClassesThat(resideInAnyPackage(allowed.split(" ")).or(DescribedPredicate.not(ours())))
+                .check(ALL);
+    }
+
+    @Test
+    void engineKnowsNeitherNettyNorHttpNorFiles() {
+        noClasses()
+                .that()
+                .resideInAPackage("loftflow.engine")
+                .should()
+                .dependOnClassesThat(DescribedPredicate.or(
+                        nameMatching("java\\.lang\\.Thread.*"),
+                        resideInAnyPackage(
+                                "io.netty..", "com.fasterxml..", "java.nio..", "java.io..", "java.net.http..")))
+                .check(ALL);
+    }
+
+    @Test
+    void librariesStayInTheirPackages() {
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("loftflow.cli")
+                .should()
+                .dependOnClassesThat(
+                        resideInAnyPackage("picocli..", "com.github.difflib..", "com.googlecode.lanterna.."))
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("loftflow.deadletter.store")
+                .should()
+                .dependOnClassesThat(resideInAnyPackage("org.sqlite..", "java.sql.."))
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("loftflow.trace.read")
+                .should()
+                .dependOnClassesThat(resideInAnyPackage("de.siegmar.."))
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("loftflow.experiment..")
+                .should()
+                .dependOnClassesThat(resideInAnyPackage("org.apache.commons..", "org.HdrHistogram.."))
+                .check(ALL);
+        noClasses()
+                .that()
+                .doNotHaveSimpleName("TomlFile")
+                .should()
+                .dependOnClassesThat(resideInAnyPackage("org.tomlj..", "org.antlr.."))
+                .check(ALL);
+    }
+
+    @Test
+    void noPackagesUseEachOtherInARing() {
+        slices().matching("loftflow.(**)").should().beFreeOfCycles().check(ALL);
+    }
+
+    @Test
+    void classesOfThePartnerSideUseEachOtherOneWayOnly() {
+        noClasses()
+                .that()
+                .haveNameMatching(".*\\.(UpstreamConnection|UpstreamCall|ResponseDecoder)(\\$.*)?")
+                .should()
+                .dependOnClassesThat(nameMatching(".*\\.HttpUpstreamClient(\\$.*)?"))
+                .check(ALL);
+        noClasses()
+                .that()
+                .haveNameMatching(".*\\.UpstreamCall(\\$.*)?")
+                .should()
+                .dependOnClassesThat(nameMatching(".*\\.UpstreamConnection(\\$.*)?"))
+                .check(ALL);
+    }
+
+    @Test
+    void everyPackageSaysWhatItIsForAndWhatItMayUse() throws IOException {
+        try (var folders = Files.walk(Path.of("src/main/java/loftflow"))) {
+            List<Path> packages = folders.filter(Files::isDirectory)
+                    .filter(ArchitectureTest::holdsClasses)
+                    .toList();
+            assertTrue(packages.size() > 8, "folders: " + packages);
+            for (Path folder : packages) {
+                assertTrue(Files.readString(folder.resolve("package-info.java")).contains("May use: "), folder + "");
+            }
+        }
+    }
+
+    private static boolean holdsClasses(Path folder) {
+        String[] names = folder.toFile().list((parent, name) -> name.endsWith(".java"));
+        return names != null && names.length > 0;
+    }
+}
--- a/src/test/java/pipitstage/amqp/codec/CodecTest.java
+++ b/src/test/java/loftflow/amqp/codec/CodecTest.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -37,7 +37,7 @@
 class CodecTest {
     private static final int MAX = 8 << 10;
 
-    private static Object any(Random random, Kind kind) {
+    private static Object any(Random random, ValueType kind) {
         return switch (kind) {
             case OCTET -> random.nextInt(256);
             case SHORT -> random.nextInt(65_536);
@@ -78,7 +78,7 @@
         };
     }
 
-    private static Method anyMethod(Random random, Op op) {
+    private static Method anyMethod(Random random, MethodType op) {
         return Method.of(
                 op,
                 op.arguments().stream()
@@ -105,8 +105,8 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Op.class)
-    void methodIsTheSameToTheIndependentClientAndBack(Op op) throws Exception {
+    @EnumSource(MethodType.class)
+    void methodIsTheSameToTheIndependentClientAndBack(MethodType op) throws Exception {
         Random random = new Random(op.ordinal());
         for (int i = 0; i < 50; i++) {
             Method method = anyMethod(random, op);
@@ -135,7 +135,7 @@
             }
             byte[] body = new byte[random.nextInt(3) * random.nextInt(20_000)];
             ByteBuf out = Unpooled.buffer();
-            Frame.write(out, 7, Method.of(Op.BASIC_PUBLISH, "e", "k", true, false), properties, body, MAX);
+            Frame.write(out, 7, Method.of(MethodType.BASIC_PUBLISH, "e", "k", true, false), properties, body, MAX);
             DataInputStream in = new DataInputStream(new ByteArrayInputStream(ByteBufUtil.getBytes(out)));
             com.rabbitmq.client.impl.Frame.readFrom(in, () -> MAX);
             var header = com.rabbitmq.client.impl.Frame.readFrom(in, () -> MAX);
@@ -154,7 +154,12 @@
             payload.skipBytes(12);
             ByteBuf again = Unpooled.buffer();
             Frame.write(
-                    again, 7, Method.of(Op.BASIC_PUBLISH, "e", "k", true, false), Properties.read(payload), body, MAX);
+                    again,
+                    7,
+                    Method.of(MethodType.BASIC_PUBLISH, "e", "k", true, false),
+                    Properties.read(payload),
+                    body,
+                    MAX);
             assertEquals(out, again);
         }
     }
@@ -176,7 +181,7 @@
         all.put("F", Map.of("inner", Map.of("deeper", "yes")));
         all.put("V", null);
         ByteBuf out = Unpooled.buffer();
-        Tables.write(out, all);
+        FieldTables.write(out, all);
         byte[] ours = ByteBufUtil.getBytes(out);
         Map<String, Object> read = new ValueReader(new DataInputStream(new ByteArrayInputStream(ours))).readTable();
         assertEquals(all.size(), read.size());
@@ -184,10 +189,10 @@
         assertEquals("text \u20ac", read.get("S").toString());
         ByteArrayOutputStream back = new ByteArrayOutputStream();
         new ValueWriter(new DataOutputStream(back)).writeTable(read);
-        assertEquals(all, Tables.read(Unpooled.wrappedBuffer(back.toByteArray())));
+        assertEquals(all, FieldTables.read(Unpooled.wrappedBuffer(back.toByteArray())));
         all.put("x", new byte[] {1, 2});
         ByteBuf more = Unpooled.buffer();
-        Tables.write(more, all);
+        FieldTables.write(more, all);
         assertArrayEquals(new byte[] {1, 2}, (byte[])
                 new ValueReader(new DataInputStream(new ByteArrayInputStream(ByteBufUtil.getBytes(more))))
                         .readTable()
@@ -197,7 +202,8 @@
         byte[] fixed = Arrays.copyOf(unsigned, unsigned.length);
         fixed[3] = (byte) (unsigned.length - 4);
         assertEquals(
-                Map.of("a", (short) 200, "b", 0xff01, "c", 0xff000001L), Tables.read(Unpooled.wrappedBuffer(fixed)));
+                Map.of("a", (short) 200, "b", 0xff01, "c", 0xff000001L),
+                FieldTables.read(Unpooled.wrappedBuffer(fixed)));
     }
 
     @Test
@@ -207,8 +213,8 @@
             deep = Map.of("t", deep);
         }
         ByteBuf out = Unpooled.buffer();
-        Tables.write(out, deep);
-        assertTrue(assertThrows(AmqpException.class, () -> Tables.read(out))
+        FieldTables.write(out, deep);
+        assertTrue(assertThrows(AmqpException.class, () -> FieldTables.read(out))
                 .getMessage()
                 .contains("nested"));
         // A table that says that it holds itself: its length points beyond what is there.
@@ -218,12 +224,12 @@
         }
         assertEquals(
                 AmqpException.SYNTAX_ERROR,
-                assertThrows(AmqpException.class, () -> Tables.read(cycle)).code());
+                assertThrows(AmqpException.class, () -> FieldTables.read(cycle)).code());
     }
 
     private static List<String> decode(ByteBuf in, int step, int max) throws AmqpException {
         List<String> read = new ArrayList<>();
-        Assembler assembler = new Assembler(1, 64 << 10, new Count(Integer.MAX_VALUE));
+        CommandAssembler assembler = new CommandAssembler(1, 64 << 10, new Count(Integer.MAX_VALUE));
         ByteBuf come = Unpooled.buffer();
         while (in.isReadable()) {
             come.writeBytes(in, Math.min(step, in.readableBytes()));
@@ -245,11 +251,11 @@
         ByteBuf out = Unpooled.buffer();
         Random random = new Random(11);
         for (int body : new int[] {0, 1, 4088, 4089, 20_000, 65_536}) {
-            Frame.write(out, 1, anyMethod(random, Op.QUEUE_DECLARE));
+            Frame.write(out, 1, anyMethod(random, MethodType.QUEUE_DECLARE));
             Frame.write(
                     out,
                     1,
-                    anyMethod(random, Op.BASIC_DELIVER),
+                    anyMethod(random, MethodType.BASIC_DELIVER),
                     Properties.NONE.with(Property.TYPE, "t"),
                     new byte[body],
                     4096);
@@ -260,7 +266,7 @@
     }
 
     /** Room that counts what is held. */
-    private static final class Count implements Assembler.Room {
+    private static final class Count implements CommandAssembler.Room {
         private final int most;
         private int held;
         private int highest;
@@ -285,7 +291,7 @@
         }
     }
 
-    private static Command assemble(Assembler assembler, ByteBuf out) throws AmqpException {
+    private static Command assemble(CommandAssembler assembler, ByteBuf out) throws AmqpException {
         Command last = null;
         for (Frame frame = Frame.next(out, MAX); frame != null; frame = Frame.next(out, MAX)) {
             last = assembler.add(frame);
@@ -295,14 +301,20 @@
 
     private static ByteBuf content(int body) {
         ByteBuf out = Unpooled.buffer();
-        Frame.write(out, 1, Method.of(Op.BASIC_PUBLISH, "", "k", false, false), Properties.NONE, new byte[body], MAX);
+        Frame.write(
+                out,
+                1,
+                Method.of(MethodType.BASIC_PUBLISH, "", "k", false, false),
+                Properties.NONE,
+                new byte[body],
+                MAX);
         return out;
     }
 
     @Test
     void bodyBeyondTheBoundIsReadPastAndWhatFollowsIsRead() throws Exception {
         Count room = new Count(Integer.MAX_VALUE);
-        Assembler assembler = new Assembler(1, 64 << 10, room);
+        CommandAssembler assembler = new CommandAssembler(1, 64 << 10, room);
         assertEquals(0, assemble(assembler, content(0)).body().length);
         Command large = assemble(assembler, content((64 << 10) + 1));
         assertTrue(large.isSkipped());
@@ -316,8 +328,8 @@
     @Test
     void bodiesThatAreNeverWholeHoldNoMoreThanThereIsRoom() throws Exception {
         Count room = new Count(10_000);
-        Assembler first = new Assembler(1, 64 << 10, room);
-        Assembler second = new Assembler(2, 64 << 10, room);
+        CommandAssembler first = new CommandAssembler(1, 64 << 10, room);
+        CommandAssembler second = new CommandAssembler(2, 64 << 10, room);
         ByteBuf half = content(9_000);
         assertNull(assemble(first, half.slice(0, half.readableBytes() - 1)));
         assertTrue(assemble(second, content(9_000)).isSkipped());
@@ -335,7 +347,7 @@
         return assertThrows(AmqpException.class, () -> {
                     Frame frame = Frame.next(in, MAX);
                     assertNotNull(frame, "more is awaited");
-                    new Assembler(1, 100, new Count(100)).add(frame);
+                    new CommandAssembler(1, 100, new Count(100)).add(frame);
                 })
                 .code();
     }
@@ -358,7 +370,7 @@
 
     @Test
     void methodInsideOfContentAndBodyBeyondItsHeaderAreRefused() throws Exception {
-        Assembler assembler = new Assembler(1, 100, new Count(100));
+        CommandAssembler assembler = new CommandAssembler(1, 100, new Count(100));
         ByteBuf half = content(50);
         Frame method = Frame.next(half, MAX);
         assembler.add(method);
--- a/src/test/java/pipitstage/amqp/codec/Fuzz.java
+++ b/src/test/java/loftflow/amqp/codec/Fuzz.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.codec;
+package loftflow.amqp.codec;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -28,14 +28,16 @@
         Map<String, Object> table = Map.of("a", 1, "t", Map.of("b", "text", "l", List.of(1L, 2.0)));
         for (int i = 0; i < 4; i++) {
             switch (random.nextInt(5)) {
-                case 0 -> Frame.write(out, 1, Method.of(Op.QUEUE_DECLARE, "q", false, true, false, false, true, table));
-                case 1 -> Frame.write(out, 1, Method.of(Op.BASIC_ACK, 7L, true));
-                case 2 -> Frame.write(out, 1, Method.of(Op.CONNECTION_START_OK, table, "PLAIN", "\0a\0b", "en_US"));
+                case 0 -> Frame.write(
+                        out, 1, Method.of(MethodType.QUEUE_DECLARE, "q", false, true, false, false, true, table));
+                case 1 -> Frame.write(out, 1, Method.of(MethodType.BASIC_ACK, 7L, true));
+                case 2 -> Frame.write(
+                        out, 1, Method.of(MethodType.CONNECTION_START_OK, table, "PLAIN", "\0a\0b", "en_US"));
                 case 3 -> Frame.writeHeartbeat(out);
                 default -> Frame.write(
                         out,
                         1,
-                        Method.of(Op.BASIC_PUBLISH, "e", "k", true, false),
+                        Method.of(MethodType.BASIC_PUBLISH, "e", "k", true, false),
                         Properties.NONE
                                 .with(Property.HEADERS, table)
                                 .with(Property.MESSAGE_ID, "m")
@@ -89,7 +91,7 @@
     }
 
     private static int decode(byte[] bytes, Random random, int[] held) throws AmqpException {
-        Assembler assembler = new Assembler(1, 8_000, new Assembler.Room() {
+        CommandAssembler assembler = new CommandAssembler(1, 8_000, new CommandAssembler.Room() {
             @Override
             public boolean take(int taken) {
                 held[0] += taken;
--- a/src/test/java/pipitstage/amqp/confirm/ConfirmsTest.java
+++ b/src/test/java/loftflow/amqp/confirm/PublisherConfirmsTest.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.confirm;
+package loftflow.amqp.confirm;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,11 +11,11 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.stream.Collectors;
+import loftflow.amqp.confirm.PublisherConfirms.Fate;
 import org.junit.jupiter.api.Test;
-import pipitstage.amqp.confirm.Confirms.Fate;
 
-class ConfirmsTest {
-    private final Confirms<String> confirms = new Confirms<>();
+class PublisherConfirmsTest {
+    private final PublisherConfirms<String> confirms = new PublisherConfirms<>();
 
     private void publish(String... names) {
         for (String name : names) {
@@ -23,7 +23,7 @@
         }
     }
 
-    private static String text(List<Confirms.Settled<String>> settled) {
+    private static String text(List<PublisherConfirms.Settled<String>> settled) {
         return settled.stream().map(s -> s.what() + " " + s.fate()).collect(Collectors.joining(", "));
     }
 
@@ -97,7 +97,7 @@
         int never = 0;
         for (int seed = 0; seed < 5_000; seed++) {
             Random random = new Random(seed);
-            Confirms<Integer> drawn = new Confirms<>();
+            PublisherConfirms<Integer> drawn = new PublisherConfirms<>();
             Set<Integer> ran = new HashSet<>();
             Map<Integer, Fate> concluded = new HashMap<>();
             int count = 1 + random.nextInt(8);
--- a/src/test/java/pipitstage/amqp/mapping/MappingTest.java
+++ b/src/test/java/loftflow/amqp/mapping/MessageMappingTest.java
@@ -1,4 +1,4 @@
-package pipitstage.amqp.mapping;
+package loftflow.amqp.mapping;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,52 +7,54 @@
 
 import java.util.List;
 import java.util.Map;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.engine.Message;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.RequestClass;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.engine.Message;
 
-class MappingTest {
+class MessageMappingTest {
     private static final long NOW = 1_800_000_000_500_000L;
     private static final long SECOND = 1_000_000;
 
-    private static Policy.RequestClass type(String name, Policy.Repeat repeat) {
-        return new Policy.RequestClass(name, repeat, Policy.KeyScope.ALL, SECOND, SECOND, 8 * SECOND, 1, 0, false);
+    private static RequestClass type(String name, Idempotency repeat) {
+        return new RequestClass(name, repeat, KeyScope.ALL, SECOND, SECOND, 8 * SECOND, 1, 0, false);
     }
 
-    private static final Mapping.Rule USUAL = rule(null, "property:message-id", "property:type", "routing-key");
+    private static final MessageMapping.Rule USUAL = rule(null, "property:message-id", "property:type", "routing-key");
 
-    private static Mapping.Rule rule(String contentType, String id, String requestClass, String destination) {
-        return new Mapping.Rule(
+    private static MessageMapping.Rule rule(String contentType, String id, String requestClass, String destination) {
+        return new MessageMapping.Rule(
                 contentType,
-                Source.of(id),
-                Source.of(requestClass),
-                Source.of("header:tenant"),
-                Source.of("header:key"),
-                Source.of(destination),
-                Source.of("property:expiration"));
+                ValueSource.of(id),
+                ValueSource.of(requestClass),
+                ValueSource.of("header:tenant"),
+                ValueSource.of("header:key"),
+                ValueSource.of(destination),
+                ValueSource.of("property:expiration"));
     }
 
-    private static Mapping mapping(Mapping.Rule... rules) {
-        return new Mapping(
-                List.of(rules), List.of(type("once", Policy.Repeat.ONCE), type("any", Policy.Repeat.REPEATABLE)));
+    private static MessageMapping mapping(MessageMapping.Rule... rules) {
+        return new MessageMapping(
+                List.of(rules), List.of(type("once", Idempotency.NON_IDEMPOTENT), type("any", Idempotency.IDEMPOTENT)));
     }
 
     private static Properties properties(String type) {
         return Properties.NONE.with(Property.TYPE, type).with(Property.MESSAGE_ID, "m1");
     }
 
-    private static Mapping.Mapped map(Properties properties, String routingKey) {
+    private static MessageMapping.Mapped map(Properties properties, String routingKey) {
         return mapping(USUAL).map(properties, "e", routingKey, new byte[1], NOW, () -> "none-1", null);
     }
 
     private static Message.Content fits(Properties properties) {
-        return ((Mapping.Fits) map(properties, "7")).content();
+        return ((MessageMapping.Fits) map(properties, "7")).content();
     }
 
     private static void misfits(Properties properties, String routingKey, String reason) {
-        String said = ((Mapping.Misfits) map(properties, routingKey)).reason();
+        String said = ((MessageMapping.Misfits) map(properties, routingKey)).reason();
         assertTrue(said.contains(reason), said);
     }
 
@@ -66,8 +68,8 @@
                 c.callId() + " " + c.requestClass() + " " + c.tenant() + " " + c.key() + " " + c.destination());
         assertEquals(NOW + 1_500_000, c.deadline());
         Message.Reply reply = new Message.Reply("front", "q", "c");
-        Mapping fixed = mapping(rule("text/plain", "header:id", "fixed:any", "header:dest"), USUAL);
-        Mapping.Fits other = (Mapping.Fits) fixed.map(
+        MessageMapping fixed = mapping(rule("text/plain", "header:id", "fixed:any", "header:dest"), USUAL);
+        MessageMapping.Fits other = (MessageMapping.Fits) fixed.map(
                 properties("once")
                         .with(Property.CONTENT_TYPE, "text/plain")
                         .with(Property.HEADERS, Map.of("id", "h1", "dest", 12)),
@@ -104,10 +106,10 @@
     @Test
     void unsafeMessageWithoutAnIdIsRefusedAndOthersGetOne() {
         misfits(properties("once").with(Property.MESSAGE_ID, null), "7", "needs an id");
-        Mapping.Fits any = (Mapping.Fits) map(properties("any").with(Property.MESSAGE_ID, null), "7");
+        MessageMapping.Fits any = (MessageMapping.Fits) map(properties("any").with(Property.MESSAGE_ID, null), "7");
         assertTrue(any.anonymous());
         assertEquals("none-1", any.content().callId());
-        assertFalse(((Mapping.Fits) map(properties("any"), "7")).anonymous());
+        assertFalse(((MessageMapping.Fits) map(properties("any"), "7")).anonymous());
     }
 
     @Test
@@ -119,8 +121,9 @@
         misfits(properties("once").with(Property.EXPIRATION, "soon"), "7", "\"soon\" is no number of milliseconds");
         misfits(properties("once").with(Property.MESSAGE_ID, "two words"), "7", "is no token");
         misfits(properties("once").with(Property.HEADERS, Map.of("key", "\n")), "7", "is no token");
-        String said = ((Mapping.Misfits) mapping(rule("a/b", "property:message-id", "property:type", "routing-key"))
-                        .map(properties("once"), "e", "7", new byte[0], NOW, () -> "x", null))
+        String said = ((MessageMapping.Misfits)
+                        mapping(rule("a/b", "property:message-id", "property:type", "routing-key"))
+                                .map(properties("once"), "e", "7", new byte[0], NOW, () -> "x", null))
                 .reason();
         assertTrue(said.contains("no mapping is for content type null"), said);
     }
@@ -129,7 +132,7 @@
     void sourcesAreCheckedAsTheyAreRead() {
         for (String wrong : List.of("", "nowhere", "property:headers", "property:size", "routing-keys", "header")) {
             if (!wrong.equals("header")) {
-                assertThrows(IllegalArgumentException.class, () -> Source.of(wrong), wrong);
+                assertThrows(IllegalArgumentException.class, () -> ValueSource.of(wrong), wrong);
             }
         }
     }
--- a/src/test/java/pipitstage/cli/CommandsTest.java
+++ b/src/test/java/loftflow/cli/CommandsTest.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,10 +13,10 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import loftflow.experiment.ExperimentRunner;
+import loftflow.json.JsonFields;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.Fields;
-import pipitstage.lab.Lab;
 
 /** The command line: exit codes, what it prints, and that nothing ends with a stack trace. */
 class CommandsTest {
@@ -110,7 +110,9 @@
         assertTrue(page.contains("<svg") && page.endsWith("</html>\n") && !page.contains("http"), "a page by itself");
         Path small = Files.writeString(
                 folder.resolve("small.toml"),
-                Lab.named("quiet-day").replace("slots = 24", "slots = 2").replace("span = \"60s\"", "span = \"20s\""));
+                ExperimentRunner.named("quiet-day")
+                        .replace("slots = 24", "slots = 2")
+                        .replace("span = \"60s\"", "span = \"20s\""));
         assertEquals(
                 1,
                 run(
@@ -376,7 +378,7 @@
         assertEquals(1, run("config", "check", "--format", "json", CONFIG.resolve("broken/unknown-key.toml")));
         try (JsonParser parser = new JsonFactory().createParser(out.toString())) {
             parser.nextToken();
-            List<?> findings = (List<?>) Fields.read(parser);
+            List<?> findings = (List<?>) JsonFields.read(parser);
             Map<?, ?> first = (Map<?, ?>) findings.stream()
                     .filter(f -> ((Map<?, ?>) f).get("key").equals("class[1].dedline"))
                     .findFirst()
--- a/src/test/java/pipitstage/cli/LabScreenTest.java
+++ b/src/test/java/loftflow/cli/ExperimentScreenTest.java
@@ -1,4 +1,4 @@
-package pipitstage.cli;
+package loftflow.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,23 +10,24 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import loftflow.experiment.evaluation.ProgressSnapshot;
+import loftflow.experiment.scenario.FaultSchedule;
 import org.junit.jupiter.api.Test;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.service.Snapshot;
 
 /** The laboratory's screen on a terminal in memory. */
-class LabScreenTest {
+class ExperimentScreenTest {
     @Test
     void screenShowsHowARunStandsAtTwentyFourLinesAndIsLeftByAKey() throws IOException {
         DefaultVirtualTerminal terminal = new DefaultVirtualTerminal(new TerminalSize(80, 24));
-        List<Snapshot.OfEndpoint> endpoints = new ArrayList<>(List.of(
-                new Snapshot.OfEndpoint("e7", "railways", "annex", 0, 14, Faults.Meets.DOWN),
-                new Snapshot.OfEndpoint("e1", "elevators", "main", 35, 14, Faults.Meets.CALLS)));
+        List<ProgressSnapshot.OfEndpoint> endpoints = new ArrayList<>(List.of(
+                new ProgressSnapshot.OfEndpoint("e7", "railways", "annex", 0, 14, FaultSchedule.Meets.DOWN),
+                new ProgressSnapshot.OfEndpoint("e1", "elevators", "main", 35, 14, FaultSchedule.Meets.CALLS)));
         for (int i = 0; i < 5_000; i++) {
-            endpoints.add(new Snapshot.OfEndpoint("e" + (100 + i), "short-lines", "yard", 1, 10, Faults.Meets.CALLS));
+            endpoints.add(new ProgressSnapshot.OfEndpoint(
+                    "e" + (100 + i), "short-lines", "yard", 1, 10, FaultSchedule.Meets.CALLS));
         }
-        LabScreen screen = new LabScreen(terminal, "harvest");
-        screen.show(new Snapshot(12_300_000, 0.8123, 500, 400, 60, 10, 30, 44, 40, endpoints));
+        ExperimentScreen screen = new ExperimentScreen(terminal, "harvest");
+        screen.show(new ProgressSnapshot(12_300_000, 0.8123, 500, 400, 60, 10, 30, 44, 40, endpoints));
         List<String> lines = new ArrayList<>();
         for (int row = 0; row < 24; row++) {
             StringBuilder line = new StringBuilder();
@@ -42,7 +43,7 @@
         assertTrue(lines.get(6).endsWith("14.0  " + "#".repeat(24)), lines.get(6));
         assertFalse(screen.isLeft());
         terminal.addInput(new KeyStroke('q', false, false));
-        screen.show(new Snapshot(13_300_000, 1, 0, 0, 0, 0, 0, 0, 0, List.of()));
+        screen.show(new ProgressSnapshot(13_300_000, 1, 0, 0, 0, 0, 0, 0, 0, List.of()));
         assertTrue(screen.isLeft());
         screen.close();
     }
--- a/src/test/java/pipitstage/platform/AgentTest.java
+++ b/src/test/java/loftflow/completion/AgentConnectionTest.java
@@ -1,9 +1,9 @@
-package pipitstage.platform;
+package loftflow.completion;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -26,15 +26,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
+import loftflow.discovery.AgentConnection;
+import loftflow.engine.Message;
+import loftflow.fake.ScriptedPeer;
+import loftflow.server.KernelSocketState;
+import loftflow.server.RelayProcess;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pipitstage.engine.Message;
-import pipitstage.relay.KernelSide;
-import pipitstage.relay.RelayProcess;
-import pipitstage.standin.StubPeer;
 
 /** The connection to discovery's agent, and the notices above it, where sockets or listeners fail. */
-class AgentTest {
+class AgentConnectionTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final AtomicInteger failures = new AtomicInteger();
@@ -52,20 +53,20 @@
         return new NioSocketChannel();
     }
 
-    private static InetSocketAddress at(StubPeer peer) {
+    private static InetSocketAddress at(ScriptedPeer peer) {
         return new InetSocketAddress("127.0.0.1", peer.port());
     }
 
-    private void ask(AgentClient agent) {
+    private void ask(AgentConnection agent) {
         agent.request(HttpMethod.GET, "/", "", 5000, (status, body) -> answers.add(status));
     }
 
     @Test
     void moveRightAfterASocketThatCouldNotBeOpenedIsCarriedOut() throws Exception {
-        try (StubPeer old = StubPeer.always(StubPeer.status(200));
-                StubPeer next = StubPeer.always(StubPeer.status(200))) {
+        try (ScriptedPeer old = ScriptedPeer.always(ScriptedPeer.status(200));
+                ScriptedPeer next = ScriptedPeer.always(ScriptedPeer.status(200))) {
             failures.set(1);
-            AgentClient agent = new AgentClient(loop, at(old), this::socket);
+            AgentConnection agent = new AgentConnection(loop, at(old), this::socket);
             loop.submit(() -> {
                         ask(agent);
                         agent.moveTo(at(next));
@@ -80,9 +81,9 @@
 
     @Test
     void socketThatCouldNotBeOpenedEndsOneRequestOnTheLoop() throws Exception {
-        try (StubPeer peer = StubPeer.always(StubPeer.status(200))) {
+        try (ScriptedPeer peer = ScriptedPeer.always(ScriptedPeer.status(200))) {
             failures.set(1);
-            AgentClient agent = new AgentClient(loop, at(peer), this::socket);
+            AgentConnection agent = new AgentConnection(loop, at(peer), this::socket);
             List<Boolean> onLoop = new CopyOnWriteArrayList<>();
             loop.submit(() -> agent.request(HttpMethod.GET, "/", "", 5000, (status, body) -> {
                         onLoop.add(loop.inEventLoop());
@@ -97,9 +98,9 @@
 
     @Test
     void oneEndThatCannotBeCarriedOutDoesNotStopLaterNotices() throws IOException {
-        try (StubPeer platform = StubPeer.always(StubPeer.status(204))) {
+        try (ScriptedPeer platform = ScriptedPeer.always(ScriptedPeer.status(204))) {
             List<String> heard = new ArrayList<>();
-            Notices notices = new Notices(
+            HttpCompletionNotifier notices = new HttpCompletionNotifier(
                     loop,
                     at(platform),
                     message -> {
@@ -121,15 +122,15 @@
     @Test
     void noticeThatThePlatformCannotReadIsSetApart() throws Exception {
         List<String> told = new CopyOnWriteArrayList<>();
-        try (StubPeer platform = new StubPeer(request -> {
+        try (ScriptedPeer platform = new ScriptedPeer(request -> {
             if (request.body().contains("m17\"")) {
-                return StubPeer.status(400);
+                return ScriptedPeer.status(400);
             }
             request.body().lines().forEach(line -> told.add(line.split("\"")[3]));
-            return StubPeer.status(204);
+            return ScriptedPeer.status(204);
         })) {
             List<String> heard = new CopyOnWriteArrayList<>();
-            Notices notices = new Notices(
+            HttpCompletionNotifier notices = new HttpCompletionNotifier(
                     loop, at(platform), message -> heard.add(message.content().callId()), () -> {});
             loop.submit(() -> IntStream.range(0, 250).forEach(i -> notices.send(ended(i))))
                     .sync();
@@ -144,9 +145,9 @@
     /** Each pass of the loop takes longer than a notice may, and there is no connection yet: it is told all the same. */
     @Test
     void noticeIsToldByALoopWhosePassesTakeLongerThanItMay() throws Exception {
-        try (StubPeer platform = StubPeer.always(StubPeer.status(204))) {
+        try (ScriptedPeer platform = ScriptedPeer.always(ScriptedPeer.status(204))) {
             List<String> heard = new CopyOnWriteArrayList<>();
-            Notices notices = new Notices(
+            HttpCompletionNotifier notices = new HttpCompletionNotifier(
                     loop, at(platform), message -> heard.add(message.content().callId()), () -> {});
             loop.submit(() -> {
                         notices.send(ended(1));
@@ -171,15 +172,15 @@
     @Test
     void answerThatLiesUnreadWhenItsRequestIsGivenUpCounts() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
-        try (StubPeer peer = new StubPeer(request -> {
+        try (ScriptedPeer peer = new ScriptedPeer(request -> {
             try {
                 gate.await();
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
-            return StubPeer.status(200);
+            return ScriptedPeer.status(200);
         })) {
-            AgentClient agent = new AgentClient(loop, at(peer));
+            AgentConnection agent = new AgentConnection(loop, at(peer));
             loop.submit(() -> agent.request(HttpMethod.GET, "/", "", 300, (status, body) -> {
                         answers.add(status);
                         ask(agent);
@@ -192,7 +193,7 @@
                 loop.schedule(
                         () -> {
                             gate.countDown();
-                            KernelSide.beyond(peer.connections.get(0)).awaitUnread();
+                            KernelSocketState.beyond(peer.connections.get(0)).awaitUnread();
                         },
                         0,
                         TimeUnit.MILLISECONDS);
@@ -208,8 +209,8 @@
     @Test
     void answerThatNobodyAskedForIsNotTheNextOnes() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            AgentClient agent =
-                    new AgentClient(loop, new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()));
+            AgentConnection agent = new AgentConnection(
+                    loop, new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()));
             loop.submit(() -> ask(agent)).sync();
             try (Socket first = listener.accept()) {
                 first.getOutputStream()
@@ -236,7 +237,7 @@
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         listener.setSoTimeout(10_000);
         List<String> heard = new CopyOnWriteArrayList<>();
-        Notices notices = new Notices(
+        HttpCompletionNotifier notices = new HttpCompletionNotifier(
                 loop,
                 new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()),
                 message -> heard.add(message.content().callId()),
@@ -257,13 +258,13 @@
     @Test
     void platformThatCannotBeReachedIsToldOfUntilItCan() throws Exception {
         int port;
-        try (StubPeer gone = StubPeer.always(StubPeer.status(204))) {
+        try (ScriptedPeer gone = ScriptedPeer.always(ScriptedPeer.status(204))) {
             port = gone.port();
         }
         AtomicInteger told = new AtomicInteger();
-        try (StubPeer next = StubPeer.always(StubPeer.status(204))) {
-            Notices notices =
-                    new Notices(loop, new InetSocketAddress("127.0.0.1", port), message -> {}, told::incrementAndGet);
+        try (ScriptedPeer next = ScriptedPeer.always(ScriptedPeer.status(204))) {
+            HttpCompletionNotifier notices = new HttpCompletionNotifier(
+                    loop, new InetSocketAddress("127.0.0.1", port), message -> {}, told::incrementAndGet);
             loop.execute(notices::start);
             await(() -> told.get() >= 2);
             loop.execute(() -> notices.moveTo(at(next)));
--- a/src/test/java/pipitstage/config/BrokenAndValidFilesTest.java
+++ b/src/test/java/loftflow/config/BrokenAndValidFilesTest.java
@@ -1,4 +1,4 @@
-package pipitstage.config;
+package loftflow.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,13 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
+import loftflow.config.file.Finding;
+import loftflow.config.plan.MachineInspector;
+import loftflow.config.tool.CheckedFile;
+import loftflow.config.tool.ConfigTool;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import pipitstage.config.file.Finding;
-import pipitstage.config.plan.Surroundings;
-import pipitstage.config.tool.CheckedFile;
-import pipitstage.config.tool.Tool;
 
 /**
  * Files that each break one thing, with what is to be found and how to mend it in their first lines, and files that
@@ -53,7 +53,7 @@
     void brokenFileIsCaughtAndItsMendedTwinAccepted(Path file) throws Exception {
         Matcher head = head(file);
         List<Finding> errors =
-                Tool.check(file).stream().filter(Finding::isError).toList();
+                ConfigTool.check(file).stream().filter(Finding::isError).toList();
         assertTrue(
                 errors.stream()
                         .anyMatch(f -> f.key().equals(head.group(1))
@@ -67,14 +67,14 @@
         int first = Integer.parseInt(head.group(3)) - 1;
         lines.subList(first, first + Integer.parseInt(head.group(4))).clear();
         lines.addAll(first, Files.readAllLines(Path.of(file.toString().replace(".toml", ".mend"))));
-        CheckedFile twin = CheckedFile.of("twin", String.join("\n", lines), Surroundings.UNKNOWN);
+        CheckedFile twin = CheckedFile.of("twin", String.join("\n", lines), MachineInspector.UNKNOWN);
         assertTrue(twin.isClean(), "the twin: " + twin.findings());
     }
 
     @ParameterizedTest
     @MethodSource("valid")
     void validFileIsAccepted(Path file) throws Exception {
-        List<Finding> findings = Tool.check(file);
+        List<Finding> findings = ConfigTool.check(file);
         assertTrue(findings.stream().noneMatch(Finding::isError), "found: " + findings);
         assertEquals(
                 file.toString().contains("-warns") || file.toString().contains("scope-building"),
--- a/src/test/java/pipitstage/config/ToolTest.java
+++ b/src/test/java/loftflow/config/ConfigToolTest.java
@@ -1,4 +1,4 @@
-package pipitstage.config;
+package loftflow.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,19 +13,19 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
+import loftflow.config.file.Finding;
+import loftflow.config.file.SourceFile;
+import loftflow.config.plan.MachineInspector;
+import loftflow.config.schema.Catalog;
+import loftflow.config.schema.Schema;
+import loftflow.config.schema.Setting;
+import loftflow.config.tool.CheckedFile;
+import loftflow.config.tool.ConfigTool;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.config.file.Finding;
-import pipitstage.config.file.SourceFile;
-import pipitstage.config.plan.Surroundings;
-import pipitstage.config.schema.Catalog;
-import pipitstage.config.schema.Schema;
-import pipitstage.config.schema.Setting;
-import pipitstage.config.tool.CheckedFile;
-import pipitstage.config.tool.Tool;
 
 /** The tool on files that are odd, on the machine that it runs on, and what it writes. */
-class ToolTest {
+class ConfigToolTest {
     private static final Path BASE = Path.of("src/test/resources/config/base.toml");
 
     @TempDir
@@ -41,19 +41,19 @@
 
     private void unreadable(Path file, String why) {
         assertTimeout(Duration.ofSeconds(10), () -> {
-            String message = assertThrows(SourceFile.UnreadableException.class, () -> Tool.check(file))
+            String message = assertThrows(SourceFile.UnreadableException.class, () -> ConfigTool.check(file))
                     .getMessage();
             assertTrue(message.startsWith(file + ": " + why), message);
             assertEquals(1, message.lines().count(), message);
         });
     }
 
-    private static List<Finding> check(String text, Surroundings surroundings) {
+    private static List<Finding> check(String text, MachineInspector surroundings) {
         return CheckedFile.of("app.toml", text, surroundings).findings();
     }
 
-    private static Surroundings machine(String temporary, String fault) {
-        return new Surroundings() {
+    private static MachineInspector machine(String temporary, String fault) {
+        return new MachineInspector() {
             @Override
             public Optional<String> temporary() {
                 return Optional.ofNullable(temporary);
@@ -130,7 +130,7 @@
                 "a = { b = 1",
                 "format = 1e400",
                 "\u0007")) {
-            List<Finding> findings = Tool.check(file(text.getBytes(StandardCharsets.UTF_8)));
+            List<Finding> findings = ConfigTool.check(file(text.getBytes(StandardCharsets.UTF_8)));
             assertFalse(findings.isEmpty(), text);
             assertTrue(findings.stream().allMatch(f -> f.toString().lines().count() == 1), findings.toString());
         }
@@ -141,8 +141,8 @@
         String text = "a = " + "[".repeat(2_000) + "]".repeat(2_000);
         assertTimeout(Duration.ofSeconds(20), () -> {
             try {
-                assertFalse(
-                        Tool.check(file(text.getBytes(StandardCharsets.UTF_8))).isEmpty());
+                assertFalse(ConfigTool.check(file(text.getBytes(StandardCharsets.UTF_8)))
+                        .isEmpty());
             } catch (SourceFile.UnreadableException e) {
                 assertEquals(1, e.getMessage().lines().count());
             }
@@ -155,7 +155,7 @@
                 base().replace("deadline = \"5s\"", "deadline = \"1s\"")
                         .replace("relays = 3", "relays = 1")
                         .replace("id = \"iron-2\"", "id = \"iron-1\""),
-                Surroundings.UNKNOWN);
+                MachineInspector.UNKNOWN);
         assertEquals(
                 List.of("fleet.number", "class[1].wanted", "partner[1].endpoint[2].id"),
                 findings.stream().map(Finding::key).toList());
@@ -163,7 +163,7 @@
 
     @Test
     void findingNamesPlaceKeyAndBothFigures() throws IOException {
-        Finding finding = check(base().replace("wanted = \"1.5s\"", "wanted = \"7s\""), Surroundings.UNKNOWN)
+        Finding finding = check(base().replace("wanted = \"1.5s\"", "wanted = \"7s\""), MachineInspector.UNKNOWN)
                 .get(0);
         assertEquals(
                 "app.toml:36:1: class[1].wanted: 7s is no shorter than deadline = 5s; make it shorter",
@@ -190,11 +190,12 @@
         assertEquals("machine.folder", finding.key());
         Path taken = Files.writeString(folder.resolve("taken"), "");
         String text = base().replace("/var/lib/loftflow/grain-desk", taken.toString());
-        List<Finding> findings = CheckedFile.of("a", text, Surroundings.UNKNOWN).findings();
+        List<Finding> findings =
+                CheckedFile.of("a", text, MachineInspector.UNKNOWN).findings();
         assertEquals(List.of(), findings);
         Path odd = Files.writeString(folder.resolve("odd.toml"), text);
         try {
-            assertTrue(Tool.check(odd).stream()
+            assertTrue(ConfigTool.check(odd).stream()
                     .anyMatch(f ->
                             f.key().equals("machine.folder") && f.reason().contains("is no folder on this machine")));
         } catch (SourceFile.UnreadableException e) {
@@ -207,7 +208,7 @@
         List<Finding> findings = check(
                 base().replace("response = \"370ms\"", "response = \"21s\"")
                         .replace("descriptors = 512", "descriptors = 9000"),
-                Surroundings.UNKNOWN);
+                MachineInspector.UNKNOWN);
         Finding finding = findings.stream()
                 .filter(f -> f.key().equals("class[3].deadline"))
                 .findFirst()
@@ -218,7 +219,7 @@
 
     @Test
     void tenantsSharesBelowThePeakAreAWarning() throws IOException {
-        List<Finding> findings = check(base().replace("rate = \"30/s\"", "rate = \"20/s\""), Surroundings.UNKNOWN);
+        List<Finding> findings = check(base().replace("rate = \"30/s\"", "rate = \"20/s\""), MachineInspector.UNKNOWN);
         assertEquals(
                 List.of("tenant[1].rate"), findings.stream().map(Finding::key).toList());
         assertFalse(findings.get(0).isError());
@@ -232,7 +233,7 @@
     void keysThatDoNotCrossBuildingsAreAWarning() throws IOException {
         List<Finding> findings = check(
                 base().replace("key-window = \"7.5s\"", "key-window = \"7.5s\"\nkey-scope = \"building\""),
-                Surroundings.UNKNOWN);
+                MachineInspector.UNKNOWN);
         assertEquals(1, findings.size(), findings.toString());
         assertFalse(findings.get(0).isError());
         assertTrue(findings.get(0).reason().contains("iron-line stands in 2 buildings (main-building, annex)"));
@@ -243,39 +244,39 @@
         String json = Files.readString(Path.of("deploy/training.json"));
         Path file = folder.resolve("config.json");
         Files.writeString(file, json);
-        assertEquals(List.of(), Tool.check(file));
+        assertEquals(List.of(), ConfigTool.check(file));
 
         Files.writeString(file, json.replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"nosuch.example:1\""));
         assertEquals(
                 "no address with a port: nosuch.example:1",
-                Tool.check(file).get(0).reason());
-        assertTrue(Tool.check(file).get(0).isError());
+                ConfigTool.check(file).get(0).reason());
+        assertTrue(ConfigTool.check(file).get(0).isError());
 
         Files.writeString(file, json.replace("\"sockets\": 256", "\"sockets\": 20"));
-        assertEquals("limits.sockets", Tool.check(file).get(0).key());
+        assertEquals("limits.sockets", ConfigTool.check(file).get(0).key());
 
         Files.writeString(file, json.replace("\"sockets\": 256", "\"sockets\": 40"));
         assertTrue(
-                Tool.check(file).get(0).toString().contains(":2:"),
-                Tool.check(file).toString());
-        assertFalse(Tool.check(file).get(0).isError());
+                ConfigTool.check(file).get(0).toString().contains(":2:"),
+                ConfigTool.check(file).toString());
+        assertFalse(ConfigTool.check(file).get(0).isError());
 
         Files.writeString(file, json.replace("\"seed\": \"0\"", "\"seed\": \"0\", \"name\": \"again\""));
-        assertEquals("name", Tool.check(file).get(0).key());
+        assertEquals("name", ConfigTool.check(file).get(0).key());
 
         Files.writeString(file, json.substring(0, json.length() / 2));
-        assertTrue(Tool.check(file).get(0).reason().startsWith("no JSON: "));
+        assertTrue(ConfigTool.check(file).get(0).reason().startsWith("no JSON: "));
     }
 
-    private Tool.Outcome write(boolean force) throws Exception {
-        return Tool.write(BASE, folder, force);
+    private ConfigTool.Outcome write(boolean force) throws Exception {
+        return ConfigTool.write(BASE, folder, force);
     }
 
     @Test
     void writingTwiceChangesNoByte() throws Exception {
-        assertEquals(Tool.Written.NEW, write(false).written());
+        assertEquals(ConfigTool.Written.NEW, write(false).written());
         byte[] first = Files.readAllBytes(folder.resolve("grain-desk.relay.toml"));
-        assertEquals(Tool.Written.UNCHANGED, write(false).written());
+        assertEquals(ConfigTool.Written.UNCHANGED, write(false).written());
         assertEquals(
                 new String(first, StandardCharsets.UTF_8), Files.readString(folder.resolve("grain-desk.relay.toml")));
         try (var files = Files.list(folder)) {
@@ -289,11 +290,11 @@
         Path file = folder.resolve("grain-desk.relay.toml");
         String edited = Files.readString(file).replace("attempts = 12", "attempts = 3");
         Files.writeString(file, edited);
-        Tool.Outcome outcome = write(false);
-        assertEquals(Tool.Written.TOUCHED, outcome.written());
+        ConfigTool.Outcome outcome = write(false);
+        assertEquals(ConfigTool.Written.TOUCHED, outcome.written());
         assertEquals(edited, outcome.before());
         assertEquals(edited, Files.readString(file));
-        assertEquals(Tool.Written.NEW, write(true).written());
+        assertEquals(ConfigTool.Written.NEW, write(true).written());
         assertTrue(Files.readString(file).contains("attempts = 12"));
     }
 
@@ -301,15 +302,16 @@
     void fileThatNobodyTouchedFollowsTheApplicationFile() throws Exception {
         write(false);
         Path changed = Files.writeString(folder.resolve("app.toml"), base().replace("\"18/s\"", "\"9/s\""));
-        assertEquals(Tool.Written.NEW, Tool.write(changed, folder, false).written());
+        assertEquals(
+                ConfigTool.Written.NEW, ConfigTool.write(changed, folder, false).written());
         assertTrue(Files.readString(folder.resolve("grain-desk.relay.toml")).contains("peak-rate = \"9/s\""));
     }
 
     @Test
     void nothingIsWrittenForAFileWithErrors() throws Exception {
         Path bad = Files.writeString(folder.resolve("app.toml"), base().replace("\"1.5s\"", "\"9s\""));
-        Tool.Outcome outcome = Tool.write(bad, folder.resolve("out"), true);
-        assertEquals(Tool.Written.REFUSED, outcome.written());
+        ConfigTool.Outcome outcome = ConfigTool.write(bad, folder.resolve("out"), true);
+        assertEquals(ConfigTool.Written.REFUSED, outcome.written());
         assertFalse(Files.exists(folder.resolve("out")));
     }
 
--- a/src/test/java/pipitstage/config/Http2FrontTest.java
+++ b/src/test/java/loftflow/config/Http2FrontTest.java
@@ -1,4 +1,4 @@
-package pipitstage.config;
+package loftflow.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,14 +7,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import loftflow.config.file.Finding;
+import loftflow.config.plan.MachineInspector;
+import loftflow.config.tool.CheckedFile;
+import loftflow.config.tool.ConfigTool;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pipitstage.config.file.Finding;
-import pipitstage.config.plan.Surroundings;
-import pipitstage.config.tool.CheckedFile;
-import pipitstage.config.tool.Tool;
 
 /** Fronts that speak HTTP/2: what is caught, what is derived, and what a written file holds. */
 class Http2FrontTest {
@@ -28,7 +28,7 @@
     }
 
     private static List<Finding> findings(String text) {
-        return CheckedFile.of("file", text, Surroundings.UNKNOWN).findings();
+        return CheckedFile.of("file", text, MachineInspector.UNKNOWN).findings();
     }
 
     private static String withFront(String more) throws IOException {
@@ -86,7 +86,8 @@
             })
     void derivedFigureThatDoesNotFit(String figure, String value, String key, String reason) throws Exception {
         Path application = Files.writeString(folder.resolve("app.toml"), withFront("streams = 100"));
-        String written = Files.readString(Tool.write(application, folder, false).file());
+        String written =
+                Files.readString(ConfigTool.write(application, folder, false).file());
         assertEquals(
                 List.of(), findings(written).stream().filter(Finding::isError).toList());
         String name = figure.substring(figure.indexOf('.') + 1);
@@ -117,7 +118,8 @@
     @Test
     void writtenFileTellsWhyAndAnOldOneWithoutTheFiguresIsRead() throws Exception {
         Path application = Files.writeString(folder.resolve("app.toml"), withFront(""));
-        String written = Files.readString(Tool.write(application, folder, false).file());
+        String written =
+                Files.readString(ConfigTool.write(application, folder, false).file());
         assertTrue(
                 written.contains("Here: twice buffer.messages") && written.contains("Here: an eighth of the heap"),
                 written);
--- a/src/test/java/pipitstage/config/WrittenFilesPropertyTest.java
+++ b/src/test/java/loftflow/config/WrittenFilesPropertyTest.java
@@ -1,4 +1,4 @@
-package pipitstage.config;
+package loftflow.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,19 +11,19 @@
 import java.util.Locale;
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
+import loftflow.config.plan.MachineInspector;
+import loftflow.config.tool.CheckedFile;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakePartner;
+import loftflow.fake.ServedRelay;
+import loftflow.fake.TemporaryFolder;
+import loftflow.server.RelayProcess;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.lifecycle.AfterContainer;
-import pipitstage.config.plan.Surroundings;
-import pipitstage.config.tool.CheckedFile;
-import pipitstage.config.tool.Tool;
-import pipitstage.relay.RelayProcess;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInPartner;
 
 /** Any application file that the tool accepts gives a relay file that checks clean and a relay that delivers. */
 class WrittenFilesPropertyTest {
@@ -109,7 +109,7 @@
     }
 
     private static CheckedFile checked(String text) {
-        return CheckedFile.of("app.toml", text, Surroundings.UNKNOWN);
+        return CheckedFile.of("app.toml", text, MachineInspector.UNKNOWN);
     }
 
     @Property(tries = 1000, seed = "41", shrinking = ShrinkingMode.OFF)
@@ -121,11 +121,11 @@
             return;
         }
         ACCEPTED.incrementAndGet();
-        try (Scratch scratch = Scratch.named("written")) {
+        try (TemporaryFolder scratch = TemporaryFolder.named("written")) {
             Path folder = scratch.folder();
             Path file = Files.writeString(folder.resolve("app.toml"), text);
-            Tool.Outcome outcome = Tool.write(file, folder, false);
-            assertEquals(Tool.Written.NEW, outcome.written(), outcome.findings() + text);
+            ConfigTool.Outcome outcome = ConfigTool.write(file, folder, false);
+            assertEquals(ConfigTool.Written.NEW, outcome.written(), outcome.findings() + text);
             CheckedFile written = checked(outcome.after());
             assertTrue(written.isClean(), written.findings() + "\n" + outcome.after());
             assertEquals(CheckedFile.Kind.RELAY, written.kind());
@@ -141,9 +141,9 @@
     @Property(tries = 5, seed = "43", shrinking = ShrinkingMode.OFF)
     void acceptedFileGivesARelayThatDeliversOneOfEachClass(@ForAll @LongRange(min = 0, max = 1_000_000) long seed)
             throws Exception {
-        try (Scratch scratch = Scratch.named("served");
-                StandInPartner first = new StandInPartner(5, 0);
-                StandInPartner second = new StandInPartner(5, 0)) {
+        try (TemporaryFolder scratch = TemporaryFolder.named("served");
+                FakePartner first = new FakePartner(5, 0);
+                FakePartner second = new FakePartner(5, 0)) {
             Path folder = scratch.folder();
             String text = null;
             CheckedFile app = null;
@@ -157,12 +157,12 @@
         }
     }
 
-    private static void serveOneOfEach(Path folder, CheckedFile app, List<StandInPartner> partners) throws Exception {
-        Tool.Outcome outcome = Tool.write(folder.resolve("app.toml"), folder, false);
+    private static void serveOneOfEach(Path folder, CheckedFile app, List<FakePartner> partners) throws Exception {
+        ConfigTool.Outcome outcome = ConfigTool.write(folder.resolve("app.toml"), folder, false);
         try (ServedRelay relay = ServedRelay.start(outcome.file(), folder.resolve("log"), "-Xmx48m")
                 .awaitServing()) {
             List<String> ids = new ArrayList<>();
-            try (StandInClient client = relay.client()) {
+            try (FakeClient client = relay.client()) {
                 assertTrue(client.isReady());
                 for (var type : app.declared().classes()) {
                     var partner = app.declared().partners().stream()
--- a/src/test/java/pipitstage/undeliverable/Measure.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -1,4 +1,4 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,28 +9,28 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
-import pipitstage.Policy.Result;
-import pipitstage.config.tool.Tool;
-import pipitstage.engine.Message;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInPartner;
-import pipitstage.undeliverable.store.SqliteShelf;
+import loftflow.config.tool.ConfigTool;
+import loftflow.deadletter.store.SqliteDeadLetterStore;
+import loftflow.engine.Message;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakePartner;
+import loftflow.fake.ServedRelay;
+import loftflow.fake.TemporaryFolder;
+import loftflow.policy.api.AttemptOutcome;
 
 /**
  * Measurements of keeping, each a command: {@code store} (entries a second, lists over 100,000, memory), {@code cost}
  * (a relay with the store on against off, in turns), {@code cold} (a backlog of 10,000 for one destination of that limit a second
  * that returns).
  */
-public final class Measure {
+public final class DeadLetterBenchmark {
     private static final int LIVE = 900;
 
-    private Measure() {}
+    private DeadLetterBenchmark() {}
 
     /** Runs one of them. */
     public static void main(String[] args) throws Exception {
-        try (Scratch scratch = Scratch.named("measure")) {
+        try (TemporaryFolder scratch = TemporaryFolder.named("measure")) {
             Path folder = scratch.folder();
             switch (args.length >= 1 ? args[0] : "") {
                 case "store" -> store(folder);
@@ -41,9 +41,9 @@
         }
     }
 
-    private static Entry entry(int i, int destination) {
+    private static DeadLetter entry(int i, int destination) {
         long now = System.currentTimeMillis() * 1000;
-        return new Entry(
+        return new DeadLetter(
                 0,
                 new Message.Content(
                         "m" + i,
@@ -56,11 +56,11 @@
                 now + i,
                 "full",
                 "failed",
-                Entry.State.KEPT,
+                DeadLetter.State.KEPT,
                 now,
                 null,
                 0,
-                List.of(new Entry.Try("elevator-1", "main", now - 1_000_000, Result.FULL)));
+                List.of(new DeadLetter.Try("elevator-1", "main", now - 1_000_000, AttemptOutcome.REJECTED)));
     }
 
     private static void say(String form, Object... values) {
@@ -70,22 +70,23 @@
     private static void store(Path folder) throws Exception {
         Path kept = folder.resolve("many");
         Files.createDirectories(kept);
-        try (Shelf shelf = SqliteShelf.open(kept, 1 << 30)) {
+        try (DeadLetterStore shelf = SqliteDeadLetterStore.open(kept, 1 << 30)) {
             long start = System.nanoTime();
             for (int i = 0; i < 100_000; i++) {
                 shelf.put(entry(i, i % 500));
             }
             say("%.0f entries a second taken in, each a transaction", 100_000 / ((System.nanoTime() - start) / 1e9));
-            for (Shelf.Filter filter : List.of(
-                    Shelf.Filter.ALL,
-                    new Shelf.Filter(Entry.State.KEPT, 7, null, null, null, 0, 0),
-                    new Shelf.Filter(null, null, "settlement", "acme", Ran.NEVER, 0, 0))) {
+            for (DeadLetterStore.Filter filter : List.of(
+                    DeadLetterStore.Filter.ALL,
+                    new DeadLetterStore.Filter(DeadLetter.State.KEPT, 7, null, null, null, 0, 0),
+                    new DeadLetterStore.Filter(null, null, "settlement", "acme", ExecutionCertainty.NEVER, 0, 0))) {
                 start = System.nanoTime();
                 int found = shelf.list(filter, 0, 500, false).size();
                 say("%s: %d in %.0f ms", filter, found, (System.nanoTime() - start) / 1e6);
             }
             start = System.nanoTime();
-            int all = shelf.list(Shelf.Filter.ALL, 0, Integer.MAX_VALUE, false).size();
+            int all = shelf.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)
+                    .size();
             say("all %d with their attempts in %.0f ms", all, (System.nanoTime() - start) / 1e6);
             start = System.nanoTime();
             int due = shelf.due(Long.MAX_VALUE - 1, 100, 64).size();
@@ -93,7 +94,7 @@
                     "the %d most urgent of 500 destinations in %.1f ms; %s",
                     due, (System.nanoTime() - start) / 1e6, shelf.size());
         }
-        try (StandInPartner partner = new StandInPartner(1, 0)) {
+        try (FakePartner partner = new FakePartner(1, 0)) {
             for (String name : List.of("few", "many")) {
                 ServedRelay relay = start(application(folder, name, true, partner, 1));
                 Thread.sleep(6_000);
@@ -103,7 +104,7 @@
         }
     }
 
-    private static Path application(Path folder, String name, boolean keep, StandInPartner partner, double pace)
+    private static Path application(Path folder, String name, boolean keep, FakePartner partner, double pace)
             throws Exception {
         Path file = Files.writeString(
                 folder.resolve(name + ".toml"),
@@ -137,7 +138,7 @@
                 address = "%s"
                 """
                         .formatted(name, folder.resolve(name), keep, pace, partner.address()));
-        Tool.Outcome outcome = Tool.write(file, folder, true);
+        ConfigTool.Outcome outcome = ConfigTool.write(file, folder, true);
         if (outcome.after() == null) {
             throw new IOException(outcome.findings().toString());
         }
@@ -149,7 +150,7 @@
     }
 
     private static void cost(Path folder) throws Exception {
-        try (StandInPartner partner = new StandInPartner(1, 0)) {
+        try (FakePartner partner = new FakePartner(1, 0)) {
             Map<Boolean, ServedRelay> relays = new HashMap<>();
             Map<Boolean, Path> files = new HashMap<>();
             for (boolean keep : new boolean[] {false, true}) {
@@ -193,14 +194,14 @@
             for (ServedRelay relay : relays.values()) {
                 relay.close();
             }
-            try (Shelf shelf = SqliteShelf.reading(folder.resolve("on"))) {
+            try (DeadLetterStore shelf = SqliteDeadLetterStore.reading(folder.resolve("on"))) {
                 say("kept meanwhile: %d", shelf.size().entries());
             }
         }
     }
 
     private static void push(ServedRelay relay, String prefix, long end, AtomicLong taken) {
-        try (StandInClient client = relay.client()) {
+        try (FakeClient client = relay.client()) {
             for (int i = 0; System.nanoTime() < end; i++) {
                 if (client.handIn(prefix + i, "settlement", null, null, 7, 5000, "x") == 202) {
                     taken.incrementAndGet();
@@ -213,30 +214,30 @@
 
     private static void cold(Path folder, int limit) throws Exception {
         for (boolean backlog : new boolean[] {false, true}) {
-            try (StandInPartner partner = new StandInPartner(40, limit)) {
+            try (FakePartner partner = new FakePartner(40, limit)) {
                 String name = backlog ? "backlog" : "none";
                 Path file = application(folder, name, true, partner, 5);
                 Files.createDirectories(folder.resolve(name));
                 if (backlog) {
-                    try (Shelf shelf = SqliteShelf.open(folder.resolve(name), 1 << 30)) {
+                    try (DeadLetterStore shelf = SqliteDeadLetterStore.open(folder.resolve(name), 1 << 30)) {
                         for (int i = 0; i < 10_000; i++) {
                             shelf.put(entry(2 * i, 7));
                         }
                     }
                 }
-                partner.be(StandInPartner.Mood.SHUT);
+                partner.be(FakePartner.Mood.SHUT);
                 ServedRelay relay = start(file);
                 // Live traffic meets the outage in both runs, so that both partners return cold to the module.
-                try (StandInClient client = relay.client()) {
+                try (FakeClient client = relay.client()) {
                     for (int i = 0; i < 40; i++) {
                         client.handIn("early" + i, "settlement", null, null, 7, 5000, "x");
                         Thread.sleep(200);
                     }
                 }
-                partner.be(StandInPartner.Mood.WELL);
+                partner.be(FakePartner.Mood.WELL);
                 Thread.sleep(20_000);
                 Map<String, Long> handed = new HashMap<>();
-                try (StandInClient client = relay.client()) {
+                try (FakeClient client = relay.client()) {
                     for (int i = 0; i < LIVE; i++) {
                         handed.put("live" + i, System.nanoTime());
                         client.handIn("live" + i, "settlement", null, null, 7, 5000, "x");
@@ -250,8 +251,8 @@
         }
     }
 
-    private static void report(String name, int limit, StandInPartner partner, Map<String, Long> handed, long rss) {
-        List<StandInPartner.Posting> calls = partner.postings();
+    private static void report(String name, int limit, FakePartner partner, Map<String, Long> handed, long rss) {
+        List<FakePartner.Posting> calls = partner.postings();
         int most = 0;
         for (int from = 0, to = 0; to < calls.size(); to++) {
             while (calls.get(to).atNanos() - calls.get(from).atNanos() >= 1_000_000_000L) {
--- a/src/test/java/pipitstage/undeliverable/Campaign.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
@@ -1,4 +1,4 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -14,21 +14,31 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import pipitstage.Logic;
-import pipitstage.Policy;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
-import pipitstage.engine.Timers;
-import pipitstage.engine.WriteAhead;
-import pipitstage.journal.Journal;
-import pipitstage.standin.Scratch;
-import pipitstage.undeliverable.store.SqliteShelf;
+import loftflow.deadletter.store.SqliteDeadLetterStore;
+import loftflow.engine.Clock;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.Timers;
+import loftflow.engine.UpstreamClient;
+import loftflow.engine.WriteAheadLog;
+import loftflow.fake.TemporaryFolder;
+import loftflow.journal.Journal;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
+import loftflow.policy.api.Zone;
 
 /**
  * Seeded runs of the real engine, decision module, journal, desk and store in virtual time, with partners that fail in
@@ -38,7 +48,7 @@
  * <p>{@code Campaign RUNS [FIRST_SEED] [forgetful]} prints the count; {@code forgetful} takes the rule away that an
  * unknown outcome is no proof, and must find doubles.
  */
-public final class Campaign {
+public final class DeadLetterCampaign {
     private static final long SECOND = 1_000_000;
     private static final long WINDOW = 6 * SECOND;
     private static final int MESSAGES = 14;
@@ -130,12 +140,12 @@
     private long ends = Long.MAX_VALUE;
 
     private Journal journal;
-    private SqliteShelf shelf;
-    private Engine engine;
-    private Desk desk;
+    private SqliteDeadLetterStore shelf;
+    private DeliveryEngine engine;
+    private DeadLetterService desk;
     private int resends;
 
-    private Campaign(long seed, Path folder, boolean forgetful) {
+    private DeadLetterCampaign(long seed, Path folder, boolean forgetful) {
         this.seed = seed;
         random = new Random(seed);
         this.folder = folder;
@@ -144,8 +154,8 @@
 
     /** One run. */
     static Count run(long seed, boolean forgetful) throws IOException {
-        try (Scratch scratch = Scratch.named("campaign")) {
-            return new Campaign(seed, scratch.folder(), forgetful).play();
+        try (TemporaryFolder scratch = TemporaryFolder.named("campaign")) {
+            return new DeadLetterCampaign(seed, scratch.folder(), forgetful).play();
         }
     }
 
@@ -223,37 +233,29 @@
 
     // ---- a relay
 
-    private static Policy.Settings settings(long seed) {
-        return new Policy.Settings(
+    private static PolicySettings settings(long seed) {
+        return new PolicySettings(
                 seed,
                 0,
                 1,
                 "b0",
                 List.of(
-                        new Policy.RequestClass(
-                                "safe",
-                                Policy.Repeat.REPEATABLE,
-                                Policy.KeyScope.ALL,
-                                0,
-                                SECOND,
-                                4 * SECOND,
-                                1,
-                                0.1,
-                                false),
-                        new Policy.RequestClass(
+                        new RequestClass(
+                                "safe", Idempotency.IDEMPOTENT, KeyScope.ALL, 0, SECOND, 4 * SECOND, 1, 0.1, false),
+                        new RequestClass(
                                 "keyed",
-                                Policy.Repeat.BY_KEY,
-                                Policy.KeyScope.ZONE,
+                                Idempotency.IDEMPOTENT_BY_KEY,
+                                KeyScope.ZONE,
                                 WINDOW,
                                 SECOND,
                                 5 * SECOND,
                                 2,
                                 0.5,
                                 false),
-                        new Policy.RequestClass(
+                        new RequestClass(
                                 "unsafe",
-                                Policy.Repeat.ONCE,
-                                Policy.KeyScope.ALL,
+                                Idempotency.NON_IDEMPOTENT,
+                                KeyScope.ALL,
                                 0,
                                 SECOND,
                                 4 * SECOND,
@@ -261,21 +263,21 @@
                                 0.3,
                                 false)),
                 List.of(),
-                List.of(new Policy.Kind("k", false, 1)),
-                List.of(new Policy.Zone("b0", 0), new Policy.Zone("b1", 0)),
-                new Policy.Limits(8, 200, 12, true, false, false, false, true, SECOND),
-                new Policy.Rules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                List.of(new DestinationKind("k", false, 1)),
+                List.of(new Zone("b0", 0), new Zone("b1", 0)),
+                new RelayLimits(8, 200, 12, true, false, false, false, true, SECOND),
+                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
                 1,
                 false,
                 false,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
     }
 
     private void start() throws IOException {
         int mine = life;
         untilKill = kills < mostKills ? 1 + random.nextInt(60) : Integer.MAX_VALUE;
-        Policy.Settings settings = settings(random.nextLong());
+        PolicySettings settings = settings(random.nextLong());
         Clock clock = () -> now + skew;
         Timers timers = (micros, task) -> {
             boolean[] off = new boolean[1];
@@ -290,17 +292,24 @@
             return () -> off[0] = true;
         };
         journal = new Journal(folder.resolve("journal"), DISK);
-        shelf = SqliteShelf.open(folder, 1 << 30);
-        engine = new Engine(timers, clock, settings, 5_000, new KillableJournal(), Logic::new);
-        Map<String, Rules.Shelved> shelves = new HashMap<>();
-        settings.classes().forEach(t -> shelves.put(t.name(), new Rules.Shelved(t, 60 * SECOND)));
-        desk = new Desk(
+        shelf = SqliteDeadLetterStore.open(folder, 1 << 30);
+        engine = new DeliveryEngine(timers, clock, settings, 5_000, new KillableJournal(), DefaultDeliveryPolicy::new);
+        Map<String, RedrivePolicy.Shelved> shelves = new HashMap<>();
+        settings.classes().forEach(t -> shelves.put(t.name(), new RedrivePolicy.Shelved(t, 60 * SECOND)));
+        desk = new DeadLetterService(
                 timers,
                 clock,
                 engine,
                 new Queue(mine),
-                new Desk.Options(
-                        shelves, new Rules(SECOND / 2, SECOND), 2, 1 << 30, 1 << 29, 1_000_000, true, 3_600 * SECOND));
+                new DeadLetterService.Options(
+                        shelves,
+                        new RedrivePolicy(SECOND / 2, SECOND),
+                        2,
+                        1 << 30,
+                        1 << 29,
+                        1_000_000,
+                        true,
+                        3_600 * SECOND));
         engine.keepBy(desk);
         engine.attach(
                 new SimPartners(mine),
@@ -313,19 +322,19 @@
                             engine.noticeHeard(message);
                         },
                         mine));
-        List<Target> targets = new ArrayList<>();
+        List<Endpoint> targets = new ArrayList<>();
         for (int d = 0; d < DESTINATIONS; d++) {
             for (int r = 0; r < 2; r++) {
-                targets.add(new Target(
-                        new Policy.Listed("d" + d + "r" + r, d, "k", "b" + r, Policy.Availability.LISTED, 0), null));
+                targets.add(new Endpoint(
+                        new EndpointEntry("d" + d + "r" + r, d, "k", "b" + r, Availability.LISTED, 0), null));
             }
         }
-        engine.start(ListKind.FULL, 1, targets);
+        engine.start(EndpointListKind.FULL, 1, targets);
         desk.start();
         persons(mine);
     }
 
-    private final class KillableJournal implements WriteAhead {
+    private final class KillableJournal implements WriteAheadLog {
         @Override
         public long nextNumber() {
             return journal.nextNumber();
@@ -373,7 +382,7 @@
     }
 
     /** The store's thread: later, in order, and turned away at times. */
-    private final class Queue implements ShelfQueue {
+    private final class Queue implements DeadLetterStoreQueue {
         private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
         private final int whose;
 
@@ -382,7 +391,7 @@
         }
 
         @Override
-        public <T> boolean submit(Function<Shelf, T> task, Consumer<T> then, Runnable failed) {
+        public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
             if (random.nextInt(50) == 0) {
                 return false;
             }
@@ -398,14 +407,14 @@
     /** Takes the rule away that an unknown outcome is no proof. */
     @SuppressWarnings("unchecked")
     private static <T> T forget(T result) {
-        if (result instanceof List<?> list && !list.isEmpty() && list.get(0) instanceof Entry) {
-            return (T) list.stream().map(e -> forgotten((Entry) e)).toList();
+        if (result instanceof List<?> list && !list.isEmpty() && list.get(0) instanceof DeadLetter) {
+            return (T) list.stream().map(e -> forgotten((DeadLetter) e)).toList();
         }
         return result;
     }
 
-    private static Entry forgotten(Entry e) {
-        return new Entry(
+    private static DeadLetter forgotten(DeadLetter e) {
+        return new DeadLetter(
                 e.id(),
                 e.content(),
                 e.keptAt(),
@@ -416,16 +425,16 @@
                 e.word(),
                 e.resends(),
                 e.tries().stream()
-                        .map(t -> new Entry.Try(
+                        .map(t -> new DeadLetter.Try(
                                 t.route(),
                                 t.building(),
                                 t.sentAt(),
-                                t.ran() == Ran.MAYBE ? Result.NOT_SENT : t.result()))
+                                t.ran() == ExecutionCertainty.MAYBE ? AttemptOutcome.NOT_SENT : t.result()))
                         .toList());
     }
 
     /** Partners that answer, refuse, reset before and after the last byte, fall silent and answer late. */
-    private final class SimPartners implements Partners {
+    private final class SimPartners implements UpstreamClient {
         private final int whose;
         private final Set<Message.Attempt> out = new HashSet<>();
 
@@ -434,14 +443,14 @@
         }
 
         @Override
-        public void list(ListKind kind, List<Target> targets) {}
+        public void list(EndpointListKind kind, List<Endpoint> targets) {}
 
         @Override
         public void send(String route, List<Outgoing> outgoing) {
             outgoing.forEach(o -> send(route, o));
         }
 
-        private void end(Message.Attempt attempt, Result result, boolean over) {
+        private void end(Message.Attempt attempt, AttemptOutcome result, boolean over) {
             if (out.remove(attempt)) {
                 engine.ended(attempt, result, over, 0, LimitReport.NONE);
             }
@@ -453,20 +462,20 @@
             Message.Content c = attempt.message().content();
             int building = route.charAt(route.length() - 1) - '0';
             long delay = 10_000 + random.nextInt(150_000);
-            at(o.timeout(), () -> end(attempt, Result.TIMEOUT, false), whose);
+            at(o.timeout(), () -> end(attempt, AttemptOutcome.TIMEOUT, false), whose);
             int fate = random.nextInt(outage ? 10 : 20);
             if (fate < 2) {
-                at(delay, () -> end(attempt, Result.CONNECT_FAILED, false), whose);
+                at(delay, () -> end(attempt, AttemptOutcome.CONNECT_FAILED, false), whose);
             } else if (fate < 4) {
-                at(delay, () -> end(attempt, Result.FULL, false), whose);
+                at(delay, () -> end(attempt, AttemptOutcome.REJECTED, false), whose);
             } else if (fate < 5) {
-                at(delay, () -> end(attempt, Result.RESET, false), whose);
+                at(delay, () -> end(attempt, AttemptOutcome.RESET, false), whose);
             } else if (fate < 8) {
                 // It runs, at some time, and the connection breaks, or answers late, or never.
                 long runs = random.nextInt(6_000_000);
                 runs(c, building, runs);
                 if (fate == 5) {
-                    at(delay, () -> end(attempt, Result.RESET, false), whose);
+                    at(delay, () -> end(attempt, AttemptOutcome.RESET, false), whose);
                 } else if (fate == 6) {
                     at(
                             Math.max(runs + 10_000, o.timeout() + random.nextInt(9_000_000)),
@@ -481,7 +490,7 @@
                 return;
             } else {
                 runs(c, building, delay);
-                at(delay + 1, () -> end(attempt, Result.OK, true), whose);
+                at(delay + 1, () -> end(attempt, AttemptOutcome.OK, true), whose);
             }
         }
 
@@ -500,7 +509,7 @@
 
         @Override
         public void cancel(Message.Attempt attempt) {
-            end(attempt, Result.CANCELLED, false);
+            end(attempt, AttemptOutcome.CANCELLED, false);
         }
 
         @Override
@@ -520,19 +529,23 @@
                     if (now > ends) {
                         return;
                     }
-                    List<Entry> kept =
-                            shelf.list(new Shelf.Filter(Entry.State.KEPT, null, null, null, null, 0, 0), 0, 100, true);
+                    List<DeadLetter> kept = shelf.list(
+                            new DeadLetterStore.Filter(DeadLetter.State.KEPT, null, null, null, null, 0, 0),
+                            0,
+                            100,
+                            true);
                     if (!kept.isEmpty()) {
-                        Entry entry = kept.get(random.nextInt(kept.size()));
+                        DeadLetter entry = kept.get(random.nextInt(kept.size()));
                         String id = entry.content().callId();
                         boolean posted = world.effects.containsKey(id) || world.pending.getOrDefault(id, 0) > 0;
                         int what = random.nextInt(4);
                         if (what == 0 && !posted) {
-                            Entry.Word word = new Entry.Word(
+                            DeadLetter.Word word = new DeadLetter.Word(
                                     "clerk", "not in their books", entry.tries().size(), now + skew);
                             words += write(() -> shelf.word(entry.id(), word, 0)) ? 1 : 0;
                         } else if (what == 1 && random.nextInt(20) == 0) {
-                            if (write(() -> shelf.move(entry.id(), Entry.State.KEPT, Entry.State.DISCARDED, 0))) {
+                            if (write(() ->
+                                    shelf.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, 0))) {
                                 discarded.add(id);
                             }
                         } else {
@@ -601,9 +614,9 @@
     }
 
     private Count count() {
-        Map<String, Entry> entries = new HashMap<>();
+        Map<String, DeadLetter> entries = new HashMap<>();
         int torn = 0;
-        for (Entry entry : shelf.list(Shelf.Filter.ALL, 0, Integer.MAX_VALUE, false)) {
+        for (DeadLetter entry : shelf.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)) {
             torn += entries.put(entry.content().callId(), entry) != null ? 1 : 0;
         }
         Set<String> open = new HashSet<>();
@@ -617,10 +630,10 @@
         for (String id : taken) {
             int effects = world.effects.getOrDefault(id, 0);
             doubles += effects > 1 && !world.types.get(id).equals("safe") ? 1 : 0;
-            Entry entry = entries.get(id);
-            boolean isKept =
-                    entry != null && (entry.state() == Entry.State.KEPT || entry.state() == Entry.State.RESENDING);
-            boolean isGone = entry != null && entry.state() == Entry.State.DISCARDED;
+            DeadLetter entry = entries.get(id);
+            boolean isKept = entry != null
+                    && (entry.state() == DeadLetter.State.KEPT || entry.state() == DeadLetter.State.RESENDING);
+            boolean isGone = entry != null && entry.state() == DeadLetter.State.DISCARDED;
             boolean isRefused = refused.contains(id);
             boolean isDelivered = effects > 0 && !isKept && !isGone && !isRefused;
             if (!forgetful && (effects > 1 && !world.types.get(id).equals("safe") || open.contains(id))) {
--- a/src/test/java/pipitstage/undeliverable/CampaignTest.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaignTest.java
@@ -1,4 +1,4 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 /** A share of the campaign with fixed seeds; the whole is a command of its own. */
-class CampaignTest {
+class DeadLetterCampaignTest {
     @Test
     void nothingIsPostedTwiceNorLostWhateverFails() throws IOException {
-        Campaign.Count count = Campaign.runs(25, 1, false);
+        DeadLetterCampaign.Count count = DeadLetterCampaign.runs(25, 1, false);
         assertEquals(0, count.doubles(), count.toString());
         assertEquals(0, count.lost(), count.toString());
         assertEquals(0, count.torn(), count.toString());
@@ -26,6 +26,6 @@
     /** Proves that the count can count one. */
     @Test
     void withoutTheRuleThatAnUnknownOutcomeIsNoProofDoublesAreFound() throws IOException {
-        assertTrue(Campaign.runs(6, 1, true).doubles() > 0);
+        assertTrue(DeadLetterCampaign.runs(6, 1, true).doubles() > 0);
     }
 }
--- a/src/test/java/pipitstage/undeliverable/DeskTest.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterServiceTest.java
@@ -1,4 +1,4 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,24 +16,33 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import loftflow.deadletter.store.SqliteDeadLetterStore;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.engine.WriteAheadLog;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.Logic;
-import pipitstage.Policy;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
-import pipitstage.engine.WriteAhead;
-import pipitstage.undeliverable.store.SqliteShelf;
 
 /** The desk between a real engine, module and store, in a time that the test moves. */
-class DeskTest {
+class DeadLetterServiceTest {
     private static final long SECOND = 1_000_000;
     private static final long WINDOW = 30 * SECOND;
 
@@ -48,38 +57,38 @@
     private final List<Long> sentAt = new ArrayList<>();
     private final Set<Long> done = new HashSet<>();
     private final ArrayDeque<Runnable> held = new ArrayDeque<>();
-    private BiFunction<String, Message.Attempt, Result> fate = (route, attempt) -> Result.OK;
+    private BiFunction<String, Message.Attempt, AttemptOutcome> fate = (route, attempt) -> AttemptOutcome.OK;
     private long now = 1_000_000 * SECOND;
     private long order;
     private boolean storeFails;
     private boolean storeHolds;
-    private Shelf shelf;
-    private Engine engine;
-    private Desk desk;
+    private DeadLetterStore shelf;
+    private DeliveryEngine engine;
+    private DeadLetterService desk;
 
     @BeforeEach
     void prepare() {
-        shelf = SqliteShelf.open(folder, 1 << 30);
-        Policy.Settings settings = new Policy.Settings(
+        shelf = SqliteDeadLetterStore.open(folder, 1 << 30);
+        PolicySettings settings = new PolicySettings(
                 3,
                 0,
                 1,
                 "b0",
                 List.of(
-                        new Policy.RequestClass(
+                        new RequestClass(
                                 "keyed",
-                                Policy.Repeat.BY_KEY,
-                                Policy.KeyScope.ZONE,
+                                Idempotency.IDEMPOTENT_BY_KEY,
+                                KeyScope.ZONE,
                                 WINDOW,
                                 SECOND,
                                 2 * SECOND,
                                 1,
                                 0.5,
                                 false),
-                        new Policy.RequestClass(
+                        new RequestClass(
                                 "unsafe",
-                                Policy.Repeat.ONCE,
-                                Policy.KeyScope.ALL,
+                                Idempotency.NON_IDEMPOTENT,
+                                KeyScope.ALL,
                                 0,
                                 SECOND,
                                 2 * SECOND,
@@ -87,16 +96,16 @@
                                 0.3,
                                 false)),
                 List.of(),
-                List.of(new Policy.Kind("k", false, 1)),
+                List.of(new DestinationKind("k", false, 1)),
                 List.of(),
-                new Policy.Limits(8, 50, 12, true, false, false, false, true, SECOND),
-                new Policy.Rules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 50, 12, true, false, false, false, true, SECOND),
+                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
                 1,
                 false,
                 false,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
-        engine = new Engine(
+        engine = new DeliveryEngine(
                 (micros, task) -> {
                     boolean[] off = new boolean[1];
                     queue.add(new Due(now + micros, order++, () -> {
@@ -110,13 +119,13 @@
                 settings,
                 1_000,
                 new Memory(),
-                Logic::new);
-        Map<String, Rules.Shelved> shelves = Map.of(
+                DefaultDeliveryPolicy::new);
+        Map<String, RedrivePolicy.Shelved> shelves = Map.of(
                 "keyed",
-                new Rules.Shelved(settings.classes().get(0), 3_600 * SECOND),
+                new RedrivePolicy.Shelved(settings.classes().get(0), 3_600 * SECOND),
                 "unsafe",
-                new Rules.Shelved(settings.classes().get(1), 3_600 * SECOND));
-        desk = new Desk(
+                new RedrivePolicy.Shelved(settings.classes().get(1), 3_600 * SECOND));
+        desk = new DeadLetterService(
                 (micros, task) -> {
                     queue.add(new Due(now + micros, order++, task));
                     return () -> {};
@@ -124,10 +133,11 @@
                 () -> now,
                 engine,
                 new Queue(),
-                new Desk.Options(shelves, new Rules(SECOND, SECOND), 2, 1 << 30, 1 << 29, 1_000, true, 3_600 * SECOND));
+                new DeadLetterService.Options(
+                        shelves, new RedrivePolicy(SECOND, SECOND), 2, 1 << 30, 1 << 29, 1_000, true, 3_600 * SECOND));
         engine.keepBy(desk);
         engine.attach(new Calls(), message -> engine.noticeHeard(message));
-        engine.start(ListKind.FULL, 1, List.of(target("r0", "b0"), target("r1", "b1")));
+        engine.start(EndpointListKind.FULL, 1, List.of(target("r0", "b0"), target("r1", "b1")));
         desk.start();
         pass(SECOND);
     }
@@ -137,8 +147,8 @@
         shelf.close();
     }
 
-    private static Target target(String route, String building) {
-        return new Target(new Policy.Listed(route, 7, "k", building, Policy.Availability.LISTED, 0), null);
+    private static Endpoint target(String route, String building) {
+        return new Endpoint(new EndpointEntry(route, 7, "k", building, Availability.LISTED, 0), null);
     }
 
     private void pass(long span) {
@@ -151,9 +161,9 @@
         now = end;
     }
 
-    private final class Queue implements ShelfQueue {
+    private final class Queue implements DeadLetterStoreQueue {
         @Override
-        public <T> boolean submit(Function<Shelf, T> task, Consumer<T> then, Runnable failed) {
+        public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
             Runnable work = () -> {
                 if (storeFails) {
                     failed.run();
@@ -170,21 +180,21 @@
         }
     }
 
-    private final class Calls implements Partners {
+    private final class Calls implements UpstreamClient {
         @Override
-        public void list(ListKind kind, List<Target> targets) {}
+        public void list(EndpointListKind kind, List<Endpoint> targets) {}
 
         @Override
         public void send(String route, List<Outgoing> outgoing) {
             for (Outgoing o : outgoing) {
                 sent.add(o.attempt().message().content().callId() + "@" + route);
                 sentAt.add(now);
-                Result result = fate.apply(route, o.attempt());
-                long after = result == Result.TIMEOUT ? o.timeout() : 10_000;
+                AttemptOutcome result = fate.apply(route, o.attempt());
+                long after = result == AttemptOutcome.TIMEOUT ? o.timeout() : 10_000;
                 queue.add(new Due(
                         now + after,
                         order++,
-                        () -> engine.ended(o.attempt(), result, result == Result.OK, 0, LimitReport.NONE)));
+                        () -> engine.ended(o.attempt(), result, result == AttemptOutcome.OK, 0, LimitReport.NONE)));
             }
         }
 
@@ -199,7 +209,7 @@
     }
 
     /** A journal that holds what it is told and remembers what is done. */
-    private final class Memory implements WriteAhead {
+    private final class Memory implements WriteAheadLog {
         @Override
         public long nextNumber() {
             return 1;
@@ -256,8 +266,8 @@
                 });
     }
 
-    private Entry entry(String id) {
-        return shelf.list(Shelf.Filter.ALL, 0, 100, false).stream()
+    private DeadLetter entry(String id) {
+        return shelf.list(DeadLetterStore.Filter.ALL, 0, 100, false).stream()
                 .filter(e -> e.content().callId().equals(id))
                 .findFirst()
                 .orElseThrow();
@@ -265,7 +275,7 @@
 
     @Test
     void journalForgetsOnlyWhatTheStoreHas() {
-        fate = (route, attempt) -> Result.RESET;
+        fate = (route, attempt) -> AttemptOutcome.RESET;
         storeFails = true;
         handIn("m1", "unsafe");
         pass(5 * SECOND);
@@ -273,12 +283,12 @@
         storeFails = false;
         pass(SECOND);
         assertTrue(done.contains(1L));
-        assertEquals(Ran.MAYBE, entry("m1").ran());
+        assertEquals(ExecutionCertainty.MAYBE, entry("m1").ran());
     }
 
     @Test
     void keyedGoesOnlyToTheBuildingThatMayKnowItsKey() {
-        fate = (route, attempt) -> route.equals("r0") ? Result.RESET : Result.OK;
+        fate = (route, attempt) -> route.equals("r0") ? AttemptOutcome.RESET : AttemptOutcome.OK;
         for (int i = 0; i < 6; i++) {
             handIn("k" + i, "keyed");
             pass(3 * SECOND);
@@ -294,24 +304,24 @@
         }
         assertFalse(first.isEmpty(), "some went to r0 first: " + sent);
         for (String id : first) {
-            assertEquals(Entry.State.KEPT, entry(id).state());
-            assertTrue(desk.decide(entry(id)) instanceof Rules.AfterWord, "its window is over now");
+            assertEquals(DeadLetter.State.KEPT, entry(id).state());
+            assertTrue(desk.decide(entry(id)) instanceof RedrivePolicy.AfterWord, "its window is over now");
         }
     }
 
     @Test
     void windowThatClosesBeforeItsTurnComesSendsNothing() {
-        fate = (route, attempt) -> Result.RESET;
+        fate = (route, attempt) -> AttemptOutcome.RESET;
         handIn("k1", "keyed");
         pass(3 * SECOND);
         desk.pause(true);
         pass(10 * SECOND);
-        Entry kept = entry("k1");
-        assertEquals(Entry.State.KEPT, kept.state());
-        assertTrue(desk.decide(kept) instanceof Rules.Now, "open at decision: " + desk.decide(kept));
+        DeadLetter kept = entry("k1");
+        assertEquals(DeadLetter.State.KEPT, kept.state());
+        assertTrue(desk.decide(kept) instanceof RedrivePolicy.Now, "open at decision: " + desk.decide(kept));
         int before = sent.size();
         storeHolds = true;
-        List<Rules.Verdict> told = new ArrayList<>();
+        List<RedrivePolicy.Verdict> told = new ArrayList<>();
         desk.tryNow(kept, told::add);
         // The store has its turn only when the window is over.
         now += WINDOW;
@@ -319,22 +329,22 @@
         held.poll().run();
         pass(5 * SECOND);
         assertEquals(before, sent.size());
-        assertTrue(told.get(0) instanceof Rules.AfterWord, told.toString());
-        assertEquals(Entry.State.KEPT, entry("k1").state());
-        assertEquals(Entry.NEVER_DUE, entry("k1").due());
+        assertTrue(told.get(0) instanceof RedrivePolicy.AfterWord, told.toString());
+        assertEquals(DeadLetter.State.KEPT, entry("k1").state());
+        assertEquals(DeadLetter.NEVER_DUE, entry("k1").due());
     }
 
     @Test
     void nothingIsSentAgainWhileTheRelayDrains() {
-        fate = (route, attempt) -> Result.FULL;
+        fate = (route, attempt) -> AttemptOutcome.REJECTED;
         handIn("m1", "unsafe");
         pass(2_500_000);
         engine.freeze();
-        fate = (route, attempt) -> Result.OK;
+        fate = (route, attempt) -> AttemptOutcome.OK;
         int before = sent.size();
         pass(40 * SECOND);
         assertEquals(before, sent.size());
-        assertEquals(Ran.NEVER, entry("m1").ran());
+        assertEquals(ExecutionCertainty.NEVER, entry("m1").ran());
     }
 
     /** The module orders it by that among what is sent again, and beside what is new. */
@@ -346,20 +356,20 @@
                     attempt.message().entry() == 0
                             ? "new"
                             : attempt.message().content().line());
-            return attempt.message().entry() == 0 ? Result.NOT_SENT : Result.OK;
+            return attempt.message().entry() == 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK;
         };
         handIn("m1", "unsafe", "track-4");
         pass(60 * SECOND);
-        assertEquals(Entry.State.DELIVERED, entry("m1").state());
+        assertEquals(DeadLetter.State.DELIVERED, entry("m1").state());
         assertEquals("track-4", lines.get(lines.size() - 1));
     }
 
     @Test
     void messageThatThePartnerNeverTakesStaysKeptAndItsPausesGrow() {
-        fate = (route, attempt) -> Result.NOT_SENT; // as 413 is taken
+        fate = (route, attempt) -> AttemptOutcome.NOT_SENT; // as 413 is taken
         handIn("m1", "unsafe");
         pass(60 * SECOND);
-        assertEquals(Entry.State.KEPT, entry("m1").state());
+        assertEquals(DeadLetter.State.KEPT, entry("m1").state());
         int first = entry("m1").resends();
         pass(240 * SECOND);
         assertTrue(
@@ -371,13 +381,13 @@
     void backlogGoesOutOneAtATimeAtItsPace() {
         long kept = now;
         for (int i = 0; i < 40; i++) {
-            shelf.put(new Entry(
+            shelf.put(new DeadLetter(
                     0,
                     new Message.Content("m" + i, "unsafe", null, null, kept + i, 7, new byte[1]),
                     kept,
                     "",
                     "failed",
-                    Entry.State.KEPT,
+                    DeadLetter.State.KEPT,
                     kept,
                     null,
                     0,
@@ -395,41 +405,41 @@
 
     @Test
     void recalledResendIsNotTriedAnyMore() {
-        fate = (route, attempt) -> Result.RESET;
+        fate = (route, attempt) -> AttemptOutcome.RESET;
         handIn("m1", "unsafe");
         pass(3 * SECOND);
-        Entry kept = entry("m1");
-        shelf.word(kept.id(), new Entry.Word("clerk", "not in their books", 9, now), now);
-        fate = (route, attempt) -> Result.FULL;
+        DeadLetter kept = entry("m1");
+        shelf.word(kept.id(), new DeadLetter.Word("clerk", "not in their books", 9, now), now);
+        fate = (route, attempt) -> AttemptOutcome.REJECTED;
         pass(2 * SECOND);
-        assertEquals(Entry.State.RESENDING, entry("m1").state());
+        assertEquals(DeadLetter.State.RESENDING, entry("m1").state());
         Message first = new Message(1, kept.content());
         Message.Attempt late = first.addAttempt(
                 kept.tries().get(0).route(), kept.tries().get(0).sentAt());
         engine.late(late);
         pass(SECOND);
         int before = sent.size();
-        fate = (route, attempt) -> Result.OK;
+        fate = (route, attempt) -> AttemptOutcome.OK;
         pass(60 * SECOND);
-        assertEquals(Entry.State.DELIVERED, entry("m1").state());
+        assertEquals(DeadLetter.State.DELIVERED, entry("m1").state());
         assertEquals(before, sent.size());
     }
 
     @Test
     void windowIsNotTrustedWhereTheClockWasSetBackWhileTheRelayWasDown() {
         long ahead = now + 20 * SECOND;
-        shelf.put(new Entry(
+        shelf.put(new DeadLetter(
                 0,
                 new Message.Content("k1", "keyed", null, "k", ahead, 7, new byte[1]),
                 ahead,
                 "timeout",
                 "failed",
-                Entry.State.KEPT,
-                Entry.NEVER_DUE,
+                DeadLetter.State.KEPT,
+                DeadLetter.NEVER_DUE,
                 null,
                 0,
-                List.of(new Entry.Try("r0", "b0", ahead - SECOND, Result.TIMEOUT))));
-        Desk next = new Desk(
+                List.of(new DeadLetter.Try("r0", "b0", ahead - SECOND, AttemptOutcome.TIMEOUT))));
+        DeadLetterService next = new DeadLetterService(
                 (micros, task) -> {
                     queue.add(new Due(now + micros, order++, task));
                     return () -> {};
@@ -437,14 +447,14 @@
                 () -> now,
                 engine,
                 new Queue(),
-                new Desk.Options(
+                new DeadLetterService.Options(
                         Map.of(
                                 "keyed",
-                                new Rules.Shelved(
-                                        new Policy.RequestClass(
+                                new RedrivePolicy.Shelved(
+                                        new RequestClass(
                                                 "keyed",
-                                                Policy.Repeat.BY_KEY,
-                                                Policy.KeyScope.ZONE,
+                                                Idempotency.IDEMPOTENT_BY_KEY,
+                                                KeyScope.ZONE,
                                                 WINDOW,
                                                 SECOND,
                                                 2 * SECOND,
@@ -452,7 +462,7 @@
                                                 0.5,
                                                 false),
                                         3_600 * SECOND)),
-                        new Rules(SECOND, SECOND),
+                        new RedrivePolicy(SECOND, SECOND),
                         2,
                         1 << 30,
                         1 << 29,
@@ -461,22 +471,24 @@
                         3_600 * SECOND));
         next.start();
         pass(25 * SECOND);
-        Rules.Verdict verdict = next.decide(entry("k1"));
-        assertTrue(verdict instanceof Rules.AfterWord after && after.why().contains("restart"), verdict.toString());
+        RedrivePolicy.Verdict verdict = next.decide(entry("k1"));
+        assertTrue(
+                verdict instanceof RedrivePolicy.AfterWord after && after.why().contains("restart"),
+                verdict.toString());
     }
 
     @Test
     void entryWhoseEndTheStoreHasNotTakenIsNotSentBesideItself() {
-        fate = (route, attempt) -> Result.FULL;
+        fate = (route, attempt) -> AttemptOutcome.REJECTED;
         handIn("m1", "unsafe");
         pass(4 * SECOND);
-        assertEquals(Entry.State.RESENDING, entry("m1").state());
+        assertEquals(DeadLetter.State.RESENDING, entry("m1").state());
         // As after a restart: the store says kept, and a resend of it is out.
-        shelf.move(entry("m1").id(), Entry.State.RESENDING, Entry.State.KEPT, now);
-        List<Rules.Verdict> told = new ArrayList<>();
+        shelf.move(entry("m1").id(), DeadLetter.State.RESENDING, DeadLetter.State.KEPT, now);
+        List<RedrivePolicy.Verdict> told = new ArrayList<>();
         desk.tryNow(entry("m1"), told::add);
-        assertTrue(told.get(0) instanceof Rules.Later, told.toString());
-        assertEquals(Entry.State.KEPT, entry("m1").state());
+        assertTrue(told.get(0) instanceof RedrivePolicy.Later, told.toString());
+        assertEquals(DeadLetter.State.KEPT, entry("m1").state());
     }
 
     private static Message.Content content(String type) {
@@ -486,19 +498,19 @@
     @Test
     void fullStoreRefusesTheClassThatFailsAlone() {
         for (int i = 0; i < 999; i++) {
-            shelf.put(new Entry(
+            shelf.put(new DeadLetter(
                     0,
                     new Message.Content("old" + i, "unsafe", null, null, i, 7, new byte[1]),
                     now,
                     "",
                     "failed",
-                    Entry.State.DISCARDED,
-                    Entry.NEVER_DUE,
+                    DeadLetter.State.DISCARDED,
+                    DeadLetter.NEVER_DUE,
                     null,
                     0,
                     List.of()));
         }
-        fate = (route, attempt) -> Result.RESET;
+        fate = (route, attempt) -> AttemptOutcome.RESET;
         assertFalse(desk.refuses(content("unsafe")));
         handIn("m1", "unsafe");
         pass(3 * SECOND);
--- a/src/test/java/pipitstage/undeliverable/SqliteShelfTest.java
+++ b/src/test/java/loftflow/deadletter/SqliteDeadLetterStoreTest.java
@@ -1,4 +1,4 @@
-package pipitstage.undeliverable;
+package loftflow.deadletter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,21 +14,21 @@
 import java.sql.SQLException;
 import java.sql.Statement;
 import java.util.List;
+import loftflow.deadletter.store.SqliteDeadLetterStore;
+import loftflow.engine.Message;
+import loftflow.policy.api.AttemptOutcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Message;
-import pipitstage.undeliverable.store.SqliteShelf;
 
-class SqliteShelfTest {
+class SqliteDeadLetterStoreTest {
     @TempDir
     Path folder;
 
-    private Shelf shelf;
+    private DeadLetterStore shelf;
 
-    private Shelf open() {
-        shelf = SqliteShelf.open(folder, 1 << 30);
+    private DeadLetterStore open() {
+        shelf = SqliteDeadLetterStore.open(folder, 1 << 30);
         return shelf;
     }
 
@@ -39,17 +39,17 @@
         }
     }
 
-    private static Entry entry(String id, int destination, long due, Result... results) {
-        List<Entry.Try> tries = java.util.stream.IntStream.range(0, results.length)
-                .mapToObj(i -> new Entry.Try("r" + i, "b0", 100 + i, results[i]))
+    private static DeadLetter entry(String id, int destination, long due, AttemptOutcome... results) {
+        List<DeadLetter.Try> tries = java.util.stream.IntStream.range(0, results.length)
+                .mapToObj(i -> new DeadLetter.Try("r" + i, "b0", 100 + i, results[i]))
                 .toList();
-        return new Entry(
+        return new DeadLetter(
                 0,
                 new Message.Content(id, "unsafe", "acme", null, 500, destination, new byte[] {1, 2, 3}),
                 400,
                 "timeout",
                 "failed",
-                Entry.State.KEPT,
+                DeadLetter.State.KEPT,
                 due,
                 null,
                 0,
@@ -58,25 +58,34 @@
 
     @Test
     void entryComesBackWholeAfterAReopening() {
-        long id = open().put(entry("m1", 7, 900, Result.FULL, null, Result.TIMEOUT));
+        long id = open().put(entry("m1", 7, 900, AttemptOutcome.REJECTED, null, AttemptOutcome.TIMEOUT));
         shelf.close();
-        Entry back = open().get(id).orElseThrow();
+        DeadLetter back = open().get(id).orElseThrow();
         assertEquals("m1", back.content().callId());
         assertEquals(3, back.content().body().length);
-        assertEquals(entry("m1", 7, 900, Result.FULL, null, Result.TIMEOUT).tries(), back.tries());
-        assertEquals(Ran.MAYBE, back.ran());
         assertEquals(
-                0, shelf.list(Shelf.Filter.ALL, 0, 9, false).get(0).content().body().length, "bodies when asked");
+                entry("m1", 7, 900, AttemptOutcome.REJECTED, null, AttemptOutcome.TIMEOUT)
+                        .tries(),
+                back.tries());
+        assertEquals(ExecutionCertainty.MAYBE, back.ran());
+        assertEquals(
+                0,
+                shelf.list(DeadLetterStore.Filter.ALL, 0, 9, false)
+                        .get(0)
+                        .content()
+                        .body()
+                        .length,
+                "bodies when asked");
     }
 
-    private static Entry inLine(String id, String line) {
-        return new Entry(
+    private static DeadLetter inLine(String id, String line) {
+        return new DeadLetter(
                 0,
                 new Message.Content(id, "ordered", "acme", null, 500, 7, new byte[] {1}, null, line),
                 400,
                 "timeout",
                 "failed",
-                Entry.State.KEPT,
+                DeadLetter.State.KEPT,
                 900,
                 null,
                 0,
@@ -97,15 +106,15 @@
     void fileWithoutLinesGoesOn() throws SQLException {
         long id = open().put(inLine("m1", "track-4"));
         shelf.close();
-        try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(SqliteShelf.NAME));
+        try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(SqliteDeadLetterStore.NAME));
                 Statement statement = db.createStatement()) {
             statement.execute("ALTER TABLE entry DROP COLUMN line");
             statement.execute("PRAGMA user_version = 1");
         }
-        try (Shelf read = SqliteShelf.reading(folder)) {
+        try (DeadLetterStore read = SqliteDeadLetterStore.reading(folder)) {
             assertEquals(
                     List.of("m1"),
-                    read.list(Shelf.Filter.ALL, 0, 9, true).stream()
+                    read.list(DeadLetterStore.Filter.ALL, 0, 9, true).stream()
                             .map(e -> e.content().callId())
                             .toList());
         }
@@ -117,8 +126,8 @@
 
     @Test
     void sameMessageTwiceIsOneEntry() {
-        long id = open().put(entry("m1", 7, 900, Result.TIMEOUT));
-        assertEquals(id, shelf.put(entry("m1", 7, 900, Result.TIMEOUT)));
+        long id = open().put(entry("m1", 7, 900, AttemptOutcome.TIMEOUT));
+        assertEquals(id, shelf.put(entry("m1", 7, 900, AttemptOutcome.TIMEOUT)));
         assertEquals(1, shelf.size().entries());
         assertEquals(1, shelf.get(id).orElseThrow().tries().size());
     }
@@ -126,19 +135,19 @@
     @Test
     void onlyOneOfTwoMovesWins() {
         long id = open().put(entry("m1", 7, 900));
-        assertTrue(shelf.move(id, Entry.State.KEPT, Entry.State.RESENDING, 0));
-        assertFalse(shelf.move(id, Entry.State.KEPT, Entry.State.RESENDING, 0));
+        assertTrue(shelf.move(id, DeadLetter.State.KEPT, DeadLetter.State.RESENDING, 0));
+        assertFalse(shelf.move(id, DeadLetter.State.KEPT, DeadLetter.State.RESENDING, 0));
     }
 
     @Test
     void proofDeliversAndIsNeverTakenBack() {
-        long id = open().put(entry("m1", 7, 900, Result.TIMEOUT));
-        shelf.learn(id, new Entry.Try("r0", "b0", 100, Result.OK));
-        shelf.learn(id, new Entry.Try("r0", "b0", 100, Result.NOT_SENT));
-        shelf.resent(id, List.of(), Entry.State.KEPT, 0, "sent again: FULL");
+        long id = open().put(entry("m1", 7, 900, AttemptOutcome.TIMEOUT));
+        shelf.learn(id, new DeadLetter.Try("r0", "b0", 100, AttemptOutcome.OK));
+        shelf.learn(id, new DeadLetter.Try("r0", "b0", 100, AttemptOutcome.NOT_SENT));
+        shelf.resent(id, List.of(), DeadLetter.State.KEPT, 0, "sent again: FULL");
         assertEquals("a late answer", shelf.get(id).orElseThrow().why());
-        assertEquals(Entry.State.DELIVERED, shelf.get(id).orElseThrow().state());
-        assertEquals(Ran.DID, shelf.get(id).orElseThrow().ran());
+        assertEquals(DeadLetter.State.DELIVERED, shelf.get(id).orElseThrow().state());
+        assertEquals(ExecutionCertainty.DID, shelf.get(id).orElseThrow().ran());
         assertEquals(List.of(), shelf.due(Long.MAX_VALUE - 1, Integer.MIN_VALUE, 9));
     }
 
@@ -161,7 +170,7 @@
     void auditIsNeitherChangedNorRemoved() throws SQLException {
         open().audit(1, "clerk", "discard", 7, "posted by hand");
         assertEquals(1, shelf.audits(7).size());
-        try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(SqliteShelf.NAME));
+        try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(SqliteDeadLetterStore.NAME));
                 Statement statement = db.createStatement()) {
             assertThrows(SQLException.class, () -> statement.execute("UPDATE audit SET who = 'nobody'"));
             assertThrows(SQLException.class, () -> statement.execute("DELETE FROM audit"));
@@ -173,7 +182,7 @@
 
     @Test
     void fileThatIsNoDatabaseIsSetAsideWhole() throws IOException {
-        Path file = folder.resolve(SqliteShelf.NAME);
+        Path file = folder.resolve(SqliteDeadLetterStore.NAME);
         Files.writeString(file, "no database ".repeat(1_000));
         assertEquals(0, open().size().entries());
         try (var files = Files.list(folder)) {
@@ -188,10 +197,10 @@
     void damagedPageIsFoundAtTheStartAndSetAside() throws IOException {
         open();
         for (int i = 0; i < 200; i++) {
-            shelf.put(entry("m" + i, 7, 900, Result.TIMEOUT));
+            shelf.put(entry("m" + i, 7, 900, AttemptOutcome.TIMEOUT));
         }
         shelf.close();
-        Path file = folder.resolve(SqliteShelf.NAME);
+        Path file = folder.resolve(SqliteDeadLetterStore.NAME);
         byte[] bytes = Files.readAllBytes(file);
         java.util.Arrays.fill(bytes, 4_096, bytes.length, (byte) 0x5a);
         Files.write(file, bytes);
@@ -202,7 +211,8 @@
     @Test
     void folderThatIsNoneEndsWithAPlainLine() throws IOException {
         Path file = Files.writeString(folder.resolve("taken"), "");
-        String message = assertThrows(Shelf.ShelfException.class, () -> SqliteShelf.open(file, 1 << 30))
+        String message = assertThrows(
+                        DeadLetterStore.ShelfException.class, () -> SqliteDeadLetterStore.open(file, 1 << 30))
                 .getMessage();
         assertTrue(message.startsWith("undeliverable: "), message);
         assertEquals(1, message.lines().count());
@@ -211,9 +221,9 @@
     @Test
     void settledEntriesGoByAgeAndKeptOnesStay() {
         open();
-        long delivered = shelf.put(entry("m1", 7, 900, Result.OK));
-        long kept = shelf.put(entry("m2", 7, 900, Result.TIMEOUT));
-        shelf.move(delivered, Entry.State.KEPT, Entry.State.DELIVERED, 0);
+        long delivered = shelf.put(entry("m1", 7, 900, AttemptOutcome.OK));
+        long kept = shelf.put(entry("m2", 7, 900, AttemptOutcome.TIMEOUT));
+        shelf.move(delivered, DeadLetter.State.KEPT, DeadLetter.State.DELIVERED, 0);
         assertEquals(1, shelf.removeSettled(1_000, 10));
         assertTrue(shelf.get(kept).isPresent() && shelf.get(delivered).isEmpty());
     }
@@ -221,24 +231,24 @@
     /** The database's own full: what a full disk makes of it, at the same place in its code. */
     @Test
     void databaseThatCanGrowNoMoreTurnsAwayWholeEntriesAndKeepsTheOthers() {
-        shelf = SqliteShelf.open(folder, 256 << 10);
+        shelf = SqliteDeadLetterStore.open(folder, 256 << 10);
         int taken = 0;
-        Shelf.ShelfException full = null;
+        DeadLetterStore.ShelfException full = null;
         while (full == null) {
             try {
-                shelf.put(new Entry(
+                shelf.put(new DeadLetter(
                         0,
                         new Message.Content("m" + taken, "unsafe", null, null, 500 + taken, 7, new byte[3_000]),
                         400,
                         "timeout",
                         "failed",
-                        Entry.State.KEPT,
+                        DeadLetter.State.KEPT,
                         0,
                         null,
                         0,
-                        List.of(new Entry.Try("r0", "b0", 100, Result.TIMEOUT))));
+                        List.of(new DeadLetter.Try("r0", "b0", 100, AttemptOutcome.TIMEOUT))));
                 taken++;
-            } catch (Shelf.ShelfException e) {
+            } catch (DeadLetterStore.ShelfException e) {
                 full = e;
             }
         }
@@ -246,11 +256,12 @@
         assertTrue(taken > 20, "only " + taken);
         assertTrue(shelf.find("m" + taken, 500 + taken).isEmpty(), "nothing of what was turned away is left");
         assertTrue(shelf.size().bytes() <= 256 << 10, shelf.size().toString());
-        assertTrue(shelf.move(1, Entry.State.KEPT, Entry.State.DISCARDED, 0));
+        assertTrue(shelf.move(1, DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, 0));
         assertEquals(1, shelf.removeSettled(Long.MAX_VALUE, 9));
-        shelf.put(entry("m-later", 7, 900, Result.FULL));
+        shelf.put(entry("m-later", 7, 900, AttemptOutcome.REJECTED));
         shelf.close();
-        shelf = SqliteShelf.open(folder, 256 << 10);
-        assertEquals(taken, shelf.list(Shelf.Filter.ALL, 0, 10_000, false).size());
+        shelf = SqliteDeadLetterStore.open(folder, 256 << 10);
+        assertEquals(
+                taken, shelf.list(DeadLetterStore.Filter.ALL, 0, 10_000, false).size());
     }
 }
--- a/src/test/java/pipitstage/duplicates/SeenTest.java
+++ b/src/test/java/loftflow/deduplication/DeduplicatorTest.java
@@ -1,4 +1,4 @@
-package pipitstage.duplicates;
+package loftflow.deduplication;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class SeenTest {
+class DeduplicatorTest {
     private static final long SPAN = 1_000;
 
     @TempDir
@@ -22,13 +22,13 @@
 
     private long now = 1_000_000;
 
-    private SeenFile open(int most) throws IOException {
-        return new SeenFile(folder, SPAN, most, () -> now);
+    private DeduplicationFile open(int most) throws IOException {
+        return new DeduplicationFile(folder, SPAN, most, () -> now);
     }
 
     @Test
     void idIsKnownForItsSpanAndNotBeyond() {
-        SeenIds ids = new SeenIds(SPAN, 2);
+        DeduplicationWindow ids = new DeduplicationWindow(SPAN, 2);
         ids.add("a", 0);
         ids.add("b", 500);
         assertTrue(ids.contains("a", SPAN) && !ids.contains("a", SPAN + 1) && ids.contains("b", SPAN + 1));
@@ -39,13 +39,13 @@
 
     @Test
     void whatWasAddedOutlastsTheProcess() throws Exception {
-        try (SeenFile seen = open(9)) {
+        try (DeduplicationFile seen = open(9)) {
             seen.add("a");
             now += 600;
             seen.add("b");
         }
         now += 500;
-        try (SeenFile seen = open(9)) {
+        try (DeduplicationFile seen = open(9)) {
             assertFalse(seen.contains("a"), "its span is over");
             assertTrue(seen.contains("b"));
         }
@@ -53,7 +53,7 @@
 
     @Test
     void tornTailIsCutOffAndWhatIsWholeStays() throws Exception {
-        try (SeenFile seen = open(9)) {
+        try (DeduplicationFile seen = open(9)) {
             seen.add("a");
             seen.add("b");
         }
@@ -61,19 +61,19 @@
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut < whole.length; cut++) {
             Files.write(file, java.util.Arrays.copyOf(whole, cut), StandardOpenOption.TRUNCATE_EXISTING);
-            try (SeenFile seen = open(9)) {
+            try (DeduplicationFile seen = open(9)) {
                 assertEquals(cut >= whole.length / 2, seen.contains("a"), "cut at " + cut);
                 assertFalse(seen.contains("b"));
                 seen.add("c");
             }
-            try (SeenFile seen = open(9)) {
+            try (DeduplicationFile seen = open(9)) {
                 assertTrue(seen.contains("c"), "what comes behind a torn tail is kept");
             }
         }
         byte[] flipped = whole.clone();
         flipped[whole.length - 1] ^= 1;
         Files.write(file, flipped);
-        try (SeenFile seen = open(9)) {
+        try (DeduplicationFile seen = open(9)) {
             assertTrue(seen.contains("a") && !seen.contains("b"));
         }
     }
@@ -82,7 +82,7 @@
     void fileStaysBoundedAndSaysTheSameAsTheMemory() throws Exception {
         Random random = new Random(5);
         Set<String> added = new HashSet<>();
-        SeenFile seen = open(100_000);
+        DeduplicationFile seen = open(100_000);
         for (int i = 0; i < 20_000; i++) {
             now += random.nextInt(4);
             seen.add("id-" + i);
@@ -94,7 +94,7 @@
         }
         seen.close();
         assertTrue(Files.size(folder.resolve("seen.log")) < 3_000 * 40, "some 700 ids are in their span");
-        SeenFile again = open(100_000);
+        DeduplicationFile again = open(100_000);
         long known = added.stream().filter(again::contains).count();
         assertTrue(known > 400 && known < 1_000, "known: " + known);
         assertTrue(again.contains("id-19999") && !again.contains("id-1"));
@@ -106,14 +106,14 @@
         Path full = Path.of("/dev/full");
         org.junit.jupiter.api.Assumptions.assumeTrue(Files.exists(full));
         Files.createSymbolicLink(folder.resolve("seen.log"), full);
-        try (SeenFile seen = open(9)) {
+        try (DeduplicationFile seen = open(9)) {
             assertTrue(seen.hasRoom());
             seen.add("a");
             assertTrue(seen.contains("a"), "it is known as long as the process lasts");
             // The next look writes the file anew, beside the one that fails.
             assertTrue(seen.hasRoom());
         }
-        try (SeenFile seen = open(9)) {
+        try (DeduplicationFile seen = open(9)) {
             assertTrue(seen.contains("a"));
         }
     }
--- a/src/test/java/pipitstage/platform/BackoffTest.java
+++ b/src/test/java/loftflow/discovery/BackoffTest.java
@@ -1,4 +1,4 @@
-package pipitstage.platform;
+package loftflow.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/pipitstage/platform/DiscoveryTest.java
+++ b/src/test/java/loftflow/discovery/EndpointWatcherTest.java
@@ -1,9 +1,9 @@
-package pipitstage.platform;
+package loftflow.discovery;
 
+import static loftflow.fake.ScriptedPeer.answer;
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.standin.StubPeer.answer;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -17,22 +17,22 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import loftflow.engine.Endpoint;
+import loftflow.engine.EndpointListListener;
+import loftflow.fake.ScriptedPeer;
+import loftflow.fake.ScriptedPeer.Request;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.server.RelayProcess;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.ListKind;
-import pipitstage.engine.Membership;
-import pipitstage.engine.Target;
-import pipitstage.relay.RelayProcess;
-import pipitstage.standin.StubPeer;
-import pipitstage.standin.StubPeer.Request;
 
 /** The watch on discovery where answers are spoilt, or say nothing of what has changed. */
 @Timeout(60)
-class DiscoveryTest implements Membership {
+class EndpointWatcherTest implements EndpointListListener {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     /** What the relay knows, as it takes lists in. */
@@ -45,8 +45,8 @@
     /** So long the first list takes to be taken in, as for want of CPU. */
     private volatile long holdMs;
 
-    private StubPeer agent;
-    private Discovery discovery;
+    private ScriptedPeer agent;
+    private EndpointWatcher discovery;
 
     @AfterEach
     void end() throws IOException {
@@ -55,8 +55,8 @@
     }
 
     @Override
-    public void list(ListKind kind, long version, List<Target> targets) {
-        if (kind == ListKind.FULL) {
+    public void list(EndpointListKind kind, long version, List<Endpoint> targets) {
+        if (kind == EndpointListKind.FULL) {
             hosts.clear();
         }
         targets.forEach(t -> hosts.put(t.listed().route(), t.listed().availability()));
@@ -70,8 +70,8 @@
     }
 
     private void watch(Function<Request, String> answers) throws IOException {
-        agent = new StubPeer(answers);
-        discovery = new Discovery(
+        agent = new ScriptedPeer(answers);
+        discovery = new EndpointWatcher(
                 loop, new InetSocketAddress("127.0.0.1", agent.port()), this, () -> {}, Backoff.steady(20));
         loop.submit(discovery::start).syncUninterruptibly();
     }
@@ -101,7 +101,7 @@
         watch(request -> isWatch(request)
                 ? request.line().contains("after=1")
                         ? list(2, false, "{\"uid\":7}", entry("h2", "in_service"))
-                        : StubPeer.SILENCE
+                        : ScriptedPeer.SILENCE
                 : versions.isEmpty()
                         ? list(1, true, entry("h1", "in_service"))
                         : list(2, true, entry("h1", "terminating"), entry("h2", "in_service")));
@@ -120,7 +120,7 @@
                         entry("h2", "terminated").replace("\"pod_group\":7,", "\"pod_group\":70000000000,"))
                 : versions.isEmpty()
                         ? list(1, true, entry("h1", "in_service"), entry("h2", "in_service"))
-                        : StubPeer.SILENCE);
+                        : ScriptedPeer.SILENCE);
         await(() -> known.get("h1") == Availability.DRAINING);
         assertEquals(Map.of("h1", Availability.DRAINING), known);
     }
@@ -133,7 +133,7 @@
                 ? list(2, true, spoilt, entry("h2", "in_service"))
                 : versions.isEmpty()
                         ? list(1, true, entry("h1", "in_service"), entry("h2", "in_service"), entry("h3", "in_service"))
-                        : StubPeer.SILENCE);
+                        : ScriptedPeer.SILENCE);
         await(() -> versions.contains(2L));
         assertEquals(Map.of("h1", Availability.LISTED, "h2", Availability.LISTED), known);
     }
@@ -144,7 +144,7 @@
                 ? list(2, true, "17", entry("h2", "in_service"))
                 : versions.isEmpty()
                         ? list(1, true, entry("h1", "in_service"), entry("h2", "in_service"))
-                        : StubPeer.SILENCE);
+                        : ScriptedPeer.SILENCE);
         await(() -> versions.contains(2L));
         assertEquals(Map.of("h1", Availability.LISTED, "h2", Availability.LISTED), known);
     }
@@ -204,7 +204,7 @@
         });
         await(() -> known.get("h1") == Availability.DRAINING);
         long span = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - takenAt);
-        assertTrue(span >= Discovery.CHECK_MS, "lists cost the whole fleet: " + span + " ms");
+        assertTrue(span >= EndpointWatcher.CHECK_MS, "lists cost the whole fleet: " + span + " ms");
         assertTrue(span < 6000, "it counts as told: " + span + " ms");
     }
 
@@ -214,7 +214,7 @@
     void versionThatDoesNotFitIsAskedAfterAtOnce(int version) throws IOException {
         watch(request -> {
             if (isWatch(request)) {
-                return request.line().contains("after=5") ? list(version, false) : StubPeer.SILENCE;
+                return request.line().contains("after=5") ? list(version, false) : ScriptedPeer.SILENCE;
             }
             return versions.isEmpty()
                     ? list(5, true, entry("h1", "in_service"))
@@ -224,7 +224,7 @@
         // Far sooner than a watch that tells nothing is found out.
         long span = TimeUnit.NANOSECONDS.toMillis(
                 wholes().get(1).at() - wholes().get(0).at());
-        assertTrue(span < Discovery.CHECK_MS, "asked after " + span + " ms");
+        assertTrue(span < EndpointWatcher.CHECK_MS, "asked after " + span + " ms");
         await(() -> known.get("h1") == Availability.DRAINING);
     }
 
@@ -244,10 +244,10 @@
         watch(request -> {
             if (isWatch(request) && request.line().contains("after=1")) {
                 drip(agent.connections.get(agent.connections.size() - 1));
-                return StubPeer.CLOSE;
+                return ScriptedPeer.CLOSE;
             }
             return isWatch(request)
-                    ? StubPeer.SILENCE
+                    ? ScriptedPeer.SILENCE
                     : versions.isEmpty()
                             ? list(1, true, entry("h1", "in_service"))
                             : list(2, true, entry("h1", "terminating"));
@@ -273,11 +273,12 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void moveCrossesACall(boolean out) throws IOException {
-        watch(request ->
-                isWatch(request) ? out ? StubPeer.SILENCE : list(7, false) : list(7, true, entry("h1", "in_service")));
-        await(() -> agent.requests.stream().anyMatch(DiscoveryTest::isWatch));
-        try (StubPeer next = new StubPeer(
-                request -> isWatch(request) ? StubPeer.SILENCE : list(1, true, entry("h2", "in_service")))) {
+        watch(request -> isWatch(request)
+                ? out ? ScriptedPeer.SILENCE : list(7, false)
+                : list(7, true, entry("h1", "in_service")));
+        await(() -> agent.requests.stream().anyMatch(EndpointWatcherTest::isWatch));
+        try (ScriptedPeer next = new ScriptedPeer(
+                request -> isWatch(request) ? ScriptedPeer.SILENCE : list(1, true, entry("h2", "in_service")))) {
             loop.submit(() -> discovery.moveTo(new InetSocketAddress("127.0.0.1", next.port())))
                     .syncUninterruptibly();
             await(() -> Map.of("h2", Availability.LISTED).equals(known));
--- a/src/test/java/pipitstage/lab/ExperimentTest.java
+++ b/src/test/java/loftflow/experiment/ExperimentTest.java
@@ -1,4 +1,4 @@
-package pipitstage.lab;
+package loftflow.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -13,19 +13,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.LongStream;
+import loftflow.experiment.design.CapacitySearch;
+import loftflow.experiment.design.PairedComparison;
+import loftflow.experiment.design.RunOrder;
+import loftflow.experiment.design.SampleStatistics;
+import loftflow.experiment.results.ResultsFolder;
+import loftflow.experiment.scenario.RandomStreams;
+import loftflow.experiment.scenario.Scenario;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pipitstage.lab.experiment.Capacity;
-import pipitstage.lab.experiment.Order;
-import pipitstage.lab.experiment.Spread;
-import pipitstage.lab.experiment.Verdict;
-import pipitstage.lab.results.ResultsFolder;
-import pipitstage.lab.scenario.Draws;
-import pipitstage.lab.scenario.Scenario;
 
 /** What is run next, what runs say, and what is kept of them. */
 class ExperimentTest {
@@ -40,7 +40,7 @@
     @CsvSource({"6, 0, 0, 0.07", "12, 0, 0, 0.07", "30, 0, 0, 0.07", "12, 1.5, 0.9, 1", "30, 0.8, 0.9, 1", "5, 10, 0, 0"
     })
     void verdictFindsDifferencesAndFewThatAreNone(int pairs, double shift, double least, double most) {
-        UniformRandomProvider random = Draws.of(7, "noise", pairs);
+        UniformRandomProvider random = RandomStreams.of(7, "noise", pairs);
         var noise = ZigguratSampler.NormalizedGaussian.of(random);
         int found = 0;
         int covered = 0;
@@ -52,10 +52,12 @@
                 before.add(10 * noise.sample());
                 after.add(before.get(k) + shift + noise.sample());
             }
-            Verdict verdict = Verdict.of(before, after, true);
-            found += verdict.word() == Verdict.Word.BETTER || verdict.word() == Verdict.Word.WORSE ? 1 : 0;
+            PairedComparison verdict = PairedComparison.of(before, after, true);
+            found += verdict.word() == PairedComparison.Word.BETTER || verdict.word() == PairedComparison.Word.WORSE
+                    ? 1
+                    : 0;
             covered += verdict.low() <= shift && shift <= verdict.high() ? 1 : 0;
-            assertTrue(pairs >= Verdict.LEAST_PAIRS == (verdict.word() != Verdict.Word.TOO_FEW_RUNS));
+            assertTrue(pairs >= PairedComparison.LEAST_PAIRS == (verdict.word() != PairedComparison.Word.TOO_FEW_RUNS));
         }
         assertTrue(found / 400.0 >= least && found / 400.0 <= most, found + " of 400");
         assertTrue(pairs < 12 || covered / 400.0 > 0.88, "the interval holds the truth in " + covered + " of 400");
@@ -65,12 +67,17 @@
     void directionCountsAndNoDifferenceAtAllIsNone() {
         List<Double> low = List.of(1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0);
         List<Double> high = List.of(2.0, 3.1, 4.0, 5.2, 6.0, 7.0, 8.3);
-        assertEquals(Verdict.Word.BETTER, Verdict.of(low, high, true).word());
-        assertEquals(Verdict.Word.WORSE, Verdict.of(low, high, false).word());
         assertEquals(
-                Verdict.Word.NO_DIFFERENCE_SHOWN, Verdict.of(low, low, true).word());
-        assertThrows(IllegalArgumentException.class, () -> Verdict.of(low, List.of(1.0), true));
-        Spread spread = Spread.of(low);
+                PairedComparison.Word.BETTER,
+                PairedComparison.of(low, high, true).word());
+        assertEquals(
+                PairedComparison.Word.WORSE,
+                PairedComparison.of(low, high, false).word());
+        assertEquals(
+                PairedComparison.Word.NO_DIFFERENCE_SHOWN,
+                PairedComparison.of(low, low, true).word());
+        assertThrows(IllegalArgumentException.class, () -> PairedComparison.of(low, List.of(1.0), true));
+        SampleStatistics spread = SampleStatistics.of(low);
         assertEquals(
                 List.of(4.0, 1.0, 7.0, 1.5), List.of(spread.mean(), spread.least(), spread.most(), spread.range()));
         assertTrue(
@@ -80,8 +87,8 @@
     @Test
     void everySideFollowsEveryOtherAsOftenInOneOrderAsInTheOther() {
         List<Long> seeds = LongStream.range(0, 20).boxed().toList();
-        List<Order.Run> runs = Order.of(3, seeds, 5);
-        assertEquals(runs, Order.of(3, seeds, 5));
+        List<RunOrder.Run> runs = RunOrder.of(3, seeds, 5);
+        assertEquals(runs, RunOrder.of(3, seeds, 5));
         assertEquals(60, new HashSet<>(runs).size());
         int[][] ahead = new int[3][3];
         for (int block = 0; block < 20; block++) {
@@ -102,9 +109,9 @@
         double worst = 0;
         int runs = 0;
         for (int i = 0; i < 100; i++) {
-            UniformRandomProvider random = Draws.of(i, "edge", 0);
+            UniformRandomProvider random = RandomStreams.of(i, "edge", 0);
             var drawn = ZigguratSampler.NormalizedGaussian.of(random);
-            Capacity search = new Capacity(1, 0.05, 0.01, 100);
+            CapacitySearch search = new CapacitySearch(1, 0.05, 0.01, 100);
             while (!search.isDone()) {
                 assertTrue(search.runs() < 200, "it ends");
                 search.ran(search.next() * (1 + noise * drawn.sample()) <= edge);
@@ -117,10 +124,11 @@
         assertTrue(runs / 100 < 45, runs / 100 + " runs each");
     }
 
-    private static List<Lab.Side> same(String a, String b) throws IOException {
-        Scenario scenario =
-                Lab.read("s", Lab.named("one-slow-building")).scenario().withSpan(25_000_000, 1);
-        return List.of(new Lab.Side(a, scenario, null), new Lab.Side(b, scenario, null));
+    private static List<ExperimentRunner.Side> same(String a, String b) throws IOException {
+        Scenario scenario = ExperimentRunner.read("s", ExperimentRunner.named("one-slow-building"))
+                .scenario()
+                .withSpan(25_000_000, 1);
+        return List.of(new ExperimentRunner.Side(a, scenario, null), new ExperimentRunner.Side(b, scenario, null));
     }
 
     /** A kill after any byte of a record: what is whole stays, what is torn is run again, and the verdict is the same. */
@@ -128,9 +136,10 @@
     void experimentThatIsCutOffAnywhereGoesOnWithoutRepeatingWhatIsFinished() throws IOException {
         List<Long> seeds = List.of(1L, 2L, 3L);
         List<ResultsFolder.Result> made = new ArrayList<>();
-        Map<String, List<Lab.Compared>> whole;
+        Map<String, List<ExperimentRunner.Compared>> whole;
         try (ResultsFolder results = ResultsFolder.open(folder)) {
-            whole = Lab.compare(results, "x", same("A", "B"), seeds, Lab.emulator(), made::add);
+            whole = ExperimentRunner.compare(
+                    results, "x", same("A", "B"), seeds, ExperimentRunner.emulator(), made::add);
             assertThrows(IOException.class, () -> ResultsFolder.open(folder), "two at once");
         }
         assertEquals(6, made.size());
@@ -143,21 +152,25 @@
             try (ResultsFolder results = ResultsFolder.open(again)) {
                 int kept = results.results().size();
                 assertEquals(made.subList(0, kept), results.results());
-                assertEquals(whole, Lab.compare(results, "x", same("A", "B"), seeds, Lab.emulator(), remade::add));
+                assertEquals(
+                        whole,
+                        ExperimentRunner.compare(
+                                results, "x", same("A", "B"), seeds, ExperimentRunner.emulator(), remade::add));
                 assertEquals(made.subList(kept, 6), remade);
             }
         }
         try (ResultsFolder results = ResultsFolder.open(folder)) {
             List<ResultsFolder.Result> other = new ArrayList<>();
-            List<Lab.Side> sides = same("A", "B");
-            Lab.compare(
+            List<ExperimentRunner.Side> sides = same("A", "B");
+            ExperimentRunner.compare(
                     results,
                     "x",
                     List.of(
                             sides.get(0),
-                            new Lab.Side("B", sides.get(1).scenario().withSpan(25_000_000, 1.1), null)),
+                            new ExperimentRunner.Side(
+                                    "B", sides.get(1).scenario().withSpan(25_000_000, 1.1), null)),
                     seeds,
-                    Lab.emulator(),
+                    ExperimentRunner.emulator(),
                     other::add);
             assertEquals(3, other.size(), "a side that has changed is run anew, the other one is not");
         }
@@ -169,43 +182,43 @@
         Scenario scenario = same("A", "B").get(0).scenario();
         Path own = Path.of("target/classes");
         try (ResultsFolder results = ResultsFolder.open(folder)) {
-            Map<String, List<Lab.Compared>> verdicts = Lab.compare(
+            Map<String, List<ExperimentRunner.Compared>> verdicts = ExperimentRunner.compare(
                     results,
                     "x",
-                    List.of(new Lab.Side("A", scenario, null), new Lab.Side("B", scenario, own)),
+                    List.of(
+                            new ExperimentRunner.Side("A", scenario, null),
+                            new ExperimentRunner.Side("B", scenario, own)),
                     LongStream.range(0, 7).boxed().toList(),
-                    Lab.emulator(),
+                    ExperimentRunner.emulator(),
                     result -> {});
             assertTrue(
                     verdicts.get("B").stream()
-                            .allMatch(c -> c.verdict().word() == Verdict.Word.NO_DIFFERENCE_SHOWN
+                            .allMatch(c -> c.verdict().word() == PairedComparison.Word.NO_DIFFERENCE_SHOWN
                                     && c.verdict().effect() == 0),
                     verdicts.toString());
             // Any class of it that is another makes it another program, also one that the module's main class does not
             // show.
-            Path changed = folder.resolve("build/pipitstage");
+            Path changed = folder.resolve("build/loftflow/policy");
             Files.createDirectories(changed);
-            for (String part : List.of("Logic", "State")) {
-                try (var files = Files.list(own.resolve("pipitstage"))) {
-                    for (Path file : files.filter(
-                                    f -> f.getFileName().toString().matches(part + "(\\$.*)?\\.class"))
-                            .toList()) {
-                        Files.copy(file, changed.resolve(file.getFileName()));
-                    }
+            try (var files = Files.list(own.resolve("loftflow/policy"))) {
+                for (Path file :
+                        files.filter(f -> f.toString().endsWith(".class")).toList()) {
+                    Files.copy(file, changed.resolve(file.getFileName()));
                 }
             }
-            assertEquals(1, remade(results, scenario, changed.getParent()));
-            assertEquals(0, remade(results, scenario, changed.getParent()));
-            Files.copy(own.resolve("pipitstage/Fields.class"), changed.resolve("State$Other.class"));
-            assertEquals(1, remade(results, scenario, changed.getParent()));
+            Path build = folder.resolve("build");
+            assertEquals(1, remade(results, scenario, build));
+            assertEquals(0, remade(results, scenario, build));
+            Files.copy(own.resolve("loftflow/json/JsonFields.class"), changed.resolve("Route$Other.class"));
+            assertEquals(1, remade(results, scenario, build));
             assertThrows(
                     IOException.class,
-                    () -> Lab.compare(
+                    () -> ExperimentRunner.compare(
                             results,
                             "x",
-                            List.of(new Lab.Side("A", scenario, folder)),
+                            List.of(new ExperimentRunner.Side("A", scenario, folder)),
                             List.of(1L),
-                            Lab.emulator(),
+                            ExperimentRunner.emulator(),
                             result -> {}));
         }
     }
@@ -213,12 +226,14 @@
     /** How many runs a build's side takes that are not there. */
     private static int remade(ResultsFolder results, Scenario scenario, Path build) throws IOException {
         List<ResultsFolder.Result> made = new ArrayList<>();
-        Lab.compare(
+        ExperimentRunner.compare(
                 results,
                 "x",
-                List.of(new Lab.Side("A", scenario, null), new Lab.Side("B", scenario, build)),
+                List.of(
+                        new ExperimentRunner.Side("A", scenario, null),
+                        new ExperimentRunner.Side("B", scenario, build)),
                 List.of(0L),
-                Lab.emulator(),
+                ExperimentRunner.emulator(),
                 made::add);
         return made.size();
     }
@@ -226,8 +241,9 @@
     /** Its first burst is refused: 0.64 of its worth was delivered when each refusal of it cut the pace again. */
     @Test
     void youngRelayWithABacklogFindsItsPace() throws IOException {
-        Scenario scenario = Lab.read("young-burst", Lab.named("young-burst")).scenario();
-        Lab.Played played = Lab.play(scenario, 1);
+        Scenario scenario = ExperimentRunner.read("young-burst", ExperimentRunner.named("young-burst"))
+                .scenario();
+        ExperimentRunner.Played played = ExperimentRunner.play(scenario, 1);
         assertTrue(played.service().whole() > 0.8, "service " + played.service().whole());
         assertTrue(played.rules().isClean());
         assertTrue(played.service().peakLoad() < 1, "load " + played.service().peakLoad());
