--- a/src/test/java/pipitstage/lab/RealRunTest.java
+++ b/src/test/java/loftflow/experiment/LoopbackRunTest.java
@@ -1,4 +1,4 @@
-package pipitstage.lab;
+package loftflow.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,32 +12,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import loftflow.experiment.evaluation.ProgressSnapshot;
+import loftflow.experiment.evaluation.RuleChecker;
+import loftflow.experiment.history.MessageHistory;
+import loftflow.experiment.loopback.LoopbackRun;
+import loftflow.experiment.results.ResultsFolder;
+import loftflow.experiment.scenario.ArrivalGenerator;
+import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.lab.history.Ask;
-import pipitstage.lab.real.RealRun;
-import pipitstage.lab.results.ResultsFolder;
-import pipitstage.lab.scenario.Arrivals;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.service.Judge;
-import pipitstage.lab.service.Snapshot;
-import pipitstage.standin.ServedRelay;
 
 /** The second driver: whole relays on loopback play what the emulator plays. */
 @Timeout(120)
-class RealRunTest {
+class LoopbackRunTest {
     @TempDir
     Path folder;
 
     private static Scenario scenario(String failures) throws IOException {
-        String text = Lab.named("quiet-day")
+        String text = ExperimentRunner.named("quiet-day")
                 .replace("span = \"60s\"", "span = \"6s\"")
                 .replace("relays = 3", "relays = 2")
                 .replace("deadline = \"28s\"", "deadline = \"8s\"")
                 .replace("deadline = \"20s\"", "deadline = \"8s\"");
-        return Lab.read("real", text + failures).scenario();
+        return ExperimentRunner.read("real", text + failures).scenario();
     }
 
     /** A relay is killed in mid-run, a partner is down, an endpoint drains: every message has its end, and no rule is broken. */
@@ -67,8 +67,9 @@
                 group = "railways"
                 building = "yard"
                 """);
-        List<Snapshot> shown = new ArrayList<>();
-        Lab.Real real = Lab.real(scenario, 1, null, RealRun.Fleet.OWN, folder, shown::add);
+        List<ProgressSnapshot> shown = new ArrayList<>();
+        ExperimentRunner.Real real =
+                ExperimentRunner.real(scenario, 1, null, LoopbackRun.Fleet.OWN, folder, shown::add);
         assertEquals(
                 Map.of(),
                 real.played().rules().counts(),
@@ -82,16 +83,17 @@
                 real.played().service().toString());
         assertTrue(real.outcome().cpu() > 0);
         assertTrue(
-                shown.stream().anyMatch(s -> s.endpoints().get(0).meets() == Faults.Meets.DOWN && s.delivered() > 0),
+                shown.stream()
+                        .anyMatch(s -> s.endpoints().get(0).meets() == FaultSchedule.Meets.DOWN && s.delivered() > 0),
                 "what is down stands first: " + shown);
     }
 
     /** Nine in ten of what may go there go to one partner, and partners stop reading in mid-run: every message has its end in time. */
     @Test
     void oneDestinationWithNearlyAllAndPartnersThatStopReadingLeaveNothingOpen() throws Exception {
-        Scenario scenario = Lab.read(
+        Scenario scenario = ExperimentRunner.read(
                         "real",
-                        Lab.named("quiet-day")
+                        ExperimentRunner.named("quiet-day")
                                         .replace("span = \"60s\"", "span = \"5s\"\nload = 0.2")
                                         .replace("relays = 3", "relays = 1")
                                         .replace("deadline = \"28s\"", "deadline = \"4s\"")
@@ -103,7 +105,7 @@
                                                 "endpoints = 2\nbuildings = [\"main\", \"annex\"]")
                                 + "[[failure]]\nkind = \"silent\"\nat = \"2s\"\nlasts = \"2s\"\ngroup = \"elevators\"\n")
                 .scenario();
-        Lab.Real real = Lab.real(scenario, 1, null, RealRun.Fleet.OWN, folder, s -> {});
+        ExperimentRunner.Real real = ExperimentRunner.real(scenario, 1, null, LoopbackRun.Fleet.OWN, folder, s -> {});
         assertEquals(
                 Map.of(),
                 real.played().rules().counts(),
@@ -128,20 +130,22 @@
     /** Both sides of an experiment as whole relays, each with its own classes; and a bare proxy in a relay's place. */
     @Test
     void wholeRelaysAreComparedAndSoIsABareProxy() throws Exception {
-        Scenario scenario = Lab.read(
+        Scenario scenario = ExperimentRunner.read(
                         "s",
-                        Lab.named("full-core")
+                        ExperimentRunner.named("full-core")
                                 .replace("span = \"14s\"", "span = \"2s\"\nload = 0.05")
                                 .replace("ramp = \"4s\"", "ramp = \"0s\""))
                 .scenario();
         try (ResultsFolder results = ResultsFolder.open(folder.resolve("results"))) {
             List<ResultsFolder.Result> made = new ArrayList<>();
-            var verdicts = Lab.compare(
+            var verdicts = ExperimentRunner.compare(
                     results,
                     "x",
-                    List.of(new Lab.Side("A", scenario, null), new Lab.Side("B", scenario, Path.of("target/classes"))),
+                    List.of(
+                            new ExperimentRunner.Side("A", scenario, null),
+                            new ExperimentRunner.Side("B", scenario, Path.of("target/classes"))),
                     List.of(1L),
-                    Lab.relays(-1, folder.resolve("relays")),
+                    ExperimentRunner.relays(-1, folder.resolve("relays")),
                     made::add);
             assertTrue(
                     made.stream()
@@ -150,23 +154,23 @@
                     made.toString());
             assertTrue(verdicts.get("B").stream().anyMatch(c -> c.figure().equals("cpu-us")), verdicts.toString());
             // A build without a relay in it is no side.
-            Path empty = Files.createDirectories(folder.resolve("empty/pipitstage/cli"));
+            Path empty = Files.createDirectories(folder.resolve("empty/loftflow/cli"));
             Files.write(empty.resolve("Main.class"), new byte[] {1});
             assertThrows(
                     IOException.class,
-                    () -> Lab.compare(
+                    () -> ExperimentRunner.compare(
                             results,
                             "x",
-                            List.of(new Lab.Side("A", scenario, folder.resolve("empty"))),
+                            List.of(new ExperimentRunner.Side("A", scenario, folder.resolve("empty"))),
                             List.of(1L),
-                            Lab.relays(-1, folder.resolve("relays")),
+                            ExperimentRunner.relays(-1, folder.resolve("relays")),
                             made::add));
         }
         List<String> said = new ArrayList<>();
-        boolean held = Lab.played(
+        boolean held = ExperimentRunner.played(
                         scenario,
-                        new Lab.Wanted(0.9, 2_000),
-                        new RealRun.Fleet(new ServedRelay.Program(null, 0), true),
+                        new ExperimentRunner.Wanted(0.9, 2_000),
+                        new LoopbackRun.Fleet(new ServedRelay.Program(null, 0), true),
                         folder.resolve("relays"),
                         said::add)
                 .holds(1, 1);
@@ -194,9 +198,9 @@
                 lasts = "500ms"
                 """);
         boolean[] stalled = new boolean[1];
-        try (RealRun run = new RealRun(scenario, Scenario.Rules.USUAL, 1, RealRun.Fleet.OWN, folder)) {
-            RealRun.Outcome outcome = run.play(
-                    new Arrivals(scenario, scenario.layout(), 1),
+        try (LoopbackRun run = new LoopbackRun(scenario, Scenario.Rules.USUAL, 1, LoopbackRun.Fleet.OWN, folder)) {
+            LoopbackRun.Outcome outcome = run.play(
+                    new ArrivalGenerator(scenario, scenario.layout(), 1),
                     at -> {
                         if (at > 2_000_000 && !stalled[0]) {
                             stalled[0] = true;
@@ -216,9 +220,10 @@
             assertTrue(hit > 0, "what was due in the stall took so much longer");
             assertEquals(
                     Map.of(),
-                    Judge.of(scenario, Scenario.Rules.USUAL, outcome.history()).counts());
+                    RuleChecker.of(scenario, Scenario.Rules.USUAL, outcome.history())
+                            .counts());
             assertEquals(2, outcome.history().aways().size(), "one that is away does not die once more");
-            assertTrue(outcome.history().asks().stream().allMatch(a -> a.told() != Ask.Told.NOTHING));
+            assertTrue(outcome.history().asks().stream().allMatch(a -> a.told() != MessageHistory.Told.NOTHING));
         }
     }
 }
--- a/src/test/java/pipitstage/lab/RulesBrokenTest.java
+++ b/src/test/java/loftflow/experiment/RuleCheckerTest.java
@@ -1,4 +1,4 @@
-package pipitstage.lab;
+package loftflow.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,20 +12,25 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
+import loftflow.engine.WriteAheadLog;
+import loftflow.experiment.emulator.RelayComponents;
+import loftflow.experiment.evaluation.RuleChecker.Rule;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.DeliveryPolicy;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.ProbeCompleted;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import pipitstage.Logic;
-import pipitstage.Policy;
-import pipitstage.Policy.Result;
-import pipitstage.engine.WriteAhead;
-import pipitstage.lab.model.Program;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.service.Judge.Rule;
 
 /** Each rule is broken on purpose by a relay that is made badly in one respect, and found; a sound one breaks none there. */
-class RulesBrokenTest {
+class RuleCheckerTest {
     private static final long SECOND = 1_000_000;
 
     /** A relay with one fault, and a scenario in which it matters. */
@@ -33,11 +38,11 @@
         /** Takes what may have run for what has not: sends again, and twice takes effect. */
         TRUSTING(
                 Rule.TWICE,
-                hearing(e -> e instanceof Policy.Outcome o
-                                && (o.result() == Result.ERROR
-                                        || o.result() == Result.TIMEOUT
-                                        || o.result() == Result.RESET)
-                        ? outcome(o, Result.CONNECT_FAILED, 0)
+                hearing(e -> e instanceof AttemptCompleted o
+                                && (o.outcome() == AttemptOutcome.ERROR
+                                        || o.outcome() == AttemptOutcome.TIMEOUT
+                                        || o.outcome() == AttemptOutcome.RESET)
+                        ? outcome(o, AttemptOutcome.CONNECT_FAILED, 0)
                         : e),
                 "kind = \"errors\"\nat = \"5s\"\nlasts = \"20s\"\npart = 0.5"),
         /** The same relay; what is found is the call that was made with no proof. */
@@ -45,69 +50,71 @@
         /** Hears of no wait. */
         IMPATIENT(
                 Rule.WAIT,
-                hearing(e -> e instanceof Policy.Outcome o
-                        ? outcome(o, o.result(), 0)
-                        : e instanceof Policy.ProbeDone p
-                                ? new Policy.ProbeDone(p.route(), p.result(), 0, p.elapsed(), p.report())
+                hearing(e -> e instanceof AttemptCompleted o
+                        ? outcome(o, o.outcome(), 0)
+                        : e instanceof ProbeCompleted p
+                                ? new ProbeCompleted(p.route(), p.outcome(), 0, p.elapsedMicros(), p.limitReport())
                                 : e),
                 "kind = \"shut\"\nat = \"5s\"\nlasts = \"20s\""),
         /** Hears of no drain. */
         STUBBORN(
                 Rule.DRAINED,
-                hearing(e -> e instanceof Policy.RouteList l && l.kind() == Policy.ListKind.CHANGES ? null : e),
+                hearing(e -> e instanceof EndpointListReceived l && l.kind() == EndpointListKind.DELTA ? null : e),
                 "kind = \"drain\"\nat = \"5s\"\nlasts = \"20s\"\nshare = 0.2"),
         /** Learns nothing from failures, and goes on at a partner that returns cold. */
         DEAF(
                 Rule.OVERRUN,
-                hearing(e ->
-                        e instanceof Policy.Outcome o && o.result() != Result.OK ? outcome(o, Result.NOT_SENT, 0) : e),
+                hearing(e -> e instanceof AttemptCompleted o && o.outcome() != AttemptOutcome.OK
+                        ? outcome(o, AttemptOutcome.NOT_SENT, 0)
+                        : e),
                 "kind = \"shut\"\nat = \"5s\"\nlasts = \"15s\""),
         /** Comes back with nothing of what it had recorded. */
         FORGETFUL(
                 Rule.MISSING,
-                new Program(Logic::new, Bad::forgetting, UnaryOperator.identity()),
+                new RelayComponents(DefaultDeliveryPolicy::new, Bad::forgetting, UnaryOperator.identity()),
                 "kind = \"shut\"\nat = \"5s\"\nlasts = \"20s\"\n[[failure]]\nkind = \"relays-die\"\nat = \"15s\""),
         /** Has a clock that is a second behind. */
         SLOW(
                 Rule.LATE,
-                new Program(Logic::new, UnaryOperator.identity(), clock -> () -> clock.micros() - SECOND),
+                new RelayComponents(
+                        DefaultDeliveryPolicy::new, UnaryOperator.identity(), clock -> () -> clock.micros() - SECOND),
                 "kind = \"silent\"\nat = \"2s\"\nlasts = \"28s\"");
 
         private final Rule rule;
-        private final Program program;
+        private final RelayComponents program;
         private final String failure;
 
-        Bad(Rule rule, Program program, String failure) {
+        Bad(Rule rule, RelayComponents program, String failure) {
             this.rule = rule;
             this.program = program;
             this.failure = failure;
         }
 
-        private static Program hearing(Function<Policy.Event, Policy.Event> ear) {
-            return Program.of(settings -> {
-                Policy sound = new Logic(settings);
+        private static RelayComponents hearing(Function<PolicyEvent, PolicyEvent> ear) {
+            return RelayComponents.of(settings -> {
+                DeliveryPolicy sound = new DefaultDeliveryPolicy(settings);
                 return (now, events, actions) -> sound.onRound(
                         now, events.stream().map(ear).filter(e -> e != null).toList(), actions);
             });
         }
 
-        private static Policy.Event outcome(Policy.Outcome o, Result result, long wait) {
-            return new Policy.Outcome(
-                    o.id(), o.attempt(), o.route(), result, o.closed(), wait, o.elapsed(), o.report());
+        private static PolicyEvent outcome(AttemptCompleted o, AttemptOutcome result, long wait) {
+            return new AttemptCompleted(
+                    o.id(), o.attempt(), o.route(), result, o.closed(), wait, o.elapsedMicros(), o.limitReport());
         }
 
-        private static WriteAhead forgetting(WriteAhead journal) {
-            return (WriteAhead) Proxy.newProxyInstance(
+        private static WriteAheadLog forgetting(WriteAheadLog journal) {
+            return (WriteAheadLog) Proxy.newProxyInstance(
                     Bad.class.getClassLoader(),
-                    new Class<?>[] {WriteAhead.class},
+                    new Class<?>[] {WriteAheadLog.class},
                     (proxy, method, given) ->
                             method.getName().equals("open") ? List.of() : method.invoke(journal, given));
         }
 
         /** The same fault in one of a hundred scenarios' fleets. */
         Scenario atAHundred() throws IOException {
-            String text = Lab.named("hundred-roll");
-            return Lab.read(
+            String text = ExperimentRunner.named("hundred-roll");
+            return ExperimentRunner.read(
                             "bad",
                             text.substring(0, text.indexOf("[[failure]]"))
                                             .replace("span = \"45s\"", "span = \"30s\"")
@@ -117,7 +124,7 @@
         }
 
         Scenario scenario() throws IOException {
-            String text = Lab.named("quiet-day")
+            String text = ExperimentRunner.named("quiet-day")
                             .replace("span = \"60s\"", "span = \"30s\"")
                             .replace(
                                     "response = \"290ms\"",
@@ -126,7 +133,7 @@
                                     "response = \"250ms\"",
                                     "response = \"250ms\"\nwait = \"1500ms\"\ncold-from = 0.05\nwarm-up = \"20s\"")
                     + "\n[[failure]]\n" + failure;
-            return Lab.read("bad", text).scenario();
+            return ExperimentRunner.read("bad", text).scenario();
         }
     }
 
@@ -134,9 +141,9 @@
     @EnumSource(Bad.class)
     void badRelayIsFoundAndASoundOneIsNot(Bad bad) throws IOException {
         Map<Rule, Integer> found =
-                Lab.play(bad.scenario(), 1, bad.program).rules().counts();
+                ExperimentRunner.play(bad.scenario(), 1, bad.program).rules().counts();
         assertTrue(found.containsKey(bad.rule), bad + " breaks " + bad.rule + ", found " + found);
-        assertEquals(Map.of(), Lab.play(bad.scenario(), 1).rules().counts());
+        assertEquals(Map.of(), ExperimentRunner.play(bad.scenario(), 1).rules().counts());
     }
 
     /** A hundred relays before fourteen partners, all of them bad or all sound: what is found is the fault, ten to one at least. */
@@ -144,9 +151,10 @@
     @EnumSource(Bad.class)
     void badRelaysOfALargeFleetAreFoundAndSoundOnesAreNot(Bad bad) throws IOException {
         Map<Rule, Integer> found =
-                Lab.play(bad.atAHundred(), 1, bad.program).rules().counts();
+                ExperimentRunner.play(bad.atAHundred(), 1, bad.program).rules().counts();
         assertTrue(found.containsKey(bad.rule), bad + " breaks " + bad.rule + ", found " + found);
-        Map<Rule, Integer> sound = Lab.play(bad.atAHundred(), 1).rules().counts();
+        Map<Rule, Integer> sound =
+                ExperimentRunner.play(bad.atAHundred(), 1).rules().counts();
         assertTrue(sound.getOrDefault(bad.rule, 0) * 10 < found.get(bad.rule), "bad " + found + ", sound " + sound);
     }
 
@@ -154,7 +162,8 @@
     @ParameterizedTest
     @CsvSource({"hundred-herd, 1, 0.92", "hundred-roll, 1, 0.93", "hundred-outage, 3, 0.7"})
     void hundredRelaysKeepTheRules(String name, long seed, double service) throws IOException {
-        Lab.Played played = Lab.play(Lab.read(name, Lab.named(name)).scenario(), seed);
+        ExperimentRunner.Played played = ExperimentRunner.play(
+                ExperimentRunner.read(name, ExperimentRunner.named(name)).scenario(), seed);
         assertEquals(Map.of(), played.rules().counts());
         assertTrue(
                 played.service().figure() > service,
@@ -168,21 +177,21 @@
      */
     @Test
     void keptCasesFindTheirBadRelayAndNoSoundOne() throws Exception {
-        List<Cases.Case> cases = Cases.in(Path.of("src/test/resources/cases"));
+        List<RegressionCases.Case> cases = RegressionCases.in(Path.of("src/test/resources/cases"));
         assertEquals(
                 EnumSet.allOf(Rule.class),
-                EnumSet.copyOf(cases.stream().map(Cases.Case::rule).toList()));
-        for (Cases.Case one : cases) {
+                EnumSet.copyOf(cases.stream().map(RegressionCases.Case::rule).toList()));
+        for (RegressionCases.Case one : cases) {
             assertEquals(
                     Map.of(),
-                    Lab.play(one.scenario(), one.seed()).rules().counts(),
+                    ExperimentRunner.play(one.scenario(), one.seed()).rules().counts(),
                     one.file().toString());
             Bad bad = Stream.of(Bad.values())
                     .filter(b -> b.rule == one.rule())
                     .findFirst()
                     .orElseThrow();
             assertTrue(
-                    Lab.play(one.scenario(), one.seed(), bad.program)
+                    ExperimentRunner.play(one.scenario(), one.seed(), bad.program)
                             .rules()
                             .counts()
                             .containsKey(one.rule()),
@@ -193,13 +202,14 @@
     /** The whole of what a run says hangs on scenario, seed and program alone. */
     @Test
     void sameSeedGivesTheSameHistoryToTheByteAndAnotherDoesNot() throws IOException {
-        Scenario scenario = Lab.read("s", Lab.named("half-the-fleet-dies")).scenario();
+        Scenario scenario = ExperimentRunner.read("s", ExperimentRunner.named("half-the-fleet-dies"))
+                .scenario();
         assertEquals(text(scenario, 5), text(scenario, 5));
         assertTrue(!text(scenario, 5).equals(text(scenario, 6)));
     }
 
     private static String text(Scenario scenario, long seed) {
-        Lab.Played played = Lab.play(scenario, seed);
+        ExperimentRunner.Played played = ExperimentRunner.play(scenario, seed);
         StringBuilder text = new StringBuilder().append(played.service()).append(played.events());
         played.history().asks().forEach(a -> text.append(a.at())
                 .append(a.told())
@@ -212,16 +222,20 @@
     /** Writes the kept cases anew: the folder that they go to. */
     public static void main(String[] args) throws IOException {
         for (Bad bad : Bad.values()) {
-            System.out.println(Cases.save(
-                    Path.of(args[0]), Lab.minimize(bad.scenario(), 1, bad.rule, bad.program, 300), 1, bad.rule));
+            System.out.println(RegressionCases.save(
+                    Path.of(args[0]),
+                    ExperimentRunner.minimize(bad.scenario(), 1, bad.rule, bad.program, 300),
+                    1,
+                    bad.rule));
         }
     }
 
     /** A rule that breaks in a large scenario breaks in a small one, which says what it takes. */
     @Test
     void scenarioThatBreaksARuleIsMadeSmall() throws IOException {
-        Scenario large = Lab.read("s", Lab.named("brown-out")).scenario();
-        Scenario small = Lab.minimize(large, 1, Rule.UNPROVEN, Bad.TRUSTING.program, 200);
+        Scenario large =
+                ExperimentRunner.read("s", ExperimentRunner.named("brown-out")).scenario();
+        Scenario small = ExperimentRunner.minimize(large, 1, Rule.UNPROVEN, Bad.TRUSTING.program, 200);
         assertTrue(
                 small.failures().size() <= 1
                         && small.classes().size() == 1
@@ -229,6 +243,9 @@
                         && small.fleet().relays() == 1,
                 small.toString());
         assertEquals("settlement", small.classes().get(0).name());
-        assertTrue(Lab.play(small, 1, Bad.TRUSTING.program).rules().counts().containsKey(Rule.UNPROVEN));
+        assertTrue(ExperimentRunner.play(small, 1, Bad.TRUSTING.program)
+                .rules()
+                .counts()
+                .containsKey(Rule.UNPROVEN));
     }
 }
--- a/src/test/java/pipitstage/lab/ScenarioFileTest.java
+++ b/src/test/java/loftflow/experiment/ScenarioFileTest.java
@@ -1,4 +1,4 @@
-package pipitstage.lab;
+package loftflow.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,17 +10,17 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import loftflow.config.file.Finding;
+import loftflow.experiment.scenario.Arrival;
+import loftflow.experiment.scenario.ArrivalGenerator;
+import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.Scenario;
+import loftflow.experiment.scenario.ScenarioReader;
+import loftflow.experiment.scenario.ScenarioSchema;
+import loftflow.experiment.scenario.ScenarioWriter;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pipitstage.config.file.Finding;
-import pipitstage.lab.scenario.Arrival;
-import pipitstage.lab.scenario.Arrivals;
-import pipitstage.lab.scenario.Faults;
-import pipitstage.lab.scenario.Scenario;
-import pipitstage.lab.scenario.ScenarioFile;
-import pipitstage.lab.scenario.ScenarioForm;
-import pipitstage.lab.scenario.ScenarioText;
 
 /** Scenario files, and what they ask for: failures by seed, arrivals by rate. */
 class ScenarioFileTest {
@@ -64,12 +64,12 @@
                 "#end | [[failure] | * | "
             })
     void contradictionIsFound(String old, String changed, String key, String why) throws IOException {
-        String text = Lab.named("quiet-day") + "\n#end\n";
+        String text = ExperimentRunner.named("quiet-day") + "\n#end\n";
         assertTrue(text.contains(old.replace("\\n", "\n")), old);
         String broken = text.replaceFirst(
                 Pattern.quote(old.replace("\\n", "\n")),
                 Matcher.quoteReplacement(changed == null ? "" : changed.replace("\\n", "\n")));
-        ScenarioFile.Read read = Lab.read("broken", broken);
+        ScenarioReader.Read read = ExperimentRunner.read("broken", broken);
         assertEquals(null, read.scenario());
         assertTrue(
                 read.findings().stream()
@@ -83,25 +83,26 @@
     /** What stands in the repository is sound, and a scenario that is written reads the same. */
     @Test
     void namedScenariosAreSoundAndReadAsTheyAreWritten() throws IOException {
-        for (String name : Lab.NAMED) {
-            ScenarioFile.Read read = Lab.read(name, Lab.named(name));
+        for (String name : ExperimentRunner.NAMED) {
+            ScenarioReader.Read read = ExperimentRunner.read(name, ExperimentRunner.named(name));
             assertEquals(List.of(), read.findings());
             assertEquals(name, read.scenario().name());
             assertEquals(
                     read.scenario(),
-                    Lab.read(name, ScenarioText.of(read.scenario())).scenario());
+                    ExperimentRunner.read(name, ScenarioWriter.of(read.scenario()))
+                            .scenario());
         }
         try (var files = Files.list(Path.of("src/main/resources/scenarios"))) {
-            assertEquals(Lab.NAMED.size(), files.count());
+            assertEquals(ExperimentRunner.NAMED.size(), files.count());
         }
         assertEquals(
-                ScenarioForm.SCENARIO.reference(),
+                ScenarioSchema.SCENARIO.reference(),
                 Files.readString(Path.of("docs/operators/scenarios.md")),
                 "written by: loftflow lab reference");
     }
 
     private static Scenario with(String failure) throws IOException {
-        return Lab.read("s", Lab.named("quiet-day") + "\n[[failure]]\n" + failure)
+        return ExperimentRunner.read("s", ExperimentRunner.named("quiet-day") + "\n[[failure]]\n" + failure)
                 .scenario();
     }
 
@@ -119,25 +120,25 @@
                 "kind = \"drain\"\\nat = \"10s\"\\nlasts = \"10s\"\\ngroup = \"short-lines\"\\nshare = 0.4 | 4 | CALLS | 1 | 1"
             })
     void failureStrikesWhatItSaysAndWhileItLasts(
-            String failure, int struck, Faults.Meets meets, double able, double slower) throws IOException {
+            String failure, int struck, FaultSchedule.Meets meets, double able, double slower) throws IOException {
         Scenario scenario = with(failure.replace("\\n", "\n"));
         Scenario.Layout layout = scenario.layout();
-        Faults faults = Faults.of(scenario, layout, 3);
+        FaultSchedule faults = FaultSchedule.of(scenario, layout, 3);
         boolean drains = failure.contains("drain");
         List<Integer> hit = layout.endpoints().stream()
                 .map(Scenario.Endpoint::number)
                 .filter(e -> drains
                         ? faults.drains().stream().anyMatch(d -> d.endpoint() == e)
-                        : !faults.state(e, 15 * SECOND).equals(Faults.State.WELL))
+                        : !faults.state(e, 15 * SECOND).equals(FaultSchedule.State.WELL))
                 .toList();
         assertEquals(struck, hit.size(), hit.toString());
         for (int e : hit) {
-            assertEquals(Faults.State.WELL, faults.state(e, 9 * SECOND));
+            assertEquals(FaultSchedule.State.WELL, faults.state(e, 9 * SECOND));
             assertEquals(meets, faults.state(e, 15 * SECOND).meets());
             assertEquals(slower, faults.state(e, 15 * SECOND).slower(), 1e-9);
             assertEquals(able, faults.state(e, 25 * SECOND).able(), 1e-9);
             assertEquals(
-                    drains ? Faults.Meets.GONE : Faults.Meets.CALLS,
+                    drains ? FaultSchedule.Meets.GONE : FaultSchedule.Meets.CALLS,
                     faults.state(e, 25 * SECOND).meets());
         }
     }
@@ -145,7 +146,7 @@
     @Test
     void limitsAreLoweredWhileItLastsAndRelaysRollATenthAtATime() throws IOException {
         Scenario scenario = with("kind = \"limits\"\nat = \"10s\"\nlasts = \"10s\"\ngroup = \"railways\"\npart = 0.25");
-        Faults faults = Faults.of(scenario, scenario.layout(), 3);
+        FaultSchedule faults = FaultSchedule.of(scenario, scenario.layout(), 3);
         assertEquals(
                 List.of(1.0, 0.25, 1.0),
                 List.of(
@@ -154,14 +155,16 @@
                         faults.state(0, 20 * SECOND).limited()));
         assertEquals(1, faults.state(9, 15 * SECOND).limited(), "an elevator's");
         assertEquals(1, faults.state(0, 25 * SECOND).able(), "nobody comes back cold");
-        Scenario roll = Lab.read(
+        Scenario roll = ExperimentRunner.read(
                         "s",
-                        Lab.named("quiet-day").replace("relays = 3", "relays = 25")
+                        ExperimentRunner.named("quiet-day").replace("relays = 3", "relays = 25")
                                 + "\n[[failure]]\nkind = \"relays-roll\"\nat = \"10s\"\nlasts = \"20s\"")
                 .scenario();
-        List<Faults.Death> deaths = Faults.of(roll, roll.layout(), 1).deaths();
-        assertEquals(25, deaths.stream().map(Faults.Death::relay).distinct().count());
-        assertEquals(10, deaths.stream().map(Faults.Death::at).distinct().count());
+        List<FaultSchedule.Death> deaths =
+                FaultSchedule.of(roll, roll.layout(), 1).deaths();
+        assertEquals(
+                25, deaths.stream().map(FaultSchedule.Death::relay).distinct().count());
+        assertEquals(10, deaths.stream().map(FaultSchedule.Death::at).distinct().count());
         assertEquals(
                 List.of(10 * SECOND, 28 * SECOND),
                 List.of(deaths.get(0).at(), deaths.get(24).at()));
@@ -173,12 +176,15 @@
         Scenario scenario = with("kind = \"down\"\nat = \"0s\"\nlasts = \"1s\"\nhazard = 600\nshare = 0.1");
         double strikes = 0;
         for (long seed = 0; seed < 200; seed++) {
-            strikes += Faults.of(scenario, scenario.layout(), seed).strikes().size();
+            strikes += FaultSchedule.of(scenario, scenario.layout(), seed)
+                    .strikes()
+                    .size();
         }
         assertEquals(10, strikes / 200, 0.7, "ten a minute");
         Scenario dies = with("kind = \"relays-die\"\nat = \"5s\"\nshare = 0.5");
-        assertEquals(2, Faults.of(dies, dies.layout(), 1).deaths().size(), "half of three, rounded");
-        Faults silent = Faults.of(with("kind = \"discovery\"\nat = \"5s\"\nlasts = \"4s\""), scenario.layout(), 1);
+        assertEquals(2, FaultSchedule.of(dies, dies.layout(), 1).deaths().size(), "half of three, rounded");
+        FaultSchedule silent =
+                FaultSchedule.of(with("kind = \"discovery\"\nat = \"5s\"\nlasts = \"4s\""), scenario.layout(), 1);
         assertEquals(
                 List.of(4 * SECOND, 9 * SECOND, 9 * SECOND),
                 List.of(silent.told(4 * SECOND), silent.told(6 * SECOND), silent.told(9 * SECOND)));
@@ -188,7 +194,8 @@
     @ParameterizedTest
     @CsvSource({"0, 8", "0.3, 8", "1, 50"})
     void arrivalsKeepTheirRates(double clumped, int clump) throws IOException {
-        Scenario quiet = Lab.read("s", Lab.named("quiet-day")).scenario();
+        Scenario quiet =
+                ExperimentRunner.read("s", ExperimentRunner.named("quiet-day")).scenario();
         Scenario scenario = new Scenario(
                 "s",
                 "",
@@ -201,7 +208,7 @@
                 quiet.tenants(),
                 quiet.groups(),
                 List.of());
-        Arrivals arrivals = new Arrivals(scenario, scenario.layout(), 1);
+        ArrivalGenerator arrivals = new ArrivalGenerator(scenario, scenario.layout(), 1);
         long count = 0;
         long orders = 0;
         long last = 0;
@@ -220,12 +227,12 @@
     /** What waits at the beginning comes first, and leaves what comes later as it is. */
     @Test
     void backlogComesAtOnceAndChangesNothingElse() throws IOException {
-        String text = Lab.named("quiet-day");
-        Scenario quiet = Lab.read("s", text).scenario();
-        Scenario young = Lab.read("s", text.replace("[clients]\n", "[clients]\nbacklog = 40\n"))
+        String text = ExperimentRunner.named("quiet-day");
+        Scenario quiet = ExperimentRunner.read("s", text).scenario();
+        Scenario young = ExperimentRunner.read("s", text.replace("[clients]\n", "[clients]\nbacklog = 40\n"))
                 .scenario();
-        Arrivals usual = new Arrivals(quiet, quiet.layout(), 1);
-        Arrivals arrivals = new Arrivals(young, young.layout(), 1);
+        ArrivalGenerator usual = new ArrivalGenerator(quiet, quiet.layout(), 1);
+        ArrivalGenerator arrivals = new ArrivalGenerator(young, young.layout(), 1);
         for (int i = 0; i < 40; i++) {
             assertEquals(0, arrivals.next().at());
         }
--- a/src/test/java/pipitstage/lab/model/LimitTest.java
+++ b/src/test/java/loftflow/experiment/emulator/LimitTest.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.model;
+package loftflow.experiment.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -23,7 +23,7 @@
     })
     void limitTakesItsCallsOrNoneWhereRefusedOnesCount(
             int rate, boolean refusalsCount, double part, int served, double left) {
-        EndpointModel.Limit limit = new EndpointModel.Limit(10, refusalsCount);
+        EmulatedEndpoint.Limit limit = new EmulatedEndpoint.Limit(10, refusalsCount);
         int taken = 0;
         for (int i = 0; i < 10 * rate; i++) {
             taken += limit.takes(i * SECOND / rate, part) && i >= 5 * rate ? 1 : 0;
--- a/src/test/java/pipitstage/lab/real/PaceTest.java
+++ b/src/test/java/loftflow/experiment/loopback/OpenLoopScheduleTest.java
@@ -1,4 +1,4 @@
-package pipitstage.lab.real;
+package loftflow.experiment.loopback;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.IntStream;
+import loftflow.experiment.scenario.Arrival;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pipitstage.lab.scenario.Arrival;
 
 /** What a machine can't send in time leaves late, is counted as that, and is never left out. */
-class PaceTest {
+class OpenLoopScheduleTest {
     /** So many messages, so many microseconds apart, of which each takes so long to send. */
     @ParameterizedTest
     @CsvSource({"1000, 100, 1000", "10000, 0, 20"})
     void rateBeyondTheMachineShowsAsLateness(int count, long apart, long takes) {
         List<Arrival> sent = new ArrayList<>();
-        Pace pace = new Pace(
+        OpenLoopSchedule pace = new OpenLoopSchedule(
                 IntStream.range(0, count)
                         .mapToObj(i -> new Arrival(i * apart, 0, -1, i, 0))
                         .iterator(),
@@ -37,6 +37,6 @@
                 pace.lateness().p99() >= least * 9 / 10
                         && pace.lateness().most() >= pace.lateness().p99(),
                 pace.lateness() + ", at least " + least);
-        assertTrue(!new RealRun.Outcome(null, pace.lateness(), 0).isValid());
+        assertTrue(!new LoopbackRun.Outcome(null, pace.lateness(), 0).isValid());
     }
 }
--- a/src/test/java/pipitstage/standin/StandInBrokerTest.java
+++ b/src/test/java/loftflow/fake/FakeBrokerTest.java
@@ -1,4 +1,4 @@
-package pipitstage.standin;
+package loftflow.fake;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,22 +21,22 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loftflow.fake.FakeBroker.Fate;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pipitstage.standin.StandInBroker.Fate;
 
 /** The stand-in broker, met by RabbitMQ's own client. */
 @Timeout(60)
-class StandInBrokerTest {
-    private StandInBroker broker;
+class FakeBrokerTest {
+    private FakeBroker broker;
     private Connection connection;
     private Channel channel;
 
     @BeforeEach
     void connect() throws Exception {
-        broker = new StandInBroker();
+        broker = new FakeBroker();
         connection = factory().newConnection();
         channel = connection.createChannel();
     }
@@ -178,11 +178,11 @@
 
     @Test
     void cutsEndConnectionsAnywhereAndHeartbeatsKeepThem() throws Exception {
-        broker.cut(new StandInBroker.Cut(() -> 0, () -> 100));
+        broker.cut(new FakeBroker.Cut(() -> 0, () -> 100));
         assertThrows(IOException.class, () -> factory().newConnection());
-        broker.cut(new StandInBroker.Cut(() -> 300, () -> 0));
+        broker.cut(new FakeBroker.Cut(() -> 300, () -> 0));
         assertThrows(IOException.class, () -> factory().newConnection());
-        broker.cut(StandInBroker.Cut.NEVER);
+        broker.cut(FakeBroker.Cut.NEVER);
         broker.heartbeat(1);
         try (Connection beating = factory().newConnection()) {
             assertEquals(1, beating.getHeartbeat());
--- a/src/test/java/pipitstage/http/ConnectionTimerTest.java
+++ b/src/test/java/loftflow/http/ConnectionTimerTest.java
@@ -1,4 +1,4 @@
-package pipitstage.http;
+package loftflow.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/pipitstage/pairs/AmqpCampaign.java
+++ b/src/test/java/loftflow/interop/AmqpCampaign.java
@@ -1,4 +1,4 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -19,22 +19,22 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import pipitstage.amqp.codec.Command;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.amqp.link.ClientLink;
-import pipitstage.amqp.link.ServerLink;
-import pipitstage.amqp.mapping.Mapping;
-import pipitstage.amqp.mapping.Source;
-import pipitstage.engine.Engine;
-import pipitstage.front.amqp.AmqpServer;
-import pipitstage.front.amqp.QueueConsumer;
-import pipitstage.front.amqp.Replies;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.StandInBroker;
-import pipitstage.standin.StandInBroker.Fate;
+import loftflow.amqp.codec.Command;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.amqp.link.AmqpServerConnection;
+import loftflow.amqp.mapping.MessageMapping;
+import loftflow.amqp.mapping.ValueSource;
+import loftflow.engine.DeliveryEngine;
+import loftflow.fake.FakeBroker;
+import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.TemporaryFolder;
+import loftflow.listener.amqp.AmqpListener;
+import loftflow.listener.amqp.CompletionReplier;
+import loftflow.listener.amqp.QueueConsumer;
 
 /**
  * Seeded runs of a relay between AMQP on both sides, on loopback sockets: connections that end at drawn bytes, brokers that
@@ -93,7 +93,7 @@
     }
 
     static Tally run(int runs, long seed, boolean forgetful, int sideBySide) throws Exception {
-        return Runs.play(
+        return CampaignRuns.play(
                 runs,
                 seed,
                 sideBySide,
@@ -109,7 +109,7 @@
         private final boolean listens;
         private final String host;
         private final int listenPort;
-        private AmqpServer server;
+        private AmqpListener server;
         private QueueConsumer consumer;
 
         Way(int brokerPort, boolean listens, String host, int listenPort) {
@@ -120,32 +120,32 @@
         }
 
         @Override
-        public Replies make(CampaignRelay relay) {
-            Mapping mapping = new Mapping(
-                    List.of(new Mapping.Rule(
+        public CompletionReplier make(CampaignRelay relay) {
+            MessageMapping mapping = new MessageMapping(
+                    List.of(new MessageMapping.Rule(
                             null,
-                            Source.of("property:message-id"),
-                            Source.of("property:type"),
+                            ValueSource.of("property:message-id"),
+                            ValueSource.of("property:type"),
                             null,
-                            Source.of("header:Idempotency-Key"),
-                            Source.of("fixed:7"),
-                            Source.of("property:expiration"))),
+                            ValueSource.of("header:Idempotency-Key"),
+                            ValueSource.of("fixed:7"),
+                            ValueSource.of("property:expiration"))),
                     CampaignRelay.settings().classes());
-            Engine engine = relay.engine();
+            DeliveryEngine engine = relay.engine();
             if (listens) {
-                server = new AmqpServer(
+                server = new AmqpListener(
                         engine,
                         relay.clock(),
                         relay.pulse(),
                         mapping,
                         relay.seen(),
-                        new AmqpServer.Options(
+                        new AmqpListener.Options(
                                 "front",
                                 "loftflow",
                                 null,
                                 null,
                                 20,
-                                new ServerLink.Offer("loftflow", 20, 8 << 10, 2),
+                                new AmqpServerConnection.Offer("loftflow", 20, 8 << 10, 2),
                                 600 * SECOND),
                         engine::noticeHeard,
                         message -> {});
@@ -160,7 +160,7 @@
                     relay.seen(),
                     new QueueConsumer.Options(
                             "front",
-                            new ClientLink.Broker(
+                            new AmqpClientConnection.Broker(
                                     new InetSocketAddress("127.0.0.1", brokerPort), CampaignRelay.LOGIN, null, null),
                             "in",
                             5,
@@ -184,7 +184,7 @@
     }
 
     /** A program that publishes to the relay's listener, again where it has heard nothing, and takes its ends. */
-    private static final class Publisher implements ClientLink.Owner {
+    private static final class Publisher implements AmqpClientConnection.Owner {
         private final EventLoop loop;
         private final String host;
         private volatile int port;
@@ -192,7 +192,7 @@
         private final TreeMap<Long, String> out = new TreeMap<>();
         private final Map<String, Set<String>> ends = new ConcurrentHashMap<>();
         private final Set<String> taken = ConcurrentHashMap.newKeySet();
-        private ClientLink link;
+        private AmqpClientConnection link;
         private long published;
         private boolean ready;
 
@@ -212,10 +212,13 @@
                 return;
             }
             // A relay that is killed in this same process may leave a socket behind that nobody answers for.
-            link = ClientLink.dial(
+            link = AmqpClientConnection.dial(
                     loop,
-                    new ClientLink.Broker(
-                            new InetSocketAddress(host, port), new ClientLink.Login("a", "b", "/", 2), null, null),
+                    new AmqpClientConnection.Broker(
+                            new InetSocketAddress(host, port),
+                            new AmqpClientConnection.Login("a", "b", "/", 2),
+                            null,
+                            null),
                     1 << 16,
                     400 * MS,
                     this);
@@ -240,8 +243,9 @@
                 case CHANNEL_OPEN_OK -> link.send(
                         command.channel(),
                         command.channel() == 1
-                                ? Method.of(Op.CONFIRM_SELECT, false)
-                                : Method.of(Op.BASIC_CONSUME, "ends", "t", false, false, false, false, Map.of()));
+                                ? Method.of(MethodType.CONFIRM_SELECT, false)
+                                : Method.of(
+                                        MethodType.BASIC_CONSUME, "ends", "t", false, false, false, false, Map.of()));
                 case CONFIRM_SELECT_OK -> {
                     link.ready();
                     ready = true;
@@ -262,7 +266,7 @@
                                     command.properties().text(Property.CORRELATION_ID),
                                     i -> ConcurrentHashMap.newKeySet())
                             .add(command.properties().text(Property.TYPE));
-                    link.send(2, Method.of(Op.BASIC_ACK, m.number("delivery-tag"), false));
+                    link.send(2, Method.of(MethodType.BASIC_ACK, m.number("delivery-tag"), false));
                 }
                 default -> {}
             }
@@ -278,7 +282,7 @@
                 out.put(++published, id);
                 link.send(
                         1,
-                        Method.of(Op.BASIC_PUBLISH, "", "7", false, false),
+                        Method.of(MethodType.BASIC_PUBLISH, "", "7", false, false),
                         untaken.get(id),
                         id.getBytes(StandardCharsets.UTF_8));
             }
@@ -343,8 +347,8 @@
 
         Tally play() throws Exception {
             MultiThreadIoEventLoopGroup programs = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-            try (Scratch scratch = Scratch.named("amqp");
-                    StandInBroker broker = new StandInBroker()) {
+            try (TemporaryFolder scratch = TemporaryFolder.named("amqp");
+                    FakeBroker broker = new FakeBroker()) {
                 broker.bind("orders", "direct", "k", "out");
                 broker.declare("in");
                 broker.declare("ends");
@@ -362,7 +366,7 @@
                 Random cuts = new Random(seed);
                 boolean cutting = random.nextInt(3) > 0;
                 if (cutting) {
-                    broker.cut(new StandInBroker.Cut(
+                    broker.cut(new FakeBroker.Cut(
                             () -> cuts.nextInt(3) == 0 ? 400 + cuts.nextInt(3_000) : 0,
                             () -> cuts.nextInt(3) == 0 ? 400 + cuts.nextInt(3_000) : 0));
                 }
@@ -373,7 +377,7 @@
             }
         }
 
-        private Tally play(StandInBroker broker, Path folder, EventLoop programs) throws Exception {
+        private Tally play(FakeBroker broker, Path folder, EventLoop programs) throws Exception {
             CampaignRelay life = life(folder, broker, 0);
             Publisher publisher = new Publisher(programs, CampaignRelay.host(seed), life.port());
             Set<String> ids = new HashSet<>();
@@ -415,7 +419,7 @@
                     }
                 }
                 broker.block(false);
-                broker.cut(StandInBroker.Cut.NEVER);
+                broker.cut(FakeBroker.Cut.NEVER);
                 broker.loseAcks(() -> false);
                 broker.be(Fate.CONFIRM);
                 broker.drop();
@@ -425,7 +429,7 @@
             }
         }
 
-        private CampaignRelay life(Path folder, StandInBroker broker, int listenPort) throws Exception {
+        private CampaignRelay life(Path folder, FakeBroker broker, int listenPort) throws Exception {
             return new CampaignRelay(
                     folder,
                     broker.port(),
@@ -434,7 +438,7 @@
                     new Way(broker.port(), listens, CampaignRelay.host(seed), listenPort));
         }
 
-        private Map<String, Set<String>> ends(StandInBroker broker, Publisher publisher) {
+        private Map<String, Set<String>> ends(FakeBroker broker, Publisher publisher) {
             Map<String, Set<String>> ends = new HashMap<>(publisher.ends);
             ends.putAll(others);
             broker.ready("ends").forEach(end -> ends.computeIfAbsent(
@@ -448,7 +452,7 @@
         }
 
         /** Waits until every message has its end, then holds what was told against what the broker counted. */
-        private Tally check(StandInBroker broker, Publisher publisher, Set<String> ids) throws Exception {
+        private Tally check(FakeBroker broker, Publisher publisher, Set<String> ids) throws Exception {
             long giveUp = System.nanoTime() + PATIENCE_MS * 1_000_000;
             Set<String> missing = new HashSet<>(ids);
             Set<String> rejected = Set.of();
--- a/src/test/java/pipitstage/pairs/AmqpCampaignTest.java
+++ b/src/test/java/loftflow/interop/AmqpCampaignTest.java
@@ -1,4 +1,4 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/pipitstage/pairs/CampaignRelay.java
+++ b/src/test/java/loftflow/interop/CampaignRelay.java
@@ -1,4 +1,4 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -14,31 +14,39 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import pipitstage.Logic;
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.ListKind;
-import pipitstage.amqp.link.ClientLink;
-import pipitstage.duplicates.Seen;
-import pipitstage.duplicates.SeenFile;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Message;
-import pipitstage.engine.Pulse;
-import pipitstage.engine.Target;
-import pipitstage.engine.Timers;
-import pipitstage.engine.WriteAhead;
-import pipitstage.front.amqp.Replies;
-import pipitstage.journal.Journal;
-import pipitstage.partner.amqp.Broker;
-import pipitstage.partner.amqp.BrokerClient;
+import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.deduplication.DeduplicationFile;
+import loftflow.deduplication.Deduplicator;
+import loftflow.engine.Clock;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.Endpoint;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.Message;
+import loftflow.engine.Timers;
+import loftflow.engine.WriteAheadLog;
+import loftflow.journal.Journal;
+import loftflow.listener.amqp.CompletionReplier;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
+import loftflow.upstream.amqp.BrokerClient;
+import loftflow.upstream.amqp.BrokerDestination;
 
 /** One relay's life in a campaign, from its start to its kill: any front, and a stand-in broker as its partner. */
 final class CampaignRelay {
     /** The front of a run. */
     interface Way {
         /** Makes it for a relay that is not started yet; what tells ends there, or null. */
-        Replies make(CampaignRelay relay);
+        CompletionReplier make(CampaignRelay relay);
 
         /** Starts it, and returns its port, or 0 where it has none. */
         int start(CampaignRelay relay);
@@ -52,7 +60,7 @@
         }
     }
 
-    static final ClientLink.Login LOGIN = new ClientLink.Login("guest", "guest", "/", 2);
+    static final AmqpClientConnection.Login LOGIN = new AmqpClientConnection.Login("guest", "guest", "/", 2);
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
     private static final IoHandlerFactory NIO = NioIoHandler.newFactory();
@@ -66,10 +74,10 @@
     private final Clock clock = Clock.system();
     private final Way way;
     private final Journal journal;
-    private final SeenFile file;
-    private final Seen seen;
-    private final Engine engine;
-    private final Pulse pulse;
+    private final DeduplicationFile file;
+    private final Deduplicator seen;
+    private final DeliveryEngine engine;
+    private final EventLoopLag pulse;
     private final int port;
     private volatile boolean dead;
 
@@ -86,16 +94,16 @@
             var timer = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
             return () -> timer.cancel(false);
         };
-        engine = new Engine(timers, clock, settings(), 2 * MS, gated(), Logic::new);
-        file = new SeenFile(folder, 600 * SECOND, 1_000, clock::micros);
+        engine = new DeliveryEngine(timers, clock, settings(), 2 * MS, gated(), DefaultDeliveryPolicy::new);
+        file = new DeduplicationFile(folder, 600 * SECOND, 1_000, clock::micros);
         for (Message message : journal.open()) {
             file.add(message.content().callId());
         }
-        seen = forgetful ? Seen.NOTHING : gatedSeen();
+        seen = forgetful ? Deduplicator.NOTHING : gatedSeen();
         BrokerClient partners = new BrokerClient(
-                loop, clock, 300 * MS, Map.of("r0", new Broker(LOGIN, "orders", "k", null, null)), engine);
-        pulse = new Pulse(timers, clock);
-        Replies replies = way.make(this);
+                loop, clock, 300 * MS, Map.of("r0", new BrokerDestination(LOGIN, "orders", "k", null, null)), engine);
+        pulse = new EventLoopLag(timers, clock);
+        CompletionReplier replies = way.make(this);
         engine.attach(partners, message -> {
             if (message.content().reply() != null) {
                 replies.tell(message);
@@ -108,10 +116,10 @@
         loop.submit(() -> {
                     pulse.start();
                     engine.start(
-                            ListKind.FULL,
+                            EndpointListKind.FULL,
                             1,
-                            List.of(new Target(
-                                    new Policy.Listed("r0", 7, "k", "b0", Availability.LISTED, 0),
+                            List.of(new Endpoint(
+                                    new EndpointEntry("r0", 7, "k", "b0", Availability.LISTED, 0),
                                     new InetSocketAddress("127.0.0.1", brokerPort))));
                 })
                 .sync();
@@ -143,15 +151,15 @@
         return clock;
     }
 
-    Pulse pulse() {
+    EventLoopLag pulse() {
         return pulse;
     }
 
-    Engine engine() {
+    DeliveryEngine engine() {
         return engine;
     }
 
-    Seen seen() {
+    Deduplicator seen() {
         return seen;
     }
 
@@ -159,27 +167,27 @@
         return port;
     }
 
-    static Policy.Settings settings() {
-        return new Policy.Settings(
+    static PolicySettings settings() {
+        return new PolicySettings(
                 3,
                 0,
                 1,
                 "b0",
                 List.of(
-                        new Policy.RequestClass(
+                        new RequestClass(
                                 "keyed",
-                                Policy.Repeat.BY_KEY,
-                                Policy.KeyScope.ALL,
+                                Idempotency.IDEMPOTENT_BY_KEY,
+                                KeyScope.ALL,
                                 2 * SECOND,
                                 SECOND / 5,
                                 SECOND,
                                 1,
                                 0.5,
                                 false),
-                        new Policy.RequestClass(
+                        new RequestClass(
                                 "unsafe",
-                                Policy.Repeat.ONCE,
-                                Policy.KeyScope.ALL,
+                                Idempotency.NON_IDEMPOTENT,
+                                KeyScope.ALL,
                                 0,
                                 SECOND / 5,
                                 SECOND,
@@ -187,20 +195,20 @@
                                 0.3,
                                 false)),
                 List.of(),
-                List.of(new Policy.Kind("k", false, 1)),
+                List.of(new DestinationKind("k", false, 1)),
                 List.of(),
-                new Policy.Limits(8, 200, 12, true, true, false, false, true, 300 * MS),
-                new Policy.Rules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 200, 12, true, true, false, false, true, 300 * MS),
+                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
                 1,
                 false,
                 false,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
     }
 
     /** A kill ends writes at once, while the rest of the process is still being taken down. */
-    private WriteAhead gated() {
-        return new WriteAhead() {
+    private WriteAheadLog gated() {
+        return new WriteAheadLog() {
             @Override
             public long nextNumber() {
                 return journal.nextNumber();
@@ -248,8 +256,8 @@
         };
     }
 
-    private Seen gatedSeen() {
-        return new Seen() {
+    private Deduplicator gatedSeen() {
+        return new Deduplicator() {
             @Override
             public boolean contains(String id) {
                 return file.contains(id);
--- a/src/test/java/pipitstage/pairs/Runs.java
+++ b/src/test/java/loftflow/interop/CampaignRuns.java
@@ -1,4 +1,4 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import java.io.IOException;
 import java.util.concurrent.ExecutorService;
@@ -7,7 +7,7 @@
 import java.util.function.BinaryOperator;
 
 /** Seeded runs side by side, and what they come to together. */
-final class Runs {
+final class CampaignRuns {
     /** Plays one run. */
     interface One<T> {
         T play(long seed) throws Exception;
@@ -20,7 +20,7 @@
 
     private static final int WORD = 1_000;
 
-    private Runs() {}
+    private CampaignRuns() {}
 
     /** Plays so many, from a seed on, and says how far it has come each thousand. */
     static <T> T play(int runs, long seed, int sideBySide, T none, One<T> run, Broken<T> broken, BinaryOperator<T> plus)
--- a/src/test/java/pipitstage/pairs/ClosedChannelTest.java
+++ b/src/test/java/loftflow/interop/ClosedChannelTest.java
@@ -1,23 +1,23 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import loftflow.config.tool.ConfigTool;
+import loftflow.deadletter.DeadLetter;
+import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.ExecutionCertainty;
+import loftflow.deadletter.store.SqliteDeadLetterStore;
+import loftflow.fake.FakeBroker;
+import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.FakeClient;
+import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.config.tool.Tool;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInBroker;
-import pipitstage.standin.StandInBroker.Fate;
-import pipitstage.standin.StandInClient;
-import pipitstage.undeliverable.Entry;
-import pipitstage.undeliverable.Ran;
-import pipitstage.undeliverable.Shelf;
-import pipitstage.undeliverable.store.SqliteShelf;
 
 /** A channel that closes after a publish and ahead of its confirm, for each class, with undeliverable messages kept. */
 class ClosedChannelTest {
@@ -26,7 +26,7 @@
 
     @Test
     void eachClassGoesByItsOwnRule() throws Exception {
-        try (StandInBroker broker = new StandInBroker()) {
+        try (FakeBroker broker = new FakeBroker()) {
             broker.declare("out");
             Path application = Files.writeString(
                     folder.resolve("app.toml"),
@@ -77,11 +77,14 @@
                     routing-key = "out"
                     """
                             .formatted(folder.resolve("state"), broker.address()));
-            Tool.Outcome outcome = Tool.write(application, folder, false);
-            assertEquals(Tool.Written.NEW, outcome.written(), outcome.findings().toString());
+            ConfigTool.Outcome outcome = ConfigTool.write(application, folder, false);
+            assertEquals(
+                    ConfigTool.Written.NEW,
+                    outcome.written(),
+                    outcome.findings().toString());
             try (ServedRelay relay = ServedRelay.start(outcome.file(), folder.resolve("log"), "-Xmx64m")
                             .awaitServing();
-                    StandInClient client = relay.client()) {
+                    FakeClient client = relay.client()) {
                 // The first publish of each takes effect and closes its channel; later ones are confirmed.
                 java.util.Set<String> seen = java.util.concurrent.ConcurrentHashMap.newKeySet();
                 broker.script(id -> seen.add(id) ? Fate.CLOSE_CHANNEL : Fate.CONFIRM);
@@ -102,21 +105,22 @@
                         .allMatch(p -> p.key().equals("key-car-order")));
                 // Others may have been kept for a while, and gone out from there within their windows.
                 await(() -> entries().size() == 1);
-                Entry kept = entries().get(0);
+                DeadLetter kept = entries().get(0);
                 assertEquals("m-settlement", kept.content().callId());
-                assertEquals(Ran.MAYBE, kept.ran());
+                assertEquals(ExecutionCertainty.MAYBE, kept.ran());
                 assertEquals(1, broker.effects().get("m-settlement"));
                 assertTrue(kept.tries().size() == 1, "it was tried once: " + kept.tries());
             }
         }
     }
 
-    private List<Entry> entries() {
-        if (!Files.exists(folder.resolve("state").resolve(SqliteShelf.NAME))) {
+    private List<DeadLetter> entries() {
+        if (!Files.exists(folder.resolve("state").resolve(SqliteDeadLetterStore.NAME))) {
             return List.of();
         }
-        try (Shelf shelf = SqliteShelf.reading(folder.resolve("state"))) {
-            return shelf.list(new Shelf.Filter(Entry.State.KEPT, null, null, null, null, 0, 0), 0, 9, false);
+        try (DeadLetterStore shelf = SqliteDeadLetterStore.reading(folder.resolve("state"))) {
+            return shelf.list(
+                    new DeadLetterStore.Filter(DeadLetter.State.KEPT, null, null, null, null, 0, 0), 0, 9, false);
         }
     }
 }
--- a/src/test/java/pipitstage/pairs/Http2Campaign.java
+++ b/src/test/java/loftflow/interop/Http2Campaign.java
@@ -1,4 +1,4 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -12,16 +12,16 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Message;
-import pipitstage.front.amqp.Replies;
-import pipitstage.front.http2.Http2Server;
-import pipitstage.front.http2.RawClient;
-import pipitstage.front.http2.limits.Offer;
-import pipitstage.front.http2.limits.Standing;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.StandInBroker;
-import pipitstage.standin.StandInBroker.Fate;
+import loftflow.engine.Message;
+import loftflow.engine.MessageAcceptor;
+import loftflow.fake.FakeBroker;
+import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.TemporaryFolder;
+import loftflow.listener.amqp.CompletionReplier;
+import loftflow.listener.http2.Http2Listener;
+import loftflow.listener.http2.RawClient;
+import loftflow.listener.http2.flowcontrol.ConcurrentStreamLimit;
+import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 
 /**
  * Seeded runs of a relay between HTTP/2 and a broker, on loopback sockets: streams that are reset and connections that are
@@ -104,7 +104,7 @@
     }
 
     static Tally run(int runs, long seed, Mutant mutant, int sideBySide) throws Exception {
-        return Runs.play(
+        return CampaignRuns.play(
                 runs,
                 seed,
                 sideBySide,
@@ -180,7 +180,7 @@
         private final Mutant mutant;
         private final String host;
         private final int port;
-        private volatile Http2Server server;
+        private volatile Http2Listener server;
 
         Way(Set<String> recorded, Mutant mutant, String host, int port) {
             this.host = host;
@@ -190,21 +190,21 @@
         }
 
         @Override
-        public Replies make(CampaignRelay relay) {
-            Intake intake = mutant == Mutant.WITHDRAWS ? new Withdrawing(relay.engine()) : relay.engine();
-            server = new Http2Server(
+        public CompletionReplier make(CampaignRelay relay) {
+            MessageAcceptor intake = mutant == Mutant.WITHDRAWS ? new Withdrawing(relay.engine()) : relay.engine();
+            server = new Http2Listener(
                     intake,
                     relay.clock(),
                     relay.pulse(),
-                    new Http2Server.Options(
+                    new Http2Listener.Options(
                             20,
-                            new Offer.Bounds(2, 100, 200),
+                            new ConcurrentStreamLimit.Bounds(2, 100, 200),
                             16 << 10,
                             1 << 16,
                             1 << 18,
                             Map.of("unsafe", 0.5),
                             50,
-                            new Standing.Spans(2_000_000, 60_000_000, 0, 300_000),
+                            new ConnectionExpiry.Spans(2_000_000, 60_000_000, 0, 300_000),
                             mutant == Mutant.HASTY ? 0 : 1_500_000));
             return null;
         }
@@ -226,7 +226,7 @@
     }
 
     /** A fault on purpose: whoever leaves takes the message back, though the journal has it. */
-    private record Withdrawing(Intake intake) implements Intake {
+    private record Withdrawing(MessageAcceptor intake) implements MessageAcceptor {
         @Override
         public boolean isReady() {
             return intake.isReady();
@@ -288,8 +288,8 @@
         }
 
         Tally play() throws Exception {
-            try (Scratch scratch = Scratch.named("http2");
-                    StandInBroker broker = new StandInBroker()) {
+            try (TemporaryFolder scratch = TemporaryFolder.named("http2");
+                    FakeBroker broker = new FakeBroker()) {
                 broker.bind("orders", "direct", "k", "out");
                 broker.lateBy(20 + random.nextInt(200));
                 List<Fate> draws = new ArrayList<>();
@@ -309,7 +309,7 @@
             }
         }
 
-        private Tally play(StandInBroker broker, Path folder) throws Exception {
+        private Tally play(FakeBroker broker, Path folder) throws Exception {
             Way way = new Way(recorded, mutant, CampaignRelay.host(seed), 0);
             CampaignRelay life = new CampaignRelay(folder, broker.port(), false, ends, way);
             Line line = null;
@@ -339,7 +339,7 @@
                         case 4, 5 -> {
                             drains++;
                             dies = true;
-                            Http2Server server = way.server;
+                            Http2Listener server = way.server;
                             int half = half(line, "m" + MESSAGES + i);
                             life.loop().submit((Runnable) server::drain).sync();
                             Thread.sleep(random.nextInt(120));
@@ -471,7 +471,7 @@
         }
 
         /** Waits until every message that is owed one has its end, then holds all accounts against each other. */
-        private Tally check(StandInBroker broker) throws InterruptedException {
+        private Tally check(FakeBroker broker) throws InterruptedException {
             long giveUp = System.nanoTime() + PATIENCE_MS * 1_000_000;
             Set<String> missing = new HashSet<>();
             heard.keySet().stream().filter(this::isOwed).forEach(missing::add);
--- a/src/test/java/pipitstage/pairs/Http2CampaignTest.java
+++ b/src/test/java/loftflow/interop/Http2CampaignTest.java
@@ -1,10 +1,10 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import loftflow.interop.Http2Campaign.Mutant;
 import org.junit.jupiter.api.Test;
-import pipitstage.pairs.Http2Campaign.Mutant;
 
 /** A seeded share of {@link Http2Campaign}, and the proof that it can find what it looks for. */
 class Http2CampaignTest {
--- a/src/test/java/pipitstage/pairs/Http2ToHttpTest.java
+++ b/src/test/java/loftflow/interop/Http2ToHttpTest.java
@@ -1,25 +1,25 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.io.IOException;
 import java.nio.file.Path;
+import loftflow.listener.http2.RawClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.front.http2.RawClient;
 
-class Http2ToHttpTest extends PairTestBase {
+class Http2ToHttpTest extends InteropTestBase {
     @Override
-    FrontSide front(Path state) {
-        return new FrontSide.Http2(state);
+    InboundSide front(Path state) {
+        return new InboundSide.Http2(state);
     }
 
     @Override
-    PartnerSide partner() throws IOException {
-        return new PartnerSide.Http();
+    OutboundSide partner() throws IOException {
+        return new OutboundSide.Http();
     }
 
     /** The settlement is on its way, or even in the partner's books, when its client resets the stream. */
@@ -30,7 +30,7 @@
         // The first one has met a partner that is well.
         await(() -> !partner.effects().isEmpty());
         partner.silent();
-        RawClient client = ((FrontSide.Http2) front).client();
+        RawClient client = ((InboundSide.Http2) front).client();
         int stream = client.send(RawClient.message("s1", "settlement", null, 7, 3_000), "x");
         if (whenSent) {
             await(() -> partner.effects().containsKey("s1"));
@@ -54,7 +54,7 @@
     @Test
     void plannedEndLetsAnOpenStreamFinish() throws Exception {
         await(() -> isReady());
-        RawClient client = ((FrontSide.Http2) front).client();
+        RawClient client = ((InboundSide.Http2) front).client();
         int open = client.head(RawClient.message("late", "settlement", null, 7, 5_000), false);
         relay.process().destroy();
         assertTrue(client.await(() -> client.goAways.size() == 2), "both words came");
--- a/src/test/java/pipitstage/pairs/FrontSide.java
+++ b/src/test/java/loftflow/interop/InboundSide.java
@@ -1,4 +1,4 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import com.rabbitmq.client.AMQP;
 import com.rabbitmq.client.Channel;
@@ -19,16 +19,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.front.http2.RawClient;
-import pipitstage.relay.RelayProcess;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInBroker;
-import pipitstage.standin.StandInClient;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.fake.FakeBroker;
+import loftflow.fake.FakeClient;
+import loftflow.fake.ServedRelay;
+import loftflow.listener.http2.RawClient;
+import loftflow.server.RelayProcess;
 
 /** Programs on one side of a relay: how they hand in, and how they hear of ends. */
-abstract class FrontSide implements AutoCloseable {
+abstract class InboundSide implements AutoCloseable {
     /** The table of the relay file. */
     abstract String table();
 
@@ -48,7 +48,7 @@
     public abstract void close() throws IOException;
 
     /** Programs that hear of ends by the relay's file. */
-    private abstract static class ByFile extends FrontSide {
+    private abstract static class ByFile extends InboundSide {
         private final Path state;
 
         ByFile(Path state) {
@@ -78,7 +78,7 @@
 
     /** Programs that speak HTTP/1.1. */
     static final class Http extends ByFile {
-        private StandInClient client;
+        private FakeClient client;
 
         Http(Path state) {
             super(state);
@@ -146,7 +146,7 @@
     }
 
     /** Programs that publish with RabbitMQ's own client, and consume their ends. */
-    static final class Amqp extends FrontSide {
+    static final class Amqp extends InboundSide {
         private final Map<String, Integer> ends = new ConcurrentHashMap<>();
         private final List<Long> acked = new CopyOnWriteArrayList<>();
         private final Map<Long, BlockingQueue<Boolean>> waiting = new ConcurrentHashMap<>();
@@ -243,11 +243,11 @@
     }
 
     /** Programs that publish to a broker, from whose queue the relay takes. */
-    static final class Queue extends FrontSide {
-        private final StandInBroker broker;
+    static final class Queue extends InboundSide {
+        private final FakeBroker broker;
 
         Queue() throws IOException {
-            broker = new StandInBroker();
+            broker = new FakeBroker();
             broker.declare("in");
             broker.declare("ends");
         }
--- a/src/test/java/pipitstage/pairs/Measure.java
+++ b/src/test/java/loftflow/interop/InteropBenchmark.java
@@ -1,4 +1,4 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import com.rabbitmq.client.AMQP;
 import com.rabbitmq.client.Channel;
@@ -18,36 +18,36 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import pipitstage.amqp.codec.Assembler;
-import pipitstage.amqp.codec.Frame;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.config.tool.Tool;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInBroker;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInPartner;
+import loftflow.amqp.codec.CommandAssembler;
+import loftflow.amqp.codec.Frame;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeBroker;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakePartner;
+import loftflow.fake.ServedRelay;
+import loftflow.fake.TemporaryFolder;
 
 /**
  * Measurements of HTTP and AMQP, each a command: {@code pairs CORE} (messages a second and p99 of the four pairs in turn,
  * the relay on one core), {@code channels} (resident memory with 100 channels), {@code codec} (frames a second),
  * {@code standing} (a listener and a stand-in broker, for src/test/js/amqplib.js, until it is ended).
  */
-public final class Measure {
+public final class InteropBenchmark {
     private static final int RATE = 200;
     private static final int SECONDS = 6;
     private static final int THREADS = 24;
     private static final int CONNECTIONS = 4;
     private static final int OUT = 64;
 
-    private Measure() {}
+    private InteropBenchmark() {}
 
     /** Runs one of them. */
     public static void main(String[] args) throws Exception {
-        try (Scratch scratch = Scratch.named("measure")) {
+        try (TemporaryFolder scratch = TemporaryFolder.named("measure")) {
             Path folder = scratch.folder();
             switch (args.length > 0 ? args[0] : "") {
                 case "pairs" -> pairs(folder, args[1]);
@@ -101,7 +101,7 @@
                                 amqpFront ? "amqp" : "http",
                                 (amqpFront ? "heartbeat = \"2s\"\n" : "") + tables,
                                 endpoint));
-        Tool.Outcome outcome = Tool.write(application, folder, true);
+        ConfigTool.Outcome outcome = ConfigTool.write(application, folder, true);
         if (outcome.after() == null) {
             throw new IOException(outcome.findings().toString());
         }
@@ -121,7 +121,7 @@
             List<Thread> threads = new ArrayList<>();
             for (int t = 0; t < THREADS; t++) {
                 Thread thread = new Thread(() -> {
-                    try (StandInClient client = relay.client()) {
+                    try (FakeClient client = relay.client()) {
                         while (System.nanoTime() - start < nanos) {
                             long n = next.getAndIncrement();
                             pause(start, n, rate);
@@ -219,8 +219,8 @@
     private static void pair(Path folder, String core, int round, boolean amqpFront, boolean amqpPartner)
             throws Exception {
         String name = (amqpFront ? "amqp" : "http") + "-to-" + (amqpPartner ? "amqp" : "http") + "-" + round;
-        try (StandInPartner partner = new StandInPartner(0, 0);
-                StandInBroker broker = new StandInBroker()) {
+        try (FakePartner partner = new FakePartner(0, 0);
+                FakeBroker broker = new FakeBroker()) {
             broker.declare("out");
             Path file = file(
                     folder,
@@ -285,7 +285,7 @@
     }
 
     private static void channels(Path folder) throws Exception {
-        try (StandInPartner partner = new StandInPartner(0, 0)) {
+        try (FakePartner partner = new FakePartner(0, 0)) {
             for (boolean amqp : new boolean[] {false, true}) {
                 Path file = file(
                         folder,
@@ -328,8 +328,8 @@
     }
 
     private static void standing(Path folder) throws Exception {
-        try (StandInPartner partner = new StandInPartner(0, 0);
-                StandInBroker broker = new StandInBroker()) {
+        try (FakePartner partner = new FakePartner(0, 0);
+                FakeBroker broker = new FakeBroker()) {
             Path file = file(
                     folder,
                     "standing",
@@ -353,10 +353,10 @@
                 .with(Property.TYPE, "settlement")
                 .with(Property.EXPIRATION, "5000")
                 .with(Property.HEADERS, Map.<String, Object>of("Idempotency-Key", "k-12345"));
-        Method publish = Method.of(Op.BASIC_PUBLISH, "loftflow", "7", true, false);
+        Method publish = Method.of(MethodType.BASIC_PUBLISH, "loftflow", "7", true, false);
         for (int round = 0; round < 3; round++) {
             int count = 1_000_000;
-            Assembler assembler = new Assembler(1, 1 << 16, pipitstage.amqp.link.Link.ANY_ROOM);
+            CommandAssembler assembler = new CommandAssembler(1, 1 << 16, loftflow.amqp.link.AmqpConnection.ANY_ROOM);
             ByteBuf out = Unpooled.buffer(1 << 12);
             long writing = 0;
             long reading = 0;
--- a/src/test/java/pipitstage/pairs/PairTestBase.java
+++ b/src/test/java/loftflow/interop/InteropTestBase.java
@@ -1,36 +1,36 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Set;
 import java.util.stream.Collectors;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.config.tool.Tool;
-import pipitstage.standin.ServedRelay;
 
 /** What holds whatever is spoken on either side of a relay, with the real program as a process. */
-abstract class PairTestBase {
+abstract class InteropTestBase {
     @TempDir
     Path folder;
 
-    FrontSide front;
-    PartnerSide partner;
+    InboundSide front;
+    OutboundSide partner;
     ServedRelay relay;
     private Path file;
     private int starts;
 
-    abstract FrontSide front(Path state) throws IOException;
+    abstract InboundSide front(Path state) throws IOException;
 
-    abstract PartnerSide partner() throws IOException;
+    abstract OutboundSide partner() throws IOException;
 
     @BeforeEach
     void prepare() throws Exception {
@@ -69,8 +69,9 @@
                 %s
                 """
                         .formatted(folder.resolve("state"), front.table(), partner.tables(), partner.endpoint()));
-        Tool.Outcome outcome = Tool.write(application, folder, false);
-        assertEquals(Tool.Written.NEW, outcome.written(), outcome.findings().toString());
+        ConfigTool.Outcome outcome = ConfigTool.write(application, folder, false);
+        assertEquals(
+                ConfigTool.Written.NEW, outcome.written(), outcome.findings().toString());
         file = outcome.file();
         start();
     }
@@ -142,7 +143,7 @@
         await(() -> partner.effects().get("k1") >= 2);
         assertEquals(
                 Set.of("key-k1"),
-                partner.came().stream().map(PartnerSide.Came::key).collect(Collectors.toSet()));
+                partner.came().stream().map(OutboundSide.Came::key).collect(Collectors.toSet()));
         await(() -> !front.tellsDelivered() || told("k1=done") == 1);
     }
 
@@ -215,7 +216,7 @@
         assertFalse(front.handIn("m1", "no-such-class", null, 7, 5_000));
         assertFalse(front.handIn("m2", "settlement", null, 99, 5_000));
         assertFalse(front.handIn("m3", "car-order", null, 7, 5_000), "it has no key");
-        if (front instanceof FrontSide.Amqp amqp) {
+        if (front instanceof InboundSide.Amqp amqp) {
             await(() -> amqp.returned().size() == 3);
             assertEquals("m1 406,m2 312,m3 406", String.join(",", amqp.returned()));
         }
--- a/src/test/java/pipitstage/pairs/PartnerSide.java
+++ b/src/test/java/loftflow/interop/OutboundSide.java
@@ -1,13 +1,13 @@
-package pipitstage.pairs;
+package loftflow.interop;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import pipitstage.standin.StandInBroker;
-import pipitstage.standin.StandInPartner;
+import loftflow.fake.FakeBroker;
+import loftflow.fake.FakePartner;
 
 /** A partner on the other side of a relay, and how it fails. */
-abstract class PartnerSide implements AutoCloseable {
+abstract class OutboundSide implements AutoCloseable {
     /** A posting that came whole. */
     record Came(String id, String key, boolean ran) {}
 
@@ -39,11 +39,11 @@
     public abstract void close() throws IOException;
 
     /** A partner that takes calls over HTTP/1.1. */
-    static final class Http extends PartnerSide {
-        private final StandInPartner partner;
+    static final class Http extends OutboundSide {
+        private final FakePartner partner;
 
         Http() throws IOException {
-            partner = new StandInPartner(5, 0);
+            partner = new FakePartner(5, 0);
         }
 
         @Override
@@ -58,22 +58,22 @@
 
         @Override
         void well() {
-            partner.be(StandInPartner.Mood.WELL);
+            partner.be(FakePartner.Mood.WELL);
         }
 
         @Override
         void breaks() {
-            partner.be(StandInPartner.Mood.RESETS);
+            partner.be(FakePartner.Mood.RESETS);
         }
 
         @Override
         void silent() {
-            partner.be(StandInPartner.Mood.SILENT);
+            partner.be(FakePartner.Mood.SILENT);
         }
 
         @Override
         void shut() {
-            partner.be(StandInPartner.Mood.SHUT);
+            partner.be(FakePartner.Mood.SHUT);
         }
 
         @Override
@@ -100,11 +100,11 @@
     }
 
     /** A partner behind a broker. */
-    static final class Amqp extends PartnerSide {
-        private final StandInBroker broker;
+    static final class Amqp extends OutboundSide {
+        private final FakeBroker broker;
 
         Amqp() throws IOException {
-            broker = new StandInBroker();
+            broker = new FakeBroker();
             broker.bind("orders", "topic", "elevator.*", "elevator-7");
         }
 
@@ -122,17 +122,17 @@
         @Override
         void well() {
             broker.block(false);
-            broker.be(StandInBroker.Fate.CONFIRM);
+            broker.be(FakeBroker.Fate.CONFIRM);
         }
 
         @Override
         void breaks() {
-            broker.be(StandInBroker.Fate.DROP_AFTER);
+            broker.be(FakeBroker.Fate.DROP_AFTER);
         }
 
         @Override
         void silent() {
-            broker.be(StandInBroker.Fate.SILENT);
+            broker.be(FakeBroker.Fate.SILENT);
         }
 
         @Override
--- a/src/test/java/pipitstage/journal/JournalTest.java
+++ b/src/test/java/loftflow/journal/JournalTest.java
@@ -1,4 +1,4 @@
-package pipitstage.journal;
+package loftflow.journal;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,11 +13,11 @@
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.List;
+import loftflow.engine.Message;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.recordfile.RecordFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Message;
-import pipitstage.records.Records;
 
 class JournalTest {
     private static final long DISK = 3 << 20;
@@ -75,7 +75,7 @@
             assertTrue(journal.accept(first) && journal.accept(second) && journal.accept(message(3, 0)));
             Message.Attempt refused = first.addAttempt("r1", 50);
             assertTrue(journal.attempt(refused));
-            refused.result(Result.FULL);
+            refused.result(AttemptOutcome.REJECTED);
             journal.result(refused);
             assertTrue(journal.attempt(first.addAttempt("r2", 60)));
             second.decide(new Message.End(true, 5));
@@ -88,7 +88,7 @@
         assertEquals("id1", first.content().callId());
         assertEquals(123, first.content().deadline());
         assertEquals(10, first.content().body().length);
-        assertEquals(Result.FULL, first.attempts().get(0).result());
+        assertEquals(AttemptOutcome.REJECTED, first.attempts().get(0).result());
         assertEquals("r2", first.attempts().get(1).route());
         assertNull(first.attempts().get(1).result());
         assertEquals(new Message.End(true, 5), open.get(1).end());
@@ -100,7 +100,7 @@
         try (Journal journal = new Journal(folder, DISK)) {
             assertTrue(journal.accept(message(1, 10)) && journal.accept(message(2, 10)));
         }
-        byte[] senseless = Records.seal(new byte[] {0, 0, 0, 0, 0, 0, 0, 0, 99, 0, 0, 0, 0, 0, 0, 0, 1});
+        byte[] senseless = RecordFile.seal(new byte[] {0, 0, 0, 0, 0, 0, 0, 0, 99, 0, 0, 0, 0, 0, 0, 0, 1});
         Files.write(segment(), senseless, StandardOpenOption.APPEND);
         try (Journal journal = new Journal(folder, DISK)) {
             assertTrue(journal.accept(message(3, 10)));
@@ -173,7 +173,7 @@
             journal.attempt(message.addAttempt("r1", 2));
         }
         Message open = reopened().get(0);
-        assertEquals(Result.NOT_SENT, open.attempts().get(0).result());
+        assertEquals(AttemptOutcome.NOT_SENT, open.attempts().get(0).result());
         assertEquals("r1", open.attempts().get(1).route());
     }
 
@@ -184,7 +184,7 @@
             Message first = message(1, 10);
             assertTrue(journal.accept(first));
             Message.Attempt late = first.addAttempt("r1", 50);
-            late.result(Result.NOT_SENT);
+            late.result(AttemptOutcome.NOT_SENT);
             journal.result(late);
             assertTrue(journal.attempt(first.addAttempt("r2", 60)));
             assertTrue(journal.accept(message(2, 0)));
@@ -192,7 +192,7 @@
         List<Message> back = reopened();
         assertEquals(List.of(1L, 2L), back.stream().map(Message::number).toList());
         assertEquals(
-                List.of(Result.NOT_SENT),
+                List.of(AttemptOutcome.NOT_SENT),
                 back.get(0).attempts().stream()
                         .map(Message.Attempt::result)
                         .limit(1)
@@ -229,11 +229,11 @@
         Message.Content content = new Message.Content("id1", "unsafe", null, "k", 123, 7, new byte[] {1, 2});
         try (Journal journal = new Journal(folder, DISK)) {
             Message again = new Message(1, content, 42);
-            again.addAttempt("r1", 50).result(Result.TIMEOUT);
+            again.addAttempt("r1", 50).result(AttemptOutcome.TIMEOUT);
             again.addAttempt("r2", 60);
             assertTrue(journal.accept(again));
             assertTrue(journal.attempt(again.addAttempt("r1", 70)));
-            again.attempts().get(2).result(Result.FULL);
+            again.attempts().get(2).result(AttemptOutcome.REJECTED);
             journal.result(again.attempts().get(2));
         }
         for (int rewrites = 0; rewrites < 2; rewrites++) {
@@ -241,7 +241,7 @@
             assertEquals(42, back.entry());
             assertEquals("id1", back.content().callId());
             assertEquals(
-                    Arrays.asList(Result.TIMEOUT, null, Result.FULL),
+                    Arrays.asList(AttemptOutcome.TIMEOUT, null, AttemptOutcome.REJECTED),
                     back.attempts().stream().map(Message.Attempt::result).toList());
             assertEquals(
                     List.of(50L, 60L, 70L),
--- a/src/test/java/pipitstage/front/FakeIntake.java
+++ b/src/test/java/loftflow/listener/FakeMessageAcceptor.java
@@ -1,4 +1,4 @@
-package pipitstage.front;
+package loftflow.listener;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
-import pipitstage.engine.Intake;
-import pipitstage.engine.Message;
+import loftflow.engine.Message;
+import loftflow.engine.MessageAcceptor;
 
 /** An intake whose answers a test gives, or that takes everything at once. */
-public final class FakeIntake implements Intake {
+public final class FakeMessageAcceptor implements MessageAcceptor {
     /** A message that was handed in, with whoever waits for the answer. */
     public record Handed(Message message, Message.ClientReply client) {}
 
--- a/src/test/java/pipitstage/front/amqp/AmqpServerTest.java
+++ b/src/test/java/loftflow/listener/amqp/AmqpListenerTest.java
@@ -1,11 +1,11 @@
-package pipitstage.front.amqp;
+package loftflow.listener.amqp;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import com.rabbitmq.client.AMQP;
 import com.rabbitmq.client.Channel;
@@ -28,24 +28,24 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loftflow.amqp.codec.AmqpException;
+import loftflow.amqp.codec.Frame;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.amqp.link.AmqpServerConnection;
+import loftflow.engine.Message;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pipitstage.amqp.codec.AmqpException;
-import pipitstage.amqp.codec.Frame;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.amqp.link.ServerLink;
-import pipitstage.engine.Message;
 
 /** The listener, met by RabbitMQ's own client and by sockets that say what no client would. */
 @Timeout(60)
-class AmqpServerTest extends FrontTestBase {
+class AmqpListenerTest extends AmqpListenerTestBase {
     private static final int FRAME = 8 << 10;
-    private AmqpServer server;
+    private AmqpListener server;
     private int port;
     private Connection connection;
     private Channel channel;
@@ -64,15 +64,21 @@
         channel = confirming();
     }
 
-    private AmqpServer server(String user, long hold) {
-        return new AmqpServer(
+    private AmqpListener server(String user, long hold) {
+        return new AmqpListener(
                 intake,
                 clock,
                 pulse,
                 mapping(),
                 seen,
-                new AmqpServer.Options(
-                        "front", "loftflow", user, "secret", 20, new ServerLink.Offer("loftflow", 8, FRAME, 2), hold),
+                new AmqpListener.Options(
+                        "front",
+                        "loftflow",
+                        user,
+                        "secret",
+                        20,
+                        new AmqpServerConnection.Offer("loftflow", 8, FRAME, 2),
+                        hold),
                 m -> heard.add(m.content().callId()),
                 m -> otherwise.add(m.content().callId()));
     }
@@ -264,7 +270,7 @@
 
     @Test
     void onlyTheUserThatIsSetComesIn() throws Exception {
-        AmqpServer guarded = server("desk", SECOND);
+        AmqpListener guarded = server("desk", SECOND);
         port = ((InetSocketAddress) guarded.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                         .sync()
                         .channel()
@@ -337,7 +343,7 @@
 
     @Test
     void endThatNobodyTakesGoesWhereOthersGo() throws Exception {
-        AmqpServer hasty = server(null, SECOND / 10);
+        AmqpListener hasty = server(null, SECOND / 10);
         hasty.listen(loop, new InetSocketAddress("127.0.0.1", 0)).sync();
         on(() -> hasty.tell(ended("a", "ends", Message.End.Kind.FAILED)));
         await(() -> otherwise.equals(List.of("a")));
@@ -361,23 +367,23 @@
 
         Raw greet() throws Exception {
             out.write(new byte[] {'A', 'M', 'Q', 'P', 0, 0, 9, 1});
-            assertEquals(Op.CONNECTION_START, next().op());
+            assertEquals(MethodType.CONNECTION_START, next().op());
             return this;
         }
 
         Raw open() throws Exception {
             greet();
-            say(0, Method.of(Op.CONNECTION_START_OK, Map.of(), "PLAIN", "\0a\0b", "en_US"));
-            assertEquals(Op.CONNECTION_TUNE, next().op());
-            say(0, Method.of(Op.CONNECTION_TUNE_OK, 8, (long) FRAME, 0));
-            say(0, Method.of(Op.CONNECTION_OPEN, "/"));
-            assertEquals(Op.CONNECTION_OPEN_OK, next().op());
+            say(0, Method.of(MethodType.CONNECTION_START_OK, Map.of(), "PLAIN", "\0a\0b", "en_US"));
+            assertEquals(MethodType.CONNECTION_TUNE, next().op());
+            say(0, Method.of(MethodType.CONNECTION_TUNE_OK, 8, (long) FRAME, 0));
+            say(0, Method.of(MethodType.CONNECTION_OPEN, "/"));
+            assertEquals(MethodType.CONNECTION_OPEN_OK, next().op());
             return this;
         }
 
         Raw channel(int number) throws Exception {
-            say(number, Method.of(Op.CHANNEL_OPEN));
-            assertEquals(Op.CHANNEL_OPEN_OK, next().op());
+            say(number, Method.of(MethodType.CHANNEL_OPEN));
+            assertEquals(MethodType.CHANNEL_OPEN_OK, next().op());
             return this;
         }
 
@@ -408,7 +414,7 @@
         /** The code that ends the connection. */
         long end() throws Exception {
             Method method = next();
-            while (method != null && method.op() != Op.CONNECTION_CLOSE) {
+            while (method != null && method.op() != MethodType.CONNECTION_CLOSE) {
                 method = next();
             }
             return method == null ? 0 : method.number("reply-code");
@@ -470,7 +476,7 @@
         try (Raw raw = new Raw().open()) {
             ByteBuf all = Unpooled.buffer();
             for (int i = 1; i <= 65_535; i++) {
-                Frame.write(all, i, Method.of(Op.CHANNEL_OPEN));
+                Frame.write(all, i, Method.of(MethodType.CHANNEL_OPEN));
             }
             Thread writing = new Thread(() -> {
                 try {
@@ -482,7 +488,7 @@
             writing.start();
             int opened = 0;
             Method method = raw.next();
-            for (; method != null && method.op() == Op.CHANNEL_OPEN_OK; method = raw.next()) {
+            for (; method != null && method.op() == MethodType.CHANNEL_OPEN_OK; method = raw.next()) {
                 opened++;
             }
             assertEquals(8, opened);
@@ -526,10 +532,10 @@
     @Test
     void silentClientIsGivenUpAfterTwoHeartbeats() throws Exception {
         try (Raw raw = new Raw().greet()) {
-            raw.say(0, Method.of(Op.CONNECTION_START_OK, Map.of(), "PLAIN", "\0a\0b", "en_US"));
+            raw.say(0, Method.of(MethodType.CONNECTION_START_OK, Map.of(), "PLAIN", "\0a\0b", "en_US"));
             raw.next();
-            raw.say(0, Method.of(Op.CONNECTION_TUNE_OK, 8, (long) FRAME, 1));
-            raw.say(0, Method.of(Op.CONNECTION_OPEN, "/"));
+            raw.say(0, Method.of(MethodType.CONNECTION_TUNE_OK, 8, (long) FRAME, 1));
+            raw.say(0, Method.of(MethodType.CONNECTION_OPEN, "/"));
             raw.next();
             assertEquals(null, raw.next(), "its end comes with no word, as there is nobody to hear it");
         }
@@ -548,13 +554,13 @@
     @Test
     void contentThatWaitsForItsBodyHoldsNothingOnceItsClientIsGone() throws Exception {
         try (Raw raw = new Raw().open().channel(1)) {
-            raw.say(1, Method.of(Op.CONFIRM_SELECT, false));
+            raw.say(1, Method.of(MethodType.CONFIRM_SELECT, false));
             raw.next();
             ByteBuf bytes = Unpooled.buffer();
             Frame.write(
                     bytes,
                     1,
-                    Method.of(Op.BASIC_PUBLISH, "", "7", false, false),
+                    Method.of(MethodType.BASIC_PUBLISH, "", "7", false, false),
                     Properties.NONE.with(Property.MESSAGE_ID, "half").with(Property.TYPE, "unsafe"),
                     new byte[60_000],
                     FRAME);
--- a/src/test/java/pipitstage/front/amqp/FrontTestBase.java
+++ b/src/test/java/loftflow/listener/amqp/AmqpListenerTestBase.java
@@ -1,4 +1,4 @@
-package pipitstage.front.amqp;
+package loftflow.listener.amqp;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -8,26 +8,28 @@
 import java.util.Set;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
+import loftflow.amqp.mapping.MessageMapping;
+import loftflow.amqp.mapping.ValueSource;
+import loftflow.deduplication.Deduplicator;
+import loftflow.engine.Clock;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.Message;
+import loftflow.listener.FakeMessageAcceptor;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.RequestClass;
 import org.junit.jupiter.api.AfterEach;
-import pipitstage.Policy;
-import pipitstage.amqp.mapping.Mapping;
-import pipitstage.amqp.mapping.Source;
-import pipitstage.duplicates.Seen;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Message;
-import pipitstage.engine.Pulse;
-import pipitstage.front.FakeIntake;
 
 /** What tests of both ways in need: an event loop, an intake that the test answers for, and a memory. */
-abstract class FrontTestBase {
+abstract class AmqpListenerTestBase {
     static final long SECOND = 1_000_000;
     final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = (EventLoop) group.next();
-    final FakeIntake intake = new FakeIntake();
+    final FakeMessageAcceptor intake = new FakeMessageAcceptor();
     final Clock clock = Clock.system();
     final List<String> heard = new CopyOnWriteArrayList<>();
     final List<String> otherwise = new CopyOnWriteArrayList<>();
-    final Pulse pulse = new Pulse(
+    final EventLoopLag pulse = new EventLoopLag(
             (micros, task) -> {
                 var timer = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
                 return () -> timer.cancel(false);
@@ -36,7 +38,7 @@
     volatile boolean room = true;
 
     /** A memory that lasts as long as the test. */
-    final Seen seen = new Seen() {
+    final Deduplicator seen = new Deduplicator() {
         private final Set<String> ids = new HashSet<>();
 
         @Override
@@ -60,29 +62,21 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    static Mapping mapping() {
-        return new Mapping(
-                List.of(new Mapping.Rule(
+    static MessageMapping mapping() {
+        return new MessageMapping(
+                List.of(new MessageMapping.Rule(
                         null,
-                        Source.of("property:message-id"),
-                        Source.of("property:type"),
-                        Source.of("header:tenant"),
-                        Source.of("header:key"),
-                        Source.of("routing-key"),
-                        Source.of("property:expiration"))),
+                        ValueSource.of("property:message-id"),
+                        ValueSource.of("property:type"),
+                        ValueSource.of("header:tenant"),
+                        ValueSource.of("header:key"),
+                        ValueSource.of("routing-key"),
+                        ValueSource.of("property:expiration"))),
                 List.of(
-                        new Policy.RequestClass(
-                                "unsafe", Policy.Repeat.ONCE, Policy.KeyScope.ALL, 0, SECOND, 8 * SECOND, 1, 0, false),
-                        new Policy.RequestClass(
-                                "any",
-                                Policy.Repeat.REPEATABLE,
-                                Policy.KeyScope.ALL,
-                                0,
-                                SECOND,
-                                8 * SECOND,
-                                1,
-                                0,
-                                false)));
+                        new RequestClass(
+                                "unsafe", Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, SECOND, 8 * SECOND, 1, 0, false),
+                        new RequestClass(
+                                "any", Idempotency.IDEMPOTENT, KeyScope.ALL, 0, SECOND, 8 * SECOND, 1, 0, false)));
     }
 
     /** A message whose end is to be told to a queue. */
--- a/src/test/java/pipitstage/front/amqp/QueueConsumerTest.java
+++ b/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
@@ -1,35 +1,35 @@
-package pipitstage.front.amqp;
+package loftflow.listener.amqp;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
+import loftflow.amqp.codec.Properties;
+import loftflow.amqp.codec.Property;
+import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.engine.Message;
+import loftflow.fake.FakeBroker;
+import loftflow.fake.FakeBroker.Fate;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pipitstage.amqp.codec.Properties;
-import pipitstage.amqp.codec.Property;
-import pipitstage.amqp.link.ClientLink;
-import pipitstage.engine.Message;
-import pipitstage.standin.StandInBroker;
-import pipitstage.standin.StandInBroker.Fate;
 
 /** Messages out of a broker's queue, with the stand-in broker failing as the tests want it. */
 @Timeout(60)
-class QueueConsumerTest extends FrontTestBase {
-    private StandInBroker broker;
+class QueueConsumerTest extends AmqpListenerTestBase {
+    private FakeBroker broker;
     private QueueConsumer consumer;
 
     @BeforeEach
     void prepare() throws IOException {
-        broker = new StandInBroker();
+        broker = new FakeBroker();
         broker.declare("in");
         broker.declare("ends");
         consumer = consumer(5, false, QueueConsumer.Tells.ASKED, null);
@@ -45,9 +45,9 @@
                 seen,
                 new QueueConsumer.Options(
                         "front",
-                        new ClientLink.Broker(
+                        new AmqpClientConnection.Broker(
                                 new InetSocketAddress("127.0.0.1", broker.port()),
-                                new ClientLink.Login("guest", "guest", "/", 2),
+                                new AmqpClientConnection.Login("guest", "guest", "/", 2),
                                 null,
                                 null),
                         "in",
--- a/src/test/java/pipitstage/front/door/HouseTest.java
+++ b/src/test/java/loftflow/listener/connection/ConnectionLimiterTest.java
@@ -1,4 +1,4 @@
-package pipitstage.front.door;
+package loftflow.listener.connection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Who goes when a house is full, and what of that depends on what lies unread. */
-class HouseTest {
+class ConnectionLimiterTest {
     private final List<String> closed = new ArrayList<>();
     private final Map<String, Runnable> unread = new HashMap<>();
-    private final House<String> house =
-            new House<>(2, c -> unread.getOrDefault(c, () -> {}).run(), closed::add);
+    private final ConnectionLimiter<String> house =
+            new ConnectionLimiter<>(2, c -> unread.getOrDefault(c, () -> {}).run(), closed::add);
 
     @Test
     void theOneThatHasStoodLongestGoesAndSilentOnesGoFirst() {
--- a/src/test/java/pipitstage/front/door/UnreadTest.java
+++ b/src/test/java/loftflow/listener/connection/UnreadSinceTest.java
@@ -1,22 +1,22 @@
-package pipitstage.front.door;
+package loftflow.listener.connection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayDeque;
+import loftflow.engine.EventLoopLag;
 import org.junit.jupiter.api.Test;
-import pipitstage.engine.Pulse;
 
 /** From when a message's time counts, by a clock that the test moves. */
-class UnreadTest {
+class UnreadSinceTest {
     private long now = 1_000_000;
     private final ArrayDeque<Runnable> beats = new ArrayDeque<>();
-    private final Pulse pulse = new Pulse(
+    private final EventLoopLag pulse = new EventLoopLag(
             (micros, task) -> {
                 beats.add(task);
                 return () -> {};
             },
             () -> now);
-    private final Door door = new Door(pulse, channel -> {});
+    private final Acceptor door = new Acceptor(pulse, channel -> {});
 
     private void pass(long micros) {
         now += micros;
@@ -28,7 +28,7 @@
         pulse.start();
         pass(300_000);
         pass(300_000);
-        Unread unread = new Unread(door, now);
+        UnreadSince unread = new UnreadSince(door, now);
         assertEquals(1_300_000, unread.since(), "it can have come when the pass before the last one looked");
         pass(10_000);
         assertEquals(1_300_000, unread.since(), "still of the pass that accepted it");
@@ -43,7 +43,7 @@
     @Test
     void bytesThatWaitedWhileNothingWasReadAreAsOldAsThePause() {
         pulse.start();
-        Unread unread = new Unread(door, now);
+        UnreadSince unread = new UnreadSince(door, now);
         for (int i = 0; i < 10; i++) {
             pass(10_000);
         }
--- a/src/test/java/pipitstage/front/http/UnreadAnswersTest.java
+++ b/src/test/java/loftflow/listener/http/UnreadAnswersTest.java
@@ -1,9 +1,9 @@
-package pipitstage.front.http;
+package loftflow.listener.http;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -17,14 +17,14 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import loftflow.engine.Clock;
+import loftflow.engine.EventLoopLag;
+import loftflow.listener.FakeMessageAcceptor;
+import loftflow.server.KernelSocketState;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Pulse;
-import pipitstage.front.FakeIntake;
-import pipitstage.relay.KernelSide;
 
 /** A client that sends requests on one connection and leaves its answers unread. */
 @Timeout(60)
@@ -39,14 +39,14 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final FakeIntake intake = new FakeIntake();
-    private ClientServer server;
+    private final FakeMessageAcceptor intake = new FakeMessageAcceptor();
+    private HttpListener server;
     private SocketChannel client;
 
     @BeforeEach
     void connect() throws Exception {
         Clock clock = Clock.system();
-        server = new ClientServer(intake, clock, new Pulse((micros, task) -> () -> {}, clock), 8);
+        server = new HttpListener(intake, clock, new EventLoopLag((micros, task) -> () -> {}, clock), 8);
         InetSocketAddress address = (InetSocketAddress) server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel()
@@ -71,7 +71,7 @@
     }
 
     private boolean isFlushed() {
-        return on(() -> server.house().all().stream().allMatch(ClientConnection::isFlushed));
+        return on(() -> server.house().all().stream().allMatch(HttpClientConnection::isFlushed));
     }
 
     private static ByteBuffer bytes(String text) {
@@ -132,7 +132,7 @@
 
     /** Holds the loop and has it read by hand what comes, until it leaves some of it. */
     private int sendUntilNoneIsRead() throws IOException {
-        KernelSide relay = KernelSide.beyond(client.socket());
+        KernelSocketState relay = KernelSocketState.beyond(client.socket());
         int sent = 0;
         int read = -1;
         while (read < intake.handed.size() || !relay.holdsUnread()) {
--- a/src/test/java/pipitstage/front/http2/EndsTest.java
+++ b/src/test/java/loftflow/listener/http2/ConnectionEndTest.java
@@ -1,25 +1,25 @@
-package pipitstage.front.http2;
+package loftflow.listener.http2;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
+import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.front.http2.limits.Standing;
 
 /** How streams and connections end: resets, windows that stay closed, clients that don't read, room, and goodbyes. */
 @Timeout(60)
-class EndsTest extends Http2TestBase {
+class ConnectionEndTest extends Http2TestBase {
     // ---- resets and lost connections
 
     /** Before the journal's record nothing is owed; after it the message goes on, whatever its client does. */
@@ -126,7 +126,7 @@
 
     @Test
     void clientThatDoesNotReadIsNotReadFromEitherAndEndsWhileOthersGoOn() throws IOException {
-        serve(with(4_000, 8_000, 1 << 20, new Standing.Spans(SECOND, 60 * SECOND, 0, SECOND)));
+        serve(with(4_000, 8_000, 1 << 20, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND)));
         RawClient other = client();
         // Its answers fill what little the system buffers for it, and it reads none of them.
         RawClient deaf = new RawClient("127.0.0.1", port, 4_096);
@@ -158,7 +158,7 @@
 
     @Test
     void halfReadBodiesWaitForRoomAndThenComeAndASlowConnectionGivesWay() throws IOException {
-        serve(with(100, 400, 128 << 10, new Standing.Spans(SECOND, 60 * SECOND, 0, SECOND)));
+        serve(with(100, 400, 128 << 10, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND)));
         RawClient greedy = client();
         List<Integer> slow = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -192,7 +192,7 @@
 
     @Test
     void ninetyLargeBodiesSideBySideAllEnd() throws IOException {
-        serve(with(100, 400, 8 << 20, new Standing.Spans(SECOND, 60 * SECOND, 0, SECOND)));
+        serve(with(100, 400, 8 << 20, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND)));
         RawClient client = client();
         List<Integer> ids = new ArrayList<>();
         for (int i = 0; i < 90; i++) {
@@ -213,7 +213,7 @@
 
     @Test
     void fewerStreamsAreOfferedUnderLoadAndWhatIsBeyondIsRefusedAsNeverTaken() throws IOException {
-        serve(with(100, 150, 1 << 20, new Standing.Spans(SECOND, 60 * SECOND, 0, SECOND)));
+        serve(with(100, 150, 1 << 20, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND)));
         intake.takesAll = false;
         RawClient first = client();
         RawClient second = client();
@@ -241,7 +241,7 @@
     /** A client that sends more than it was offered, bodies and all, loses those streams and not its connection. */
     @Test
     void whatIsMoreThanAConnectionWasOfferedIsRefusedOneByOne() throws IOException {
-        serve(with(10, 400, 1 << 20, new Standing.Spans(SECOND, 60 * SECOND, 0, SECOND)));
+        serve(with(10, 400, 1 << 20, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND)));
         intake.takesAll = false;
         RawClient client = client();
         for (int i = 0; i < 30; i++) {
@@ -355,7 +355,7 @@
 
     @Test
     void idleAndOldConnectionsGoInGoodOrder() throws IOException {
-        serve(with(100, 400, 1 << 20, new Standing.Spans(SECOND, SECOND / 5, SECOND, SECOND)));
+        serve(with(100, 400, 1 << 20, new ConnectionExpiry.Spans(SECOND, SECOND / 5, SECOND, SECOND)));
         RawClient idle = client();
         idle.awaitEnd();
         assertEquals(NO_ERROR, idle.lastError());
--- a/src/test/java/pipitstage/front/http2/FramesTest.java
+++ b/src/test/java/loftflow/listener/http2/FramesTest.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2;
+package loftflow.listener.http2;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/pipitstage/front/http2/Measure.java
+++ b/src/test/java/loftflow/listener/http2/Http2Benchmark.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2;
+package loftflow.listener.http2;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -13,18 +13,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import pipitstage.config.tool.Tool;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInPartner;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakePartner;
+import loftflow.fake.ServedRelay;
+import loftflow.fake.TemporaryFolder;
 
 /**
  * Measurements of HTTP/2 beside HTTP/1.1, each a command: {@code load CORE} (messages a second, CPU of one, p99 at 70%, the
  * relay on one core, by turns), {@code memory} (of idle connections and open streams), {@code slow CORE} (fast clients beside
  * ten that don't read), {@code standing} (a relay for clients of others, until it is ended).
  */
-public final class Measure {
+public final class Http2Benchmark {
     /** So many connections with so many requests out on each; HTTP/1.1 has one. */
     private record Shape(boolean http2, int connections, int streams) {
         @Override
@@ -45,11 +45,11 @@
     private static final String BODY = "x".repeat(300);
     private static final AtomicLong IDS = new AtomicLong();
 
-    private Measure() {}
+    private Http2Benchmark() {}
 
     /** Runs one of them. */
     public static void main(String[] args) throws Exception {
-        try (Scratch scratch = Scratch.named("measure")) {
+        try (TemporaryFolder scratch = TemporaryFolder.named("measure")) {
             Path folder = scratch.folder();
             switch (args.length > 0 ? args[0] : "") {
                 case "load" -> load(folder, args[1]);
@@ -66,7 +66,7 @@
         System.out.println(String.format(Locale.ROOT, form, values));
     }
 
-    private static ServedRelay relay(Path folder, String name, StandInPartner partner, int descriptors, String front)
+    private static ServedRelay relay(Path folder, String name, FakePartner partner, int descriptors, String front)
             throws Exception {
         Path application = Files.writeString(
                 folder.resolve(name + ".toml"),
@@ -100,7 +100,7 @@
                 address = "%s"
                 """
                         .formatted(name, descriptors, folder.resolve(name), front, partner.address()));
-        Tool.Outcome outcome = Tool.write(application, folder, true);
+        ConfigTool.Outcome outcome = ConfigTool.write(application, folder, true);
         if (outcome.after() == null) {
             throw new IOException(outcome.findings().toString());
         }
@@ -177,7 +177,7 @@
             AtomicLong refused,
             ConcurrentLinkedQueue<Double> spans)
             throws IOException, InterruptedException {
-        try (StandInClient client = relay.client()) {
+        try (FakeClient client = relay.client()) {
             while (System.nanoTime() < end) {
                 long due = due(start, rate, next);
                 boolean ok =
@@ -266,7 +266,7 @@
         int only = Integer.getInteger("only", -1);
         for (int round = 0; round < ROUNDS; round++) {
             for (Shape shape : only < 0 ? shapes : shapes.subList(only, only + 1)) {
-                try (StandInPartner partner = new StandInPartner(0, 0);
+                try (FakePartner partner = new FakePartner(0, 0);
                         ServedRelay relay = relay(
                                 folder, "load" + round + shapes.indexOf(shape), partner, 1_024, "streams = 100")) {
                     pin(relay, core);
@@ -298,7 +298,7 @@
     // ---- memory
 
     private static void memory(Path folder) throws Exception {
-        try (StandInPartner partner = new StandInPartner(0, 0);
+        try (FakePartner partner = new FakePartner(0, 0);
                 ServedRelay relay = relay(folder, "memory", partner, 4_096, "streams = 1000\nidle = \"10m\"")) {
             for (int i = 0; i < 2_000; i++) {
                 try (RawClient warm = RawClient.open("127.0.0.1", relay.http2Port())) {
@@ -363,7 +363,7 @@
     private static void slow(Path folder, String core) throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
             for (String kind : List.of("none", "reading", "deaf", "flooding")) {
-                try (StandInPartner partner = new StandInPartner(0, 0);
+                try (FakePartner partner = new FakePartner(0, 0);
                         ServedRelay relay =
                                 relay(folder, kind + round, partner, 1_024, "streams = 100\nstall = \"2s\"")) {
                     pin(relay, core);
@@ -417,7 +417,7 @@
     }
 
     private static void standing(Path folder) throws Exception {
-        try (StandInPartner partner = new StandInPartner(0, 0);
+        try (FakePartner partner = new FakePartner(0, 0);
                 ServedRelay relay = relay(folder, "standing", partner, 1_024, "")) {
             say("HTTP/2 on %d", relay.http2Port());
             while (System.in.read() >= 0) {
--- a/src/test/java/pipitstage/front/http2/Http2TestBase.java
+++ b/src/test/java/loftflow/listener/http2/Http2TestBase.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2;
+package loftflow.listener.http2;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -12,12 +12,12 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import loftflow.engine.Clock;
+import loftflow.engine.EventLoopLag;
+import loftflow.listener.FakeMessageAcceptor;
+import loftflow.listener.http2.flowcontrol.ConcurrentStreamLimit;
+import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 import org.junit.jupiter.api.AfterEach;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Pulse;
-import pipitstage.front.FakeIntake;
-import pipitstage.front.http2.limits.Offer;
-import pipitstage.front.http2.limits.Standing;
 
 /** A listener on a loop of its own, whose messages the test answers. */
 abstract class Http2TestBase {
@@ -30,26 +30,26 @@
     static final int CALM = 11;
     final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = (EventLoop) group.next();
-    final FakeIntake intake = new FakeIntake();
+    final FakeMessageAcceptor intake = new FakeMessageAcceptor();
     final Clock clock = Clock.system();
-    final Pulse pulse = new Pulse(
+    final EventLoopLag pulse = new EventLoopLag(
             (micros, task) -> {
                 var timer = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
                 return () -> timer.cancel(false);
             },
             clock);
     final List<RawClient> clients = new ArrayList<>();
-    Http2Server server;
+    Http2Listener server;
     int port;
 
-    static Http2Server.Options usual() {
-        return with(100, 400, 1 << 20, new Standing.Spans(SECOND, 60 * SECOND, 0, SECOND));
+    static Http2Listener.Options usual() {
+        return with(100, 400, 1 << 20, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND));
     }
 
-    static Http2Server.Options with(int streams, int total, long pool, Standing.Spans spans) {
-        return new Http2Server.Options(
+    static Http2Listener.Options with(int streams, int total, long pool, ConnectionExpiry.Spans spans) {
+        return new Http2Listener.Options(
                 20,
-                new Offer.Bounds(2, streams, total),
+                new ConcurrentStreamLimit.Bounds(2, streams, total),
                 16 << 10,
                 256 << 10,
                 pool,
@@ -59,8 +59,8 @@
                 SECOND);
     }
 
-    void serve(Http2Server.Options options) {
-        server = new Http2Server(intake, clock, pulse, options);
+    void serve(Http2Listener.Options options) {
+        server = new Http2Listener(intake, clock, pulse, options);
         on(() -> {
             pulse.start();
             return null;
--- a/src/test/java/pipitstage/front/http2/RawClient.java
+++ b/src/test/java/loftflow/listener/http2/RawClient.java
@@ -1,4 +1,4 @@
-package pipitstage.front.http2;
+package loftflow.listener.http2;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.CopyOnWriteArrayList;
-import pipitstage.relay.KernelSide;
+import loftflow.server.KernelSocketState;
 
 /**
  * A client that sends any frame, also a wrong one (RFC 9113, 4.1), and keeps all that it is told. Its reading is done by
@@ -116,7 +116,7 @@
 
     /** Waits until all that was sent lies unread with the other side. */
     void awaitReceived() {
-        KernelSide.beyond(socket).awaitUnread(written);
+        KernelSocketState.beyond(socket).awaitUnread(written);
     }
 
     static byte[] bytes(int type, int flags, int stream, byte[] payload) {
--- a/src/test/java/pipitstage/log/LogTest.java
+++ b/src/test/java/loftflow/log/LogTest.java
@@ -1,4 +1,4 @@
-package pipitstage.log;
+package loftflow.log;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/pipitstage/LogicTest.java
+++ b/src/test/java/loftflow/policy/DefaultDeliveryPolicyTest.java
@@ -1,24 +1,38 @@
-package pipitstage;
+package loftflow.policy;
 
+import static loftflow.policy.PolicyHarness.MS;
+import static loftflow.policy.PolicyHarness.S;
+import static loftflow.policy.PolicyHarness.route;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.Relay.MS;
-import static pipitstage.Relay.S;
-import static pipitstage.Relay.route;
 
 import java.nio.ByteBuffer;
 import java.util.HexFormat;
 import java.util.List;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.CompletionAcknowledged;
+import loftflow.policy.api.CompletionPending;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListPending;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.MessageResumed;
+import loftflow.policy.api.MessageWithdrawn;
+import loftflow.policy.api.PastAttempt;
+import loftflow.policy.api.PeerMessage;
+import loftflow.policy.api.ProbeCompleted;
+import loftflow.policy.api.RetryAfterReceived;
+import loftflow.policy.api.TimerFired;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.Listed;
-import pipitstage.Policy.Result;
-import pipitstage.State.Word;
 
-class LogicTest {
-    private final Relay relay = new Relay(Relay.settings())
+class DefaultDeliveryPolicyTest {
+    private final PolicyHarness relay = new PolicyHarness(PolicyHarness.settings())
             .list(
                     route("a", 1, "plain", "east"),
                     route("b", 1, "plain", "west"),
@@ -34,7 +48,7 @@
     @Test
     void firstSendsSpreadOverRoutesNearTheTop() {
         for (int id = 0; id < 200; id++) {
-            relay.accept(id, "safe", 1).pass(100 * MS).answer(id, Result.OK);
+            relay.accept(id, "safe", 1).pass(100 * MS).answer(id, AttemptOutcome.OK);
         }
         long onA = relay.sent.stream().filter(s -> s.route().equals("a")).count();
         assertTrue(onA > 60 && onA < 160, "on one route: " + onA);
@@ -42,7 +56,10 @@
 
     @Test
     void failedRequestFallsThroughToTheOtherRoute() {
-        relay.accept(1, "safe", 1).pass(MS).answer(1, Result.CONNECT_FAILED).pass(MS);
+        relay.accept(1, "safe", 1)
+                .pass(MS)
+                .answer(1, AttemptOutcome.CONNECT_FAILED)
+                .pass(MS);
         assertEquals(2, relay.sent.size());
         assertFalse(relay.sent.get(0).route().equals(relay.sent.get(1).route()));
     }
@@ -60,30 +77,33 @@
     /** Nobody else can try it: for room, the newcomer is turned away, however much more it is worth. */
     @Test
     void whatARestartFoundUntriedIsNotGivenUpForRoom() {
-        Relay full = new Relay(Relay.settings(1, 3)).list(route("a", 1, "plain", "east"));
+        PolicyHarness full = new PolicyHarness(PolicyHarness.settings(1, 3)).list(route("a", 1, "plain", "east"));
         full.accept(1, "safe", 1)
                 .round(resumed(2), resumed(3))
                 .accept(4, "quick", 1)
                 .accept(5, "quick", 1);
         assertEquals(List.of(4L, 5L), full.refused);
-        full.answer(1, Result.OK).pass(MS).answer(2, Result.OK).pass(MS);
+        full.answer(1, AttemptOutcome.OK).pass(MS).answer(2, AttemptOutcome.OK).pass(MS);
         assertEquals(1, full.sends(3));
     }
 
     /** Its worth has faded, and new ones come all the time: it is tried before its time is up all the same. */
     @Test
     void whatARestartFoundUntriedGoesAheadOfWhatIsNew() {
-        Relay busy = new Relay(Relay.settings(1, 100)).list(route("a", 1, "plain", "east"));
+        PolicyHarness busy = new PolicyHarness(PolicyHarness.settings(1, 100)).list(route("a", 1, "plain", "east"));
         busy.accept(1, "quick", 1);
-        busy.accept(2, "quick", 1).round(resumed(3)).answer(1, Result.OK).pass(MS);
+        busy.accept(2, "quick", 1)
+                .round(resumed(3))
+                .answer(1, AttemptOutcome.OK)
+                .pass(MS);
         assertEquals(1, busy.sends(3));
         assertEquals(0, busy.sends(2));
-        busy.answer(3, Result.ERROR).pass(5 * S);
+        busy.answer(3, AttemptOutcome.ERROR).pass(5 * S);
         assertEquals(1, busy.sends(2), "tried once, it is one of many");
     }
 
-    private Policy.Resumed resumed(long id) {
-        return new Policy.Resumed(new Policy.Accepted(id, "safe", null, null, relay.now + 3 * S, 1), List.of());
+    private MessageResumed resumed(long id) {
+        return new MessageResumed(new MessageAccepted(id, "safe", null, null, relay.now + 3 * S, 1), List.of());
     }
 
     /** Its end is told and not heard yet, or was so before a restart: the next one of its line waits, another line does not. */
@@ -91,22 +111,26 @@
     void endThatIsNotHeardHoldsUpItsLineAlone() {
         relay.unheard.add(1L);
         relay.accept(1, "ordered", 1, "k").accept(2, "ordered", 1, "k").accept(3, "ordered", 1, "other");
-        assertEquals(List.of(1L, 3L), relay.sent.stream().map(Relay.Sent::id).toList());
-        relay.pass(S).answer(1, Result.FULL).round(new Policy.Withdrawn(1)).pass(S);
+        assertEquals(
+                List.of(1L, 3L), relay.sent.stream().map(PolicyHarness.Sent::id).toList());
+        relay.pass(S)
+                .answer(1, AttemptOutcome.REJECTED)
+                .round(new MessageWithdrawn(1))
+                .pass(S);
         assertEquals(0, relay.sends(2));
-        relay.round(new Policy.EndHeard(1)).pass(S);
+        relay.round(new CompletionAcknowledged(1)).pass(S);
         assertEquals(1, relay.sends(2));
-        relay.round(new Policy.Ending(new Policy.Accepted(8, "ordered", null, "left", S, 3)));
+        relay.round(new CompletionPending(new MessageAccepted(8, "ordered", null, "left", S, 3)));
         relay.accept(9, "ordered", 3, "left").pass(10 * S);
         assertEquals(0, relay.sends(9));
-        relay.round(new Policy.EndHeard(8)).pass(MS);
+        relay.round(new CompletionAcknowledged(8)).pass(MS);
         assertEquals(1, relay.sends(9));
     }
 
     /** The call that was told so may be over, or go on. */
     @Test
     void waitThatIsToldOutsideAnyOutcomeIsHeeded() {
-        relay.round(new Policy.WaitTold("a", 2 * S), new Policy.WaitTold("gone", S))
+        relay.round(new RetryAfterReceived("a", 2 * S), new RetryAfterReceived("gone", S))
                 .accept(1, "safe", 1)
                 .pass(1900 * MS);
         assertEquals(0, relay.sends(1), "of the whole destination");
@@ -121,14 +145,14 @@
         assertEquals(0, relay.sends(10) + relay.sends(11));
         relay.pass(6 * S);
         assertEquals(1, relay.sends(10) + relay.sends(11), "one test only");
-        relay.answer(relay.unanswered.get(0).id(), Result.OK).pass(5 * S);
+        relay.answer(relay.unanswered.get(0).id(), AttemptOutcome.OK).pass(5 * S);
         assertEquals(2, relay.sends(10) + relay.sends(11));
     }
 
     @Test
     void timeoutThatComesFromTheDeadlineIsNotTheRoutesFailure() {
         for (int id = 1; id <= 5; id++) {
-            relay.round(accepted(id, 300 * MS)).pass(300 * MS).answer(id, Result.TIMEOUT);
+            relay.round(accepted(id, 300 * MS)).pass(300 * MS).answer(id, AttemptOutcome.TIMEOUT);
         }
         assertEquals(5, relay.sent.size());
         assertTrue(relay.logged.isEmpty());
@@ -138,7 +162,7 @@
     void connectionsThatBreakNowAndThenOpenNothing() {
         callOften();
         for (int id = 1; id <= 3; id++) {
-            relay.accept(id, "once", 2).pass(MS).answer(id, Result.RESET);
+            relay.accept(id, "once", 2).pass(MS).answer(id, AttemptOutcome.RESET);
         }
         assertTrue(relay.logged.isEmpty());
     }
@@ -153,8 +177,8 @@
 
     @Test
     void overdueCallGivesWayWhereSlotsAreWanted() {
-        Relay narrow =
-                new Relay(Relay.settings(1, 100)).list(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
+        PolicyHarness narrow = new PolicyHarness(PolicyHarness.settings(1, 100))
+                .list(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
         narrow.accept(1, "once", 2).pass(10 * S);
         assertTrue(narrow.cancelled.isEmpty(), "nobody wants its slot");
         narrow.accept(2, "safe", 1);
@@ -163,16 +187,16 @@
 
     @Test
     void newestGoesFirstWhereMessagesRunOutOfTime() {
-        Relay narrow = new Relay(Relay.settings(1, 100)).list(route("a", 1, "plain", "east"));
+        PolicyHarness narrow = new PolicyHarness(PolicyHarness.settings(1, 100)).list(route("a", 1, "plain", "east"));
         for (int id = 1; id <= 30; id++) {
             narrow.accept(id, "once", 1);
         }
         while (narrow.now < 18 * S) {
-            narrow.pass(2 * S).answer(narrow.unanswered.get(0).id(), Result.OK);
+            narrow.pass(2 * S).answer(narrow.unanswered.get(0).id(), AttemptOutcome.OK);
         }
         narrow.accept(40, "once", 1).pass(3 * S).accept(41, "once", 1);
         assertTrue(narrow.refused.size() > 10, "so many ran out of time: " + narrow.refused.size());
-        narrow.answer(narrow.unanswered.get(0).id(), Result.OK);
+        narrow.answer(narrow.unanswered.get(0).id(), AttemptOutcome.OK);
         assertEquals(1, narrow.sends(41));
         assertEquals(0, narrow.sends(40));
     }
@@ -183,15 +207,15 @@
             String apart = "apart" + i;
             relay.list(route("plain" + i, 1, "plain", "east"), route(apart, 2, "apart", "east"));
             relay.accept(i, "safe", 2).pass(100 * MS);
-            relay.changes(new Listed(apart, 2, "apart", "east", Availability.REMOVED, 0));
+            relay.changes(new EndpointEntry(apart, 2, "apart", "east", Availability.REMOVED, 0));
             while (!relay.unanswered.isEmpty()) {
-                relay.answer(relay.unanswered.get(0).id(), i % 2 == 0 ? Result.OK : Result.ERROR);
+                relay.answer(relay.unanswered.get(0).id(), i % 2 == 0 ? AttemptOutcome.OK : AttemptOutcome.ERROR);
             }
             relay.pass(100 * MS);
         }
         relay.list();
         for (String name : List.of("routes", "groups")) {
-            java.lang.reflect.Field field = Logic.class.getDeclaredField(name);
+            java.lang.reflect.Field field = DefaultDeliveryPolicy.class.getDeclaredField(name);
             field.setAccessible(true);
             int left = ((java.util.Map<?, ?>) field.get(relay.module())).size();
             assertTrue(left < 5, name + " left: " + left);
@@ -201,19 +225,21 @@
     @Test
     void routeThatIsGoneStillAnswers() {
         relay.accept(1, "safe", 2).pass(MS).list();
-        relay.answer(1, Result.ERROR).list(route("c", 2, "apart", "east")).pass(4 * S);
+        relay.answer(1, AttemptOutcome.ERROR)
+                .list(route("c", 2, "apart", "east"))
+                .pass(4 * S);
         assertEquals(2, relay.sends(1));
     }
 
-    private Policy.Accepted accepted(long id, long left) {
-        return new Policy.Accepted(id, "safe", null, null, relay.now + left, 2);
+    private MessageAccepted accepted(long id, long left) {
+        return new MessageAccepted(id, "safe", null, null, relay.now + left, 2);
     }
 
     @Test
     void oneFailureOpensWhereCallsAreRare() {
         relay.accept(1, "safe", 2)
                 .pass(MS)
-                .answer(1, Result.CONNECT_FAILED)
+                .answer(1, AttemptOutcome.CONNECT_FAILED)
                 .accept(2, "safe", 2)
                 .pass(S);
         assertEquals(List.of("out: c"), relay.logged);
@@ -223,7 +249,7 @@
     @Test
     void oneErrorAmongManyServesOpensNothing() {
         callOften();
-        relay.accept(1, "safe", 2).pass(MS).answer(1, Result.ERROR).pass(MS);
+        relay.accept(1, "safe", 2).pass(MS).answer(1, AttemptOutcome.ERROR).pass(MS);
         assertTrue(relay.logged.isEmpty());
         assertEquals(2, relay.sends(1));
     }
@@ -232,8 +258,11 @@
     void testsOfAFleetStayFarUnderWhatItsCallsWouldBe() {
         int tests = 0;
         for (int seed = 0; seed < 100; seed++) {
-            Relay one = new Relay(Relay.fleet(100, seed)).list(route("c", 2, "apart", "east"));
-            one.accept(1, "safe", 2).pass(MS).answer(1, Result.CONNECT_FAILED).pass(10 * S);
+            PolicyHarness one = new PolicyHarness(PolicyHarness.fleet(100, seed)).list(route("c", 2, "apart", "east"));
+            one.accept(1, "safe", 2)
+                    .pass(MS)
+                    .answer(1, AttemptOutcome.CONNECT_FAILED)
+                    .pass(10 * S);
             tests += one.sent.size() - 1;
         }
         assertTrue(tests < 50, "tests of 100 relays in ten seconds: " + tests);
@@ -243,8 +272,8 @@
     void refusedMessagesOfAFleetComeBackSpread() {
         int soon = 0;
         for (int seed = 0; seed < 100; seed++) {
-            Relay one = new Relay(Relay.fleet(100, seed)).list(route("c", 2, "apart", "east"));
-            one.accept(1, "safe", 2).pass(MS).answer(1, Result.FULL).pass(4 * S);
+            PolicyHarness one = new PolicyHarness(PolicyHarness.fleet(100, seed)).list(route("c", 2, "apart", "east"));
+            one.accept(1, "safe", 2).pass(MS).answer(1, AttemptOutcome.REJECTED).pass(4 * S);
             soon += one.sent.size() - 1;
         }
         assertTrue(soon > 20 && soon < 80, "back within four seconds: " + soon);
@@ -255,13 +284,13 @@
         for (int i = 0; i < 4; i++) {
             relay.accept(i, "safe", 2)
                     .pass(MS)
-                    .answer(i, Result.FULL)
+                    .answer(i, AttemptOutcome.REJECTED)
                     .pass(8 * S)
-                    .answer(i, Result.OK);
+                    .answer(i, AttemptOutcome.OK);
         }
         long cut = spacing(5);
         for (int id = 10; id < 40; id++) {
-            relay.accept(id, "safe", 2).pass(3 * S).answer(id, Result.OK);
+            relay.accept(id, "safe", 2).pass(3 * S).answer(id, AttemptOutcome.OK);
         }
         long regrown = spacing(50);
         assertTrue(cut > 100 * MS && regrown < cut / 2, "cut " + cut + ", regrown " + regrown);
@@ -271,7 +300,7 @@
     private long spacing(int id) {
         relay.sent.clear();
         relay.accept(id, "safe", 2).accept(id + 1, "safe", 2).pass(10 * S);
-        relay.answer(id, Result.OK).answer(id + 1, Result.OK);
+        relay.answer(id, AttemptOutcome.OK).answer(id + 1, AttemptOutcome.OK);
         return relay.sent.get(1).at() - relay.sent.get(0).at();
     }
 
@@ -280,7 +309,7 @@
         openC();
         relay.accept(10, "safe", 2)
                 .pass(6 * S)
-                .answer(10, Result.CONNECT_FAILED)
+                .answer(10, AttemptOutcome.CONNECT_FAILED)
                 .pass(S);
         assertEquals(1, relay.sends(10));
     }
@@ -291,11 +320,11 @@
         for (int id = 10; id < 60; id++) {
             relay.accept(id, "safe", 2);
         }
-        relay.pass(6 * S).answer(relay.unanswered.get(0).id(), Result.OK);
+        relay.pass(6 * S).answer(relay.unanswered.get(0).id(), AttemptOutcome.OK);
         int before = relay.sent.size();
         for (int i = 0; i < 20; i++) {
             relay.pass(100 * MS);
-            List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), Result.OK));
+            List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), AttemptOutcome.OK));
         }
         assertTrue(relay.sent.size() - before <= 2, "sent on release: " + (relay.sent.size() - before));
     }
@@ -305,18 +334,18 @@
     void destinationOfAYoungRelayIsReleasedByWhatWasAskedOfItASecond() {
         int id = 100;
         for (int i = 0; i < 40; i++) {
-            relay.accept(id, "safe", 2).answer(id, Result.OK).pass(100 * MS);
+            relay.accept(id, "safe", 2).answer(id, AttemptOutcome.OK).pass(100 * MS);
             id++;
         }
         openC();
         for (int i = 0; i < 60; i++) {
             relay.accept(id++, "safe", 2);
         }
-        relay.pass(6 * S).answer(relay.unanswered.get(0).id(), Result.OK);
+        relay.pass(6 * S).answer(relay.unanswered.get(0).id(), AttemptOutcome.OK);
         int before = relay.sent.size();
         for (int i = 0; i < 30; i++) {
             relay.pass(100 * MS);
-            List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), Result.OK));
+            List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), AttemptOutcome.OK));
         }
         int released = relay.sent.size() - before;
         assertTrue(released >= 10 && released <= 25, "ten a second were usual; released in three seconds: " + released);
@@ -353,33 +382,37 @@
     @Test
     void answersToEarlierCallsDoNotHideASilence() {
         for (int id = 100; id < 120; id++) {
-            relay.accept(id, "safe", 2).pass(50 * MS).answer(id, Result.OK);
+            relay.accept(id, "safe", 2).pass(50 * MS).answer(id, AttemptOutcome.OK);
         }
         for (int id = 0; id < 4; id++) {
             relay.accept(id, "safe", 2).pass(100 * MS);
         }
-        relay.pass(S).answer(0, Result.OK).pass(2 * S).accept(9, "safe", 2).pass(500 * MS);
+        relay.pass(S)
+                .answer(0, AttemptOutcome.OK)
+                .pass(2 * S)
+                .accept(9, "safe", 2)
+                .pass(500 * MS);
         assertEquals(List.of("out: c, silent"), relay.logged);
         assertEquals(0, relay.sends(9));
     }
 
     @Test
     void answerToACallFromBeforeTheFailuresProvesNothing() {
-        Relay wide = silentC();
-        wide.answer(1, Result.TIMEOUT)
-                .answer(2, Result.TIMEOUT)
-                .answer(3, Result.TIMEOUT)
-                .answer(0, Result.OK);
+        PolicyHarness wide = silentC();
+        wide.answer(1, AttemptOutcome.TIMEOUT)
+                .answer(2, AttemptOutcome.TIMEOUT)
+                .answer(3, AttemptOutcome.TIMEOUT)
+                .answer(0, AttemptOutcome.OK);
         assertEquals(List.of("out: c, silent"), wide.logged);
     }
 
     @Test
     void answersToAllThatWasMissedShowThatTheRouteWasSlowAlone() {
-        Relay wide = silentC();
-        wide.answer(0, Result.OK)
-                .answer(1, Result.OK)
-                .answer(2, Result.OK)
-                .answer(3, Result.OK)
+        PolicyHarness wide = silentC();
+        wide.answer(0, AttemptOutcome.OK)
+                .answer(1, AttemptOutcome.OK)
+                .answer(2, AttemptOutcome.OK)
+                .answer(3, AttemptOutcome.OK)
                 .pass(100 * MS);
         assertEquals(List.of("out: c, silent", "serves again: c"), wide.logged);
         assertEquals(11, wide.unanswered.size(), "all that was held");
@@ -387,17 +420,17 @@
 
     @Test
     void routeThatWasSilentAndLostCallsIsReleasedAsAColdOne() {
-        Relay wide = silentC();
-        wide.answer(0, Result.TIMEOUT).answer(1, Result.TIMEOUT).answer(2, Result.TIMEOUT);
+        PolicyHarness wide = silentC();
+        wide.answer(0, AttemptOutcome.TIMEOUT).answer(1, AttemptOutcome.TIMEOUT).answer(2, AttemptOutcome.TIMEOUT);
         int before = wide.sent.size();
-        wide.answer(3, Result.OK).pass(100 * MS);
+        wide.answer(3, AttemptOutcome.OK).pass(100 * MS);
         assertEquals(List.of("out: c, silent", "serves again: c"), wide.logged);
         assertTrue(wide.sent.size() - before <= 1, "sent at once: " + (wide.sent.size() - before));
     }
 
     /** Four calls that are out for so long that their route counts as silent, and eleven messages that wait. */
-    private static Relay silentC() {
-        Relay wide = new Relay(Relay.settings(100, 200)).list(route("c", 2, "apart", "east"));
+    private static PolicyHarness silentC() {
+        PolicyHarness wide = new PolicyHarness(PolicyHarness.settings(100, 200)).list(route("c", 2, "apart", "east"));
         for (int id = 0; id < 4; id++) {
             wide.accept(id, "once", 2).pass(100 * MS);
         }
@@ -412,14 +445,14 @@
     void refusalsWithoutAServeOpenAsShut() {
         relay.accept(1, "safe", 2);
         for (int i = 0; i < 3; i++) {
-            relay.answer(1, Result.FULL).pass(1500 * MS);
+            relay.answer(1, AttemptOutcome.REJECTED).pass(1500 * MS);
         }
         assertEquals(List.of("out: c"), relay.logged);
     }
 
     @Test
     void refusalCutsThePaceNotTheCircuit() {
-        relay.accept(1, "safe", 2).pass(MS).answer(1, Result.FULL);
+        relay.accept(1, "safe", 2).pass(MS).answer(1, AttemptOutcome.REJECTED);
         relay.accept(2, "safe", 2).pass(300 * MS);
         assertEquals(1, relay.sent.size());
         relay.pass(S);
@@ -430,9 +463,9 @@
     /** What was sent at once is refused at once, or one by one over a second: either way it tells of one pace. */
     @Test
     void refusalsOfOneBurstCutThePaceOnce() {
-        Relay wide = new Relay(Relay.settings(100, 2_000)).list(route("c", 2, "apart", "east"));
+        PolicyHarness wide = new PolicyHarness(PolicyHarness.settings(100, 2_000)).list(route("c", 2, "apart", "east"));
         for (int id = 1_000; id < 1_400; id++) {
-            wide.accept(id, "safe", 2).pass(10 * MS).answer(id, Result.OK);
+            wide.accept(id, "safe", 2).pass(10 * MS).answer(id, AttemptOutcome.OK);
         }
         for (int id = 100; id < 130; id++) {
             wide.accept(id, "safe", 2);
@@ -441,16 +474,16 @@
         for (int id = 200; id < 230; id++) {
             wide.accept(id, "once", 2);
         }
-        wide.pass(100 * MS).answer(100, Result.FULL);
+        wide.pass(100 * MS).answer(100, AttemptOutcome.REJECTED);
         for (int id = 102; id < 130; id++) {
-            wide.answer(id, Result.NOT_SENT);
+            wide.answer(id, AttemptOutcome.NOT_SENT);
         }
-        wide.pass(550 * MS).answer(101, Result.FULL);
+        wide.pass(550 * MS).answer(101, AttemptOutcome.REJECTED);
         int before = wide.sent.size();
         for (int i = 0; i < 40; i++) {
             wide.pass(100 * MS);
             // Neither a serve nor a refusal: the pace stays as it is.
-            List.copyOf(wide.unanswered).forEach(s -> wide.answer(s.id(), Result.NOT_SENT));
+            List.copyOf(wide.unanswered).forEach(s -> wide.answer(s.id(), AttemptOutcome.NOT_SENT));
         }
         assertEquals(64, wide.sent.size() - before, 10, "four seconds at half of 33 a second");
     }
@@ -458,9 +491,11 @@
     /** Without a limit to go by the first cut is a guess: what is served then soon shows better. */
     @Test
     void paceAfterTheFirstCutDoublesUntilTheNext() {
-        Relay wide = fiveSecondsAfterTheFirstCut();
+        PolicyHarness wide = fiveSecondsAfterTheFirstCut();
         assertTrue(wide.sent.size() > 300, "sent in five seconds: " + wide.sent.size());
-        wide.pass(20 * MS).answer(wide.unanswered.get(0).id(), Result.FULL).pass(S);
+        wide.pass(20 * MS)
+                .answer(wide.unanswered.get(0).id(), AttemptOutcome.REJECTED)
+                .pass(S);
         int before = wide.sent.size();
         serveFor(wide, S);
         int cut = wide.sent.size() - before;
@@ -473,21 +508,21 @@
 
     @Test
     void quickPaceLetsAsManyGoInARoundAsItsTimeHolds() {
-        Relay wide = fiveSecondsAfterTheFirstCut();
+        PolicyHarness wide = fiveSecondsAfterTheFirstCut();
         long most = 0;
         for (int i = 0; i < 100; i++) {
             int before = wide.sent.size();
             wide.now += 10 * MS;
-            wide.round(new Policy.TimerFired(0));
+            wide.round(new TimerFired(0));
             most = Math.max(most, wide.sent.size() - before);
         }
         assertTrue(most > 1, "in a round: " + most);
     }
 
     /** Refused once with no limit known, then served for five seconds while a thousand messages wait. */
-    private static Relay fiveSecondsAfterTheFirstCut() {
-        Relay wide = new Relay(Relay.settings(100, 2_000)).list(route("c", 2, "apart", "east"));
-        wide.accept(0, "safe", 2).pass(10 * MS).answer(0, Result.FULL);
+    private static PolicyHarness fiveSecondsAfterTheFirstCut() {
+        PolicyHarness wide = new PolicyHarness(PolicyHarness.settings(100, 2_000)).list(route("c", 2, "apart", "east"));
+        wide.accept(0, "safe", 2).pass(10 * MS).answer(0, AttemptOutcome.REJECTED);
         for (int id = 1; id < 1_000; id++) {
             wide.accept(id, "safe", 2);
         }
@@ -496,32 +531,33 @@
     }
 
     /** Lets time pass, and serves what was sent ten milliseconds later. */
-    private static void serveFor(Relay relay, long span) {
+    private static void serveFor(PolicyHarness relay, long span) {
         for (long end = relay.now + span; relay.now < end; ) {
             relay.pass(10 * MS);
-            List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), Result.OK));
+            List.copyOf(relay.unanswered).forEach(s -> relay.answer(s.id(), AttemptOutcome.OK));
         }
     }
 
     @Test
     void nothingGoesByTheListOfARestartUntilNewsComeOrTheirTimeIsOver() {
-        Relay young = new Relay(Relay.settings());
+        PolicyHarness young = new PolicyHarness(PolicyHarness.settings());
         young.round(
-                new Policy.RouteList(Policy.ListKind.CACHED, 0, List.of(route("c", 2, "apart", "east"))),
-                new Policy.Resumed(new Policy.Accepted(1, "safe", null, null, 20 * S, 2), List.of()),
-                new Policy.Resumed(new Policy.Accepted(2, "safe", null, null, 100 * MS, 2), List.of()),
-                new Policy.AwaitList(400 * MS));
+                new EndpointListReceived(EndpointListKind.CACHED, 0, List.of(route("c", 2, "apart", "east"))),
+                new MessageResumed(new MessageAccepted(1, "safe", null, null, 20 * S, 2), List.of()),
+                new MessageResumed(new MessageAccepted(2, "safe", null, null, 100 * MS, 2), List.of()),
+                new EndpointListPending(400 * MS));
         young.pass(399 * MS);
         assertEquals(0, young.sent.size());
         assertEquals(List.of(2L), young.refused, "ends don't wait");
         young.pass(MS);
         assertEquals(1, young.sends(1));
-        Relay told = new Relay(Relay.settings());
+        PolicyHarness told = new PolicyHarness(PolicyHarness.settings());
         told.round(
-                new Policy.RouteList(Policy.ListKind.CACHED, 0, List.of(route("c", 2, "apart", "east"))),
-                new Policy.Resumed(new Policy.Accepted(1, "safe", null, null, 20 * S, 2), List.of()),
-                new Policy.AwaitList(400 * MS));
-        told.changes(new Listed("c", 2, "apart", "east", Availability.DRAINING, 0), route("e", 2, "apart", "east"));
+                new EndpointListReceived(EndpointListKind.CACHED, 0, List.of(route("c", 2, "apart", "east"))),
+                new MessageResumed(new MessageAccepted(1, "safe", null, null, 20 * S, 2), List.of()),
+                new EndpointListPending(400 * MS));
+        told.changes(
+                new EndpointEntry("c", 2, "apart", "east", Availability.DRAINING, 0), route("e", 2, "apart", "east"));
         assertEquals("e", told.sent.get(0).route());
     }
 
@@ -529,7 +565,7 @@
     void toldWaitHoldsTheWholeSharedGroup() {
         relay.accept(1, "safe", 1)
                 .pass(MS)
-                .answer(1, Result.FULL, 2 * S)
+                .answer(1, AttemptOutcome.REJECTED, 2 * S)
                 .accept(2, "safe", 1)
                 .pass(1999 * MS);
         assertEquals(1, relay.sent.size());
@@ -537,16 +573,18 @@
 
     @Test
     void waitToldToALaterRequestOfOneCallIsHeeded() {
-        relay.accept(1, "safe", 3).pass(MS).answer(1, Result.FULL);
+        relay.accept(1, "safe", 3).pass(MS).answer(1, AttemptOutcome.REJECTED);
         relay.accept(2, "safe", 3).accept(3, "safe", 3).pass(1100 * MS);
         assertEquals(4, relay.sent.size(), "three in one call");
-        relay.answer(1, Result.FULL).answer(2, Result.FULL, 2 * S).pass(1990 * MS);
+        relay.answer(1, AttemptOutcome.REJECTED)
+                .answer(2, AttemptOutcome.REJECTED, 2 * S)
+                .pass(1990 * MS);
         assertEquals(4, relay.sent.size());
     }
 
     @Test
     void onceThatMayHaveRunFails() {
-        relay.accept(1, "once", 1).pass(MS).answer(1, Result.ERROR);
+        relay.accept(1, "once", 1).pass(MS).answer(1, AttemptOutcome.ERROR);
         assertEquals(List.of(1L), relay.failed);
         assertEquals(1, relay.sends(1));
     }
@@ -554,27 +592,27 @@
     @Test
     void keyedRepeatStaysInItsZoneAndWindow() {
         for (int id = 1_000; id < 1_016; id++) {
-            relay.accept(id, "safe", 1).pass(MS).answer(id, Result.OK);
+            relay.accept(id, "safe", 1).pass(MS).answer(id, AttemptOutcome.OK);
         }
         relay.sent.clear();
         relay.accept(1, "keyed", 1).pass(MS);
         String first = relay.sent.get(0).route();
-        relay.answer(1, Result.RESET).pass(100 * MS);
+        relay.answer(1, AttemptOutcome.RESET).pass(100 * MS);
         assertEquals(2, relay.sends(1));
         assertEquals(first, relay.sent.get(1).route());
         assertEquals(0, relay.sent.get(0).leaveWithin(), "the first may leave whenever");
         assertEquals(
                 relay.sent.get(0).at() + 6 * S,
                 relay.sent.get(1).at() + relay.sent.get(1).leaveWithin());
-        relay.pass(7 * S).answer(1, Result.RESET).pass(S);
+        relay.pass(7 * S).answer(1, AttemptOutcome.RESET).pass(S);
         assertEquals(2, relay.sends(1));
     }
 
     @Test
     void nothingGoesToDrainingRemovedOrMissingRoutes() {
         relay.changes(
-                new Listed("a", 1, "plain", "east", Availability.DRAINING, 0),
-                new Listed("b", 1, "plain", "west", Availability.REMOVED, 0));
+                new EndpointEntry("a", 1, "plain", "east", Availability.DRAINING, 0),
+                new EndpointEntry("b", 1, "plain", "west", Availability.REMOVED, 0));
         relay.list(route("a2", 5, "plain", "east"));
         relay.accept(1, "safe", 1).accept(2, "safe", 2).pass(S);
         assertEquals(0, relay.sent.size());
@@ -584,7 +622,10 @@
     void keysGoOneByOneAndRestAfterATimeout() {
         relay.accept(1, "ordered", 1, "k").accept(2, "ordered", 1, "k").pass(S);
         assertEquals(0, relay.sends(2));
-        relay.answer(1, Result.TIMEOUT).pass(10 * MS).answer(1, Result.OK).pass(2900 * MS);
+        relay.answer(1, AttemptOutcome.TIMEOUT)
+                .pass(10 * MS)
+                .answer(1, AttemptOutcome.OK)
+                .pass(2900 * MS);
         assertEquals(0, relay.sends(2), "the key rests");
         relay.pass(200 * MS);
         assertEquals(1, relay.sends(2));
@@ -592,7 +633,7 @@
 
     @Test
     void fullBufferRefusesTheLeastWorthThatMayBeRefused() {
-        Relay small = new Relay(Relay.settings(4, 3)).list(route("c", 2, "apart", "east"));
+        PolicyHarness small = new PolicyHarness(PolicyHarness.settings(4, 3)).list(route("c", 2, "apart", "east"));
         small.accept(1, "safe", 7).accept(2, "safe", 7).accept(3, "safe", 7);
         assertEquals(1, small.refused.size());
     }
@@ -612,7 +653,7 @@
         callOften();
         for (int id = 1; id < 30 && relay.logged.isEmpty(); id++) {
             relay.accept(id, "safe", 2).pass(MS);
-            relay.answer(id, id % 3 == 0 ? Result.OK : Result.ERROR);
+            relay.answer(id, id % 3 == 0 ? AttemptOutcome.OK : AttemptOutcome.ERROR);
         }
         assertEquals(List.of("out: c"), relay.logged);
     }
@@ -620,7 +661,7 @@
     @Test
     void nearRoutesAreTakenMoreOftenButNotAlone() {
         for (int id = 0; id < 400; id++) {
-            relay.accept(id, "safe", 1).pass(10 * MS).answer(id, Result.OK);
+            relay.accept(id, "safe", 1).pass(10 * MS).answer(id, AttemptOutcome.OK);
         }
         long near = relay.sent.stream().filter(s -> s.route().equals("a")).count();
         assertTrue(near > 200 && near < 260, "near: " + near);
@@ -628,60 +669,63 @@
 
     @Test
     void whatLosesMostByWaitingGoesFirst() {
-        Relay one = new Relay(Relay.settings(1, 100)).list(route("a", 1, "plain", "east"));
+        PolicyHarness one = new PolicyHarness(PolicyHarness.settings(1, 100)).list(route("a", 1, "plain", "east"));
         one.accept(1, "safe", 1)
                 .accept(2, "safe", 1)
                 .pass(S)
                 .accept(3, "quick", 1)
-                .answer(1, Result.OK);
+                .answer(1, AttemptOutcome.OK);
         assertEquals(3, one.sent.get(1).id());
     }
 
     @Test
     void refusalIsToldToTheKeeperOfTheDestination() {
-        Relay peer = peer();
-        peer.accept(1, "safe", 1).pass(MS).answer(1, Result.FULL);
-        assertEquals(List.of("1:" + note(Word.REFUSED)), peer.told);
+        PolicyHarness peer = peer();
+        peer.accept(1, "safe", 1).pass(MS).answer(1, AttemptOutcome.REJECTED);
+        assertEquals(List.of("1:" + note(PeerMessageType.REFUSED)), peer.told);
     }
 
     @Test
     void guardedDestinationIsCalledByTurns() {
-        Relay peer = peer();
-        peer.round(heard(Word.GUARD)).accept(1, "safe", 1).accept(2, "safe", 1).pass(S);
+        PolicyHarness peer = peer();
+        peer.round(heard(PeerMessageType.GUARD))
+                .accept(1, "safe", 1)
+                .accept(2, "safe", 1)
+                .pass(S);
         assertEquals(0, peer.sent.size());
-        peer.round(heard(Word.TURN));
+        peer.round(heard(PeerMessageType.TURN));
         assertEquals(1, peer.sent.size());
-        assertEquals(List.of("1:" + note(Word.WANT), "1:" + note(Word.WANT)), peer.told);
+        assertEquals(List.of("1:" + note(PeerMessageType.WANT), "1:" + note(PeerMessageType.WANT)), peer.told);
     }
 
     @Test
     void lostTurnCostsAFewSecondsOnly() {
-        Relay peer = peer();
-        peer.round(heard(Word.GUARD)).accept(1, "safe", 1).pass(9 * S);
+        PolicyHarness peer = peer();
+        peer.round(heard(PeerMessageType.GUARD)).accept(1, "safe", 1).pass(9 * S);
         assertEquals(1, peer.sent.size());
     }
 
     @Test
     void keeperGivesTurnsOneAtATime() {
-        Relay keeper = peer();
+        PolicyHarness keeper = peer();
         for (int from = 1; from <= 60; from++) {
-            keeper.round(new Policy.PeerNote(from, bytes(Word.REFUSED, 2)));
+            keeper.round(new PeerMessage(from, bytes(PeerMessageType.REFUSED, 2)));
         }
         keeper.pass(5 * S);
         long turns = keeper.told.stream()
-                .filter(t -> t.endsWith(HexFormat.of().formatHex(bytes(Word.TURN, 2))))
+                .filter(t -> t.endsWith(HexFormat.of().formatHex(bytes(PeerMessageType.TURN, 2))))
                 .count();
         assertTrue(turns >= 5 && turns <= 20, "turns in five seconds: " + turns);
     }
 
     @Test
     void garbageInNotesDoesNoHarm() {
-        Relay peer = peer();
+        PolicyHarness peer = peer();
         peer.round(
-                new Policy.PeerNote(1, new byte[0]),
-                new Policy.PeerNote(1, new byte[] {9, 0, 0, 0, 1}),
-                new Policy.PeerNote(1, new byte[] {-1, 0, 0, 0, 1}),
-                new Policy.PeerNote(1, new byte[256]));
+                new PeerMessage(1, new byte[0]),
+                new PeerMessage(1, new byte[] {9, 0, 0, 0, 1}),
+                new PeerMessage(1, new byte[] {-1, 0, 0, 0, 1}),
+                new PeerMessage(1, new byte[256]));
         peer.accept(1, "safe", 1);
         assertEquals(1, peer.sends(1));
     }
@@ -689,7 +733,7 @@
     @Test
     void reportedLimitOfNothingIsNoLimit() {
         relay.accept(1, "safe", 2).pass(MS);
-        relay.round(new Policy.Outcome(1, 0, "c", Result.FULL, false, 0, MS, new Policy.LimitReport(0, 0)));
+        relay.round(new AttemptCompleted(1, 0, "c", AttemptOutcome.REJECTED, false, 0, MS, new LimitReport(0, 0)));
         relay.pass(3 * S);
         assertEquals(2, relay.sends(1));
     }
@@ -697,46 +741,47 @@
     @Test
     void routeListedAndRemovedInOneRoundIsNotUsed() {
         relay.round(
-                new Policy.RouteList(Policy.ListKind.CHANGES, 2, List.of(route("n", 9, "plain", "east"))),
-                new Policy.RouteList(
-                        Policy.ListKind.CHANGES,
+                new EndpointListReceived(EndpointListKind.DELTA, 2, List.of(route("n", 9, "plain", "east"))),
+                new EndpointListReceived(
+                        EndpointListKind.DELTA,
                         3,
-                        List.of(new Listed("n", 9, "plain", "east", Availability.REMOVED, 0))),
-                new Policy.Accepted(1, "safe", null, null, 20 * S, 9));
+                        List.of(new EndpointEntry("n", 9, "plain", "east", Availability.REMOVED, 0))),
+                new MessageAccepted(1, "safe", null, null, 20 * S, 9));
         assertEquals(0, relay.sent.size());
     }
 
     @Test
     void aRelayAloneAndOneOfFourHundredServe() {
         for (int size : new int[] {1, 400}) {
-            Relay one = new Relay(Relay.fleet(size, 3)).list(route("c", 2, "apart", "east"));
-            one.accept(1, "safe", 2).pass(MS).answer(1, Result.OK);
+            PolicyHarness one = new PolicyHarness(PolicyHarness.fleet(size, 3)).list(route("c", 2, "apart", "east"));
+            one.accept(1, "safe", 2).pass(MS).answer(1, AttemptOutcome.OK);
             assertEquals(1, one.sends(1));
         }
     }
 
-    private static Relay peer() {
-        return new Relay(Relay.peers(2)).list(route("a", 1, "plain", "east"), route("b", 2, "plain", "east"));
+    private static PolicyHarness peer() {
+        return new PolicyHarness(PolicyHarness.peers(2))
+                .list(route("a", 1, "plain", "east"), route("b", 2, "plain", "east"));
     }
 
-    private static Policy.PeerNote heard(Word word) {
-        return new Policy.PeerNote(1, bytes(word, 1));
+    private static PeerMessage heard(PeerMessageType word) {
+        return new PeerMessage(1, bytes(word, 1));
     }
 
-    private static String note(Word word) {
+    private static String note(PeerMessageType word) {
         return HexFormat.of().formatHex(bytes(word, 1));
     }
 
-    private static byte[] bytes(Word word, int number) {
+    private static byte[] bytes(PeerMessageType word, int number) {
         return ByteBuffer.allocate(5).put((byte) word.ordinal()).putInt(number).array();
     }
 
     @Test
     void asksForTheListAtOnceAndAgainAfterEachFailureInTime() {
-        Relay asking = new Relay(Relay.settings(4, 10, true)).list();
+        PolicyHarness asking = new PolicyHarness(PolicyHarness.settings(4, 10, true)).list();
         assertEquals(List.of(0L), asking.subscribed);
         for (int failure = 1; failure <= 5; failure++) {
-            asking.round(new Policy.RouteList(Policy.ListKind.FAILED, 0, List.of()))
+            asking.round(new EndpointListReceived(EndpointListKind.FAILED, 0, List.of()))
                     .pass(10 * S);
             assertEquals(failure + 1, asking.subscribed.size(), "asked within the rule's span");
         }
@@ -744,14 +789,14 @@
 
     @Test
     void settingsWithoutSenseNameTheField() {
-        var thrown = assertThrows(IllegalArgumentException.class, () -> Relay.settings(0, 5));
+        var thrown = assertThrows(IllegalArgumentException.class, () -> PolicyHarness.settings(0, 5));
         assertTrue(thrown.getMessage().contains("callSlots"));
     }
 
     /** So many served calls to route c that it is called often. */
     private void callOften() {
         for (int id = 1_000; id < 1_008; id++) {
-            relay.accept(id, "safe", 2).pass(MS).answer(id, Result.OK);
+            relay.accept(id, "safe", 2).pass(MS).answer(id, AttemptOutcome.OK);
         }
         relay.sent.clear();
     }
@@ -759,38 +804,38 @@
     private void openC() {
         callOften();
         for (int id = 1; id <= 3; id++) {
-            relay.accept(id, "once", 2).pass(MS).answer(id, Result.ERROR);
+            relay.accept(id, "once", 2).pass(MS).answer(id, AttemptOutcome.ERROR);
         }
         assertEquals(List.of("out: c"), relay.logged);
     }
 
-    private void resume(long id, String type, Policy.PastAttempt... past) {
+    private void resume(long id, String type, PastAttempt... past) {
         relay.round(
-                new Policy.Resumed(new Policy.Accepted(id, type, null, null, relay.now + 15 * S, 1), List.of(past)));
+                new MessageResumed(new MessageAccepted(id, type, null, null, relay.now + 15 * S, 1), List.of(past)));
     }
 
     @Test
     void resumedOnceWithAnUnknownAttemptFailsAtOnce() {
-        resume(1, "once", new Policy.PastAttempt("a", relay.now - S, null));
+        resume(1, "once", new PastAttempt("a", relay.now - S, null));
         assertEquals(List.of(1L), relay.failed);
         assertEquals(0, relay.sends(1));
     }
 
     @Test
     void resumedOnceWhoseAttemptsNeverRanIsSentAgain() {
-        resume(1, "once", new Policy.PastAttempt("a", relay.now - S, Result.FULL));
+        resume(1, "once", new PastAttempt("a", relay.now - S, AttemptOutcome.REJECTED));
         assertEquals(1, relay.sends(1));
     }
 
     @Test
     void resumedKeyedKeepsToItsZoneAndWindow() {
         for (int id = 0; id < 4; id++) {
-            resume(id, "keyed", new Policy.PastAttempt("b", relay.now - S, null));
+            resume(id, "keyed", new PastAttempt("b", relay.now - S, null));
         }
         assertEquals(4, relay.sent.size());
         assertTrue(relay.sent.stream().allMatch(s -> s.route().equals("b")));
-        resume(30, "keyed", new Policy.PastAttempt("b", relay.now - 7 * S, null));
-        resume(31, "keyed", new Policy.PastAttempt("left the list", relay.now - S, null));
+        resume(30, "keyed", new PastAttempt("b", relay.now - 7 * S, null));
+        resume(31, "keyed", new PastAttempt("left the list", relay.now - S, null));
         relay.pass(S);
         assertEquals(0, relay.sends(30) + relay.sends(31));
         relay.pass(15 * S);
@@ -799,7 +844,7 @@
 
     @Test
     void attemptsBeforeARestartCountOn() {
-        Policy.PastAttempt past = new Policy.PastAttempt("a", relay.now - S, Result.FULL);
+        PastAttempt past = new PastAttempt("a", relay.now - S, AttemptOutcome.REJECTED);
         resume(1, "safe", past, past, past, past, past, past);
         assertEquals(0, relay.sends(1));
         assertEquals(List.of(1L), relay.refused);
@@ -807,7 +852,7 @@
 
     @Test
     void waitToldToAProbeBindsCalls() {
-        relay.round(new Policy.ProbeDone("a", Result.FULL, S, MS, Policy.LimitReport.NONE))
+        relay.round(new ProbeCompleted("a", AttemptOutcome.REJECTED, S, MS, LimitReport.NONE))
                 .accept(1, "safe", 1);
         relay.pass(S - MS);
         assertEquals(0, relay.sends(1));
--- a/src/test/java/pipitstage/FleetLimitTest.java
+++ b/src/test/java/loftflow/policy/FleetLimitTest.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package loftflow.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,11 +11,12 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.ServiceRules;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Result;
 
 /**
  * A fleet of decision modules before one destination that tells its limits in answers: a hundred before three routes with a limit
@@ -53,7 +54,7 @@
             tokens = rate / 2;
         }
 
-        private Result meet(long now) {
+        private AttemptOutcome meet(long now) {
             tokens = Math.min(rate / 2, tokens + rate * (now - at) / S);
             at = now;
             boolean takes = tokens >= 1 && !shut;
@@ -65,13 +66,13 @@
             }
             served += takes ? 1 : 0;
             refused += takes ? 0 : 1;
-            return takes ? Result.OK : Result.FULL;
+            return takes ? AttemptOutcome.OK : AttemptOutcome.REJECTED;
         }
     }
 
-    private record Answer(long at, int relay, long id, Result result, LimitReport report) {}
+    private record Answer(long at, int relay, long id, AttemptOutcome result, LimitReport report) {}
 
-    private final List<Relay> relays = new ArrayList<>();
+    private final List<PolicyHarness> relays = new ArrayList<>();
     private final Map<String, Limit> limits = new HashMap<>();
     private int batch = 1;
     private final PriorityQueue<Answer> answers = new PriorityQueue<>(Comparator.comparingLong(Answer::at));
@@ -84,11 +85,11 @@
         for (long end = now + span; now < end; now += STEP) {
             while (!answers.isEmpty() && answers.peek().at() <= now) {
                 Answer answer = answers.poll();
-                Relay relay = relays.get(answer.relay());
+                PolicyHarness relay = relays.get(answer.relay());
                 relay.answer(answer.id(), answer.result(), 0, answer.report());
             }
             for (int i = 0; i < relays.size(); i++) {
-                Relay relay = relays.get(i);
+                PolicyHarness relay = relays.get(i);
                 relay.pass(now - relay.now);
                 double own = rate / relays.size() * (i % 5 == 0 ? 3 : 0.5);
                 if (random.nextDouble() < own * STEP / S) {
@@ -100,18 +101,18 @@
     }
 
     /** What one round sends to one route goes in calls of up to a batch. */
-    private void carry(int number, Relay relay) {
-        Map<String, List<Relay.Sent>> sent = new TreeMap<>();
+    private void carry(int number, PolicyHarness relay) {
+        Map<String, List<PolicyHarness.Sent>> sent = new TreeMap<>();
         relay.sent.forEach(
                 s -> sent.computeIfAbsent(s.route(), r -> new ArrayList<>()).add(s));
         sent.forEach((route, messages) -> {
             for (int from = 0; from < messages.size(); from += batch) {
-                List<Relay.Sent> call = messages.subList(from, Math.min(messages.size(), from + batch));
+                List<PolicyHarness.Sent> call = messages.subList(from, Math.min(messages.size(), from + batch));
                 Limit limit = limits.get(route);
-                Result result = limit.meet(now);
-                delivered += result == Result.OK ? call.size() : 0;
+                AttemptOutcome result = limit.meet(now);
+                delivered += result == AttemptOutcome.OK ? call.size() : 0;
                 call.forEach(message -> answers.add(new Answer(
-                        now + (result == Result.OK ? ANSWER : REFUSAL),
+                        now + (result == AttemptOutcome.OK ? ANSWER : REFUSAL),
                         number,
                         message.id(),
                         result,
@@ -126,11 +127,11 @@
             limits.put("r" + i, new Limit(LIMITS[i]));
         }
         for (int i = 0; i < FLEET; i++) {
-            relays.add(new Relay(Relay.fleet(FLEET, seed * FLEET + i))
+            relays.add(new PolicyHarness(PolicyHarness.fleet(FLEET, seed * FLEET + i))
                     .list(
-                            Relay.route("r0", 1, "apart", "east"),
-                            Relay.route("r1", 1, "apart", "west"),
-                            Relay.route("r2", 1, "apart", "east")));
+                            PolicyHarness.route("r0", 1, "apart", "east"),
+                            PolicyHarness.route("r1", 1, "apart", "west"),
+                            PolicyHarness.route("r2", 1, "apart", "east")));
         }
     }
 
@@ -140,8 +141,8 @@
         limits.put("b0", shared);
         limits.put("b1", shared);
         for (int i = 0; i < fleet; i++) {
-            relays.add(new Relay(Relay.fleet(fleet, seed * fleet + i))
-                    .list(Relay.route("b0", 1, "bulk", "east"), Relay.route("b1", 1, "bulk", "west")));
+            relays.add(new PolicyHarness(PolicyHarness.fleet(fleet, seed * fleet + i))
+                    .list(PolicyHarness.route("b0", 1, "bulk", "east"), PolicyHarness.route("b1", 1, "bulk", "west")));
         }
     }
 
@@ -181,13 +182,13 @@
         limits.values().forEach(limit -> limit.shut = true);
         play(10 * S, ALL * load, random);
         limits.values().forEach(limit -> limit.shut = false);
-        Policy.Rules rules = Relay.fleet(FLEET, 0).rules();
-        for (long since = 0; since < rules.warmUp(); since += rules.fallSpan()) {
+        ServiceRules rules = PolicyHarness.fleet(FLEET, 0).rules();
+        for (long since = 0; since < rules.warmUpMicros(); since += rules.overloadWindowMicros()) {
             int before = served() + refused();
-            play(rules.fallSpan(), ALL * load, random);
-            double warm = (since + rules.fallSpan() / 2.0) / rules.warmUp();
-            double able = rules.coldFrom() * (1 - warm) + warm;
-            double most = rules.fallMultiple() * able * ALL * rules.fallSpan() / S;
+            play(rules.overloadWindowMicros(), ALL * load, random);
+            double warm = (since + rules.overloadWindowMicros() / 2.0) / rules.warmUpMicros();
+            double able = rules.coldCapacityShare() * (1 - warm) + warm;
+            double most = rules.overloadMultiple() * able * ALL * rules.overloadWindowMicros() / S;
             assertTrue(
                     served() + refused() - before <= most,
                     "after " + since + " us: " + (served() + refused() - before) + " of " + most);
@@ -212,11 +213,12 @@
     /** A destination that refuses even what keeps to the parts is shut, and is left alone. */
     @Test
     void shutDestinationIsFoundByRelaysThatKeepToTheirParts() {
-        Relay relay = new Relay(Relay.fleet(FLEET, 1)).list(Relay.route("r0", 1, "apart", "east"));
+        PolicyHarness relay =
+                new PolicyHarness(PolicyHarness.fleet(FLEET, 1)).list(PolicyHarness.route("r0", 1, "apart", "east"));
         LimitReport none = new LimitReport(0, 50);
         for (int id = 0; id < 3; id++) {
             relay.accept(id, "quick", 1)
-                    .answer(id, Result.OK, 0, new LimitReport(1, 50))
+                    .answer(id, AttemptOutcome.OK, 0, new LimitReport(1, 50))
                     .pass(100 * MS);
         }
         refuseNext(relay, none);
@@ -227,14 +229,14 @@
         assertEquals(List.of("out: r0"), relay.logged);
     }
 
-    private void refuseNext(Relay relay, LimitReport report) {
+    private void refuseNext(PolicyHarness relay, LimitReport report) {
         relay.accept(nextId + 100, "safe", 1);
         nextId++;
         for (int i = 0; i < 200 && relay.unanswered.isEmpty(); i++) {
             relay.pass(100 * MS);
         }
         if (!relay.unanswered.isEmpty()) {
-            relay.answer(relay.unanswered.get(0).id(), Result.FULL, 0, report);
+            relay.answer(relay.unanswered.get(0).id(), AttemptOutcome.REJECTED, 0, report);
         }
     }
 }
--- a/src/test/java/pipitstage/FleetReturn.java
+++ b/src/test/java/loftflow/policy/FleetRecoverySimulation.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package loftflow.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,23 +7,36 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.Belief;
-import pipitstage.Policy.Event;
-import pipitstage.Policy.KeyScope;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Repeat;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Result;
-import pipitstage.Policy.Standing;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.ProbeCompleted;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.RouteRestored;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.policy.api.ServiceRules;
+import loftflow.policy.api.TimerFired;
+import loftflow.policy.api.TrustLevel;
+import loftflow.policy.api.Zone;
 
 /**
  * A deterministic simulation of a whole fleet that starts at once with discovery down: every relay is a decision module of
  * its own with what it remembers, and none hears of another. Partners are cold from the start and refuse above what they
  * can do; messages that were held wait at every relay. As a command it prints a table for 10 to 10,000 relays.
  */
-final class FleetReturn {
+final class FleetRecoverySimulation {
     static final long SECOND = 1_000_000;
     static final double FALL_MULTIPLE = 2.5;
     private static final long BUCKET = SECOND / 10;
@@ -37,21 +50,21 @@
     /** What the relays remember of a partner. */
     enum Memory {
         /** Served as ever when they died, and serves as ever now. */
-        WARM(Belief.AS_LISTED, false, false),
+        WARM(TrustLevel.AS_LISTED, false, false),
         /** Was out when they died. */
-        OUT(Belief.AS_LISTED, true, true),
+        OUT(TrustLevel.AS_LISTED, true, true),
         /** Remembered for hours. */
-        OLD(Belief.TRY_FIRST, false, true),
+        OLD(TrustLevel.PROBE_FIRST, false, true),
         /** Was out when they died, and its limit is not known. */
-        OUT_NO_LIMIT(Belief.AS_LISTED, true, true),
+        OUT_NO_LIMIT(TrustLevel.AS_LISTED, true, true),
         /** Nothing is remembered: the relays know the address alone, as they did before. */
         NOTHING(null, false, true);
 
-        final Belief belief;
+        final TrustLevel belief;
         final boolean out;
         final boolean cold;
 
-        Memory(Belief belief, boolean out, boolean cold) {
+        Memory(TrustLevel belief, boolean out, boolean cold) {
             this.belief = belief;
             this.out = out;
             this.cold = cold;
@@ -68,7 +81,7 @@
      */
     record Outcome(double peak, double fullAfter, double inTime, double delivered) {}
 
-    private record Due(long at, long order, int relay, Event event) {}
+    private record Due(long at, long order, int relay, PolicyEvent event) {}
 
     private final int relays;
     private final Memory memory;
@@ -77,7 +90,7 @@
     private final SplittableRandom random = new SplittableRandom(14);
     private final PriorityQueue<Due> queue =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final List<Logic> modules = new ArrayList<>();
+    private final List<DefaultDeliveryPolicy> modules = new ArrayList<>();
     private final List<Map<Long, Integer>> attempts = new ArrayList<>();
     private final Map<Long, Long> acceptedAt = new HashMap<>();
     private final int[] calls;
@@ -97,7 +110,7 @@
      *
      * @param load share of the partner's capacity that is asked of it
      */
-    private FleetReturn(int relays, Memory memory, double load, int heldEach, long span) {
+    private FleetRecoverySimulation(int relays, Memory memory, double load, int heldEach, long span) {
         this.relays = relays;
         this.memory = memory;
         this.span = span;
@@ -105,30 +118,30 @@
         calls = new int[(int) (span / BUCKET) + 1];
         waiting = new int[(int) (span / SECOND) + 1];
         for (int relay = 0; relay < relays; relay++) {
-            Logic module = new Logic(settings(relay));
+            DefaultDeliveryPolicy module = new DefaultDeliveryPolicy(settings(relay));
             modules.add(module);
             attempts.add(new HashMap<>());
             begin(relay, load, heldEach);
         }
     }
 
-    private Policy.Settings settings(int relay) {
-        return new Policy.Settings(
+    private PolicySettings settings(int relay) {
+        return new PolicySettings(
                 relay * 7919L + 1,
                 relay,
                 relays,
                 "a",
                 List.of(new RequestClass(
-                        "safe", Repeat.REPEATABLE, KeyScope.ALL, 0, 2 * SECOND, 20 * SECOND, 1, 0.5, false)),
+                        "safe", Idempotency.IDEMPOTENT, KeyScope.ALL, 0, 2 * SECOND, 20 * SECOND, 1, 0.5, false)),
                 List.of(),
-                List.of(new Policy.Kind("kind", true, 1)),
-                List.of(new Policy.Zone("a", 0)),
-                new Policy.Limits(64, 1_000, 12, true, true, false, false, true, SECOND),
-                new Policy.Rules(0, SECOND / 2, FALL_MULTIPLE, 2 * SECOND, COLD_FROM, WARM_UP, 0, 0),
+                List.of(new DestinationKind("kind", true, 1)),
+                List.of(new Zone("a", 0)),
+                new RelayLimits(64, 1_000, 12, true, true, false, false, true, SECOND),
+                new ServiceRules(0, SECOND / 2, FALL_MULTIPLE, 2 * SECOND, COLD_FROM, WARM_UP, 0, 0),
                 1,
                 false,
                 false,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
     }
 
@@ -138,16 +151,18 @@
         push(
                 at,
                 relay,
-                new Policy.RouteList(
-                        ListKind.CACHED, 1, List.of(new Policy.Listed("p", 7, "kind", "a", Availability.LISTED, 0))));
+                new EndpointListReceived(
+                        EndpointListKind.CACHED,
+                        1,
+                        List.of(new EndpointEntry("p", 7, "kind", "a", Availability.LISTED, 0))));
         if (memory.belief != null) {
             double limit = memory == Memory.OUT_NO_LIMIT ? 0 : capacity;
             push(
                     at,
                     relay,
-                    new Policy.Remembered(
+                    new RouteRestored(
                             memory.belief,
-                            new Standing("p", 0, limit, load * capacity / relays, RESPONSE, memory.out, 0)));
+                            new RouteSnapshot("p", 0, limit, load * capacity / relays, RESPONSE, memory.out, 0)));
         }
         for (int i = 0; i < heldEach; i++) {
             arrive(at, relay);
@@ -164,10 +179,10 @@
     private void arrive(long at, int relay) {
         long id = nextId++;
         acceptedAt.put(id, at);
-        push(at, relay, new Policy.Accepted(id, "safe", null, null, at + 20 * SECOND, 7));
+        push(at, relay, new MessageAccepted(id, "safe", null, null, at + 20 * SECOND, 7));
     }
 
-    private void push(long at, int relay, Event event) {
+    private void push(long at, int relay, PolicyEvent event) {
         queue.add(new Due(at, order++, relay, event));
     }
 
@@ -176,20 +191,20 @@
         return capacity * (memory.cold ? Math.min(1, COLD_FROM + (1 - COLD_FROM) * at / WARM_UP) : 1);
     }
 
-    private Result meet() {
+    private AttemptOutcome meet() {
         calls[(int) (now / BUCKET)]++;
         // It queues half a second of calls at the most, and refuses more.
         double able = able(now);
         room = Math.min(Math.max(2, able / 2), room + able * (now - roomAt) / SECOND);
         roomAt = now;
         if (room < 1) {
-            return Result.FULL;
+            return AttemptOutcome.REJECTED;
         }
         room--;
-        return Result.OK;
+        return AttemptOutcome.OK;
     }
 
-    private final class Hands extends QuietActions {
+    private final class Hands extends NoOpPolicyActions {
         private final int relay;
 
         Hands(int relay) {
@@ -199,27 +214,28 @@
         @Override
         public void send(long id, String route, long timeout, long leaveWithin) {
             int attempt = attempts.get(relay).merge(id, 1, Integer::sum) - 1;
-            Result result = meet();
-            long took = result == Result.OK ? RESPONSE : REFUSAL;
+            AttemptOutcome result = meet();
+            long took = result == AttemptOutcome.OK ? RESPONSE : REFUSAL;
             push(
                     now + took,
                     relay,
-                    new Policy.Outcome(id, attempt, route, result, result == Result.OK, 0, took, LimitReport.NONE));
+                    new AttemptCompleted(
+                            id, attempt, route, result, result == AttemptOutcome.OK, 0, took, LimitReport.NONE));
         }
 
         @Override
         public void probe(String route) {
-            Result result = meet();
-            push(now + REFUSAL, relay, new Policy.ProbeDone(route, result, 0, REFUSAL, LimitReport.NONE));
+            AttemptOutcome result = meet();
+            push(now + REFUSAL, relay, new ProbeCompleted(route, result, 0, REFUSAL, LimitReport.NONE));
         }
 
         @Override
-        public void remind(long name, long delay) {
-            push(now + Math.max(1, delay), relay, new Policy.TimerFired(name));
+        public void setTimer(long name, long delay) {
+            push(now + Math.max(1, delay), relay, new TimerFired(name));
         }
 
         @Override
-        public void refuse(long id, long retryIn) {
+        public void reject(long id, long retryIn) {
             over(id);
         }
 
@@ -241,15 +257,15 @@
     private Outcome run() {
         for (Due due = queue.poll(); due != null && due.at < span; due = queue.poll()) {
             now = due.at;
-            List<Event> events = new ArrayList<>(List.of(due.event));
+            List<PolicyEvent> events = new ArrayList<>(List.of(due.event));
             while (queue.peek() != null && queue.peek().at == now && queue.peek().relay == due.relay) {
                 events.add(queue.poll().event);
             }
-            for (Event event : events) {
-                if (event instanceof Policy.Accepted) {
+            for (PolicyEvent event : events) {
+                if (event instanceof MessageAccepted) {
                     came++;
                     open++;
-                } else if (event instanceof Policy.Outcome e && e.result() == Result.OK) {
+                } else if (event instanceof AttemptCompleted e && e.outcome() == AttemptOutcome.OK) {
                     open--;
                     delivered++;
                     inTime += now - acceptedAt.remove(e.id()) <= 2 * SECOND ? 1 : 0;
@@ -288,7 +304,7 @@
 
     /** Plays a fleet for a span in microseconds. */
     static Outcome play(int relays, Memory memory, double load, int heldEach, long span) {
-        return new FleetReturn(relays, memory, load, heldEach, span).run();
+        return new FleetRecoverySimulation(relays, memory, load, heldEach, span).run();
     }
 
     /** Prints the table: load at half of the partner's capacity, two messages held at each relay. */
--- a/src/test/java/pipitstage/FleetReturnTest.java
+++ b/src/test/java/loftflow/policy/FleetRecoveryTest.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package loftflow.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,13 +8,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A whole fleet that starts at once: what its partners see, by a deterministic simulation. */
-class FleetReturnTest {
-    private static final long SPAN = 60 * FleetReturn.SECOND;
+class FleetRecoveryTest {
+    private static final long SPAN = 60 * FleetRecoverySimulation.SECOND;
 
     @ParameterizedTest
     @CsvSource({"10, OUT", "10, OLD", "10, OUT_NO_LIMIT", "100, WARM", "100, OUT", "100, OLD", "100, OUT_NO_LIMIT"})
-    void noPartnerIsOverrunAndServiceIsFullInTime(int relays, FleetReturn.Memory memory) {
-        FleetReturn.Outcome outcome = FleetReturn.play(relays, memory, 0.5, 2, SPAN);
+    void noPartnerIsOverrunAndServiceIsFullInTime(int relays, FleetRecoverySimulation.Memory memory) {
+        FleetRecoverySimulation.Outcome outcome = FleetRecoverySimulation.play(relays, memory, 0.5, 2, SPAN);
         assertTrue(outcome.peak() < 2, "the rule's bound is 2.5: " + outcome);
         assertTrue(outcome.fullAfter() <= 35 && outcome.delivered() > 0.98, outcome.toString());
     }
@@ -22,21 +22,23 @@
     /** Ten times as many messages held: they go by the partner's warm-up, not all at once. */
     @Test
     void whatWasHeldIsReleasedWithinTheBoundToo() {
-        FleetReturn.Outcome outcome = FleetReturn.play(100, FleetReturn.Memory.OUT, 0.5, 20, SPAN);
+        FleetRecoverySimulation.Outcome outcome =
+                FleetRecoverySimulation.play(100, FleetRecoverySimulation.Memory.OUT, 0.5, 20, SPAN);
         assertTrue(outcome.peak() < 2, outcome.toString());
     }
 
     /** Proves that the simulation can tell: a fleet with nothing to remember overruns a cold partner. */
     @Test
     void fleetThatRemembersNothingIsBeyondTheBound() {
-        assertTrue(
-                FleetReturn.play(100, FleetReturn.Memory.NOTHING, 0.5, 2, SPAN).peak() > FleetReturn.FALL_MULTIPLE);
+        assertTrue(FleetRecoverySimulation.play(100, FleetRecoverySimulation.Memory.NOTHING, 0.5, 2, SPAN)
+                        .peak()
+                > FleetRecoverySimulation.FALL_MULTIPLE);
     }
 
     @Test
     void sameFleetPlaysTheSame() {
         assertEquals(
-                FleetReturn.play(10, FleetReturn.Memory.OLD, 0.5, 2, SPAN),
-                FleetReturn.play(10, FleetReturn.Memory.OLD, 0.5, 2, SPAN));
+                FleetRecoverySimulation.play(10, FleetRecoverySimulation.Memory.OLD, 0.5, 2, SPAN),
+                FleetRecoverySimulation.play(10, FleetRecoverySimulation.Memory.OLD, 0.5, 2, SPAN));
     }
 }
