--- a/src/test/java/pipitstage/Relay.java
+++ b/src/test/java/loftflow/policy/PolicyHarness.java
@@ -1,20 +1,34 @@
-package pipitstage;
+package loftflow.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.Event;
-import pipitstage.Policy.KeyScope;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Repeat;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Result;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DeliveryPolicy;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.PolicyActions;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
+import loftflow.policy.api.TimerFired;
+import loftflow.policy.api.Zone;
 
 /** A relay of tests: plays rounds to a module and keeps what it asks for. */
-final class Relay implements Policy.Actions {
+final class PolicyHarness implements PolicyActions {
     static final long MS = 1_000;
     static final long S = 1_000_000;
 
@@ -31,100 +45,100 @@
     final List<String> told = new ArrayList<>();
     final List<String> logged = new ArrayList<>();
     private final List<long[]> timers = new ArrayList<>();
-    private final Policy policy;
+    private final DeliveryPolicy policy;
     private final Map<Long, Integer> attempts = new HashMap<>();
     long now;
 
-    Relay(Policy.Settings settings) {
-        policy = new Logic(settings);
+    PolicyHarness(PolicySettings settings) {
+        policy = new DefaultDeliveryPolicy(settings);
     }
 
-    Policy module() {
+    DeliveryPolicy module() {
         return policy;
     }
 
     /** Two kinds: shared limits in batches of four ("plain" carries one), and routes apart. */
-    static Policy.Settings settings() {
+    static PolicySettings settings() {
         return settings(10, 100);
     }
 
-    static Policy.Settings settings(int slots, int maxOpen) {
+    static PolicySettings settings(int slots, int maxOpen) {
         return settings(slots, maxOpen, false);
     }
 
-    static Policy.Settings settings(int slots, int maxOpen, boolean mustSubscribe) {
+    static PolicySettings settings(int slots, int maxOpen, boolean mustSubscribe) {
         return settings(7, 2, slots, maxOpen, mustSubscribe, false);
     }
 
     /** One of a fleet of relays. */
-    static Policy.Settings fleet(int size, long seed) {
+    static PolicySettings fleet(int size, long seed) {
         return settings(seed, size, 10, 100, false, false);
     }
 
     /** The first of a fleet whose relays may send notes. */
-    static Policy.Settings peers(int size) {
+    static PolicySettings peers(int size) {
         return settings(7, size, 10, 100, false, true);
     }
 
-    private static Policy.Settings settings(
+    private static PolicySettings settings(
             long seed, int fleet, int slots, int maxOpen, boolean mustSubscribe, boolean peers) {
-        return new Policy.Settings(
+        return new PolicySettings(
                 seed,
                 0,
                 fleet,
                 "east",
                 List.of(
-                        type("safe", Repeat.REPEATABLE, false),
-                        type("keyed", Repeat.BY_KEY, false),
-                        type("once", Repeat.ONCE, false),
-                        type("ordered", Repeat.REPEATABLE, true),
-                        new RequestClass("quick", Repeat.REPEATABLE, KeyScope.ALL, 0, S / 2, 20 * S, 9, 0, false)),
+                        type("safe", Idempotency.IDEMPOTENT, false),
+                        type("keyed", Idempotency.IDEMPOTENT_BY_KEY, false),
+                        type("once", Idempotency.NON_IDEMPOTENT, false),
+                        type("ordered", Idempotency.IDEMPOTENT, true),
+                        new RequestClass("quick", Idempotency.IDEMPOTENT, KeyScope.ALL, 0, S / 2, 20 * S, 9, 0, false)),
                 List.of(),
                 List.of(
-                        new Policy.Kind("plain", false, 1),
-                        new Policy.Kind("apart", true, 1),
-                        new Policy.Kind("bulk", false, 4)),
-                List.of(new Policy.Zone("east", 0), new Policy.Zone("west", 0)),
-                new Policy.Limits(slots, maxOpen, 6, true, true, peers, false, false, S),
-                new Policy.Rules(20 * MS, S, 2, 2 * S, 0.2, 10 * S, 10 * S, 3 * S),
+                        new DestinationKind("plain", false, 1),
+                        new DestinationKind("apart", true, 1),
+                        new DestinationKind("bulk", false, 4)),
+                List.of(new Zone("east", 0), new Zone("west", 0)),
+                new RelayLimits(slots, maxOpen, 6, true, true, peers, false, false, S),
+                new ServiceRules(20 * MS, S, 2, 2 * S, 0.2, 10 * S, 10 * S, 3 * S),
                 1,
                 false,
                 mustSubscribe,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
     }
 
-    private static RequestClass type(String name, Repeat repeat, boolean inOrder) {
+    private static RequestClass type(String name, Idempotency repeat, boolean inOrder) {
         return new RequestClass(name, repeat, KeyScope.ZONE, 6 * S, 2 * S, 20 * S, 1, 0.5, inOrder);
     }
 
-    static Policy.Listed route(String name, int destination, String kind, String zone) {
-        return new Policy.Listed(name, destination, kind, zone, Availability.LISTED, 0);
+    static EndpointEntry route(String name, int destination, String kind, String zone) {
+        return new EndpointEntry(name, destination, kind, zone, Availability.LISTED, 0);
     }
 
-    Relay list(Policy.Listed... entries) {
-        return round(new Policy.RouteList(Policy.ListKind.FULL, 1, List.of(entries)));
+    PolicyHarness list(EndpointEntry... entries) {
+        return round(new EndpointListReceived(EndpointListKind.FULL, 1, List.of(entries)));
     }
 
-    Relay changes(Policy.Listed... entries) {
-        return round(new Policy.RouteList(Policy.ListKind.CHANGES, 2, List.of(entries)));
+    PolicyHarness changes(EndpointEntry... entries) {
+        return round(new EndpointListReceived(EndpointListKind.DELTA, 2, List.of(entries)));
     }
 
-    Relay accept(long id, String type, int destination) {
+    PolicyHarness accept(long id, String type, int destination) {
         return accept(id, type, destination, null);
     }
 
-    Relay accept(long id, String type, int destination, String key) {
-        return round(new Policy.Accepted(id, type, null, key, now + 20 * S, destination));
+    PolicyHarness accept(long id, String type, int destination, String key) {
+        return round(new MessageAccepted(id, type, null, key, now + 20 * S, destination));
     }
 
-    Relay round(Event... events) {
+    PolicyHarness round(PolicyEvent... events) {
         policy.onRound(now, List.of(events), this);
         return this;
     }
 
     /** Lets time pass, playing timers as they fall due. */
-    Relay pass(long span) {
+    PolicyHarness pass(long span) {
         long end = now + span;
         while (true) {
             long[] next =
@@ -135,29 +149,29 @@
             }
             timers.remove(next);
             now = Math.max(now, next[0]);
-            round(new Policy.TimerFired(next[1]));
+            round(new TimerFired(next[1]));
         }
     }
 
-    Relay answer(long id, Result result) {
+    PolicyHarness answer(long id, AttemptOutcome result) {
         return answer(id, result, 0);
     }
 
     /** Answers the oldest attempt of a request that is out. */
-    Relay answer(long id, Result result, long toldWait) {
+    PolicyHarness answer(long id, AttemptOutcome result, long toldWait) {
         return answer(id, result, toldWait, LimitReport.NONE);
     }
 
     /** As above, with a report of the destination's limit. */
-    Relay answer(long id, Result result, long toldWait, LimitReport report) {
+    PolicyHarness answer(long id, AttemptOutcome result, long toldWait, LimitReport report) {
         Sent attempt = unanswered.stream().filter(s -> s.id() == id).findFirst().orElseThrow();
         unanswered.remove(attempt);
-        return round(new Policy.Outcome(
+        return round(new AttemptCompleted(
                 id,
                 attempt.attempt(),
                 attempt.route(),
                 result,
-                result == Result.OK,
+                result == AttemptOutcome.OK,
                 toldWait,
                 now - attempt.at(),
                 report));
@@ -180,7 +194,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryIn) {
+    public void reject(long id, long retryIn) {
         refused.add(id);
     }
 
@@ -190,7 +204,7 @@
     }
 
     @Override
-    public void remind(long name, long delay) {
+    public void setTimer(long name, long delay) {
         timers.add(new long[] {now + Math.max(1, delay), name});
     }
 
@@ -200,15 +214,15 @@
     }
 
     @Override
-    public boolean isHeard(long id) {
+    public boolean isCompletionAcknowledged(long id) {
         return !unheard.contains(id);
     }
 
     @Override
-    public void closeIdle(String route) {}
+    public void closeIdleConnections(String route) {}
 
     @Override
-    public void tell(int relay, byte[] bytes) {
+    public void sendToPeer(int relay, byte[] bytes) {
         told.add(relay + ":" + HexFormat.of().formatHex(bytes));
     }
 
@@ -218,7 +232,7 @@
     }
 
     @Override
-    public void fetchList() {}
+    public void fetchEndpointList() {}
 
     @Override
     public void log(String text) {
--- a/src/test/java/pipitstage/RandomEventsTest.java
+++ b/src/test/java/loftflow/policy/RandomEventsTest.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package loftflow.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,33 +10,43 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DeliveryPolicy;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.ProbeCompleted;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.TimerFired;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.Event;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.Repeat;
-import pipitstage.Policy.RequestClass;
-import pipitstage.Policy.Result;
 
 /** Plays legal events in awkward order and checks the rules on every action. */
 class RandomEventsTest {
     /** Results that prove that nothing ran, as the rules name them. */
-    private static final Set<Result> PROOFS = Set.of(Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT);
+    private static final Set<AttemptOutcome> PROOFS =
+            Set.of(AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT);
 
-    private static final long MS = Relay.MS;
-    private static final long S = Relay.S;
-    private static final Result[] RESULTS = {
-        Result.OK,
-        Result.OK,
-        Result.OK,
-        Result.OK,
-        Result.ERROR,
-        Result.FULL,
-        Result.CONNECT_FAILED,
-        Result.RESET,
-        Result.TIMEOUT,
-        Result.NOT_SENT
+    private static final long MS = PolicyHarness.MS;
+    private static final long S = PolicyHarness.S;
+    private static final AttemptOutcome[] RESULTS = {
+        AttemptOutcome.OK,
+        AttemptOutcome.OK,
+        AttemptOutcome.OK,
+        AttemptOutcome.OK,
+        AttemptOutcome.ERROR,
+        AttemptOutcome.REJECTED,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.RESET,
+        AttemptOutcome.TIMEOUT,
+        AttemptOutcome.NOT_SENT
     };
 
     @ParameterizedTest
@@ -64,22 +74,22 @@
         String route;
         long at;
         long timeoutAt;
-        Result result;
+        AttemptOutcome result;
     }
 
     /** The world of one module; it holds each action against the rules. */
-    private static final class Checker extends QuietActions {
-        final Policy.Settings settings = Relay.settings(8, 60);
-        final Policy policy = new Logic(settings);
+    private static final class Checker extends NoOpPolicyActions {
+        final PolicySettings settings = PolicyHarness.settings(8, 60);
+        final DeliveryPolicy policy = new DefaultDeliveryPolicy(settings);
         final Random random;
         final Map<Long, Track> tracks = new HashMap<>();
         final List<long[]> out = new ArrayList<>();
         final List<long[]> timers = new ArrayList<>();
-        final Map<String, Policy.Listed> listed = new HashMap<>();
+        final Map<String, EndpointEntry> listed = new HashMap<>();
         final Map<String, Long> goneAt = new HashMap<>();
         final Map<String, Long> waitUntil = new HashMap<>();
         final Map<String, Long> restUntil = new HashMap<>();
-        final List<Event> events = new ArrayList<>();
+        final List<PolicyEvent> events = new ArrayList<>();
         long now = 5 * S;
         long nextId;
         int answered;
@@ -89,13 +99,13 @@
             for (int i = 0; i < 9; i++) {
                 int destination = i / 3;
                 String kind = settings.kinds().get(destination).name();
-                put(Relay.route("r" + i, destination, kind, i % 2 == 0 ? "east" : "west"));
+                put(PolicyHarness.route("r" + i, destination, kind, i % 2 == 0 ? "east" : "west"));
             }
-            events.add(new Policy.RouteList(Policy.ListKind.CACHED, 1, List.copyOf(listed.values())));
+            events.add(new EndpointListReceived(EndpointListKind.CACHED, 1, List.copyOf(listed.values())));
             play();
         }
 
-        void put(Policy.Listed entry) {
+        void put(EndpointEntry entry) {
             listed.put(entry.route(), entry);
             if (entry.availability() == Availability.LISTED) {
                 goneAt.remove(entry.route());
@@ -123,47 +133,50 @@
             Track track = new Track();
             track.type = settings.classes().get(random.nextInt(4));
             track.destination = random.nextInt(4);
-            track.key = track.type.inOrder() ? "k" + random.nextInt(5) : null;
-            track.deadline = now + track.type.deadline() / (1 + random.nextInt(4));
+            track.key = track.type.ordered() ? "k" + random.nextInt(5) : null;
+            track.deadline = now + track.type.deadlineMicros() / (1 + random.nextInt(4));
             tracks.put(nextId, track);
-            events.add(new Policy.Accepted(
+            events.add(new MessageAccepted(
                     nextId++, track.type.name(), null, track.key, track.deadline, track.destination));
         }
 
         void changeList() {
             String name = "r" + random.nextInt(9);
-            Policy.Listed old = listed.get(name);
+            EndpointEntry old = listed.get(name);
             Availability next = Availability.values()[random.nextInt(3)];
-            put(new Policy.Listed(name, old.destination(), old.kind(), old.zone(), next, 0));
-            events.add(new Policy.RouteList(Policy.ListKind.CHANGES, 2, List.of(listed.get(name))));
+            put(new EndpointEntry(name, old.destination(), old.kind(), old.zone(), next, 0));
+            events.add(new EndpointListReceived(EndpointListKind.DELTA, 2, List.of(listed.get(name))));
         }
 
         void timeOutDue() {
             for (long[] attempt : List.copyOf(out)) {
                 if (tracks.get(attempt[0]).tries.get((int) attempt[1]).timeoutAt <= now) {
                     out.remove(attempt);
-                    answer(attempt, Result.TIMEOUT);
+                    answer(attempt, AttemptOutcome.TIMEOUT);
                 }
             }
         }
 
-        void answer(long[] attempt, Result result) {
+        void answer(long[] attempt, AttemptOutcome result) {
             Track track = tracks.get(attempt[0]);
             Try sent = track.tries.get((int) attempt[1]);
             sent.result = result;
-            boolean closing = result == Result.OK && !track.ended;
+            boolean closing = result == AttemptOutcome.OK && !track.ended;
             if (closing) {
                 track.ended = true;
                 answered++;
             }
-            long told = result == Result.FULL && random.nextBoolean() ? random.nextInt(1500) * MS : 0;
+            long told = result == AttemptOutcome.REJECTED && random.nextBoolean() ? random.nextInt(1500) * MS : 0;
             if (told > 0) {
                 waitUntil.merge(group(sent.route), now + told, Math::max);
             }
-            if (track.key != null && !PROOFS.contains(result) && result != Result.OK && result != Result.ERROR) {
-                restUntil.put(track.key, now + settings.rules().orderPause());
+            if (track.key != null
+                    && !PROOFS.contains(result)
+                    && result != AttemptOutcome.OK
+                    && result != AttemptOutcome.ERROR) {
+                restUntil.put(track.key, now + settings.rules().orderingPauseMicros());
             }
-            events.add(new Policy.Outcome(
+            events.add(new AttemptCompleted(
                     attempt[0],
                     (int) attempt[1],
                     sent.route,
@@ -178,11 +191,11 @@
             for (long[] timer : List.copyOf(timers)) {
                 if (timer[0] <= now) {
                     timers.remove(timer);
-                    events.add(new Policy.TimerFired(timer[1]));
+                    events.add(new TimerFired(timer[1]));
                 }
             }
             if (!events.isEmpty()) {
-                List<Event> round = List.copyOf(events);
+                List<PolicyEvent> round = List.copyOf(events);
                 events.clear();
                 policy.onRound(now, round, this);
             }
@@ -198,18 +211,18 @@
         }
 
         String group(String route) {
-            Policy.Listed entry = listed.get(route);
+            EndpointEntry entry = listed.get(route);
             return entry.kind().equals("apart") ? route : "d" + entry.destination();
         }
 
         @Override
         public void send(long id, String route, long timeout, long leaveWithin) {
             Track track = tracks.get(id);
-            Policy.Listed entry = listed.get(route);
+            EndpointEntry entry = listed.get(route);
             assertFalse(track.ended, "sent after its end");
             assertEquals(track.destination, entry.destination());
             assertTrue(track.tries.size() < settings.limits().maxAttempts(), "too many attempts");
-            assertTrue(goneAt.getOrDefault(route, now) + settings.rules().drainGrace() >= now, "drain");
+            assertTrue(goneAt.getOrDefault(route, now) + settings.rules().drainGraceMicros() >= now, "drain");
             assertTrue(waitUntil.getOrDefault(group(route), now) <= now, "wait");
             checkRepeat(track, entry);
             checkOrder(id, track);
@@ -221,16 +234,16 @@
             out.add(new long[] {id, track.tries.size() - 1});
         }
 
-        void checkRepeat(Track track, Policy.Listed entry) {
+        void checkRepeat(Track track, EndpointEntry entry) {
             for (Try earlier : track.tries) {
                 assertTrue(earlier.result != null, "two attempts out");
                 if (PROOFS.contains(earlier.result)) {
                     continue;
                 }
-                assertTrue(track.type.repeat() != Repeat.ONCE, "once sent again");
-                if (track.type.repeat() == Repeat.BY_KEY) {
+                assertTrue(track.type.idempotency() != Idempotency.NON_IDEMPOTENT, "once sent again");
+                if (track.type.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
                     assertEquals(listed.get(earlier.route).zone(), entry.zone(), "outside the key's zone");
-                    assertTrue(now <= earlier.at + track.type.keyWindow(), "outside the key's window");
+                    assertTrue(now <= earlier.at + track.type.keyWindowMicros(), "outside the key's window");
                 }
             }
         }
@@ -257,12 +270,12 @@
             answered++;
             boolean mayHaveRun = track.tries.stream().anyMatch(t -> t.result == null || !PROOFS.contains(t.result));
             if (refusal && mayHaveRun) {
-                assertEquals(Repeat.REPEATABLE, track.type.repeat(), "refused though it may have run");
+                assertEquals(Idempotency.IDEMPOTENT, track.type.idempotency(), "refused though it may have run");
             }
         }
 
         @Override
-        public void refuse(long id, long retryIn) {
+        public void reject(long id, long retryIn) {
             end(id, true);
         }
 
@@ -276,20 +289,20 @@
             for (long[] sent : List.copyOf(out)) {
                 if (sent[0] == id && sent[1] == attempt) {
                     out.remove(sent);
-                    answer(sent, Result.CANCELLED);
+                    answer(sent, AttemptOutcome.CANCELLED);
                 }
             }
         }
 
         @Override
-        public void remind(long name, long delay) {
+        public void setTimer(long name, long delay) {
             timers.add(new long[] {now + Math.max(1, delay), name});
         }
 
         @Override
         public void probe(String route) {
-            Result result = RESULTS[random.nextInt(RESULTS.length)];
-            events.add(new Policy.ProbeDone(route, result, 0, MS, LimitReport.NONE));
+            AttemptOutcome result = RESULTS[random.nextInt(RESULTS.length)];
+            events.add(new ProbeCompleted(route, result, 0, MS, LimitReport.NONE));
         }
     }
 }
--- a/src/test/java/pipitstage/SizeTest.java
+++ b/src/test/java/loftflow/policy/SizeTest.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package loftflow.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class SizeTest {
-    private static final Path LOGIC = Path.of("src/main/java/pipitstage/Logic.java");
+    private static final Path LOGIC = Path.of("src/main/java/loftflow/policy/DefaultDeliveryPolicy.java");
 
     /** The operators have withdrawn the bound on lines; how long a line may be still holds, as the formatter has it. */
     @Test
@@ -18,6 +18,6 @@
         for (String line : lines) {
             assertTrue(line.length() <= 120, line);
         }
-        assertTrue(lines.get(0).contains("Policy.java"));
+        assertTrue(lines.get(0).contains("DeliveryPolicy"));
     }
 }
--- a/src/test/java/pipitstage/RememberedRoutesTest.java
+++ b/src/test/java/loftflow/policy/WarmStartTest.java
@@ -1,63 +1,70 @@
-package pipitstage;
+package loftflow.policy;
 
+import static loftflow.policy.PolicyHarness.MS;
+import static loftflow.policy.PolicyHarness.S;
+import static loftflow.policy.PolicyHarness.route;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.Relay.MS;
-import static pipitstage.Relay.S;
-import static pipitstage.Relay.route;
 
 import java.util.List;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.MessageResumed;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.ProbeCompleted;
+import loftflow.policy.api.RouteRestored;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.policy.api.TrustLevel;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy.Belief;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
-import pipitstage.Policy.Standing;
 
 /** The decision module on routes that it knows from before a restart. */
-class RememberedRoutesTest {
-    private static Policy.Remembered remembered(String route, Belief belief, Standing standing) {
-        return new Policy.Remembered(
+class WarmStartTest {
+    private static RouteRestored remembered(String route, TrustLevel belief, RouteSnapshot standing) {
+        return new RouteRestored(
                 belief,
-                new Standing(
+                new RouteSnapshot(
                         route,
-                        standing.waitLeft(),
-                        standing.limit(),
-                        standing.usual(),
-                        standing.response(),
-                        standing.out(),
-                        standing.warmLeft()));
+                        standing.retryAfterRemainingMicros(),
+                        standing.limitPerSecond(),
+                        standing.usualRatePerSecond(),
+                        standing.responseTimeMicros(),
+                        standing.circuitOpen(),
+                        standing.warmUpRemainingMicros()));
     }
 
-    private static Standing standing(long wait, double limit, double usual, boolean out, long warm) {
-        return new Standing("", wait, limit, usual, 50_000, out, warm);
+    private static RouteSnapshot standing(long wait, double limit, double usual, boolean out, long warm) {
+        return new RouteSnapshot("", wait, limit, usual, 50_000, out, warm);
     }
 
-    private static Policy.RouteList cached(Policy.Listed... entries) {
-        return new Policy.RouteList(ListKind.CACHED, 1, List.of(entries));
+    private static EndpointListReceived cached(EndpointEntry... entries) {
+        return new EndpointListReceived(EndpointListKind.CACHED, 1, List.of(entries));
     }
 
-    private static void accept(Relay relay, int from, int count, String type, int destination) {
+    private static void accept(PolicyHarness relay, int from, int count, String type, int destination) {
         for (int id = from; id < from + count; id++) {
             relay.accept(id, type, destination);
         }
     }
 
-    private static void checkWell(Relay relay) {
+    private static void checkWell(PolicyHarness relay) {
         for (String route : List.copyOf(relay.probes)) {
             relay.probes.remove(route);
-            relay.round(new Policy.ProbeDone(route, Result.OK, 0, MS, LimitReport.NONE));
+            relay.round(new ProbeCompleted(route, AttemptOutcome.OK, 0, MS, LimitReport.NONE));
         }
     }
 
     /** Lets time pass while every call is answered well after 50 ms. */
-    private static int serve(Relay relay, long span) {
+    private static int serve(PolicyHarness relay, long span) {
         int before = relay.sent.size();
         for (long end = relay.now + span; relay.now < end; ) {
             relay.pass(50 * MS);
             checkWell(relay);
-            for (Relay.Sent sent : List.copyOf(relay.unanswered)) {
-                relay.answer(sent.id(), Result.OK);
+            for (PolicyHarness.Sent sent : List.copyOf(relay.unanswered)) {
+                relay.answer(sent.id(), AttemptOutcome.OK);
             }
         }
         return relay.sent.size() - before;
@@ -67,10 +74,10 @@
     void believedRouteGoesOnAtThisRelaysPartOfTheLimitAndGrowsWithServes() {
         int sum = 0;
         for (int seed = 0; seed < 12; seed++) {
-            Relay relay = new Relay(Relay.fleet(12, seed));
+            PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(12, seed));
             relay.round(
                     cached(route("c", 2, "apart", "east")),
-                    remembered("c", Belief.AS_LISTED, standing(0, 24, 3, false, 0)));
+                    remembered("c", TrustLevel.AS_LISTED, standing(0, 24, 3, false, 0)));
             accept(relay, 1, 90, "safe", 2);
             sum += serve(relay, S);
             assertTrue(serve(relay, 9 * S) > 18, "it grows");
@@ -80,9 +87,10 @@
 
     @Test
     void routeWithNoLimitGoesOnAtItsUsualRate() {
-        Relay relay = new Relay(Relay.fleet(12, 5));
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(12, 5));
         relay.round(
-                cached(route("c", 2, "apart", "east")), remembered("c", Belief.AS_LISTED, standing(0, 0, 4, false, 0)));
+                cached(route("c", 2, "apart", "east")),
+                remembered("c", TrustLevel.AS_LISTED, standing(0, 0, 4, false, 0)));
         accept(relay, 1, 90, "safe", 2);
         int first = serve(relay, 2 * S);
         assertTrue(first >= 3 && first <= 11, "in two seconds: " + first);
@@ -90,10 +98,10 @@
 
     @Test
     void waitIsKept() {
-        Relay relay = new Relay(Relay.settings());
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
                 cached(route("c", 2, "apart", "east")),
-                remembered("c", Belief.AS_LISTED, standing(5 * S, 0, 100, false, 0)));
+                remembered("c", TrustLevel.AS_LISTED, standing(5 * S, 0, 100, false, 0)));
         relay.accept(1, "safe", 2).pass(5 * S - MS);
         assertEquals(0, relay.sent.size());
         relay.pass(S);
@@ -104,40 +112,43 @@
     /** An address may be another's within seconds; a believed route is not cold for that. */
     @Test
     void believedRouteIsCheckedToo() {
-        Relay relay = new Relay(Relay.fleet(1, 3));
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(1, 3));
         relay.round(
                 cached(route("c", 2, "apart", "east")),
-                remembered("c", Belief.AS_LISTED, standing(0, 20, 0, false, 0)));
+                remembered("c", TrustLevel.AS_LISTED, standing(0, 20, 0, false, 0)));
         accept(relay, 1, 30, "once", 2);
         relay.pass(S);
         assertEquals(0, relay.sent.size());
         assertEquals(List.of("c"), relay.probes);
-        assertTrue(relay.module().standings(relay.now).stream().noneMatch(Standing::out), "it waits for a check alone");
+        assertTrue(
+                relay.module().routeSnapshots(relay.now).stream().noneMatch(RouteSnapshot::circuitOpen),
+                "it waits for a check alone");
         assertTrue(serve(relay, S) > 12, "warm");
     }
 
     @Test
     void routeThatIsNotBelievedIsCheckedBeforeAnyMessage() {
-        Relay relay = new Relay(Relay.settings());
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
                 cached(route("c", 2, "apart", "east")),
-                remembered("c", Belief.TRY_FIRST, standing(0, 20, 0, false, 0)));
+                remembered("c", TrustLevel.PROBE_FIRST, standing(0, 20, 0, false, 0)));
         accept(relay, 1, 3, "safe", 2);
         relay.pass(9 * S);
         assertEquals(0, relay.sent.size(), "no message goes to an address that may be another's");
         assertEquals(List.of("c"), relay.probes);
-        relay.round(new Policy.ProbeDone("c", Result.OK, 0, 1000, LimitReport.NONE))
+        relay.round(new ProbeCompleted("c", AttemptOutcome.OK, 0, 1000, LimitReport.NONE))
                 .pass(S);
         assertTrue(relay.sent.size() >= 1, "then messages go");
     }
 
     @Test
     void checkInVainKeepsMessagesAndIsTriedAgainLater() {
-        Relay relay = new Relay(Relay.settings());
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
-                cached(route("c", 2, "apart", "east")), remembered("c", Belief.TRY_FIRST, standing(0, 0, 0, false, 0)));
+                cached(route("c", 2, "apart", "east")),
+                remembered("c", TrustLevel.PROBE_FIRST, standing(0, 0, 0, false, 0)));
         relay.accept(1, "once", 2).pass(2 * S);
-        relay.round(new Policy.ProbeDone("c", Result.CONNECT_FAILED, 0, 1000, LimitReport.NONE));
+        relay.round(new ProbeCompleted("c", AttemptOutcome.CONNECT_FAILED, 0, 1000, LimitReport.NONE));
         relay.pass(S);
         assertEquals(1, relay.probes.size(), "not at once");
         relay.pass(6 * S);
@@ -149,10 +160,10 @@
     void routeThatWasOutReturnsColdAfterOneTest() {
         int sum = 0;
         for (int seed = 0; seed < 10; seed++) {
-            Relay relay = new Relay(Relay.fleet(10, seed));
+            PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(10, seed));
             relay.round(
                     cached(route("c", 2, "apart", "east")),
-                    remembered("c", Belief.AS_LISTED, standing(0, 50, 0, true, 0)));
+                    remembered("c", TrustLevel.AS_LISTED, standing(0, 50, 0, true, 0)));
             accept(relay, 1, 90, "safe", 2);
             relay.pass(5 * S);
             assertEquals(0, relay.sent.size(), "no message before the check");
@@ -164,14 +175,14 @@
 
     @Test
     void routeThatCameBackJustBeforeTheRestartStaysCold() {
-        Relay warm = new Relay(Relay.fleet(1, 3));
-        Relay cold = new Relay(Relay.fleet(1, 3));
+        PolicyHarness warm = new PolicyHarness(PolicyHarness.fleet(1, 3));
+        PolicyHarness cold = new PolicyHarness(PolicyHarness.fleet(1, 3));
         warm.round(
                 cached(route("c", 2, "apart", "east")),
-                remembered("c", Belief.AS_LISTED, standing(0, 20, 0, false, 0)));
+                remembered("c", TrustLevel.AS_LISTED, standing(0, 20, 0, false, 0)));
         cold.round(
                 cached(route("c", 2, "apart", "east")),
-                remembered("c", Belief.AS_LISTED, standing(0, 20, 0, false, 9 * S)));
+                remembered("c", TrustLevel.AS_LISTED, standing(0, 20, 0, false, 9 * S)));
         accept(warm, 1, 90, "safe", 2);
         accept(cold, 1, 90, "safe", 2);
         int few = serve(cold, S);
@@ -181,22 +192,24 @@
 
     @Test
     void lastResortIsTriedOnlyWhereNothingElseIsLeft() {
-        Relay relay = new Relay(Relay.settings());
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
                 cached(route("a", 1, "plain", "east"), route("b", 1, "plain", "west")),
-                remembered("a", Belief.TRY_FIRST, standing(0, 0, 0, false, 0)),
-                remembered("b", Belief.LAST, standing(0, 0, 0, false, 0)));
+                remembered("a", TrustLevel.PROBE_FIRST, standing(0, 0, 0, false, 0)),
+                remembered("b", TrustLevel.LAST_RESORT, standing(0, 0, 0, false, 0)));
         relay.accept(1, "safe", 1).pass(2 * S);
         assertEquals(List.of("a"), relay.probes);
-        relay.round(new Policy.ProbeDone("a", Result.CONNECT_FAILED, 0, 1000, LimitReport.NONE))
+        relay.round(new ProbeCompleted("a", AttemptOutcome.CONNECT_FAILED, 0, 1000, LimitReport.NONE))
                 .pass(4 * S);
         assertTrue(relay.probes.contains("b"), relay.probes.toString());
     }
 
     @Test
     void listOfDiscoveryProvesARoute() {
-        Relay relay = new Relay(Relay.settings());
-        relay.round(cached(route("c", 2, "apart", "east")), remembered("c", Belief.LAST, standing(0, 0, 0, false, 0)));
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
+        relay.round(
+                cached(route("c", 2, "apart", "east")),
+                remembered("c", TrustLevel.LAST_RESORT, standing(0, 0, 0, false, 0)));
         relay.list(route("c", 2, "apart", "east")).accept(1, "safe", 2).pass(9 * S);
         assertEquals(1, relay.sent.size(), "a message is the test now");
         assertTrue(relay.probes.isEmpty());
@@ -205,15 +218,15 @@
     /** What the journal brings back waits for the pace like anything else, and goes by what it is worth. */
     @Test
     void resumedMessagesAreReleasedAtThePaceTheWorthiestFirst() {
-        Relay relay = new Relay(Relay.fleet(10, 3));
-        List<Policy.Event> events = new java.util.ArrayList<>(List.of(
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(10, 3));
+        List<PolicyEvent> events = new java.util.ArrayList<>(List.of(
                 cached(route("c", 2, "apart", "east")),
-                remembered("c", Belief.AS_LISTED, standing(0, 30, 0, false, 0))));
+                remembered("c", TrustLevel.AS_LISTED, standing(0, 30, 0, false, 0))));
         for (int id = 0; id < 60; id++) {
-            events.add(new Policy.Resumed(
-                    new Policy.Accepted(id, id % 6 == 5 ? "quick" : "safe", null, null, 20 * S, 2), List.of()));
+            events.add(new MessageResumed(
+                    new MessageAccepted(id, id % 6 == 5 ? "quick" : "safe", null, null, 20 * S, 2), List.of()));
         }
-        relay.round(events.toArray(Policy.Event[]::new));
+        relay.round(events.toArray(PolicyEvent[]::new));
         int first = serve(relay, 2 * S);
         assertTrue(first >= 3 && first <= 10, "in two seconds at three a second: " + first);
         assertTrue(relay.sent.stream().limit(3).allMatch(s -> s.id() % 6 == 5), "the worthiest first: " + relay.sent);
@@ -221,31 +234,39 @@
 
     @Test
     void standingTellsWhatIsKnown() {
-        Relay relay = new Relay(Relay.settings());
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.list(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
         for (int id = 1; id <= 30; id++) {
-            relay.accept(id, "safe", 2).pass(50 * MS).answer(id, Result.OK).pass(50 * MS);
+            relay.accept(id, "safe", 2)
+                    .pass(50 * MS)
+                    .answer(id, AttemptOutcome.OK)
+                    .pass(50 * MS);
         }
-        relay.accept(40, "safe", 1).answer(40, Result.FULL, 2 * S);
-        List<Standing> standings = relay.module().standings(relay.now);
-        Standing c = standings.stream()
+        relay.accept(40, "safe", 1).answer(40, AttemptOutcome.REJECTED, 2 * S);
+        List<RouteSnapshot> standings = relay.module().routeSnapshots(relay.now);
+        RouteSnapshot c = standings.stream()
                 .filter(s -> s.route().equals("c"))
                 .findFirst()
                 .orElseThrow();
-        assertTrue(c.usual() > 1 && c.usual() < 10 && c.response() > 40_000 && !c.out(), c.toString());
-        Standing a = standings.stream()
+        assertTrue(
+                c.usualRatePerSecond() > 1
+                        && c.usualRatePerSecond() < 10
+                        && c.responseTimeMicros() > 40_000
+                        && !c.circuitOpen(),
+                c.toString());
+        RouteSnapshot a = standings.stream()
                 .filter(s -> s.route().equals("a"))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(2 * S, a.waitLeft());
+        assertEquals(2 * S, a.retryAfterRemainingMicros());
         relay.accept(50, "once", 2);
         for (int i = 0; i < 3; i++) {
-            relay.answer(50, Result.CONNECT_FAILED).pass(MS);
+            relay.answer(50, AttemptOutcome.CONNECT_FAILED).pass(MS);
         }
-        c = relay.module().standings(relay.now).stream()
+        c = relay.module().routeSnapshots(relay.now).stream()
                 .filter(s -> s.route().equals("c"))
                 .findFirst()
                 .orElseThrow();
-        assertTrue(c.out() && c.usual() > 1, c.toString());
+        assertTrue(c.circuitOpen() && c.usualRatePerSecond() > 1, c.toString());
     }
 }
--- a/src/test/java/pipitstage/relay/DoorTest.java
+++ b/src/test/java/loftflow/server/AcceptorTest.java
@@ -1,12 +1,12 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.fake.ScriptedPeer.answer;
+import static loftflow.fake.ScriptedPeer.status;
+import static loftflow.server.RelayProcess.await;
+import static loftflow.server.RelayProcess.list;
+import static loftflow.server.RelayProcess.target;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.RelayProcess.list;
-import static pipitstage.relay.RelayProcess.target;
-import static pipitstage.standin.StubPeer.answer;
-import static pipitstage.standin.StubPeer.status;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -14,13 +14,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicReference;
+import loftflow.cli.Main;
+import loftflow.fake.ScriptedPeer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pipitstage.cli.Main;
-import pipitstage.standin.StubPeer;
 
 /** What clients and discovery may send, and what of it is taken on. */
-class DoorTest extends RelayTestBase {
+class AcceptorTest extends RelayTestBase {
     /** What discovery's watch answers next; each news is told once. */
     private final AtomicReference<String> news = new AtomicReference<>();
 
@@ -28,11 +28,11 @@
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(new StubPeer(this::discover), StubPeer.always(status(200)));
+        prepare(new ScriptedPeer(this::discover), ScriptedPeer.always(status(200)));
         whole = list(1, true, target("h1", 7, "one", "in_service", host.address()));
     }
 
-    private String discover(StubPeer.Request request) {
+    private String discover(ScriptedPeer.Request request) {
         if (request.line().startsWith("POST")) {
             return status(204);
         }
@@ -42,7 +42,7 @@
             whole = told.contains("\"all\":true") ? told : whole;
             return answer(200, told);
         }
-        return request.line().contains("after=") ? StubPeer.SILENCE : answer(200, whole);
+        return request.line().contains("after=") ? ScriptedPeer.SILENCE : answer(200, whole);
     }
 
     @Test
@@ -91,7 +91,7 @@
 
     @Test
     void messageHandedInTwiceUnderOneIdIsTakenOnOnce() throws IOException {
-        host.answer(request -> StubPeer.SILENCE);
+        host.answer(request -> ScriptedPeer.SILENCE);
         relay.start();
         assertEquals(202, relay.handIn("same", "safe", 7));
         await(() -> host.requests.size() == 1);
@@ -103,7 +103,7 @@
 
     @Test
     void withNoRoomInTheJournalTheMessageIsRefused() throws IOException {
-        host.answer(request -> StubPeer.SILENCE);
+        host.answer(request -> ScriptedPeer.SILENCE);
         relay.disk(0.1).start();
         assertEquals(202, relay.handIn("r1", "safe", 7, 20_000, "x".repeat(20_000)));
         assertEquals(503, relay.handIn("r2", "safe", 7, 20_000, "x".repeat(20_000)));
@@ -111,7 +111,7 @@
 
     @Test
     void drainingHostGetsNothingNew() throws IOException {
-        try (StubPeer other = StubPeer.always(status(200))) {
+        try (ScriptedPeer other = ScriptedPeer.always(status(200))) {
             relay.start();
             await(() -> discovery.requests.stream().anyMatch(r -> r.line().contains("after=1&")));
             news.set(list(
--- a/src/test/java/pipitstage/relay/BadClientTest.java
+++ b/src/test/java/loftflow/server/BadClientTest.java
@@ -1,19 +1,19 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.fake.ScriptedPeer.status;
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.standin.StubPeer.status;
 
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketException;
 import java.util.ArrayList;
 import java.util.List;
+import loftflow.fake.ScriptedPeer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pipitstage.standin.StubPeer;
 
 /** Clients that send what can't be used, too much, or nothing at all. */
 class BadClientTest extends RelayTestBase {
@@ -21,7 +21,7 @@
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
     }
 
     @AfterEach
--- a/src/test/java/pipitstage/relay/ReloadTest.java
+++ b/src/test/java/loftflow/server/ConfigReloaderTest.java
@@ -1,33 +1,33 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.fake.ScriptedPeer.answer;
+import static loftflow.fake.ScriptedPeer.status;
+import static loftflow.server.RelayProcess.await;
+import static loftflow.server.RelayProcess.list;
+import static loftflow.server.RelayProcess.target;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.RelayProcess.list;
-import static pipitstage.relay.RelayProcess.target;
-import static pipitstage.standin.StubPeer.answer;
-import static pipitstage.standin.StubPeer.status;
 
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
+import loftflow.fake.ScriptedPeer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.standin.StubPeer;
 
 /** A configuration that is replaced while the relay runs. */
-class ReloadTest extends RelayTestBase {
+class ConfigReloaderTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
     }
 
     /** Discovery with a list of its own, which takes every notice. */
-    private static StubPeer discovery(String list) throws IOException {
-        return new StubPeer(request -> request.line().startsWith("POST")
+    private static ScriptedPeer discovery(String list) throws IOException {
+        return new ScriptedPeer(request -> request.line().startsWith("POST")
                 ? status(204)
-                : request.line().contains("after=") ? StubPeer.SILENCE : answer(200, list));
+                : request.line().contains("after=") ? ScriptedPeer.SILENCE : answer(200, list));
     }
 
     @Test
@@ -36,9 +36,9 @@
         assertEquals(202, relay.handIn("m0", "safe", 7));
         await(() -> host.count("POST") == 1);
         String same = target("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
-        try (StubPeer second = discovery(list(1, true, same));
-                StubPeer other = StubPeer.always(status(200));
-                StubPeer third = discovery(list(0, true, target("h2", 7, "one", "in_service", other.address())))) {
+        try (ScriptedPeer second = discovery(list(1, true, same));
+                ScriptedPeer other = ScriptedPeer.always(status(200));
+                ScriptedPeer third = discovery(list(0, true, target("h2", 7, "one", "in_service", other.address())))) {
             relay.moveDiscovery(second);
             await(() -> second.count("GET /api/targets?after=1&") > 0);
             assertEquals(202, relay.handIn("m1", "safe", 7));
@@ -54,11 +54,11 @@
 
     @Test
     void noticeThatTheOldAddressLeftUnansweredGoesToTheNewOne() throws IOException, InterruptedException {
-        discovery.answer(request -> StubPeer.SILENCE);
-        host.answer(request -> StubPeer.CLOSE);
+        discovery.answer(request -> ScriptedPeer.SILENCE);
+        host.answer(request -> ScriptedPeer.CLOSE);
         relay.start().handIn("u1", "unsafe", 7);
         await(() -> relay.noticed("u1", "dead"));
-        try (StubPeer next = RelayProcess.quietDiscovery()) {
+        try (ScriptedPeer next = RelayProcess.quietDiscovery()) {
             relay.moveDiscovery(next);
             await(() -> relay.noticed("u1", "dead"));
             await(() -> relay.journaled().isEmpty());
@@ -72,17 +72,17 @@
         relay.start();
         relay.spoilConfiguration("{");
         await(() -> relay.log().contains("the old configuration stays in force"));
-        host.answer(request -> StubPeer.CLOSE);
+        host.answer(request -> ScriptedPeer.CLOSE);
         assertEquals(202, relay.handIn("u2", "unsafe", 7));
         await(() -> relay.noticed("u2", "dead"));
     }
 
     /** The relay goes by this list's whole and later versions. */
-    private static void awaitWatch(StubPeer peer) {
+    private static void awaitWatch(ScriptedPeer peer) {
         await(() -> peer.count("GET /api/targets?after=") > 0);
     }
 
-    private StubPeer sameHost(int rev) throws IOException {
+    private ScriptedPeer sameHost(int rev) throws IOException {
         return discovery(list(rev, true, target("h1", 7, "one", "in_service", host.address())));
     }
 
@@ -95,7 +95,7 @@
         // Discovery is not silent here: nothing but the tries after the signal can find the whole file.
         discovery.answer(request -> answer(200, list(2, false)));
         Thread.sleep(300);
-        try (StubPeer next = sameHost(4)) {
+        try (ScriptedPeer next = sameHost(4)) {
             relay.replaceConfiguration(next);
             awaitWatch(next);
         }
@@ -104,9 +104,9 @@
     @Test
     void severalSignalsAtOnceEndWithTheNewestFile() throws IOException {
         relay.start();
-        try (StubPeer second = sameHost(2);
-                StubPeer third = sameHost(3);
-                StubPeer fourth = sameHost(4)) {
+        try (ScriptedPeer second = sameHost(2);
+                ScriptedPeer third = sameHost(3);
+                ScriptedPeer fourth = sameHost(4)) {
             relay.moveDiscovery(second);
             relay.moveDiscovery(third);
             relay.moveDiscovery(fourth);
@@ -122,7 +122,7 @@
     void signalWhileTheCpuIsAwayCountsWhenItIsBack() throws IOException {
         relay.start();
         relay.pause();
-        try (StubPeer next = sameHost(5)) {
+        try (ScriptedPeer next = sameHost(5)) {
             relay.moveDiscovery(next);
             relay.hangUp();
             relay.goOn();
@@ -133,8 +133,8 @@
     @Test
     void answerOfTheOldAgentAfterTheMoveIsNotHeeded() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
-        try (StubPeer wrong = StubPeer.always(status(200));
-                StubPeer next = sameHost(3)) {
+        try (ScriptedPeer wrong = ScriptedPeer.always(status(200));
+                ScriptedPeer next = sameHost(3)) {
             String old = list(90, true, target("h9", 7, "one", "in_service", wrong.address()));
             discovery.answer(request -> {
                 try {
@@ -144,7 +144,7 @@
                 }
                 return answer(200, old);
             });
-            StubPeer before = discovery;
+            ScriptedPeer before = discovery;
             relay.start();
             await(() -> before.count("GET") > 0);
             relay.moveDiscovery(next);
@@ -161,12 +161,12 @@
     @Test
     void newPlaceThatRefusesAtFirstIsAskedAgain() throws Exception {
         relay.start();
-        StubPeer closed = sameHost(6);
+        ScriptedPeer closed = sameHost(6);
         closed.close();
         relay.moveDiscovery(closed);
         await(() -> relay.log().contains("discovery is at /" + closed.address()));
         Thread.sleep(300);
-        try (StubPeer next = new StubPeer(
+        try (ScriptedPeer next = new ScriptedPeer(
                 closed.port(),
                 request -> request.line().startsWith("POST")
                         ? status(204)
@@ -178,10 +178,10 @@
     @Test
     void fileThatIsReplacedWithNoSignalCountsWhereDiscoveryIsSilent() throws IOException {
         relay.start();
-        try (StubPeer next = sameHost(8)) {
+        try (ScriptedPeer next = sameHost(8)) {
             relay.replaceConfiguration(next);
             awaitWatch(next);
-            host.answer(request -> StubPeer.CLOSE);
+            host.answer(request -> ScriptedPeer.CLOSE);
             assertEquals(202, relay.handIn("u3", "unsafe", 7));
             await(() -> relay.noticed("u3", "dead"));
         }
--- a/src/test/java/pipitstage/relay/UndeliverableTest.java
+++ b/src/test/java/loftflow/server/DeadLetterTest.java
@@ -1,9 +1,9 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,32 +16,32 @@
 import java.util.Random;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import loftflow.admin.AdminClient;
+import loftflow.cli.Main;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakePartner;
+import loftflow.fake.FakePartner.Mood;
+import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Order;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.admin.AdminClient;
-import pipitstage.cli.Main;
-import pipitstage.config.tool.Tool;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInPartner;
-import pipitstage.standin.StandInPartner.Mood;
 
 /** What could not be delivered, with the real program, real sockets and a partner that records every posting. */
 @Order(1)
-class UndeliverableTest {
+class DeadLetterTest {
     @TempDir
     Path folder;
 
-    private StandInPartner partner;
+    private FakePartner partner;
     private ServedRelay relay;
     private int starts;
 
     @BeforeEach
     void prepare() throws IOException {
-        partner = new StandInPartner(5, 0);
+        partner = new FakePartner(5, 0);
     }
 
     @AfterEach
@@ -97,8 +97,9 @@
                 address = "%s"
                 """
                         .formatted(state(), keeping, partner.address()));
-        Tool.Outcome outcome = Tool.write(file, folder, false);
-        assertEquals(Tool.Written.NEW, outcome.written(), outcome.findings().toString());
+        ConfigTool.Outcome outcome = ConfigTool.write(file, folder, false);
+        assertEquals(
+                ConfigTool.Written.NEW, outcome.written(), outcome.findings().toString());
         return outcome.file();
     }
 
@@ -130,7 +131,7 @@
     }
 
     private int handInOnce(String id, String type) throws IOException {
-        try (StandInClient client = relay.client()) {
+        try (FakeClient client = relay.client()) {
             return client.handIn(id, type, null, "key-" + id, 7, 3000, "body of " + id);
         }
     }
--- a/src/test/java/pipitstage/relay/DeliveryTest.java
+++ b/src/test/java/loftflow/server/DeliveryTest.java
@@ -1,27 +1,27 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.fake.ScriptedPeer.answer;
+import static loftflow.fake.ScriptedPeer.status;
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.standin.StubPeer.answer;
-import static pipitstage.standin.StubPeer.status;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
+import loftflow.fake.ScriptedPeer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Order;
 import org.junit.jupiter.api.Test;
-import pipitstage.standin.StubPeer;
 
 /** Calls to hosts: what is sent, what the answers mean, and what must not be sent. */
 @Order(1)
 class DeliveryTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
         relay.knows("m1", 8, "many", host);
     }
 
@@ -30,7 +30,7 @@
         String bytes = "\u0000\r\n\u00ff{}";
         assertEquals(202, relay.start().handIn("abc1", "keyed", 7, 20_000, bytes));
         await(() -> host.requests.size() == 1);
-        StubPeer.Request call = host.requests.get(0);
+        ScriptedPeer.Request call = host.requests.get(0);
         assertEquals("POST /receive HTTP/1.1", call.line());
         assertEquals("abc1", call.id());
         assertEquals("key-abc1", call.headers().get("idempotency-key"));
@@ -56,7 +56,7 @@
 
     @Test
     void unsafeMessageThatMayHaveRunIsNotSentAgain() throws IOException {
-        host.answer(request -> StubPeer.CLOSE);
+        host.answer(request -> ScriptedPeer.CLOSE);
         assertEquals(202, relay.start().handIn("u1", "unsafe", 7));
         await(() -> relay.noticed("u1", "dead"));
         assertEquals(1, host.count("POST /receive"));
@@ -87,7 +87,7 @@
         // A relay that has sent nothing yet may be slow to begin: what it has no time left for it rightly refuses.
         relay.start().handIn("first", "safe", 7);
         await(() -> host.requests.size() == 1);
-        host.answer(request -> StubPeer.SILENCE);
+        host.answer(request -> ScriptedPeer.SILENCE);
         assertEquals(202, relay.handIn("u4", "unsafe", 7, 1500, "x"));
         await(() -> relay.noticed("u4", "dead"));
         assertEquals(2, host.count("POST /receive"));
@@ -98,7 +98,7 @@
         host.answer(request -> status(410));
         relay.start().handIn("g1", "safe", 7);
         await(() -> host.requests.size() == 1);
-        host.answer(request -> StubPeer.SILENCE);
+        host.answer(request -> ScriptedPeer.SILENCE);
         relay.handIn("g2", "unsafe", 7, 1500, "x");
         await(() -> relay.noticed("g2", "dead"));
         assertFalse(relay.noticed("g1", "dead") || relay.noticed("g1", "bounced"));
@@ -120,12 +120,12 @@
         // The destination refuses the first call, so that what comes meanwhile waits for its pace together.
         host.answer(request -> request.line().contains("many")
                 ? answer(200, "[{\"id\":\"b1\",\"state\":\"done\"},{\"id\":\"b2\",\"state\":\"failed\"}]")
-                : host.requests.size() == 1 ? status(503, "X-Come-Back-Ms: 500") : StubPeer.SILENCE);
+                : host.requests.size() == 1 ? status(503, "X-Come-Back-Ms: 500") : ScriptedPeer.SILENCE);
         relay.start().handIn("b1", "unsafe", 8);
         await(() -> host.requests.size() == 1);
         relay.handIn("b2", "unsafe", 8);
         await(() -> relay.noticed("b2", "dead"));
-        StubPeer.Request call = host.requests.get(1);
+        ScriptedPeer.Request call = host.requests.get(1);
         assertEquals("POST /receive-many HTTP/1.1", call.line());
         assertTrue(call.body().contains("\"id\":\"b1\",\"key\":\"key-b1\",\"body\":\"aGVsbG8=\""), call.body());
         assertFalse(relay.noticed("b1", "dead"));
@@ -145,14 +145,14 @@
         await(() -> host.requests.size() == 1);
         relay.handIn("long", "unsafe", 8);
         await(() -> relay.noticed("long", "dead"));
-        StubPeer.Request call = host.requests.get(1);
+        ScriptedPeer.Request call = host.requests.get(1);
         assertTrue(call.body().contains("\"id\":\"long\""), call.body());
         assertTrue(Integer.parseInt(call.headers().get("x-budget-ms")) <= 4000);
     }
 
     @Test
     void idleConnectionsAreNotTrustedAfterABreak() throws IOException {
-        host.answer(request -> request.id().startsWith("slow") ? StubPeer.SILENCE : status(200));
+        host.answer(request -> request.id().startsWith("slow") ? ScriptedPeer.SILENCE : status(200));
         relay.start();
         relay.handIn("slow", "safe", 7);
         await(() -> host.requests.size() == 1);
@@ -188,7 +188,7 @@
         relay.pause();
         long paused = System.nanoTime();
         Socket socket = relay.connect();
-        KernelSide far = KernelSide.beyond(socket);
+        KernelSocketState far = KernelSocketState.beyond(socket);
         socket.getOutputStream()
                 .write(RelayProcess.message("left", "safe", 7, 20_000, "hello").getBytes());
         socket.close();
--- a/src/test/java/pipitstage/relay/EarlySignalTest.java
+++ b/src/test/java/loftflow/server/EarlySignalTest.java
@@ -1,18 +1,18 @@
-package pipitstage.relay;
+package loftflow.server;
 
-import static pipitstage.relay.RelayProcess.await;
+import static loftflow.server.RelayProcess.await;
 
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
+import loftflow.config.Config;
 import org.junit.jupiter.api.Test;
-import pipitstage.config.Config;
 
 /** A signal between the start of service and the moment from which a new configuration can be taken. */
 class EarlySignalTest {
     @Test
     void fileThatIsHalfWrittenAtASignalAheadOfTheStartIsReadAgain() {
         AtomicInteger reads = new AtomicInteger();
-        Reload reload = Reload.onHangUp(new Config.Source() {
+        ConfigReloader reload = ConfigReloader.onHangUp(new Config.Source() {
             @Override
             public Config read() throws Config.BadConfigException {
                 reads.incrementAndGet();
--- a/src/test/java/pipitstage/relay/FleetRig.java
+++ b/src/test/java/loftflow/server/FleetHarness.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,23 +10,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.LongStream;
-import pipitstage.config.tool.Tool;
-import pipitstage.remembered.Moment;
-import pipitstage.remembered.Picture;
-import pipitstage.remembered.store.Pictures;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInDiscovery;
-import pipitstage.standin.StandInPartner;
-import pipitstage.standin.StubPeer;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakeDiscoveryAgent;
+import loftflow.fake.FakePartner;
+import loftflow.fake.ScriptedPeer;
+import loftflow.fake.ServedRelay;
+import loftflow.fake.TemporaryFolder;
+import loftflow.warmstart.ClockReading;
+import loftflow.warmstart.Snapshot;
+import loftflow.warmstart.store.SnapshotSamples;
 
 /**
  * A fleet of relays on loopback with its partners, discovery and a client beside each relay. Half of the relays are killed
  * while discovery is down and start again; some endpoints have been removed meanwhile and their addresses are another
  * service's, hang or refuse; some partners were out, and return cold.
  */
-final class FleetRig implements AutoCloseable {
+final class FleetHarness implements AutoCloseable {
     static final double FALL_MULTIPLE = 2.5;
     private static final long FALL_SPAN = TimeUnit.SECONDS.toNanos(2);
     private static final double COLD_FROM = 0.15;
@@ -74,9 +74,9 @@
     private final int cold;
     private final int limit;
     private final double rate;
-    private final List<StandInPartner> partners = new ArrayList<>();
-    private final List<StubPeer> strangers = new ArrayList<>();
-    private final StandInDiscovery discovery = new StandInDiscovery();
+    private final List<FakePartner> partners = new ArrayList<>();
+    private final List<ScriptedPeer> strangers = new ArrayList<>();
+    private final FakeDiscoveryAgent discovery = new FakeDiscoveryAgent();
     private final List<ServedRelay> served = new ArrayList<>();
     private final List<Path> files = new ArrayList<>();
     private final Map<String, Handed> handed = new ConcurrentHashMap<>();
@@ -92,7 +92,8 @@
      * @param limit calls a second that each endpoint takes
      * @param rate messages a second that each relay is handed
      */
-    FleetRig(Path folder, int relays, int endpoints, int removed, int cold, int limit, double rate) throws IOException {
+    FleetHarness(Path folder, int relays, int endpoints, int removed, int cold, int limit, double rate)
+            throws IOException {
         this.folder = folder;
         this.relays = relays;
         this.endpoints = endpoints;
@@ -101,7 +102,7 @@
         this.limit = limit;
         this.rate = rate;
         for (int i = 0; i < endpoints; i++) {
-            partners.add(new StandInPartner(5, limit));
+            partners.add(new FakePartner(5, limit));
         }
     }
 
@@ -113,7 +114,7 @@
     private List<String> list(int from) {
         List<String> entries = new ArrayList<>();
         for (int i = from; i < endpoints; i++) {
-            entries.add(StandInDiscovery.entry(
+            entries.add(FakeDiscoveryAgent.entry(
                     "e" + i,
                     destination(i),
                     "elevators",
@@ -162,7 +163,7 @@
         }
         Path file = Files.writeString(folder.resolve("app" + relay + ".toml"), text);
         Path out = Files.createDirectories(folder.resolve("relay" + relay));
-        Tool.Outcome outcome = Tool.write(file, out, true);
+        ConfigTool.Outcome outcome = ConfigTool.write(file, out, true);
         if (outcome.file() == null) {
             throw new IOException(outcome.findings().toString());
         }
@@ -181,7 +182,7 @@
             client(relay);
         }
         Thread.sleep(learnMillis / 2);
-        partners.subList(endpoints - cold, endpoints).forEach(p -> p.be(StandInPartner.Mood.SHUT));
+        partners.subList(endpoints - cold, endpoints).forEach(p -> p.be(FakePartner.Mood.SHUT));
         Thread.sleep(learnMillis / 2);
         if (start != Start.DISCOVERY) {
             discovery.stop();
@@ -248,22 +249,23 @@
             int port = Integer.parseInt(partners.get(i).address().split(":")[1]);
             partners.get(i).close();
             if (i % 3 == 0) {
-                strangers.add(new StubPeer(port, r -> StubPeer.status(r.line().startsWith("POST ") ? 200 : 404)));
+                strangers.add(
+                        new ScriptedPeer(port, r -> ScriptedPeer.status(r.line().startsWith("POST ") ? 200 : 404)));
             } else if (i % 3 == 1) {
-                strangers.add(new StubPeer(port, r -> StubPeer.SILENCE));
+                strangers.add(new ScriptedPeer(port, r -> ScriptedPeer.SILENCE));
             }
         }
     }
 
     /** Makes what a stopped relay remembers older, by every clock alike. */
     private static void age(Path state, int relay, long by) throws IOException {
-        Pictures.change(
+        SnapshotSamples.change(
                 state,
                 "app#" + relay,
-                p -> new Picture(
+                p -> new Snapshot(
                         p.owner(),
                         p.generation(),
-                        new Moment(p.at().wall() - by, p.at().up() - by, p.at().boot()),
+                        new ClockReading(p.at().wall() - by, p.at().up() - by, p.at().boot()),
                         p.time(),
                         p.revision(),
                         p.endpoints()));
@@ -282,7 +284,7 @@
         while (start != Start.EMPTY && ready.size() < half) {
             for (int relay = 0; relay < half; relay++) {
                 if (!ready.containsKey(relay)) {
-                    try (StandInClient client = served.get(relay).client()) {
+                    try (FakeClient client = served.get(relay).client()) {
                         if (client.isReady()) {
                             ready.put(relay, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began));
                         }
@@ -306,7 +308,7 @@
         Thread thread = new Thread(() -> {
             long start = System.nanoTime();
             long pause = (long) (TimeUnit.SECONDS.toNanos(1) / rate);
-            try (StandInClient client = to.client()) {
+            try (FakeClient client = to.client()) {
                 for (int i = 0; !over && to.process().isAlive(); i++) {
                     long due = start + i * pause;
                     TimeUnit.NANOSECONDS.sleep(due - System.nanoTime());
@@ -336,9 +338,9 @@
 
     private double inTime(long from, long until, int half, boolean restarted) {
         Map<String, Long> ran = new HashMap<>();
-        for (StandInPartner partner : partners) {
+        for (FakePartner partner : partners) {
             partner.postings().stream()
-                    .filter(StandInPartner.Posting::ran)
+                    .filter(FakePartner.Posting::ran)
                     .forEach(p -> ran.merge(p.id(), p.atNanos(), Math::min));
         }
         List<Map.Entry<String, Handed>> all = handed.entrySet().stream()
@@ -356,9 +358,9 @@
     /** The highest load on a partner that returned cold, in any two seconds since, beside what it could take then. */
     private double highest() {
         double highest = 0;
-        for (StandInPartner partner : partners.subList(endpoints - cold, endpoints)) {
+        for (FakePartner partner : partners.subList(endpoints - cold, endpoints)) {
             long[] calls = LongStream.concat(
-                            partner.postings().stream().mapToLong(StandInPartner.Posting::atNanos),
+                            partner.postings().stream().mapToLong(FakePartner.Posting::atNanos),
                             partner.checks().stream().mapToLong(Long::longValue))
                     .filter(at -> at >= returnedAt)
                     .sorted()
@@ -380,10 +382,10 @@
     public void close() throws IOException {
         over = true;
         served.forEach(ServedRelay::close);
-        for (StandInPartner partner : partners) {
+        for (FakePartner partner : partners) {
             partner.close();
         }
-        for (StubPeer stranger : strangers) {
+        for (ScriptedPeer stranger : strangers) {
             stranger.close();
         }
         discovery.close();
@@ -392,8 +394,8 @@
     /** The fleet of the measurement: twelve relays, thirty endpoints, four removed and six cold; each start in turn. */
     public static void main(String[] args) throws Exception {
         for (Start start : args.length == 0 ? Start.values() : new Start[] {Start.valueOf(args[0])}) {
-            try (Scratch scratch = Scratch.named("fleet");
-                    FleetRig rig = new FleetRig(scratch.folder(), 12, 30, 4, 6, 20, 15)) {
+            try (TemporaryFolder scratch = TemporaryFolder.named("fleet");
+                    FleetHarness rig = new FleetHarness(scratch.folder(), 12, 30, 4, 6, 20, 15)) {
                 System.out.println(start + " " + rig.play(start, 20_000, 25_000, 10_000));
             }
         }
--- a/src/test/java/pipitstage/relay/KernelSide.java
+++ b/src/test/java/loftflow/server/KernelSocketState.java
@@ -1,6 +1,6 @@
-package pipitstage.relay;
+package loftflow.server;
 
-import static pipitstage.relay.RelayProcess.await;
+import static loftflow.server.RelayProcess.await;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,20 +15,20 @@
  * What the system holds of the far side of a loopback connection: for tests that need to know that something has come there and
  * is not read, where a span to wait for would only hope that it has.
  */
-public final class KernelSide {
+public final class KernelSocketState {
     private static final String CLOSE_WAIT = "08";
 
     private final String local;
     private final String remote;
 
-    private KernelSide(int localPort, int remotePort) {
+    private KernelSocketState(int localPort, int remotePort) {
         local = ":%04X".formatted(localPort);
         remote = ":%04X".formatted(remotePort);
     }
 
     /** The other side of a socket that is connected. */
-    public static KernelSide beyond(Socket socket) {
-        return new KernelSide(socket.getPort(), socket.getLocalPort());
+    public static KernelSocketState beyond(Socket socket) {
+        return new KernelSocketState(socket.getPort(), socket.getLocalPort());
     }
 
     /** Waits until bytes lie unread. */
--- a/src/test/java/pipitstage/relay/LateReadTest.java
+++ b/src/test/java/loftflow/server/LateReadTest.java
@@ -1,18 +1,18 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.fake.ScriptedPeer.status;
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.standin.StubPeer.status;
 
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
+import loftflow.fake.ScriptedPeer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pipitstage.standin.StubPeer;
 
 /** Requests that wait unread while the relay has no CPU: their time runs all the same. */
 class LateReadTest extends RelayTestBase {
@@ -23,7 +23,7 @@
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
         relay.start();
     }
 
--- a/src/test/java/pipitstage/relay/SpoiltAnswerTest.java
+++ b/src/test/java/loftflow/server/MalformedResponseTest.java
@@ -1,25 +1,25 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.fake.ScriptedPeer.answer;
+import static loftflow.fake.ScriptedPeer.status;
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.standin.StubPeer.answer;
-import static pipitstage.standin.StubPeer.status;
 
 import java.io.IOException;
 import java.util.List;
+import loftflow.fake.ScriptedPeer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pipitstage.standin.StubPeer;
 
 /** Answers of hosts that can't be read, don't end, or bring more than belongs to them. */
-class SpoiltAnswerTest extends RelayTestBase {
+class MalformedResponseTest extends RelayTestBase {
     private static final String HUGE = "Content-Length: 3000000000\r\n\r\n" + "x".repeat(100_000);
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(status(200)));
+        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
         relay.knows("m1", 8, "many", host);
     }
 
@@ -73,7 +73,7 @@
     void answerOfManyThatCannotBeReadToItsEndCountsForNone() throws IOException {
         host.answer(request -> request.line().contains("many")
                 ? answer(200, "[{\"id\":\"b1\",\"state\":\"busy\"},{\"id\":\"b2\",\"state\":\"busy\"},7]")
-                : host.requests.size() == 1 ? status(503, "X-Come-Back-Ms: 500") : StubPeer.SILENCE);
+                : host.requests.size() == 1 ? status(503, "X-Come-Back-Ms: 500") : ScriptedPeer.SILENCE);
         relay.start().handIn("b1", "unsafe", 8);
         await(() -> host.requests.size() == 1);
         relay.handIn("b2", "unsafe", 8);
@@ -99,7 +99,7 @@
             long sent = host.count("POST");
             relay.handIn("first" + sent, "unsafe", 7);
             await(() -> host.count("POST") > sent && relay.journaled().isEmpty());
-            host.answer(request -> request.line().startsWith("POST") ? StubPeer.CLOSE : status(200));
+            host.answer(request -> request.line().startsWith("POST") ? ScriptedPeer.CLOSE : status(200));
             relay.handIn("next" + sent, "unsafe", 7);
             await(() -> relay.noticed("next" + sent, "dead"));
         }
--- a/src/test/java/pipitstage/relay/PatientIoTest.java
+++ b/src/test/java/loftflow/server/MillisecondIoHandlerTest.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 @Timeout(60)
-class PatientIoTest {
+class MillisecondIoHandlerTest {
     @ParameterizedTest
     @CsvSource({
         "0, 0",
@@ -25,13 +25,13 @@
         "9223372036854775807, 9223372036854775807"
     })
     void spansAreRoundedUpToWholeMilliseconds(long nanos, long waited) {
-        assertEquals(waited, PatientIo.wholeMillis(nanos));
+        assertEquals(waited, MillisecondIoHandler.wholeMillis(nanos));
     }
 
     /** A loop with a timer every 400 microseconds sleeps between them: Netty's own looks for the next all the time. */
     @Test
     void timersCloseToEachOtherDoNotKeepTheLoopBusy() throws Exception {
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, PatientIo.newFactory());
+        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
         long id = loop.submit(() -> Thread.currentThread().getId()).sync().getNow();
         long[] left = {1_000};
--- a/src/test/java/pipitstage/relay/RelayFileTest.java
+++ b/src/test/java/loftflow/server/RelayFileTest.java
@@ -1,22 +1,22 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loftflow.cli.Main;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakeDiscoveryAgent;
+import loftflow.fake.FakePartner;
+import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.Test;
-import pipitstage.cli.Main;
-import pipitstage.config.tool.Tool;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInDiscovery;
-import pipitstage.standin.StandInPartner;
 
 /** A relay that runs by a relay file alone, and what it loads. */
 class RelayFileTest extends RelayFileTestBase {
@@ -24,11 +24,11 @@
         return relays.get(relays.size() - 1).log();
     }
 
-    private StandInClient client() throws Exception {
+    private FakeClient client() throws Exception {
         return relays.get(relays.size() - 1).awaitServing().client();
     }
 
-    private static int handIn(StandInClient client, String id, int destination) {
+    private static int handIn(FakeClient client, String id, int destination) {
         return handIn(client, id, destination, 6_000);
     }
 
@@ -62,25 +62,26 @@
                 """
                         .formatted(folder.resolve("state"), discovery, endpoint);
         Path file = Files.writeString(folder.resolve("app.toml"), text);
-        Tool.Outcome outcome = Tool.write(file, folder, false);
-        assertEquals(Tool.Written.NEW, outcome.written(), outcome.findings().toString());
+        ConfigTool.Outcome outcome = ConfigTool.write(file, folder, false);
+        assertEquals(
+                ConfigTool.Written.NEW, outcome.written(), outcome.findings().toString());
         return outcome.file();
     }
 
-    private static String endpoint(StandInPartner partner) {
+    private static String endpoint(FakePartner partner) {
         return "[[partner.endpoint]]\nid = \"iron-1\"\naddress = \"" + partner.address() + "\"";
     }
 
     @Test
     void listInTheFileIsAllThereIsAndEndsGoToAFile() throws Exception {
-        try (StandInPartner partner = new StandInPartner(5, 0)) {
+        try (FakePartner partner = new FakePartner(5, 0)) {
             launch(written("", endpoint(partner)));
-            try (StandInClient client = client()) {
+            try (FakeClient client = client()) {
                 assertTrue(client.isReady());
                 assertEquals(202, handIn(client, "s1", 7));
                 await(() -> partner.effects().containsKey("s1"));
                 assertEquals(400, handIn(client, "s2", 8), "no such destination");
-                partner.be(StandInPartner.Mood.RESETS);
+                partner.be(FakePartner.Mood.RESETS);
                 assertEquals(202, handIn(client, "s3", 7));
                 await(() -> ends().contains("\"ref\":\"s3\",\"class\":\"settlement\",\"dest\":7,\"result\":\"dead\""));
             }
@@ -99,15 +100,15 @@
 
     @Test
     void takenMessageIsDeliveredAfterAKill() throws Exception {
-        try (StandInPartner partner = new StandInPartner(5, 0)) {
+        try (FakePartner partner = new FakePartner(5, 0)) {
             Path file = written("", endpoint(partner));
-            partner.be(StandInPartner.Mood.SHUT);
+            partner.be(FakePartner.Mood.SHUT);
             ServedRelay first = launch(file);
-            try (StandInClient client = client()) {
+            try (FakeClient client = client()) {
                 assertEquals(202, handIn(client, "s1", 7));
             }
             first.close();
-            partner.be(StandInPartner.Mood.WELL);
+            partner.be(FakePartner.Mood.WELL);
             launch(file);
             await(() -> partner.effects().containsKey("s1") || ends().contains("s1"));
             assertTrue(partner.effects().getOrDefault("s1", 0) <= 1);
@@ -116,18 +117,18 @@
 
     @Test
     void discoveryTellsTheEndpointsThatTheFileLacks() throws Exception {
-        try (StandInPartner partner = new StandInPartner(5, 0);
-                StandInDiscovery discovery = new StandInDiscovery()) {
-            discovery.list(
-                    List.of(StandInDiscovery.entry("iron-1", 7, "railways", "main", "in_service", partner.address())));
+        try (FakePartner partner = new FakePartner(5, 0);
+                FakeDiscoveryAgent discovery = new FakeDiscoveryAgent()) {
+            discovery.list(List.of(
+                    FakeDiscoveryAgent.entry("iron-1", 7, "railways", "main", "in_service", partner.address())));
             launch(written("[discovery]\nagent = \"" + discovery.address() + "\"", ""));
-            try (StandInClient client = client()) {
+            try (FakeClient client = client()) {
                 await(() -> isReady(client));
                 assertEquals(202, handIn(client, "s1", 7));
                 await(() -> partner.effects().containsKey("s1"));
-                partner.be(StandInPartner.Mood.RESETS);
+                partner.be(FakePartner.Mood.RESETS);
                 assertEquals(202, handIn(client, "s2", 7));
-                await(() -> discovery.notices().contains(new StandInDiscovery.Notice("s2", "dead")));
+                await(() -> discovery.notices().contains(new FakeDiscoveryAgent.Notice("s2", "dead")));
             }
             assertEquals("", ends(), "notices go to the platform");
         }
@@ -141,7 +142,7 @@
         }
     }
 
-    private static boolean isReady(StandInClient client) {
+    private static boolean isReady(FakeClient client) {
         try {
             return client.isReady();
         } catch (IOException e) {
@@ -158,7 +159,7 @@
                 assertTrue(process.waitFor(30, TimeUnit.SECONDS));
                 assertEquals(2, process.exitValue());
                 assertEquals(
-                        "loftflow: " + Tool.check(file).get(0),
+                        "loftflow: " + ConfigTool.check(file).get(0),
                         log().lines().findFirst().orElse(""));
                 assertFalse(log().contains("serving"), log());
             }
@@ -170,14 +171,14 @@
 
     @Test
     void servingLoadsNothingOfTheCommandLineNorServingThePlatformsWayTheParser() throws Exception {
-        try (StandInPartner partner = new StandInPartner(5, 0)) {
+        try (FakePartner partner = new FakePartner(5, 0)) {
             launch(written("", endpoint(partner)), "-Xlog:class+load");
             client().close();
             assertTrue(log().contains("org.tomlj"), "the log of classes works");
             assertFalse(
                     log().contains("picocli")
                             || log().contains("com.github.difflib")
-                            || log().contains("pipitstage.standin"),
+                            || log().contains("loftflow.fake"),
                     "the command line is loaded");
         }
         Path classes = folder.resolve("classes");
@@ -200,27 +201,27 @@
             relay.destroyForcibly().waitFor();
         }
         String loaded = Files.readString(classes);
-        assertTrue(loaded.contains("pipitstage.config.Config "), "the log of classes works");
+        assertTrue(loaded.contains("loftflow.config.Config "), "the log of classes works");
         for (String unused : List.of(
                 "org.tomlj",
                 "org.antlr",
                 "picocli",
-                "pipitstage.config.plan",
-                "pipitstage.config.schema",
-                "pipitstage.config.file",
-                "pipitstage.cli.Commands",
-                "EndsFile",
+                "loftflow.config.plan",
+                "loftflow.config.schema",
+                "loftflow.config.file",
+                "loftflow.cli.Commands",
+                "CompletionLog",
                 "org.sqlite",
                 "java.sql.",
-                "pipitstage.undeliverable",
-                "pipitstage.admin",
-                "pipitstage.amqp",
-                "pipitstage.front.amqp",
-                "pipitstage.partner.amqp",
-                "pipitstage.duplicates",
-                "pipitstage.remembered",
-                "Remembering",
-                "pipitstage.trace",
+                "loftflow.deadletter",
+                "loftflow.admin",
+                "loftflow.amqp",
+                "loftflow.listener.amqp",
+                "loftflow.upstream.amqp",
+                "loftflow.deduplication",
+                "loftflow.warmstart",
+                "WarmStartModule",
+                "loftflow.trace",
                 "de.siegmar",
                 "javax.net.ssl")) {
             assertFalse(loaded.contains(unused), unused + " is loaded");
--- a/src/test/java/pipitstage/relay/RelayFileTestBase.java
+++ b/src/test/java/loftflow/server/RelayFileTestBase.java
@@ -1,15 +1,15 @@
-package pipitstage.relay;
+package loftflow.server;
 
-import static pipitstage.relay.RelayProcess.await;
+import static loftflow.server.RelayProcess.await;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import loftflow.fake.FakeClient;
+import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
 
 /** Starts relays by relay files, and ends them with the test. */
 abstract class RelayFileTestBase {
@@ -31,7 +31,7 @@
     }
 
     /** Hands a settlement in as a client does, again while the relay refuses: one that is short of CPU at its start does. */
-    static int handIn(StandInClient client, String id, int destination, long budgetMillis) {
+    static int handIn(FakeClient client, String id, int destination, long budgetMillis) {
         int[] status = new int[1];
         await(() -> {
             try {
--- a/src/test/java/pipitstage/relay/RelayProcess.java
+++ b/src/test/java/loftflow/server/RelayProcess.java
@@ -1,4 +1,4 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -13,10 +13,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import pipitstage.cli.Main;
-import pipitstage.engine.Message;
-import pipitstage.journal.Journal;
-import pipitstage.standin.StubPeer;
+import loftflow.cli.Main;
+import loftflow.engine.Message;
+import loftflow.fake.ScriptedPeer;
+import loftflow.journal.Journal;
 
 /** The real program, started as a process of its own with stub peers round it. */
 public final class RelayProcess implements AutoCloseable {
@@ -27,7 +27,7 @@
     record Answer(int status, String head) {}
 
     private final Path folder;
-    private StubPeer discovery;
+    private ScriptedPeer discovery;
     private final List<String> targets = new ArrayList<>();
     private double diskMb = 3;
     private String period = "0.005";
@@ -37,7 +37,7 @@
     private Path log;
     private int starts;
 
-    RelayProcess(Path folder, StubPeer discovery) {
+    RelayProcess(Path folder, ScriptedPeer discovery) {
         this.folder = folder;
         this.discovery = discovery;
     }
@@ -54,12 +54,12 @@
     }
 
     /** Discovery that tells no news and takes every notice. */
-    static StubPeer quietDiscovery() throws IOException {
-        return new StubPeer(
-                request -> request.line().startsWith("POST /status") ? StubPeer.status(204) : StubPeer.SILENCE);
+    static ScriptedPeer quietDiscovery() throws IOException {
+        return new ScriptedPeer(
+                request -> request.line().startsWith("POST /status") ? ScriptedPeer.status(204) : ScriptedPeer.SILENCE);
     }
 
-    RelayProcess knows(String uid, int destination, String kind, StubPeer host) {
+    RelayProcess knows(String uid, int destination, String kind, ScriptedPeer host) {
         return knows(uid, destination, kind, host.address());
     }
 
@@ -115,13 +115,13 @@
     }
 
     /** Discovery is at another place from now on; the relay hears of it by SIGHUP. */
-    void moveDiscovery(StubPeer next) throws IOException {
+    void moveDiscovery(ScriptedPeer next) throws IOException {
         replaceConfiguration(next);
         hangUp();
     }
 
     /** The file says that discovery is at another place; the relay is not told. */
-    void replaceConfiguration(StubPeer next) throws IOException {
+    void replaceConfiguration(ScriptedPeer next) throws IOException {
         discovery = next;
         configure();
     }
--- a/src/test/java/pipitstage/relay/RelayTestBase.java
+++ b/src/test/java/loftflow/server/RelayTestBase.java
@@ -1,22 +1,22 @@
-package pipitstage.relay;
+package loftflow.server;
 
 import java.io.IOException;
 import java.nio.file.Path;
+import loftflow.fake.ScriptedPeer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.standin.StubPeer;
 
 /** A relay with one host and discovery round it, ended after each test. */
 abstract class RelayTestBase {
     @TempDir
     Path folder;
 
-    StubPeer discovery;
-    StubPeer host;
+    ScriptedPeer discovery;
+    ScriptedPeer host;
     RelayProcess relay;
 
     /** Prepares a relay, not started yet, that knows the host at destination 7. */
-    void prepare(StubPeer discovery, StubPeer host) {
+    void prepare(ScriptedPeer discovery, ScriptedPeer host) {
         this.discovery = discovery;
         this.host = host;
         relay = new RelayProcess(folder, discovery).knows("h1", 7, "one", host);
--- a/src/test/java/pipitstage/relay/RestartTest.java
+++ b/src/test/java/loftflow/server/RestartTest.java
@@ -1,26 +1,26 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.fake.ScriptedPeer.status;
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.standin.StubPeer.status;
 
 import java.io.IOException;
 import java.net.Socket;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
+import loftflow.fake.ScriptedPeer;
+import loftflow.policy.api.AttemptOutcome;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy;
-import pipitstage.standin.StubPeer;
 
 /** What a relay owes across the end of its process. */
 class RestartTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), StubPeer.always(StubPeer.SILENCE));
+        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(ScriptedPeer.SILENCE));
     }
 
     private void killWith(String id, String type) throws IOException {
@@ -45,17 +45,17 @@
         assertEquals(202, relay.start().handIn("s1", "safe", 7));
         await(() -> host.requests.size() == 1);
         relay.kill();
-        try (StubPeer other = StubPeer.always(status(200))) {
+        try (ScriptedPeer other = ScriptedPeer.always(status(200))) {
             discovery.answer(request -> {
                 if (request.line().startsWith("POST /status")) {
                     return status(204);
                 }
                 if (request.line().contains("after=")) {
-                    return StubPeer.SILENCE;
+                    return ScriptedPeer.SILENCE;
                 }
                 // A relay that goes by its list alone has sent long before this answer.
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(100));
-                return StubPeer.answer(
+                return ScriptedPeer.answer(
                         200,
                         RelayProcess.list(
                                 2,
@@ -88,9 +88,10 @@
         await(() -> host.requests.size() == 2);
         assertEquals(
                 List.of("l1", "other"),
-                host.requests.stream().map(StubPeer.Request::id).sorted().toList());
+                host.requests.stream().map(ScriptedPeer.Request::id).sorted().toList());
         relay.kill();
-        host.answer(request -> request.id().equals("l2") && host.count("POST") == 3 ? StubPeer.SILENCE : status(200));
+        host.answer(
+                request -> request.id().equals("l2") && host.count("POST") == 3 ? ScriptedPeer.SILENCE : status(200));
         relay.start();
         await(() -> host.count("POST") == 3);
         assertEquals("l2", host.requests.get(2).id(), "the first of its line may have run, and is not sent again");
@@ -106,7 +107,7 @@
     /** The end of the first of a line is told, but not heard: the next one waits, also over a restart, until it is. */
     @Test
     void nextOfALineWaitsUntilTheEndOfTheFirstIsHeard() throws IOException {
-        discovery.answer(request -> StubPeer.SILENCE);
+        discovery.answer(request -> ScriptedPeer.SILENCE);
         relay.start();
         assertEquals(202, handInLine("l1", "/api/line-a"));
         await(() -> host.requests.size() == 1);
@@ -124,8 +125,8 @@
         await(() -> host.count("POST") == 3);
         assertEquals(
                 List.of("l1", "s1", "s2"),
-                host.requests.stream().map(StubPeer.Request::id).toList());
-        discovery.answer(request -> request.line().startsWith("POST") ? status(204) : StubPeer.SILENCE);
+                host.requests.stream().map(ScriptedPeer.Request::id).toList());
+        discovery.answer(request -> request.line().startsWith("POST") ? status(204) : ScriptedPeer.SILENCE);
         await(() -> host.count("POST") == 4);
         assertEquals("l2", host.requests.get(3).id());
     }
@@ -151,7 +152,7 @@
         assertEquals(202, relay.start().handIn("u2", "unsafe", 7));
         await(() -> relay.journaled().stream()
                 .flatMap(m -> m.attempts().stream())
-                .anyMatch(a -> a.result() == Policy.Result.FULL));
+                .anyMatch(a -> a.result() == AttemptOutcome.REJECTED));
         relay.kill();
         host.answer(request -> status(200));
         relay.start();
@@ -164,7 +165,7 @@
         host.answer(request -> status(200));
         relay.start().handIn("d1", "unsafe", 7);
         await(() -> host.requests.size() == 1 && relay.journaled().isEmpty());
-        host.answer(request -> StubPeer.SILENCE);
+        host.answer(request -> ScriptedPeer.SILENCE);
         relay.handIn("d2", "safe", 7);
         await(() -> host.requests.size() == 2);
         relay.kill();
@@ -201,13 +202,13 @@
 
     @Test
     void noticeThatWasNotHeardIsSentAgain() throws IOException {
-        discovery.answer(request -> StubPeer.SILENCE);
-        host.answer(request -> StubPeer.CLOSE);
+        discovery.answer(request -> ScriptedPeer.SILENCE);
+        host.answer(request -> ScriptedPeer.CLOSE);
         relay.start().handIn("n1", "unsafe", 7);
         await(() -> relay.noticed("n1", "dead"));
         relay.kill();
         discovery.requests.clear();
-        discovery.answer(request -> request.line().startsWith("POST") ? status(204) : StubPeer.SILENCE);
+        discovery.answer(request -> request.line().startsWith("POST") ? status(204) : ScriptedPeer.SILENCE);
         relay.start();
         await(() -> relay.noticed("n1", "dead"));
         assertEquals(1, host.requests.size());
@@ -239,7 +240,7 @@
         relay.start();
         await(() -> host.requests.stream()
                         .skip(before)
-                        .map(StubPeer.Request::id)
+                        .map(ScriptedPeer.Request::id)
                         .distinct()
                         .count()
                 == 2);
--- a/src/test/java/pipitstage/relay/EndingTest.java
+++ b/src/test/java/loftflow/server/ShutdownTest.java
@@ -1,8 +1,8 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -17,6 +17,28 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import loftflow.engine.Clock;
+import loftflow.engine.CompletionNotifier;
+import loftflow.engine.DeliveryEngine;
+import loftflow.engine.Endpoint;
+import loftflow.engine.EventLoopLag;
+import loftflow.engine.Message;
+import loftflow.fake.ScriptedPeer;
+import loftflow.journal.Journal;
+import loftflow.listener.http.HttpListener;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
+import loftflow.upstream.http.HttpUpstreamClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -25,22 +47,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.Logic;
-import pipitstage.Policy;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Ends;
-import pipitstage.engine.Engine;
-import pipitstage.engine.Message;
-import pipitstage.engine.Pulse;
-import pipitstage.engine.Target;
-import pipitstage.front.http.ClientServer;
-import pipitstage.journal.Journal;
-import pipitstage.partner.http.HostClient;
-import pipitstage.standin.StubPeer;
 
 /** A planned end, and the start after it, where they cross what clients send; the loop is held so that the bad order comes every time. */
 @Timeout(60)
-class EndingTest {
+class ShutdownTest {
     private static final long SECOND = 1_000_000;
     private static final long PERIOD_MS = 5;
     private static final int CONNECTIONS = 8;
@@ -55,15 +65,15 @@
 
     private final List<String> log = new CopyOnWriteArrayList<>();
     private final List<String> ended = new CopyOnWriteArrayList<>();
-    private StubPeer host;
+    private ScriptedPeer host;
     private Journal journal;
-    private Engine engine;
-    private ClientServer server;
+    private DeliveryEngine engine;
+    private HttpListener server;
     private int port;
 
     @BeforeEach
     void start() throws Exception {
-        host = StubPeer.always(StubPeer.status(200));
+        host = ScriptedPeer.always(ScriptedPeer.status(200));
         boot();
         loop.submit(this::resume).sync();
         // The first round is over, as its timer is due earlier: what a test does falls into one of its own.
@@ -72,19 +82,27 @@
 
     /** Makes a relay's parts, as at the start of a process. */
     private void boot() throws IOException, InterruptedException {
-        LoopTimers timers = new LoopTimers(loop);
+        EventLoopTimers timers = new EventLoopTimers(loop);
         journal = new Journal(folder, 3 << 20);
-        Policy.Settings settings = settings();
-        engine = new Engine(timers, clock, settings, TimeUnit.MILLISECONDS.toMicros(PERIOD_MS), journal, Logic::new);
-        Ends ends = message -> {
+        PolicySettings settings = settings();
+        engine = new DeliveryEngine(
+                timers,
+                clock,
+                settings,
+                TimeUnit.MILLISECONDS.toMicros(PERIOD_MS),
+                journal,
+                DefaultDeliveryPolicy::new);
+        CompletionNotifier ends = message -> {
             ended.add(message.content().callId() + " " + message.end().word());
             loop.execute(() -> engine.noticeHeard(message));
         };
         engine.attach(
-                new HostClient(loop, clock, settings, new HostClient.Options(false, 10 * SECOND, 8, 0), engine), ends);
+                new HttpUpstreamClient(
+                        loop, clock, settings, new HttpUpstreamClient.Options(false, 10 * SECOND, 8, 0), engine),
+                ends);
         engine.logTo(log::add);
-        Pulse pulse = new Pulse(timers, clock);
-        server = new ClientServer(engine, clock, pulse, CONNECTIONS);
+        EventLoopLag pulse = new EventLoopLag(timers, clock);
+        server = new HttpListener(engine, clock, pulse, CONNECTIONS);
         port = ((InetSocketAddress) server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                         .sync()
                         .channel()
@@ -95,30 +113,30 @@
 
     private void resume() {
         engine.start(
-                Policy.ListKind.FULL,
+                EndpointListKind.FULL,
                 1,
-                List.of(new Target(
-                        new Policy.Listed("h1", 7, "one", "a", Policy.Availability.LISTED, 0),
-                        Target.address(host.address()))));
+                List.of(new Endpoint(
+                        new EndpointEntry("h1", 7, "one", "a", Availability.LISTED, 0),
+                        Endpoint.address(host.address()))));
     }
 
-    private static Policy.Settings settings() {
-        return new Policy.Settings(
+    private static PolicySettings settings() {
+        return new PolicySettings(
                 3,
                 0,
                 1,
                 "a",
-                List.of(new Policy.RequestClass(
-                        "unsafe", Policy.Repeat.ONCE, Policy.KeyScope.ALL, 0, SECOND, 20 * SECOND, 5, 0.3, false)),
+                List.of(new RequestClass(
+                        "unsafe", Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, SECOND, 20 * SECOND, 5, 0.3, false)),
                 List.of(),
-                List.of(new Policy.Kind("one", false, 1)),
+                List.of(new DestinationKind("one", false, 1)),
                 List.of(),
-                new Policy.Limits(8, 200, 12, true, false, false, false, true, SECOND),
-                new Policy.Rules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 200, 12, true, false, false, false, true, SECOND),
+                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
                 1,
                 false,
                 false,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
     }
 
@@ -233,7 +251,7 @@
         }
         loop.submit(() -> {
                     write(clients.get(0), message("m1"));
-                    KernelSide.beyond(clients.get(0)).awaitUnread();
+                    KernelSocketState.beyond(clients.get(0)).awaitUnread();
                     clients.add(connect());
                     server.takeIn();
                 })
@@ -246,7 +264,7 @@
                     RelayProcess.exchange(client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                             .status());
         }
-        clients.forEach(EndingTest::close);
+        clients.forEach(ShutdownTest::close);
     }
 
     /** Clients that have their last answer and never close take no room from others. */
@@ -259,7 +277,7 @@
             assertEquals(200, RelayProcess.exchange(clients.get(i), last).status());
         }
         clients.add(connectAndUse());
-        clients.forEach(EndingTest::close);
+        clients.forEach(ShutdownTest::close);
     }
 
     /** Before the process ends, what has come in its last pass keeps it: it is not done. */
@@ -296,7 +314,7 @@
                 Socket second = connectAndUse()) {
             loop.submit(() -> {
                         takeOn(first);
-                        KernelSide relay = KernelSide.beyond(first);
+                        KernelSocketState relay = KernelSocketState.beyond(first);
                         close(first);
                         relay.awaitEnd();
                         RelayProcess.hold(20);
@@ -330,12 +348,13 @@
             await(() -> host.requests.stream().anyMatch(r -> "m2".equals(r.id())));
         }
         assertEquals(
-                List.of("m2"), host.requests.stream().map(StubPeer.Request::id).toList());
+                List.of("m2"),
+                host.requests.stream().map(ScriptedPeer.Request::id).toList());
         assertEquals(List.of(), ended);
     }
 
     private static void reset(Socket socket) {
-        KernelSide relay = KernelSide.beyond(socket);
+        KernelSocketState relay = KernelSocketState.beyond(socket);
         try {
             socket.setSoLinger(true, 0);
             socket.close();
@@ -348,7 +367,7 @@
     /** It comes again while the first is open, when it is delivered, and when it has failed: one call, and no word but the first one's. */
     @Test
     void messageThatComesAgainWhileTheFirstIsOpenIsTakenOnce() throws Exception {
-        host.answer(request -> StubPeer.SILENCE);
+        host.answer(request -> ScriptedPeer.SILENCE);
         try (Socket client = connect()) {
             assertEquals(202, RelayProcess.exchange(client, message("m1")).status());
             await(() -> host.requests.size() == 1);
@@ -421,7 +440,7 @@
         await(() -> nothingIsOpen());
         assertEquals(
                 List.of("m-unsafe"),
-                host.requests.stream().map(StubPeer.Request::id).toList());
+                host.requests.stream().map(ScriptedPeer.Request::id).toList());
         assertEquals(List.of("m-gone bounced", "m-tried dead"), ended);
     }
 }
--- a/src/test/java/pipitstage/relay/PlatformMemoryTest.java
+++ b/src/test/java/loftflow/server/WarmStartOffTest.java
@@ -1,25 +1,25 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.fake.ScriptedPeer.status;
+import static loftflow.server.RelayProcess.await;
+import static loftflow.server.RelayProcess.quietDiscovery;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
-import static pipitstage.relay.RelayProcess.quietDiscovery;
-import static pipitstage.standin.StubPeer.status;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import loftflow.config.Config;
+import loftflow.fake.ScriptedPeer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import pipitstage.config.Config;
-import pipitstage.standin.StubPeer;
 
 /** The platform's way to start, with a file that says what is remembered. */
-class PlatformMemoryTest extends RelayTestBase {
+class WarmStartOffTest extends RelayTestBase {
     private static final Path MEMORY = Path.of("deploy/memory.json");
 
     @TempDir
@@ -27,7 +27,7 @@
 
     @Test
     void relayOfThePlatformRemembersOverAKillAndChecksBeforeItsFirstMessage() throws IOException {
-        prepare(quietDiscovery(), StubPeer.always(status(200)));
+        prepare(quietDiscovery(), ScriptedPeer.always(status(200)));
         assertEquals(202, relay.memory(MEMORY).start().handIn("a", "safe", 7));
         await(() -> host.count("POST ") == 1);
         await(() -> relay.state().toFile().list((d, name) -> name.endsWith(".picture")).length > 0);
@@ -55,7 +55,7 @@
             })
     void fileThatMakesNoSenseIsRefusedWithTheReason(String text, String reason) throws IOException {
         Path file = Files.writeString(elsewhere.resolve("memory.json"), text);
-        prepare(quietDiscovery(), StubPeer.always(status(200)));
+        prepare(quietDiscovery(), ScriptedPeer.always(status(200)));
         Config.BadConfigException e = assertThrows(Config.BadConfigException.class, () -> Config.ofPlatform(
                         Map.of("EDGE_CONFIG", "deploy/training.json", "EDGE_STATE", elsewhere.toString()), file)
                 .read());
--- a/src/test/java/pipitstage/relay/RememberTest.java
+++ b/src/test/java/loftflow/server/WarmStartRestartTest.java
@@ -1,9 +1,9 @@
-package pipitstage.relay;
+package loftflow.server;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -14,52 +14,52 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeClient;
+import loftflow.fake.FakeDiscoveryAgent;
+import loftflow.fake.FakePartner;
+import loftflow.fake.ScriptedPeer;
+import loftflow.fake.ServedRelay;
+import loftflow.warmstart.ClockReading;
+import loftflow.warmstart.KnownEndpoint;
+import loftflow.warmstart.Snapshot;
+import loftflow.warmstart.store.SnapshotSamples;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Order;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.config.tool.Tool;
-import pipitstage.remembered.Known;
-import pipitstage.remembered.Moment;
-import pipitstage.remembered.Picture;
-import pipitstage.remembered.store.Pictures;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
-import pipitstage.standin.StandInDiscovery;
-import pipitstage.standin.StandInPartner;
-import pipitstage.standin.StubPeer;
 
 /** Relays that start from what they remember while discovery is down, and meet it again. */
 @Order(1)
-class RememberTest extends RelayFileTestBase {
-    private final Map<String, StandInPartner> partners = new HashMap<>();
-    private StandInDiscovery discovery;
+class WarmStartRestartTest extends RelayFileTestBase {
+    private final Map<String, FakePartner> partners = new HashMap<>();
+    private FakeDiscoveryAgent discovery;
     private Path state;
 
     @BeforeEach
     void begin() throws IOException {
         state = folder.resolve("state");
-        discovery = new StandInDiscovery();
+        discovery = new FakeDiscoveryAgent();
     }
 
     @AfterEach
     void endPeers() throws IOException {
-        for (StandInPartner partner : partners.values()) {
+        for (FakePartner partner : partners.values()) {
             partner.close();
         }
         discovery.close();
     }
 
-    private StandInPartner partner(String id) throws IOException {
-        StandInPartner partner = new StandInPartner(5, 0);
+    private FakePartner partner(String id) throws IOException {
+        FakePartner partner = new FakePartner(5, 0);
         partners.put(id, partner);
         return partner;
     }
 
     private String entry(String id, int destination, String state) {
-        return StandInDiscovery.entry(
+        return FakeDiscoveryAgent.entry(
                 id, destination, "railways", "main", state, partners.get(id).address());
     }
 
@@ -103,7 +103,7 @@
                 """
                         .formatted(state, agent, String.join("\n", memory));
         Path file = Files.writeString(folder.resolve("app.toml"), text);
-        Tool.Outcome outcome = Tool.write(file, folder, true);
+        ConfigTool.Outcome outcome = ConfigTool.write(file, folder, true);
         assertTrue(
                 outcome.findings().stream().noneMatch(f -> f.isError()),
                 outcome.findings().toString());
@@ -119,14 +119,14 @@
     }
 
     private static void handIn(ServedRelay relay, String id, int destination) throws IOException {
-        try (StandInClient client = relay.client()) {
+        try (FakeClient client = relay.client()) {
             assertEquals(202, handIn(client, id, destination, 9_000));
         }
     }
 
     private boolean hasPicture(int endpoints) {
         try {
-            Picture picture = Pictures.of(state);
+            Snapshot picture = SnapshotSamples.of(state);
             return picture != null && picture.endpoints().size() == endpoints;
         } catch (IOException e) {
             return false;
@@ -135,7 +135,7 @@
 
     private boolean isNoted(String note) {
         try {
-            return Pictures.notes(state).contains(note);
+            return SnapshotSamples.notes(state).contains(note);
         } catch (IOException e) {
             return false;
         }
@@ -144,8 +144,8 @@
     private boolean isStruck(String id) {
         try {
             return isNoted("STRUCK " + id)
-                    || Pictures.of(state).endpoints().stream()
-                            .anyMatch(k -> k.id().equals(id) && k.state() == Known.State.STRUCK);
+                    || SnapshotSamples.of(state).endpoints().stream()
+                            .anyMatch(k -> k.id().equals(id) && k.state() == KnownEndpoint.State.STRUCK);
         } catch (IOException e) {
             return false;
         }
@@ -170,16 +170,16 @@
         }
     }
 
-    private static boolean ran(StandInPartner partner, String id) {
+    private static boolean ran(FakePartner partner, String id) {
         return partner.effects().containsKey(id);
     }
 
     @Test
     void relayStartsAndDeliversWithoutDiscovery() throws Exception {
-        StandInPartner partner = partner("iron-1");
+        FakePartner partner = partner("iron-1");
         Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
         ServedRelay relay = start(file);
-        try (StandInClient client = relay.client()) {
+        try (FakeClient client = relay.client()) {
             assertTrue(client.isReady(), "as soon as it serves");
         }
         handIn(relay, "s1", 7);
@@ -191,7 +191,7 @@
     void relayThatRemembersNothingStartsWithoutAList() throws Exception {
         discovery.close();
         ServedRelay relay = start(written(discovery.address()));
-        try (StandInClient client = relay.client()) {
+        try (FakeClient client = relay.client()) {
             assertFalse(client.isReady());
         }
     }
@@ -199,8 +199,8 @@
     /** The half-life is so short that the list is old: a thirteenth of it goes by while the process starts. */
     @Test
     void anotherServiceAtARemovedEndpointsAddressGetsNoMessage() throws Exception {
-        StandInPartner gone = partner("iron-1");
-        StandInPartner partner = partner("iron-2");
+        FakePartner gone = partner("iron-1");
+        FakePartner partner = partner("iron-2");
         Path file = learnt(
                 2,
                 List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")),
@@ -208,7 +208,8 @@
                 "settle = \"1s\"");
         int port = Integer.parseInt(gone.address().split(":")[1]);
         gone.close();
-        try (StubPeer other = new StubPeer(port, r -> StubPeer.status(r.line().startsWith("POST ") ? 200 : 404))) {
+        try (ScriptedPeer other =
+                new ScriptedPeer(port, r -> ScriptedPeer.status(r.line().startsWith("POST ") ? 200 : 404))) {
             ServedRelay relay = start(file);
             for (int i = 0; i < 4; i++) {
                 handIn(relay, "s" + i, 7);
@@ -221,9 +222,9 @@
 
     @Test
     void addressThatHangsAndOneThatRefusesAreStruckOutAndTheRestServes() throws Exception {
-        StandInPartner hung = partner("iron-1");
-        StandInPartner refused = partner("iron-2");
-        StandInPartner partner = partner("iron-3");
+        FakePartner hung = partner("iron-1");
+        FakePartner refused = partner("iron-2");
+        FakePartner partner = partner("iron-3");
         Path file = learnt(
                 3,
                 List.of(
@@ -235,7 +236,7 @@
         int port = Integer.parseInt(hung.address().split(":")[1]);
         hung.close();
         refused.close();
-        try (StubPeer silent = new StubPeer(port, r -> StubPeer.SILENCE)) {
+        try (ScriptedPeer silent = new ScriptedPeer(port, r -> ScriptedPeer.SILENCE)) {
             ServedRelay relay = start(file);
             handIn(relay, "s1", 7);
             handIn(relay, "s2", 8);
@@ -251,8 +252,8 @@
 
     @Test
     void drainToldJustBeforeTheCrashHolds() throws Exception {
-        StandInPartner drained = partner("iron-1");
-        StandInPartner partner = partner("iron-2");
+        FakePartner drained = partner("iron-1");
+        FakePartner partner = partner("iron-2");
         discovery.list(List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")));
         Path file = written(discovery.address());
         ServedRelay first = start(file);
@@ -271,18 +272,18 @@
 
     @Test
     void discoveryThatReturnsEndsWhatItLeavesOut() throws Exception {
-        StandInPartner removed = partner("iron-1");
-        StandInPartner partner = partner("iron-2");
+        FakePartner removed = partner("iron-1");
+        FakePartner partner = partner("iron-2");
         Path file = learnt(2, List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")));
         // At the address that the relay knows.
         int port = Integer.parseInt(discovery.address().split(":")[1]);
         ServedRelay relay = start(file);
         String list = "{\"rev\":9,\"all\":true,\"targets\":[" + entry("iron-2", 7, "in_service") + "]}";
-        try (StubPeer back = new StubPeer(
+        try (ScriptedPeer back = new ScriptedPeer(
                 port,
                 r -> r.line().contains("after=")
-                        ? StubPeer.answer(200, "{\"rev\":9,\"all\":false,\"targets\":[]}")
-                        : StubPeer.answer(200, list))) {
+                        ? ScriptedPeer.answer(200, "{\"rev\":9,\"all\":false,\"targets\":[]}")
+                        : ScriptedPeer.answer(200, list))) {
             await(() -> back.count("GET /api/targets?after=9") > 0);
             int before = removed.postings().size();
             for (int i = 0; i < 12; i++) {
@@ -296,20 +297,20 @@
     /** An endpoint that is struck out is news of that endpoint alone: what else there is discovery still has to say. */
     @Test
     void destinationThatIsNotRememberedIsRefusedAndNotFailedUntilDiscoverySpeaks() throws Exception {
-        StandInPartner refused = partner("iron-1");
+        FakePartner refused = partner("iron-1");
         Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")), "half-life = \"2s\"", "settle = \"1s\"");
         refused.close();
         ServedRelay relay = start(file);
         handIn(relay, "s1", 7);
         await(() -> isStruck("iron-1"));
-        try (StandInClient client = relay.client()) {
+        try (FakeClient client = relay.client()) {
             assertEquals(503, client.handIn("s2", "settlement", null, null, 8, 9000, "a"));
         }
     }
 
     @Test
     void emptyListIsDoubtedThenBelieved() throws Exception {
-        StandInPartner partner = partner("iron-1");
+        FakePartner partner = partner("iron-1");
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
         ServedRelay relay = start(written(discovery.address(), "settle = \"3s\""));
         handIn(relay, "s1", 7);
@@ -325,10 +326,10 @@
     @Test
     void waitThatAPartnerToldHoldsOverAKill() throws Exception {
         AtomicReference<Boolean> full = new AtomicReference<>(true);
-        try (StubPeer busy =
-                new StubPeer(r -> full.get() ? StubPeer.status(429, "X-Come-Back-Ms: 5000") : StubPeer.status(200))) {
+        try (ScriptedPeer busy = new ScriptedPeer(
+                r -> full.get() ? ScriptedPeer.status(429, "X-Come-Back-Ms: 5000") : ScriptedPeer.status(200))) {
             discovery.list(
-                    List.of(StandInDiscovery.entry("iron-1", 7, "railways", "main", "in_service", busy.address())));
+                    List.of(FakeDiscoveryAgent.entry("iron-1", 7, "railways", "main", "in_service", busy.address())));
             Path file = written(discovery.address());
             ServedRelay first = start(file);
             await(() -> hasPicture(1));
@@ -347,8 +348,8 @@
 
     private boolean standsToWait() {
         try {
-            return Pictures.of(state).endpoints().stream()
-                    .anyMatch(k -> k.standing() != null && k.standing().waitLeft() > 0);
+            return SnapshotSamples.of(state).endpoints().stream()
+                    .anyMatch(k -> k.standing() != null && k.standing().retryAfterRemainingMicros() > 0);
         } catch (IOException e) {
             return false;
         }
@@ -356,15 +357,15 @@
 
     @Test
     void listThatIsWeeksOldIsUsedWhereNothingElseIsLeft() throws Exception {
-        StandInPartner partner = partner("iron-1");
+        FakePartner partner = partner("iron-1");
         Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
         long weeks = 21L * 24 * 3600 * 1_000_000;
-        Pictures.change(
+        SnapshotSamples.change(
                 state,
-                p -> new Picture(
+                p -> new Snapshot(
                         p.owner(),
                         p.generation(),
-                        new Moment(p.at().wall() - weeks, p.at().up() - weeks, p.at().boot()),
+                        new ClockReading(p.at().wall() - weeks, p.at().up() - weeks, p.at().boot()),
                         p.time() - weeks,
                         p.revision(),
                         p.endpoints().stream()
@@ -379,15 +380,15 @@
 
     @Test
     void tenKillsInARowLoseNothingAndBelieveNoMore() throws Exception {
-        StandInPartner partner = partner("iron-1");
+        FakePartner partner = partner("iron-1");
         Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
-        long listedAt = Pictures.of(state).endpoints().get(0).listedAt();
+        long listedAt = SnapshotSamples.of(state).endpoints().get(0).listedAt();
         for (int i = 0; i < 10; i++) {
             ServedRelay relay = start(file);
             assertTrue(relay.log().contains("remembered 1 endpoints"), relay.log());
             relay.close();
         }
-        assertEquals(listedAt, Pictures.of(state).endpoints().get(0).listedAt(), "no start is evidence");
+        assertEquals(listedAt, SnapshotSamples.of(state).endpoints().get(0).listedAt(), "no start is evidence");
         ServedRelay relay = start(file);
         handIn(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
@@ -397,19 +398,19 @@
     @ParameterizedTest
     @ValueSource(strings = {"500", "garbage", "half", "byte by byte", "silent"})
     void discoveryOfNoUseHoldsNothingUp(String how) throws Exception {
-        StandInPartner partner = partner("iron-1");
+        FakePartner partner = partner("iron-1");
         Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
         int port = Integer.parseInt(discovery.address().split(":")[1]);
-        String list =
-                StubPeer.answer(200, "{\"rev\":9,\"all\":true,\"targets\":[" + entry("iron-1", 7, "in_service") + "]}");
-        try (ServerSocket listener = how.equals("byte by byte") ? StubPeer.listen(port) : null;
-                StubPeer bad = listener != null
+        String list = ScriptedPeer.answer(
+                200, "{\"rev\":9,\"all\":true,\"targets\":[" + entry("iron-1", 7, "in_service") + "]}");
+        try (ServerSocket listener = how.equals("byte by byte") ? ScriptedPeer.listen(port) : null;
+                ScriptedPeer bad = listener != null
                         ? null
-                        : new StubPeer(port, r -> switch (how) {
-                            case "500" -> StubPeer.status(500);
-                            case "garbage" -> StubPeer.answer(200, "[[[[");
+                        : new ScriptedPeer(port, r -> switch (how) {
+                            case "500" -> ScriptedPeer.status(500);
+                            case "garbage" -> ScriptedPeer.answer(200, "[[[[");
                             case "half" -> list.substring(0, list.length() - 9);
-                            default -> StubPeer.SILENCE;
+                            default -> ScriptedPeer.SILENCE;
                         })) {
             List<Long> asked = new ArrayList<>();
             if (listener != null) {
@@ -422,7 +423,7 @@
         }
     }
 
-    private static long count(StubPeer peer, List<Long> asked) {
+    private static long count(ScriptedPeer peer, List<Long> asked) {
         synchronized (asked) {
             return peer != null ? peer.count("GET /api/targets") : asked.size();
         }
@@ -461,20 +462,20 @@
     void tornPictureAndAnotherRelaysAreSetAsideAndTheStartGoesOn() throws Exception {
         partner("iron-1");
         Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
-        Pictures.tear(state);
+        SnapshotSamples.tear(state);
         ServedRelay torn = start(file);
         assertTrue(torn.log().contains("is set aside as"), torn.log());
         torn.close();
         Files.walk(state).filter(f -> f.toString().contains("remembered")).forEach(f -> f.toFile()
                 .delete());
-        Pictures.write(state, new Picture("app#1", 1, new Moment(0, 0, ""), 0, 1, List.of()));
+        SnapshotSamples.write(state, new Snapshot("app#1", 1, new ClockReading(0, 0, ""), 0, 1, List.of()));
         ServedRelay foreign = start(file);
         assertTrue(foreign.log().contains("it is app#1's, and this relay is app#0"), foreign.log());
     }
 
     @Test
     void diskThatTakesNoPictureStopsNothing() throws Exception {
-        StandInPartner partner = partner("iron-1");
+        FakePartner partner = partner("iron-1");
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
         // Where a picture is to be written stands something that can't be written to.
         Files.createDirectories(state.resolve("remembered.new").resolve("full"));
@@ -488,12 +489,12 @@
 
     /** A relay with a keyed message whose one attempt has run and has no answer. */
     private ServedRelay startWithAnAttemptThatMayHaveRun() throws Exception {
-        StandInPartner partner = partner("iron-1");
-        partner.be(StandInPartner.Mood.SILENT);
+        FakePartner partner = partner("iron-1");
+        partner.be(FakePartner.Mood.SILENT);
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
         ServedRelay first = start(written(discovery.address()));
         await(() -> hasPicture(1));
-        try (StandInClient client = first.client()) {
+        try (FakeClient client = first.client()) {
             await(() -> {
                 try {
                     return client.handIn("k1", "order", null, "key-1", 7, 20_000, "a") == 202;
@@ -510,15 +511,15 @@
     @Test
     void keyedMessageWhoseWindowNoClockTellsIsNotSentAgain() throws Exception {
         ServedRelay first = startWithAnAttemptThatMayHaveRun();
-        StandInPartner partner = partners.get("iron-1");
+        FakePartner partner = partners.get("iron-1");
         first.close();
-        partner.be(StandInPartner.Mood.WELL);
-        Pictures.change(
+        partner.be(FakePartner.Mood.WELL);
+        SnapshotSamples.change(
                 state,
-                p -> new Picture(
+                p -> new Snapshot(
                         p.owner(),
                         p.generation(),
-                        new Moment(p.at().wall() + 7_200_000_000L, 1, "another"),
+                        new ClockReading(p.at().wall() + 7_200_000_000L, 1, "another"),
                         p.time() + 7_200_000_000L,
                         p.revision(),
                         p.endpoints()));
@@ -532,9 +533,9 @@
     @Test
     void keyedMessageIsSentAgainWithinItsWindow() throws Exception {
         ServedRelay first = startWithAnAttemptThatMayHaveRun();
-        StandInPartner partner = partners.get("iron-1");
+        FakePartner partner = partners.get("iron-1");
         first.close();
-        partner.be(StandInPartner.Mood.WELL);
+        partner.be(FakePartner.Mood.WELL);
         start(relayFile());
         await(() -> partner.effects().get("k1") == 2);
     }
--- a/src/test/java/pipitstage/SimHostTest.java
+++ b/src/test/java/loftflow/simulator/SimulatorHostTest.java
@@ -1,4 +1,4 @@
-package pipitstage;
+package loftflow.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,9 +9,24 @@
 import java.io.StringWriter;
 import java.util.ArrayList;
 import java.util.List;
+import loftflow.json.MalformedInputException;
+import loftflow.policy.DefaultDeliveryPolicy;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListReceived;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.TimerFired;
 import org.junit.jupiter.api.Test;
 
-class SimHostTest {
+class SimulatorHostTest {
     private static final String PARAMS =
             "{\"me\":1,\"fleet-size\":3,\"zone\":\"x\",\"kinds\":[\"k\"],\"zones\":[\"x\"],"
                     + "\"classes\":[{\"name\":\"c\",\"repeat\":\"by_key\",\"key-scope\":\"zone\",\"goal-time-s\":1.5,"
@@ -20,12 +35,12 @@
                     + "\"fees\":{}}";
     private static final String LAUNCH = "[\"launch\",9," + PARAMS + "]";
 
-    private final List<Policy.Settings> started = new ArrayList<>();
-    private final List<Policy.Event> seen = new ArrayList<>();
+    private final List<PolicySettings> started = new ArrayList<>();
+    private final List<PolicyEvent> seen = new ArrayList<>();
 
     private String play(String... batches) throws IOException {
         StringWriter out = new StringWriter();
-        new SimHost(settings -> {
+        new SimulatorHost(settings -> {
                     started.add(settings);
                     return (now, events, actions) -> seen.addAll(events);
                 })
@@ -45,11 +60,11 @@
     @Test
     void settingsAreReadAndUnknownKeysIgnored() throws IOException {
         play(batch(LAUNCH));
-        Policy.Settings settings = started.get(0);
-        assertEquals(new Policy.Kind("k", true, 5), settings.kinds().get(0));
-        assertEquals(1_500_000, settings.classes().get(0).goal());
-        assertEquals(Policy.KeyScope.ZONE, settings.classes().get(0).keyScope());
-        assertEquals(2_000_000, settings.rules().fallSpan());
+        PolicySettings settings = started.get(0);
+        assertEquals(new DestinationKind("k", true, 5), settings.kinds().get(0));
+        assertEquals(1_500_000, settings.classes().get(0).latencyObjectiveMicros());
+        assertEquals(KeyScope.ZONE, settings.classes().get(0).keyScope());
+        assertEquals(2_000_000, settings.rules().overloadWindowMicros());
     }
 
     @Test
@@ -61,15 +76,15 @@
                 "[\"job-in\",8,\"c\",null,\"ord\",9.25,null,7,1,\"later\"]",
                 "[\"outcome\",8,300,false,\"full\",0,\"h\",0.02,{\"x0\":0.5,\"x1\":2,\"other\":1}]"));
         assertEquals(
-                new Policy.RouteList(
-                        Policy.ListKind.CACHED,
+                new EndpointListReceived(
+                        EndpointListKind.CACHED,
                         4,
-                        List.of(new Policy.Listed("h", 7, "k", "x", Policy.Availability.DRAINING, 1.5))),
+                        List.of(new EndpointEntry("h", 7, "k", "x", Availability.DRAINING, 1.5))),
                 seen.get(0));
-        assertEquals(new Policy.Accepted(8, "c", null, "ord", 9_250_000, 7), seen.get(1));
+        assertEquals(new MessageAccepted(8, "c", null, "ord", 9_250_000, 7), seen.get(1));
         assertEquals(
-                new Policy.Outcome(
-                        8, 0, "h", Policy.Result.FULL, false, 300_000, 20_000, new Policy.LimitReport(0.5, 2)),
+                new AttemptCompleted(
+                        8, 0, "h", AttemptOutcome.REJECTED, false, 300_000, 20_000, new LimitReport(0.5, 2)),
                 seen.get(2));
     }
 
@@ -81,23 +96,23 @@
                 "[\"discovery\",\"cached\",4,0]",
                 "[\"directory\",0,[]]",
                 "[\"discovery\",\"full\",5,0]"));
-        assertEquals(1, ((Policy.RouteList) seen.get(0)).entries().size());
-        assertEquals(0, ((Policy.RouteList) seen.get(1)).entries().size());
+        assertEquals(1, ((EndpointListReceived) seen.get(0)).entries().size());
+        assertEquals(0, ((EndpointListReceived) seen.get(1)).entries().size());
     }
 
     @Test
     void deathAndStartInOneBatchForgetTheOldLife() throws IOException {
         play(batch(LAUNCH), batch("[\"reminder\",1]", "[\"detach\"]", LAUNCH, "[\"reminder\",2]"));
         assertEquals(2, started.size());
-        assertEquals(List.of(new Policy.TimerFired(2)), seen);
+        assertEquals(List.of(new TimerFired(2)), seen);
     }
 
     @Test
     void actionsAreWrittenInOrder() throws IOException {
         StringWriter out = new StringWriter();
-        new SimHost(settings -> (now, events, actions) -> {
+        new SimulatorHost(settings -> (now, events, actions) -> {
                     actions.send(8, "h", 80_000, 0);
-                    actions.tell(-1, new byte[] {10});
+                    actions.sendToPeer(-1, new byte[] {10});
                     actions.fail(8);
                 })
                 .run(new StringReader(batch(LAUNCH)), out);
@@ -110,7 +125,7 @@
     @Test
     void failureOfTheModuleIsReported() throws IOException {
         StringWriter out = new StringWriter();
-        new SimHost(settings -> (now, events, actions) -> {
+        new SimulatorHost(settings -> (now, events, actions) -> {
                     throw new IllegalStateException("broken");
                 })
                 .run(new StringReader(batch(LAUNCH)), out);
@@ -127,8 +142,9 @@
     }
 
     private void assertMessage(String part, String line) {
-        WireException thrown = assertThrows(
-                WireException.class, () -> new SimHost(Logic::new).run(new StringReader(line), new StringWriter()));
+        MalformedInputException thrown =
+                assertThrows(MalformedInputException.class, () -> new SimulatorHost(DefaultDeliveryPolicy::new)
+                        .run(new StringReader(line), new StringWriter()));
         assertTrue(thrown.getMessage().contains(part), thrown.getMessage());
     }
 }
--- a/src/test/java/pipitstage/trace/ArrivalsTest.java
+++ b/src/test/java/loftflow/trace/ArrivalSorterTest.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,23 +9,23 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
+import loftflow.trace.ArrivalSorter.Late;
 import org.junit.jupiter.api.Test;
-import pipitstage.trace.Arrivals.Late;
 
 /** The order in which rows arrive. */
-class ArrivalsTest {
-    private final Tally tally = new Tally();
+class ArrivalSorterTest {
+    private final RowTally tally = new RowTally();
     private final List<Row> sent = new ArrayList<>();
 
-    private Arrivals arrivals(long window, int most, Late late) {
-        return new Arrivals(window, most, late, tally, sent::add);
+    private ArrivalSorter arrivals(long window, int most, Late late) {
+        return new ArrivalSorter(window, most, late, tally, sent::add);
     }
 
     private static Row row(long line, long time) {
         return new Row(line, time, "o", "f", "", 1);
     }
 
-    private void feed(Arrivals arrivals, long... times) {
+    private void feed(ArrivalSorter arrivals, long... times) {
         for (int i = 0; i < times.length; i++) {
             tally.read();
             arrivals.add(row(i + 1, times[i]));
@@ -65,14 +65,14 @@
     void lateRowIsDroppedAndToldClampedOrFails() {
         feed(arrivals(10, 100, Late.DROP), 100, 200, 50, 201);
         assertEquals(List.of(100L, 200L, 201L), times());
-        assertEquals(List.of(3L), tally.rejected().get(Fault.LATE).lines());
+        assertEquals(List.of(3L), tally.rejected().get(RowFault.LATE).lines());
         sent.clear();
         feed(arrivals(10, 100, Late.CLAMP), 100, 200, 50, 201);
         assertEquals(List.of(100L, 100L, 200L, 201L), times());
-        Arrivals fails = arrivals(10, 100, Late.FAIL);
+        ArrivalSorter fails = arrivals(10, 100, Late.FAIL);
         fails.add(row(1, 100));
         fails.add(row(2, 200));
-        assertTrue(assertThrows(Arrivals.LateException.class, () -> fails.add(row(3, 50)))
+        assertTrue(assertThrows(ArrivalSorter.LateException.class, () -> fails.add(row(3, 50)))
                 .getMessage()
                 .contains("line 3"));
     }
--- a/src/test/java/pipitstage/trace/Measure.java
+++ b/src/test/java/loftflow/trace/TraceBenchmark.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import pipitstage.trace.read.TraceReader;
+import loftflow.trace.read.TraceReader;
 
 /** Reader speed, as a command: writes a file of so many rows in the form of ClusterData 2011 and reads it. */
-public final class Measure {
+public final class TraceBenchmark {
     private static final long WINDOW = 10_000_000;
 
-    private Measure() {}
+    private TraceBenchmark() {}
 
     /** Prints rows a second and the largest heap that was seen in use; the first argument is the number of rows. */
     public static void main(String[] args) throws IOException {
@@ -21,14 +21,14 @@
         Path file = Files.createTempFile("trace", ".csv");
         try {
             write(file, rows);
-            Tally tally = new Tally();
+            RowTally tally = new RowTally();
             long[] used = new long[1];
             Runtime machine = Runtime.getRuntime();
             long start = System.nanoTime();
             new TraceReader(
-                            Form.GOOGLE_2011_TASK_EVENTS,
+                            TraceFormat.GOOGLE_2011_TASK_EVENTS,
                             time -> true,
-                            new Arrivals(WINDOW, 1_000_000, Arrivals.Late.DROP, tally, row -> {
+                            new ArrivalSorter(WINDOW, 1_000_000, ArrivalSorter.Late.DROP, tally, row -> {
                                 if (row.line() % 100_000 == 0) {
                                     used[0] = Math.max(used[0], machine.totalMemory() - machine.freeMemory());
                                 }
--- a/src/test/java/pipitstage/trace/MappingTest.java
+++ b/src/test/java/loftflow/trace/TraceMappingTest.java
@@ -1,4 +1,4 @@
-package pipitstage.trace;
+package loftflow.trace;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What rows become. */
-class MappingTest {
-    private static final Mapping.Scheme SCHEME = new Mapping.Scheme(
+class TraceMappingTest {
+    private static final TraceMapping.Scheme SCHEME = new TraceMapping.Scheme(
             List.of(
-                    new Mapping.Type("status-update", 18, false, 1_000, 64_000, 5_000_000, List.of(1, 2, 3, 4)),
-                    new Mapping.Type("car-order", 14, true, 2_000, 16_000, 28_000_000, List.of(3, 4)),
-                    new Mapping.Type("settlement", 8, false, 500, 64_000, 20_000_000, List.of(1, 2))),
+                    new TraceMapping.Type("status-update", 18, false, 1_000, 64_000, 5_000_000, List.of(1, 2, 3, 4)),
+                    new TraceMapping.Type("car-order", 14, true, 2_000, 16_000, 28_000_000, List.of(3, 4)),
+                    new TraceMapping.Type("settlement", 8, false, 500, 64_000, 20_000_000, List.of(1, 2))),
             List.of("grain", "potash"));
 
     /** Flows as skewed as jobs are: a few have most of the rows. */
@@ -38,8 +38,8 @@
         return rows;
     }
 
-    private static List<Call> map(List<Row> rows, long seed) {
-        Mapping mapping = new Mapping(SCHEME, seed, 0, 1);
+    private static List<TraceMessage> map(List<Row> rows, long seed) {
+        TraceMapping mapping = new TraceMapping(SCHEME, seed, 0, 1);
         return rows.stream().map(mapping::call).toList();
     }
 
@@ -53,8 +53,9 @@
     @Test
     void classesKeepTheirSharesHoweverSkewedTheFlowsAre() {
         for (long seed = 0; seed < 20; seed++) {
-            List<Call> calls = map(rows(20_000), seed);
-            Map<String, Long> counts = calls.stream().collect(Collectors.groupingBy(Call::type, Collectors.counting()));
+            List<TraceMessage> calls = map(rows(20_000), seed);
+            Map<String, Long> counts =
+                    calls.stream().collect(Collectors.groupingBy(TraceMessage::type, Collectors.counting()));
             assertEquals(0.45, counts.get("status-update") / 20_000.0, 0.015, counts.toString());
             assertEquals(0.35, counts.get("car-order") / 20_000.0, 0.015, counts.toString());
             assertEquals(0.20, counts.get("settlement") / 20_000.0, 0.015, counts.toString());
@@ -64,16 +65,16 @@
     @Test
     void flowGoesToOneDestinationOfItsClassAndAnOwnerIsOneTenant() {
         List<Row> rows = rows(20_000);
-        List<Call> calls = map(rows, 5);
+        List<TraceMessage> calls = map(rows, 5);
         Map<String, HashSet<Integer>> destinations = new HashMap<>();
         Map<String, HashSet<String>> tenants = new HashMap<>();
         for (int i = 0; i < rows.size(); i++) {
-            Call call = calls.get(i);
+            TraceMessage call = calls.get(i);
             destinations
                     .computeIfAbsent(call.type() + rows.get(i).flow(), k -> new HashSet<>())
                     .add(call.destination());
             tenants.computeIfAbsent(rows.get(i).owner(), k -> new HashSet<>()).add(call.tenant());
-            Mapping.Type type = SCHEME.types().stream()
+            TraceMapping.Type type = SCHEME.types().stream()
                     .filter(t -> t.name().equals(call.type()))
                     .findFirst()
                     .orElseThrow();
@@ -91,11 +92,11 @@
         List<Row> rows = IntStream.range(0, 10_000)
                 .mapToObj(i -> new Row(i + 1, i, "o", i % 10 == 0 ? "job" + i : "hot", "", 0))
                 .toList();
-        List<Call> calls = map(rows, 9);
-        for (Mapping.Type type : SCHEME.types()) {
+        List<TraceMessage> calls = map(rows, 9);
+        for (TraceMapping.Type type : SCHEME.types()) {
             Map<Integer, Long> load = calls.stream()
                     .filter(c -> c.type().equals(type.name()))
-                    .collect(Collectors.groupingBy(Call::destination, Collectors.counting()));
+                    .collect(Collectors.groupingBy(TraceMessage::destination, Collectors.counting()));
             long all = load.values().stream().mapToLong(Long::longValue).sum();
             long most = load.values().stream().mapToLong(Long::longValue).max().orElseThrow();
             assertTrue(most > 0.85 * all, type.name() + ": " + load);
@@ -104,16 +105,17 @@
 
     @Test
     void keysDifferAndTimesAreShiftedAndScaledAlone() {
-        Mapping mapping = new Mapping(SCHEME, 1, 1_000, 2);
-        List<Call> calls = rows(3_000).stream()
+        TraceMapping mapping = new TraceMapping(SCHEME, 1, 1_000, 2);
+        List<TraceMessage> calls = rows(3_000).stream()
                 .filter(r -> r.time() >= 1_000)
                 .map(r -> {
-                    Call call = mapping.call(r);
+                    TraceMessage call = mapping.call(r);
                     assertEquals((r.time() - 1_000) / 2, call.at());
                     return call;
                 })
                 .toList();
-        List<String> keys = calls.stream().map(Call::key).filter(k -> k != null).toList();
+        List<String> keys =
+                calls.stream().map(TraceMessage::key).filter(k -> k != null).toList();
         assertEquals(keys.size(), new HashSet<>(keys).size());
     }
 
@@ -121,7 +123,7 @@
     void sizesKeepTheirTail() {
         List<Long> sizes = map(rows(20_000), 1).stream()
                 .filter(c -> c.type().equals("status-update"))
-                .map(Call::size)
+                .map(TraceMessage::size)
                 .sorted()
                 .toList();
         long median = sizes.get(sizes.size() / 2);
@@ -131,12 +133,13 @@
 
     @Test
     void schemeThatCanNotBeHeldIsRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new Mapping.Type("a", 1, false, 1, 1, 1, List.of()));
+        assertThrows(IllegalArgumentException.class, () -> new TraceMapping.Type("a", 1, false, 1, 1, 1, List.of()));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Mapping.Scheme(List.of(new Mapping.Type("a", 0, false, 1, 1, 1, List.of(1))), List.of()));
-        assertThrows(IllegalArgumentException.class, () -> new Mapping(SCHEME, 1, 0, 0));
-        Mapping none = new Mapping(new Mapping.Scheme(SCHEME.types(), List.of()), 1, 0, 1);
+                () -> new TraceMapping.Scheme(
+                        List.of(new TraceMapping.Type("a", 0, false, 1, 1, 1, List.of(1))), List.of()));
+        assertThrows(IllegalArgumentException.class, () -> new TraceMapping(SCHEME, 1, 0, 0));
+        TraceMapping none = new TraceMapping(new TraceMapping.Scheme(SCHEME.types(), List.of()), 1, 0, 1);
         assertNull(none.call(new Row(1, 0, "o", "f", "", 1)).tenant());
     }
 }
--- a/src/test/java/pipitstage/partner/amqp/BrokerClientTest.java
+++ b/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
@@ -1,9 +1,9 @@
-package pipitstage.partner.amqp;
+package loftflow.upstream.amqp;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -23,26 +23,26 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import javax.net.ssl.KeyManagerFactory;
+import loftflow.amqp.codec.Method;
+import loftflow.amqp.codec.MethodType;
+import loftflow.amqp.codec.Property;
+import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.engine.Clock;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.fake.FakeBroker;
+import loftflow.fake.FakeBroker.Fate;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.LimitReport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
-import pipitstage.amqp.codec.Method;
-import pipitstage.amqp.codec.Op;
-import pipitstage.amqp.codec.Property;
-import pipitstage.amqp.link.ClientLink;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
-import pipitstage.standin.StandInBroker;
-import pipitstage.standin.StandInBroker.Fate;
 
 /** The table of outcomes in docs/operators/amqp.md, row by row, against the stand-in broker. */
 @Timeout(60)
@@ -52,7 +52,7 @@
     private static final String ROUTE = "r0";
 
     /** What became of an attempt. */
-    private record Ended(Result result, boolean over, long toldWait) {}
+    private record Ended(AttemptOutcome result, boolean over, long toldWait) {}
 
     @TempDir
     Path folder;
@@ -62,14 +62,14 @@
     private final List<Ended> probed = new java.util.concurrent.CopyOnWriteArrayList<>();
     private MultiThreadIoEventLoopGroup group;
     private EventLoop loop;
-    private StandInBroker broker;
+    private FakeBroker broker;
     private BrokerClient client;
 
     @BeforeEach
     void prepare() throws Exception {
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
-        broker = new StandInBroker();
+        broker = new FakeBroker();
         broker.bind("orders", "direct", "k", "q");
         client(login("guest"), null, broker.address());
     }
@@ -80,20 +80,24 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private static ClientLink.Login login(String password) {
-        return new ClientLink.Login("guest", password, "/", 1);
+    private static AmqpClientConnection.Login login(String password) {
+        return new AmqpClientConnection.Login("guest", password, "/", 1);
     }
 
-    private void client(ClientLink.Login login, SslContext tls, String address) throws Exception {
+    private void client(AmqpClientConnection.Login login, SslContext tls, String address) throws Exception {
         client = new BrokerClient(
                 loop,
                 Clock.system(),
                 CONNECT,
-                Map.of(ROUTE, new Broker(login, "orders", "k", tls, null)),
-                new Partners.Results() {
+                Map.of(ROUTE, new BrokerDestination(login, "orders", "k", tls, null)),
+                new UpstreamClient.ResultListener() {
                     @Override
                     public void ended(
-                            Message.Attempt attempt, Result result, boolean over, long wait, LimitReport report) {
+                            Message.Attempt attempt,
+                            AttemptOutcome result,
+                            boolean over,
+                            long wait,
+                            LimitReport report) {
                         Ended before = ended.put(attempt.message().content().callId(), new Ended(result, over, wait));
                         if (before != null) {
                             throw new AssertionError("it ended before as " + before);
@@ -109,7 +113,8 @@
                     }
 
                     @Override
-                    public void probed(String route, Result result, long wait, long elapsed, LimitReport report) {
+                    public void probed(
+                            String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
                         probed.add(new Ended(result, false, wait));
                     }
                 });
@@ -118,9 +123,9 @@
 
     private void list(Availability availability, String address) throws Exception {
         loop.submit(() -> client.list(
-                        ListKind.FULL,
-                        List.of(new Target(
-                                new Policy.Listed(ROUTE, 7, "k", "b0", availability, 0), Target.address(address)))))
+                        EndpointListKind.FULL,
+                        List.of(new Endpoint(
+                                new EndpointEntry(ROUTE, 7, "k", "b0", availability, 0), Endpoint.address(address)))))
                 .sync();
     }
 
@@ -128,11 +133,11 @@
     void attemptThatMayNotLeaveAnyMoreEndsAsNotSent() throws Exception {
         sendUntil(0, 9 * SECOND, 1, "late");
         send("next");
-        assertEquals(Result.OK, result("next"));
-        assertEquals(new Ended(Result.NOT_SENT, false, 0), outcome("late"));
+        assertEquals(AttemptOutcome.OK, result("next"));
+        assertEquals(new Ended(AttemptOutcome.NOT_SENT, false, 0), outcome("late"));
         assertEquals(
                 List.of("next"),
-                broker.postings().stream().map(StandInBroker.Posting::id).toList());
+                broker.postings().stream().map(FakeBroker.Posting::id).toList());
     }
 
     private void send(long timeout, int body, String... ids) {
@@ -145,7 +150,8 @@
                 long now = Clock.system().micros();
                 Message message = new Message(
                         1, new Message.Content(id, "unsafe", null, "key-" + id, now + 30 * SECOND, 7, new byte[body]));
-                client.send(ROUTE, List.of(new Partners.Outgoing(message.addAttempt(ROUTE, now), timeout, latest)));
+                client.send(
+                        ROUTE, List.of(new UpstreamClient.Outgoing(message.addAttempt(ROUTE, now), timeout, latest)));
             }
         });
     }
@@ -159,7 +165,7 @@
         return ended.get(id);
     }
 
-    private Result result(String id) {
+    private AttemptOutcome result(String id) {
         return outcome(id).result();
     }
 
@@ -189,8 +195,8 @@
     @Test
     void ackIsDeliveredAndThePublishCarriesWhatItShould() {
         send("a");
-        assertEquals(new Ended(Result.OK, true, 0), outcome("a"));
-        StandInBroker.Posting posting = broker.postings().get(0);
+        assertEquals(new Ended(AttemptOutcome.OK, true, 0), outcome("a"));
+        FakeBroker.Posting posting = broker.postings().get(0);
         assertEquals("key-a", posting.key());
         assertEquals(2, posting.properties().number(Property.DELIVERY_MODE));
         long left = Long.parseLong(posting.properties().text(Property.EXPIRATION));
@@ -202,8 +208,8 @@
     void bodiesOfNoBytesAndOfManyFramesArriveWhole() {
         send(20 * SECOND, 0, "empty");
         send(20 * SECOND, (64 << 10) + 1, "large");
-        assertEquals(Result.OK, result("empty"));
-        assertEquals(Result.OK, result("large"));
+        assertEquals(AttemptOutcome.OK, result("empty"));
+        assertEquals(AttemptOutcome.OK, result("large"));
         assertEquals(
                 List.of(0, (64 << 10) + 1),
                 broker.postings().stream().map(p -> p.body().length).toList());
@@ -213,10 +219,10 @@
     void returnedNeverRan() {
         broker.remove("q");
         send("a");
-        assertEquals(new Ended(Result.NOT_SENT, false, 0), outcome("a"));
+        assertEquals(new Ended(AttemptOutcome.NOT_SENT, false, 0), outcome("a"));
         broker.bind("orders", "direct", "k", "q");
         send("b");
-        assertEquals(Result.OK, result("b"));
+        assertEquals(AttemptOutcome.OK, result("b"));
         assertEquals(1, broker.connections(), "the connection goes on");
     }
 
@@ -224,7 +230,7 @@
     void nackMayHaveRun() {
         broker.be(Fate.NACK);
         send("a");
-        assertEquals(new Ended(Result.ERROR, false, 0), outcome("a"));
+        assertEquals(new Ended(AttemptOutcome.ERROR, false, 0), outcome("a"));
     }
 
     @Test
@@ -233,7 +239,7 @@
                 id.equals("a") ? Fate.CONFIRM_WITH_NEXT : id.equals("c") ? Fate.CONFIRM_AFTER_NEXT : Fate.CONFIRM);
         send("a", "b", "c", "d");
         for (String id : List.of("a", "b", "c", "d")) {
-            assertEquals(Result.OK, result(id), id);
+            assertEquals(AttemptOutcome.OK, result(id), id);
         }
     }
 
@@ -242,7 +248,7 @@
         broker.script(id -> id.equals("b") ? Fate.CLOSE_CHANNEL : Fate.SILENT);
         send("a", "b", "c");
         for (String id : List.of("a", "b", "c")) {
-            assertEquals(new Ended(Result.RESET, false, 0), outcome(id), id);
+            assertEquals(new Ended(AttemptOutcome.RESET, false, 0), outcome(id), id);
         }
     }
 
@@ -250,20 +256,20 @@
     void connectionThatClosesOrBreaksLeavesUnknown() {
         broker.be(Fate.CLOSE_CONNECTION);
         send("a");
-        assertEquals(Result.RESET, result("a"));
+        assertEquals(AttemptOutcome.RESET, result("a"));
         broker.be(Fate.DROP_BEFORE);
         await(() -> broker.connected() == 0);
         send("b");
-        assertEquals(Result.RESET, result("b"));
+        assertEquals(AttemptOutcome.RESET, result("b"));
         broker.be(Fate.DROP_AFTER);
         send("c");
-        assertEquals(Result.RESET, result("c"));
+        assertEquals(AttemptOutcome.RESET, result("c"));
     }
 
     @Test
     void whatWasNotWrittenWholeNeverRan() {
         send("first");
-        assertEquals(Result.OK, result("first"));
+        assertEquals(AttemptOutcome.OK, result("first"));
         broker.read(false);
         String[] ids = new String[400];
         for (int i = 0; i < ids.length; i++) {
@@ -276,13 +282,14 @@
         await(() -> ended.size() == ids.length + 1);
         Set<String> never = new HashSet<>();
         ended.forEach((id, e) -> {
-            if (e.result() == Result.NOT_SENT) {
+            if (e.result() == AttemptOutcome.NOT_SENT) {
                 never.add(id);
             }
         });
         assertTrue(never.size() > 50 && never.size() < ids.length, "never: " + never.size());
         ended.forEach((id, e) -> assertTrue(
-                e.result() == Result.NOT_SENT || e.result() == Result.RESET || id.equals("first"), id + " " + e));
+                e.result() == AttemptOutcome.NOT_SENT || e.result() == AttemptOutcome.RESET || id.equals("first"),
+                id + " " + e));
         broker.postings().forEach(p -> assertFalse(never.contains(p.id()), p.id()));
     }
 
@@ -290,8 +297,8 @@
     void missingExchangeNeverRanAndTheOthersOnItsChannelAreUnknown() {
         broker.script(id -> id.equals("b") ? Fate.NO_EXCHANGE : Fate.SILENT);
         send("a", "b");
-        assertEquals(Result.RESET, result("a"));
-        assertEquals(Result.NOT_SENT, result("b"));
+        assertEquals(AttemptOutcome.RESET, result("a"));
+        assertEquals(AttemptOutcome.NOT_SENT, result("b"));
         sendUntilPosted("anew");
         assertEquals(1, broker.effects().get("a"), "it had run, so that unknown was right");
     }
@@ -299,21 +306,21 @@
     @Test
     void blockedBrokerIsAWaitAndNothingIsPublishedMeanwhile() {
         send("a");
-        assertEquals(Result.OK, result("a"));
+        assertEquals(AttemptOutcome.OK, result("a"));
         broker.block(true);
         await(() -> {
             loop.execute(() -> client.probe(ROUTE));
-            return probed.stream().anyMatch(p -> p.result() == Result.FULL && p.toldWait() > 0);
+            return probed.stream().anyMatch(p -> p.result() == AttemptOutcome.REJECTED && p.toldWait() > 0);
         });
         send("b");
-        assertEquals(new Ended(Result.FULL, false, SECOND), outcome("b"));
+        assertEquals(new Ended(AttemptOutcome.REJECTED, false, SECOND), outcome("b"));
         broker.block(false);
         await(() -> {
             loop.execute(() -> client.probe(ROUTE));
-            return probed.get(probed.size() - 1).result() == Result.OK;
+            return probed.get(probed.size() - 1).result() == AttemptOutcome.OK;
         });
         send("c");
-        assertEquals(Result.OK, result("c"));
+        assertEquals(AttemptOutcome.OK, result("c"));
         assertEquals(0, broker.waitsBroken());
         assertEquals(Set.of("a", "c"), broker.effects().keySet());
     }
@@ -322,28 +329,28 @@
     void brokerThatBlocksAsSoonAsOneConnectsIsAWaitToo() {
         broker.block(true);
         send("a");
-        assertEquals(Result.FULL, result("a"));
+        assertEquals(AttemptOutcome.REJECTED, result("a"));
         assertEquals(0, broker.postings().size());
     }
 
     @Test
     void flowThatIsStoppedIsAWaitToo() {
         send("a");
-        assertEquals(Result.OK, result("a"));
-        broker.say(1, Method.of(Op.CHANNEL_FLOW, false));
+        assertEquals(AttemptOutcome.OK, result("a"));
+        broker.say(1, Method.of(MethodType.CHANNEL_FLOW, false));
         await(() -> {
             loop.execute(() -> client.probe(ROUTE));
-            return probed.stream().anyMatch(p -> p.result() == Result.FULL);
+            return probed.stream().anyMatch(p -> p.result() == AttemptOutcome.REJECTED);
         });
         send("b");
-        assertEquals(Result.FULL, result("b"));
-        broker.say(1, Method.of(Op.CHANNEL_FLOW, true));
+        assertEquals(AttemptOutcome.REJECTED, result("b"));
+        broker.say(1, Method.of(MethodType.CHANNEL_FLOW, true));
         await(() -> {
             loop.execute(() -> client.probe(ROUTE));
-            return probed.get(probed.size() - 1).result() == Result.OK;
+            return probed.get(probed.size() - 1).result() == AttemptOutcome.OK;
         });
         send("c");
-        assertEquals(Result.OK, result("c"));
+        assertEquals(AttemptOutcome.OK, result("c"));
     }
 
     @Test
@@ -351,8 +358,8 @@
         broker.be(Fate.SILENT);
         send("a");
         awaitPosted("a");
-        broker.say(1, Method.of(Op.BASIC_ACK, 99L, false));
-        assertEquals(Result.RESET, result("a"));
+        broker.say(1, Method.of(MethodType.BASIC_ACK, 99L, false));
+        assertEquals(AttemptOutcome.RESET, result("a"));
     }
 
     @Test
@@ -360,8 +367,8 @@
         broker.be(Fate.SILENT);
         send("a");
         awaitPosted("a");
-        broker.say(2, Method.of(Op.BASIC_ACK, 1L, false));
-        assertEquals(Result.RESET, result("a"));
+        broker.say(2, Method.of(MethodType.BASIC_ACK, 1L, false));
+        assertEquals(AttemptOutcome.RESET, result("a"));
     }
 
     @Test
@@ -369,7 +376,7 @@
         broker.lateBy(600);
         broker.be(Fate.CONFIRM_LATE);
         send(200_000, 10, "a");
-        assertEquals(Result.TIMEOUT, result("a"));
+        assertEquals(AttemptOutcome.TIMEOUT, result("a"));
         await(() -> late.contains("a"));
         assertEquals(1, ended.size());
     }
@@ -381,26 +388,26 @@
                 1,
                 new Message.Content("a", "unsafe", null, null, Clock.system().micros() + 9 * SECOND, 7, new byte[1]));
         Message.Attempt attempt = message.addAttempt(ROUTE, Clock.system().micros());
-        loop.submit(() -> client.send(ROUTE, List.of(new Partners.Outgoing(attempt, 9 * SECOND, Long.MAX_VALUE))))
+        loop.submit(() -> client.send(ROUTE, List.of(new UpstreamClient.Outgoing(attempt, 9 * SECOND, Long.MAX_VALUE))))
                 .sync();
         awaitPosted("a");
         loop.submit(() -> client.cancel(attempt)).sync();
-        assertEquals(Result.CANCELLED, result("a"));
+        assertEquals(AttemptOutcome.CANCELLED, result("a"));
     }
 
     @Test
     void brokerThatIsNotThereOrLetsNobodyInOrNeverGreetsWasNotReached() throws Exception {
         broker.shut();
         send("a");
-        assertEquals(Result.CONNECT_FAILED, result("a"));
+        assertEquals(AttemptOutcome.CONNECT_FAILED, result("a"));
         broker.open(false);
         client(login("wrong"), null, broker.address());
         send("b");
-        assertEquals(Result.CONNECT_FAILED, result("b"));
+        assertEquals(AttemptOutcome.CONNECT_FAILED, result("b"));
         try (ServerSocket mute = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             client(login("guest"), null, "127.0.0.1:" + mute.getLocalPort());
             send("c");
-            assertEquals(Result.CONNECT_FAILED, result("c"));
+            assertEquals(AttemptOutcome.CONNECT_FAILED, result("c"));
         }
     }
 
@@ -411,7 +418,7 @@
         send("a");
         awaitPosted("a");
         broker.freeze(4_000);
-        assertEquals(Result.RESET, result("a"));
+        assertEquals(AttemptOutcome.RESET, result("a"));
     }
 
     @Test
@@ -420,20 +427,20 @@
         send("a");
         awaitPosted("a");
         broker.shut();
-        assertEquals(Result.RESET, result("a"));
+        assertEquals(AttemptOutcome.RESET, result("a"));
         broker.be(Fate.CONFIRM);
         broker.open(true);
         send("b");
-        assertEquals(Result.NOT_SENT, result("b"), "its exchange is gone");
+        assertEquals(AttemptOutcome.NOT_SENT, result("b"), "its exchange is gone");
         broker.bind("orders", "direct", "k", "q");
-        assertEquals(Result.OK, result(sendUntilPosted("anew")));
+        assertEquals(AttemptOutcome.OK, result(sendUntilPosted("anew")));
     }
 
     @Test
     void drainingRouteGetsNothing() throws Exception {
         list(Availability.DRAINING, broker.address());
         send("a");
-        assertEquals(Result.NOT_SENT, result("a"));
+        assertEquals(AttemptOutcome.NOT_SENT, result("a"));
         assertEquals(0, broker.connections());
     }
 
@@ -444,7 +451,7 @@
         send("a");
         awaitPosted("a");
         list(Availability.DRAINING, broker.address());
-        assertEquals(Result.OK, result("a"));
+        assertEquals(AttemptOutcome.OK, result("a"));
         await(() -> broker.connected() == 0);
     }
 
@@ -489,8 +496,8 @@
         }
         KeyManagerFactory managers = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
         managers.init(keys, "secret".toCharArray());
-        try (StandInBroker secure =
-                new StandInBroker(SslContextBuilder.forServer(managers).build())) {
+        try (FakeBroker secure =
+                new FakeBroker(SslContextBuilder.forServer(managers).build())) {
             secure.bind("orders", "direct", "k", "q");
             client(
                     login("guest"),
@@ -499,10 +506,10 @@
                             .build(),
                     secure.address());
             send("a");
-            assertEquals(Result.OK, result("a"));
+            assertEquals(AttemptOutcome.OK, result("a"));
             client(login("guest"), SslContextBuilder.forClient().build(), secure.address());
             send("b");
-            assertEquals(Result.CONNECT_FAILED, result("b"));
+            assertEquals(AttemptOutcome.CONNECT_FAILED, result("b"));
             assertEquals(Set.of("a"), secure.effects().keySet());
         }
     }
--- a/src/test/java/pipitstage/partner/http/HostClientTest.java
+++ b/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
@@ -1,4 +1,4 @@
-package pipitstage.partner.http;
+package loftflow.upstream.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,64 +14,77 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
+import loftflow.engine.Clock;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.fake.ScriptedPeer;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import pipitstage.Policy;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
-import pipitstage.standin.StubPeer;
 
 /** A client of hosts at the bound of its connections. */
 @Timeout(60)
-class HostClientTest implements Partners.Results {
+class HttpUpstreamClientTest implements UpstreamClient.ResultListener {
     private static final long SECOND = 1_000_000;
     private static final int MOST = 4;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final Clock clock = Clock.system();
-    private final List<StubPeer> hosts = new ArrayList<>();
-    private final Map<String, List<Policy.Result>> ends = Collections.synchronizedMap(new HashMap<>());
-    private HostClient client;
+    private final List<ScriptedPeer> hosts = new ArrayList<>();
+    private final Map<String, List<AttemptOutcome>> ends = Collections.synchronizedMap(new HashMap<>());
+    private HttpUpstreamClient client;
 
     @BeforeEach
     void start() throws IOException {
-        Policy.Settings settings = new Policy.Settings(
+        PolicySettings settings = new PolicySettings(
                 3,
                 0,
                 1,
                 "b0",
-                List.of(new Policy.RequestClass(
-                        "unsafe", Policy.Repeat.ONCE, Policy.KeyScope.ALL, 0, SECOND, 30 * SECOND, 5, 0.3, false)),
+                List.of(new RequestClass(
+                        "unsafe", Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, SECOND, 30 * SECOND, 5, 0.3, false)),
                 List.of(),
-                List.of(new Policy.Kind("k", false, 1)),
+                List.of(new DestinationKind("k", false, 1)),
                 List.of(),
-                new Policy.Limits(8, 200, 12, true, true, false, false, true, 5 * SECOND),
-                new Policy.Rules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 200, 12, true, true, false, false, true, 5 * SECOND),
+                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
                 1,
                 false,
                 false,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
-        client = new HostClient(loop, clock, settings, new HostClient.Options(false, 60 * SECOND, MOST, 0), this);
-        List<Target> targets = new ArrayList<>();
+        client = new HttpUpstreamClient(
+                loop, clock, settings, new HttpUpstreamClient.Options(false, 60 * SECOND, MOST, 0), this);
+        List<Endpoint> targets = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            hosts.add(StubPeer.always(StubPeer.status(200)));
-            targets.add(new Target(
-                    new Policy.Listed("r" + i, i, "k", "b0", Policy.Availability.LISTED, 0),
-                    Target.address(hosts.get(i).address())));
+            hosts.add(ScriptedPeer.always(ScriptedPeer.status(200)));
+            targets.add(new Endpoint(
+                    new EndpointEntry("r" + i, i, "k", "b0", Availability.LISTED, 0),
+                    Endpoint.address(hosts.get(i).address())));
         }
-        loop.submit(() -> client.list(Policy.ListKind.FULL, targets)).syncUninterruptibly();
+        loop.submit(() -> client.list(EndpointListKind.FULL, targets)).syncUninterruptibly();
     }
 
     @AfterEach
     void end() throws IOException {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-        for (StubPeer host : hosts) {
+        for (ScriptedPeer host : hosts) {
             host.close();
         }
     }
@@ -91,7 +104,7 @@
         assertEquals(MOST - 1, open(0), "one of the idle ones has closed");
         send(2, 3 * MOST);
         await("r2", 3 * MOST);
-        assertTrue(ends.values().stream().flatMap(List::stream).allMatch(r -> r == Policy.Result.OK), ends.toString());
+        assertTrue(ends.values().stream().flatMap(List::stream).allMatch(r -> r == AttemptOutcome.OK), ends.toString());
         assertEquals(0, open(0), "and the others for the calls that wait");
         assertTrue(hosts.get(2).connections.size() <= 3 * MOST);
     }
@@ -117,7 +130,7 @@
         await("r1", 2);
         send(1, 1);
         await("r1", 3);
-        assertEquals(List.of(Policy.Result.NOT_SENT, Policy.Result.NOT_SENT, Policy.Result.OK), ends.get("r1"));
+        assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_SENT, AttemptOutcome.OK), ends.get("r1"));
         assertEquals(1, hosts.get(1).count("POST /receive"));
     }
 
@@ -131,7 +144,7 @@
         TimeUnit.MILLISECONDS.sleep(20);
         send(1, 1, clock.micros() + 4 * SECOND);
         await("r1", 3);
-        assertEquals(List.of(Policy.Result.NOT_SENT, Policy.Result.OK, Policy.Result.OK), ends.get("r1"));
+        assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.OK, AttemptOutcome.OK), ends.get("r1"));
         assertEquals(1, hosts.get(1).connections.size());
     }
 
@@ -160,7 +173,7 @@
                                                     clock.micros() + 30 * SECOND,
                                                     host,
                                                     new byte[0]));
-                                    return new Partners.Outgoing(
+                                    return new UpstreamClient.Outgoing(
                                             message.addAttempt("r" + host, clock.micros()), 30 * SECOND, latest);
                                 })
                                 .toList()))
@@ -174,8 +187,7 @@
     }
 
     @Override
-    public void ended(
-            Message.Attempt attempt, Policy.Result result, boolean over, long wait, Policy.LimitReport report) {
+    public void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
         ends.computeIfAbsent(attempt.route(), r -> Collections.synchronizedList(new ArrayList<>()))
                 .add(result);
     }
@@ -189,7 +201,7 @@
     }
 
     @Override
-    public void probed(String route, Policy.Result result, long wait, long elapsed, Policy.LimitReport report) {
+    public void probed(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
         throw new AssertionError("no probes here");
     }
 }
--- a/src/test/java/pipitstage/partner/http/CrossingsTest.java
+++ b/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
@@ -1,9 +1,9 @@
-package pipitstage.partner.http;
+package loftflow.upstream.http;
 
+import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static pipitstage.relay.RelayProcess.await;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -24,25 +24,36 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
+import loftflow.engine.Clock;
+import loftflow.engine.Endpoint;
+import loftflow.engine.Message;
+import loftflow.engine.UpstreamClient;
+import loftflow.fake.ScriptedPeer;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.Idempotency;
+import loftflow.policy.api.KeyScope;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.PolicySettings;
+import loftflow.policy.api.RateHint;
+import loftflow.policy.api.RelayLimits;
+import loftflow.policy.api.RequestClass;
+import loftflow.policy.api.ServiceRules;
+import loftflow.server.KernelSocketState;
+import loftflow.server.RelayProcess;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.Policy;
-import pipitstage.Policy.Result;
-import pipitstage.engine.Clock;
-import pipitstage.engine.Message;
-import pipitstage.engine.Partners;
-import pipitstage.engine.Target;
-import pipitstage.relay.KernelSide;
-import pipitstage.relay.RelayProcess;
-import pipitstage.standin.StubPeer;
 
 /** Calls to hosts where two events cross; the loop is held, or the host's hand, so that the bad order comes every time. */
 @Timeout(60)
-class CrossingsTest implements Partners.Results {
+class RaceConditionsTest implements UpstreamClient.ResultListener {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
     private static final int SMALL = 4096;
@@ -50,43 +61,43 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final Clock clock = Clock.system();
-    private final Map<String, Result> ends = new ConcurrentHashMap<>();
+    private final Map<String, AttemptOutcome> ends = new ConcurrentHashMap<>();
     private final List<Long> waits = new CopyOnWriteArrayList<>();
     private final CountDownLatch gate = new CountDownLatch(1);
-    private HostClient client;
-    private StubPeer host;
+    private HttpUpstreamClient client;
+    private ScriptedPeer host;
     private int sent;
 
     @BeforeEach
     void start() throws IOException {
-        host = StubPeer.always(StubPeer.status(200));
-        client = new HostClient(
+        host = ScriptedPeer.always(ScriptedPeer.status(200));
+        client = new HttpUpstreamClient(
                 loop,
                 clock,
                 settings(),
-                new HostClient.Options(false, 2 * SECOND, 4, 0),
+                new HttpUpstreamClient.Options(false, 2 * SECOND, 4, 0),
                 this,
-                CrossingsTest::smallSocket);
+                RaceConditionsTest::smallSocket);
         list(host.address());
     }
 
-    private static Policy.Settings settings() {
-        return new Policy.Settings(
+    private static PolicySettings settings() {
+        return new PolicySettings(
                 3,
                 0,
                 1,
                 "b0",
-                List.of(new Policy.RequestClass(
-                        "unsafe", Policy.Repeat.ONCE, Policy.KeyScope.ALL, 0, SECOND, 30 * SECOND, 5, 0.3, false)),
+                List.of(new RequestClass(
+                        "unsafe", Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, SECOND, 30 * SECOND, 5, 0.3, false)),
                 List.of(),
-                List.of(new Policy.Kind("k", false, 4)),
+                List.of(new DestinationKind("k", false, 4)),
                 List.of(),
-                new Policy.Limits(8, 200, 12, true, true, false, false, true, 5 * SECOND),
-                new Policy.Rules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 200, 12, true, true, false, false, true, 5 * SECOND),
+                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
                 1,
                 false,
                 false,
-                Policy.RateHint.NONE,
+                RateHint.NONE,
                 0);
     }
 
@@ -99,10 +110,9 @@
 
     private void list(String address) {
         onLoop(() -> client.list(
-                Policy.ListKind.FULL,
-                List.of(new Target(
-                        new Policy.Listed("r", 1, "k", "b0", Policy.Availability.LISTED, 0),
-                        Target.address(address)))));
+                EndpointListKind.FULL,
+                List.of(new Endpoint(
+                        new EndpointEntry("r", 1, "k", "b0", Availability.LISTED, 0), Endpoint.address(address)))));
     }
 
     @AfterEach
@@ -116,7 +126,7 @@
         loop.submit(task).syncUninterruptibly();
     }
 
-    private List<Partners.Outgoing> messages(int count, long timeout, long latest, int bytes) {
+    private List<UpstreamClient.Outgoing> messages(int count, long timeout, long latest, int bytes) {
         return IntStream.range(0, count)
                 .mapToObj(i -> {
                     Message message = new Message(
@@ -129,7 +139,7 @@
                                     clock.micros() + 30 * SECOND,
                                     1,
                                     new byte[bytes]));
-                    return new Partners.Outgoing(message.addAttempt("r", clock.micros()), timeout, latest);
+                    return new UpstreamClient.Outgoing(message.addAttempt("r", clock.micros()), timeout, latest);
                 })
                 .toList();
     }
@@ -139,7 +149,7 @@
         client.send("r", messages(1, timeout, Long.MAX_VALUE, 5));
     }
 
-    private void sendAndAwait(String id, Result expected) {
+    private void sendAndAwait(String id, AttemptOutcome expected) {
         onLoop(() -> send(30 * SECOND));
         await(() -> ends.containsKey(id));
         assertEquals(expected, ends.get(id));
@@ -156,7 +166,7 @@
             listener.setReceiveBufferSize(SMALL);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             list("127.0.0.1:" + listener.getLocalPort());
-            List<Partners.Outgoing> both =
+            List<UpstreamClient.Outgoing> both =
                     new ArrayList<>(messages(1, cancelled ? 30 * SECOND : 50 * MS, Long.MAX_VALUE, 20_000));
             both.addAll(messages(1, 30 * SECOND, Long.MAX_VALUE, 20_000));
             onLoop(() -> client.send("r", both));
@@ -175,7 +185,7 @@
                     came.append(new String(piece, 0, bytes, StandardCharsets.ISO_8859_1));
                 }
                 assertTrue(came.indexOf("\"m0\"") > 0, "it was in the call, and ran");
-                assertEquals(cancelled ? Result.CANCELLED : Result.TIMEOUT, ends.get("m0"));
+                assertEquals(cancelled ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT, ends.get("m0"));
             }
         }
     }
@@ -193,9 +203,9 @@
                 socket.getOutputStream()
                         .write("HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\nContent-Length: 0\r\n\r\n".getBytes());
                 await(() -> ends.containsKey("m0"));
-                assertEquals(Result.CONNECT_FAILED, ends.get("m0"));
+                assertEquals(AttemptOutcome.CONNECT_FAILED, ends.get("m0"));
                 assertEquals(List.of(60 * SECOND), waits);
-                sendAndAwait("m1", Result.NOT_SENT);
+                sendAndAwait("m1", AttemptOutcome.NOT_SENT);
             }
         }
     }
@@ -214,10 +224,10 @@
         onLoop(() -> send(30 * SECOND));
         await(() -> !waits.isEmpty());
         assertEquals(List.of(60 * SECOND), waits);
-        sendAndAwait("m1", Result.NOT_SENT);
+        sendAndAwait("m1", AttemptOutcome.NOT_SENT);
         await(() -> ends.containsKey("m0"));
-        assertEquals(Result.ERROR, ends.get("m0"), "whether it ran is not proven");
-        sendAndAwait("m2", Result.NOT_SENT);
+        assertEquals(AttemptOutcome.ERROR, ends.get("m0"), "whether it ran is not proven");
+        sendAndAwait("m2", AttemptOutcome.NOT_SENT);
         assertEquals(1, host.requests.size());
     }
 
@@ -231,11 +241,11 @@
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
-            return StubPeer.CLOSE;
+            return ScriptedPeer.CLOSE;
         });
-        sendAndAwait("m0", Result.RESET);
+        sendAndAwait("m0", AttemptOutcome.RESET);
         assertEquals(List.of(60 * SECOND), waits);
-        sendAndAwait("m1", Result.NOT_SENT);
+        sendAndAwait("m1", AttemptOutcome.NOT_SENT);
     }
 
     /** An answer lies unread when its call's time is up: it counts, and so does a wait told in it. */
@@ -244,7 +254,7 @@
     void answerThatLiesUnreadWhenItsCallIsGivenUpCounts(int status) throws Exception {
         host.answer(request -> {
             hold(gate);
-            return StubPeer.status(status, "X-Come-Back-Ms: " + (status == 429 ? 60_000 : 0));
+            return ScriptedPeer.status(status, "X-Come-Back-Ms: " + (status == 429 ? 60_000 : 0));
         });
         onLoop(() -> send(300 * MS));
         await(() -> host.requests.size() == 1);
@@ -254,13 +264,13 @@
             RelayProcess.hold(400);
         });
         await(() -> ends.containsKey("m0"));
-        assertEquals(status == 200 ? Result.OK : Result.FULL, ends.get("m0"));
+        assertEquals(status == 200 ? AttemptOutcome.OK : AttemptOutcome.REJECTED, ends.get("m0"));
         assertEquals(status == 200 ? List.of() : List.of(60 * SECOND), waits);
     }
 
     private void letTheHostAnswer() {
         gate.countDown();
-        KernelSide.beyond(host.connections.get(0)).awaitUnread();
+        KernelSocketState.beyond(host.connections.get(0)).awaitUnread();
     }
 
     private static void hold(CountDownLatch latch) {
@@ -274,7 +284,7 @@
     /** A call that takes an idle connection and is not sent in the end does not make it younger: its host goes by bytes. */
     @Test
     void connectionThatIsTakenForNothingGrowsNoYounger() {
-        sendAndAwait("m0", Result.OK);
+        sendAndAwait("m0", AttemptOutcome.OK);
         long since = System.nanoTime();
         while (!host.connections.get(0).isClosed() && System.nanoTime() - since < 3_000_000_000L) {
             String id = "m" + sent;
@@ -288,7 +298,7 @@
     /** The timer that retires a connection is late, as the loop had no CPU; the host closes it as the next call leaves. */
     @Test
     void connectionThatIsTooOldIsNotTakenThoughItsTimerIsLate() {
-        sendAndAwait("m0", Result.OK);
+        sendAndAwait("m0", AttemptOutcome.OK);
         // The connection has rested from its answer.
         RelayProcess.hold(5);
         onLoop(() -> {
@@ -302,11 +312,11 @@
     /** The host's end of an idle connection has come and lies unread when the next call leaves. */
     @Test
     void connectionWhoseEndLiesUnreadIsNotTaken() {
-        sendAndAwait("m0", Result.OK);
+        sendAndAwait("m0", AttemptOutcome.OK);
         // The connection has rested from its answer.
         RelayProcess.hold(5);
         onLoop(() -> {
-            KernelSide relay = KernelSide.beyond(host.connections.get(0));
+            KernelSocketState relay = KernelSocketState.beyond(host.connections.get(0));
             try {
                 host.connections.get(0).close();
             } catch (IOException e) {
@@ -316,23 +326,23 @@
             send(30 * SECOND);
         });
         await(() -> ends.containsKey("m1"));
-        assertEquals(Result.OK, ends.get("m1"));
+        assertEquals(AttemptOutcome.OK, ends.get("m1"));
         assertEquals(2, host.connections.size());
-        assertFalse(ends.containsValue(Result.RESET));
+        assertFalse(ends.containsValue(AttemptOutcome.RESET));
     }
 
     /** The host moves, or is gone and comes back, while a wait runs: the wait is its destination's. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void waitOutlastsAChangeOfAddress(boolean goneMeanwhile) throws IOException {
-        host.answer(request -> StubPeer.status(429, "X-Come-Back-Ms: 60000"));
-        sendAndAwait("m0", Result.FULL);
-        try (StubPeer next = StubPeer.always(StubPeer.status(200))) {
+        host.answer(request -> ScriptedPeer.status(429, "X-Come-Back-Ms: 60000"));
+        sendAndAwait("m0", AttemptOutcome.REJECTED);
+        try (ScriptedPeer next = ScriptedPeer.always(ScriptedPeer.status(200))) {
             if (goneMeanwhile) {
-                onLoop(() -> client.list(Policy.ListKind.FULL, List.of()));
+                onLoop(() -> client.list(EndpointListKind.FULL, List.of()));
             }
             list(next.address());
-            sendAndAwait("m1", Result.NOT_SENT);
+            sendAndAwait("m1", AttemptOutcome.NOT_SENT);
             assertEquals(0, next.requests.size());
         }
     }
@@ -340,18 +350,19 @@
     /** A connection comes up after its call was given up: that call never ran, and the next one has the connection. */
     @Test
     void connectionThatComesUpAfterItsCallWasGivenUpIsTheNextOnes() {
-        List<Partners.Outgoing> first = messages(1, 30 * SECOND, Long.MAX_VALUE, 5);
+        List<UpstreamClient.Outgoing> first = messages(1, 30 * SECOND, Long.MAX_VALUE, 5);
         onLoop(() -> {
             client.send("r", first);
             client.cancel(first.get(0).attempt());
         });
-        assertEquals(Result.CONNECT_FAILED, ends.get("m0"));
+        assertEquals(AttemptOutcome.CONNECT_FAILED, ends.get("m0"));
         await(() -> host.connections.size() == 1);
         // A timer runs behind a look at the sockets: the loop has the connection too.
         loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).syncUninterruptibly();
-        sendAndAwait("m1", Result.OK);
+        sendAndAwait("m1", AttemptOutcome.OK);
         assertEquals(
-                List.of("m1"), host.requests.stream().map(StubPeer.Request::id).toList());
+                List.of("m1"),
+                host.requests.stream().map(ScriptedPeer.Request::id).toList());
         assertEquals(1, host.connections.size());
     }
 
@@ -361,18 +372,18 @@
         onLoop(() -> {
             send(30 * SECOND);
             client.list(
-                    Policy.ListKind.CHANGES,
-                    List.of(new Target(
-                            new Policy.Listed("r", 1, "k", "b0", Policy.Availability.DRAINING, 0),
-                            Target.address(host.address()))));
+                    EndpointListKind.DELTA,
+                    List.of(new Endpoint(
+                            new EndpointEntry("r", 1, "k", "b0", Availability.DRAINING, 0),
+                            Endpoint.address(host.address()))));
         });
-        assertEquals(Result.NOT_SENT, ends.get("m0"));
+        assertEquals(AttemptOutcome.NOT_SENT, ends.get("m0"));
         await(() -> host.connections.stream().allMatch(Socket::isClosed));
         assertEquals(0, host.requests.size());
     }
 
     @Override
-    public void ended(Message.Attempt attempt, Result result, boolean over, long wait, Policy.LimitReport report) {
+    public void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
         ends.put(attempt.message().content().callId(), result);
     }
 
@@ -387,7 +398,7 @@
     }
 
     @Override
-    public void probed(String route, Result result, long wait, long elapsed, Policy.LimitReport report) {
+    public void probed(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
         throw new AssertionError("no probes here");
     }
 }
