--- a/src/test/java/pipitstage/remembered/ListsTest.java
+++ b/src/test/java/loftflow/warmstart/EndpointListReconcilerTest.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,72 +8,74 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.ListKind;
 
 /** What of discovery's lists is believed. */
-class ListsTest {
+class EndpointListReconcilerTest {
     private static final long SECOND = 1_000_000;
     private static final long SETTLE = 60 * SECOND;
 
-    private static Listing entry(String id, int port, Availability availability) {
-        return new Listing(new Policy.Listed(id, 7, "k", "b", availability, 0), "127.0.0.1:" + port);
+    private static ListedEndpoint entry(String id, int port, Availability availability) {
+        return new ListedEndpoint(new EndpointEntry(id, 7, "k", "b", availability, 0), "127.0.0.1:" + port);
     }
 
-    private static Listing in(int i) {
+    private static ListedEndpoint in(int i) {
         return entry("e" + i, 1000 + i, Availability.LISTED);
     }
 
-    private static List<Listing> all(int n) {
-        return IntStream.range(0, n).mapToObj(ListsTest::in).toList();
+    private static List<ListedEndpoint> all(int n) {
+        return IntStream.range(0, n).mapToObj(EndpointListReconcilerTest::in).toList();
     }
 
-    private static Told full(long revision, List<Listing> entries) {
-        return new Told(ListKind.FULL, revision, entries);
+    private static ListUpdate full(long revision, List<ListedEndpoint> entries) {
+        return new ListUpdate(EndpointListKind.FULL, revision, entries);
     }
 
-    private static Told changes(long revision, Listing... entries) {
-        return new Told(ListKind.CHANGES, revision, List.of(entries));
+    private static ListUpdate changes(long revision, ListedEndpoint... entries) {
+        return new ListUpdate(EndpointListKind.DELTA, revision, List.of(entries));
     }
 
     @Test
     void wholeListReplacesWhatWasRemembered() {
-        Lists lists = new Lists(SETTLE, 5, all(20));
-        Lists.Verdict verdict = lists.take(full(6, all(18)), 0);
-        assertEquals(ListKind.FULL, verdict.passOn().kind());
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(20));
+        EndpointListReconciler.Verdict verdict = lists.take(full(6, all(18)), 0);
+        assertEquals(EndpointListKind.FULL, verdict.passOn().kind());
         assertFalse(lists.has("e18") || lists.has("e19"));
         assertTrue(lists.has("e17"));
-        assertEquals(Lists.NEVER, verdict.askAt());
+        assertEquals(EndpointListReconciler.NEVER, verdict.askAt());
     }
 
     @Test
     void emptyListTakesNothingAwayUntilItHasBeenToldForLong() {
-        Lists lists = new Lists(SETTLE, 5, all(3));
-        Lists.Verdict verdict = lists.take(full(6, List.of()), 0);
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(3));
+        EndpointListReconciler.Verdict verdict = lists.take(full(6, List.of()), 0);
         assertNull(verdict.passOn());
         assertEquals(SETTLE, verdict.askAt());
         assertEquals(1, verdict.log().size(), "told once: " + verdict.log());
         assertTrue(lists.take(full(6, List.of()), SETTLE - 1).log().isEmpty());
         assertTrue(lists.has("e0"));
         assertEquals(
-                ListKind.FULL, lists.take(full(6, List.of()), SETTLE).passOn().kind());
+                EndpointListKind.FULL,
+                lists.take(full(6, List.of()), SETTLE).passOn().kind());
         assertFalse(lists.has("e0"));
     }
 
     @Test
     void listThatLostNineOfTenConfirmsWhatItNamesAndKeepsTheRestForNow() {
-        Lists lists = new Lists(SETTLE, 5, all(20));
-        List<Listing> few = new ArrayList<>(
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(20));
+        List<ListedEndpoint> few = new ArrayList<>(
                 List.of(in(0), entry("new", 9, Availability.LISTED), entry("e1", 1001, Availability.DRAINING)));
-        Lists.Verdict verdict = lists.take(full(6, few), 0);
-        assertEquals(changes(6, few.toArray(Listing[]::new)), verdict.passOn(), "what it says counts at once");
+        EndpointListReconciler.Verdict verdict = lists.take(full(6, few), 0);
+        assertEquals(changes(6, few.toArray(ListedEndpoint[]::new)), verdict.passOn(), "what it says counts at once");
         assertFalse(lists.has("e1"), "a drain with a word is believed");
         assertTrue(lists.has("e5"));
         // A whole list again ends the doubt.
         assertEquals(
-                ListKind.FULL, lists.take(full(7, all(20)), SECOND).passOn().kind());
+                EndpointListKind.FULL,
+                lists.take(full(7, all(20)), SECOND).passOn().kind());
         lists.take(full(8, few), 2 * SECOND);
         assertTrue(lists.has("e5"), "the settling time begins anew");
         lists.take(full(8, few), 2 * SECOND + SETTLE);
@@ -82,17 +84,18 @@
 
     @Test
     void lossOfEightInTenIsBelieved() {
-        Lists lists = new Lists(SETTLE, 5, all(20));
-        assertEquals(ListKind.FULL, lists.take(full(6, all(4)), 0).passOn().kind());
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(20));
+        assertEquals(
+                EndpointListKind.FULL, lists.take(full(6, all(4)), 0).passOn().kind());
     }
 
     @Test
     void revisionThatGoesBackBringsNothingBackAndTakesAwayAtOnce() {
-        Lists lists = new Lists(SETTLE, 5, all(4));
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(4));
         lists.take(changes(9, entry("e3", 1003, Availability.REMOVED)), 0);
-        List<Listing> old = List.of(
+        List<ListedEndpoint> old = List.of(
                 in(0), in(3), entry("e1", 1001, Availability.DRAINING), entry("unknown", 8, Availability.LISTED));
-        Lists.Verdict verdict = lists.take(full(7, old), SECOND);
+        EndpointListReconciler.Verdict verdict = lists.take(full(7, old), SECOND);
         assertEquals(changes(7, in(0), entry("e1", 1001, Availability.DRAINING)), verdict.passOn());
         assertFalse(lists.has("e3") || lists.has("unknown") || lists.has("e1"));
         assertTrue(lists.has("e2"), "what it leaves out stays");
@@ -103,8 +106,9 @@
 
     @Test
     void changesOfAnOlderRevisionAskForTheWholeList() {
-        Lists lists = new Lists(SETTLE, 5, all(2));
-        Lists.Verdict verdict = lists.take(changes(3, in(5), entry("e0", 1000, Availability.REMOVED)), SECOND);
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(2));
+        EndpointListReconciler.Verdict verdict =
+                lists.take(changes(3, in(5), entry("e0", 1000, Availability.REMOVED)), SECOND);
         assertEquals(
                 List.of(entry("e0", 1000, Availability.REMOVED)),
                 verdict.passOn().entries());
@@ -113,12 +117,12 @@
 
     @Test
     void newIdAtAnAddressEndsTheOldOne() {
-        Lists lists = new Lists(SETTLE, 5, all(3));
-        Listing next = entry("next", 1001, Availability.LISTED);
-        Lists.Verdict verdict = lists.take(changes(6, next), 0);
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(3));
+        ListedEndpoint next = entry("next", 1001, Availability.LISTED);
+        EndpointListReconciler.Verdict verdict = lists.take(changes(6, next), 0);
         assertEquals(List.of(in(1).gone(), next), verdict.passOn().entries());
         assertFalse(lists.has("e1"));
-        Lists both = new Lists(SETTLE, 5, all(3));
+        EndpointListReconciler both = new EndpointListReconciler(SETTLE, 5, all(3));
         both.take(changes(6, next, in(1)), 0);
         assertTrue(both.has("e1") && both.has("next"), "discovery itself lists both");
     }
@@ -126,8 +130,9 @@
     /** Where the platform's word holds. */
     @Test
     void nothingIsDoubtedWhereNothingIsToSettle() {
-        Lists lists = new Lists(0, 5, all(20));
-        assertEquals(ListKind.FULL, lists.take(full(6, all(1)), 0).passOn().kind());
+        EndpointListReconciler lists = new EndpointListReconciler(0, 5, all(20));
+        assertEquals(
+                EndpointListKind.FULL, lists.take(full(6, all(1)), 0).passOn().kind());
         assertFalse(lists.has("e5"));
         assertEquals(List.of(in(7)), lists.take(changes(3, in(7)), 1).passOn().entries(), "a revision that went back");
         for (int i = 0; i < 5; i++) {
@@ -135,12 +140,14 @@
             lists.take(changes(7, in(7)), 3);
             assertTrue(lists.has("e7"), "return " + i);
         }
-        assertEquals(ListKind.FULL, lists.take(full(8, List.of()), 4).passOn().kind());
+        assertEquals(
+                EndpointListKind.FULL,
+                lists.take(full(8, List.of()), 4).passOn().kind());
     }
 
     @Test
     void flappingEndpointIsHeldBackEachTimeLonger() {
-        Lists lists = new Lists(SETTLE, 5, all(2));
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(2));
         long now = 0;
         for (int i = 0; i < 2; i++) {
             lists.take(changes(6 + i, entry("e1", 1001, Availability.REMOVED)), now += SECOND);
@@ -159,13 +166,13 @@
         lists.take(changes(10, in(1)), now += SECOND);
         assertEquals(now + 20 * SECOND, lists.nextAt());
         lists.take(changes(11, entry("e1", 1001, Availability.REMOVED)), now += SECOND);
-        assertEquals(Lists.NEVER, lists.nextAt(), "one that goes while it is held stays out");
+        assertEquals(EndpointListReconciler.NEVER, lists.nextAt(), "one that goes while it is held stays out");
         assertNull(lists.due(now + 99 * SECOND));
     }
 
     @Test
     void wholeListEndsWhatIsHeldBackToo() {
-        Lists lists = new Lists(SETTLE, 5, all(20));
+        EndpointListReconciler lists = new EndpointListReconciler(SETTLE, 5, all(20));
         long now = 0;
         for (int i = 0; i < 3; i++) {
             lists.take(full(6 + 2 * i, all(19)), now += SECOND);
--- a/src/test/java/pipitstage/remembered/TrustModelTest.java
+++ b/src/test/java/loftflow/warmstart/TrustModelTest.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,12 +12,18 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.PolicyEvent;
+import loftflow.policy.api.ProbeCompleted;
+import loftflow.policy.api.RouteRestored;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.policy.api.TrustLevel;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
-import pipitstage.Policy.LimitReport;
-import pipitstage.Policy.ListKind;
-import pipitstage.Policy.Result;
 
 /**
  * Random histories of lists, calls, ages, kills and clocks beside a model of what is true: an endpoint once told to be
@@ -28,8 +34,8 @@
     private static final int HISTORIES = 3_000;
     private static final int STEPS = 60;
     private static final int ENDPOINTS = 8;
-    private static final Book.Rules RULES =
-            new Book.Rules(new Trust(1800 * SECOND), 60 * SECOND, SECOND / 10, 10 * SECOND, false);
+    private static final EndpointHistory.Rules RULES =
+            new EndpointHistory.Rules(new TrustPolicy(1800 * SECOND), 60 * SECOND, SECOND / 10, 10 * SECOND, false);
 
     /** The truth, by a clock that no relay sees, and what a relay's disk holds. */
     private static final class History {
@@ -38,9 +44,9 @@
         long wallError;
         long bootedAt;
         int boot;
-        Book book;
-        Picture saved;
-        List<Note> notes = new ArrayList<>();
+        EndpointHistory book;
+        Snapshot saved;
+        List<SnapshotDelta> notes = new ArrayList<>();
         long timeError;
         long revision = 1;
         final Set<String> in = new HashSet<>();
@@ -54,13 +60,13 @@
 
         History(long seed) {
             random = new SplittableRandom(seed);
-            book = new Book(RULES, "app#0");
+            book = new EndpointHistory(RULES, "app#0");
             book.open(null, List.of(), true, null, clocks(), time());
-            list(ListKind.FULL);
+            list(EndpointListKind.FULL);
         }
 
-        Moment clocks() {
-            return new Moment(real + wallError, real - bootedAt, "boot" + boot);
+        ClockReading clocks() {
+            return new ClockReading(real + wallError, real - bootedAt, "boot" + boot);
         }
 
         /** The relay's own time. */
@@ -68,12 +74,12 @@
             return real + timeError;
         }
 
-        void list(ListKind kind) {
-            List<Listing> entries = new ArrayList<>();
+        void list(EndpointListKind kind) {
+            List<ListedEndpoint> entries = new ArrayList<>();
             for (int i = 0; i < ENDPOINTS; i++) {
                 boolean wasIn = in.contains("e" + i);
                 boolean isIn = random.nextInt(4) > 0;
-                if (kind == ListKind.CHANGES && random.nextInt(3) > 0) {
+                if (kind == EndpointListKind.DELTA && random.nextInt(3) > 0) {
                     continue;
                 }
                 if (isIn) {
@@ -82,28 +88,28 @@
                 } else {
                     in.remove("e" + i);
                     gone += wasIn ? 1 : 0;
-                    if (kind == ListKind.CHANGES) {
+                    if (kind == EndpointListKind.DELTA) {
                         entries.add(listing(i, random.nextBoolean() ? Availability.DRAINING : Availability.REMOVED));
                     }
                 }
             }
-            if (kind == ListKind.FULL && entries.isEmpty()) {
+            if (kind == EndpointListKind.FULL && entries.isEmpty()) {
                 // An empty list is not believed at once, by rule: it says nothing here.
                 in.add("e0");
                 entries.add(listing(0, Availability.LISTED));
             }
-            Book.Heard heard = book.heard(new Told(kind, ++revision, entries), time());
-            entries.stream().filter(Listing::inService).forEach(e -> evidenceAt.put(e.id(), real));
+            EndpointHistory.Heard heard = book.heard(new ListUpdate(kind, ++revision, entries), time());
+            entries.stream().filter(ListedEndpoint::inService).forEach(e -> evidenceAt.put(e.id(), real));
             take(heard);
         }
 
-        void take(Book.Heard heard) {
+        void take(EndpointHistory.Heard heard) {
             notes.addAll(heard.notes());
             if (heard.passOn() != null) {
-                if (heard.passOn().kind() == ListKind.FULL) {
+                if (heard.passOn().kind() == EndpointListKind.FULL) {
                     listed.clear();
                 }
-                for (Listing entry : heard.passOn().entries()) {
+                for (ListedEndpoint entry : heard.passOn().entries()) {
                     if (entry.inService()) {
                         listed.add(entry.id());
                     } else {
@@ -118,16 +124,16 @@
             if (!listed.contains(id)) {
                 return;
             }
-            Result result = Result.values()[random.nextInt(Result.values().length)];
-            long wait = result == Result.FULL ? random.nextLong(20 * SECOND) : 0;
-            Policy.Event event = random.nextInt(4) == 0
-                    ? new Policy.ProbeDone(id, result, wait, SECOND, LimitReport.NONE)
-                    : new Policy.Outcome(1, 0, id, result, false, wait, 2 * SECOND, LimitReport.NONE);
+            AttemptOutcome result = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+            long wait = result == AttemptOutcome.REJECTED ? random.nextLong(20 * SECOND) : 0;
+            PolicyEvent event = random.nextInt(4) == 0
+                    ? new ProbeCompleted(id, result, wait, SECOND, LimitReport.NONE)
+                    : new AttemptCompleted(1, 0, id, result, false, wait, 2 * SECOND, LimitReport.NONE);
             if (wait > 0) {
                 waits++;
                 waitUntil.merge(id, real + wait, Math::max);
             }
-            if (result == Result.OK || result == Result.FULL || result == Result.ERROR) {
+            if (result == AttemptOutcome.OK || result == AttemptOutcome.REJECTED || result == AttemptOutcome.ERROR) {
                 evidenceAt.put(id, real);
             }
             take(book.saw(event, time()));
@@ -138,7 +144,7 @@
                     clocks(),
                     time(),
                     listed.stream()
-                            .map(id -> new Policy.Standing(
+                            .map(id -> new RouteSnapshot(
                                     id, Math.max(0, waitUntil.getOrDefault(id, 0L) - real), 0, 1, 1000, false, 0))
                             .toList());
             book.saving();
@@ -161,11 +167,11 @@
                 doubtful++;
             }
             boolean lost = !notes.isEmpty() && random.nextInt(5) == 0;
-            List<Note> kept = lost ? List.of(Note.inPlaceOf(notes)) : notes;
-            long time = Elapsed.goOn(saved.time(), saved.at(), clocks());
+            List<SnapshotDelta> kept = lost ? List.of(SnapshotDelta.inPlaceOf(notes)) : notes;
+            long time = DowntimeEstimate.goOn(saved.time(), saved.at(), clocks());
             timeError = time - real;
-            book = new Book(RULES, "app#0");
-            Book.Opening opening = book.open(saved, kept, true, null, clocks(), time);
+            book = new EndpointHistory(RULES, "app#0");
+            EndpointHistory.Opening opening = book.open(saved, kept, true, null, clocks(), time);
             listed.clear();
             opening.list().forEach(l -> listed.add(l.id()));
             if (lost) {
@@ -174,31 +180,34 @@
             } else {
                 assertTrue(in.containsAll(listed), "gone, and listed again: " + listed + " of " + in);
             }
-            for (Policy.Remembered one : opening.remembered()) {
+            for (RouteRestored one : opening.remembered()) {
                 check(one, anew, lost);
             }
             save();
         }
 
-        void check(Policy.Remembered one, boolean anew, boolean lost) {
-            String id = one.standing().route();
+        void check(RouteRestored one, boolean anew, boolean lost) {
+            String id = one.snapshot().route();
             long left = waitUntil.getOrDefault(id, 0L) - real;
             // A step of two hundredths of a second and a wait that grows by less than the note's step are not noted.
-            assertTrue(one.standing().waitLeft() + 200_000 >= left, id + " waits " + left + ", not " + one.standing());
+            assertTrue(
+                    one.snapshot().retryAfterRemainingMicros() + 200_000 >= left,
+                    id + " waits " + left + ", not " + one.snapshot());
             // The module keeps to a wait that it was told at the start, also where that is longer than need be.
-            waitUntil.merge(id, real + one.standing().waitLeft(), Math::max);
+            waitUntil.merge(id, real + one.snapshot().retryAfterRemainingMicros(), Math::max);
             long age = real - evidenceAt.get(id);
-            if (one.belief() == Policy.Belief.AS_LISTED) {
+            if (one.trust() == TrustLevel.AS_LISTED) {
                 assertFalse(anew || lost, "as listed, in doubt");
                 assertTrue(age <= RULES.trust().asListedFor(), "as listed at an age of " + age / SECOND + " s");
             }
-            if (!anew && age > Trust.LAST_AFTER * RULES.trust().halfLife()) {
-                assertEquals(Policy.Belief.LAST, one.belief());
+            if (!anew && age > TrustPolicy.LAST_AFTER * RULES.trust().halfLife()) {
+                assertEquals(TrustLevel.LAST_RESORT, one.trust());
             }
         }
 
-        private static Listing listing(int i, Availability availability) {
-            return new Listing(new Policy.Listed("e" + i, i, "k", "b", availability, 0), "127.0.0.1:" + (1000 + i));
+        private static ListedEndpoint listing(int i, Availability availability) {
+            return new ListedEndpoint(
+                    new EndpointEntry("e" + i, i, "k", "b", availability, 0), "127.0.0.1:" + (1000 + i));
         }
     }
 
@@ -210,8 +219,8 @@
             for (int step = 0; step < STEPS; step++) {
                 history.real += history.random.nextLong(2 * SECOND);
                 switch (history.random.nextInt(12)) {
-                    case 0 -> history.list(ListKind.FULL);
-                    case 1, 2 -> history.list(ListKind.CHANGES);
+                    case 0 -> history.list(EndpointListKind.FULL);
+                    case 1, 2 -> history.list(EndpointListKind.DELTA);
                     case 3 -> history.save();
                     case 4 -> history.restart();
                     default -> history.call();
--- a/src/test/java/pipitstage/remembered/BudgetTest.java
+++ b/src/test/java/loftflow/warmstart/WriteBudgetTest.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered;
+package loftflow.warmstart;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /** How much may be written. */
-class BudgetTest {
+class WriteBudgetTest {
     private static final long SECOND = 1_000_000;
     private static final long RATE = 20_480;
 
     @Test
     void noSpanHasMoreThanItsPartHoweverMuchIsWanted() {
         SplittableRandom random = new SplittableRandom(14);
-        Budget budget = new Budget(RATE, Elapsed.UNKNOWN, 0);
+        WriteBudget budget = new WriteBudget(RATE, DowntimeEstimate.UNKNOWN, 0);
         List<long[]> written = new ArrayList<>();
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
@@ -41,7 +41,7 @@
 
     @Test
     void pictureLeavesRoomForNotes() {
-        Budget budget = new Budget(RATE, Elapsed.UNKNOWN, 0);
+        WriteBudget budget = new WriteBudget(RATE, DowntimeEstimate.UNKNOWN, 0);
         assertFalse(budget.takePicture(budget.burst(), 0));
         assertTrue(budget.takePicture(budget.largestPicture(), 0));
         assertTrue(budget.takeNotes(budget.burst() - budget.largestPicture(), 0));
@@ -52,10 +52,10 @@
     @Test
     void tenStartsInTenSecondsWriteNoMoreThanOneProcessWould() {
         long total = 0;
-        long last = -Elapsed.UNKNOWN;
+        long last = -DowntimeEstimate.UNKNOWN;
         for (int start = 0; start < 10; start++) {
             long now = start * SECOND;
-            Budget budget = new Budget(RATE, now - last, now);
+            WriteBudget budget = new WriteBudget(RATE, now - last, now);
             if (budget.takePicture(600_000, now)) {
                 total += 600_000;
                 last = now;
--- a/src/test/java/pipitstage/remembered/store/StoreTest.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotStoreTest.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered.store;
+package loftflow.warmstart.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,32 +14,33 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.warmstart.ClockReading;
+import loftflow.warmstart.KnownEndpoint;
+import loftflow.warmstart.Snapshot;
+import loftflow.warmstart.SnapshotDelta;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
-import pipitstage.remembered.Known;
-import pipitstage.remembered.Moment;
-import pipitstage.remembered.Note;
-import pipitstage.remembered.Picture;
 
 /** Files of what is remembered: a kill at each step, a full disk, torn, foreign and spoilt files. */
-class StoreTest {
+class SnapshotStoreTest {
     @TempDir
     Path folder;
 
     /** A disk that fails, or is cut off by a kill, at one step; a write that fails may have written a part. */
-    private static final class Faulty implements Folder {
-        private final Folder disk;
+    private static final class Faulty implements SnapshotFolder {
+        private final SnapshotFolder disk;
         private final SplittableRandom random;
         int steps;
         int failAt = Integer.MAX_VALUE;
         boolean killed;
         boolean full;
 
-        Faulty(Folder disk, long seed) {
+        Faulty(SnapshotFolder disk, long seed) {
             this.disk = disk;
             random = new SplittableRandom(seed);
         }
@@ -96,54 +97,54 @@
         }
     }
 
-    private static Picture picture(long generation, String owner) {
-        return new Picture(
+    private static Snapshot picture(long generation, String owner) {
+        return new Snapshot(
                 owner,
                 generation,
-                new Moment(7, 8, "boot"),
+                new ClockReading(7, 8, "boot"),
                 9,
                 40 + generation,
                 IntStream.range(0, 3)
-                        .mapToObj(i -> new Known(
-                                new Policy.Listed("e" + i, i, "kind", "a", Availability.LISTED, 2.5),
+                        .mapToObj(i -> new KnownEndpoint(
+                                new EndpointEntry("e" + i, i, "kind", "a", Availability.LISTED, 2.5),
                                 "127.0.0.1:" + (1000 + i),
-                                Known.State.values()[i],
+                                KnownEndpoint.State.values()[i],
                                 1,
                                 2,
                                 3,
                                 4,
-                                i == 0 ? null : new Policy.Standing("e" + i, 5, 6, 7, 8, true, 9)))
+                                i == 0 ? null : new RouteSnapshot("e" + i, 5, 6, 7, 8, true, 9)))
                         .toList());
     }
 
-    private Store store() throws IOException {
-        return Store.at(folder, 10_000, false);
+    private SnapshotStore store() throws IOException {
+        return SnapshotStore.at(folder, 10_000, false);
     }
 
-    private static void save(Store store, long generation) throws IOException {
+    private static void save(SnapshotStore store, long generation) throws IOException {
         store.begin(generation);
-        store.write(generation, Codec.picture(picture(generation, "app#0")));
+        store.write(generation, SnapshotCodec.picture(picture(generation, "app#0")));
         store.end(true);
     }
 
-    private static void note(Store store, String id) throws IOException {
-        store.note(Codec.note(new Note(Note.Kind.GONE, id, 5)));
+    private static void note(SnapshotStore store, String id) throws IOException {
+        store.note(SnapshotCodec.note(new SnapshotDelta(SnapshotDelta.Kind.GONE, id, 5)));
     }
 
-    private static List<String> ids(Store.Found found) {
-        return found.notes().stream().map(Note::id).distinct().toList();
+    private static List<String> ids(SnapshotStore.Found found) {
+        return found.notes().stream().map(SnapshotDelta::id).distinct().toList();
     }
 
     @Test
     void pictureAndNotesComeBackAsTheyWere() throws IOException {
-        Store store = store();
+        SnapshotStore store = store();
         assertNull(store.load("app#0").picture());
         assertTrue(store.isFull(), "there is nothing to note behind");
         save(store, 1);
         note(store, "x");
-        Store.Found found = store().load("app#0");
+        SnapshotStore.Found found = store().load("app#0");
         assertEquals(picture(1, "app#0"), found.picture());
-        assertEquals(List.of(new Note(Note.Kind.GONE, "x", 5)), found.notes());
+        assertEquals(List.of(new SnapshotDelta(SnapshotDelta.Kind.GONE, "x", 5)), found.notes());
         assertTrue(
                 found.whole() && found.complaints().isEmpty(),
                 found.complaints().toString());
@@ -157,9 +158,9 @@
             for (int seed = 0; seed < 20; seed++) {
                 Path here = folder.resolve(step + "-" + seed);
                 Files.createDirectories(here);
-                Faulty disk = new Faulty(Folder.at(here), seed);
+                Faulty disk = new Faulty(SnapshotFolder.at(here), seed);
                 disk.failAt = step;
-                Store store = new Store(disk, 10_000, false);
+                SnapshotStore store = new SnapshotStore(disk, 10_000, false);
                 long stands = 0;
                 int noted = 0;
                 int notedBefore = 0;
@@ -168,7 +169,7 @@
                         store.begin(generation);
                         notedBefore = noted;
                         note(store, "n" + ++noted);
-                        store.write(generation, Codec.picture(picture(generation, "app#0")));
+                        store.write(generation, SnapshotCodec.picture(picture(generation, "app#0")));
                         stands = generation;
                         store.end(true);
                         note(store, "n" + ++noted);
@@ -176,7 +177,7 @@
                 } catch (IOException e) {
                     kills++;
                 }
-                Store.Found found = new Store(Folder.at(here), 10_000, false).load("app#0");
+                SnapshotStore.Found found = new SnapshotStore(SnapshotFolder.at(here), 10_000, false).load("app#0");
                 long generation = found.picture() == null ? 0 : found.picture().generation();
                 assertTrue(generation == stands || generation == stands + 1, "picture " + generation + " of " + stands);
                 int until = disk.killed ? noted - 1 : noted;
@@ -195,8 +196,8 @@
 
     @Test
     void fullDiskLeavesThePictureBefore() throws IOException {
-        Faulty disk = new Faulty(Folder.at(folder), 1);
-        Store store = new Store(disk, 10_000, false);
+        Faulty disk = new Faulty(SnapshotFolder.at(folder), 1);
+        SnapshotStore store = new SnapshotStore(disk, 10_000, false);
         save(store, 1);
         disk.full = true;
         assertThrows(IOException.class, () -> store.begin(2));
@@ -212,72 +213,72 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 7, 8, 12, 16, 40, 100})
     void tornPictureIsSetAsideAndTheOneBeforeServesWithAllNotes(int length) throws IOException {
-        Store store = store();
+        SnapshotStore store = store();
         save(store, 1);
         note(store, "a");
         save(store, 2);
         note(store, "b");
-        Path newest = folder.resolve(Store.picture(2));
+        Path newest = folder.resolve(SnapshotStore.picture(2));
         Files.write(newest, Arrays.copyOf(Files.readAllBytes(newest), length));
-        Store.Found found = store().load("app#0");
+        SnapshotStore.Found found = store().load("app#0");
         assertEquals(1, found.picture().generation());
         assertEquals(List.of("a", "b"), ids(found));
         assertTrue(found.whole());
         assertEquals(1, found.complaints().size());
-        assertTrue(Files.exists(folder.resolve(Store.picture(2) + ".bad")));
+        assertTrue(Files.exists(folder.resolve(SnapshotStore.picture(2) + ".bad")));
     }
 
     @Test
     void anySpoiltByteIsFound() throws IOException {
-        byte[] whole = Codec.picture(picture(1, "app#0"));
+        byte[] whole = SnapshotCodec.picture(picture(1, "app#0"));
         for (int at = 0; at < whole.length; at++) {
             byte[] spoilt = whole.clone();
             spoilt[at] ^= 0x10;
-            assertThrows(Codec.UnreadableException.class, () -> Codec.picture(spoilt), "byte " + at);
+            assertThrows(SnapshotCodec.UnreadableException.class, () -> SnapshotCodec.picture(spoilt), "byte " + at);
         }
-        assertEquals(picture(1, "app#0"), Codec.picture(whole));
+        assertEquals(picture(1, "app#0"), SnapshotCodec.picture(whole));
     }
 
     @Test
     void anotherRelaysFileAndALaterFormatAreToldAndNotUsed() throws IOException {
-        Store store = store();
+        SnapshotStore store = store();
         store.begin(1);
-        store.write(1, Codec.picture(picture(1, "app#3")));
+        store.write(1, SnapshotCodec.picture(picture(1, "app#3")));
         store.end(true);
-        Store.Found foreign = store().load("app#0");
+        SnapshotStore.Found foreign = store().load("app#0");
         assertNull(foreign.picture());
         assertTrue(
                 foreign.complaints().get(0).contains("it is app#3's, and this relay is app#0"),
                 foreign.complaints().toString());
-        byte[] later = Codec.picture(picture(1, "app#0"));
-        later[Codec.HEAD - 1]++;
-        Files.write(folder.resolve(Store.picture(1)), later);
+        byte[] later = SnapshotCodec.picture(picture(1, "app#0"));
+        later[SnapshotCodec.HEAD - 1]++;
+        Files.write(folder.resolve(SnapshotStore.picture(1)), later);
         assertTrue(store().load("app#0").complaints().get(0).contains("its format is 2, and this relay reads 1"));
-        Files.write(folder.resolve(Store.picture(1)), "not a picture at all".getBytes());
+        Files.write(folder.resolve(SnapshotStore.picture(1)), "not a picture at all".getBytes());
         assertTrue(store().load("app#0").complaints().get(0).contains("no file of remembered endpoints"));
     }
 
     @Test
     void missingOrTornNotesAreDoubt() throws IOException {
-        Store store = store();
+        SnapshotStore store = store();
         save(store, 1);
         note(store, "a");
         note(store, "b");
-        Path notes = folder.resolve(Store.notes(1));
+        Path notes = folder.resolve(SnapshotStore.notes(1));
         byte[] all = Files.readAllBytes(notes);
         Files.write(notes, Arrays.copyOf(all, all.length - 1));
-        Store.Found torn = store().load("app#0");
+        SnapshotStore.Found torn = store().load("app#0");
         assertEquals(List.of("a"), ids(torn));
         assertFalse(torn.whole());
         Files.delete(notes);
-        Store.Found none = store().load("app#0");
+        SnapshotStore.Found none = store().load("app#0");
         assertNotNull(none.picture());
         assertFalse(none.whole());
     }
 
     @Test
     void notesFillUpUntilTheNextPicture() throws IOException {
-        Store store = Store.at(folder, 200, false);
+        SnapshotStore store = SnapshotStore.at(folder, 200, false);
         save(store, 1);
         assertFalse(store.isFull());
         for (int i = 0; i < 9; i++) {
--- a/src/test/java/pipitstage/remembered/store/SaverTest.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotWriterTest.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered.store;
+package loftflow.warmstart.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,17 +12,18 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.stream.IntStream;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.warmstart.ClockReading;
+import loftflow.warmstart.KnownEndpoint;
+import loftflow.warmstart.Snapshot;
+import loftflow.warmstart.SnapshotDelta;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
-import pipitstage.remembered.Known;
-import pipitstage.remembered.Moment;
-import pipitstage.remembered.Note;
-import pipitstage.remembered.Picture;
 
 /** What is saved and noted, within its budget, on a disk in memory that counts and can be full. */
-class SaverTest {
+class SnapshotWriterTest {
     private static final long SECOND = 1_000_000;
     private static final long RATE = 20_480;
     private static final long MIB = 1 << 20;
@@ -30,7 +31,7 @@
     private static final long SPAN = 3_600;
 
     /** Files in memory. */
-    private static final class Disk implements Folder {
+    private static final class Disk implements SnapshotFolder {
         final Map<String, byte[]> files = new HashMap<>();
         long written;
         boolean full;
@@ -79,7 +80,7 @@
 
     private final Disk disk = new Disk();
     private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
-    private Saver saver;
+    private SnapshotWriter saver;
     private long generation;
     private int failures;
 
@@ -89,28 +90,31 @@
     }
 
     private void begin(long limit, long rate) {
-        saver = new Saver(new Saver.Options(null, limit, rate, false), new Store(disk, limit / 50, false), loop::add);
+        saver = new SnapshotWriter(
+                new SnapshotWriter.Options(null, limit, rate, false),
+                new SnapshotStore(disk, limit / 50, false),
+                loop::add);
         saver.load("app#0");
-        saver.start(null, new Moment(0, 0, "b"), 0);
+        saver.start(null, new ClockReading(0, 0, "b"), 0);
     }
 
-    private Picture picture(int endpoints, long now) {
-        return new Picture(
+    private Snapshot picture(int endpoints, long now) {
+        return new Snapshot(
                 "app#0",
                 generation + 1,
-                new Moment(now, now, "b"),
+                new ClockReading(now, now, "b"),
                 now,
                 1,
                 IntStream.range(0, endpoints)
-                        .mapToObj(i -> new Known(
-                                new Policy.Listed("elevator-" + i, i, "elevators", "main", Availability.LISTED, 0),
+                        .mapToObj(i -> new KnownEndpoint(
+                                new EndpointEntry("elevator-" + i, i, "elevators", "main", Availability.LISTED, 0),
                                 "127.0.0.1:" + (1 + i % 60_000),
-                                Known.State.LISTED,
+                                KnownEndpoint.State.LISTED,
                                 i,
                                 2 * i,
                                 0,
                                 0,
-                                new Policy.Standing("elevator-" + i, 0, 0, 1, 2, false, 0)))
+                                new RouteSnapshot("elevator-" + i, 0, 0, 1, 2, false, 0)))
                         .toList());
     }
 
@@ -132,29 +136,32 @@
         return begun;
     }
 
-    private Store.Found found() {
-        return new Store(disk, MIB, false).load("app#0");
+    private SnapshotStore.Found found() {
+        return new SnapshotStore(disk, MIB, false).load("app#0");
     }
 
-    private static Note note(Note.Kind kind, int endpoint, long at) {
-        return new Note(kind, "elevator-" + endpoint, at);
+    private static SnapshotDelta note(SnapshotDelta.Kind kind, int endpoint, long at) {
+        return new SnapshotDelta(kind, "elevator-" + endpoint, at);
     }
 
     @Test
     void noteFollowsThePictureThatStandsAndTheOneThatIsOnItsWay() throws InterruptedException {
         begin(2 * MIB, RATE);
-        saver.note(List.of(note(Note.Kind.GONE, 9, 0)), 0);
+        saver.note(List.of(note(SnapshotDelta.Kind.GONE, 9, 0)), 0);
         assertEquals(0, disk.written, "nothing is remembered that a note could follow");
         assertTrue(save(3, 0));
-        saver.note(List.of(note(Note.Kind.GONE, 1, 1)), 1);
+        saver.note(List.of(note(SnapshotDelta.Kind.GONE, 1, 1)), 1);
         assertTrue(begun(3, SECOND));
         assertFalse(saver.isFree(SECOND), "one picture at a time");
-        saver.note(List.of(note(Note.Kind.WAIT, 2, 5)), SECOND);
+        saver.note(List.of(note(SnapshotDelta.Kind.WAIT, 2, 5)), SECOND);
         loop.take().run();
-        assertEquals(List.of(note(Note.Kind.WAIT, 2, 5)), found().notes());
-        disk.files.remove(Store.picture(2));
+        assertEquals(List.of(note(SnapshotDelta.Kind.WAIT, 2, 5)), found().notes());
+        disk.files.remove(SnapshotStore.picture(2));
         assertEquals(
-                List.of(note(Note.Kind.GONE, 1, 1), note(Note.Kind.WAIT, 2, 5), note(Note.Kind.WAIT, 2, 5)),
+                List.of(
+                        note(SnapshotDelta.Kind.GONE, 1, 1),
+                        note(SnapshotDelta.Kind.WAIT, 2, 5),
+                        note(SnapshotDelta.Kind.WAIT, 2, 5)),
                 found().notes(),
                 "the picture before has them all");
     }
@@ -165,14 +172,14 @@
         begin(MIB, 1_024);
         assertTrue(save(2, 0));
         for (int i = 0; i < 3_000; i++) {
-            saver.note(List.of(note(Note.Kind.GONE, i, 7)), SECOND);
+            saver.note(List.of(note(SnapshotDelta.Kind.GONE, i, 7)), SECOND);
         }
         assertTrue(saver.wantsPicture());
         disk.moves = false;
         assertTrue(save(2, 300 * SECOND));
         assertEquals(1, failures);
         assertTrue(saver.wantsPicture(), "what was lost since the picture that stands still is");
-        assertTrue(found().notes().stream().anyMatch(n -> n.kind() == Note.Kind.LOST));
+        assertTrue(found().notes().stream().anyMatch(n -> n.kind() == SnapshotDelta.Kind.LOST));
         assertEquals(1, found().picture().generation());
         disk.moves = true;
         assertTrue(save(2, 400 * SECOND));
@@ -190,14 +197,16 @@
             long now = second * SECOND;
             saver.look(now);
             save(5_000, now);
-            List<Note> notes = new ArrayList<>();
+            List<SnapshotDelta> notes = new ArrayList<>();
             for (int i = 0; i < 600; i++) {
-                notes.add(note(Note.Kind.GONE, (int) (second * 600 + i) % 5_000, now));
+                notes.add(note(SnapshotDelta.Kind.GONE, (int) (second * 600 + i) % 5_000, now));
             }
-            for (Note each : notes) {
+            for (SnapshotDelta each : notes) {
                 saver.note(List.of(each), now);
             }
-            lost += second % 60 > 0 ? 0 : found().notes().stream().anyMatch(n -> n.kind() == Note.Kind.LOST) ? 1 : 0;
+            lost += second % 60 > 0
+                    ? 0
+                    : found().notes().stream().anyMatch(n -> n.kind() == SnapshotDelta.Kind.LOST) ? 1 : 0;
             most = Math.max(most, disk.size());
         }
         // Besides the rate a minute's worth at the start, a head for each picture's notes and one note of loss a
@@ -216,9 +225,9 @@
         begin(MIB, 1_024);
         assertTrue(save(2, 0));
         for (int i = 0; i < 5_000; i++) {
-            saver.note(List.of(note(Note.Kind.WAIT, i, 7 + i)), SECOND);
+            saver.note(List.of(note(SnapshotDelta.Kind.WAIT, i, 7 + i)), SECOND);
         }
-        Store.Found found = found();
+        SnapshotStore.Found found = found();
         for (int i = 2; i < 100; i++) {
             saver.look(i * SECOND);
         }
@@ -227,12 +236,12 @@
             saver.look(i * SECOND);
         }
         assertEquals(grown, disk.written, "what is noted is noted once");
-        Note last = found.notes().get(found.notes().size() - 1);
-        assertEquals(Note.Kind.LOST, last.kind());
+        SnapshotDelta last = found.notes().get(found.notes().size() - 1);
+        assertEquals(SnapshotDelta.Kind.LOST, last.kind());
         assertTrue(saver.wantsPicture());
         found = found();
         assertEquals(
-                new Note(Note.Kind.LOST, "", 7 + 4_999),
+                new SnapshotDelta(SnapshotDelta.Kind.LOST, "", 7 + 4_999),
                 found.notes().get(found.notes().size() - 1),
                 "the longest wait of all that could not be noted");
         assertTrue(save(2, 300 * SECOND));
@@ -244,8 +253,8 @@
     void pictureThatIsTooLargeGoesWithoutWhatWasHeardOfLongestAgo() throws InterruptedException {
         begin(MIB, RATE);
         assertTrue(save(9_000, 0));
-        Picture kept = found().picture();
-        assertTrue(disk.files.get(Store.picture(1)).length <= 0.3 * MIB);
+        Snapshot kept = found().picture();
+        assertTrue(disk.files.get(SnapshotStore.picture(1)).length <= 0.3 * MIB);
         assertTrue(kept.endpoints().size() > 1_500, "kept: " + kept.endpoints().size());
         assertTrue(kept.endpoints().stream()
                 .allMatch(k ->
--- a/src/test/java/pipitstage/remembered/store/Cost.java
+++ b/src/test/java/loftflow/warmstart/store/StoreBenchmark.java
@@ -1,4 +1,4 @@
-package pipitstage.remembered.store;
+package loftflow.warmstart.store;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,28 +9,29 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
-import pipitstage.Policy;
-import pipitstage.Policy.Availability;
-import pipitstage.config.tool.Tool;
-import pipitstage.remembered.Known;
-import pipitstage.remembered.Moment;
-import pipitstage.remembered.Picture;
-import pipitstage.standin.Scratch;
-import pipitstage.standin.ServedRelay;
-import pipitstage.standin.StandInClient;
+import loftflow.config.tool.ConfigTool;
+import loftflow.fake.FakeClient;
+import loftflow.fake.ServedRelay;
+import loftflow.fake.TemporaryFolder;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.RouteSnapshot;
+import loftflow.warmstart.ClockReading;
+import loftflow.warmstart.KnownEndpoint;
+import loftflow.warmstart.Snapshot;
 
 /**
  * What remembering costs, as a command: start-up and memory of a relay that remembers so many endpoints beside one that
  * remembers none and beside one with no memory at all, in turns; size of a picture and the time to write and read it.
  */
-public final class Cost {
+public final class StoreBenchmark {
     private static final int TURNS = 9;
 
-    private Cost() {}
+    private StoreBenchmark() {}
 
     /** Prints the figures for the numbers of endpoints that are given. */
     public static void main(String[] args) throws Exception {
-        try (Scratch scratch = Scratch.named("cost")) {
+        try (TemporaryFolder scratch = TemporaryFolder.named("cost")) {
             Path folder = scratch.folder();
             codec(5_000);
             List<String> kinds = List.of("off", "0", "500", "5000");
@@ -62,38 +63,38 @@
         return values.get(values.size() / 2);
     }
 
-    private static Picture picture(int endpoints) {
-        Moment now = Clocks.now();
-        return new Picture(
+    private static Snapshot picture(int endpoints) {
+        ClockReading now = SystemClocks.now();
+        return new Snapshot(
                 "app#0",
                 1,
                 now,
                 now.wall(),
                 1,
                 IntStream.range(0, endpoints)
-                        .mapToObj(i -> new Known(
-                                new Policy.Listed("elevator-" + i, i, "elevators", "main", Availability.LISTED, 0),
+                        .mapToObj(i -> new KnownEndpoint(
+                                new EndpointEntry("elevator-" + i, i, "elevators", "main", Availability.LISTED, 0),
                                 "127.0.0.1:" + (1 + i % 60_000),
-                                Known.State.LISTED,
+                                KnownEndpoint.State.LISTED,
                                 now.wall(),
                                 now.wall(),
                                 0,
                                 0,
-                                new Policy.Standing("elevator-" + i, 0, 5, 1, 20_000, false, 0)))
+                                new RouteSnapshot("elevator-" + i, 0, 5, 1, 20_000, false, 0)))
                         .toList());
     }
 
     private static void codec(int endpoints) throws IOException {
-        Picture picture = picture(endpoints);
-        byte[] bytes = Codec.picture(picture);
+        Snapshot picture = picture(endpoints);
+        byte[] bytes = SnapshotCodec.picture(picture);
         long start = System.nanoTime();
         for (int i = 0; i < 200; i++) {
-            bytes = Codec.picture(picture);
+            bytes = SnapshotCodec.picture(picture);
         }
         long wrote = System.nanoTime() - start;
         start = System.nanoTime();
         for (int i = 0; i < 200; i++) {
-            Codec.picture(bytes);
+            SnapshotCodec.picture(bytes);
         }
         long read = System.nanoTime() - start;
         System.out.println(String.format(
@@ -133,14 +134,14 @@
                 limit = "4MiB"
                 """
                         .formatted(state, !kind.equals("off")));
-        Tool.Outcome outcome = Tool.write(file, folder, true);
+        ConfigTool.Outcome outcome = ConfigTool.write(file, folder, true);
         if (!kind.equals("off") && !kind.equals("0")) {
-            Pictures.write(state, picture(Integer.parseInt(kind)));
+            SnapshotSamples.write(state, picture(Integer.parseInt(kind)));
         }
         long began = System.nanoTime();
         try (ServedRelay relay = ServedRelay.start(outcome.file(), folder.resolve("log"), "-Xmx72m", "-Xss512k")) {
             relay.awaitServing();
-            try (StandInClient client = relay.client()) {
+            try (FakeClient client = relay.client()) {
                 boolean ready = client.isReady();
                 starts.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began));
                 if (ready == (kind.equals("off") || kind.equals("0"))) {
