--- a/src/main/java/loftflow/admin/DeadLetterCommands.java
+++ b/src/main/java/loftflow/admin/DeadLetterCommands.java
@@ -187,8 +187,8 @@
                 long due = cancels ? DeadLetter.NEVER_DUE : clock.micros();
                 done = ask(s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.KEPT, due));
             }
-            out.accept(JsonLines.object(
-                    Map.of("id", entry.id(), "ref", entry.content().callId(), "verdict", word(verdict), "done", done)));
+            out.accept(JsonLines.object(Map.of(
+                    "id", entry.id(), "ref", entry.content().messageId(), "verdict", word(verdict), "done", done)));
         });
     }
 
--- a/src/main/java/loftflow/admin/JsonLines.java
+++ b/src/main/java/loftflow/admin/JsonLines.java
@@ -49,13 +49,13 @@
     public static String entry(DeadLetter entry, boolean body, String verdict, List<String> audits) {
         return line(json -> {
             json.writeNumberField("id", entry.id());
-            json.writeStringField("ref", entry.content().callId());
+            json.writeStringField("ref", entry.content().messageId());
             json.writeStringField("class", entry.content().requestClass());
             json.writeStringField("tenant", entry.content().tenant());
             json.writeStringField("key", entry.content().key());
             json.writeNumberField("destination", entry.content().destination());
             json.writeStringField("kept", time(entry.keptAt()));
-            json.writeStringField("deadline", time(entry.content().deadline()));
+            json.writeStringField("deadline", time(entry.content().deadlineMicros()));
             json.writeStringField("state", entry.state().name().toLowerCase(java.util.Locale.ROOT));
             json.writeStringField("ran", entry.ran().name().toLowerCase(java.util.Locale.ROOT));
             json.writeStringField("why", entry.why());
--- a/src/main/java/loftflow/completion/CompletionLog.java
+++ b/src/main/java/loftflow/completion/CompletionLog.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void send(Message message) {
+    public void notifyCompletion(Message message) {
         waiting.add(message);
         try {
             while (!waiting.isEmpty()) {
@@ -69,12 +69,12 @@
         StringWriter text = new StringWriter();
         try (JsonGenerator out = json.createGenerator(text)) {
             out.writeStartObject();
-            out.writeStringField("ref", message.content().callId());
+            out.writeStringField("ref", message.content().messageId());
             out.writeStringField("class", message.content().requestClass());
             out.writeNumberField("dest", message.content().destination());
-            out.writeStringField("result", message.end().word());
-            if (message.end().refused() && message.end().retryIn() > 0) {
-                out.writeNumberField("wait_ms", message.end().retryIn() / 1000);
+            out.writeStringField("result", message.completion().word());
+            if (message.completion().isRejected() && message.completion().retryAfterMicros() > 0) {
+                out.writeNumberField("wait_ms", message.completion().retryAfterMicros() / 1000);
             }
             out.writeNumberField("attempts", message.attempts().size());
             out.writeEndObject();
--- a/src/main/java/loftflow/completion/HttpCompletionNotifier.java
+++ b/src/main/java/loftflow/completion/HttpCompletionNotifier.java
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void send(Message message) {
+    public void notifyCompletion(Message message) {
         waiting.add(message);
         if (!out) {
             out = true;
@@ -101,7 +101,7 @@
             if (!read) {
                 // Guards against asking for ever, which would block the others.
                 Log.line("notices: the platform can't read the end of "
-                        + batch.get(0).content().callId() + ", it is set apart");
+                        + batch.get(0).content().messageId() + ", it is set apart");
             }
             most = read ? Math.min(MOST_IN_ONE, 2 * most) : most;
             batch.forEach(message -> waiting.poll());
@@ -121,7 +121,7 @@
         try {
             heard.accept(message);
         } catch (RuntimeException e) {
-            Log.line("notices: the end of " + message.content().callId() + " can't be carried out: " + e);
+            Log.line("notices: the end of " + message.content().messageId() + " can't be carried out: " + e);
         }
     }
 
@@ -129,10 +129,10 @@
         StringWriter text = new StringWriter();
         try (JsonGenerator json = factory.createGenerator(text)) {
             json.writeStartObject();
-            json.writeStringField("ref", message.content().callId());
-            json.writeStringField("result", message.end().word());
-            if (message.end().refused() && message.end().retryIn() > 0) {
-                json.writeNumberField("wait_ms", message.end().retryIn() / 1000);
+            json.writeStringField("ref", message.content().messageId());
+            json.writeStringField("result", message.completion().word());
+            if (message.completion().isRejected() && message.completion().retryAfterMicros() > 0) {
+                json.writeNumberField("wait_ms", message.completion().retryAfterMicros() / 1000);
             }
             json.writeEndObject();
         } catch (IOException e) {
--- a/src/main/java/loftflow/deadletter/DeadLetterService.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterService.java
@@ -128,10 +128,10 @@
     }
 
     @Override
-    public void resumed(Message message) {
-        message.attempts().forEach(a -> newestJournaled = Math.max(newestJournaled, a.sentAt()));
-        if (message.entry() != 0) {
-            sending.put(message.entry(), message);
+    public void onMessageResumed(Message message) {
+        message.attempts().forEach(a -> newestJournaled = Math.max(newestJournaled, a.sentAtMicros()));
+        if (message.deadLetterId() != 0) {
+            sending.put(message.deadLetterId(), message);
             lane(message.content().destination()).out++;
         }
     }
@@ -139,23 +139,23 @@
     // ---- what ends
 
     @Override
-    public boolean takes(Message message) {
+    public boolean accepts(Message message) {
         boolean takes = !full || options.refuseWhenFull();
         if (!takes) {
             lost++;
-            Log.line("undeliverable: the store is full, " + message.content().callId() + " is lost, the " + lost
+            Log.line("undeliverable: the store is full, " + message.content().messageId() + " is lost, the " + lost
                     + ". one");
         }
         return takes;
     }
 
     @Override
-    public boolean refuses(Message.Content content) {
+    public boolean rejects(Message.Content content) {
         return full && options.refuseWhenFull() && failing.contains(content.requestClass());
     }
 
     @Override
-    public void keep(Message message) {
+    public void store(Message message) {
         DeadLetter entry = entry(message);
         failing.add(message.content().requestClass());
         insist(
@@ -165,7 +165,7 @@
                 },
                 size -> {
                     measured(size);
-                    engine.kept(message);
+                    engine.onDeadLetterStored(message);
                 });
     }
 
@@ -202,20 +202,23 @@
 
     private DeadLetter.Try toTry(Message.Attempt attempt) {
         return new DeadLetter.Try(
-                attempt.route(), buildings.getOrDefault(attempt.route(), ""), attempt.sentAt(), attempt.result());
+                attempt.route(),
+                buildings.getOrDefault(attempt.route(), ""),
+                attempt.sentAtMicros(),
+                attempt.outcome());
     }
 
     @Override
-    public void learnt(Message.Attempt attempt) {
+    public void onOutcomeLearned(Message.Attempt attempt) {
         Message message = attempt.message();
         DeadLetter.Try more = toTry(attempt);
         insist(
                 s -> {
-                    long id = message.entry() != 0
-                            ? message.entry()
+                    long id = message.deadLetterId() != 0
+                            ? message.deadLetterId()
                             : s.find(
-                                            message.content().callId(),
-                                            message.content().deadline())
+                                            message.content().messageId(),
+                                            message.content().deadlineMicros())
                                     .orElse(0);
                     if (id != 0) {
                         s.learn(id, more);
@@ -226,7 +229,7 @@
                     Message again = sending.get(id);
                     // Guards against a second posting of what has just been proven to be posted.
                     if (again != null && again != message && more.ran() == ExecutionCertainty.DID) {
-                        engine.recall(again);
+                        engine.cancelRedrive(again);
                     }
                 });
     }
@@ -235,7 +238,7 @@
 
     private void look() {
         // Where nothing is due the store is looked at ever less often.
-        timers.after(LOOK << Math.min(MOST_IDLE_DOUBLINGS, idleLooks), this::look);
+        timers.schedule(LOOK << Math.min(MOST_IDLE_DOUBLINGS, idleLooks), this::look);
         while (!again.isEmpty()) {
             Runnable first = again.poll();
             int before = again.size();
@@ -330,10 +333,10 @@
         Message message = null;
         if (verdict instanceof RedrivePolicy.Now now) {
             Message.Content c = entry.content();
-            message = engine.resend(
+            message = engine.redrive(
                     entry.id(),
                     new Message.Content(
-                            c.callId(),
+                            c.messageId(),
                             c.requestClass(),
                             c.tenant(),
                             c.key(),
@@ -341,7 +344,7 @@
                             c.destination(),
                             c.body(),
                             null,
-                            c.line()),
+                            c.orderingKey()),
                     now.past());
         }
         if (message != null) {
@@ -362,8 +365,8 @@
     }
 
     @Override
-    public void resent(Message message) {
-        long id = message.entry();
+    public void onRedriveEnded(Message message) {
+        long id = message.deadLetterId();
         // The attempts that it began with are the entry's already.
         List<DeadLetter.Try> known = tries(message, 0);
         long now = clock.micros();
@@ -389,7 +392,7 @@
                     if (sending.remove(id) != null) {
                         lane(message.content().destination()).out--;
                     }
-                    engine.kept(message);
+                    engine.onDeadLetterStored(message);
                 });
     }
 
@@ -443,9 +446,9 @@
     }
 
     @Override
-    public void list(EndpointListKind kind, long version, List<Endpoint> targets) {
+    public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> targets) {
         for (Endpoint target : targets) {
-            EndpointEntry listed = target.listed();
+            EndpointEntry listed = target.entry();
             if (listed.availability() == Availability.REMOVED) {
                 buildings.remove(listed.route());
             } else {
--- a/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
@@ -264,12 +264,12 @@
                     "INSERT INTO entry (call_id, class, tenant, key, destination, deadline, body, kept_at, why,"
                             + " told, state, ran, due, line) VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
                             + " ON CONFLICT (call_id, deadline) DO NOTHING",
-                    c.callId(),
+                    c.messageId(),
                     c.requestClass(),
                     c.tenant(),
                     c.key(),
                     c.destination(),
-                    c.deadline(),
+                    c.deadlineMicros(),
                     c.body(),
                     entry.keptAt(),
                     entry.why(),
@@ -277,8 +277,8 @@
                     entry.state().name(),
                     entry.ran().name(),
                     entry.due(),
-                    c.line());
-            long id = findNow(c.callId(), c.deadline()).orElseThrow();
+                    c.orderingKey());
+            long id = findNow(c.messageId(), c.deadlineMicros()).orElseThrow();
             // Guards against a second copy of its attempts, where a kill came before the journal forgot the message.
             if (made == 1) {
                 add(id, 0, entry.tries());
--- a/src/main/java/loftflow/discovery/EndpointListCodec.java
+++ b/src/main/java/loftflow/discovery/EndpointListCodec.java
@@ -48,7 +48,7 @@
             place++;
             try {
                 Endpoint target = read(JsonFields.ofObject("targets", json));
-                named.add(target.listed().route());
+                named.add(target.entry().route());
                 targets.add(target);
             } catch (MalformedInputException | IllegalArgumentException | ArithmeticException e) {
                 sound = false;
@@ -58,21 +58,21 @@
                 Endpoint before = uid == null ? null : known.get(uid);
                 nameless |= before == null;
                 if (before != null) {
-                    named.add(before.listed().route());
+                    named.add(before.entry().route());
                     targets.add(stillAs(before, (Map<?, ?>) json));
                 }
             }
         }
         if (whole && nameless) {
             known.values().stream()
-                    .filter(t -> !named.contains(t.listed().route()))
+                    .filter(t -> !named.contains(t.entry().route()))
                     .forEach(targets::add);
         }
         return new Reading(targets, sound);
     }
 
     private static Endpoint stillAs(Endpoint before, Map<?, ?> entry) {
-        EndpointEntry l = before.listed();
+        EndpointEntry l = before.entry();
         Availability now =
                 switch (String.valueOf(entry.get("state"))) {
                     case "terminating" -> Availability.DRAINING;
--- a/src/main/java/loftflow/discovery/EndpointWatcher.java
+++ b/src/main/java/loftflow/discovery/EndpointWatcher.java
@@ -158,7 +158,7 @@
             expectNews();
             keep(whole, read);
             if (whole || !read.targets().isEmpty()) {
-                listener.list(whole ? EndpointListKind.FULL : EndpointListKind.DELTA, rev, read.targets());
+                listener.onEndpointList(whole ? EndpointListKind.FULL : EndpointListKind.DELTA, rev, read.targets());
             }
             if (whole) {
                 wholeDue = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CHECK_MS);
@@ -181,8 +181,8 @@
         if (whole) {
             known.clear();
         }
-        read.targets().forEach(target -> known.put(target.listed().route(), target));
-        known.values().removeIf(t -> t.listed().availability() == Availability.REMOVED);
+        read.targets().forEach(target -> known.put(target.entry().route(), target));
+        known.values().removeIf(t -> t.entry().availability() == Availability.REMOVED);
     }
 
     private void askWhatIsOpen() {
--- a/src/main/java/loftflow/engine/CompletionNotifier.java
+++ b/src/main/java/loftflow/engine/CompletionNotifier.java
@@ -5,6 +5,6 @@
  * Each is told until it has been heard.
  */
 public interface CompletionNotifier {
-    /** Tells how a message ended; {@link DeliveryEngine#noticeHeard} is called once that is known to have been heard. */
-    void send(Message message);
+    /** Tells how a message ended; {@link DeliveryEngine#onCompletionAcknowledged} is called once that is known to have been heard. */
+    void notifyCompletion(Message message);
 }
--- a/src/main/java/loftflow/engine/DeliveryEngine.java
+++ b/src/main/java/loftflow/engine/DeliveryEngine.java
@@ -61,13 +61,13 @@
     private DeadLetterSink keeper = DeadLetterSink.NONE;
     private Consumer<PolicyEvent> observer = event -> {};
     private Consumer<String> staff = Log::line;
-    private boolean spansUnknown;
+    private boolean treatKeyWindowsAsExpired;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
     private final Set<Integer> destinations = new HashSet<>();
     private final Map<Long, Message> messages = new LinkedHashMap<>();
     private final Map<String, Message> byCallId = new HashMap<>();
-    private final Map<String, List<UpstreamClient.Outgoing>> outgoing = new LinkedHashMap<>();
+    private final Map<String, List<UpstreamClient.OutboundAttempt>> outgoing = new LinkedHashMap<>();
     private List<PolicyEvent> events = new ArrayList<>();
     private List<Message> arrivals = new ArrayList<>();
     private long nextNumber;
@@ -99,7 +99,7 @@
         policy = module.apply(settings);
         settings.classes().forEach(type -> classes.put(type.name(), type));
         settings.tenants().forEach(tenant -> tenants.add(tenant.name()));
-        nextNumber = journal.nextNumber();
+        nextNumber = journal.nextSequenceNumber();
     }
 
     /** Sets what calls partners and what tells ends; once, before {@link #start}. */
@@ -109,32 +109,32 @@
     }
 
     /** Sets what keeps messages that can't be delivered; once, before {@link #start}. */
-    public void keepBy(DeadLetterSink keeps) {
+    public void setDeadLetterSink(DeadLetterSink keeps) {
         keeper = keeps;
     }
 
     /** Sets who is shown every event that the module is told; once, before {@link #start}. */
-    public void observeBy(Consumer<PolicyEvent> sees) {
+    public void setEventObserver(Consumer<PolicyEvent> sees) {
         observer = sees;
     }
 
     /** Sets who reads lines for staff, in place of the log; once, before {@link #start}. */
-    public void logTo(Consumer<String> reads) {
+    public void setLogger(Consumer<String> reads) {
         staff = reads;
     }
 
     /** Since the clocks don't tell how long ago an earlier process ended, no key window of its attempts is open. */
-    public void spansUnknown() {
-        spansUnknown = true;
+    public void treatKeyWindowsAsExpired() {
+        treatKeyWindowsAsExpired = true;
     }
 
     /** Tells the module what is known of routes from before a restart; with a list that names them. */
-    public void remembered(List<RouteRestored> routes) {
+    public void restoreRoutes(List<RouteRestored> routes) {
         routes.forEach(this::add);
     }
 
     /** What is worth remembering of each listed route over a restart. */
-    public List<RouteSnapshot> standings() {
+    public List<RouteSnapshot> routeSnapshots() {
         return policy.routeSnapshots(clock.micros());
     }
 
@@ -146,23 +146,23 @@
     /** As above, with what is remembered of the list's routes: the module learns it before anything goes to them. */
     public void start(EndpointListKind kind, long knownVersion, List<Endpoint> known, List<RouteRestored> routes) {
         if (!known.isEmpty()) {
-            list(kind, knownVersion, known);
-            remembered(routes);
+            onEndpointList(kind, knownVersion, known);
+            restoreRoutes(routes);
         }
-        List<Message> open = journal.open();
+        List<Message> open = journal.openMessages();
         if (!open.isEmpty()) {
             long untried = open.stream()
-                    .filter(m -> m.end == null && m.attempts.isEmpty())
+                    .filter(m -> m.completion == null && m.attempts.isEmpty())
                     .count();
             staff.accept("resumed " + open.size() + " messages, " + untried + " of them untried");
         }
         for (Message message : open) {
             remember(message);
             message.resumed = true;
-            keeper.resumed(message);
-            if (message.entry() != 0 && (message.end != null || message.isDelivered())) {
-                keeper.resent(message);
-            } else if (message.end != null) {
+            keeper.onMessageResumed(message);
+            if (message.deadLetterId() != 0 && (message.completion != null || message.isDelivered())) {
+                keeper.onRedriveEnded(message);
+            } else if (message.completion != null) {
                 if (isInOrder(message)) {
                     add(new CompletionPending(acceptance(message)));
                 }
@@ -177,7 +177,8 @@
                 add(new MessageResumed(
                         acceptance(message),
                         message.attempts.stream()
-                                .map(a -> new PastAttempt(a.route, spansUnknown ? 0 : a.sentAt, a.result))
+                                .map(a -> new PastAttempt(
+                                        a.route, treatKeyWindowsAsExpired ? 0 : a.sentAtMicros, a.outcome))
                                 .toList()));
             }
         }
@@ -188,14 +189,15 @@
      * resumed with it would be lost to its round. It is refused where surely no attempt of it ran.
      */
     private void endUnknown(Message message) {
-        staff.accept("message " + message.content.callId() + " is of class " + message.content.requestClass()
+        staff.accept("message " + message.content.messageId() + " is of class " + message.content.requestClass()
                 + ", which the settings do not name any more");
-        boolean neverRan = message.attempts.stream().allMatch(a -> a.result != null && a.result.isProvenNotExecuted());
-        end(message.number, new Message.End(neverRan, 0));
+        boolean neverRan =
+                message.attempts.stream().allMatch(a -> a.outcome != null && a.outcome.isProvenNotExecuted());
+        end(message.number, new Message.Completion(neverRan, 0));
     }
 
     /** Lets nothing go by the list of the start until discovery tells its own, for so many microseconds; after the start. */
-    public void awaitList(long micros) {
+    public void holdUntilEndpointList(long micros) {
         add(new EndpointListPending(micros));
     }
 
@@ -213,41 +215,41 @@
      * Begins nothing new from now on: an attempt that the end of the process cuts off may have run, so a
      * message that may take effect only once would be lost by it. What is held waits in the journal.
      */
-    public void freeze() {
+    public void quiesce() {
         frozen = true;
     }
 
-    public boolean isFrozen() {
+    public boolean isQuiescing() {
         return frozen;
     }
 
     /** True where no attempt is out and no client waits for an answer. */
-    public boolean isQuiet() {
+    public boolean hasNothingInFlight() {
         return attemptsOut == 0 && arrivals.isEmpty();
     }
 
     @Override
-    public boolean knows(Message.Content content) {
+    public boolean recognizes(Message.Content content) {
         RequestClass type = classes.get(content.requestClass());
         return type != null
                 && (type.idempotency() != Idempotency.IDEMPOTENT_BY_KEY || content.key() != null)
                 && (tenants.isEmpty() || tenants.contains(content.tenant()))
-                && reaches(content.destination());
+                && hasDestination(content.destination());
     }
 
     @Override
-    public boolean reaches(int destination) {
+    public boolean hasDestination(int destination) {
         return destinations.contains(destination) || !listTold;
     }
 
     @Override
-    public Message takeOn(Message.Content content, long unreadSince, Message.ClientReply client) {
-        Message same = byCallId.get(content.callId());
+    public Message accept(Message.Content content, long unreadSince, Message.ClientReply client) {
+        Message same = byCallId.get(content.messageId());
         if (same != null) {
             // Guards against a client that sends a request once more since its connection closed on it. One
             // whose own client may yet withdraw it, or that is over, is not taken on.
-            if (same.client == null && same.end == null && !same.over) {
-                client.taken();
+            if (same.client == null && same.completion == null && !same.over) {
+                client.accepted();
             } else {
                 client.failed();
             }
@@ -264,10 +266,10 @@
                 || frozen
                 || behind
                 || !reachable
-                || keeper.refuses(content)
+                || keeper.rejects(content)
                 || held >= settings.limits().maxOpenMessages()
-                || !journal.accept(message)) {
-            client.refused(COME_BACK);
+                || !journal.recordAccepted(message)) {
+            client.rejected(COME_BACK);
             return null;
         }
         nextNumber++;
@@ -288,18 +290,18 @@
      * @param past attempts, in order, that may have run
      * @return the message, or null where it can't be taken on just now; nothing has happened then
      */
-    public Message resend(long entry, Message.Content content, List<PastAttempt> past) {
+    public Message redrive(long entry, Message.Content content, List<PastAttempt> past) {
         boolean busy = held > settings.limits().maxOpenMessages() * RESEND_SHARE;
         if (!ready
                 || frozen
                 || busy
-                || byCallId.containsKey(content.callId())
+                || byCallId.containsKey(content.messageId())
                 || !destinations.contains(content.destination())) {
             return null;
         }
         Message message = new Message(nextNumber, content, entry);
-        past.forEach(p -> message.addAttempt(p.route(), p.sentAtMicros()).result = p.outcome());
-        if (!journal.accept(message)) {
+        past.forEach(p -> message.addAttempt(p.route(), p.sentAtMicros()).outcome = p.outcome());
+        if (!journal.recordAccepted(message)) {
             return null;
         }
         nextNumber++;
@@ -311,21 +313,21 @@
     }
 
     /** Stops sending a message again, since an earlier attempt has turned out to have taken effect. */
-    public void recall(Message message) {
-        if (message.end == null && !message.over) {
+    public void cancelRedrive(Message message) {
+        if (message.completion == null && !message.over) {
             add(new MessageWithdrawn(message.number));
             endResend(message);
         }
     }
 
     /** A message that the keeper was given, or that was sent again, outlasts the process there. */
-    public void kept(Message message) {
+    public void onDeadLetterStored(Message message) {
         heard(message);
     }
 
     private void remember(Message message) {
         messages.put(message.number, message);
-        byCallId.put(message.content.callId(), message);
+        byCallId.put(message.content.messageId(), message);
     }
 
     private static MessageAccepted acceptance(Message message) {
@@ -334,36 +336,36 @@
                 message.number,
                 content.requestClass(),
                 content.tenant(),
-                content.line() != null ? content.line() : content.key(),
-                content.deadline(),
+                content.orderingKey() != null ? content.orderingKey() : content.key(),
+                content.deadlineMicros(),
                 content.destination());
     }
 
     @Override
     public void withdraw(Message message) {
         message.client = null;
-        if (messages.containsKey(message.number) && message.end == null && !message.over) {
+        if (messages.containsKey(message.number) && message.completion == null && !message.over) {
             add(new MessageWithdrawn(message.number));
             close(message);
         }
     }
 
     @Override
-    public void left(Message message) {
+    public void clientDisconnected(Message message) {
         message.client = null;
     }
 
     @Override
-    public double fullness() {
+    public double utilization() {
         return (double) held / settings.limits().maxOpenMessages();
     }
 
     /** Guards against a message that an error in a round has left behind. */
     private void watchEnd(Message message) {
-        long delay = message.content.deadline() + LATEST_END - clock.micros();
-        message.endWatch = timers.after(Math.max(LATEST_END, delay), () -> {
-            staff.accept("message " + message.content.callId() + " is overdue");
-            end(message.number, new Message.End(false, 0));
+        long delay = message.content.deadlineMicros() + LATEST_END - clock.micros();
+        message.endWatch = timers.schedule(Math.max(LATEST_END, delay), () -> {
+            staff.accept("message " + message.content.messageId() + " is overdue");
+            end(message.number, new Message.Completion(false, 0));
         });
     }
 
@@ -373,7 +375,7 @@
         if (!roundDue) {
             roundDue = true;
             // Guards, by a whole period, against answering a client whose leaving has come but is not read yet.
-            timers.after(period, this::round);
+            timers.schedule(period, this::round);
         }
     }
 
@@ -397,21 +399,21 @@
             if (message.client != null) {
                 Message.ClientReply client = message.client;
                 message.client = null;
-                client.taken();
+                client.accepted();
             }
         }
         sendAll();
     }
 
     private void sendAll() {
-        Map<String, List<UpstreamClient.Outgoing>> batches = new LinkedHashMap<>(outgoing);
+        Map<String, List<UpstreamClient.OutboundAttempt>> batches = new LinkedHashMap<>(outgoing);
         outgoing.clear();
         batches.forEach((route, calls) -> {
             // Guards against a call for a message whose client has not heard: its 202 could not be written just now.
-            List<UpstreamClient.Outgoing> owed = new ArrayList<>(calls.size());
-            for (UpstreamClient.Outgoing one : calls) {
+            List<UpstreamClient.OutboundAttempt> owed = new ArrayList<>(calls.size());
+            for (UpstreamClient.OutboundAttempt one : calls) {
                 if (one.attempt().message.over) {
-                    ended(one.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
+                    onAttemptCompleted(one.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
                 } else {
                     owed.add(one);
                 }
@@ -425,49 +427,50 @@
     @Override
     public void send(long id, String route, long timeout, long leaveWithin) {
         Message message = messages.get(id);
-        if (message == null || message.end != null) {
+        if (message == null || message.completion != null) {
             return;
         }
         long now = clock.micros();
         Message.Attempt attempt = message.addAttempt(route, now);
         message.attemptStarted();
         attemptsOut++;
-        long left = message.content.deadline() - now;
-        if (left <= 0 || !journal.attempt(attempt)) {
+        long left = message.content.deadlineMicros() - now;
+        if (left <= 0 || !journal.recordAttempt(attempt)) {
             // Guards against an attempt that a restart would know nothing of.
-            ended(attempt, AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
+            onAttemptCompleted(attempt, AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
             return;
         }
         outgoing.computeIfAbsent(route, r -> new ArrayList<>())
-                .add(new UpstreamClient.Outgoing(
+                .add(new UpstreamClient.OutboundAttempt(
                         attempt,
                         timeout > 0 ? Math.min(timeout, left) : left,
                         leaveWithin > 0 ? now + leaveWithin : Long.MAX_VALUE));
     }
 
     @Override
-    public void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
+    public void onAttemptCompleted(
+            Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
         Message message = attempt.message;
-        attempt.result = result;
+        attempt.outcome = result;
         message.attemptEnded();
         attemptsOut--;
-        boolean late = result == AttemptOutcome.OK && clock.micros() > message.content.deadline();
+        boolean late = result == AttemptOutcome.OK && clock.micros() > message.content.deadlineMicros();
         if (late) {
             // Guards against a delivery that comes after the time that its client counts: that is none.
-            journal.result(attempt);
-            end(message.number, new Message.End(false, 0));
-        } else if (over && message.entry() != 0 && message.end == null && !message.over) {
-            journal.result(attempt);
+            journal.recordOutcome(attempt);
+            end(message.number, new Message.Completion(false, 0));
+        } else if (over && message.deadLetterId() != 0 && message.completion == null && !message.over) {
+            journal.recordOutcome(attempt);
             endResend(message);
-        } else if (over && message.end == null && !message.over) {
+        } else if (over && message.completion == null && !message.over) {
             finish(message, result == AttemptOutcome.OK);
         } else if (!message.over) {
-            journal.result(attempt);
-            if (message.end != null) {
-                keeper.learnt(attempt);
+            journal.recordOutcome(attempt);
+            if (message.completion != null) {
+                keeper.onOutcomeLearned(attempt);
             }
         }
-        boolean closed = message.over || message.end != null;
+        boolean closed = message.over || message.completion != null;
         add(new AttemptCompleted(
                 message.number,
                 attempt.number,
@@ -475,25 +478,25 @@
                 result,
                 closed,
                 wait,
-                clock.micros() - attempt.sentAt,
+                clock.micros() - attempt.sentAtMicros,
                 report));
         forgetIfSettled(message);
     }
 
     @Override
-    public void late(Message.Attempt attempt) {
+    public void onLateDelivery(Message.Attempt attempt) {
         Message message = attempt.message;
-        attempt.result = AttemptOutcome.OK;
+        attempt.outcome = AttemptOutcome.OK;
         if (messages.get(message.number) != message) {
-            keeper.learnt(attempt);
+            keeper.onOutcomeLearned(attempt);
             return;
         }
-        journal.result(attempt);
-        if (message.end != null) {
-            keeper.learnt(attempt);
-        } else if (message.entry() != 0) {
-            recall(message);
-        } else if (!message.over && clock.micros() <= message.content.deadline()) {
+        journal.recordOutcome(attempt);
+        if (message.completion != null) {
+            keeper.onOutcomeLearned(attempt);
+        } else if (message.deadLetterId() != 0) {
+            cancelRedrive(message);
+        } else if (!message.over && clock.micros() <= message.content.deadlineMicros()) {
             // Guards against a further attempt for what has turned out to be delivered.
             add(new MessageWithdrawn(message.number));
             finish(message, true);
@@ -506,20 +509,21 @@
             close(message);
             return;
         }
-        message.end = new Message.End(delivered ? Message.End.Kind.DELIVERED : Message.End.Kind.REFUSED, 0);
+        message.completion = new Message.Completion(
+                delivered ? Message.Completion.Kind.DELIVERED : Message.Completion.Kind.REJECTED, 0);
         message.endWatch.cancel();
         held--;
-        journal.decided(message);
-        ends.send(message);
+        journal.recordCompletion(message);
+        ends.notifyCompletion(message);
     }
 
     @Override
-    public void toldToWait(String route, long wait) {
+    public void onRetryAfter(String route, long wait) {
         add(new RetryAfterReceived(route, wait));
     }
 
     @Override
-    public void probed(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
+    public void onProbeCompleted(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
         add(new ProbeCompleted(route, result, wait, elapsed, report));
     }
 
@@ -529,70 +533,70 @@
         message.endWatch.cancel();
         message.over = true;
         held--;
-        journal.done(message);
+        journal.recordDone(message);
         forgetIfSettled(message);
     }
 
     private void forgetIfSettled(Message message) {
         if (message.over && !message.hasAttemptsOut()) {
             messages.remove(message.number);
-            byCallId.remove(message.content.callId(), message);
+            byCallId.remove(message.content.messageId(), message);
         }
     }
 
-    private void end(long id, Message.End end) {
+    private void end(long id, Message.Completion end) {
         Message message = messages.get(id);
-        if (message == null || message.end != null || message.over) {
+        if (message == null || message.completion != null || message.over) {
             return;
         }
-        if (message.entry() != 0) {
+        if (message.deadLetterId() != 0) {
             endResend(message);
             return;
         }
         if (message.resumed && message.attempts.isEmpty()) {
-            staff.accept("message " + message.content.callId() + " was resumed and ends with no call, "
-                    + (message.content.deadline() - clock.micros()) / 1000 + " ms before its time is up");
+            staff.accept("message " + message.content.messageId() + " was resumed and ends with no call, "
+                    + (message.content.deadlineMicros() - clock.micros()) / 1000 + " ms before its time is up");
         }
-        boolean keeps = message.client == null && keeper.takes(message);
+        boolean keeps = message.client == null && keeper.accepts(message);
         // What is kept is nobody else's to hand in again: its client is told that it failed.
-        message.end = keeps ? new Message.End(false, 0) : end;
+        message.completion = keeps ? new Message.Completion(false, 0) : end;
         if (message.client == null) {
             message.endWatch.cancel();
             held--;
-            journal.decided(message);
+            journal.recordCompletion(message);
             tellEnd(message);
             return;
         }
         Message.ClientReply client = message.client;
         message.client = null;
         close(message);
-        if (end.refused()) {
-            client.refused(end.retryIn());
+        if (end.isRejected()) {
+            client.rejected(end.retryAfterMicros());
         } else {
             client.failed();
         }
     }
 
     private void tellEnd(Message message) {
-        boolean keeps = message.end.kind() == Message.End.Kind.FAILED && keeper.takes(message);
+        boolean keeps = message.completion.kind() == Message.Completion.Kind.FAILED && keeper.accepts(message);
         message.owed = keeps ? 2 : 1;
         if (keeps) {
-            keeper.keep(message);
+            keeper.store(message);
         }
-        ends.send(message);
+        ends.notifyCompletion(message);
     }
 
     /** A message that was sent again is over; what became of it is in its attempts. */
     private void endResend(Message message) {
         message.endWatch.cancel();
         held--;
-        message.end = new Message.End(false, 0);
-        journal.decided(message);
-        keeper.resent(message);
+        message.completion = new Message.Completion(false, 0);
+        journal.recordCompletion(message);
+        keeper.onRedriveEnded(message);
     }
 
     /** The end of a message, given to {@link CompletionNotifier}, has been heard. */
-    public void noticeHeard(Message message) {
+    public void onCompletionAcknowledged(Message message) {
         heard(message);
     }
 
@@ -600,7 +604,7 @@
         message.owed--;
         if (message.owed == 0) {
             message.over = true;
-            journal.done(message);
+            journal.recordDone(message);
             forgetIfSettled(message);
             if (isInOrder(message)) {
                 add(new CompletionAcknowledged(message.number));
@@ -616,19 +620,19 @@
     @Override
     public boolean isCompletionAcknowledged(long id) {
         Message message = messages.get(id);
-        return message == null || message.end == null || message.over;
+        return message == null || message.completion == null || message.over;
     }
 
     @Override
-    public void list(EndpointListKind kind, long version, List<Endpoint> targets) {
-        targets.forEach(target -> destinations.add(target.listed().destination()));
-        partners.list(kind, targets);
-        keeper.list(kind, version, targets);
+    public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> targets) {
+        targets.forEach(target -> destinations.add(target.entry().destination()));
+        partners.onEndpointList(kind, targets);
+        keeper.onEndpointList(kind, version, targets);
         ready = true;
         // What takes an endpoint away from an old list does not say what else there is.
         listTold |= kind == EndpointListKind.FULL;
         add(new EndpointListReceived(
-                kind, version, targets.stream().map(Endpoint::listed).toList()));
+                kind, version, targets.stream().map(Endpoint::entry).toList()));
     }
 
     @Override
@@ -641,17 +645,17 @@
 
     @Override
     public void reject(long id, long retryIn) {
-        end(id, new Message.End(true, retryIn));
+        end(id, new Message.Completion(true, retryIn));
     }
 
     @Override
     public void fail(long id) {
-        end(id, new Message.End(false, 0));
+        end(id, new Message.Completion(false, 0));
     }
 
     @Override
     public void setTimer(long name, long delay) {
-        timers.after(delay, () -> add(new TimerFired(name)));
+        timers.schedule(delay, () -> add(new TimerFired(name)));
     }
 
     @Override
@@ -661,7 +665,7 @@
 
     @Override
     public void closeIdleConnections(String route) {
-        partners.closeIdle(route);
+        partners.closeIdleConnections(route);
     }
 
     /** Relays on sockets have no way to talk to each other. */
--- a/src/main/java/loftflow/engine/Endpoint.java
+++ b/src/main/java/loftflow/engine/Endpoint.java
@@ -6,7 +6,7 @@
 import loftflow.policy.api.EndpointEntry;
 
 /** A host in a list and the address at which this relay reaches it. */
-public record Endpoint(EndpointEntry listed, InetSocketAddress address) {
+public record Endpoint(EndpointEntry entry, InetSocketAddress address) {
 
     /**
      * Reads an address in digits with its port, such as {@code 127.0.0.1:8080} or {@code [::1]:8080}: there is no DNS.
--- a/src/main/java/loftflow/engine/EventLoopLag.java
+++ b/src/main/java/loftflow/engine/EventLoopLag.java
@@ -24,7 +24,7 @@
     public void start() {
         beforeLast = last;
         last = clock.micros();
-        timers.after(BEAT, this::start);
+        timers.schedule(BEAT, this::start);
     }
 
     /** The earliest time at which what is read or accepted now can have come. */
--- a/src/main/java/loftflow/engine/Message.java
+++ b/src/main/java/loftflow/engine/Message.java
@@ -13,84 +13,84 @@
     /**
      * Where the end of a message is to be told, whatever it is.
      *
-     * @param via the front that tells it
+     * @param listener the front that tells it
      * @param queue the name that its client listens by
-     * @param correlation what the client knows its message by; may be null
+     * @param correlationId what the client knows its message by; may be null
      */
-    public record Reply(String via, String queue, String correlation) {}
+    public record Reply(String listener, String queue, String correlationId) {}
 
     /**
      * What a client handed in; {@code tenant} and {@code key} may be null.
      *
      * @param reply null where the client asked for none, and hears of ends other than delivery by {@link CompletionNotifier}' usual way
-     * @param line what order is kept by where that is another than the key; null where it is not
+     * @param orderingKey what order is kept by where that is another than the key; null where it is not
      */
     public record Content(
-            String callId,
+            String messageId,
             String requestClass,
             String tenant,
             String key,
-            long deadline,
+            long deadlineMicros,
             int destination,
             byte[] body,
             Reply reply,
-            String line) {
+            String orderingKey) {
         /** A message whose order, where its class keeps one, is that of its key. */
         public Content(
-                String callId,
+                String messageId,
                 String requestClass,
                 String tenant,
                 String key,
-                long deadline,
+                long deadlineMicros,
                 int destination,
                 byte[] body,
                 Reply reply) {
-            this(callId, requestClass, tenant, key, deadline, destination, body, reply, null);
+            this(messageId, requestClass, tenant, key, deadlineMicros, destination, body, reply, null);
         }
 
         /** A message whose client asked for no reply. */
         public Content(
-                String callId,
+                String messageId,
                 String requestClass,
                 String tenant,
                 String key,
-                long deadline,
+                long deadlineMicros,
                 int destination,
                 byte[] body) {
-            this(callId, requestClass, tenant, key, deadline, destination, body, null);
+            this(messageId, requestClass, tenant, key, deadlineMicros, destination, body, null);
         }
     }
 
     /**
      * How a message ends, where its end is to be told.
      *
-     * @param retryIn microseconds after which a refused one may be handed in again; 0 where that is not known
+     * @param retryAfterMicros microseconds after which a refused one may be handed in again; 0 where that is not known
      */
-    public record End(Kind kind, long retryIn) {
+    public record Completion(Kind kind, long retryAfterMicros) {
         /** What an end is: delivered, refused and never run, or failed with what became of it untold. */
         public enum Kind {
             FAILED,
-            REFUSED,
+            REJECTED,
             DELIVERED
         }
 
         /** An end that is told as failed, or as refused with a time to come back. */
-        public End(boolean refused, long retryIn) {
-            this(refused ? Kind.REFUSED : Kind.FAILED, retryIn);
+        public Completion(boolean isRejected, long retryAfterMicros) {
+            this(isRejected ? Kind.REJECTED : Kind.FAILED, retryAfterMicros);
         }
 
         /** The word by which it is told (PROTOCOL, ends). */
         public String word() {
             return switch (kind) {
                 case FAILED -> "dead";
-                case REFUSED -> "bounced";
+                case REJECTED -> "bounced";
                 case DELIVERED -> "done";
             };
         }
 
         /** True where it never ran, and may be handed in again. */
-        public boolean refused() {
-            return kind == Kind.REFUSED;
+        public boolean isRejected() {
+            return kind == Kind.REJECTED;
         }
     }
 
@@ -99,14 +99,14 @@
         final Message message;
         final int number;
         final String route;
-        final long sentAt;
-        AttemptOutcome result;
+        final long sentAtMicros;
+        AttemptOutcome outcome;
 
         private Attempt(Message message, int number, String route, long sentAt) {
             this.message = message;
             this.number = number;
             this.route = route;
-            this.sentAt = sentAt;
+            this.sentAtMicros = sentAt;
         }
 
         public Message message() {
@@ -122,18 +122,18 @@
             return route;
         }
 
-        public long sentAt() {
-            return sentAt;
+        public long sentAtMicros() {
+            return sentAtMicros;
         }
 
         /** How it ended, or null while nothing is known. */
-        public AttemptOutcome result() {
-            return result;
+        public AttemptOutcome outcome() {
+            return outcome;
         }
 
         /** Takes in how it ended. */
-        public void result(AttemptOutcome known) {
-            result = known;
+        public void outcome(AttemptOutcome known) {
+            outcome = known;
         }
     }
 
@@ -145,7 +145,7 @@
     /** Where the client that handed the message in waits; null once it has its answer. */
     ClientReply client;
 
-    End end;
+    Completion completion;
     /** The timer that ends the message should the module leave it open. */
     Timers.Timer endWatch;
     /** Nothing more is owed. */
@@ -155,7 +155,7 @@
     /** How many have still to hear how it ended. */
     int owed = 1;
 
-    private final long entry;
+    private final long deadLetterId;
     private int out;
 
     /** A message with the number that it has in this relay's journal. */
@@ -167,17 +167,17 @@
     public Message(long number, Content content, long entry) {
         this.number = number;
         this.content = content;
-        this.entry = entry;
+        this.deadLetterId = entry;
     }
 
     /** The entry that this message sends again; 0 where a client handed it in. */
-    public long entry() {
-        return entry;
+    public long deadLetterId() {
+        return deadLetterId;
     }
 
     /** True where some attempt is known to have taken effect. */
     public boolean isDelivered() {
-        return attempts.stream().anyMatch(attempt -> attempt.result == AttemptOutcome.OK);
+        return attempts.stream().anyMatch(attempt -> attempt.outcome == AttemptOutcome.OK);
     }
 
     public long number() {
@@ -194,13 +194,13 @@
     }
 
     /** How it ends, or null where that is not decided, or not to be told. */
-    public End end() {
-        return end;
+    public Completion completion() {
+        return completion;
     }
 
     /** Takes in how it ends. */
-    public void decide(End decided) {
-        end = decided;
+    public void complete(Completion decided) {
+        completion = decided;
     }
 
     /** Adds an attempt that is about to be made, or was made before a restart. */
@@ -225,10 +225,10 @@
     /** The answer that a client waits for after it has handed a message in; exactly one of these is called, once. */
     public interface ClientReply {
         /** Taken on: the relay owes the message its end. */
-        void taken();
+        void accepted();
 
         /** Refused: handing it in again is harmless, after so many microseconds where that is above 0. */
-        void refused(long retryIn);
+        void rejected(long retryIn);
 
         /** Failed: whether it took effect stays untold. */
         void failed();
--- a/src/main/java/loftflow/engine/Timers.java
+++ b/src/main/java/loftflow/engine/Timers.java
@@ -9,5 +9,5 @@
     }
 
     /** Runs a task once after a span in microseconds. */
-    Timer after(long micros, Runnable task);
+    Timer schedule(long micros, Runnable task);
 }
--- a/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
@@ -75,13 +75,13 @@
     }
 
     void handIn(Message.Content content, Message.ClientReply client) {
-        life.engine.takeOn(content, time.micros(), client);
+        life.engine.accept(content, time.micros(), client);
     }
 
     /** It hears of a change of the list. */
     void hears(List<Endpoint> changes, long version) {
         if (life != null) {
-            life.engine.list(EndpointListKind.DELTA, version, changes);
+            life.engine.onEndpointList(EndpointListKind.DELTA, version, changes);
         }
     }
 
@@ -101,7 +101,7 @@
 
         Life() {
             // Guards against an error of the module that would pass for bad service.
-            engine.logTo(line -> {
+            engine.setLogger(line -> {
                 if (line.startsWith("a round failed")) {
                     throw new IllegalStateException("relay " + number + " at " + time.micros() + " us: " + line);
                 }
@@ -110,7 +110,7 @@
         }
 
         private Timers.Timer later(long micros, Runnable task) {
-            return time.after(micros, () -> {
+            return time.schedule(micros, () -> {
                 if (!over) {
                     task.run();
                 }
@@ -123,16 +123,19 @@
 
         /** Whether anything is still sent to what drains is left to the module: the model's calls wait for no connection. */
         @Override
-        public void list(EndpointListKind kind, List<Endpoint> targets) {}
+        public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {}
 
         @Override
-        public void send(String route, List<Outgoing> outgoing) {
-            for (Outgoing one : outgoing) {
+        public void send(String route, List<OutboundAttempt> outgoing) {
+            for (OutboundAttempt one : outgoing) {
                 out.put(
                         one.attempt(),
-                        later(one.timeout(), () -> end(one.attempt(), AttemptOutcome.TIMEOUT, 0, LimitReport.NONE)));
+                        later(
+                                one.timeoutMicros(),
+                                () -> end(one.attempt(), AttemptOutcome.TIMEOUT, 0, LimitReport.NONE)));
             }
-            world.carry(this, route, outgoing.stream().map(Outgoing::attempt).toList());
+            world.carry(
+                    this, route, outgoing.stream().map(OutboundAttempt::attempt).toList());
         }
 
         /** An answer has come, or is known to be lost; without effect where the attempt is over. */
@@ -143,13 +146,13 @@
                 if (result == AttemptOutcome.TIMEOUT || result == AttemptOutcome.CANCELLED) {
                     world.givenUp(this, attempt.route());
                 }
-                engine.ended(attempt, result, result == AttemptOutcome.OK, wait, report);
+                engine.onAttemptCompleted(attempt, result, result == AttemptOutcome.OK, wait, report);
             }
         }
 
         void probed(String route, AttemptOutcome result, long wait, long took, LimitReport report) {
             if (!over) {
-                engine.probed(route, result, wait, took, report);
+                engine.onProbeCompleted(route, result, wait, took, report);
             }
         }
 
@@ -164,12 +167,12 @@
         }
 
         @Override
-        public void closeIdle(String route) {}
+        public void closeIdleConnections(String route) {}
 
         @Override
-        public void send(Message message) {
+        public void notifyCompletion(Message message) {
             world.told(message);
-            engine.noticeHeard(message);
+            engine.onCompletionAcknowledged(message);
         }
     }
 }
--- a/src/main/java/loftflow/experiment/emulator/EmulatorRun.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatorRun.java
@@ -159,7 +159,7 @@
     }
 
     private void news(Scenario.Endpoint e, Availability availability) {
-        list.removeIf(t -> t.listed().route().equals(e.route()));
+        list.removeIf(t -> t.entry().route().equals(e.route()));
         if (availability == Availability.DRAINING) {
             list.add(target(e, availability));
         }
@@ -216,13 +216,13 @@
                 new Message.Content(id, type.name(), tenant, key, time.micros() + type.deadline(), ask.partner(), BODY),
                 new Message.ClientReply() {
                     @Override
-                    public void taken() {
+                    public void accepted() {
                         clients.remove(number);
                         ask.taken();
                     }
 
                     @Override
-                    public void refused(long retryIn) {
+                    public void rejected(long retryIn) {
                         clients.remove(number);
                         EmulatorRun.this.refused(number, ask, retryIn);
                     }
@@ -239,7 +239,7 @@
     private void refused(int number, MessageHistory ask, long retryIn) {
         ask.ended(time.micros(), MessageHistory.Told.REFUSED);
         if (ask.tries() <= scenario.clients().repeats()) {
-            time.after(Math.max(scenario.clients().pause(), retryIn), () -> handIn(number, ask));
+            time.schedule(Math.max(scenario.clients().pause(), retryIn), () -> handIn(number, ask));
         }
     }
 
@@ -254,10 +254,10 @@
 
         @Override
         public void told(Message message) {
-            String id = message.content().callId();
+            String id = message.content().messageId();
             MessageHistory ask = history.asks().get(asks.get(id));
-            switch (message.end().kind()) {
-                case REFUSED -> refused(asks.get(id), ask, message.end().retryIn());
+            switch (message.completion().kind()) {
+                case REJECTED -> refused(asks.get(id), ask, message.completion().retryAfterMicros());
                 case FAILED -> ask.ended(time.micros(), MessageHistory.Told.FAILED);
                 case DELIVERED -> {}
             }
@@ -279,7 +279,7 @@
         private void call(EmulatedRelay.Life from, EmulatedEndpoint endpoint, List<Message.Attempt> attempts) {
             long way = way(from, endpoint);
             long sent = time.micros();
-            time.after(way, () -> {
+            time.schedule(way, () -> {
                 EmulatedEndpoint.Met met = endpoint.meet(from.relay(), time.micros());
                 for (Message.Attempt attempt : attempts) {
                     arrived(from, endpoint, attempt, met, sent);
@@ -296,7 +296,7 @@
                 Message.Attempt attempt,
                 EmulatedEndpoint.Met met,
                 long sent) {
-            int number = asks.get(attempt.message().content().callId());
+            int number = asks.get(attempt.message().content().messageId());
             MessageHistory ask = history.asks().get(number);
             boolean ran = met.ran()
                     && keys.takesEffect(
@@ -340,7 +340,7 @@
             EmulatedEndpoint endpoint = byRoute.get(route);
             long way = way(from, endpoint);
             long sent = time.micros();
-            time.after(way, () -> {
+            time.schedule(way, () -> {
                 EmulatedEndpoint.Met met = endpoint.check(from.relay(), time.micros());
                 long back = met.answerAt() < 0 ? sent + SECOND : met.answerAt() + way;
                 AttemptOutcome result = met.answerAt() < 0 ? AttemptOutcome.TIMEOUT : result(met.answer());
--- a/src/main/java/loftflow/experiment/emulator/InMemoryJournal.java
+++ b/src/main/java/loftflow/experiment/emulator/InMemoryJournal.java
@@ -16,7 +16,7 @@
         private final Message.Content content;
         private final List<Tried> attempts = new ArrayList<>(2);
         private final List<AttemptOutcome> results = new ArrayList<>(2);
-        private Message.End end;
+        private Message.Completion end;
 
         Kept(Message.Content content) {
             this.content = content;
@@ -35,57 +35,57 @@
     private long next;
 
     @Override
-    public long nextNumber() {
+    public long nextSequenceNumber() {
         return next;
     }
 
     @Override
-    public List<Message> open() {
+    public List<Message> openMessages() {
         List<Message> open = new ArrayList<>();
         kept.forEach((number, k) -> {
             Message message = new Message(number, k.content);
             for (int i = 0; i < k.attempts.size(); i++) {
                 message.addAttempt(k.attempts.get(i).route(), k.attempts.get(i).sentAt())
-                        .result(k.results.get(i));
+                        .outcome(k.results.get(i));
             }
-            message.decide(k.end);
+            message.complete(k.end);
             open.add(message);
         });
         return open;
     }
 
     @Override
-    public boolean accept(Message message) {
+    public boolean recordAccepted(Message message) {
         kept.put(message.number(), new Kept(message.content()));
         next = message.number() + 1;
         return true;
     }
 
     @Override
-    public boolean attempt(Message.Attempt attempt) {
+    public boolean recordAttempt(Message.Attempt attempt) {
         Kept k = kept.get(attempt.message().number());
         k.upTo(attempt.number());
-        k.attempts.add(new Tried(attempt.route(), attempt.sentAt()));
+        k.attempts.add(new Tried(attempt.route(), attempt.sentAtMicros()));
         k.results.add(null);
         return true;
     }
 
     @Override
-    public void result(Message.Attempt attempt) {
+    public void recordOutcome(Message.Attempt attempt) {
         Kept k = kept.get(attempt.message().number());
         if (k != null) {
             k.upTo(attempt.number() + 1);
-            k.results.set(attempt.number(), attempt.result());
+            k.results.set(attempt.number(), attempt.outcome());
         }
     }
 
     @Override
-    public void decided(Message message) {
-        kept.get(message.number()).end = message.end();
+    public void recordCompletion(Message message) {
+        kept.get(message.number()).end = message.completion();
     }
 
     @Override
-    public void done(Message message) {
+    public void recordDone(Message message) {
         kept.remove(message.number());
     }
 }
--- a/src/main/java/loftflow/experiment/emulator/VirtualTime.java
+++ b/src/main/java/loftflow/experiment/emulator/VirtualTime.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         return at(now + Math.max(0, micros), task);
     }
 
--- a/src/main/java/loftflow/journal/Journal.java
+++ b/src/main/java/loftflow/journal/Journal.java
@@ -109,17 +109,17 @@
     }
 
     @Override
-    public long nextNumber() {
+    public long nextSequenceNumber() {
         return lastNumber + 1;
     }
 
     @Override
-    public List<Message> open() {
+    public List<Message> openMessages() {
         return open.values().stream().map(o -> o.message).toList();
     }
 
     @Override
-    public boolean accept(Message message) {
+    public boolean recordAccepted(Message message) {
         byte[] record = record(accepted(message));
         if (openBytes + record.length > LARGEST_OPEN * disk || !append(record, LARGEST_SEGMENT)) {
             return false;
@@ -129,22 +129,22 @@
     }
 
     @Override
-    public boolean attempt(Message.Attempt attempt) {
+    public boolean recordAttempt(Message.Attempt attempt) {
         return note(attempt.message(), attempt(attempt.message(), attempt), LARGEST_SEGMENT);
     }
 
     @Override
-    public void result(Message.Attempt attempt) {
+    public void recordOutcome(Message.Attempt attempt) {
         note(attempt.message(), result(attempt.message(), attempt), LARGEST_WITH_ENDS);
     }
 
     @Override
-    public void decided(Message message) {
+    public void recordCompletion(Message message) {
         note(message, decision(message), LARGEST_WITH_ENDS);
     }
 
     @Override
-    public void done(Message message) {
+    public void recordDone(Message message) {
         boolean noted = note(
                 message,
                 out -> {
@@ -261,13 +261,13 @@
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.write(record(accepted(message)));
         // The record of one that is sent again holds its attempts.
-        for (Message.Attempt attempt : message.entry() == 0 ? message.attempts() : List.<Message.Attempt>of()) {
+        for (Message.Attempt attempt : message.deadLetterId() == 0 ? message.attempts() : List.<Message.Attempt>of()) {
             all.write(record(attempt(message, attempt)));
-            if (attempt.result() != null) {
+            if (attempt.outcome() != null) {
                 all.write(record(result(message, attempt)));
             }
         }
-        if (message.end() != null) {
+        if (message.completion() != null) {
             all.write(record(decision(message)));
         }
         return all.toByteArray();
@@ -277,26 +277,26 @@
         Message.Content content = message.content();
         return out -> {
             Message.Reply reply = content.reply();
-            boolean inLine = content.line() != null && reply == null && message.entry() == 0;
+            boolean inLine = content.orderingKey() != null && reply == null && message.deadLetterId() == 0;
             out.writeByte(
-                    message.entry() != 0
+                    message.deadLetterId() != 0
                             ? RESENT
                             : reply != null ? ACCEPTED_FOR_REPLY : inLine ? ACCEPTED_IN_LINE : ACCEPTED);
             out.writeLong(message.number());
-            if (message.entry() != 0) {
+            if (message.deadLetterId() != 0) {
                 writePast(out, message);
             } else if (reply != null) {
-                out.writeUTF(reply.via());
+                out.writeUTF(reply.listener());
                 out.writeUTF(reply.queue());
-                writeOptional(out, reply.correlation());
+                writeOptional(out, reply.correlationId());
             } else if (inLine) {
-                out.writeUTF(content.line());
+                out.writeUTF(content.orderingKey());
             }
-            out.writeUTF(content.callId());
+            out.writeUTF(content.messageId());
             out.writeUTF(content.requestClass());
             writeOptional(out, content.tenant());
             writeOptional(out, content.key());
-            out.writeLong(content.deadline());
+            out.writeLong(content.deadlineMicros());
             out.writeInt(content.destination());
             out.writeInt(content.body().length);
             out.write(content.body());
@@ -304,13 +304,13 @@
     }
 
     private static void writePast(DataOutputStream out, Message message) throws IOException {
-        out.writeLong(message.entry());
+        out.writeLong(message.deadLetterId());
         out.writeInt(message.attempts().size());
         for (Message.Attempt attempt : message.attempts()) {
             out.writeUTF(attempt.route());
-            out.writeLong(attempt.sentAt());
+            out.writeLong(attempt.sentAtMicros());
             writeOptional(
-                    out, attempt.result() == null ? null : attempt.result().code());
+                    out, attempt.outcome() == null ? null : attempt.outcome().code());
         }
     }
 
@@ -325,7 +325,7 @@
             past.add(new PastAttempt(route, sentAt, result == null ? null : AttemptOutcome.ofCode(result)));
         }
         Message message = new Message(number, readContent(in, null, null), entry);
-        past.forEach(p -> message.addAttempt(p.route(), p.sentAtMicros()).result(p.outcome()));
+        past.forEach(p -> message.addAttempt(p.route(), p.sentAtMicros()).outcome(p.outcome()));
         return message;
     }
 
@@ -335,7 +335,7 @@
             out.writeLong(message.number());
             out.writeInt(attempt.number());
             out.writeUTF(attempt.route());
-            out.writeLong(attempt.sentAt());
+            out.writeLong(attempt.sentAtMicros());
         };
     }
 
@@ -344,7 +344,7 @@
             out.writeByte(RESULT);
             out.writeLong(message.number());
             out.writeInt(attempt.number());
-            out.writeUTF(attempt.result().code());
+            out.writeUTF(attempt.outcome().code());
         };
     }
 
@@ -352,8 +352,8 @@
         return out -> {
             out.writeByte(DECIDED);
             out.writeLong(message.number());
-            out.writeByte(message.end().kind().ordinal());
-            out.writeLong(message.end().retryIn());
+            out.writeByte(message.completion().kind().ordinal());
+            out.writeLong(message.completion().retryAfterMicros());
         };
     }
 
@@ -417,8 +417,8 @@
             switch (type) {
                 case ATTEMPT -> replayAttempt(message, in.readInt(), in.readUTF(), in.readLong());
                 case RESULT -> replayResult(message, in.readInt(), AttemptOutcome.ofCode(in.readUTF()));
-                case DECIDED -> message.decide(
-                        new Message.End(Message.End.Kind.values()[in.readByte()], in.readLong()));
+                case DECIDED -> message.complete(
+                        new Message.Completion(Message.Completion.Kind.values()[in.readByte()], in.readLong()));
                 case DONE -> forget(number);
                 default -> throw new IOException("unknown record " + type);
             }
@@ -444,7 +444,7 @@
     /** Its attempt may have no record: one whose time was up before it could be sent has a result alone. */
     private static void replayResult(Message message, int number, AttemptOutcome result) throws IOException {
         addUnrecorded(message, number + 1, NOWHERE, 0);
-        message.attempts().get(number).result(result);
+        message.attempts().get(number).outcome(result);
     }
 
     /** Guards against attempts that were never recorded, as the disk failed: they were not sent, but later ones keep their numbers. */
@@ -453,7 +453,7 @@
             throw new IOException("attempt " + count + " is one of too many");
         }
         while (message.attempts().size() < count) {
-            message.addAttempt(route, sentAt).result(AttemptOutcome.NOT_SENT);
+            message.addAttempt(route, sentAt).outcome(AttemptOutcome.NOT_SENT);
         }
     }
 
--- a/src/main/java/loftflow/listener/amqp/AmqpListener.java
+++ b/src/main/java/loftflow/listener/amqp/AmqpListener.java
@@ -253,8 +253,8 @@
             while (!ready.isEmpty()
                     && now - ready.peek().since() > parts.options().replyHold()) {
                 Message message = ready.poll().message();
-                Log.line("nobody took the end of " + message.content().callId() + " from queue " + queue.getKey());
-                others.send(message);
+                Log.line("nobody took the end of " + message.content().messageId() + " from queue " + queue.getKey());
+                others.notifyCompletion(message);
             }
             if (ready.isEmpty() && queue.getValue().takers.isEmpty()) {
                 all.remove();
--- a/src/main/java/loftflow/listener/amqp/PublisherSession.java
+++ b/src/main/java/loftflow/listener/amqp/PublisherSession.java
@@ -39,7 +39,7 @@
         }
 
         @Override
-        public void taken() {
+        public void accepted() {
             // On file before the program hears of it: a publish that comes again after a lost confirm is known by then.
             if (id != null) {
                 parts.seen().add(id);
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public void refused(long retryIn) {
+        public void rejected(long retryIn) {
             answer(Method.of(MethodType.BASIC_NACK, tag, false, false));
         }
 
@@ -311,26 +311,26 @@
 
     private void takeOn(Channel channel, long tag, Command command, MessageMapping.Fits fits) {
         Message.Content content = fits.content();
-        if (!parts.intake().reaches(content.destination())) {
+        if (!parts.intake().hasDestination(content.destination())) {
             refuse(channel, tag, command, AmqpException.NO_ROUTE, "NO_ROUTE");
-        } else if (!parts.intake().knows(content)) {
+        } else if (!parts.intake().recognizes(content)) {
             refuse(
                     channel,
                     tag,
                     command,
                     AmqpException.PRECONDITION_FAILED,
                     "PRECONDITION_FAILED - its tenant is not known," + " or its class needs a key");
-        } else if (parts.seen().contains(content.callId())) {
+        } else if (parts.seen().contains(content.messageId())) {
             // Taken on before: its end is owed once, and this copy is no message of its own.
             link.send(channel.number, Method.of(MethodType.BASIC_ACK, tag, false));
         } else if (!fits.anonymous() && !parts.seen().hasRoom() || server.isDraining()) {
             link.send(channel.number, Method.of(MethodType.BASIC_NACK, tag, false, false));
         } else {
-            Publish publish = new Publish(channel, tag, fits.anonymous() ? null : content.callId());
+            Publish publish = new Publish(channel, tag, fits.anonymous() ? null : content.messageId());
             channel.publishes.put(tag, publish);
             unanswered++;
             // Null where the publish is answered by now.
-            publish.message = parts.intake().takeOn(content, parts.pulse().unreadSince(), publish);
+            publish.message = parts.intake().accept(content, parts.pulse().unreadSince(), publish);
             if (unanswered >= MOST_UNANSWERED && !paused) {
                 paused = true;
                 link.read(false);
--- a/src/main/java/loftflow/listener/amqp/QueueConsumer.java
+++ b/src/main/java/loftflow/listener/amqp/QueueConsumer.java
@@ -83,12 +83,12 @@
         Delivery(AmqpClientConnection on, long tag, MessageMapping.Fits fits) {
             this.on = on;
             this.tag = tag;
-            id = fits.content().callId();
+            id = fits.content().messageId();
             anonymous = fits.anonymous();
         }
 
         @Override
-        public void taken() {
+        public void accepted() {
             // On file before the broker hears of it: what it hands out again after a lost acknowledgement is known by
             // then.
             if (!anonymous) {
@@ -98,7 +98,7 @@
         }
 
         @Override
-        public void refused(long retryIn) {
+        public void rejected(long retryIn) {
             message = null;
             long wait = Math.max(LEAST_BACK_MS, Math.min(MOST_BACK_MS, retryIn / 1_000));
             loop.schedule(() -> answer(Method.of(MethodType.BASIC_REJECT, tag, true)), wait, TimeUnit.MILLISECONDS);
@@ -255,26 +255,26 @@
         }
         MessageMapping.Fits fits = (MessageMapping.Fits) mapped;
         Message.Content content = fits.content();
-        if (seen.contains(content.callId())) {
+        if (seen.contains(content.messageId())) {
             // Taken on before, and acknowledged in vain: its end is owed once.
             answer(Method.of(MethodType.BASIC_ACK, tag, false));
             return;
         }
-        if (!intake.knows(content)) {
+        if (!intake.recognizes(content)) {
             rejectForGood(tag, "its destination or tenant is not known, or its class needs a key");
             return;
         }
-        if (content.deadline() <= clock.micros()) {
+        if (content.deadlineMicros() <= clock.micros()) {
             rejectForGood(tag, "its time is over");
             return;
         }
         Delivery delivery = new Delivery(link, tag, fits);
         deliveries.add(delivery);
         if (draining || !fits.anonymous() && !seen.hasRoom()) {
-            delivery.refused(0);
+            delivery.rejected(0);
         } else {
             // Null where it has its answer by now.
-            delivery.message = intake.takeOn(content, pulse.unreadSince(), delivery);
+            delivery.message = intake.accept(content, pulse.unreadSince(), delivery);
         }
     }
 
@@ -353,8 +353,8 @@
             case ACKED -> heard.accept(settled.what());
             case RETURNED -> {
                 Log.line("amqp: queue " + settled.what().content().reply().queue() + " is not there for the end of "
-                        + settled.what().content().callId());
-                others.send(settled.what());
+                        + settled.what().content().messageId());
+                others.notifyCompletion(settled.what());
             }
             default -> {
                 untold.add(settled.what());
--- a/src/main/java/loftflow/listener/amqp/ReplyBody.java
+++ b/src/main/java/loftflow/listener/amqp/ReplyBody.java
@@ -18,13 +18,13 @@
 
     /** Its id is the same however often it is told, so that whoever hears it twice can tell. */
     static Properties properties(Message message) {
-        String correlation = message.content().reply().correlation();
+        String correlation = message.content().reply().correlationId();
         return Properties.NONE
-                .with(Property.MESSAGE_ID, message.content().callId() + ".end")
+                .with(Property.MESSAGE_ID, message.content().messageId() + ".end")
                 .with(
                         Property.CORRELATION_ID,
-                        correlation == null ? message.content().callId() : correlation)
-                .with(Property.TYPE, message.end().word())
+                        correlation == null ? message.content().messageId() : correlation)
+                .with(Property.TYPE, message.completion().word())
                 .with(Property.CONTENT_TYPE, "application/json")
                 .with(Property.DELIVERY_MODE, PERSISTENT);
     }
@@ -33,10 +33,10 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartObject();
-            json.writeStringField("ref", message.content().callId());
-            json.writeStringField("result", message.end().word());
-            if (message.end().retryIn() > 0) {
-                json.writeNumberField("wait_ms", message.end().retryIn() / 1_000);
+            json.writeStringField("ref", message.content().messageId());
+            json.writeStringField("result", message.completion().word());
+            if (message.completion().retryAfterMicros() > 0) {
+                json.writeNumberField("wait_ms", message.completion().retryAfterMicros() / 1_000);
             }
             json.writeEndObject();
         } catch (IOException e) {
--- a/src/main/java/loftflow/listener/http2/ClientSession.java
+++ b/src/main/java/loftflow/listener/http2/ClientSession.java
@@ -560,7 +560,7 @@
     /** A stream is closed, by its answer, its client or the connection's end. */
     private void closed(RequestStream stream, StreamLifecycle.Event event) {
         if (stream.life().on(event) == StreamLifecycle.Deed.GO_ON) {
-            intake.left(stream.release());
+            intake.clientDisconnected(stream.release());
         }
         reading.remove(stream);
         returnCredit(stream);
--- a/src/main/java/loftflow/listener/http2/Http2Listener.java
+++ b/src/main/java/loftflow/listener/http2/Http2Listener.java
@@ -229,7 +229,7 @@
     private void look(EventLoop loop) {
         loop.schedule(() -> look(loop), TICK_MS, TimeUnit.MILLISECONDS);
         long now = clock.micros();
-        offer.observe(new ConcurrentStreamLimit.Load(intake.fullness(), now - door.unreadSince(), refused), now);
+        offer.observe(new ConcurrentStreamLimit.Load(intake.utilization(), now - door.unreadSince(), refused), now);
         refused = 0;
         int each = streamsForEach();
         house.all().forEach(session -> session.look(now, each));
--- a/src/main/java/loftflow/listener/request/Exchange.java
+++ b/src/main/java/loftflow/listener/request/Exchange.java
@@ -46,10 +46,10 @@
     }
 
     private void takeOn(Message.Content content, long unreadSince) {
-        if (content == null || !intake.knows(content)) {
+        if (content == null || !intake.recognizes(content)) {
             answer(ClientResponse.MALFORMED, 0);
         } else {
-            message = intake.takeOn(content, unreadSince, this);
+            message = intake.accept(content, unreadSince, this);
         }
     }
 
@@ -66,12 +66,12 @@
     }
 
     @Override
-    public final void taken() {
+    public final void accepted() {
         answer(ClientResponse.TAKEN, 0);
     }
 
     @Override
-    public final void refused(long retryIn) {
+    public final void rejected(long retryIn) {
         answer(ClientResponse.REFUSED, retryIn);
     }
 
--- a/src/main/java/loftflow/server/AmqpModule.java
+++ b/src/main/java/loftflow/server/AmqpModule.java
@@ -89,7 +89,7 @@
                             amqp.connections(),
                             new AmqpServerConnection.Offer("loftflow", f.channels(), f.frame(), f.heartbeat()),
                             f.replyHold()),
-                    engine::noticeHeard,
+                    engine::onCompletionAcknowledged,
                     this::otherwise);
             servers.add(server);
             replies.put(f.name(), server);
@@ -115,7 +115,7 @@
                             QueueConsumer.Tells.valueOf(q.ends().toUpperCase(Locale.ROOT)),
                             q.replyQueue(),
                             config.settings().limits().connectTimeoutMicros()),
-                    engine::noticeHeard,
+                    engine::onCompletionAcknowledged,
                     this::otherwise);
             consumers.add(consumer);
             replies.put(q.name(), consumer);
@@ -126,9 +126,9 @@
     private Deduplicator seen(WriteAheadLog journal) throws IOException {
         DeduplicationFile seen = new DeduplicationFile(
                 config.state(), config.amqp().span(), config.amqp().entries(), clock::micros);
-        for (Message message : journal.open()) {
-            if (!seen.contains(message.content().callId())) {
-                seen.add(message.content().callId());
+        for (Message message : journal.openMessages()) {
+            if (!seen.contains(message.content().messageId())) {
+                seen.add(message.content().messageId());
             }
         }
         return seen;
@@ -170,10 +170,10 @@
 
     /** Where ends go whose program can't be told: that a message is delivered is then told to nobody but a file. */
     private void otherwise(Message message) {
-        if (message.end().kind() == Message.End.Kind.DELIVERED && config.notices() != null) {
-            engine.noticeHeard(message);
+        if (message.completion().kind() == Message.Completion.Kind.DELIVERED && config.notices() != null) {
+            engine.onCompletionAcknowledged(message);
         } else {
-            others.send(message);
+            others.notifyCompletion(message);
         }
     }
 
@@ -205,9 +205,9 @@
         return message -> {
             Message.Reply reply = message.content().reply();
             if (reply == null) {
-                others.send(message);
-            } else if (replies.containsKey(reply.via())) {
-                replies.get(reply.via()).tell(message);
+                others.notifyCompletion(message);
+            } else if (replies.containsKey(reply.listener())) {
+                replies.get(reply.listener()).tell(message);
             } else {
                 // Guards against a front that a message came by and that is not there any more.
                 otherwise(message);
--- a/src/main/java/loftflow/server/DeadLetterModule.java
+++ b/src/main/java/loftflow/server/DeadLetterModule.java
@@ -50,7 +50,7 @@
                         k.entries(),
                         k.refuseWhenFull(),
                         k.age()));
-        engine.keepBy(desk);
+        engine.setDeadLetterSink(desk);
         admin = new AdminServer(config.state(), new DeadLetterCommands(desk, thread, clock, loop));
     }
 
--- a/src/main/java/loftflow/server/EventLoopTimers.java
+++ b/src/main/java/loftflow/server/EventLoopTimers.java
@@ -8,7 +8,7 @@
 /** Timers of the one event loop. */
 record EventLoopTimers(EventLoop loop) implements Timers {
     @Override
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         Future<?> due = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
         return () -> due.cancel(false);
     }
--- a/src/main/java/loftflow/server/RelayServer.java
+++ b/src/main/java/loftflow/server/RelayServer.java
@@ -69,7 +69,8 @@
                 timers, clock, config.settings(), config.period(), journal, DefaultDeliveryPolicy::new);
         notices = config.notices() == null
                 ? null
-                : new HttpCompletionNotifier(loop, config.notices(), engine::noticeHeard, discoveryIsSilent);
+                : new HttpCompletionNotifier(
+                        loop, config.notices(), engine::onCompletionAcknowledged, discoveryIsSilent);
         keeping = config.keeping() == null ? null : new DeadLetterModule(loop, timers, clock, engine, config);
         long listenOn = config.keeping() == null ? 0 : config.keeping().listenOn();
         UpstreamClient partners = new HttpUpstreamClient(
@@ -80,7 +81,8 @@
                 engine);
         CompletionNotifier ends = notices != null
                 ? notices
-                : new CompletionLog(config.state(), config.diskBytes() / CompletionLog.DISK_PART, engine::noticeHeard);
+                : new CompletionLog(
+                        config.state(), config.diskBytes() / CompletionLog.DISK_PART, engine::onCompletionAcknowledged);
         discovery = config.discovery() == null
                 ? null
                 : new EndpointWatcher(
@@ -129,7 +131,7 @@
                             engine.start(config.knownKind(), config.knownVersion(), config.known());
                         }
                         if (discovery != null) {
-                            engine.awaitList(TimeUnit.MILLISECONDS.toMicros(EndpointWatcher.PATIENCE_MS));
+                            engine.holdUntilEndpointList(TimeUnit.MILLISECONDS.toMicros(EndpointWatcher.PATIENCE_MS));
                         }
                         if (keeping != null) {
                             keeping.start();
@@ -177,7 +179,7 @@
     /** Ends service without breaking a promise; returns when the process may end. */
     void stop() {
         stopAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GIVE_UP_MS);
-        loop.schedule(engine::freeze, BEGIN_NOTHING_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(engine::quiesce, BEGIN_NOTHING_MS, TimeUnit.MILLISECONDS);
         loop.schedule(() -> fronts.forEach(Listener::drain), SERVE_ON_MS, TimeUnit.MILLISECONDS);
         loop.schedule(this::endWhenDone, SERVE_ON_MS, TimeUnit.MILLISECONDS);
         try {
@@ -191,7 +193,7 @@
         boolean late = System.nanoTime() - stopAt >= 0;
         // What the last pass has not read is answered still, if only as refused.
         fronts.forEach(Listener::takeIn);
-        boolean done = engine.isIdle() || engine.isFrozen() && engine.isQuiet();
+        boolean done = engine.isIdle() || engine.isQuiescing() && engine.hasNothingInFlight();
         boolean idle = fronts.stream().allMatch(Listener::isIdle);
         if (idle && done || late && fronts.stream().noneMatch(Listener::isAnswering)) {
             fronts.forEach(Listener::stopListening);
--- a/src/main/java/loftflow/server/RoutingUpstreamClient.java
+++ b/src/main/java/loftflow/server/RoutingUpstreamClient.java
@@ -23,16 +23,16 @@
     }
 
     @Override
-    public void list(EndpointListKind kind, List<Endpoint> targets) {
+    public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {
         List<Endpoint> brokers = new ArrayList<>();
         List<Endpoint> hosts = new ArrayList<>();
-        targets.forEach(target -> (amqp.has(target.listed().route()) ? brokers : hosts).add(target));
-        amqp.list(kind, brokers);
-        http.list(kind, hosts);
+        targets.forEach(target -> (amqp.has(target.entry().route()) ? brokers : hosts).add(target));
+        amqp.onEndpointList(kind, brokers);
+        http.onEndpointList(kind, hosts);
     }
 
     @Override
-    public void send(String route, List<Outgoing> outgoing) {
+    public void send(String route, List<OutboundAttempt> outgoing) {
         of(route).send(route, outgoing);
     }
 
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void closeIdle(String route) {
-        of(route).closeIdle(route);
+    public void closeIdleConnections(String route) {
+        of(route).closeIdleConnections(route);
     }
 }
--- a/src/main/java/loftflow/server/WarmStartModule.java
+++ b/src/main/java/loftflow/server/WarmStartModule.java
@@ -87,9 +87,9 @@
                 book.open(left.picture(), left.notes(), left.whole(), others, startedAt, clock.micros());
         opening.log().forEach(Log::line);
         if (spansUnknown) {
-            engine.spansUnknown();
+            engine.treatKeyWindowsAsExpired();
         }
-        engine.observeBy(event -> take(book.saw(event, clock.micros())));
+        engine.setEventObserver(event -> take(book.saw(event, clock.micros())));
         engine.start(config.knownKind(), opening.revision(), targets(opening.list()), opening.remembered());
         look();
     }
@@ -100,7 +100,7 @@
     }
 
     @Override
-    public void list(EndpointListKind kind, long version, List<Endpoint> targets) {
+    public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> targets) {
         take(book.heard(told(kind, version, targets), clock.micros()));
     }
 
@@ -112,8 +112,8 @@
             // Guards against a list in the midst of what the engine is just telling.
             loop.execute(() -> {
                 ListUpdate told = heard.passOn();
-                engine.list(told.kind(), told.revision(), targets(told.entries()));
-                engine.remembered(heard.remembered());
+                engine.onEndpointList(told.kind(), told.revision(), targets(told.entries()));
+                engine.restoreRoutes(heard.remembered());
             });
         }
     }
@@ -135,7 +135,7 @@
     }
 
     private void save(long now) {
-        if (saver.save(book.picture(SystemClocks.now(), now, engine.standings()), now, book::notSaved)) {
+        if (saver.save(book.picture(SystemClocks.now(), now, engine.routeSnapshots()), now, book::notSaved)) {
             book.saving();
             savedAt = now;
         }
@@ -152,7 +152,7 @@
                 kind,
                 version,
                 targets.stream()
-                        .map(t -> new ListedEndpoint(t.listed(), text(t.address())))
+                        .map(t -> new ListedEndpoint(t.entry(), text(t.address())))
                         .toList());
     }
 
--- a/src/main/java/loftflow/upstream/amqp/BrokerClient.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerClient.java
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public void list(EndpointListKind kind, List<Endpoint> targets) {
+    public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {
         Set<String> named = new HashSet<>();
         for (Endpoint target : targets) {
-            String name = target.listed().route();
+            String name = target.entry().route();
             named.add(name);
-            boolean listed = target.listed().availability() == Availability.LISTED;
+            boolean listed = target.entry().availability() == Availability.LISTED;
             BrokerConnection old = routes.get(name);
             if (old != null && (!listed || !old.isAt(target))) {
                 old.stop();
@@ -80,11 +80,11 @@
     }
 
     @Override
-    public void send(String route, List<Outgoing> outgoing) {
+    public void send(String route, List<OutboundAttempt> outgoing) {
         BrokerConnection to = routes.get(route);
-        for (Outgoing one : outgoing) {
+        for (OutboundAttempt one : outgoing) {
             if (to == null) {
-                results.ended(one.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
+                results.onAttemptCompleted(one.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
             } else {
                 attempts.put(one.attempt(), to);
                 to.send(one);
@@ -104,14 +104,14 @@
     public void probe(String route) {
         BrokerConnection to = routes.get(route);
         if (to == null) {
-            results.probed(route, AttemptOutcome.NOT_SENT, 0, 0, LimitReport.NONE);
+            results.onProbeCompleted(route, AttemptOutcome.NOT_SENT, 0, 0, LimitReport.NONE);
         } else {
             to.probe();
         }
     }
 
     @Override
-    public void closeIdle(String route) {
+    public void closeIdleConnections(String route) {
         BrokerConnection to = routes.get(route);
         if (to != null) {
             to.closeIdle();
@@ -138,17 +138,17 @@
         @Override
         public void ended(Message.Attempt attempt, AttemptOutcome result, long wait) {
             attempts.remove(attempt);
-            results.ended(attempt, result, result == AttemptOutcome.OK, wait, LimitReport.NONE);
+            results.onAttemptCompleted(attempt, result, result == AttemptOutcome.OK, wait, LimitReport.NONE);
         }
 
         @Override
         public void late(Message.Attempt attempt) {
-            results.late(attempt);
+            results.onLateDelivery(attempt);
         }
 
         @Override
         public void probed(String route, AttemptOutcome result, long wait, long elapsed) {
-            results.probed(route, result, wait, elapsed, LimitReport.NONE);
+            results.onProbeCompleted(route, result, wait, elapsed, LimitReport.NONE);
         }
     }
 }
--- a/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
@@ -18,7 +18,7 @@
 import loftflow.amqp.link.AmqpClientConnection;
 import loftflow.engine.Endpoint;
 import loftflow.engine.Message;
-import loftflow.engine.UpstreamClient.Outgoing;
+import loftflow.engine.UpstreamClient.OutboundAttempt;
 import loftflow.http.Headers;
 import loftflow.log.Log;
 import loftflow.policy.api.AttemptOutcome;
@@ -57,7 +57,7 @@
     private static final long MS = 1_000;
     private static final int OK = 200;
 
-    private record Pending(Outgoing outgoing, Future<?> timeout) {}
+    private record Pending(OutboundAttempt outgoing, Future<?> timeout) {}
 
     private final String name;
     private final Endpoint target;
@@ -96,7 +96,7 @@
 
     // ---- what the engine asks for
 
-    void send(Outgoing outgoing) {
+    void send(OutboundAttempt outgoing) {
         if (mustWait()) {
             owner.ended(outgoing.attempt(), AttemptOutcome.REJECTED, BLOCKED_WAIT);
             return;
@@ -104,7 +104,7 @@
         Future<?> timeout = owner.loop()
                 .schedule(
                         () -> giveUp(outgoing.attempt(), AttemptOutcome.TIMEOUT),
-                        outgoing.timeout(),
+                        outgoing.timeoutMicros(),
                         TimeUnit.MICROSECONDS);
         waiting.put(outgoing.attempt(), new Pending(outgoing, timeout));
         if (link == null) {
@@ -259,7 +259,7 @@
             Message.Attempt attempt = waiting.keySet().iterator().next();
             Pending pending = waiting.remove(attempt);
             // Guards against a repeat that its destination may not know as one any more.
-            if (owner.now() >= pending.outgoing().latest()) {
+            if (owner.now() >= pending.outgoing().latestArrivalMicros()) {
                 end(attempt, pending, AttemptOutcome.NOT_SENT, 0);
                 continue;
             }
@@ -271,7 +271,7 @@
         }
     }
 
-    private void publish(Message.Attempt attempt, Outgoing outgoing) {
+    private void publish(Message.Attempt attempt, OutboundAttempt outgoing) {
         Message.Content content = attempt.message().content();
         long tag = confirms.publish(attempt);
         Map<String, Object> headers = new LinkedHashMap<>();
@@ -280,12 +280,12 @@
             headers.put(Headers.KEY, content.key());
         }
         long now = owner.now();
-        long left = Math.max(1, (content.deadline() - now) / MS);
+        long left = Math.max(1, (content.deadlineMicros() - now) / MS);
         Properties properties = Properties.NONE
                 .with(Property.HEADERS, headers)
                 .with(Property.DELIVERY_MODE, PERSISTENT)
                 .with(Property.EXPIRATION, Long.toString(left))
-                .with(Property.MESSAGE_ID, content.callId())
+                .with(Property.MESSAGE_ID, content.messageId())
                 .with(Property.TIMESTAMP, now / (MS * MS))
                 .with(Property.TYPE, content.requestClass());
         PublisherConfirms<Message.Attempt> current = confirms;
--- a/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
+++ b/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
@@ -83,18 +83,18 @@
 
         @Override
         public String route() {
-            return target.listed().route();
+            return target.entry().route();
         }
 
         private boolean isListed() {
-            return target.listed().availability() == Availability.LISTED;
+            return target.entry().availability() == Availability.LISTED;
         }
 
         /** True where another entry speaks of the same place, so that connections and waits go on. */
         private boolean isAt(Endpoint other) {
             return target.address().equals(other.address())
-                    && target.listed().destination() == other.listed().destination()
-                    && target.listed().kind().equals(other.listed().kind());
+                    && target.entry().destination() == other.entry().destination()
+                    && target.entry().kind().equals(other.entry().kind());
         }
 
         @Override
@@ -115,12 +115,12 @@
         @Override
         public void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
             calls.remove(attempt);
-            results.ended(attempt, result, over, wait, report);
+            results.onAttemptCompleted(attempt, result, over, wait, report);
         }
 
         @Override
         public void probed(UpstreamCall call, AttemptOutcome result, long wait, LimitReport report) {
-            results.probed(route(), result, wait, clock.micros() - call.startedAt(), report);
+            results.onProbeCompleted(route(), result, wait, clock.micros() - call.startedAt(), report);
         }
 
         @Override
@@ -132,7 +132,7 @@
         @Override
         public void toldToWait(long span) {
             wait.until = Math.max(wait.until, clock.micros() + span);
-            results.toldToWait(route(), span);
+            results.onRetryAfter(route(), span);
         }
 
         /**
@@ -148,7 +148,7 @@
 
         @Override
         public void late(Message.Attempt attempt) {
-            results.late(attempt);
+            results.onLateDelivery(attempt);
         }
 
         @Override
@@ -304,10 +304,10 @@
     }
 
     @Override
-    public void list(EndpointListKind kind, List<Endpoint> targets) {
+    public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {
         Set<String> named = new HashSet<>();
         for (Endpoint target : targets) {
-            named.add(target.listed().route());
+            named.add(target.entry().route());
             replace(target);
         }
         if (kind != EndpointListKind.DELTA) {
@@ -319,8 +319,8 @@
     }
 
     private void replace(Endpoint target) {
-        Host old = hosts.get(target.listed().route());
-        boolean removed = target.listed().availability() == Availability.REMOVED;
+        Host old = hosts.get(target.entry().route());
+        boolean removed = target.entry().availability() == Availability.REMOVED;
         if (old != null && !removed && old.isAt(target)) {
             old.target = target;
             if (!old.isListed()) {
@@ -332,12 +332,12 @@
             remove(old);
         }
         if (!removed) {
-            DestinationKind kind = kinds.get(target.listed().kind());
+            DestinationKind kind = kinds.get(target.entry().kind());
             boolean apart = kind != null && kind.independentRoutes();
             Wait wait = apart
                     ? old == null ? new Wait() : old.wait
-                    : waits.computeIfAbsent(target.listed().destination(), d -> new Wait());
-            hosts.put(target.listed().route(), new Host(target, wait, kind == null ? 1 : kind.maxBatchSize()));
+                    : waits.computeIfAbsent(target.entry().destination(), d -> new Wait());
+            hosts.put(target.entry().route(), new Host(target, wait, kind == null ? 1 : kind.maxBatchSize()));
         }
     }
 
@@ -356,15 +356,16 @@
     }
 
     @Override
-    public void send(String route, List<Outgoing> outgoing) {
+    public void send(String route, List<OutboundAttempt> outgoing) {
         Host host = hosts.get(route);
         if (host == null || !host.isListed()) {
-            outgoing.forEach(o -> results.ended(o.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE));
+            outgoing.forEach(
+                    o -> results.onAttemptCompleted(o.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE));
             return;
         }
-        List<Outgoing> batch = new ArrayList<>();
+        List<OutboundAttempt> batch = new ArrayList<>();
         int bytes = 0;
-        for (Outgoing next : outgoing) {
+        for (OutboundAttempt next : outgoing) {
             int size = UpstreamCall.encodedSize(next.attempt().message());
             // Guards against a call with a larger body than a host takes.
             if (!batch.isEmpty() && (batch.size() >= host.batch || bytes + size > MOST_BODY)) {
@@ -378,7 +379,7 @@
         startBatch(host, batch);
     }
 
-    private void startBatch(Host host, List<Outgoing> batch) {
+    private void startBatch(Host host, List<OutboundAttempt> batch) {
         UpstreamCall call = new UpstreamCall(host, batch);
         batch.forEach(o -> calls.put(o.attempt(), call));
         host.start(call);
@@ -388,14 +389,14 @@
     public void probe(String route) {
         Host host = hosts.get(route);
         if (host == null || !host.isListed()) {
-            results.probed(route, AttemptOutcome.NOT_SENT, 0, 0, LimitReport.NONE);
+            results.onProbeCompleted(route, AttemptOutcome.NOT_SENT, 0, 0, LimitReport.NONE);
             return;
         }
         host.start(new UpstreamCall(host, reports ? "/-/load" : "/-/healthy", PROBE_TIMEOUT));
     }
 
     @Override
-    public void closeIdle(String route) {
+    public void closeIdleConnections(String route) {
         Host host = hosts.get(route);
         if (host != null) {
             host.closeIdle();
--- a/src/main/java/loftflow/upstream/http/UpstreamCall.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamCall.java
@@ -112,20 +112,20 @@
     private final ByteBuf body = Unpooled.buffer(0, MOST_ANSWER);
 
     /** A call for one or more attempts. */
-    UpstreamCall(Owner owner, List<UpstreamClient.Outgoing> outgoing) {
+    UpstreamCall(Owner owner, List<UpstreamClient.OutboundAttempt> outgoing) {
         this.owner = owner;
         startedAt = owner.now();
         probePath = null;
         probeTimeout = null;
         several = outgoing.size() > 1;
         until = outgoing.stream()
-                .mapToLong(o -> o.attempt().message().content().deadline())
+                .mapToLong(o -> o.attempt().message().content().deadlineMicros())
                 .min()
                 .orElse(startedAt);
-        for (UpstreamClient.Outgoing o : outgoing) {
-            long span = Math.min(o.timeout(), until - startedAt);
+        for (UpstreamClient.OutboundAttempt o : outgoing) {
+            long span = Math.min(o.timeoutMicros(), until - startedAt);
             Future<?> timeout = owner.after(span, () -> giveUp(o.attempt(), AttemptOutcome.TIMEOUT));
-            parts.put(o.attempt(), new Part(o.attempt(), startedAt + span, o.latest(), timeout));
+            parts.put(o.attempt(), new Part(o.attempt(), startedAt + span, o.latestArrivalMicros(), timeout));
         }
     }
 
@@ -148,7 +148,7 @@
     static int encodedSize(Message message) {
         Message.Content content = message.content();
         int key = content.key() == null ? 0 : content.key().length();
-        return (content.body().length + 2) / 3 * 4 + content.callId().length() + key + ITEM_OVERHEAD;
+        return (content.body().length + 2) / 3 * 4 + content.messageId().length() + key + ITEM_OVERHEAD;
     }
 
     long startedAt() {
@@ -190,7 +190,7 @@
         } else {
             Message.Content content = parts.keySet().iterator().next().message().content();
             request = request(HttpMethod.POST, "/receive", content.body());
-            request.headers().set(Headers.CALL_ID, content.callId());
+            request.headers().set(Headers.CALL_ID, content.messageId());
             if (content.key() != null) {
                 request.headers().set(Headers.KEY, content.key());
             }
@@ -217,7 +217,7 @@
             for (Message.Attempt attempt : parts.keySet()) {
                 Message.Content content = attempt.message().content();
                 json.writeStartObject();
-                json.writeStringField("id", content.callId());
+                json.writeStringField("id", content.messageId());
                 if (content.key() != null) {
                     json.writeStringField("key", content.key());
                 }
@@ -339,7 +339,7 @@
             return;
         }
         for (Message.Attempt attempt : new ArrayList<>(parts.keySet())) {
-            outcome(attempt, states.getOrDefault(attempt.message().content().callId(), "failed"));
+            outcome(attempt, states.getOrDefault(attempt.message().content().messageId(), "failed"));
         }
     }
 
--- a/src/test/java/loftflow/amqp/mapping/MessageMappingTest.java
+++ b/src/test/java/loftflow/amqp/mapping/MessageMappingTest.java
@@ -65,8 +65,8 @@
                 .with(Property.HEADERS, Map.of("tenant", "acme", "key", 42)));
         assertEquals(
                 "m1 once acme 42 7",
-                c.callId() + " " + c.requestClass() + " " + c.tenant() + " " + c.key() + " " + c.destination());
-        assertEquals(NOW + 1_500_000, c.deadline());
+                c.messageId() + " " + c.requestClass() + " " + c.tenant() + " " + c.key() + " " + c.destination());
+        assertEquals(NOW + 1_500_000, c.deadlineMicros());
         Message.Reply reply = new Message.Reply("front", "q", "c");
         MessageMapping fixed = mapping(rule("text/plain", "header:id", "fixed:any", "header:dest"), USUAL);
         MessageMapping.Fits other = (MessageMapping.Fits) fixed.map(
@@ -81,26 +81,29 @@
                 reply);
         assertEquals(
                 "h1 any 12",
-                other.content().callId() + " " + other.content().requestClass() + " "
+                other.content().messageId() + " " + other.content().requestClass() + " "
                         + other.content().destination());
         assertEquals(reply, other.content().reply());
     }
 
     @Test
     void timeCountsFromWhenAMessageWasSent() {
-        assertEquals(NOW + 8 * SECOND, fits(properties("once")).deadline(), "its class's deadline where it names none");
+        assertEquals(
+                NOW + 8 * SECOND,
+                fits(properties("once")).deadlineMicros(),
+                "its class's deadline where it names none");
         Properties sent = properties("once").with(Property.EXPIRATION, "2000");
         assertEquals(
                 NOW - 2_500_000 + 2 * SECOND,
-                fits(sent.with(Property.TIMESTAMP, NOW / SECOND - 2)).deadline());
+                fits(sent.with(Property.TIMESTAMP, NOW / SECOND - 2)).deadlineMicros());
         assertEquals(
                 NOW + 2 * SECOND,
-                fits(sent.with(Property.TIMESTAMP, NOW / SECOND + 60)).deadline(),
+                fits(sent.with(Property.TIMESTAMP, NOW / SECOND + 60)).deadlineMicros(),
                 "a client's clock that is ahead gives no more time");
         assertEquals(
                 NOW - 100_000 + 2 * SECOND,
                 fits(sent.with(Property.HEADERS, Map.of("timestamp_in_ms", NOW / 1_000 - 100)))
-                        .deadline());
+                        .deadlineMicros());
     }
 
     @Test
@@ -108,7 +111,7 @@
         misfits(properties("once").with(Property.MESSAGE_ID, null), "7", "needs an id");
         MessageMapping.Fits any = (MessageMapping.Fits) map(properties("any").with(Property.MESSAGE_ID, null), "7");
         assertTrue(any.anonymous());
-        assertEquals("none-1", any.content().callId());
+        assertEquals("none-1", any.content().messageId());
         assertFalse(((MessageMapping.Fits) map(properties("any"), "7")).anonymous());
     }
 
--- a/src/test/java/loftflow/completion/AgentConnectionTest.java
+++ b/src/test/java/loftflow/completion/AgentConnectionTest.java
@@ -107,12 +107,12 @@
                         if (message.number() == 1) {
                             throw new IllegalStateException("broken");
                         }
-                        heard.add(message.content().callId());
+                        heard.add(message.content().messageId());
                     },
                     () -> {});
-            loop.execute(() -> notices.send(ended(1)));
+            loop.execute(() -> notices.notifyCompletion(ended(1)));
             await(() -> platform.count("POST") == 1);
-            loop.execute(() -> notices.send(ended(2)));
+            loop.execute(() -> notices.notifyCompletion(ended(2)));
             await(() -> heard.size() == 1);
             assertEquals(List.of("m2"), heard);
         }
@@ -131,8 +131,8 @@
         })) {
             List<String> heard = new CopyOnWriteArrayList<>();
             HttpCompletionNotifier notices = new HttpCompletionNotifier(
-                    loop, at(platform), message -> heard.add(message.content().callId()), () -> {});
-            loop.submit(() -> IntStream.range(0, 250).forEach(i -> notices.send(ended(i))))
+                    loop, at(platform), message -> heard.add(message.content().messageId()), () -> {});
+            loop.submit(() -> IntStream.range(0, 250).forEach(i -> notices.notifyCompletion(ended(i))))
                     .sync();
             await(() -> heard.size() == 250);
             assertEquals(249, told.stream().distinct().count(), "all but one were read");
@@ -148,9 +148,9 @@
         try (ScriptedPeer platform = ScriptedPeer.always(ScriptedPeer.status(204))) {
             List<String> heard = new CopyOnWriteArrayList<>();
             HttpCompletionNotifier notices = new HttpCompletionNotifier(
-                    loop, at(platform), message -> heard.add(message.content().callId()), () -> {});
+                    loop, at(platform), message -> heard.add(message.content().messageId()), () -> {});
             loop.submit(() -> {
-                        notices.send(ended(1));
+                        notices.notifyCompletion(ended(1));
                         endPassesLate(heard);
                     })
                     .sync();
@@ -240,12 +240,12 @@
         HttpCompletionNotifier notices = new HttpCompletionNotifier(
                 loop,
                 new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()),
-                message -> heard.add(message.content().callId()),
+                message -> heard.add(message.content().messageId()),
                 () -> {});
         loop.execute(notices::start);
         try (Socket kept = listener.accept()) {
             listener.close();
-            loop.execute(() -> notices.send(ended(1)));
+            loop.execute(() -> notices.notifyCompletion(ended(1)));
             String first = new BufferedReader(new InputStreamReader(kept.getInputStream(), StandardCharsets.US_ASCII))
                     .readLine();
             assertEquals("POST /status HTTP/1.1", first);
@@ -275,7 +275,7 @@
 
     private static Message ended(long number) {
         Message message = new Message(number, new Message.Content("m" + number, "safe", null, null, 0, 7, new byte[0]));
-        message.decide(new Message.End(false, 0));
+        message.complete(new Message.Completion(false, 0));
         return message;
     }
 }
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
@@ -310,16 +310,16 @@
                         1_000_000,
                         true,
                         3_600 * SECOND));
-        engine.keepBy(desk);
+        engine.setDeadLetterSink(desk);
         engine.attach(
                 new SimPartners(mine),
                 message -> at(
                         random.nextInt(50_000),
                         () -> {
-                            if (message.end().refused()) {
-                                refused.add(message.content().callId());
+                            if (message.completion().isRejected()) {
+                                refused.add(message.content().messageId());
                             }
-                            engine.noticeHeard(message);
+                            engine.onCompletionAcknowledged(message);
                         },
                         mine));
         List<Endpoint> targets = new ArrayList<>();
@@ -336,46 +336,46 @@
 
     private final class KillableJournal implements WriteAheadLog {
         @Override
-        public long nextNumber() {
-            return journal.nextNumber();
+        public long nextSequenceNumber() {
+            return journal.nextSequenceNumber();
         }
 
         @Override
-        public List<Message> open() {
-            return journal.open();
+        public List<Message> openMessages() {
+            return journal.openMessages();
         }
 
         @Override
-        public boolean accept(Message message) {
-            resends += message.entry() != 0 ? 1 : 0;
-            return write(() -> journal.accept(message));
+        public boolean recordAccepted(Message message) {
+            resends += message.deadLetterId() != 0 ? 1 : 0;
+            return write(() -> journal.recordAccepted(message));
         }
 
         @Override
-        public boolean attempt(Message.Attempt attempt) {
-            return write(() -> journal.attempt(attempt));
+        public boolean recordAttempt(Message.Attempt attempt) {
+            return write(() -> journal.recordAttempt(attempt));
         }
 
         @Override
-        public void result(Message.Attempt attempt) {
+        public void recordOutcome(Message.Attempt attempt) {
             write(() -> {
-                journal.result(attempt);
+                journal.recordOutcome(attempt);
                 return 0;
             });
         }
 
         @Override
-        public void decided(Message message) {
+        public void recordCompletion(Message message) {
             write(() -> {
-                journal.decided(message);
+                journal.recordCompletion(message);
                 return 0;
             });
         }
 
         @Override
-        public void done(Message message) {
+        public void recordDone(Message message) {
             write(() -> {
-                journal.done(message);
+                journal.recordDone(message);
                 return 0;
             });
         }
@@ -443,26 +443,26 @@
         }
 
         @Override
-        public void list(EndpointListKind kind, List<Endpoint> targets) {}
+        public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {}
 
         @Override
-        public void send(String route, List<Outgoing> outgoing) {
+        public void send(String route, List<OutboundAttempt> outgoing) {
             outgoing.forEach(o -> send(route, o));
         }
 
         private void end(Message.Attempt attempt, AttemptOutcome result, boolean over) {
             if (out.remove(attempt)) {
-                engine.ended(attempt, result, over, 0, LimitReport.NONE);
+                engine.onAttemptCompleted(attempt, result, over, 0, LimitReport.NONE);
             }
         }
 
-        private void send(String route, Outgoing o) {
+        private void send(String route, OutboundAttempt o) {
             Message.Attempt attempt = o.attempt();
             out.add(attempt);
             Message.Content c = attempt.message().content();
             int building = route.charAt(route.length() - 1) - '0';
             long delay = 10_000 + random.nextInt(150_000);
-            at(o.timeout(), () -> end(attempt, AttemptOutcome.TIMEOUT, false), whose);
+            at(o.timeoutMicros(), () -> end(attempt, AttemptOutcome.TIMEOUT, false), whose);
             int fate = random.nextInt(outage ? 10 : 20);
             if (fate < 2) {
                 at(delay, () -> end(attempt, AttemptOutcome.CONNECT_FAILED, false), whose);
@@ -478,10 +478,10 @@
                     at(delay, () -> end(attempt, AttemptOutcome.RESET, false), whose);
                 } else if (fate == 6) {
                     at(
-                            Math.max(runs + 10_000, o.timeout() + random.nextInt(9_000_000)),
+                            Math.max(runs + 10_000, o.timeoutMicros() + random.nextInt(9_000_000)),
                             () -> {
                                 if (!out.contains(attempt)) {
-                                    engine.late(attempt);
+                                    engine.onLateDelivery(attempt);
                                 }
                             },
                             whose);
@@ -497,12 +497,12 @@
         /** A keyed call begins, and is remembered, when its last byte has come; others run when they like. */
         private void runs(Message.Content c, int building, long late) {
             long after = c.requestClass().equals("keyed") ? 10_000 : late;
-            world.pending.merge(c.callId(), 1, Integer::sum);
+            world.pending.merge(c.messageId(), 1, Integer::sum);
             at(
                     after,
                     () -> {
-                        world.pending.merge(c.callId(), -1, Integer::sum);
-                        world.post(c.callId(), c.requestClass(), c.key(), building, now);
+                        world.pending.merge(c.messageId(), -1, Integer::sum);
+                        world.post(c.messageId(), c.requestClass(), c.key(), building, now);
                     },
                     0);
         }
@@ -518,7 +518,7 @@
         }
 
         @Override
-        public void closeIdle(String route) {}
+        public void closeIdleConnections(String route) {}
     }
 
     /** Persons look at what is kept, and speak truly of what the partner has posted. */
@@ -536,7 +536,7 @@
                             true);
                     if (!kept.isEmpty()) {
                         DeadLetter entry = kept.get(random.nextInt(kept.size()));
-                        String id = entry.content().callId();
+                        String id = entry.content().messageId();
                         boolean posted = world.effects.containsKey(id) || world.pending.getOrDefault(id, 0) > 0;
                         int what = random.nextInt(4);
                         if (what == 0 && !posted) {
@@ -599,14 +599,14 @@
                 now + skew + 4 * SECOND,
                 destination,
                 new byte[10]);
-        engine.takeOn(content, now + skew, new Message.ClientReply() {
+        engine.accept(content, now + skew, new Message.ClientReply() {
             @Override
-            public void taken() {
+            public void accepted() {
                 taken.add(id);
             }
 
             @Override
-            public void refused(long retryIn) {}
+            public void rejected(long retryIn) {}
 
             @Override
             public void failed() {}
@@ -617,10 +617,10 @@
         Map<String, DeadLetter> entries = new HashMap<>();
         int torn = 0;
         for (DeadLetter entry : shelf.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)) {
-            torn += entries.put(entry.content().callId(), entry) != null ? 1 : 0;
+            torn += entries.put(entry.content().messageId(), entry) != null ? 1 : 0;
         }
         Set<String> open = new HashSet<>();
-        journal.open().forEach(m -> open.add(m.content().callId()));
+        journal.openMessages().forEach(m -> open.add(m.content().messageId()));
         int doubles = 0;
         int lost = 0;
         int delivered = 0;
--- a/src/test/java/loftflow/deadletter/DeadLetterServiceTest.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterServiceTest.java
@@ -135,8 +135,8 @@
                 new Queue(),
                 new DeadLetterService.Options(
                         shelves, new RedrivePolicy(SECOND, SECOND), 2, 1 << 30, 1 << 29, 1_000, true, 3_600 * SECOND));
-        engine.keepBy(desk);
-        engine.attach(new Calls(), message -> engine.noticeHeard(message));
+        engine.setDeadLetterSink(desk);
+        engine.attach(new Calls(), message -> engine.onCompletionAcknowledged(message));
         engine.start(EndpointListKind.FULL, 1, List.of(target("r0", "b0"), target("r1", "b1")));
         desk.start();
         pass(SECOND);
@@ -182,19 +182,20 @@
 
     private final class Calls implements UpstreamClient {
         @Override
-        public void list(EndpointListKind kind, List<Endpoint> targets) {}
+        public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {}
 
         @Override
-        public void send(String route, List<Outgoing> outgoing) {
-            for (Outgoing o : outgoing) {
-                sent.add(o.attempt().message().content().callId() + "@" + route);
+        public void send(String route, List<OutboundAttempt> outgoing) {
+            for (OutboundAttempt o : outgoing) {
+                sent.add(o.attempt().message().content().messageId() + "@" + route);
                 sentAt.add(now);
                 AttemptOutcome result = fate.apply(route, o.attempt());
-                long after = result == AttemptOutcome.TIMEOUT ? o.timeout() : 10_000;
+                long after = result == AttemptOutcome.TIMEOUT ? o.timeoutMicros() : 10_000;
                 queue.add(new Due(
                         now + after,
                         order++,
-                        () -> engine.ended(o.attempt(), result, result == AttemptOutcome.OK, 0, LimitReport.NONE)));
+                        () -> engine.onAttemptCompleted(
+                                o.attempt(), result, result == AttemptOutcome.OK, 0, LimitReport.NONE)));
             }
         }
 
@@ -205,39 +206,39 @@
         public void probe(String route) {}
 
         @Override
-        public void closeIdle(String route) {}
+        public void closeIdleConnections(String route) {}
     }
 
     /** A journal that holds what it is told and remembers what is done. */
     private final class Memory implements WriteAheadLog {
         @Override
-        public long nextNumber() {
+        public long nextSequenceNumber() {
             return 1;
         }
 
         @Override
-        public List<Message> open() {
+        public List<Message> openMessages() {
             return List.of();
         }
 
         @Override
-        public boolean accept(Message message) {
+        public boolean recordAccepted(Message message) {
             return true;
         }
 
         @Override
-        public boolean attempt(Message.Attempt attempt) {
+        public boolean recordAttempt(Message.Attempt attempt) {
             return true;
         }
 
         @Override
-        public void result(Message.Attempt attempt) {}
+        public void recordOutcome(Message.Attempt attempt) {}
 
         @Override
-        public void decided(Message message) {}
+        public void recordCompletion(Message message) {}
 
         @Override
-        public void done(Message message) {
+        public void recordDone(Message message) {
             done.add(message.number());
         }
     }
@@ -247,15 +248,15 @@
     }
 
     private void handIn(String id, String type, String line) {
-        engine.takeOn(
+        engine.accept(
                 new Message.Content(id, type, null, "key-" + id, now + 2 * SECOND, 7, new byte[1], null, line),
                 now,
                 new Message.ClientReply() {
                     @Override
-                    public void taken() {}
+                    public void accepted() {}
 
                     @Override
-                    public void refused(long retryIn) {
+                    public void rejected(long retryIn) {
                         throw new AssertionError("refused");
                     }
 
@@ -268,7 +269,7 @@
 
     private DeadLetter entry(String id) {
         return shelf.list(DeadLetterStore.Filter.ALL, 0, 100, false).stream()
-                .filter(e -> e.content().callId().equals(id))
+                .filter(e -> e.content().messageId().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
@@ -339,7 +340,7 @@
         fate = (route, attempt) -> AttemptOutcome.REJECTED;
         handIn("m1", "unsafe");
         pass(2_500_000);
-        engine.freeze();
+        engine.quiesce();
         fate = (route, attempt) -> AttemptOutcome.OK;
         int before = sent.size();
         pass(40 * SECOND);
@@ -353,10 +354,10 @@
         List<String> lines = new ArrayList<>();
         fate = (route, attempt) -> {
             lines.add(
-                    attempt.message().entry() == 0
+                    attempt.message().deadLetterId() == 0
                             ? "new"
-                            : attempt.message().content().line());
-            return attempt.message().entry() == 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK;
+                            : attempt.message().content().orderingKey());
+            return attempt.message().deadLetterId() == 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK;
         };
         handIn("m1", "unsafe", "track-4");
         pass(60 * SECOND);
@@ -416,7 +417,7 @@
         Message first = new Message(1, kept.content());
         Message.Attempt late = first.addAttempt(
                 kept.tries().get(0).route(), kept.tries().get(0).sentAt());
-        engine.late(late);
+        engine.onLateDelivery(late);
         pass(SECOND);
         int before = sent.size();
         fate = (route, attempt) -> AttemptOutcome.OK;
@@ -511,15 +512,15 @@
                     List.of()));
         }
         fate = (route, attempt) -> AttemptOutcome.RESET;
-        assertFalse(desk.refuses(content("unsafe")));
+        assertFalse(desk.rejects(content("unsafe")));
         handIn("m1", "unsafe");
         pass(3 * SECOND);
         assertEquals(1_000, shelf.size().entries());
-        assertTrue(desk.refuses(content("unsafe")), "the store is full, and this class is what fills it");
-        assertFalse(desk.refuses(content("keyed")), "nothing of this class has failed");
+        assertTrue(desk.rejects(content("unsafe")), "the store is full, and this class is what fills it");
+        assertFalse(desk.rejects(content("keyed")), "nothing of this class has failed");
         now += 3_600 * SECOND;
         pass(2 * SECOND);
         assertTrue(shelf.size().entries() < 1_000, "what is over goes by age");
-        assertFalse(desk.refuses(content("unsafe")), "there is room again, though nothing new was kept");
+        assertFalse(desk.rejects(content("unsafe")), "there is room again, though nothing new was kept");
     }
 }
--- a/src/test/java/loftflow/deadletter/SqliteDeadLetterStoreTest.java
+++ b/src/test/java/loftflow/deadletter/SqliteDeadLetterStoreTest.java
@@ -61,7 +61,7 @@
         long id = open().put(entry("m1", 7, 900, AttemptOutcome.REJECTED, null, AttemptOutcome.TIMEOUT));
         shelf.close();
         DeadLetter back = open().get(id).orElseThrow();
-        assertEquals("m1", back.content().callId());
+        assertEquals("m1", back.content().messageId());
         assertEquals(3, back.content().body().length);
         assertEquals(
                 entry("m1", 7, 900, AttemptOutcome.REJECTED, null, AttemptOutcome.TIMEOUT)
@@ -95,10 +95,10 @@
     @Test
     void lineComesBack() {
         long id = open().put(inLine("m1", "track-4"));
-        assertEquals("track-4", shelf.get(id).orElseThrow().content().line());
+        assertEquals("track-4", shelf.get(id).orElseThrow().content().orderingKey());
         assertEquals(
                 "track-4",
-                shelf.due(1_000, Integer.MIN_VALUE, 9).get(0).content().line());
+                shelf.due(1_000, Integer.MIN_VALUE, 9).get(0).content().orderingKey());
     }
 
     /** A file from before lines were kept is read as it is, and brought up to date when a relay opens it; nothing of it is lost. */
@@ -115,13 +115,13 @@
             assertEquals(
                     List.of("m1"),
                     read.list(DeadLetterStore.Filter.ALL, 0, 9, true).stream()
-                            .map(e -> e.content().callId())
+                            .map(e -> e.content().messageId())
                             .toList());
         }
-        assertNull(open().get(id).orElseThrow().content().line());
+        assertNull(open().get(id).orElseThrow().content().orderingKey());
         long next = shelf.put(inLine("m2", "track-5"));
         shelf.close();
-        assertEquals("track-5", open().get(next).orElseThrow().content().line());
+        assertEquals("track-5", open().get(next).orElseThrow().content().orderingKey());
     }
 
     @Test
@@ -162,7 +162,7 @@
         assertEquals(
                 List.of("a0", "b"),
                 shelf.due(1_000, Integer.MIN_VALUE, 64).stream()
-                        .map(e -> e.content().callId())
+                        .map(e -> e.content().messageId())
                         .toList());
     }
 
--- a/src/test/java/loftflow/discovery/EndpointWatcherTest.java
+++ b/src/test/java/loftflow/discovery/EndpointWatcherTest.java
@@ -55,11 +55,11 @@
     }
 
     @Override
-    public void list(EndpointListKind kind, long version, List<Endpoint> targets) {
+    public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> targets) {
         if (kind == EndpointListKind.FULL) {
             hosts.clear();
         }
-        targets.forEach(t -> hosts.put(t.listed().route(), t.listed().availability()));
+        targets.forEach(t -> hosts.put(t.entry().route(), t.entry().availability()));
         hosts.values().removeIf(a -> a == Availability.REMOVED);
         known = Map.copyOf(hosts);
         takenAt = versions.isEmpty() ? System.nanoTime() : takenAt;
--- a/src/test/java/loftflow/interop/AmqpCampaign.java
+++ b/src/test/java/loftflow/interop/AmqpCampaign.java
@@ -147,7 +147,7 @@
                                 20,
                                 new AmqpServerConnection.Offer("loftflow", 20, 8 << 10, 2),
                                 600 * SECOND),
-                        engine::noticeHeard,
+                        engine::onCompletionAcknowledged,
                         message -> {});
                 return server;
             }
@@ -168,7 +168,7 @@
                             QueueConsumer.Tells.ASKED,
                             null,
                             300 * MS),
-                    engine::noticeHeard,
+                    engine::onCompletionAcknowledged,
                     message -> {});
             return consumer;
         }
--- a/src/test/java/loftflow/interop/CampaignRelay.java
+++ b/src/test/java/loftflow/interop/CampaignRelay.java
@@ -96,8 +96,8 @@
         };
         engine = new DeliveryEngine(timers, clock, settings(), 2 * MS, gated(), DefaultDeliveryPolicy::new);
         file = new DeduplicationFile(folder, 600 * SECOND, 1_000, clock::micros);
-        for (Message message : journal.open()) {
-            file.add(message.content().callId());
+        for (Message message : journal.openMessages()) {
+            file.add(message.content().messageId());
         }
         seen = forgetful ? Deduplicator.NOTHING : gatedSeen();
         BrokerClient partners = new BrokerClient(
@@ -108,9 +108,9 @@
             if (message.content().reply() != null) {
                 replies.tell(message);
             } else if (!dead) {
-                others.computeIfAbsent(message.content().callId(), i -> ConcurrentHashMap.newKeySet())
-                        .add(message.end().refused() ? "bounced" : "dead");
-                engine.noticeHeard(message);
+                others.computeIfAbsent(message.content().messageId(), i -> ConcurrentHashMap.newKeySet())
+                        .add(message.completion().isRejected() ? "bounced" : "dead");
+                engine.onCompletionAcknowledged(message);
             }
         });
         loop.submit(() -> {
@@ -210,47 +210,47 @@
     private WriteAheadLog gated() {
         return new WriteAheadLog() {
             @Override
-            public long nextNumber() {
-                return journal.nextNumber();
+            public long nextSequenceNumber() {
+                return journal.nextSequenceNumber();
             }
 
             @Override
-            public List<Message> open() {
-                return journal.open();
+            public List<Message> openMessages() {
+                return journal.openMessages();
             }
 
             @Override
-            public boolean accept(Message message) {
-                boolean accepted = !dead && journal.accept(message);
+            public boolean recordAccepted(Message message) {
+                boolean accepted = !dead && journal.recordAccepted(message);
                 if (accepted) {
-                    way.recorded(message.content().callId());
+                    way.recorded(message.content().messageId());
                 }
                 return accepted;
             }
 
             @Override
-            public boolean attempt(Message.Attempt attempt) {
-                return !dead && (way.forgetsAttempts() || journal.attempt(attempt));
+            public boolean recordAttempt(Message.Attempt attempt) {
+                return !dead && (way.forgetsAttempts() || journal.recordAttempt(attempt));
             }
 
             @Override
-            public void result(Message.Attempt attempt) {
+            public void recordOutcome(Message.Attempt attempt) {
                 if (!dead) {
-                    journal.result(attempt);
+                    journal.recordOutcome(attempt);
                 }
             }
 
             @Override
-            public void decided(Message message) {
+            public void recordCompletion(Message message) {
                 if (!dead) {
-                    journal.decided(message);
+                    journal.recordCompletion(message);
                 }
             }
 
             @Override
-            public void done(Message message) {
+            public void recordDone(Message message) {
                 if (!dead) {
-                    journal.done(message);
+                    journal.recordDone(message);
                 }
             }
         };
--- a/src/test/java/loftflow/interop/ClosedChannelTest.java
+++ b/src/test/java/loftflow/interop/ClosedChannelTest.java
@@ -106,7 +106,7 @@
                 // Others may have been kept for a while, and gone out from there within their windows.
                 await(() -> entries().size() == 1);
                 DeadLetter kept = entries().get(0);
-                assertEquals("m-settlement", kept.content().callId());
+                assertEquals("m-settlement", kept.content().messageId());
                 assertEquals(ExecutionCertainty.MAYBE, kept.ran());
                 assertEquals(1, broker.effects().get("m-settlement"));
                 assertTrue(kept.tries().size() == 1, "it was tried once: " + kept.tries());
--- a/src/test/java/loftflow/interop/Http2Campaign.java
+++ b/src/test/java/loftflow/interop/Http2Campaign.java
@@ -233,18 +233,18 @@
         }
 
         @Override
-        public boolean knows(Message.Content content) {
-            return intake.knows(content);
+        public boolean recognizes(Message.Content content) {
+            return intake.recognizes(content);
         }
 
         @Override
-        public boolean reaches(int destination) {
-            return intake.reaches(destination);
+        public boolean hasDestination(int destination) {
+            return intake.hasDestination(destination);
         }
 
         @Override
-        public Message takeOn(Message.Content content, long unreadSince, Message.ClientReply client) {
-            return intake.takeOn(content, unreadSince, client);
+        public Message accept(Message.Content content, long unreadSince, Message.ClientReply client) {
+            return intake.accept(content, unreadSince, client);
         }
 
         @Override
@@ -253,13 +253,13 @@
         }
 
         @Override
-        public void left(Message message) {
+        public void clientDisconnected(Message message) {
             intake.withdraw(message);
         }
 
         @Override
-        public double fullness() {
-            return intake.fullness();
+        public double utilization() {
+            return intake.utilization();
         }
     }
 
--- a/src/test/java/loftflow/listener/FakeMessageAcceptor.java
+++ b/src/test/java/loftflow/listener/FakeMessageAcceptor.java
@@ -31,21 +31,21 @@
     }
 
     @Override
-    public boolean knows(Message.Content content) {
+    public boolean recognizes(Message.Content content) {
         return content.tenant() == null;
     }
 
     @Override
-    public boolean reaches(int destination) {
+    public boolean hasDestination(int destination) {
         return destination == 7;
     }
 
     @Override
-    public Message takeOn(Message.Content content, long unreadSince, Message.ClientReply client) {
+    public Message accept(Message.Content content, long unreadSince, Message.ClientReply client) {
         Message message = new Message(numbers.incrementAndGet(), content);
         handed.add(new Handed(message, client));
         if (takesAll) {
-            client.taken();
+            client.accepted();
             return null;
         }
         return message;
@@ -53,23 +53,23 @@
 
     @Override
     public void withdraw(Message message) {
-        withdrawn.add(message.content().callId());
+        withdrawn.add(message.content().messageId());
     }
 
     @Override
-    public void left(Message message) {
-        left.add(message.content().callId());
+    public void clientDisconnected(Message message) {
+        left.add(message.content().messageId());
     }
 
     @Override
-    public double fullness() {
+    public double utilization() {
         return fullness;
     }
 
     /** Of messages that were handed in. */
     public List<String> ids() {
         synchronized (handed) {
-            return handed.stream().map(h -> h.message().content().callId()).toList();
+            return handed.stream().map(h -> h.message().content().messageId()).toList();
         }
     }
 }
--- a/src/test/java/loftflow/listener/amqp/AmqpListenerTest.java
+++ b/src/test/java/loftflow/listener/amqp/AmqpListenerTest.java
@@ -79,8 +79,8 @@
                         20,
                         new AmqpServerConnection.Offer("loftflow", 8, FRAME, 2),
                         hold),
-                m -> heard.add(m.content().callId()),
-                m -> otherwise.add(m.content().callId()));
+                m -> heard.add(m.content().messageId()),
+                m -> otherwise.add(m.content().messageId()));
     }
 
     private ConnectionFactory factory(String user, String password) {
@@ -130,8 +130,8 @@
         publish("c", 1);
         await(() -> intake.handed.size() == 3);
         assertTrue(server.isAnswering());
-        on(() -> intake.handed.get(1).client().refused(SECOND));
-        on(() -> intake.handed.get(0).client().taken());
+        on(() -> intake.handed.get(1).client().rejected(SECOND));
+        on(() -> intake.handed.get(0).client().accepted());
         on(() -> intake.handed.get(2).client().failed());
         awaitTold("1 nack 2", "1 ack 1", "1 nack 3");
         assertTrue(seen.contains("a") && !seen.contains("b") && !seen.contains("c"));
@@ -200,15 +200,15 @@
         second.basicPublish("loftflow", "7", properties("b"), new byte[1]);
         await(() -> intake.handed.size() == 2);
         Message.ClientReply ofB = intake.handed.stream()
-                .filter(h -> h.message().content().callId().equals("b"))
+                .filter(h -> h.message().content().messageId().equals("b"))
                 .findFirst()
                 .orElseThrow()
                 .client();
-        on(() -> ofB.refused(0));
+        on(() -> ofB.rejected(0));
         awaitTold("2 nack 1");
         on(() -> intake.handed.stream()
-                .filter(h -> h.message().content().callId().equals("a"))
-                .forEach(h -> h.client().taken()));
+                .filter(h -> h.message().content().messageId().equals("a"))
+                .forEach(h -> h.client().accepted()));
         awaitTold("2 nack 1", "1 ack 1");
     }
 
@@ -223,8 +223,8 @@
         assertEquals(1, channel.getChannelNumber());
         publish("b", 1);
         await(() -> intake.handed.size() == 2);
-        on(() -> intake.handed.get(0).client().taken());
-        on(() -> intake.handed.get(1).client().refused(0));
+        on(() -> intake.handed.get(0).client().accepted());
+        on(() -> intake.handed.get(1).client().rejected(0));
         awaitTold("1 nack 1");
     }
 
@@ -263,7 +263,7 @@
         assertTrue(connection.isOpen());
         on(() -> {
             intake.takesAll = true;
-            List.copyOf(intake.handed).forEach(h -> h.client().taken());
+            List.copyOf(intake.handed).forEach(h -> h.client().accepted());
         });
         await(() -> told.size() == 400);
     }
@@ -303,18 +303,18 @@
 
     @Test
     void endWaitsForItsProgramAndIsHeardOnceAcknowledged() throws Exception {
-        on(() -> server.tell(ended("a", "ends", Message.End.Kind.DELIVERED)));
+        on(() -> server.tell(ended("a", "ends", Message.Completion.Kind.DELIVERED)));
         LinkedBlockingQueue<String> come = consume(connection.createChannel(), true, 5);
         assertEquals("a.end done false", come.poll(5, TimeUnit.SECONDS));
         await(() -> heard.equals(List.of("a")));
-        on(() -> server.tell(ended("b", "ends", Message.End.Kind.REFUSED)));
+        on(() -> server.tell(ended("b", "ends", Message.Completion.Kind.REJECTED)));
         assertEquals("b.end bounced false", come.poll(5, TimeUnit.SECONDS));
     }
 
     @Test
     void endThatIsNotAcknowledgedComesAgainWithItsFlagAndPrefetchHolds() throws Exception {
         for (String id : List.of("a", "b", "c")) {
-            on(() -> server.tell(ended(id, "ends", Message.End.Kind.FAILED)));
+            on(() -> server.tell(ended(id, "ends", Message.Completion.Kind.FAILED)));
         }
         Channel first = connection.createChannel();
         LinkedBlockingQueue<String> come = consume(first, false, 2);
@@ -331,7 +331,7 @@
 
     @Test
     void tagOfAnotherChannelAcknowledgesNothing() throws Exception {
-        on(() -> server.tell(ended("a", "ends", Message.End.Kind.FAILED)));
+        on(() -> server.tell(ended("a", "ends", Message.Completion.Kind.FAILED)));
         LinkedBlockingQueue<String> come = consume(connection.createChannel(), false, 2);
         assertNotNull(come.poll(5, TimeUnit.SECONDS));
         Channel other = connection.createChannel();
@@ -345,7 +345,7 @@
     void endThatNobodyTakesGoesWhereOthersGo() throws Exception {
         AmqpListener hasty = server(null, SECOND / 10);
         hasty.listen(loop, new InetSocketAddress("127.0.0.1", 0)).sync();
-        on(() -> hasty.tell(ended("a", "ends", Message.End.Kind.FAILED)));
+        on(() -> hasty.tell(ended("a", "ends", Message.Completion.Kind.FAILED)));
         await(() -> otherwise.equals(List.of("a")));
         on(hasty::stopListening);
     }
--- a/src/test/java/loftflow/listener/amqp/AmqpListenerTestBase.java
+++ b/src/test/java/loftflow/listener/amqp/AmqpListenerTestBase.java
@@ -80,12 +80,12 @@
     }
 
     /** A message whose end is to be told to a queue. */
-    static Message ended(String id, String queue, Message.End.Kind kind) {
+    static Message ended(String id, String queue, Message.Completion.Kind kind) {
         Message message = new Message(
                 1,
                 new Message.Content(
                         id, "unsafe", null, null, 0, 7, new byte[0], new Message.Reply("front", queue, null)));
-        message.decide(new Message.End(kind, 0));
+        message.complete(new Message.Completion(kind, 0));
         return message;
     }
 
--- a/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
+++ b/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
@@ -56,8 +56,8 @@
                         tells,
                         replyQueue,
                         SECOND),
-                m -> heard.add(m.content().callId()),
-                m -> otherwise.add(m.content().callId()));
+                m -> heard.add(m.content().messageId()),
+                m -> otherwise.add(m.content().messageId()));
     }
 
     private void start() {
@@ -94,7 +94,7 @@
         start();
         await(() -> intake.ids().equals(List.of("a")));
         assertEquals(0, broker.acked("in"));
-        on(() -> intake.handed.get(0).client().taken());
+        on(() -> intake.handed.get(0).client().accepted());
         await(() -> broker.acked("in") == 1);
         assertTrue(seen.contains("a"));
     }
@@ -105,7 +105,7 @@
         put("a");
         start();
         await(() -> intake.handed.size() == 1);
-        on(() -> intake.handed.get(0).client().refused(SECOND));
+        on(() -> intake.handed.get(0).client().rejected(SECOND));
         await(() -> intake.handed.size() == 2);
         assertEquals(List.of("a", "a"), intake.ids());
         on(() -> intake.handed.get(1).client().failed());
@@ -132,7 +132,7 @@
         }
         start();
         await(() -> intake.handed.size() == 5);
-        on(() -> intake.handed.get(0).client().taken());
+        on(() -> intake.handed.get(0).client().accepted());
         await(() -> intake.handed.size() == 6);
         assertEquals(19, broker.size("in"));
     }
@@ -148,7 +148,7 @@
         await(() -> intake.handed.size() == 4);
         assertEquals(java.util.Set.of("a", "b"), intake.withdrawn, "the broker hands them out again");
         on(() -> {
-            intake.handed.get(0).client().taken();
+            intake.handed.get(0).client().accepted();
             intake.handed.get(1).client().failed();
         });
         on(() -> {});
@@ -202,7 +202,7 @@
     @Test
     void endIsToldToItsQueueAndHeardOnceTheBrokerHasIt() {
         start();
-        on(() -> consumer.tell(ended("a", "ends", Message.End.Kind.DELIVERED)));
+        on(() -> consumer.tell(ended("a", "ends", Message.Completion.Kind.DELIVERED)));
         await(() -> heard.equals(List.of("a")));
         var end = broker.ready("ends").get(0);
         assertEquals(
@@ -218,7 +218,7 @@
     void endWhoseConfirmIsLostIsToldAgainUnderTheSameId() {
         broker.be(Fate.DROP_AFTER);
         start();
-        on(() -> consumer.tell(ended("a", "ends", Message.End.Kind.FAILED)));
+        on(() -> consumer.tell(ended("a", "ends", Message.Completion.Kind.FAILED)));
         await(() -> broker.size("ends") == 1);
         assertEquals(List.of(), heard);
         broker.be(Fate.CONFIRM);
@@ -230,13 +230,13 @@
     @Test
     void endsWaitWhileTheBrokerBlocksPublishers() {
         start();
-        on(() -> consumer.tell(ended("a", "ends", Message.End.Kind.DELIVERED)));
+        on(() -> consumer.tell(ended("a", "ends", Message.Completion.Kind.DELIVERED)));
         await(() -> heard.equals(List.of("a")));
         broker.block(true);
         // What the broker hands out behind its block is handled when that is known.
         put("m");
         await(() -> broker.acked("in") == 1);
-        on(() -> consumer.tell(ended("b", "ends", Message.End.Kind.DELIVERED)));
+        on(() -> consumer.tell(ended("b", "ends", Message.Completion.Kind.DELIVERED)));
         on(() -> {});
         assertEquals(1, broker.size("ends"));
         broker.block(false);
@@ -248,7 +248,7 @@
     void endThatTheBrokerRefusesIsToldAgain() {
         broker.be(Fate.NACK);
         start();
-        on(() -> consumer.tell(ended("a", "ends", Message.End.Kind.FAILED)));
+        on(() -> consumer.tell(ended("a", "ends", Message.Completion.Kind.FAILED)));
         await(() -> broker.postings().size() >= 2);
         assertEquals(List.of(), heard);
         broker.be(Fate.CONFIRM);
@@ -259,7 +259,7 @@
     @Test
     void endWhoseQueueIsGoneGoesWhereOthersGo() {
         start();
-        on(() -> consumer.tell(ended("a", "nowhere", Message.End.Kind.REFUSED)));
+        on(() -> consumer.tell(ended("a", "nowhere", Message.Completion.Kind.REJECTED)));
         await(() -> otherwise.equals(List.of("a")));
         assertEquals(List.of(), heard);
     }
--- a/src/test/java/loftflow/listener/http2/ConnectionEndTest.java
+++ b/src/test/java/loftflow/listener/http2/ConnectionEndTest.java
@@ -95,7 +95,7 @@
         await(() -> clock.micros() - opened > 3 * SECOND);
         long sent = clock.micros();
         assertEquals(202, client.status(client.send(RawClient.message("m"), "x")));
-        long lost = sent + 8 * SECOND - intake.handed.get(0).message().content().deadline();
+        long lost = sent + 8 * SECOND - intake.handed.get(0).message().content().deadlineMicros();
         assertTrue(lost < 3 * SECOND / 2, "microseconds lost: " + lost);
     }
 
--- a/src/test/java/loftflow/listener/http2/Http2TestBase.java
+++ b/src/test/java/loftflow/listener/http2/Http2TestBase.java
@@ -93,7 +93,7 @@
     /** The message that was handed in as so many before it were is taken on. */
     void take(int index) {
         on(() -> {
-            intake.handed.get(index).client().taken();
+            intake.handed.get(index).client().accepted();
             return null;
         });
     }
--- a/src/test/java/loftflow/server/RelayProcess.java
+++ b/src/test/java/loftflow/server/RelayProcess.java
@@ -279,7 +279,7 @@
                 Files.copy(file, copy.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
             try (Journal journal = new Journal(copy, 3 << 20)) {
-                return journal.open();
+                return journal.openMessages();
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/test/java/loftflow/server/RestartTest.java
+++ b/src/test/java/loftflow/server/RestartTest.java
@@ -152,7 +152,7 @@
         assertEquals(202, relay.start().handIn("u2", "unsafe", 7));
         await(() -> relay.journaled().stream()
                 .flatMap(m -> m.attempts().stream())
-                .anyMatch(a -> a.result() == AttemptOutcome.REJECTED));
+                .anyMatch(a -> a.outcome() == AttemptOutcome.REJECTED));
         relay.kill();
         host.answer(request -> status(200));
         relay.start();
--- a/src/test/java/loftflow/server/ShutdownTest.java
+++ b/src/test/java/loftflow/server/ShutdownTest.java
@@ -93,14 +93,14 @@
                 journal,
                 DefaultDeliveryPolicy::new);
         CompletionNotifier ends = message -> {
-            ended.add(message.content().callId() + " " + message.end().word());
-            loop.execute(() -> engine.noticeHeard(message));
+            ended.add(message.content().messageId() + " " + message.completion().word());
+            loop.execute(() -> engine.onCompletionAcknowledged(message));
         };
         engine.attach(
                 new HttpUpstreamClient(
                         loop, clock, settings, new HttpUpstreamClient.Options(false, 10 * SECOND, 8, 0), engine),
                 ends);
-        engine.logTo(log::add);
+        engine.setLogger(log::add);
         EventLoopLag pulse = new EventLoopLag(timers, clock);
         server = new HttpListener(engine, clock, pulse, CONNECTIONS);
         port = ((InetSocketAddress) server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
@@ -156,7 +156,7 @@
     /** Asked on the loop, whose the journal is. */
     private boolean nothingIsOpen() {
         try {
-            return loop.submit(() -> journal.open().isEmpty()).get();
+            return loop.submit(() -> journal.openMessages().isEmpty()).get();
         } catch (InterruptedException | ExecutionException e) {
             throw new AssertionError(e);
         }
@@ -301,7 +301,7 @@
     private void takeOn(Socket client) {
         write(client, message("m1"));
         server.takeIn();
-        assertEquals(1, journal.open().size(), "recorded");
+        assertEquals(1, journal.openMessages().size(), "recorded");
     }
 
     /**
@@ -382,7 +382,7 @@
     /** After the freeze nobody tries a message before the restart: its client goes elsewhere. */
     @Test
     void messageAfterTheFreezeIsRefused() throws Exception {
-        loop.submit(engine::freeze).sync();
+        loop.submit(engine::quiesce).sync();
         try (Socket client = connect()) {
             assertEquals(503, RelayProcess.exchange(client, message("m1")).status());
         }
@@ -396,7 +396,7 @@
             loop.submit(() -> {
                         write(client, message("m1"));
                         server.takeIn();
-                        engine.freeze();
+                        engine.quiesce();
                     })
                     .sync();
             assertEquals(202, RelayProcess.exchange(client, "").status());
@@ -407,7 +407,7 @@
         boot();
         loop.submit(() -> {
                     resume();
-                    engine.freeze();
+                    engine.quiesce();
                 })
                 .sync();
         die();
@@ -425,15 +425,15 @@
         die();
         try (Journal before = new Journal(folder, 3 << 20)) {
             for (String type : List.of("gone", "unsafe")) {
-                assertTrue(before.accept(new Message(
-                        before.nextNumber(),
+                assertTrue(before.recordAccepted(new Message(
+                        before.nextSequenceNumber(),
                         new Message.Content(
                                 "m-" + type, type, null, null, clock.micros() + 20 * SECOND, 7, new byte[0]))));
             }
             Message tried = new Message(
-                    before.nextNumber(),
+                    before.nextSequenceNumber(),
                     new Message.Content("m-tried", "gone", null, null, clock.micros() + 20 * SECOND, 7, new byte[0]));
-            assertTrue(before.accept(tried) && before.attempt(tried.addAttempt("h1", clock.micros())));
+            assertTrue(before.recordAccepted(tried) && before.recordAttempt(tried.addAttempt("h1", clock.micros())));
         }
         boot();
         loop.submit(this::resume).sync();
--- a/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
+++ b/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
@@ -92,28 +92,29 @@
                 Map.of(ROUTE, new BrokerDestination(login, "orders", "k", tls, null)),
                 new UpstreamClient.ResultListener() {
                     @Override
-                    public void ended(
+                    public void onAttemptCompleted(
                             Message.Attempt attempt,
                             AttemptOutcome result,
                             boolean over,
                             long wait,
                             LimitReport report) {
-                        Ended before = ended.put(attempt.message().content().callId(), new Ended(result, over, wait));
+                        Ended before =
+                                ended.put(attempt.message().content().messageId(), new Ended(result, over, wait));
                         if (before != null) {
                             throw new AssertionError("it ended before as " + before);
                         }
                     }
 
                     @Override
-                    public void toldToWait(String route, long wait) {}
+                    public void onRetryAfter(String route, long wait) {}
 
                     @Override
-                    public void late(Message.Attempt attempt) {
-                        late.add(attempt.message().content().callId());
+                    public void onLateDelivery(Message.Attempt attempt) {
+                        late.add(attempt.message().content().messageId());
                     }
 
                     @Override
-                    public void probed(
+                    public void onProbeCompleted(
                             String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
                         probed.add(new Ended(result, false, wait));
                     }
@@ -122,7 +123,7 @@
     }
 
     private void list(Availability availability, String address) throws Exception {
-        loop.submit(() -> client.list(
+        loop.submit(() -> client.onEndpointList(
                         EndpointListKind.FULL,
                         List.of(new Endpoint(
                                 new EndpointEntry(ROUTE, 7, "k", "b0", availability, 0), Endpoint.address(address)))))
@@ -151,7 +152,8 @@
                 Message message = new Message(
                         1, new Message.Content(id, "unsafe", null, "key-" + id, now + 30 * SECOND, 7, new byte[body]));
                 client.send(
-                        ROUTE, List.of(new UpstreamClient.Outgoing(message.addAttempt(ROUTE, now), timeout, latest)));
+                        ROUTE,
+                        List.of(new UpstreamClient.OutboundAttempt(message.addAttempt(ROUTE, now), timeout, latest)));
             }
         });
     }
@@ -388,7 +390,8 @@
                 1,
                 new Message.Content("a", "unsafe", null, null, Clock.system().micros() + 9 * SECOND, 7, new byte[1]));
         Message.Attempt attempt = message.addAttempt(ROUTE, Clock.system().micros());
-        loop.submit(() -> client.send(ROUTE, List.of(new UpstreamClient.Outgoing(attempt, 9 * SECOND, Long.MAX_VALUE))))
+        loop.submit(() -> client.send(
+                        ROUTE, List.of(new UpstreamClient.OutboundAttempt(attempt, 9 * SECOND, Long.MAX_VALUE))))
                 .sync();
         awaitPosted("a");
         loop.submit(() -> client.cancel(attempt)).sync();
--- a/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
+++ b/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
@@ -78,7 +78,7 @@
                     new EndpointEntry("r" + i, i, "k", "b0", Availability.LISTED, 0),
                     Endpoint.address(hosts.get(i).address())));
         }
-        loop.submit(() -> client.list(EndpointListKind.FULL, targets)).syncUninterruptibly();
+        loop.submit(() -> client.onEndpointList(EndpointListKind.FULL, targets)).syncUninterruptibly();
     }
 
     @AfterEach
@@ -173,7 +173,7 @@
                                                     clock.micros() + 30 * SECOND,
                                                     host,
                                                     new byte[0]));
-                                    return new UpstreamClient.Outgoing(
+                                    return new UpstreamClient.OutboundAttempt(
                                             message.addAttempt("r" + host, clock.micros()), 30 * SECOND, latest);
                                 })
                                 .toList()))
@@ -187,21 +187,22 @@
     }
 
     @Override
-    public void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
+    public void onAttemptCompleted(
+            Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
         ends.computeIfAbsent(attempt.route(), r -> Collections.synchronizedList(new ArrayList<>()))
                 .add(result);
     }
 
     @Override
-    public void toldToWait(String route, long wait) {}
+    public void onRetryAfter(String route, long wait) {}
 
     @Override
-    public void late(Message.Attempt attempt) {
+    public void onLateDelivery(Message.Attempt attempt) {
         throw new AssertionError("no late answers here");
     }
 
     @Override
-    public void probed(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
+    public void onProbeCompleted(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
         throw new AssertionError("no probes here");
     }
 }
--- a/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
+++ b/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
@@ -109,7 +109,7 @@
     }
 
     private void list(String address) {
-        onLoop(() -> client.list(
+        onLoop(() -> client.onEndpointList(
                 EndpointListKind.FULL,
                 List.of(new Endpoint(
                         new EndpointEntry("r", 1, "k", "b0", Availability.LISTED, 0), Endpoint.address(address)))));
@@ -126,7 +126,7 @@
         loop.submit(task).syncUninterruptibly();
     }
 
-    private List<UpstreamClient.Outgoing> messages(int count, long timeout, long latest, int bytes) {
+    private List<UpstreamClient.OutboundAttempt> messages(int count, long timeout, long latest, int bytes) {
         return IntStream.range(0, count)
                 .mapToObj(i -> {
                     Message message = new Message(
@@ -139,7 +139,7 @@
                                     clock.micros() + 30 * SECOND,
                                     1,
                                     new byte[bytes]));
-                    return new UpstreamClient.Outgoing(message.addAttempt("r", clock.micros()), timeout, latest);
+                    return new UpstreamClient.OutboundAttempt(message.addAttempt("r", clock.micros()), timeout, latest);
                 })
                 .toList();
     }
@@ -166,7 +166,7 @@
             listener.setReceiveBufferSize(SMALL);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             list("127.0.0.1:" + listener.getLocalPort());
-            List<UpstreamClient.Outgoing> both =
+            List<UpstreamClient.OutboundAttempt> both =
                     new ArrayList<>(messages(1, cancelled ? 30 * SECOND : 50 * MS, Long.MAX_VALUE, 20_000));
             both.addAll(messages(1, 30 * SECOND, Long.MAX_VALUE, 20_000));
             onLoop(() -> client.send("r", both));
@@ -339,7 +339,7 @@
         sendAndAwait("m0", AttemptOutcome.REJECTED);
         try (ScriptedPeer next = ScriptedPeer.always(ScriptedPeer.status(200))) {
             if (goneMeanwhile) {
-                onLoop(() -> client.list(EndpointListKind.FULL, List.of()));
+                onLoop(() -> client.onEndpointList(EndpointListKind.FULL, List.of()));
             }
             list(next.address());
             sendAndAwait("m1", AttemptOutcome.NOT_SENT);
@@ -350,7 +350,7 @@
     /** A connection comes up after its call was given up: that call never ran, and the next one has the connection. */
     @Test
     void connectionThatComesUpAfterItsCallWasGivenUpIsTheNextOnes() {
-        List<UpstreamClient.Outgoing> first = messages(1, 30 * SECOND, Long.MAX_VALUE, 5);
+        List<UpstreamClient.OutboundAttempt> first = messages(1, 30 * SECOND, Long.MAX_VALUE, 5);
         onLoop(() -> {
             client.send("r", first);
             client.cancel(first.get(0).attempt());
@@ -371,7 +371,7 @@
     void callThatConnectsWhileItsHostDrainsNeverLeaves() {
         onLoop(() -> {
             send(30 * SECOND);
-            client.list(
+            client.onEndpointList(
                     EndpointListKind.DELTA,
                     List.of(new Endpoint(
                             new EndpointEntry("r", 1, "k", "b0", Availability.DRAINING, 0),
@@ -383,22 +383,23 @@
     }
 
     @Override
-    public void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
-        ends.put(attempt.message().content().callId(), result);
+    public void onAttemptCompleted(
+            Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
+        ends.put(attempt.message().content().messageId(), result);
     }
 
     @Override
-    public void toldToWait(String route, long wait) {
+    public void onRetryAfter(String route, long wait) {
         waits.add(wait);
     }
 
     @Override
-    public void late(Message.Attempt attempt) {
+    public void onLateDelivery(Message.Attempt attempt) {
         throw new AssertionError("no late answers here");
     }
 
     @Override
-    public void probed(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
+    public void onProbeCompleted(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
         throw new AssertionError("no probes here");
     }
 }
