--- a/src/main/java/loftflow/admin/DeadLetterCommands.java
+++ b/src/main/java/loftflow/admin/DeadLetterCommands.java
@@ -20,7 +20,8 @@
 import loftflow.engine.Clock;
 
 /**
- * What persons ask of the store: to see, to send again, to give their word, to discard. Each word and each resend that is
+ * What persons ask of the store: to see, to send again, to give their word, to discard. Each word and each resend that
+ * is
  * asked for is in the audit before anything else happens.
  */
 public final class DeadLetterCommands implements AdminServer.Commands {
--- a/src/main/java/loftflow/amqp/codec/AmqpException.java
+++ b/src/main/java/loftflow/amqp/codec/AmqpException.java
@@ -1,6 +1,8 @@
 package loftflow.amqp.codec;
 
-/** What the other side sent breaks the protocol, or asks for what can't be had (AMQP 0-9-1, section 1.2, reply codes). */
+/**
+ * What the other side sent breaks the protocol, or asks for what can't be had (AMQP 0-9-1, section 1.2, reply codes).
+ */
 public final class AmqpException extends Exception {
     public static final int CONTENT_TOO_LARGE = 311;
     public static final int NO_ROUTE = 312;
--- a/src/main/java/loftflow/amqp/codec/FieldTables.java
+++ b/src/main/java/loftflow/amqp/codec/FieldTables.java
@@ -11,7 +11,8 @@
 import java.util.Map;
 
 /**
- * Field tables (AMQP 0-9-1, section 4.2.5.5), with the type letters that RabbitMQ and its clients use where those of the
+ * Field tables (AMQP 0-9-1, section 4.2.5.5), with the type letters that RabbitMQ and its clients use where those of
+ * the
  * specification differ. Values are Boolean, Byte, Short, Integer, Long, Float, Double, BigDecimal, String, Instant,
  * byte[], List, Map and null. Unsigned numbers come as the next larger type.
  */
--- a/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
+++ b/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
@@ -7,7 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * What is known of the publishes on one channel in confirm mode. Free of I/O: it is told what was written and what came,
+ * What is known of the publishes on one channel in confirm mode. Free of I/O: it is told what was written and what
+ * came,
  * and says what that proves. Nothing is ever proven by silence, nor twice.
  *
  * @param <T> what is published
@@ -106,7 +107,8 @@
      * The channel is over.
      *
      * @param publishAtFault the broker closed it for a publish that can't be, as one to an exchange that is not there.
-     *        A broker goes through a channel in order and heeds nothing behind a fault, so where all was written whole the
+     *        A broker goes through a channel in order and heeds nothing behind a fault, so where all was written whole
+     *        the
      *        last publish is the one at fault or one behind it: it never took effect, whichever of them it was
      */
     public List<Settled<T>> closed(boolean publishAtFault) {
--- a/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
@@ -20,7 +20,9 @@
 import loftflow.amqp.codec.Method;
 import loftflow.amqp.codec.MethodType;
 
-/** A connection to a broker (AMQP 0-9-1, section 2.2.4), which logs in by PLAIN and opens channels that are asked for. */
+/**
+ * A connection to a broker (AMQP 0-9-1, section 2.2.4), which logs in by PLAIN and opens channels that are asked for.
+ */
 public final class AmqpClientConnection extends AmqpConnection {
     /** The first bytes of every connection. */
     static final byte[] GREETING = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
--- a/src/main/java/loftflow/amqp/mapping/MessageMapping.java
+++ b/src/main/java/loftflow/amqp/mapping/MessageMapping.java
@@ -12,8 +12,10 @@
 import loftflow.policy.api.RequestClass;
 
 /**
- * Makes messages of what AMQP's clients publish, by the first rule that fits. It takes nothing for granted: what does not
- * fit is refused with a reason, and a message that may take effect once and has no id is refused too, since a second copy
+ * Makes messages of what AMQP's clients publish, by the first rule that fits. It takes nothing for granted: what does
+ * not
+ * fit is refused with a reason, and a message that may take effect once and has no id is refused too, since a second
+ * copy
  * of it could not be told from the first.
  */
 public final class MessageMapping {
--- a/src/main/java/loftflow/cli/Commands.java
+++ b/src/main/java/loftflow/cli/Commands.java
@@ -27,7 +27,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command line beside {@code serve} and {@code simhost}. Exit codes: 0 clean, 1 findings, 2 unreadable or misuse. */
+/**
+ * The command line beside {@code serve} and {@code simhost}. Exit codes: 0 clean, 1 findings, 2 unreadable or misuse.
+ */
 @Command(
         name = "loftflow",
         version = "loftflow 0.1.0",
--- a/src/main/java/loftflow/cli/DeadLetterCommand.java
+++ b/src/main/java/loftflow/cli/DeadLetterCommand.java
@@ -26,7 +26,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What could not be delivered: seen, sent again, confirmed, discarded. Asks a running relay, or reads a stopped one's file. */
+/**
+ * What could not be delivered: seen, sent again, confirmed, discarded. Asks a running relay, or reads a stopped one's
+ * file.
+ */
 @Command(
         name = "undeliverable",
         mixinStandardHelpOptions = true,
--- a/src/main/java/loftflow/completion/CompletionLog.java
+++ b/src/main/java/loftflow/completion/CompletionLog.java
@@ -19,7 +19,8 @@
 
 /**
  * Tells ends other than delivery in a file of JSON Lines in the folder that lasts, where no platform listens. When the
- * file has half its share of the disk it becomes {@code ends.jsonl.1}, in the place of an earlier one. An end that can't
+ * file has half its share of the disk it becomes {@code ends.jsonl.1}, in the place of an earlier one. An end that
+ * can't
  * be written is still owed: it is tried again with the next one, and at the next start.
  */
 public final class CompletionLog implements CompletionNotifier {
--- a/src/main/java/loftflow/completion/HttpCompletionNotifier.java
+++ b/src/main/java/loftflow/completion/HttpCompletionNotifier.java
@@ -51,7 +51,8 @@
     }
 
     /**
-     * Keeps a connection open from now on. Guards against an agent that is about to move: it serves the connections that it
+     * Keeps a connection open from now on. Guards against an agent that is about to move: it serves the connections
+     * that it
      * has and takes no new one, and a notice that has to wait for the new address is late.
      */
     public void start() {
--- a/src/main/java/loftflow/config/Config.java
+++ b/src/main/java/loftflow/config/Config.java
@@ -115,7 +115,9 @@
     /** Where messages of an endpoint are published. */
     public record BrokerRoute(Login login, String exchange, String routingKey) {}
 
-    /** A listener; {@code user} and {@code password} are null where everyone may come in. The heartbeat is in seconds. */
+    /**
+     * A listener; {@code user} and {@code password} are null where everyone may come in. The heartbeat is in seconds.
+     */
     public record AmqpFront(
             String name,
             InetSocketAddress listen,
@@ -202,7 +204,8 @@
     /**
      * As above, with a file that says what is remembered over a restart.
      *
-     * @param memoryFile a JSON object: {@code disk-share} of the platform's {@code disk_mb}, {@code write-rate} in bytes a
+     * @param memoryFile a JSON object: {@code disk-share} of the platform's {@code disk_mb}, {@code write-rate} in
+     *     bytes a
      *     second, {@code half-life-s}, {@code settle-s} and {@code wait-margin-s} in seconds; null for nothing
      */
     public static Source ofPlatform(Map<String, String> environment, Path memoryFile) {
--- a/src/main/java/loftflow/config/plan/MachineInspector.java
+++ b/src/main/java/loftflow/config/plan/MachineInspector.java
@@ -25,7 +25,9 @@
     /** The folder for temporary files ({@code $TMPDIR}), where one is set. */
     Optional<String> temporary();
 
-    /** Why nothing could be kept in a folder, such as that it can't be written; empty where nothing speaks against it. */
+    /**
+     * Why nothing could be kept in a folder, such as that it can't be written; empty where nothing speaks against it.
+     */
     Optional<String> fault(String folder);
 
     /** Why a file can't be read; empty where it can. */
--- a/src/main/java/loftflow/config/plan/Planner.java
+++ b/src/main/java/loftflow/config/plan/Planner.java
@@ -28,9 +28,14 @@
     static final long SEEN_HELD = 300;
 
     static final double SEEN_SHARE = 0.25;
-    /** Bytes that a remembered id takes on the disk, twice for those that are over and while the file is written anew. */
+    /**
+     * Bytes that a remembered id takes on the disk, twice for those that are over and while the file is written anew.
+     */
     static final long SEEN_RECORD = 3 * 60;
-    /** Bytes that a remembered endpoint takes in a picture, and the part of {@code memory.limit} that a picture may take. */
+    /**
+     * Bytes that a remembered endpoint takes in a picture, and the part of {@code memory.limit} that a picture may
+     * take.
+     */
     static final long REMEMBERED = 150;
 
     static final double PICTURE_SHARE = 0.3;
--- a/src/main/java/loftflow/config/tool/ConfigTool.java
+++ b/src/main/java/loftflow/config/tool/ConfigTool.java
@@ -82,7 +82,9 @@
                 written, file, checked.findings(), before, text, Planner.startLine(plan.figures(), file.toString()));
     }
 
-    /** Guards against a file that is cut short by a full disk or a kill: the old one stays until the new one is whole. */
+    /**
+     * Guards against a file that is cut short by a full disk or a kill: the old one stays until the new one is whole.
+     */
     private static void replace(Path file, String text) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
         Path unfinished = file.resolveSibling(file.getFileName() + ".new");
--- a/src/main/java/loftflow/config/tool/RelayFile.java
+++ b/src/main/java/loftflow/config/tool/RelayFile.java
@@ -40,7 +40,9 @@
 
     private RelayFile() {}
 
-    /** A relay file as a source of configuration. What is wrong with it is told in the words of {@code config check}. */
+    /**
+     * A relay file as a source of configuration. What is wrong with it is told in the words of {@code config check}.
+     */
     public static Config.Source source(Path file) {
         return new Config.Source() {
             @Override
--- a/src/main/java/loftflow/deadletter/DeadLetterService.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterService.java
@@ -22,7 +22,8 @@
 
 /**
  * Keeps what could not be delivered and brings it back: takes ended messages to the shelf, looks for entries that are
- * due, asks {@link RedrivePolicy} and hands them to the engine at a pace of each destination's own. Everything happens on the
+ * due, asks {@link RedrivePolicy} and hands them to the engine at a pace of each destination's own. Everything happens
+ * on the
  * event loop; the shelf is reached through a queue.
  */
 public final class DeadLetterService implements DeadLetterSink {
@@ -423,7 +424,9 @@
         return submit(task, then, () -> looking = false);
     }
 
-    /** Does something with the shelf, and again where it failed or its queue was full: the journal holds it meanwhile. */
+    /**
+     * Does something with the shelf, and again where it failed or its queue was full: the journal holds it meanwhile.
+     */
     private <T> void insist(java.util.function.Function<DeadLetterStore, T> task, Consumer<T> then) {
         Runnable later = () -> insist(task, then);
         if (!submit(task, then, () -> again.add(later))) {
--- a/src/main/java/loftflow/deadletter/RedrivePolicy.java
+++ b/src/main/java/loftflow/deadletter/RedrivePolicy.java
@@ -60,7 +60,8 @@
      *
      * @param now wall time
      * @param steadySince wall time from which on spans can be measured: no earlier than the process's start, nor than
-     *     anything that an earlier process has left. The wall clock may have been set between, forward or back, so that a
+     *     anything that an earlier process has left. The wall clock may have been set between, forward or back, so that
+     *     a
      *     key window that began before can't be told to be open
      */
     public Verdict decide(DeadLetter entry, Shelved shelved, long now, long steadySince) {
--- a/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
@@ -22,7 +22,8 @@
 import org.sqlite.SQLiteConfig;
 
 /**
- * A shelf in one SQLite file. Every call is one transaction; in write-ahead mode what is committed outlasts the process.
+ * A shelf in one SQLite file. Every call is one transaction; in write-ahead mode what is committed outlasts the
+ * process.
  * Triggers keep the record of who did what from being changed or removed.
  */
 public final class SqliteDeadLetterStore implements DeadLetterStore {
--- a/src/main/java/loftflow/deduplication/DeduplicationFile.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationFile.java
@@ -14,7 +14,8 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * A memory that outlasts the process: a file of records, each with its length and checksum, that is written anew without
+ * A memory that outlasts the process: a file of records, each with its length and checksum, that is written anew
+ * without
  * what is over when it has grown to twice what is remembered. As with the journal, appending needs no sync.
  */
 public final class DeduplicationFile implements Deduplicator, AutoCloseable {
--- a/src/main/java/loftflow/discovery/AgentConnection.java
+++ b/src/main/java/loftflow/discovery/AgentConnection.java
@@ -71,7 +71,8 @@
     }
 
     /**
-     * Sends a request; the answer, or the lack of one within the span, is told once and later. Where the connection takes most
+     * Sends a request; the answer, or the lack of one within the span, is told once and later. Where the connection
+     * takes most
      * of it, the answer has {@value #LEAST_FOR_ANSWER_MS} ms still.
      */
     public void request(HttpMethod method, String path, String body, long timeoutMs, Answer answer) {
--- a/src/main/java/loftflow/discovery/EndpointListCodec.java
+++ b/src/main/java/loftflow/discovery/EndpointListCodec.java
@@ -29,7 +29,8 @@
     }
 
     /**
-     * As above, with what is known of hosts. Guards against an entry that makes no sense and would take away a good host, or
+     * As above, with what is known of hosts. Guards against an entry that makes no sense and would take away a good
+     * host, or
      * hide one that drains: what was known goes on, but for a state that can be read.
      *
      * @param from who told the list, for staff
--- a/src/main/java/loftflow/discovery/EndpointWatcher.java
+++ b/src/main/java/loftflow/discovery/EndpointWatcher.java
@@ -19,7 +19,8 @@
 import loftflow.policy.api.EndpointListKind;
 
 /**
- * Fetches the list of hosts and then watches it for changes. The whole list is asked for again now and then, as a watch may
+ * Fetches the list of hosts and then watches it for changes. The whole list is asked for again now and then, as a watch
+ * may
  * go on answering and tell nothing more, and soon where an answer leaves something open.
  */
 public final class EndpointWatcher {
@@ -36,11 +37,15 @@
     private static final long SILENCE_MS = 2000;
 
     /**
-     * The whole list is asked for so long after the last one, or when a watch ends then. Guards against a watch that is broken
+     * The whole list is asked for so long after the last one, or when a watch ends then. Guards against a watch that is
+     * broken
      * and answers all the same: what it misses counts as told 6 s after it broke.
      */
     static final long CHECK_MS = 3500;
-    /** Guards against a list that can never be read whole: it is asked for again after a breath, then half as often each time. */
+    /**
+     * Guards against a list that can never be read whole: it is asked for again after a breath, then half as often each
+     * time.
+     */
     private static final long LONGEST_OPEN_MS = CHECK_MS;
 
     private final EventLoop loop;
--- a/src/main/java/loftflow/engine/CompletionNotifier.java
+++ b/src/main/java/loftflow/engine/CompletionNotifier.java
@@ -5,6 +5,9 @@
  * Each is told until it has been heard.
  */
 public interface CompletionNotifier {
-    /** Tells how a message ended; {@link DeliveryEngine#onCompletionAcknowledged} is called once that is known to have been heard. */
+    /**
+     * Tells how a message ended; {@link DeliveryEngine#onCompletionAcknowledged} is called once that is known to have
+     * been heard.
+     */
     void notifyCompletion(Message message);
 }
--- a/src/main/java/loftflow/engine/DeadLetterSink.java
+++ b/src/main/java/loftflow/engine/DeadLetterSink.java
@@ -5,7 +5,8 @@
 
 /**
  * The port through which messages that could not be delivered are kept, and come back to be sent again. To be called
- * on the event loop only; {@link DeliveryEngine#onDeadLetterStored} answers {@link #store} and {@link #onRedriveEnded}, then or later.
+ * on the event loop only; {@link DeliveryEngine#onDeadLetterStored} answers {@link #store} and {@link #onRedriveEnded},
+ * then or later.
  */
 public interface DeadLetterSink extends EndpointListListener {
     /** Keeps nothing. */
@@ -46,13 +47,19 @@
     /** True where work of that class is refused, since what it might leave could not be kept. */
     boolean rejects(Message.Content content);
 
-    /** Keeps a message that has ended; {@link DeliveryEngine#onDeadLetterStored} is called once it outlasts the process there. */
+    /**
+     * Keeps a message that has ended; {@link DeliveryEngine#onDeadLetterStored} is called once it outlasts the process
+     * there.
+     */
     void store(Message message);
 
     /** A restart has brought back a message from the journal, before anything else is told of it. */
     void onMessageResumed(Message message);
 
-    /** A message that was sent again has ended; {@link DeliveryEngine#onDeadLetterStored} is called once that outlasts the process. */
+    /**
+     * A message that was sent again has ended; {@link DeliveryEngine#onDeadLetterStored} is called once that outlasts
+     * the process.
+     */
     void onRedriveEnded(Message message);
 
     /** More has become known of an attempt whose message has ended or been kept. */
--- a/src/main/java/loftflow/engine/DeliveryEngine.java
+++ b/src/main/java/loftflow/engine/DeliveryEngine.java
@@ -185,7 +185,8 @@
     }
 
     /**
-     * Guards against a message that the settings have no class for any more: the module can't take it in, and all that is
+     * Guards against a message that the settings have no class for any more: the module can't take it in, and all that
+     * is
      * resumed with it would be lost to its round. It is refused where surely no attempt of it ran.
      */
     private void endUnknown(Message message) {
@@ -196,7 +197,10 @@
         end(message.number, new Message.Completion(neverRan, 0));
     }
 
-    /** Lets nothing go by the list of the start until discovery tells its own, for so many microseconds; after the start. */
+    /**
+     * Lets nothing go by the list of the start until discovery tells its own, for so many microseconds; after the
+     * start.
+     */
     public void holdUntilEndpointList(long micros) {
         add(new EndpointListPending(micros));
     }
--- a/src/main/java/loftflow/engine/Message.java
+++ b/src/main/java/loftflow/engine/Message.java
@@ -22,7 +22,8 @@
     /**
      * What a client handed in; {@code tenant} and {@code key} may be null.
      *
-     * @param reply null where the client asked for none, and hears of ends other than delivery by {@link CompletionNotifier}' usual way
+     * @param reply null where the client asked for none, and hears of ends other than delivery by
+     *     {@link CompletionNotifier}' usual way
      * @param orderingKey what order is kept by where that is another than the key; null where it is not
      */
     public record Content(
--- a/src/main/java/loftflow/engine/MessageAcceptor.java
+++ b/src/main/java/loftflow/engine/MessageAcceptor.java
@@ -26,7 +26,9 @@
     /** The client left before its answer: nothing is owed to it. */
     void withdraw(Message message);
 
-    /** The client left before its answer and can't take that back: the message goes on, and its end is told as usual. */
+    /**
+     * The client left before its answer and can't take that back: the message goes on, and its end is told as usual.
+     */
     void clientDisconnected(Message message);
 
     /** Which share of the messages that may be open are, from 0 to 1. */
--- a/src/main/java/loftflow/engine/UpstreamClient.java
+++ b/src/main/java/loftflow/engine/UpstreamClient.java
@@ -7,7 +7,8 @@
 
 /**
  * The port through which the engine calls partners of any kind. Every attempt that is sent ends by exactly one call
- * of {@link ResultListener#onAttemptCompleted}, every probe by one of {@link ResultListener#onProbeCompleted}; both may come before {@code send} or
+ * of {@link ResultListener#onAttemptCompleted}, every probe by one of {@link ResultListener#onProbeCompleted}; both may
+ * come before {@code send} or
  * {@code probe} returns. Nothing is sent a second time by itself. To be called on the event loop only.
  */
 public interface UpstreamClient {
@@ -36,8 +37,10 @@
      * An attempt to send.
      *
      * @param timeoutMicros how many microseconds its answer is waited for
-     * @param latestArrivalMicros when a partner may meet it at the latest, on the clock of messages: what can't be there by then, since
-     *     it still waits for a connection or is the first on one, ends as not sent. {@link Long#MAX_VALUE} where that is no matter
+     * @param latestArrivalMicros when a partner may meet it at the latest, on the clock of messages: what can't be
+     *     there by then, since
+     *     it still waits for a connection or is the first on one, ends as not sent. {@link Long#MAX_VALUE} where that
+     *     is no matter
      */
     record OutboundAttempt(Message.Attempt attempt, long timeoutMicros, long latestArrivalMicros) {}
 
--- a/src/main/java/loftflow/experiment/ComparisonReport.java
+++ b/src/main/java/loftflow/experiment/ComparisonReport.java
@@ -8,7 +8,8 @@
 import loftflow.experiment.results.HtmlPage;
 
 /**
- * A comparison as a page by itself: for each figure the effect with its interval, and the pairs, one line from the first side's
+ * A comparison as a page by itself: for each figure the effect with its interval, and the pairs, one line from the
+ * first side's
  * value to the second's for each seed.
  */
 public final class ComparisonReport {
--- a/src/main/java/loftflow/experiment/ExperimentRunner.java
+++ b/src/main/java/loftflow/experiment/ExperimentRunner.java
@@ -277,7 +277,8 @@
     /**
      * Runs what is left of an experiment and judges each side against the first.
      *
-     * @param experiment the name under which its runs are kept; what is run is part of their name too, so that a scenario or a
+     * @param experiment the name under which its runs are kept; what is run is part of their name too, so that a
+     *     scenario or a
      *     program that has changed is run anew
      * @param progress hears of each run that has finished
      * @return for each further side its verdicts, by the side's name
@@ -377,7 +378,10 @@
         };
     }
 
-    /** Runs of whole relays at a load. One whose messages leave late does not hold: the machine is at its end, and that is said. */
+    /**
+     * Runs of whole relays at a load. One whose messages leave late does not hold: the machine is at its end, and that
+     * is said.
+     */
     public static Trial played(
             Scenario scenario, Wanted wanted, LoopbackRun.Fleet fleet, Path folder, Consumer<String> progress) {
         return (load, seed) -> {
--- a/src/main/java/loftflow/experiment/RegressionCases.java
+++ b/src/main/java/loftflow/experiment/RegressionCases.java
@@ -17,7 +17,8 @@
 import loftflow.experiment.scenario.ScenarioWriter;
 
 /**
- * A folder of small scenarios that have each broken a rule once, and are played again by every later build. A file's name says
+ * A folder of small scenarios that have each broken a rule once, and are played again by every later build. A file's
+ * name says
  * which rule and by which seed: {@code overrun-7-quiet-day.toml}.
  */
 public final class RegressionCases {
@@ -38,7 +39,8 @@
     /**
      * All cases of a folder, by name.
      *
-     * @throws IOException where a file is no case, with what is wrong: a case that is passed over would be taken for one that holds
+     * @throws IOException where a file is no case, with what is wrong: a case that is passed over would be taken for
+     * one that holds
      */
     public static List<Case> in(Path folder) throws IOException, SourceFile.UnreadableException {
         if (!Files.isDirectory(folder)) {
--- a/src/main/java/loftflow/experiment/design/CapacitySearch.java
+++ b/src/main/java/loftflow/experiment/design/CapacitySearch.java
@@ -3,9 +3,12 @@
 import java.util.TreeMap;
 
 /**
- * The search for the highest load that still holds what was asked for. It first doubles or halves until the answer lies between
- * two loads, then cuts that span, on a scale of ratios. Since a run near the edge holds by chance, a load is decided by a
- * majority, and one that is far from the edge by fewer runs than one near it. A load that fails below one that held shows that
+ * The search for the highest load that still holds what was asked for. It first doubles or halves until the answer lies
+ * between
+ * two loads, then cuts that span, on a scale of ratios. Since a run near the edge holds by chance, a load is decided by
+ * a
+ * majority, and one that is far from the edge by fewer runs than one near it. A load that fails below one that held
+ * shows that
  * the noise is larger than the step: both are asked again before the search goes on.
  */
 public final class CapacitySearch {
--- a/src/main/java/loftflow/experiment/design/PairedComparison.java
+++ b/src/main/java/loftflow/experiment/design/PairedComparison.java
@@ -7,8 +7,10 @@
 import org.apache.commons.statistics.inference.WilcoxonSignedRankTest;
 
 /**
- * What paired runs say of a difference between two sides. The interval is a bootstrap's over the pairs; whether there is a
- * difference at all is for an exact test (Wilcoxon's signed ranks), since an interval of few pairs is too narrow and would find
+ * What paired runs say of a difference between two sides. The interval is a bootstrap's over the pairs; whether there
+ * is a
+ * difference at all is for an exact test (Wilcoxon's signed ranks), since an interval of few pairs is too narrow and
+ * would find
  * differences between a program and itself.
  *
  * @param pairs how many there were
--- a/src/main/java/loftflow/experiment/design/RunOrder.java
+++ b/src/main/java/loftflow/experiment/design/RunOrder.java
@@ -8,8 +8,10 @@
 import org.apache.commons.rng.sampling.ListSampler;
 
 /**
- * In which order the sides of an experiment are run. Each seed is a block in which every side runs once, so that sides are
- * compared on the same seed. Where a machine grows warmer or busier meanwhile, no side may always come first: over each pair of
+ * In which order the sides of an experiment are run. Each seed is a block in which every side runs once, so that sides
+ * are
+ * compared on the same seed. Where a machine grows warmer or busier meanwhile, no side may always come first: over each
+ * pair of
  * blocks every two sides follow each other as often in one order as in the other.
  */
 public final class RunOrder {
--- a/src/main/java/loftflow/experiment/design/ScenarioMinimizer.java
+++ b/src/main/java/loftflow/experiment/design/ScenarioMinimizer.java
@@ -8,7 +8,8 @@
 import loftflow.experiment.scenario.Scenario;
 
 /**
- * Makes a scenario smaller as long as it still shows what it showed: parts are left out by delta debugging (Zeller's ddmin),
+ * Makes a scenario smaller as long as it still shows what it showed: parts are left out by delta debugging (Zeller's
+ * ddmin),
  * then relays, the span and the load are cut. It ends with a scenario of which no single part can be left out.
  */
 public final class ScenarioMinimizer {
@@ -22,7 +23,8 @@
     /**
      * A shrinking.
      *
-     * @param shows runs a scenario and tells whether it still shows what matters; the same scenario must give the same answer
+     * @param shows runs a scenario and tells whether it still shows what matters; the same scenario must give the same
+     *     answer
      * @param most runs at the most
      */
     public ScenarioMinimizer(Predicate<Scenario> shows, int most) {
--- a/src/main/java/loftflow/experiment/emulator/EmulatedEndpoint.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatedEndpoint.java
@@ -18,7 +18,8 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * What an endpoint does with calls: servers that work for a drawn time, a queue before them, a limit, failures, and a cold
+ * What an endpoint does with calls: servers that work for a drawn time, a queue before them, a limit, failures, and a
+ * cold
  * return on which it falls over where it gets too much.
  */
 public final class EmulatedEndpoint {
@@ -33,7 +34,9 @@
      */
     public record Met(MessageHistory.Answer answer, boolean ran, long answerAt) {}
 
-    /** A limit that one partner's endpoints share, or that one has for itself: calls that were taken in the last second. */
+    /**
+     * A limit that one partner's endpoints share, or that one has for itself: calls that were taken in the last second.
+     */
     public static final class Limit {
         private final ArrayDeque<Long> taken = new ArrayDeque<>();
         private final double whole;
--- a/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
@@ -121,7 +121,10 @@
             return number;
         }
 
-        /** Whether anything is still sent to what drains is left to the module: the model's calls wait for no connection. */
+        /**
+         * Whether anything is still sent to what drains is left to the module: the model's calls wait for no
+         * connection.
+         */
         @Override
         public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {}
 
--- a/src/main/java/loftflow/experiment/emulator/EmulatorRun.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatorRun.java
@@ -139,7 +139,8 @@
     }
 
     /**
-     * Clients whose connections broke before an answer: what is safe to repeat is handed in again once the relay is back; what
+     * Clients whose connections broke before an answer: what is safe to repeat is handed in again once the relay is
+     * back; what
      * is not, and may have been taken on, is left alone. A key is no help: another building would not know it.
      */
     private void cut(Map<Integer, MessageHistory> clients, long back) {
--- a/src/main/java/loftflow/experiment/emulator/InMemoryJournal.java
+++ b/src/main/java/loftflow/experiment/emulator/InMemoryJournal.java
@@ -8,7 +8,9 @@
 import loftflow.engine.WriteAheadLog;
 import loftflow.policy.api.AttemptOutcome;
 
-/** What a relay has recorded. It outlasts the relay, and gives back messages of its own, so that no more than that does. */
+/**
+ * What a relay has recorded. It outlasts the relay, and gives back messages of its own, so that no more than that does.
+ */
 final class InMemoryJournal implements WriteAheadLog {
     private record Tried(String route, long sentAt) {}
 
--- a/src/main/java/loftflow/experiment/emulator/VirtualTime.java
+++ b/src/main/java/loftflow/experiment/emulator/VirtualTime.java
@@ -4,7 +4,9 @@
 import loftflow.engine.Clock;
 import loftflow.engine.Timers;
 
-/** Time that passes from one thing to happen to the next. What is due at one time happens in the order it was asked for. */
+/**
+ * Time that passes from one thing to happen to the next. What is due at one time happens in the order it was asked for.
+ */
 final class VirtualTime implements Clock, Timers {
     private static final class Due implements Timer, Comparable<Due> {
         private final long at;
--- a/src/main/java/loftflow/experiment/evaluation/FleetCostReport.java
+++ b/src/main/java/loftflow/experiment/evaluation/FleetCostReport.java
@@ -6,7 +6,8 @@
 import loftflow.experiment.history.RunHistory;
 
 /**
- * What a run cost beside its service: totals over all relays, what ended without an attempt or without an answer, and how late
+ * What a run cost beside its service: totals over all relays, what ended without an attempt or without an answer, and
+ * how late
  * ends were told.
  *
  * @param asked messages, each counted once however often it was handed in
--- a/src/main/java/loftflow/experiment/evaluation/RuleChecker.java
+++ b/src/main/java/loftflow/experiment/evaluation/RuleChecker.java
@@ -12,7 +12,8 @@
 import loftflow.policy.api.Idempotency;
 
 /**
- * The rules (BRIEF), judged from what partners recorded and what clients were told, never from what a relay says of itself.
+ * The rules (BRIEF), judged from what partners recorded and what clients were told, never from what a relay says of
+ * itself.
  */
 public final class RuleChecker {
     /** What a rule forbids. */
--- a/src/main/java/loftflow/experiment/evaluation/ServiceReport.java
+++ b/src/main/java/loftflow/experiment/evaluation/ServiceReport.java
@@ -8,8 +8,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Service as the users define it: worth delivered over worth asked. A delivery within the wanted time counts in full, then
- * less and less down to the stated share at the deadline; repeats count with the first try; traffic beyond a tenant's share
+ * Service as the users define it: worth delivered over worth asked. A delivery within the wanted time counts in full,
+ * then
+ * less and less down to the stated share at the deadline; repeats count with the first try; traffic beyond a tenant's
+ * share
  * counts a tenth. The figure is 40% the whole run, 30% the worst 10 s, 20% the worst class, 10% the worst tenant.
  */
 public final class ServiceReport {
--- a/src/main/java/loftflow/experiment/history/MessageHistory.java
+++ b/src/main/java/loftflow/experiment/history/MessageHistory.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * Something that a client wants delivered, with all that became of it: its first try and the repeats after refusals. Times
+ * Something that a client wants delivered, with all that became of it: its first try and the repeats after refusals.
+ * Times
  * are in microseconds from the beginning of the run; -1 for never.
  */
 public final class MessageHistory {
--- a/src/main/java/loftflow/experiment/history/RunHistory.java
+++ b/src/main/java/loftflow/experiment/history/RunHistory.java
@@ -11,7 +11,9 @@
     /** A relay heard that an endpoint drains or is gone. */
     public record DrainTold(int relay, int endpoint, long at) {}
 
-    /** An endpoint fell over while it was cold, by what relays sent that had seen it fail (BRIEF, rule 4), or by others. */
+    /**
+     * An endpoint fell over while it was cold, by what relays sent that had seen it fail (BRIEF, rule 4), or by others.
+     */
     public record Fall(int endpoint, long at, double load, double able, double knowing) {}
 
     /** A relay did not run. */
--- a/src/main/java/loftflow/experiment/loopback/BaselineProxy.java
+++ b/src/main/java/loftflow/experiment/loopback/BaselineProxy.java
@@ -23,8 +23,10 @@
 import loftflow.http.Headers;
 
 /**
- * What a relay would be that decides nothing and keeps nothing: it sends each message to its destination's next endpoint and gives
- * the endpoint's answer, 202 for 200 and 503 for the rest. One event loop and Netty's own codecs, as a relay has them; what a
+ * What a relay would be that decides nothing and keeps nothing: it sends each message to its destination's next
+ * endpoint and gives
+ * the endpoint's answer, 202 for 200 and 503 for the rest. One event loop and Netty's own codecs, as a relay has them;
+ * what a
  * relay takes beside it is the price of journal, decisions and rules.
  */
 public final class BaselineProxy {
--- a/src/main/java/loftflow/experiment/loopback/EndpointServer.java
+++ b/src/main/java/loftflow/experiment/loopback/EndpointServer.java
@@ -33,7 +33,8 @@
 import loftflow.http.Headers;
 
 /**
- * An endpoint on a loopback port (PROTOCOL, Relays to hosts): what it answers, and when, is the emulator's word; this class
+ * An endpoint on a loopback port (PROTOCOL, Relays to hosts): what it answers, and when, is the emulator's word; this
+ * class
  * carries it to a socket.
  */
 final class EndpointServer {
--- a/src/main/java/loftflow/experiment/loopback/LoadGenerator.java
+++ b/src/main/java/loftflow/experiment/loopback/LoadGenerator.java
@@ -16,7 +16,10 @@
 import loftflow.http.Headers;
 import loftflow.policy.api.Idempotency;
 
-/** The programs before a fleet: each message on a connection that waits for nothing else, handed in again as scenarios say. */
+/**
+ * The programs before a fleet: each message on a connection that waits for nothing else, handed in again as scenarios
+ * say.
+ */
 final class LoadGenerator {
     private static final byte[] BODY = "lab".getBytes(StandardCharsets.US_ASCII);
     private static final int ACCEPTED = 202;
--- a/src/main/java/loftflow/experiment/loopback/LoopbackRun.java
+++ b/src/main/java/loftflow/experiment/loopback/LoopbackRun.java
@@ -29,7 +29,8 @@
 import loftflow.fake.ServedRelay;
 
 /**
- * One run of a scenario by whole relays. Threads beside the relays' own processes: one for all sockets and the history, one
+ * One run of a scenario by whole relays. Threads beside the relays' own processes: one for all sockets and the history,
+ * one
  * that lets messages go at their times, one that starts and kills relays and changes discovery's list.
  */
 public final class LoopbackRun implements AutoCloseable {
@@ -50,7 +51,8 @@
      * What came of it.
      *
      * @param lateness by how much messages left late
-     * @param cpu microseconds of all relays for a message, from the time on when a quarter of the span is over, by when a relay
+     * @param cpu microseconds of all relays for a message, from the time on when a quarter of the span is over, by when
+     *     a relay
      *     has compiled what it uses; with what restarts take
      */
     public record Outcome(RunHistory history, Lateness lateness, double cpu) {
--- a/src/main/java/loftflow/experiment/loopback/OpenLoopSchedule.java
+++ b/src/main/java/loftflow/experiment/loopback/OpenLoopSchedule.java
@@ -9,8 +9,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * An open loop: each message is due at its own time, whatever became of those before. How late each leaves is counted, so that a
- * machine that can't keep up shows as that; and what a message takes is counted from when it was due, never from when it left.
+ * An open loop: each message is due at its own time, whatever became of those before. How late each leaves is counted,
+ * so that a
+ * machine that can't keep up shows as that; and what a message takes is counted from when it was due, never from when
+ * it left.
  */
 final class OpenLoopSchedule implements Runnable {
     private static final long LONGEST = 3_600_000_000L;
--- a/src/main/java/loftflow/experiment/results/ResultsFolder.java
+++ b/src/main/java/loftflow/experiment/results/ResultsFolder.java
@@ -22,7 +22,8 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * Finished runs, in a file that is only ever added to. A run counts once its record is whole on the disk; a record that a kill
+ * Finished runs, in a file that is only ever added to. A run counts once its record is whole on the disk; a record that
+ * a kill
  * has torn is cut off at the next start, and that run is made again. One process at a time: a second one is refused.
  */
 public final class ResultsFolder implements AutoCloseable {
--- a/src/main/java/loftflow/experiment/scenario/ArrivalGenerator.java
+++ b/src/main/java/loftflow/experiment/scenario/ArrivalGenerator.java
@@ -11,7 +11,8 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Messages as a scenario's rates ask for them, in the order of time: each comes by itself, or in a clump for one partner. What
+ * Messages as a scenario's rates ask for them, in the order of time: each comes by itself, or in a clump for one
+ * partner. What
  * relays do has no effect on them (an open loop).
  */
 public final class ArrivalGenerator implements Iterator<Arrival> {
--- a/src/main/java/loftflow/experiment/scenario/FaultSchedule.java
+++ b/src/main/java/loftflow/experiment/scenario/FaultSchedule.java
@@ -9,7 +9,8 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * When what is struck: a scenario's failures for one seed, and from them the state of every endpoint at a time. Both drivers
+ * When what is struck: a scenario's failures for one seed, and from them the state of every endpoint at a time. Both
+ * drivers
  * ask the same object, so that they play the same failures.
  */
 public final class FaultSchedule {
--- a/src/main/java/loftflow/experiment/scenario/RandomStreams.java
+++ b/src/main/java/loftflow/experiment/scenario/RandomStreams.java
@@ -3,7 +3,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Streams of random numbers: each use has its own, so that a change to one part of a run leaves the draws of others alone. */
+/**
+ * Streams of random numbers: each use has its own, so that a change to one part of a run leaves the draws of others
+ * alone.
+ */
 public final class RandomStreams {
     private RandomStreams() {}
 
--- a/src/main/java/loftflow/experiment/scenario/Scenario.java
+++ b/src/main/java/loftflow/experiment/scenario/Scenario.java
@@ -15,7 +15,8 @@
 import loftflow.policy.api.Zone;
 
 /**
- * What an experiment plays. Spans are in microseconds, rates a second. Made by {@link ScenarioReader}, which checks what is in
+ * What an experiment plays. Spans are in microseconds, rates a second. Made by {@link ScenarioReader}, which checks
+ * what is in
  * it; changed by {@code with...} for parts of it.
  *
  * @param span how long clients hand messages in
@@ -69,7 +70,9 @@
     /** One way between a relay and an endpoint, in the same building or across. */
     public record Network(long inside, long across) {}
 
-    /** A class of messages; {@code rate} is that of all relays together, {@code to} is null where it goes to all kinds. */
+    /**
+     * A class of messages; {@code rate} is that of all relays together, {@code to} is null where it goes to all kinds.
+     */
     public record MessageClass(
             String name,
             Idempotency repeat,
@@ -96,10 +99,12 @@
      * @param weight of the traffic, beside the other groups
      * @param skew of it within the group, as with the fleet's
      * @param capacity calls a second that one endpoint can do
-     * @param limit calls a second that a partner, or each endpoint where routes are apart, takes from all relays; 0 for none
+     * @param limit calls a second that a partner, or each endpoint where routes are apart, takes from all relays; 0 for
+     *     none
      * @param told whether the limit is told in answers
      * @param refusalsCount whether calls that are refused use the limit up as well
-     * @param response mean time of a call in microseconds, spread by a log-normal distribution with {@code spread} as sigma
+     * @param response mean time of a call in microseconds, spread by a log-normal distribution with {@code spread} as
+     *     sigma
      * @param queue calls that may wait at an endpoint
      * @param toldWait that a refusal tells; 0 for none
      * @param coldFrom share of its capacity with which an endpoint returns, and the span until it is warm
@@ -306,7 +311,8 @@
     /**
      * Figures of the rules that bind every run.
      *
-     * @param fallMultiple a cold endpoint that gets so many times what it can do for {@code fallSpan} falls, and stays down
+     * @param fallMultiple a cold endpoint that gets so many times what it can do for {@code fallSpan} falls, and stays
+     *     down
      * @param overShare what traffic beyond a tenant's share is worth
      */
     public record Rules(
--- a/src/main/java/loftflow/experiment/scenario/TraceArrivals.java
+++ b/src/main/java/loftflow/experiment/scenario/TraceArrivals.java
@@ -9,8 +9,10 @@
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 
 /**
- * Messages that a trace is mapped to, in place of what a scenario's rates ask for: the trace says when, and of which class,
- * tenant and partner; the scenario's fleet says at which relay. What is of one tenant and one partner comes in at one relay, as
+ * Messages that a trace is mapped to, in place of what a scenario's rates ask for: the trace says when, and of which
+ * class,
+ * tenant and partner; the scenario's fleet says at which relay. What is of one tenant and one partner comes in at one
+ * relay, as
  * one program's traffic does.
  */
 public final class TraceArrivals {
@@ -63,7 +65,9 @@
         return arrivals.isEmpty() ? 0 : arrivals.get(arrivals.size() - 1).at();
     }
 
-    /** A scenario as long as the replay, so that nothing of its figures speaks of time in which nothing was handed in. */
+    /**
+     * A scenario as long as the replay, so that nothing of its figures speaks of time in which nothing was handed in.
+     */
     public Scenario lasting(Scenario scenario) {
         long span = last() + 1;
         return scenario.withSpan(span, scenario.load())
--- a/src/main/java/loftflow/fake/FakePartner.java
+++ b/src/main/java/loftflow/fake/FakePartner.java
@@ -9,7 +9,8 @@
 import loftflow.http.Headers;
 
 /**
- * A partner's endpoint on a loopback port (PROTOCOL, Relays to hosts): takes calls of one message, within a limit and in
+ * A partner's endpoint on a loopback port (PROTOCOL, Relays to hosts): takes calls of one message, within a limit and
+ * in
  * a stated time, fails as it is told, and records every posting. What took effect is counted by id, so that a message
  * that took effect twice shows.
  */
--- a/src/main/java/loftflow/fake/ScriptedPeer.java
+++ b/src/main/java/loftflow/fake/ScriptedPeer.java
@@ -58,7 +58,9 @@
         daemon(this::accept);
     }
 
-    /** Listens on a loopback port, or on any where that is 0; waits where one that was closed just now still holds it. */
+    /**
+     * Listens on a loopback port, or on any where that is 0; waits where one that was closed just now still holds it.
+     */
     public static ServerSocket listen(int port) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
         while (true) {
--- a/src/main/java/loftflow/fake/ServedRelay.java
+++ b/src/main/java/loftflow/fake/ServedRelay.java
@@ -81,7 +81,8 @@
     }
 
     /**
-     * Starts one of another build, or on one core, or something else that stands in a relay's place and says that it serves as a
+     * Starts one of another build, or on one core, or something else that stands in a relay's place and says that it
+     * serves as a
      * relay does.
      *
      * @param arguments its main class and what follows
--- a/src/main/java/loftflow/http/ConnectionTimer.java
+++ b/src/main/java/loftflow/http/ConnectionTimer.java
@@ -4,8 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one timer of a connection, which is started and stopped several times for each message and hardly ever fires. Stopping
- * costs nothing, and starting again most often neither: what stands with the event loop is left standing, and looks, when it is
+ * The one timer of a connection, which is started and stopped several times for each message and hardly ever fires.
+ * Stopping
+ * costs nothing, and starting again most often neither: what stands with the event loop is left standing, and looks,
+ * when it is
  * due, whether something is really due by then.
  */
 public final class ConnectionTimer {
--- a/src/main/java/loftflow/http/UnreadBytes.java
+++ b/src/main/java/loftflow/http/UnreadBytes.java
@@ -8,7 +8,8 @@
     private UnreadBytes() {}
 
     /**
-     * Reads them, if any; on the connection's loop. Guards against a decision by what is known, such as to give up or to close,
+     * Reads them, if any; on the connection's loop. Guards against a decision by what is known, such as to give up or
+     * to close,
      * while what would change it has come since the pass looked at its sockets.
      */
     public static void read(Channel connection) {
--- a/src/main/java/loftflow/journal/Journal.java
+++ b/src/main/java/loftflow/journal/Journal.java
@@ -51,7 +51,9 @@
     private static final int RESULT = 3;
     private static final int DECIDED = 4;
     private static final int DONE = 5;
-    /** Accepted to be sent again, with the attempts that bind it: in one record, since none may be without the others. */
+    /**
+     * Accepted to be sent again, with the attempts that bind it: in one record, since none may be without the others.
+     */
     private static final int RESENT = 6;
     /** Accepted from a client that asked for a reply, with where to. */
     private static final int ACCEPTED_FOR_REPLY = 7;
@@ -447,7 +449,10 @@
         message.attempts().get(number).outcome(result);
     }
 
-    /** Guards against attempts that were never recorded, as the disk failed: they were not sent, but later ones keep their numbers. */
+    /**
+     * Guards against attempts that were never recorded, as the disk failed: they were not sent, but later ones keep
+     * their numbers.
+     */
     private static void addUnrecorded(Message message, int count, String route, long sentAt) throws IOException {
         if (count > MOST_ATTEMPTS) {
             throw new IOException("attempt " + count + " is one of too many");
--- a/src/main/java/loftflow/listener/amqp/QueueConsumer.java
+++ b/src/main/java/loftflow/listener/amqp/QueueConsumer.java
@@ -29,7 +29,8 @@
 
 /**
  * Takes messages from a queue of a broker: each is acknowledged once it is taken on, goes back to the queue where it is
- * refused, and is rejected for good where it can never be taken on. Ends are published to reply queues at the same broker.
+ * refused, and is rejected for good where it can never be taken on. Ends are published to reply queues at the same
+ * broker.
  */
 public final class QueueConsumer implements Listener, CompletionReplier, AmqpClientConnection.Owner {
     /** Whether ends are told. */
--- a/src/main/java/loftflow/listener/connection/Acceptor.java
+++ b/src/main/java/loftflow/listener/connection/Acceptor.java
@@ -53,7 +53,10 @@
         return bound;
     }
 
-    /** Accepts what waits. Guards against a connection that the kernel alone has taken, which the end of the process would reset. */
+    /**
+     * Accepts what waits. Guards against a connection that the kernel alone has taken, which the end of the process
+     * would reset.
+     */
     public void takeIn() {
         ((AbstractNioChannel.NioUnsafe) listener.unsafe()).read();
     }
--- a/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
+++ b/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
@@ -9,7 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * The connections of a front, within a bound: a full house lets go of the longest silent one, then of the longest idle one.
+ * The connections of a front, within a bound: a full house lets go of the longest silent one, then of the longest idle
+ * one.
  *
  * @param <C> a connection
  */
--- a/src/main/java/loftflow/listener/connection/UnreadSince.java
+++ b/src/main/java/loftflow/listener/connection/UnreadSince.java
@@ -1,6 +1,8 @@
 package loftflow.listener.connection;
 
-/** Since when bytes that a connection brings now may have lain unread: a message's time counts from when it was sent. */
+/**
+ * Since when bytes that a connection brings now may have lain unread: a message's time counts from when it was sent.
+ */
 public final class UnreadSince {
     private final Acceptor door;
     private final long openedAt;
--- a/src/main/java/loftflow/listener/http/HttpClientConnection.java
+++ b/src/main/java/loftflow/listener/http/HttpClientConnection.java
@@ -237,7 +237,10 @@
         }
     }
 
-    /** Guards against hundreds of requests at once, and of answers that are not read: what is not read yet waits with its client. */
+    /**
+     * Guards against hundreds of requests at once, and of answers that are not read: what is not read yet waits with
+     * its client.
+     */
     private void readMore() {
         boolean full = pipelined.size() >= MOST_PIPELINED || !context.channel().isWritable();
         if (full) {
--- a/src/main/java/loftflow/listener/http/HttpListener.java
+++ b/src/main/java/loftflow/listener/http/HttpListener.java
@@ -47,7 +47,10 @@
         return room;
     }
 
-    /** Closes connections as they fall idle; whatever a client has begun to send is still answered, and every answer goes out first. */
+    /**
+     * Closes connections as they fall idle; whatever a client has begun to send is still answered, and every answer
+     * goes out first.
+     */
     @Override
     public void drain() {
         draining = true;
@@ -55,7 +58,9 @@
         house.standing().stream().filter(c -> c.isFlushed() && !c.isEnding()).forEach(HttpClientConnection::close);
     }
 
-    /** Guards against a request that lies unread on a connection that is about to close: it would end with no answer. */
+    /**
+     * Guards against a request that lies unread on a connection that is about to close: it would end with no answer.
+     */
     @Override
     public void takeIn() {
         door.takeIn();
--- a/src/main/java/loftflow/listener/http2/Http2Listener.java
+++ b/src/main/java/loftflow/listener/http2/Http2Listener.java
@@ -68,7 +68,9 @@
 
     private static final int SEND_BUFFER = 64 << 10;
     private static final AsciiString H2C = AsciiString.cached("h2c");
-    /** Guards against a line of Netty's for each frame that a client sends too late; held here, as only that keeps it. */
+    /**
+     * Guards against a line of Netty's for each frame that a client sends too late; held here, as only that keeps it.
+     */
     private static final Logger NETTY = Logger.getLogger("io.netty.handler.codec.http2");
 
     static {
@@ -252,7 +254,9 @@
         house.all().forEach(session -> session.sayGoodbye(until));
     }
 
-    /** Guards against streams that lie unread on a connection which has heard nothing yet: it would end with no goodbye. */
+    /**
+     * Guards against streams that lie unread on a connection which has heard nothing yet: it would end with no goodbye.
+     */
     @Override
     public void takeIn() {
         door.takeIn();
--- a/src/main/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimit.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimit.java
@@ -3,7 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * How many streams a connection may have open: what it was offered and has acknowledged. One that has not heard yet of a
+ * How many streams a connection may have open: what it was offered and has acknowledged. One that has not heard yet of
+ * a
  * smaller offer may still use the larger one (RFC 9113, 6.5.3 and 5.1.2).
  */
 public final class AcknowledgedStreamLimit {
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
@@ -1,8 +1,10 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * How many streams clients are offered at once (SETTINGS_MAX_CONCURRENT_STREAMS), and how that changes in service. A level
- * between a floor and all halves while the relay is short of room or time, and grows by a quarter a step while it is not, so
+ * How many streams clients are offered at once (SETTINGS_MAX_CONCURRENT_STREAMS), and how that changes in service. A
+ * level
+ * between a floor and all halves while the relay is short of room or time, and grows by a quarter a step while it is
+ * not, so
  * that clients wait with what they have in place of having it refused. What is offered to all busy connections together
  * stays within the total, as far as each has its floor; the total itself is a hard bound ({@link #admits}).
  */
@@ -78,7 +80,8 @@
     }
 
     /**
-     * True where what is offered to a connection is to be told anew: it shrinks by a quarter, or it has grown by as much or to
+     * True where what is offered to a connection is to be told anew: it shrinks by a quarter, or it has grown by as
+     * much or to
      * all that there is, so that a client isn't told of each small step.
      */
     public boolean worthTelling(int told, int now) {
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
@@ -31,7 +31,8 @@
     /**
      * A connection that has just come.
      *
-     * @param spread from 0 to 1: by how much of a tenth its age ends earlier, so that many that came at once don't go at once
+     * @param spread from 0 to 1: by how much of a tenth its age ends earlier, so that many that came at once don't go
+     *     at once
      */
     public ConnectionExpiry(Spans spans, long now, double spread) {
         this.spans = spans;
--- a/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
@@ -14,7 +14,9 @@
         RESET(0, 0),
         /** A stream that the relay had to reset for what was sent on it (CVE-2025-8671). */
         FAULT(20, 100),
-        /** A request that makes no sense, and has its answer at once: nothing else would hold back who sends only such. */
+        /**
+         * A request that makes no sense, and has its answer at once: nothing else would hold back who sends only such.
+         */
         SENSELESS(100, 1_000),
         /** A frame on a stream that is closed; those that were on their way as it closed come too. */
         LATE(1_000, 4_000),
--- a/src/main/java/loftflow/listener/http2/flowcontrol/GracefulGoAway.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/GracefulGoAway.java
@@ -1,8 +1,10 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * How a connection ends in good order (RFC 9113, 6.8): a first GOAWAY with the highest id lets everything on its way still
- * come, a second one, after a round trip, names the last stream that was taken. What is above it was never taken; what is
+ * How a connection ends in good order (RFC 9113, 6.8): a first GOAWAY with the highest id lets everything on its way
+ * still
+ * come, a second one, after a round trip, names the last stream that was taken. What is above it was never taken; what
+ * is
  * open finishes, and the connection closes with the last answer or at the stated time.
  */
 public final class GracefulGoAway {
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
@@ -6,8 +6,10 @@
 import java.util.Set;
 
 /**
- * Who may have how many bytes half read. Receive windows are handed out only for what may be buffered: half of the front's
- * pool belongs to classes by share, the other half is common. Where it is full, the connection that holds more than its fair
+ * Who may have how many bytes half read. Receive windows are handed out only for what may be buffered: half of the
+ * front's
+ * pool belongs to classes by share, the other half is common. Where it is full, the connection that holds more than its
+ * fair
  * share gives way to one that holds less, so that nobody takes what belongs to others.
  */
 public final class ReceiveWindowAllocator {
@@ -53,7 +55,8 @@
      * A pool.
      *
      * @param pool bytes that all connections may hold
-     * @param shares of classes in the half that belongs to them, summing up to 1 at the most; others have the common half
+     * @param shares of classes in the half that belongs to them, summing up to 1 at the most; others have the common
+     *     half
      */
     public ReceiveWindowAllocator(long pool, Map<String, Double> shares) {
         this.pool = pool;
--- a/src/main/java/loftflow/listener/http2/flowcontrol/StreamLifecycle.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/StreamLifecycle.java
@@ -1,8 +1,10 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * How one stream ends. Once its message is in the journal, nothing that its client does takes it back: a reset after that
- * tells only that nobody waits for the answer (RFC 9113, 8.7: a client may take a request as never run on REFUSED_STREAM or
+ * How one stream ends. Once its message is in the journal, nothing that its client does takes it back: a reset after
+ * that
+ * tells only that nobody waits for the answer (RFC 9113, 8.7: a client may take a request as never run on
+ * REFUSED_STREAM or
  * GOAWAY alone).
  */
 public final class StreamLifecycle {
--- a/src/main/java/loftflow/listener/http2/flowcontrol/package-info.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What one HTTP/2 connection may cost, and how a stream and a connection end: decisions alone. Times are microseconds of
+ * What one HTTP/2 connection may cost, and how a stream and a connection end: decisions alone. Times are microseconds
+ * of
  * one clock, sizes bytes.
  *
  * <p>May use: nothing of the relay; no sockets, files, clocks, threads or Netty.
--- a/src/main/java/loftflow/policy/LimitGroup.java
+++ b/src/main/java/loftflow/policy/LimitGroup.java
@@ -11,7 +11,9 @@
     final DecayingCounter served = new DecayingCounter();
     final DecayingCounter sent = new DecayingCounter();
     double pace = Double.POSITIVE_INFINITY;
-    /** True from the first cut to the next one, where no limit is known: the pace is far below or above what is borne. */
+    /**
+     * True from the first cut to the next one, where no limit is known: the pace is far below or above what is borne.
+     */
     boolean seeking;
 
     long nextAt;
--- a/src/main/java/loftflow/policy/api/AttemptOutcome.java
+++ b/src/main/java/loftflow/policy/api/AttemptOutcome.java
@@ -25,7 +25,10 @@
         this.code = code;
     }
 
-    /** The name under which the journal, the dead-letter store and the admin protocol know this outcome; it never changes. */
+    /**
+     * The name under which the journal, the dead-letter store and the admin protocol know this outcome; it never
+     * changes.
+     */
     public String code() {
         return code;
     }
--- a/src/main/java/loftflow/policy/package-info.java
+++ b/src/main/java/loftflow/policy/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The delivery decisions of a relay: which route, when, how long, and whether to hold, reject or fail. Times are microseconds
+ * The delivery decisions of a relay: which route, when, how long, and whether to hold, reject or fail. Times are
+ * microseconds
  * on the clock of the rounds. One instance belongs to one thread; instances share nothing.
  *
  * <p>May use: {@code policy.api}; no socket, file, clock or thread.
--- a/src/main/java/loftflow/server/MillisecondIoHandler.java
+++ b/src/main/java/loftflow/server/MillisecondIoHandler.java
@@ -9,9 +9,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Netty's handler of sockets, which waits for the next timer in whole milliseconds, rounded up. A selector knows no shorter
- * span: rounded to the nearest, as the handler does by itself, the last half millisecond before each timer is spent in looking
- * again and again, and with a timer for each call that is most of the time. Timers fire up to a millisecond late instead.
+ * Netty's handler of sockets, which waits for the next timer in whole milliseconds, rounded up. A selector knows no
+ * shorter
+ * span: rounded to the nearest, as the handler does by itself, the last half millisecond before each timer is spent in
+ * looking
+ * again and again, and with a timer for each call that is most of the time. Timers fire up to a millisecond late
+ * instead.
  */
 final class MillisecondIoHandler implements IoHandler {
     private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
--- a/src/main/java/loftflow/settings/PlatformSettingsReader.java
+++ b/src/main/java/loftflow/settings/PlatformSettingsReader.java
@@ -16,7 +16,8 @@
 import loftflow.policy.api.Zone;
 
 /**
- * Reads the settings object that the simulator's first message and a platform's configuration share, and maps its field names
+ * Reads the settings object that the simulator's first message and a platform's configuration share, and maps its field
+ * names
  * to the terms of {@code policy.api}. The only class that spells those names.
  */
 public final class PlatformSettingsReader {
--- a/src/main/java/loftflow/trace/ArrivalSorter.java
+++ b/src/main/java/loftflow/trace/ArrivalSorter.java
@@ -5,7 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Puts rows in the order of their times. Rows are held until one has come that is later by the window, so that any two that
+ * Puts rows in the order of their times. Rows are held until one has come that is later by the window, so that any two
+ * that
  * stand no further apart than that come out in order; rows of one time keep the order of the file.
  */
 public final class ArrivalSorter {
--- a/src/main/java/loftflow/trace/MinuteCounts.java
+++ b/src/main/java/loftflow/trace/MinuteCounts.java
@@ -7,8 +7,10 @@
 import java.util.function.Consumer;
 
 /**
- * A day of counts a minute, a line a function, turned into rows in the order of time. A count takes a byte; the few that are
- * larger stand in a map beside, so that 46,000 functions of a day take some 70 MB. Within a minute a function's calls are
+ * A day of counts a minute, a line a function, turned into rows in the order of time. A count takes a byte; the few
+ * that are
+ * larger stand in a map beside, so that 46,000 functions of a day take some 70 MB. Within a minute a function's calls
+ * are
  * spread evenly, from a point of its own: no more is told of them.
  */
 public final class MinuteCounts {
--- a/src/main/java/loftflow/trace/TraceFormat.java
+++ b/src/main/java/loftflow/trace/TraceFormat.java
@@ -59,7 +59,10 @@
                     line, Math.max(0, end - (long) (took * SECOND)), needed(f.get(0)), needed(f.get(1)), "", took);
         }
     },
-    /** Azure Functions 2019, invocations a minute: a file is a day, a line a function with its {@link MinuteCounts#DAY} counts. */
+    /**
+     * Azure Functions 2019, invocations a minute: a file is a day, a line a function with its {@link MinuteCounts#DAY}
+     * counts.
+     */
     AZURE_FUNCTIONS_2019(4 + MinuteCounts.DAY, true) {
         @Override
         Row read(List<String> f, long line) throws BadRowException {
--- a/src/main/java/loftflow/trace/TraceMapping.java
+++ b/src/main/java/loftflow/trace/TraceMapping.java
@@ -9,9 +9,11 @@
  *
  * <ul>
  * <li>Bursts: times are only shifted and scaled.
- * <li>Skew and correlated load: a flow goes to one destination of its class, and an owner is one tenant, whatever the share.
+ * <li>Skew and correlated load: a flow goes to one destination of its class, and an owner is one tenant, whatever the
+ * share.
  * <li>Long tails: the size follows the row's weight beside the trace's mean until then, within the class's bounds.
- * <li>Classes keep their shares: a flow has a class of its own, and gives way to the class that is furthest behind its share
+ * <li>Classes keep their shares: a flow has a class of its own, and gives way to the class that is furthest behind its
+ * share
  * only where its own is ahead by more than one in two hundred.
  * </ul>
  */
--- a/src/main/java/loftflow/trace/read/TraceReader.java
+++ b/src/main/java/loftflow/trace/read/TraceReader.java
@@ -26,8 +26,10 @@
 import loftflow.trace.TraceFormat;
 
 /**
- * Reads the files of a trace, one after the other, into {@link ArrivalSorter}. A file that begins with gzip's two bytes is
- * unpacked, whatever its name. Where a file is a day of counts, each call of it counts as a row. A record that is longer than {@value #LONGEST} characters, or a file that breaks off, ends that
+ * Reads the files of a trace, one after the other, into {@link ArrivalSorter}. A file that begins with gzip's two bytes
+ * is
+ * unpacked, whatever its name. Where a file is a day of counts, each call of it counts as a row. A record that is
+ * longer than {@value #LONGEST} characters, or a file that breaks off, ends that
  * file, which counts as a row that was read and rejected; the next file goes on.
  */
 public final class TraceReader {
--- a/src/main/java/loftflow/trace/read/ZonedClock.java
+++ b/src/main/java/loftflow/trace/read/ZonedClock.java
@@ -14,7 +14,8 @@
 import loftflow.trace.RowFault.BadRowException;
 
 /**
- * Reads times as a zone's clocks show them. In the hour that clocks repeat when daylight saving ends, a time is taken as the
+ * Reads times as a zone's clocks show them. In the hour that clocks repeat when daylight saving ends, a time is taken
+ * as the
  * first of the two; one in the hour that they leave out is rejected.
  */
 public final class ZonedClock implements ColumnMapping.Clock {
--- a/src/main/java/loftflow/upstream/amqp/BrokerClient.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerClient.java
@@ -16,7 +16,8 @@
 import loftflow.policy.api.LimitReport;
 
 /**
- * Publishes attempts to brokers, one connection to each route, and tells what their confirms prove. A connection is made
+ * Publishes attempts to brokers, one connection to each route, and tells what their confirms prove. A connection is
+ * made
  * when something is to be sent and none is there, never by itself: pauses and trials are the decision module's.
  */
 public final class BrokerClient implements UpstreamClient {
--- a/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
@@ -25,7 +25,8 @@
 
 /**
  * One route through a broker: its connection with a channel in confirm mode, and the attempts on it. What a broker does
- * becomes one of the module's results by the table in docs/operators/amqp.md; {@link PublisherConfirms} says what is proven.
+ * becomes one of the module's results by the table in docs/operators/amqp.md; {@link PublisherConfirms} says what is
+ * proven.
  */
 final class BrokerConnection implements AmqpClientConnection.Owner {
     /** What a route needs of its client. */
--- a/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
+++ b/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
@@ -216,7 +216,9 @@
             }
         }
 
-        /** The idle connection that was used last, of those that a call may still leave on; null where there is none. */
+        /**
+         * The idle connection that was used last, of those that a call may still leave on; null where there is none.
+         */
         private UpstreamConnection pollIdle() {
             for (UpstreamConnection next = idle.pollLast(); next != null; next = idle.pollLast()) {
                 allIdle.remove(next);
--- a/src/main/java/loftflow/upstream/http/UpstreamCall.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamCall.java
@@ -155,7 +155,9 @@
         return startedAt;
     }
 
-    /** Ends, as not sent, attempts that may not begin to leave any more: their destination may have forgotten the key. */
+    /**
+     * Ends, as not sent, attempts that may not begin to leave any more: their destination may have forgotten the key.
+     */
     void endWhatIsLate(long now) {
         List.copyOf(parts.values()).stream()
                 .filter(part -> now >= part.latest())
@@ -232,7 +234,8 @@
     }
 
     /**
-     * A wait in a head that has come whole. Guards against calls that leave while the rest of the answer is cut off, spoilt or
+     * A wait in a head that has come whole. Guards against calls that leave while the rest of the answer is cut off,
+     * spoilt or
      * without an end, or that come after their call was given up: the host has told, whatever becomes of this call.
      */
     void told(HttpResponse response) {
--- a/src/main/java/loftflow/upstream/http/UpstreamConnection.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamConnection.java
@@ -109,14 +109,18 @@
         timer.start(owner.listensOn(this), TimeUnit.MICROSECONDS, this::close);
     }
 
-    /** Closes once it has stood idle for a span, which taking it for a call that is not sent in the end does not begin anew. */
+    /**
+     * Closes once it has stood idle for a span, which taking it for a call that is not sent in the end does not begin
+     * anew.
+     */
     void retireAfter(long micros) {
         long left = quietSince + TimeUnit.MICROSECONDS.toNanos(micros) - System.nanoTime();
         timer.start(Math.max(0, left), TimeUnit.NANOSECONDS, this::close);
     }
 
     /**
-     * True where a call may leave on it. Guards against a timer that is late, as the loop has had no CPU, and against an end
+     * True where a call may leave on it. Guards against a timer that is late, as the loop has had no CPU, and against
+     * an end
      * that has come and is not read yet: a call that is written then ends as a reset, and may have run.
      */
     boolean isFit(long idleMicros) {
--- a/src/main/java/loftflow/warmstart/DowntimeEstimate.java
+++ b/src/main/java/loftflow/warmstart/DowntimeEstimate.java
@@ -12,8 +12,10 @@
     public static final long UNKNOWN = Long.MAX_VALUE / 4;
 
     /**
-     * The span between two moments. Within one boot the clock that is never set measures it, whatever became of the wall
-     * clock. Over a boot the wall clock alone tells, which may have been set between: nothing is proven then, and one that
+     * The span between two moments. Within one boot the clock that is never set measures it, whatever became of the
+     * wall
+     * clock. Over a boot the wall clock alone tells, which may have been set between: nothing is proven then, and one
+     * that
      * stands before the earlier moment tells nothing at all.
      */
     public static DowntimeEstimate between(ClockReading then, ClockReading now) {
--- a/src/main/java/loftflow/warmstart/EndpointListReconciler.java
+++ b/src/main/java/loftflow/warmstart/EndpointListReconciler.java
@@ -10,16 +10,19 @@
 import loftflow.policy.api.EndpointListKind;
 
 /**
- * What of discovery's lists is believed, and when. Whatever an entry takes away is believed at once; what is in doubt is
+ * What of discovery's lists is believed, and when. Whatever an entry takes away is believed at once; what is in doubt
+ * is
  * only what a list gives back, or leaves out without a word.
  *
  * <ul>
- * <li>An empty list, and one that leaves out nine of ten endpoints (of {@value #FEWEST} or more): what it leaves out stays
+ * <li>An empty list, and one that leaves out nine of ten endpoints (of {@value #FEWEST} or more): what it leaves out
+ * stays
  * until discovery has told the like for the settling time.
  * <li>A list whose revision is behind: it may take away, and confirm; what it lists beyond, or leaves out, counts after
  * the settling time, as a discovery that counts anew.
  * <li>A new id at the address of another: the other one is gone, also where no word is said of it.
- * <li>An endpoint that comes back for the {@value #FLAPS}rd time within a minute is held back until it has been listed for
+ * <li>An endpoint that comes back for the {@value #FLAPS}rd time within a minute is held back until it has been listed
+ * for
  * ten seconds, twice as long with each time more, five minutes at the most.
  * </ul>
  */
--- a/src/main/java/loftflow/warmstart/TrustPolicy.java
+++ b/src/main/java/loftflow/warmstart/TrustPolicy.java
@@ -7,7 +7,8 @@
  * <table>
  * <caption>Degrees</caption>
  * <tr><td>removed, draining, struck out</td><td>never, at any age</td></tr>
- * <tr><td>trust of {@value #AS_LISTED_FROM} or more, the age proven, the last call not a failure</td><td>as listed</td></tr>
+ * <tr><td>trust of {@value #AS_LISTED_FROM} or more, the age proven, the last call not a failure</td><td>as
+ * listed</td></tr>
  * <tr><td>2^-{@value #LAST_AFTER} or more</td><td>try first</td></tr>
  * <tr><td>less, or no age at all</td><td>only if nothing else is left</td></tr>
  * </table>
@@ -39,7 +40,8 @@
     }
 
     /**
-     * The latest time at which evidence may be said to have come of an endpoint that has a degree at a start: it must not
+     * The latest time at which evidence may be said to have come of an endpoint that has a degree at a start: it must
+     * not
      * be believed more at the next one, by clocks that don't tell what these have shown.
      *
      * @param now the relay's own time
--- a/src/main/java/loftflow/warmstart/WriteBudget.java
+++ b/src/main/java/loftflow/warmstart/WriteBudget.java
@@ -1,7 +1,8 @@
 package loftflow.warmstart;
 
 /**
- * How much may be written: in any span no more than {@link #burst} and {@code rate} for each second of it. A part is set
+ * How much may be written: in any span no more than {@link #burst} and {@code rate} for each second of it. A part is
+ * set
  * by for notes, so that a picture never keeps a drain from being noted. Bytes and microseconds.
  */
 public final class WriteBudget {
--- a/src/main/java/loftflow/warmstart/store/SnapshotStore.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotStore.java
@@ -12,7 +12,8 @@
 /**
  * Two generations of a picture, each with the notes since it was taken. Pictures take turns at two places: a new one is
  * written beside them, then put in the place of the older one in one step, so that the newer one stays whole whatever
- * happens. Notes go to the newest picture's file; from the moment that a picture is taken until it stands, to its file too.
+ * happens. Notes go to the newest picture's file; from the moment that a picture is taken until it stands, to its file
+ * too.
  *
  * <p>{@link #begin}, {@link #note} and {@link #end} are for the event loop: they write little, and sync nothing.
  * {@link #write} may go on a thread of its own.
@@ -166,7 +167,10 @@
         }
     }
 
-    /** A picture of this generation, the one after what stands, has been taken: what is noted from now on follows it too. */
+    /**
+     * A picture of this generation, the one after what stands, has been taken: what is noted from now on follows it
+     * too.
+     */
     void begin(long generation) throws IOException {
         if (standing > 0 && generation != standing + 1) {
             throw new IllegalStateException("generation " + generation + " after " + standing);
--- a/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
@@ -18,9 +18,12 @@
 import loftflow.warmstart.WriteBudget;
 
 /**
- * Saves pictures on a thread of its own and notes at once, within a budget of bytes. One picture at a time is on its way:
- * a later one waits for the next look. Notes that may not be written, for the budget's sake, for want of room or since the
- * disk fails, are told by one note that says that something was ({@link SnapshotDelta.Kind#LOST}). To be called on the event loop.
+ * Saves pictures on a thread of its own and notes at once, within a budget of bytes. One picture at a time is on its
+ * way:
+ * a later one waits for the next look. Notes that may not be written, for the budget's sake, for want of room or since
+ * the
+ * disk fails, are told by one note that says that something was ({@link SnapshotDelta.Kind#LOST}). To be called on the
+ * event loop.
  */
 public final class SnapshotWriter implements AutoCloseable {
     private static final double PICTURE_SHARE = 0.3;
@@ -236,7 +239,9 @@
         }
     }
 
-    /** Beyond the budget, once a second at the most: it is a few bytes, and all that stands for what was not written. */
+    /**
+     * Beyond the budget, once a second at the most: it is a few bytes, and all that stands for what was not written.
+     */
     private void noteLost(long time) {
         if (lost == null || lostIsNoted || time - lostAt < SECOND) {
             return;
--- a/src/test/java/loftflow/completion/AgentConnectionTest.java
+++ b/src/test/java/loftflow/completion/AgentConnectionTest.java
@@ -142,7 +142,9 @@
         }
     }
 
-    /** Each pass of the loop takes longer than a notice may, and there is no connection yet: it is told all the same. */
+    /**
+     * Each pass of the loop takes longer than a notice may, and there is no connection yet: it is told all the same.
+     */
     @Test
     void noticeIsToldByALoopWhosePassesTakeLongerThanItMay() throws Exception {
         try (ScriptedPeer platform = ScriptedPeer.always(ScriptedPeer.status(204))) {
@@ -158,7 +160,10 @@
         }
     }
 
-    /** As for want of CPU, until something is heard: behind all that a pass does, and ahead of the next look at the sockets. */
+    /**
+     * As for want of CPU, until something is heard: behind all that a pass does, and ahead of the next look at the
+     * sockets.
+     */
     private void endPassesLate(List<String> heard) {
         loop.execute(() -> {
             RelayProcess.hold(150);
@@ -168,7 +173,10 @@
         });
     }
 
-    /** The answer lies unread when its request's time is up, as the loop was at something else: it counts, and so does the next one. */
+    /**
+     * The answer lies unread when its request's time is up, as the loop was at something else: it counts, and so does
+     * the next one.
+     */
     @Test
     void answerThatLiesUnreadWhenItsRequestIsGivenUpCounts() throws Exception {
         CountDownLatch gate = new CountDownLatch(1);
@@ -254,7 +262,10 @@
         }
     }
 
-    /** Whoever can look for the platform's new address is told while there is no connection, also where nothing is to be told. */
+    /**
+     * Whoever can look for the platform's new address is told while there is no connection, also where nothing is to be
+     * told.
+     */
     @Test
     void platformThatCannotBeReachedIsToldOfUntilItCan() throws Exception {
         int port;
--- a/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -20,7 +20,8 @@
 
 /**
  * Measurements of keeping, each a command: {@code store} (entries a second, lists over 100,000, memory), {@code cost}
- * (a relay with the store on against off, in turns), {@code cold} (a backlog of 10,000 for one destination of that limit a second
+ * (a relay with the store on against off, in turns), {@code cold} (a backlog of 10,000 for one destination of that
+ * limit a second
  * that returns).
  */
 public final class DeadLetterBenchmark {
--- a/src/test/java/loftflow/deadletter/SqliteDeadLetterStoreTest.java
+++ b/src/test/java/loftflow/deadletter/SqliteDeadLetterStoreTest.java
@@ -101,7 +101,10 @@
                 shelf.due(1_000, Integer.MIN_VALUE, 9).get(0).content().orderingKey());
     }
 
-    /** A file from before lines were kept is read as it is, and brought up to date when a relay opens it; nothing of it is lost. */
+    /**
+     * A file from before lines were kept is read as it is, and brought up to date when a relay opens it; nothing of it
+     * is lost.
+     */
     @Test
     void fileWithoutLinesGoesOn() throws SQLException {
         long id = open().put(inLine("m1", "track-4"));
--- a/src/test/java/loftflow/discovery/BackoffTest.java
+++ b/src/test/java/loftflow/discovery/BackoffTest.java
@@ -28,7 +28,9 @@
         assertEquals(100, backoff.nextMs());
     }
 
-    /** A thousand relays that lost discovery at once: once it has been away for a while, no second sees a third of them. */
+    /**
+     * A thousand relays that lost discovery at once: once it has been away for a while, no second sees a third of them.
+     */
     @Test
     void fleetIsSpreadOverTheSeconds() {
         TreeMap<Long, Integer> asked = new TreeMap<>();
--- a/src/test/java/loftflow/discovery/EndpointWatcherTest.java
+++ b/src/test/java/loftflow/discovery/EndpointWatcherTest.java
@@ -187,7 +187,8 @@
     }
 
     /**
-     * A watch that answers without error and tells nothing: what it misses counts as told six seconds later, also by a relay that
+     * A watch that answers without error and tells nothing: what it misses counts as told six seconds later, also by a
+     * relay that
      * was slow to take in the list before, as at its start.
      */
     @ParameterizedTest
@@ -269,7 +270,10 @@
         }
     }
 
-    /** It moves between two calls, and while one is out: the list of the new place is asked for whole, whatever the old one's version. */
+    /**
+     * It moves between two calls, and while one is out: the list of the new place is asked for whole, whatever the old
+     * one's version.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void moveCrossesACall(boolean out) throws IOException {
--- a/src/test/java/loftflow/experiment/ExperimentTest.java
+++ b/src/test/java/loftflow/experiment/ExperimentTest.java
@@ -33,7 +33,8 @@
     Path folder;
 
     /**
-     * Two sides that are the same, or differ by so much of the noise: how often a difference is found. Of sides that are
+     * Two sides that are the same, or differ by so much of the noise: how often a difference is found. Of sides that
+     * are
      * the same it is five in a hundred at the most.
      */
     @ParameterizedTest
@@ -131,7 +132,9 @@
         return List.of(new ExperimentRunner.Side(a, scenario, null), new ExperimentRunner.Side(b, scenario, null));
     }
 
-    /** A kill after any byte of a record: what is whole stays, what is torn is run again, and the verdict is the same. */
+    /**
+     * A kill after any byte of a record: what is whole stays, what is torn is run again, and the verdict is the same.
+     */
     @Test
     void experimentThatIsCutOffAnywhereGoesOnWithoutRepeatingWhatIsFinished() throws IOException {
         List<Long> seeds = List.of(1L, 2L, 3L);
--- a/src/test/java/loftflow/experiment/LoopbackRunTest.java
+++ b/src/test/java/loftflow/experiment/LoopbackRunTest.java
@@ -40,7 +40,10 @@
         return ExperimentRunner.read("real", text + failures).scenario();
     }
 
-    /** A relay is killed in mid-run, a partner is down, an endpoint drains: every message has its end, and no rule is broken. */
+    /**
+     * A relay is killed in mid-run, a partner is down, an endpoint drains: every message has its end, and no rule is
+     * broken.
+     */
     @Test
     void fleetThatDiesAndPartnersThatFailLeaveNoMessageWithoutAnEnd() throws Exception {
         Scenario scenario = scenario(
@@ -88,7 +91,10 @@
                 "what is down stands first: " + shown);
     }
 
-    /** Nine in ten of what may go there go to one partner, and partners stop reading in mid-run: every message has its end in time. */
+    /**
+     * Nine in ten of what may go there go to one partner, and partners stop reading in mid-run: every message has its
+     * end in time.
+     */
     @Test
     void oneDestinationWithNearlyAllAndPartnersThatStopReadingLeaveNothingOpen() throws Exception {
         Scenario scenario = ExperimentRunner.read(
@@ -177,7 +183,9 @@
         assertTrue(held, said.toString());
     }
 
-    /** A generator that stands still for half a second shows: as lateness, as an invalid run, and in what messages took. */
+    /**
+     * A generator that stands still for half a second shows: as lateness, as an invalid run, and in what messages took.
+     */
     @Test
     void stallOfTheGeneratorIsCountedAndNotHidden() throws Exception {
         Scenario scenario = scenario(
--- a/src/test/java/loftflow/experiment/RuleCheckerTest.java
+++ b/src/test/java/loftflow/experiment/RuleCheckerTest.java
@@ -29,7 +29,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Each rule is broken on purpose by a relay that is made badly in one respect, and found; a sound one breaks none there. */
+/**
+ * Each rule is broken on purpose by a relay that is made badly in one respect, and found; a sound one breaks none
+ * there.
+ */
 class RuleCheckerTest {
     private static final long SECOND = 1_000_000;
 
@@ -146,7 +149,10 @@
         assertEquals(Map.of(), ExperimentRunner.play(bad.scenario(), 1).rules().counts());
     }
 
-    /** A hundred relays before fourteen partners, all of them bad or all sound: what is found is the fault, ten to one at least. */
+    /**
+     * A hundred relays before fourteen partners, all of them bad or all sound: what is found is the fault, ten to one
+     * at least.
+     */
     @ParameterizedTest
     @EnumSource(Bad.class)
     void badRelaysOfALargeFleetAreFoundAndSoundOnesAreNot(Bad bad) throws IOException {
@@ -172,7 +178,8 @@
     }
 
     /**
-     * Small scenarios, made so by {@code lab minimize} from what each bad relay breaks: a sound relay breaks none of them, and each
+     * Small scenarios, made so by {@code lab minimize} from what each bad relay breaks: a sound relay breaks none of
+     * them, and each
      * still finds its bad one.
      */
     @Test
--- a/src/test/java/loftflow/http/ConnectionTimerTest.java
+++ b/src/test/java/loftflow/http/ConnectionTimerTest.java
@@ -12,7 +12,9 @@
 
 @Timeout(30)
 class ConnectionTimerTest {
-    /** However often it starts again, one task stands with the loop; the last one alone runs, and not before its time. */
+    /**
+     * However often it starts again, one task stands with the loop; the last one alone runs, and not before its time.
+     */
     @Test
     void startingAgainCostsNothingAndOnlyTheLastTaskRuns() throws Exception {
         DefaultEventLoop loop = new DefaultEventLoop();
--- a/src/test/java/loftflow/interop/AmqpCampaign.java
+++ b/src/test/java/loftflow/interop/AmqpCampaign.java
@@ -37,8 +37,10 @@
 import loftflow.listener.amqp.QueueConsumer;
 
 /**
- * Seeded runs of a relay between AMQP on both sides, on loopback sockets: connections that end at drawn bytes, brokers that
- * fail by a drawn script, kills and restarts. What took effect is counted by the broker apart from what the relay believes.
+ * Seeded runs of a relay between AMQP on both sides, on loopback sockets: connections that end at drawn bytes, brokers
+ * that
+ * fail by a drawn script, kills and restarts. What took effect is counted by the broker apart from what the relay
+ * believes.
  * As a command: {@code AmqpCampaign RUNS SEED [forgetful]}.
  */
 public final class AmqpCampaign {
--- a/src/test/java/loftflow/interop/CampaignRelay.java
+++ b/src/test/java/loftflow/interop/CampaignRelay.java
@@ -127,7 +127,8 @@
     }
 
     /**
-     * An address that is one run's alone. Guards against runs side by side that meet: while a relay is dead another run may have
+     * An address that is one run's alone. Guards against runs side by side that meet: while a relay is dead another run
+     * may have
      * its port, and a program of the one would be heard by the other, with the same ids.
      */
     static String host(long run) {
--- a/src/test/java/loftflow/interop/Http2Campaign.java
+++ b/src/test/java/loftflow/interop/Http2Campaign.java
@@ -24,9 +24,12 @@
 import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 
 /**
- * Seeded runs of a relay between HTTP/2 and a broker, on loopback sockets: streams that are reset and connections that are
- * lost at drawn moments, clients that do not read, drains, kills and restarts, and a partner that fails by a drawn script.
- * What took effect is counted by the broker, what is in the journal by the journal's port, what was answered by the client.
+ * Seeded runs of a relay between HTTP/2 and a broker, on loopback sockets: streams that are reset and connections that
+ * are
+ * lost at drawn moments, clients that do not read, drains, kills and restarts, and a partner that fails by a drawn
+ * script.
+ * What took effect is counted by the broker, what is in the journal by the journal's port, what was answered by the
+ * client.
  * As a command: {@code Http2Campaign RUNS SEED [MUTANT]}.
  */
 public final class Http2Campaign {
--- a/src/test/java/loftflow/interop/InteropBenchmark.java
+++ b/src/test/java/loftflow/interop/InteropBenchmark.java
@@ -32,7 +32,8 @@
 import loftflow.fake.TemporaryFolder;
 
 /**
- * Measurements of HTTP and AMQP, each a command: {@code pairs CORE} (messages a second and p99 of the four pairs in turn,
+ * Measurements of HTTP and AMQP, each a command: {@code pairs CORE} (messages a second and p99 of the four pairs in
+ * turn,
  * the relay on one core), {@code channels} (resident memory with 100 channels), {@code codec} (frames a second),
  * {@code standing} (a listener and a stand-in broker, for src/test/js/amqplib.js, until it is ended).
  */
--- a/src/test/java/loftflow/journal/JournalTest.java
+++ b/src/test/java/loftflow/journal/JournalTest.java
@@ -179,7 +179,10 @@
         assertEquals("r1", open.attempts().get(1).route());
     }
 
-    /** An attempt whose time is up before it is recorded has a result alone: what follows it in the journal must not go with it. */
+    /**
+     * An attempt whose time is up before it is recorded has a result alone: what follows it in the journal must not go
+     * with it.
+     */
     @Test
     void resultOfAnAttemptThatWasNeverRecordedLosesNothingBehindIt() throws IOException {
         try (Journal journal = new Journal(folder, DISK)) {
--- a/src/test/java/loftflow/listener/FakeMessageAcceptor.java
+++ b/src/test/java/loftflow/listener/FakeMessageAcceptor.java
@@ -14,7 +14,10 @@
     /** A message that was handed in, with whoever waits for the answer. */
     public record Handed(Message message, Message.ClientReply client) {}
 
-    /** Read by one thread while the loop adds; adding takes the same time however many there are, as floods are told here. */
+    /**
+     * Read by one thread while the loop adds; adding takes the same time however many there are, as floods are told
+     * here.
+     */
     public final List<Handed> handed = Collections.synchronizedList(new ArrayList<>());
 
     public final Set<String> withdrawn = ConcurrentHashMap.newKeySet();
--- a/src/test/java/loftflow/listener/http2/Http2Benchmark.java
+++ b/src/test/java/loftflow/listener/http2/Http2Benchmark.java
@@ -20,8 +20,10 @@
 import loftflow.fake.TemporaryFolder;
 
 /**
- * Measurements of HTTP/2 beside HTTP/1.1, each a command: {@code load CORE} (messages a second, CPU of one, p99 at 70%, the
- * relay on one core, by turns), {@code memory} (of idle connections and open streams), {@code slow CORE} (fast clients beside
+ * Measurements of HTTP/2 beside HTTP/1.1, each a command: {@code load CORE} (messages a second, CPU of one, p99 at 70%,
+ * the
+ * relay on one core, by turns), {@code memory} (of idle connections and open streams), {@code slow CORE} (fast clients
+ * beside
  * ten that don't read), {@code standing} (a relay for clients of others, until it is ended).
  */
 public final class Http2Benchmark {
@@ -128,7 +130,9 @@
 
     // ---- load
 
-    /** Hands messages in for a while: as fast as answers come, or so many a second, each counted from when it was due. */
+    /**
+     * Hands messages in for a while: as fast as answers come, or so many a second, each counted from when it was due.
+     */
     private static Outcome run(ServedRelay relay, Shape shape, double seconds, double rate) throws Exception {
         AtomicLong taken = new AtomicLong();
         AtomicLong refused = new AtomicLong();
@@ -359,7 +363,10 @@
 
     // ---- beside slow ones
 
-    /** Ten others beside fast clients: none, at 20 a second and reading, at 20 a second and deaf, and flooding with nonsense. */
+    /**
+     * Ten others beside fast clients: none, at 20 a second and reading, at 20 a second and deaf, and flooding with
+     * nonsense.
+     */
     private static void slow(Path folder, String core) throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
             for (String kind : List.of("none", "reading", "deaf", "flooding")) {
--- a/src/test/java/loftflow/listener/http2/RawClient.java
+++ b/src/test/java/loftflow/listener/http2/RawClient.java
@@ -22,7 +22,8 @@
 import loftflow.server.KernelSocketState;
 
 /**
- * A client that sends any frame, also a wrong one (RFC 9113, 4.1), and keeps all that it is told. Its reading is done by
+ * A client that sends any frame, also a wrong one (RFC 9113, 4.1), and keeps all that it is told. Its reading is done
+ * by
  * whoever waits for something, so that one that waits for nothing does not read.
  */
 public final class RawClient implements AutoCloseable {
--- a/src/test/java/loftflow/policy/DefaultDeliveryPolicyTest.java
+++ b/src/test/java/loftflow/policy/DefaultDeliveryPolicyTest.java
@@ -106,7 +106,10 @@
         return new MessageResumed(new MessageAccepted(id, "safe", null, null, relay.now + 3 * S, 1), List.of());
     }
 
-    /** Its end is told and not heard yet, or was so before a restart: the next one of its line waits, another line does not. */
+    /**
+     * Its end is told and not heard yet, or was so before a restart: the next one of its line waits, another line does
+     * not.
+     */
     @Test
     void endThatIsNotHeardHoldsUpItsLineAlone() {
         relay.unheard.add(1L);
@@ -329,7 +332,10 @@
         assertTrue(relay.sent.size() - before <= 2, "sent on release: " + (relay.sent.size() - before));
     }
 
-    /** What is usual is not taken for less because the relay has run for a short time only: it would be released at a crawl. */
+    /**
+     * What is usual is not taken for less because the relay has run for a short time only: it would be released at a
+     * crawl.
+     */
     @Test
     void destinationOfAYoungRelayIsReleasedByWhatWasAskedOfItASecond() {
         int id = 100;
--- a/src/test/java/loftflow/policy/FleetLimitTest.java
+++ b/src/test/java/loftflow/policy/FleetLimitTest.java
@@ -19,8 +19,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A fleet of decision modules before one destination that tells its limits in answers: a hundred before three routes with a limit
- * each, or fourteen before two that share one and take several messages in a call. None hears of another, and each sends too
+ * A fleet of decision modules before one destination that tells its limits in answers: a hundred before three routes
+ * with a limit
+ * each, or fourteen before two that share one and take several messages in a call. None hears of another, and each
+ * sends too
  * seldom to see the limit by its own calls.
  */
 class FleetLimitTest {
@@ -155,7 +157,8 @@
     }
 
     /**
-     * Without a first cut by what was sent, and while refusals of an overrun limit are taken for a shut destination, 1,215
+     * Without a first cut by what was sent, and while refusals of an overrun limit are taken for a shut destination,
+     * 1,215
      * to 1,340 calls are served, 1,000 to 1,530 refused, and circuits open some 200 to 400 times.
      */
     @ParameterizedTest
@@ -170,7 +173,8 @@
     }
 
     /**
-     * After ten seconds in which a destination was shut, and said that its limit was not used up, no two seconds bring more
+     * After ten seconds in which a destination was shut, and said that its limit was not used up, no two seconds bring
+     * more
      * than the rule's multiple of what it can do cold.
      */
     @ParameterizedTest
@@ -196,8 +200,10 @@
     }
 
     /**
-     * A limit counts calls, and a call carries several messages. Relays whose parts are counted in messages overrun it for good
-     * (736 to 808 calls of 900 served, 205 to 336 refused). With equal parts of calls, relays that are asked for little spend theirs on
+     * A limit counts calls, and a call carries several messages. Relays whose parts are counted in messages overrun it
+     * for good
+     * (736 to 808 calls of 900 served, 205 to 336 refused). With equal parts of calls, relays that are asked for little
+     * spend theirs on
      * calls of one message, and 1,850 to 1,930 of 2,250 and 2,700 messages are delivered.
      */
     @ParameterizedTest
--- a/src/test/java/loftflow/policy/FleetRecoverySimulation.java
+++ b/src/test/java/loftflow/policy/FleetRecoverySimulation.java
@@ -32,8 +32,10 @@
 import loftflow.policy.api.Zone;
 
 /**
- * A deterministic simulation of a whole fleet that starts at once with discovery down: every relay is a decision module of
- * its own with what it remembers, and none hears of another. Partners are cold from the start and refuse above what they
+ * A deterministic simulation of a whole fleet that starts at once with discovery down: every relay is a decision module
+ * of
+ * its own with what it remembers, and none hears of another. Partners are cold from the start and refuse above what
+ * they
  * can do; messages that were held wait at every relay. As a command it prints a table for 10 to 10,000 relays.
  */
 final class FleetRecoverySimulation {
--- a/src/test/java/loftflow/server/DeliveryTest.java
+++ b/src/test/java/loftflow/server/DeliveryTest.java
@@ -38,7 +38,10 @@
         assertTrue(Integer.parseInt(call.headers().get("x-budget-ms")) <= 20_000);
     }
 
-    /** A message that comes before the last answer has been read has a connection of its own, so that more than one may be tried. */
+    /**
+     * A message that comes before the last answer has been read has a connection of its own, so that more than one may
+     * be tried.
+     */
     @Test
     void connectionIsUsedAgain() throws IOException {
         relay.start();
@@ -178,7 +181,8 @@
     }
 
     /**
-     * Its request and its end both lie unread as the relay has the CPU again, and any round that was due by then is past due. What
+     * Its request and its end both lie unread as the relay has the CPU again, and any round that was due by then is
+     * past due. What
      * has lain there too long is refused, and its client comes again: that is not what is tested.
      */
     @Test
--- a/src/test/java/loftflow/server/FleetHarness.java
+++ b/src/test/java/loftflow/server/FleetHarness.java
@@ -22,7 +22,8 @@
 import loftflow.warmstart.store.SnapshotSamples;
 
 /**
- * A fleet of relays on loopback with its partners, discovery and a client beside each relay. Half of the relays are killed
+ * A fleet of relays on loopback with its partners, discovery and a client beside each relay. Half of the relays are
+ * killed
  * while discovery is down and start again; some endpoints have been removed meanwhile and their addresses are another
  * service's, hang or refuse; some partners were out, and return cold.
  */
@@ -55,7 +56,8 @@
      * @param toRemovedBefore messages from relays that started again that reached what is at removed addresses, before
      *     discovery returned
      * @param toRemovedAfter messages from any relay that did so after it had told each
-     * @param highest the highest load in two seconds on any partner that returned cold, as a multiple of what it could do
+     * @param highest the highest load in two seconds on any partner that returned cold, as a multiple of what it could
+     *     do
      */
     record Measured(
             List<Long> readyMillis,
@@ -86,7 +88,8 @@
     private long returnedAt;
 
     /**
-     * A fleet that is not started yet. The first {@code removed} endpoints share their destinations with another one each;
+     * A fleet that is not started yet. The first {@code removed} endpoints share their destinations with another one
+     * each;
      * the last {@code cold} ones are alone in theirs.
      *
      * @param limit calls a second that each endpoint takes
--- a/src/test/java/loftflow/server/FleetRestartTest.java
+++ b/src/test/java/loftflow/server/FleetRestartTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A small fleet on loopback, half of it killed while discovery is down; {@link FleetHarness}'s command measures a larger one. */
+/**
+ * A small fleet on loopback, half of it killed while discovery is down; {@link FleetHarness}'s command measures a
+ * larger one.
+ */
 class FleetRestartTest {
     @TempDir
     Path folder;
--- a/src/test/java/loftflow/server/KernelSocketState.java
+++ b/src/test/java/loftflow/server/KernelSocketState.java
@@ -12,7 +12,8 @@
 import java.util.stream.Stream;
 
 /**
- * What the system holds of the far side of a loopback connection: for tests that need to know that something has come there and
+ * What the system holds of the far side of a loopback connection: for tests that need to know that something has come
+ * there and
  * is not read, where a span to wait for would only hope that it has.
  */
 public final class KernelSocketState {
--- a/src/test/java/loftflow/server/RelayFileTestBase.java
+++ b/src/test/java/loftflow/server/RelayFileTestBase.java
@@ -30,7 +30,10 @@
         return relay;
     }
 
-    /** Hands a settlement in as a client does, again while the relay refuses: one that is short of CPU at its start does. */
+    /**
+     * Hands a settlement in as a client does, again while the relay refuses: one that is short of CPU at its start
+     * does.
+     */
     static int handIn(FakeClient client, String id, int destination, long budgetMillis) {
         int[] status = new int[1];
         await(() -> {
--- a/src/test/java/loftflow/server/RestartTest.java
+++ b/src/test/java/loftflow/server/RestartTest.java
@@ -39,7 +39,10 @@
         assertEquals("hello", host.requests.get(1).body());
     }
 
-    /** Its agent has been told meanwhile, which counts as told to the relay; the list that it starts with says otherwise. */
+    /**
+     * Its agent has been told meanwhile, which counts as told to the relay; the list that it starts with says
+     * otherwise.
+     */
     @Test
     void hostThatWasDrainedWhileTheRelayWasDownGetsNothingMore() throws IOException {
         assertEquals(202, relay.start().handIn("s1", "safe", 7));
@@ -77,7 +80,10 @@
         assertEquals("key-k1", host.requests.get(1).headers().get("idempotency-key"));
     }
 
-    /** A class in order: clients name the line in the path. One goes out at a time, also after a restart; other lines go on. */
+    /**
+     * A class in order: clients name the line in the path. One goes out at a time, also after a restart; other lines go
+     * on.
+     */
     @Test
     void messagesOfOneLineKeepTheirOrderOverARestart() throws IOException {
         relay.start();
--- a/src/test/java/loftflow/server/ShutdownTest.java
+++ b/src/test/java/loftflow/server/ShutdownTest.java
@@ -48,7 +48,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A planned end, and the start after it, where they cross what clients send; the loop is held so that the bad order comes every time. */
+/**
+ * A planned end, and the start after it, where they cross what clients send; the loop is held so that the bad order
+ * comes every time.
+ */
 @Timeout(60)
 class ShutdownTest {
     private static final long SECOND = 1_000_000;
@@ -203,7 +206,8 @@
     }
 
     /**
-     * At the drain a request lies unread on a kept connection, on one that has said nothing yet, or on one that only the kernel has
+     * At the drain a request lies unread on a kept connection, on one that has said nothing yet, or on one that only
+     * the kernel has
      * accepted: each gets its answer, and hears that its connection closes.
      */
     @ParameterizedTest
@@ -238,7 +242,8 @@
     }
 
     /**
-     * A full house lets go of the connection that has stood longest, silent or kept, but for one whose request lies unread as the
+     * A full house lets go of the connection that has stood longest, silent or kept, but for one whose request lies
+     * unread as the
      * new one is accepted: the next in line goes.
      */
     @ParameterizedTest
@@ -305,7 +310,8 @@
     }
 
     /**
-     * Between a message's record and its 202 its client leaves, and the round is due in the same pass: nothing goes out. Handed in
+     * Between a message's record and its 202 its client leaves, and the round is due in the same pass: nothing goes
+     * out. Handed in
      * once more under its id, it is taken on, and one call goes out.
      */
     @Test
@@ -331,7 +337,10 @@
         assertEquals(List.of(), ended);
     }
 
-    /** Its client resets the connection right before its 202 is written, when no pass reads any more: nothing goes out for it. */
+    /**
+     * Its client resets the connection right before its 202 is written, when no pass reads any more: nothing goes out
+     * for it.
+     */
     @Test
     void messageWhoseAnswerCannotBeWrittenIsNotSent() throws Exception {
         try (Socket first = connectAndUse();
@@ -364,7 +373,10 @@
         relay.awaitReset();
     }
 
-    /** It comes again while the first is open, when it is delivered, and when it has failed: one call, and no word but the first one's. */
+    /**
+     * It comes again while the first is open, when it is delivered, and when it has failed: one call, and no word but
+     * the first one's.
+     */
     @Test
     void messageThatComesAgainWhileTheFirstIsOpenIsTakenOnce() throws Exception {
         host.answer(request -> ScriptedPeer.SILENCE);
@@ -389,7 +401,10 @@
         assertTrue(nothingIsOpen());
     }
 
-    /** Taken in before the freeze, in a round after it: it has its 202, waits in the journal and goes out after the restart, once. */
+    /**
+     * Taken in before the freeze, in a round after it: it has its 202, waits in the journal and goes out after the
+     * restart, once.
+     */
     @Test
     void messageInTheRoundOfTheFreezeIsTriedAfterTheRestart() throws Exception {
         try (Socket client = connectAndUse()) {
--- a/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
+++ b/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
@@ -176,7 +176,8 @@
     }
 
     /**
-     * Sends anew, each time under another id, until the broker has one. Guards against a connection that the broker has let
+     * Sends anew, each time under another id, until the broker has one. Guards against a connection that the broker has
+     * let
      * go of and the client is yet to: what meets it there has never run, and says so.
      */
     private String sendUntilPosted(String prefix) {
--- a/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
+++ b/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
@@ -90,7 +90,8 @@
     }
 
     /**
-     * Idle connections make room for calls to another host, one each and no more: each that closes gives its room to calls
+     * Idle connections make room for calls to another host, one each and no more: each that closes gives its room to
+     * calls
      * that were crowded out, and none of them waits for a connection while one stands idle.
      */
     @Test
@@ -109,7 +110,10 @@
         assertTrue(hosts.get(2).connections.size() <= 3 * MOST);
     }
 
-    /** Connections that rest from their last answer take calls as soon as they have rested, and are not lost when they are needed. */
+    /**
+     * Connections that rest from their last answer take calls as soon as they have rested, and are not lost when they
+     * are needed.
+     */
     @Test
     void connectionsAreUsedAgainOnceTheyHaveRested() throws Exception {
         for (int i = 1; i <= 40; i++) {
@@ -123,7 +127,10 @@
         assertEquals(40, hosts.get(0).count("POST /receive"));
     }
 
-    /** A repeat that still waits for its connection when its key is forgotten never leaves; the next call takes the connection. */
+    /**
+     * A repeat that still waits for its connection when its key is forgotten never leaves; the next call takes the
+     * connection.
+     */
     @Test
     void attemptThatMayNotLeaveAnyMoreEndsAsNotSent() throws Exception {
         send(1, 2, clock.micros());
@@ -134,7 +141,9 @@
         assertEquals(1, hosts.get(1).count("POST /receive"));
     }
 
-    /** A repeat leaves on a connection that is in use, and not as the first on a new one: its host may meet it too late. */
+    /**
+     * A repeat leaves on a connection that is in use, and not as the first on a new one: its host may meet it too late.
+     */
     @Test
     void attemptThatMustLeaveSoonTakesNoNewConnection() throws Exception {
         send(1, 1, clock.micros() + 4 * SECOND);
--- a/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
+++ b/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
@@ -51,7 +51,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Calls to hosts where two events cross; the loop is held, or the host's hand, so that the bad order comes every time. */
+/**
+ * Calls to hosts where two events cross; the loop is held, or the host's hand, so that the bad order comes every time.
+ */
 @Timeout(60)
 class RaceConditionsTest implements UpstreamClient.ResultListener {
     private static final long MS = 1_000;
@@ -101,7 +103,9 @@
                 0);
     }
 
-    /** A socket whose kernel takes little at once, so that a write stays half done while the other side does not read. */
+    /**
+     * A socket whose kernel takes little at once, so that a write stays half done while the other side does not read.
+     */
     private static Channel smallSocket() {
         NioSocketChannel channel = new NioSocketChannel();
         channel.config().setSendBufferSize(SMALL);
@@ -156,7 +160,8 @@
     }
 
     /**
-     * One message of a call for two is given up while the call is half written. It goes on leaving with the other one and runs, so
+     * One message of a call for two is given up while the call is half written. It goes on leaving with the other one
+     * and runs, so
      * it must not end as one that never ran: its class would be sent twice.
      */
     @ParameterizedTest
@@ -190,7 +195,10 @@
         }
     }
 
-    /** The host answers while the call is half written, and the kernel takes no more: it never ran, and a wait in the answer counts. */
+    /**
+     * The host answers while the call is half written, and the kernel takes no more: it never ran, and a wait in the
+     * answer counts.
+     */
     @Test
     void answerBeforeItsCallHasLeftProvesThatItNeverRan() throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
@@ -281,7 +289,9 @@
         }
     }
 
-    /** A call that takes an idle connection and is not sent in the end does not make it younger: its host goes by bytes. */
+    /**
+     * A call that takes an idle connection and is not sent in the end does not make it younger: its host goes by bytes.
+     */
     @Test
     void connectionThatIsTakenForNothingGrowsNoYounger() {
         sendAndAwait("m0", AttemptOutcome.OK);
@@ -295,7 +305,9 @@
         assertEquals(1, host.requests.size());
     }
 
-    /** The timer that retires a connection is late, as the loop had no CPU; the host closes it as the next call leaves. */
+    /**
+     * The timer that retires a connection is late, as the loop had no CPU; the host closes it as the next call leaves.
+     */
     @Test
     void connectionThatIsTooOldIsNotTakenThoughItsTimerIsLate() {
         sendAndAwait("m0", AttemptOutcome.OK);
@@ -366,7 +378,10 @@
         assertEquals(1, host.connections.size());
     }
 
-    /** A list that drains the host crosses a call that still connects: it never leaves, and neither does the connection stay. */
+    /**
+     * A list that drains the host crosses a call that still connects: it never leaves, and neither does the connection
+     * stay.
+     */
     @Test
     void callThatConnectsWhileItsHostDrainsNeverLeaves() {
         onLoop(() -> {
--- a/src/test/java/loftflow/warmstart/TrustModelTest.java
+++ b/src/test/java/loftflow/warmstart/TrustModelTest.java
@@ -27,7 +27,8 @@
 
 /**
  * Random histories of lists, calls, ages, kills and clocks beside a model of what is true: an endpoint once told to be
- * gone is never listed without a later word of discovery, trust does not rise without evidence, and no wait is shortened.
+ * gone is never listed without a later word of discovery, trust does not rise without evidence, and no wait is
+ * shortened.
  */
 class TrustModelTest {
     private static final long SECOND = 1_000_000;
