--- /dev/null
+++ b/src/main/java/loftflow/policy/AttemptTimeouts.java
@@ -0,0 +1,44 @@
+package loftflow.policy;
+
+import loftflow.policy.api.Idempotency;
+
+/**
+ * How long is one attempt waited for? Several times its route's usual response time, and long enough that slow calls
+ * are not repeated; shorter for probes; until the message's deadline where no further attempt could follow.
+ * Microseconds.
+ */
+final class AttemptTimeouts {
+    private static final long MIN_TIMEOUT_MICROS = 4_000_000;
+    private static final long MIN_PROBE_TIMEOUT_MICROS = 1_500_000;
+    private static final double PROBE_TIMEOUT_RATIO = 4;
+
+    /** Means until the message's deadline. */
+    private static final long UNTIL_DEADLINE = 0;
+
+    private final RoundContext context;
+    private final ResponseTimes responseTimes;
+
+    AttemptTimeouts(RoundContext context, ResponseTimes responseTimes) {
+        this.context = context;
+        this.responseTimes = responseTimes;
+    }
+
+    /** The timeout of the attempt that was just added to a message. */
+    long timeoutMicros(PendingMessage message, Call call) {
+        boolean isLastAttempt = message.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                || message.attempts.size() >= context.settings().limits().maxAttempts();
+        if (isLastAttempt) {
+            return UNTIL_DEADLINE;
+        }
+        if (call.isProbe) {
+            return probeTimeoutMicros(call.route);
+        }
+        double expected = responseTimes.expectedMicros(call.route);
+        return Math.max(MIN_TIMEOUT_MICROS, (long) (OutlierDetector.OVERDUE_RATIO * expected));
+    }
+
+    long probeTimeoutMicros(Route route) {
+        double expected = responseTimes.expectedMicros(route);
+        return Math.max(MIN_PROBE_TIMEOUT_MICROS, (long) (PROBE_TIMEOUT_RATIO * expected));
+    }
+}
--- a/src/main/java/loftflow/policy/Call.java
+++ b/src/main/java/loftflow/policy/Call.java
@@ -3,19 +3,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One call at a destination, which may carry several requests. */
+/** One call to a route; it may carry several messages. */
 final class Call {
+    /** Null for a call of before a restart whose route is not known any more. */
     final Route route;
-    final long sentAt;
-    final boolean test;
-    final List<PendingMessage> requests = new ArrayList<>(1);
-    int pending;
-    boolean judged;
-    boolean dropped;
 
-    Call(Route route, long sentAt, boolean test) {
+    final long sentAtMicros;
+    /** Sent to find out whether an open circuit may close. */
+    final boolean isProbe;
+
+    final List<PendingMessage> messages = new ArrayList<>(1);
+    /** Attempts of this call without an outcome. */
+    int pendingOutcomes;
+    /** Its outcome has been applied to its route and group; further messages of the call add nothing. */
+    boolean isEvaluated;
+
+    boolean isCancelled;
+
+    Call(Route route, long sentAtMicros, boolean isProbe) {
         this.route = route;
-        this.sentAt = sentAt;
-        this.test = test;
+        this.sentAtMicros = sentAtMicros;
+        this.isProbe = isProbe;
     }
 }
--- /dev/null
+++ b/src/main/java/loftflow/policy/CallSender.java
@@ -0,0 +1,71 @@
+package loftflow.policy;
+
+import java.util.List;
+
+/**
+ * Sends a call to a route: books it with the rate limit, permits and call slots, and fills it with further waiting
+ * messages of the destination up to the route's batch size. Holds no decision of its own.
+ */
+final class CallSender {
+    private final RoundContext context;
+    private final MessageTable messages;
+    private final KeyOrder keyOrder;
+    private final RetryPolicy retryPolicy;
+    private final AttemptTimeouts timeouts;
+    private final SendRateLimiter rateLimiter;
+    private final SendPermits permits;
+    private final ConcurrencyLimiter concurrency;
+
+    CallSender(
+            RoundContext context,
+            MessageTable messages,
+            KeyOrder keyOrder,
+            RetryPolicy retryPolicy,
+            AttemptTimeouts timeouts,
+            SendRateLimiter rateLimiter,
+            SendPermits permits,
+            ConcurrencyLimiter concurrency) {
+        this.context = context;
+        this.messages = messages;
+        this.keyOrder = keyOrder;
+        this.retryPolicy = retryPolicy;
+        this.timeouts = timeouts;
+        this.rateLimiter = rateLimiter;
+        this.permits = permits;
+        this.concurrency = concurrency;
+    }
+
+    /** Sends a message; a probe carries it alone. */
+    void send(PendingMessage message, Route route, boolean isProbe) {
+        Call call = new Call(route, context.now(), isProbe);
+        concurrency.onSent(call);
+        route.group.sentCalls.increment(context.now());
+        permits.onSent(route.group);
+        rateLimiter.onSent(route.group);
+        addAttempt(message, call);
+        if (!isProbe && route.maxBatchSize > 1) {
+            fillBatch(message.destination, call);
+        }
+    }
+
+    private void fillBatch(Destination destination, Call call) {
+        for (PendingMessage message : List.copyOf(destination.waitingMessages)) {
+            if (call.pendingOutcomes < call.route.maxBatchSize
+                    && keyOrder.hasTurn(message)
+                    && retryPolicy.isAllowed(message, call.route)) {
+                addAttempt(message, call);
+            }
+        }
+    }
+
+    private void addAttempt(PendingMessage message, Call call) {
+        // A repeat must not wait for a connection until its destination has forgotten the key.
+        long leaveWithinMicros = retryPolicy.keyWindowLeftMicros(message);
+        messages.dequeue(message);
+        message.attempts.add(new Attempt(call));
+        message.attemptsInFlight++;
+        call.pendingOutcomes++;
+        call.messages.add(message);
+        context.actions().send(message.id, call.route.name, timeouts.timeoutMicros(message, call), leaveWithinMicros);
+    }
+}
--- a/src/main/java/loftflow/policy/Circuit.java
+++ b/src/main/java/loftflow/policy/Circuit.java
@@ -1,16 +1,36 @@
 package loftflow.policy;
 
-/** The circuit of a route or of a whole limit group. */
+/**
+ * State of the circuit of one route, or of a whole {@link LimitGroup}; {@link CircuitBreaker} decides its transitions.
+ */
 final class Circuit {
-    CircuitState state = CircuitState.CLOSED;
-    int run;
-    long openedAt;
-    long until;
-    boolean bySilence;
-    /** When the last call that failed had been sent. */
-    long failedFrom;
-    /** Open only until a check has shown that an address of an old list is still the route's. */
-    boolean forCheck;
+    /** Closed: calls pass. Open: none do. Half-open: one probe may pass. */
+    enum State {
+        CLOSED,
+        OPEN,
+        HALF_OPEN
+    }
 
-    boolean testing;
+    State state = State.CLOSED;
+    int consecutiveFailures;
+    long openedAtMicros;
+    /** An open circuit becomes half-open no sooner than this. */
+    long probeNotBeforeMicros;
+    /** Opened because calls stayed unanswered, not because any failed. */
+    boolean openedAsUnresponsive;
+    /** When the latest of the calls that failed had been sent. */
+    long lastFailedCallSentAtMicros;
+    /** Open only until a probe has shown that an address from before a restart still belongs to the route. */
+    boolean awaitsAddressCheck;
+
+    boolean probeInFlight;
+
+    boolean isClosed() {
+        return state == State.CLOSED;
+    }
+
+    /** True where it is open, or half-open, because of failures. */
+    boolean isTripped() {
+        return state != State.CLOSED && !awaitsAddressCheck;
+    }
 }
--- a/src/main/java/loftflow/policy/CircuitState.java
+++ /dev/null
@@ -1,7 +0,0 @@
-package loftflow.policy;
-
-enum CircuitState {
-    CLOSED,
-    OPEN,
-    HALF_OPEN
-}
--- /dev/null
+++ b/src/main/java/loftflow/policy/Dispatcher.java
@@ -0,0 +1,121 @@
+package loftflow.policy;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+
+/**
+ * In which order are waiting messages sent in a round? First probes of circuits that admit one; then, while call slots
+ * are free, the message of any destination that would lose most by being deferred. Last, overdue calls give up their
+ * slots to messages that found none, and permits are requested where they are required.
+ */
+final class Dispatcher {
+    /** The message of a destination that goes next, and its route. */
+    private record Candidate(PendingMessage message, Route route, double lossIfDeferred) {}
+
+    private static final Comparator<Candidate> GREATEST_LOSS_FIRST = Comparator.comparingDouble(
+                    Candidate::lossIfDeferred)
+            .reversed()
+            .thenComparingLong(candidate -> candidate.message.id);
+
+    private final RoundContext context;
+    private final EndpointRegistry endpoints;
+    private final MessageTable messages;
+    private final KeyOrder keyOrder;
+    private final MessageValue values;
+    private final ResponseTimes responseTimes;
+    private final RetryPolicy retryPolicy;
+    private final RouteAvailability availability;
+    private final RouteSelector selector;
+    private final ConcurrencyLimiter concurrency;
+    private final SendPermits permits;
+    private final SendPermitCoordinator coordinator;
+    private final HalfOpenProbe probes;
+    private final CallSender sender;
+
+    Dispatcher(
+            RoundContext context,
+            EndpointRegistry endpoints,
+            MessageTable messages,
+            KeyOrder keyOrder,
+            MessageValue values,
+            ResponseTimes responseTimes,
+            RetryPolicy retryPolicy,
+            RouteAvailability availability,
+            RouteSelector selector,
+            ConcurrencyLimiter concurrency,
+            SendPermits permits,
+            SendPermitCoordinator coordinator,
+            HalfOpenProbe probes,
+            CallSender sender) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.messages = messages;
+        this.keyOrder = keyOrder;
+        this.values = values;
+        this.responseTimes = responseTimes;
+        this.retryPolicy = retryPolicy;
+        this.availability = availability;
+        this.selector = selector;
+        this.concurrency = concurrency;
+        this.permits = permits;
+        this.coordinator = coordinator;
+        this.probes = probes;
+        this.sender = sender;
+    }
+
+    /** Sends what may be sent; nothing by a list of before a restart, on which a draining host may stand as listed. */
+    void dispatch() {
+        if (endpoints.awaitsList()) {
+            return;
+        }
+        PriorityQueue<Candidate> candidates = new PriorityQueue<>(GREATEST_LOSS_FIRST);
+        coordinator.issuePermits();
+        for (Destination destination : messages.copyOfBusyDestinations()) {
+            probes.probeRoutes(destination);
+            addCandidate(destination, candidates);
+        }
+        while (!candidates.isEmpty() && concurrency.hasFreeSlot()) {
+            Candidate next = candidates.poll();
+            sender.send(next.message, next.route, false);
+            addCandidate(next.message.destination, candidates);
+        }
+        concurrency.cancelOverdueCalls(candidates.size());
+        messages.busyDestinations().forEach(permits::requestWhereRequired);
+    }
+
+    private void addCandidate(Destination destination, PriorityQueue<Candidate> candidates) {
+        if (destination.waitingMessages.isEmpty()) {
+            return;
+        }
+        List<Route> usable = new ArrayList<>(destination.routes.values());
+        usable.removeIf(route -> !availability.isUsable(route));
+        if (usable.isEmpty()) {
+            return;
+        }
+        PendingMessage best = null;
+        double greatestLoss = -1;
+        for (PendingMessage message : destination.waitingMessages) {
+            double loss = values.lossIfDeferred(message, usable.get(0));
+            boolean isEarlier = best != null && loss == greatestLoss && message.deadlineMicros < best.deadlineMicros;
+            if ((loss > greatestLoss || isEarlier) && maySendNow(message, usable)) {
+                best = message;
+                greatestLoss = loss;
+            }
+        }
+        if (best != null) {
+            candidates.add(new Candidate(best, selector.select(best, usable), greatestLoss));
+        }
+    }
+
+    private boolean maySendNow(PendingMessage message, List<Route> usable) {
+        return keyOrder.hasTurn(message)
+                && canBeAnsweredInTime(message, usable.get(0))
+                && retryPolicy.isAllowedAtAny(message, usable);
+    }
+
+    private boolean canBeAnsweredInTime(PendingMessage message, Route route) {
+        return message.deadlineMicros - context.now() > responseTimes.expectedMicros(route) / 2;
+    }
+}
--- /dev/null
+++ b/src/main/java/loftflow/policy/EndpointRegistry.java
@@ -0,0 +1,108 @@
+package loftflow.policy;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import loftflow.policy.api.Availability;
+import loftflow.policy.api.DestinationKind;
+import loftflow.policy.api.EndpointEntry;
+import loftflow.policy.api.EndpointListKind;
+import loftflow.policy.api.EndpointListReceived;
+
+/**
+ * Which routes exist? The routes, limit groups and destinations that discovery has listed. A route that is not listed
+ * any more takes nothing new, and is forgotten once no call to it is in flight and no Retry-After of it applies;
+ * messages keep what they need of it.
+ */
+final class EndpointRegistry {
+    private final RoundContext context;
+    private final RouteScorer scorer;
+    private final Map<String, DestinationKind> kinds = new HashMap<>();
+    private final Map<String, Route> routes = new LinkedHashMap<>();
+    private final Map<Integer, Destination> destinations = new LinkedHashMap<>();
+    private final Map<Integer, LimitGroup> groups = new HashMap<>();
+    private long awaitsListUntilMicros;
+
+    EndpointRegistry(RoundContext context, RouteScorer scorer) {
+        this.context = context;
+        this.scorer = scorer;
+        context.settings().kinds().forEach(kind -> kinds.put(kind.name(), kind));
+    }
+
+    /** Null where there is none of this name. */
+    Route route(String name) {
+        return routes.get(name);
+    }
+
+    Collection<Route> routes() {
+        return routes.values();
+    }
+
+    /** Null where there is none of this id. */
+    LimitGroup group(int id) {
+        return groups.get(id);
+    }
+
+    Destination destination(int number) {
+        return destinations.computeIfAbsent(number, key -> new Destination());
+    }
+
+    /**
+     * The list in force is from before a restart: nothing is sent by it until a newer one arrives, or a time is over.
+     */
+    void awaitList(long maxWaitMicros) {
+        awaitsListUntilMicros = context.now() + maxWaitMicros;
+    }
+
+    boolean awaitsList() {
+        return context.now() < awaitsListUntilMicros;
+    }
+
+    long awaitsListUntilMicros() {
+        return awaitsListUntilMicros;
+    }
+
+    /** Applies a whole list, or changes of it. */
+    void apply(EndpointListReceived list) {
+        awaitsListUntilMicros = context.now();
+        if (list.kind() != EndpointListKind.DELTA) {
+            routes.values().forEach(route -> route.listed = false);
+        }
+        for (EndpointEntry entry : list.entries()) {
+            Route route = routes.computeIfAbsent(entry.route(), name -> newRoute(entry));
+            route.listed = entry.availability() == Availability.LISTED;
+            route.listedRatePerSecond = entry.ratePerSecond();
+            route.addressUnverified &= list.kind() == EndpointListKind.CACHED;
+            route.lastResort &= route.addressUnverified;
+        }
+        List.copyOf(routes.values()).forEach(this::forgetIfGone);
+    }
+
+    private Route newRoute(EndpointEntry entry) {
+        Destination destination = destination(entry.destination());
+        DestinationKind kind = kinds.get(entry.kind());
+        boolean independent = kind != null && kind.independentRoutes();
+        int groupId = independent ? entry.route().hashCode() : entry.destination();
+        LimitGroup group = groups.computeIfAbsent(groupId, LimitGroup::new);
+        Route route = new Route(entry, destination, group, kind, scorer.localityBonus(entry.zone()));
+        group.routes.add(route);
+        destination.routes.put(route.name, route);
+        return route;
+    }
+
+    void forgetIfGone(Route route) {
+        LimitGroup group = route.group;
+        if (route.listed || !route.callsInFlight.isEmpty() || context.now() < group.retryNotBeforeMicros) {
+            return;
+        }
+        routes.remove(route.name);
+        route.destination.routes.remove(route.name);
+        group.routes.remove(route);
+        boolean isIndependentGroup = route.circuit == group.circuit;
+        if (group.routes.isEmpty() && isIndependentGroup) {
+            groups.remove(group.id);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/loftflow/policy/KeyOrder.java
@@ -0,0 +1,67 @@
+package loftflow.policy;
+
+import java.util.HashMap;
+import java.util.Map;
+import loftflow.policy.api.AttemptOutcome;
+
+/**
+ * Whose turn is it among messages of one ordering key? Messages with equal keys are sent one at a time in the order
+ * accepted: nothing is sent for one while an earlier one is unfinished, and after an attempt whose outcome is unknown
+ * the key pauses for the time that the service rules name. Messages of classes without an order always have their turn.
+ */
+final class KeyOrder {
+    private final RoundContext context;
+    private final Map<String, KeyQueue> queues = new HashMap<>();
+
+    KeyOrder(RoundContext context) {
+        this.context = context;
+    }
+
+    /** Appends a message to the queue of its key. */
+    void add(PendingMessage message) {
+        if (message.orderingKey != null) {
+            queues.computeIfAbsent(message.orderingKey, key -> new KeyQueue())
+                    .messages
+                    .add(message);
+        }
+    }
+
+    boolean hasTurn(PendingMessage message) {
+        if (message.orderingKey == null) {
+            return true;
+        }
+        KeyQueue queue = queues.get(message.orderingKey);
+        return queue.messages.peek() == message
+                && (!message.attempts.isEmpty() || queue.pausedUntilMicros <= context.now());
+    }
+
+    /** Pauses the key of a message where an attempt ended and may still take effect. */
+    void pauseAfter(PendingMessage message, AttemptOutcome outcome) {
+        boolean answered = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR;
+        if (message.orderingKey != null && !answered && !outcome.isProvenNotExecuted()) {
+            long pause = context.settings().rules().orderingPauseMicros();
+            queues.get(message.orderingKey).pausedUntilMicros = context.now() + pause;
+            context.actions().setTimer(WakeUpTimer.TIMER_ID, pause);
+        }
+    }
+
+    /** Removes a finished message from the queue of its key. */
+    void remove(PendingMessage message) {
+        KeyQueue queue = message.orderingKey == null ? null : queues.get(message.orderingKey);
+        if (queue != null) {
+            queue.messages.remove(message);
+            if (isObsolete(queue)) {
+                queues.remove(message.orderingKey);
+            }
+        }
+    }
+
+    /** Drops the queues of keys that have neither messages nor a pause. */
+    void removeObsoleteQueues() {
+        queues.values().removeIf(this::isObsolete);
+    }
+
+    private boolean isObsolete(KeyQueue queue) {
+        return queue.messages.isEmpty() && queue.pausedUntilMicros <= context.now();
+    }
+}
--- a/src/main/java/loftflow/policy/KeyQueue.java
+++ b/src/main/java/loftflow/policy/KeyQueue.java
@@ -2,8 +2,9 @@
 
 import java.util.ArrayDeque;
 
-/** The requests of one key in the order accepted. */
+/** The unfinished messages of one ordering key, in the order accepted. */
 final class KeyQueue {
-    final ArrayDeque<PendingMessage> requests = new ArrayDeque<>();
-    long restUntil;
+    final ArrayDeque<PendingMessage> messages = new ArrayDeque<>();
+    /** No message of the key is begun before this. */
+    long pausedUntilMicros;
 }
--- /dev/null
+++ b/src/main/java/loftflow/policy/PeerChannel.java
@@ -0,0 +1,58 @@
+package loftflow.policy;
+
+import java.nio.ByteBuffer;
+import loftflow.policy.api.PeerMessage;
+
+/**
+ * Messages between the relays of a fleet: their encoding, and the delivery of those that a relay sends to itself. A
+ * message is a byte with the code of its type and the id of its group in four bytes, big-endian.
+ */
+final class PeerChannel {
+    /** Receives messages of peers and of this relay itself. */
+    interface Receiver {
+        void onPeerMessage(int sender, PeerMessageType type, int groupId);
+    }
+
+    private static final int EVERY_RELAY = -1;
+    private static final int MESSAGE_BYTES = Byte.BYTES + Integer.BYTES;
+
+    private final RoundContext context;
+    private Receiver receiver;
+
+    PeerChannel(RoundContext context) {
+        this.context = context;
+    }
+
+    /** Sets who receives messages; once, before the first is sent or received. */
+    void receiveBy(Receiver messages) {
+        receiver = messages;
+    }
+
+    void send(int relay, PeerMessageType type, int groupId) {
+        if (relay == context.settings().relayIndex()) {
+            receiver.onPeerMessage(relay, type, groupId);
+        } else {
+            ByteBuffer message = ByteBuffer.allocate(MESSAGE_BYTES);
+            message.put((byte) type.code()).putInt(groupId);
+            context.actions().sendToPeer(relay, message.array());
+        }
+    }
+
+    void broadcast(PeerMessageType type, int groupId) {
+        send(EVERY_RELAY, type, groupId);
+    }
+
+    /** Decodes a message and hands it to the receiver; one of another length is ignored. */
+    void receive(PeerMessage message) {
+        if (message.payload().length == MESSAGE_BYTES) {
+            ByteBuffer bytes = ByteBuffer.wrap(message.payload());
+            PeerMessageType type = PeerMessageType.ofCode(bytes.get());
+            receiver.onPeerMessage(message.sender(), type, bytes.getInt());
+        }
+    }
+
+    /** The type of a message, by its first byte. */
+    static PeerMessageType typeOf(PeerMessage message) {
+        return message.payload().length == 0 ? PeerMessageType.UNKNOWN : PeerMessageType.ofCode(message.payload()[0]);
+    }
+}
--- a/src/main/java/loftflow/policy/PeerMessageType.java
+++ b/src/main/java/loftflow/policy/PeerMessageType.java
@@ -1,17 +1,43 @@
 package loftflow.policy;
 
-/** What notes between relays say of a group. */
+/**
+ * Types of the messages between relays of one fleet. Their codes travel on the wire, so that relays of different builds
+ * understand each other during an upgrade: a code never changes its meaning.
+ */
 enum PeerMessageType {
-    NONE,
-    WANT,
-    REFUSED,
-    FAILED,
-    SERVED,
-    TURN,
-    TEST,
-    GUARD;
+    /** A type that this build does not know; ignored. */
+    UNKNOWN(0),
+    /** The sender has messages to send and requests a permit. */
+    PERMIT_REQUEST(1),
+    /** A call of the sender was rejected; implies a request for a permit. */
+    REJECTED(2),
+    /** A call of the sender failed; implies a request for a permit. */
+    FAILED(3),
+    /** A call of the sender was served. */
+    SERVED(4),
+    /** The receiver may send one call. */
+    PERMIT(5),
+    /** The receiver may send one call to a group that fails, and reports its outcome. */
+    PROBE_PERMIT(6),
+    /** Every receiver needs permits for a while. */
+    CONGESTION_NOTICE(7);
 
-    static PeerMessageType of(int ordinal) {
-        return ordinal > 0 && ordinal < values().length ? values()[ordinal] : NONE;
+    private final int code;
+
+    PeerMessageType(int code) {
+        this.code = code;
+    }
+
+    int code() {
+        return code;
+    }
+
+    static PeerMessageType ofCode(int code) {
+        for (PeerMessageType type : values()) {
+            if (type.code == code) {
+                return type;
+            }
+        }
+        return UNKNOWN;
     }
 }
--- a/src/main/java/loftflow/policy/Route.java
+++ b/src/main/java/loftflow/policy/Route.java
@@ -1,37 +1,47 @@
 package loftflow.policy;
 
 import java.util.ArrayDeque;
+import loftflow.policy.api.DestinationKind;
 import loftflow.policy.api.EndpointEntry;
 
+/** One endpoint of a destination and what this relay has observed of it. */
 final class Route {
     final String name;
-    final String kind;
     final String zone;
     final Destination destination;
     final LimitGroup group;
     final Circuit circuit;
+    /** The most messages that travel in one call. */
+    final int maxBatchSize;
+    /** Preference for a near or cheap zone, added to the score. */
+    final double localityBonus;
+    /** True while discovery lists it as taking new work. */
     boolean listed;
-    /** Known from an old list alone, and not proven since: a check goes first. */
-    boolean unproven;
-    /** As above, and only to be tried where its destination has nothing else. */
-    boolean last;
+    /** Known only from a list of before a restart; a probe precedes any message. */
+    boolean addressUnverified;
+    /** Unverified, and tried only where its destination has nothing else. */
+    boolean lastResort;
 
-    double rate;
-    double placeBonus;
+    double listedRatePerSecond;
+    /** Exponentially weighted share of calls that failed. */
     double errorRate;
-    double response;
-    /** When the latest call that was answered had been sent. */
-    long provenFrom;
+    /** Exponentially weighted response time; 0 before the first answer. */
+    double responseTimeMicros;
+    /** When the latest of the calls that were answered had been sent. */
+    long answeredCallSentAtMicros;
 
-    long answeredAt;
-    final ArrayDeque<Call> out = new ArrayDeque<>();
+    long lastAnswerAtMicros;
+    /** Calls without an outcome, oldest first. */
+    final ArrayDeque<Call> callsInFlight = new ArrayDeque<>();
 
-    Route(EndpointEntry entry, Destination destination, LimitGroup group, boolean apart) {
+    Route(EndpointEntry entry, Destination destination, LimitGroup group, DestinationKind kind, double localityBonus) {
         name = entry.route();
-        kind = entry.kind();
         zone = entry.zone();
         this.destination = destination;
         this.group = group;
-        circuit = apart ? group.circuit : new Circuit();
+        this.localityBonus = localityBonus;
+        boolean independent = kind != null && kind.independentRoutes();
+        circuit = independent ? group.circuit : new Circuit();
+        maxBatchSize = kind == null ? 1 : kind.maxBatchSize();
     }
 }
--- a/src/test/java/loftflow/experiment/RuleCheckerTest.java
+++ b/src/test/java/loftflow/experiment/RuleCheckerTest.java
@@ -111,7 +111,7 @@
                     Bad.class.getClassLoader(),
                     new Class<?>[] {WriteAheadLog.class},
                     (proxy, method, given) ->
-                            method.getName().equals("open") ? List.of() : method.invoke(journal, given));
+                            method.getName().equals("openMessages") ? List.of() : method.invoke(journal, given));
         }
 
         /** The same fault in one of a hundred scenarios' fleets. */
--- a/src/test/java/loftflow/policy/DefaultDeliveryPolicyTest.java
+++ b/src/test/java/loftflow/policy/DefaultDeliveryPolicyTest.java
@@ -8,9 +8,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.lang.reflect.Field;
 import java.nio.ByteBuffer;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.Map;
 import loftflow.policy.api.AttemptCompleted;
 import loftflow.policy.api.AttemptOutcome;
 import loftflow.policy.api.Availability;
@@ -218,13 +220,17 @@
         }
         relay.list();
         for (String name : List.of("routes", "groups")) {
-            java.lang.reflect.Field field = DefaultDeliveryPolicy.class.getDeclaredField(name);
-            field.setAccessible(true);
-            int left = ((java.util.Map<?, ?>) field.get(relay.module())).size();
+            int left = ((Map<?, ?>) field(field(relay.module(), "endpoints"), name)).size();
             assertTrue(left < 5, name + " left: " + left);
         }
     }
 
+    private static Object field(Object owner, String name) throws ReflectiveOperationException {
+        Field field = owner.getClass().getDeclaredField(name);
+        field.setAccessible(true);
+        return field.get(owner);
+    }
+
     @Test
     void routeThatIsGoneStillAnswers() {
         relay.accept(1, "safe", 2).pass(MS).list();
@@ -245,7 +251,7 @@
                 .answer(1, AttemptOutcome.CONNECT_FAILED)
                 .accept(2, "safe", 2)
                 .pass(S);
-        assertEquals(List.of("out: c"), relay.logged);
+        assertEquals(List.of("circuit: opened route=c cause=failures"), relay.logged);
         assertEquals(1, relay.sent.size());
     }
 
@@ -381,7 +387,7 @@
         }
         relay.pass(3 * S).accept(9, "safe", 2).pass(900 * MS);
         assertEquals(0, relay.sends(9));
-        assertEquals(List.of("out: c, silent"), relay.logged);
+        assertEquals(List.of("circuit: opened route=c cause=unresponsive"), relay.logged);
     }
 
     /** A partner that falls silent goes on with what it had in its queue: those answers tell of the time before. */
@@ -398,7 +404,7 @@
                 .pass(2 * S)
                 .accept(9, "safe", 2)
                 .pass(500 * MS);
-        assertEquals(List.of("out: c, silent"), relay.logged);
+        assertEquals(List.of("circuit: opened route=c cause=unresponsive"), relay.logged);
         assertEquals(0, relay.sends(9));
     }
 
@@ -409,7 +415,7 @@
                 .answer(2, AttemptOutcome.TIMEOUT)
                 .answer(3, AttemptOutcome.TIMEOUT)
                 .answer(0, AttemptOutcome.OK);
-        assertEquals(List.of("out: c, silent"), wide.logged);
+        assertEquals(List.of("circuit: opened route=c cause=unresponsive"), wide.logged);
     }
 
     @Test
@@ -420,7 +426,7 @@
                 .answer(2, AttemptOutcome.OK)
                 .answer(3, AttemptOutcome.OK)
                 .pass(100 * MS);
-        assertEquals(List.of("out: c, silent", "serves again: c"), wide.logged);
+        assertEquals(List.of("circuit: opened route=c cause=unresponsive", "circuit: closed route=c"), wide.logged);
         assertEquals(11, wide.unanswered.size(), "all that was held");
     }
 
@@ -430,7 +436,7 @@
         wide.answer(0, AttemptOutcome.TIMEOUT).answer(1, AttemptOutcome.TIMEOUT).answer(2, AttemptOutcome.TIMEOUT);
         int before = wide.sent.size();
         wide.answer(3, AttemptOutcome.OK).pass(100 * MS);
-        assertEquals(List.of("out: c, silent", "serves again: c"), wide.logged);
+        assertEquals(List.of("circuit: opened route=c cause=unresponsive", "circuit: closed route=c"), wide.logged);
         assertTrue(wide.sent.size() - before <= 1, "sent at once: " + (wide.sent.size() - before));
     }
 
@@ -453,7 +459,7 @@
         for (int i = 0; i < 3; i++) {
             relay.answer(1, AttemptOutcome.REJECTED).pass(1500 * MS);
         }
-        assertEquals(List.of("out: c"), relay.logged);
+        assertEquals(List.of("circuit: opened route=c cause=failures"), relay.logged);
     }
 
     @Test
@@ -661,7 +667,7 @@
             relay.accept(id, "safe", 2).pass(MS);
             relay.answer(id, id % 3 == 0 ? AttemptOutcome.OK : AttemptOutcome.ERROR);
         }
-        assertEquals(List.of("out: c"), relay.logged);
+        assertEquals(List.of("circuit: opened route=c cause=failures"), relay.logged);
     }
 
     @Test
@@ -688,26 +694,30 @@
     void refusalIsToldToTheKeeperOfTheDestination() {
         PolicyHarness peer = peer();
         peer.accept(1, "safe", 1).pass(MS).answer(1, AttemptOutcome.REJECTED);
-        assertEquals(List.of("1:" + note(PeerMessageType.REFUSED)), peer.told);
+        assertEquals(List.of("1:" + note(PeerMessageType.REJECTED)), peer.told);
     }
 
     @Test
     void guardedDestinationIsCalledByTurns() {
         PolicyHarness peer = peer();
-        peer.round(heard(PeerMessageType.GUARD))
+        peer.round(heard(PeerMessageType.CONGESTION_NOTICE))
                 .accept(1, "safe", 1)
                 .accept(2, "safe", 1)
                 .pass(S);
         assertEquals(0, peer.sent.size());
-        peer.round(heard(PeerMessageType.TURN));
+        peer.round(heard(PeerMessageType.PERMIT));
         assertEquals(1, peer.sent.size());
-        assertEquals(List.of("1:" + note(PeerMessageType.WANT), "1:" + note(PeerMessageType.WANT)), peer.told);
+        assertEquals(
+                List.of("1:" + note(PeerMessageType.PERMIT_REQUEST), "1:" + note(PeerMessageType.PERMIT_REQUEST)),
+                peer.told);
     }
 
     @Test
     void lostTurnCostsAFewSecondsOnly() {
         PolicyHarness peer = peer();
-        peer.round(heard(PeerMessageType.GUARD)).accept(1, "safe", 1).pass(9 * S);
+        peer.round(heard(PeerMessageType.CONGESTION_NOTICE))
+                .accept(1, "safe", 1)
+                .pass(9 * S);
         assertEquals(1, peer.sent.size());
     }
 
@@ -715,11 +725,11 @@
     void keeperGivesTurnsOneAtATime() {
         PolicyHarness keeper = peer();
         for (int from = 1; from <= 60; from++) {
-            keeper.round(new PeerMessage(from, bytes(PeerMessageType.REFUSED, 2)));
+            keeper.round(new PeerMessage(from, bytes(PeerMessageType.REJECTED, 2)));
         }
         keeper.pass(5 * S);
         long turns = keeper.told.stream()
-                .filter(t -> t.endsWith(HexFormat.of().formatHex(bytes(PeerMessageType.TURN, 2))))
+                .filter(t -> t.endsWith(HexFormat.of().formatHex(bytes(PeerMessageType.PERMIT, 2))))
                 .count();
         assertTrue(turns >= 5 && turns <= 20, "turns in five seconds: " + turns);
     }
@@ -812,7 +822,7 @@
         for (int id = 1; id <= 3; id++) {
             relay.accept(id, "once", 2).pass(MS).answer(id, AttemptOutcome.ERROR);
         }
-        assertEquals(List.of("out: c"), relay.logged);
+        assertEquals(List.of("circuit: opened route=c cause=failures"), relay.logged);
     }
 
     private void resume(long id, String type, PastAttempt... past) {
--- a/src/test/java/loftflow/policy/FleetLimitTest.java
+++ b/src/test/java/loftflow/policy/FleetLimitTest.java
@@ -232,7 +232,7 @@
         for (int i = 0; i < 4; i++) {
             refuseNext(relay, none);
         }
-        assertEquals(List.of("out: r0"), relay.logged);
+        assertEquals(List.of("circuit: opened route=r0 cause=failures"), relay.logged);
     }
 
     private void refuseNext(PolicyHarness relay, LimitReport report) {
