--- a/src/main/java/loftflow/policy/CircuitBreaker.java
+++ b/src/main/java/loftflow/policy/CircuitBreaker.java
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Opens a circuit, or keeps it open, for at least as long as the destination asked to be left alone. */
+    /** Opens a circuit, or keeps it open, for at least as long as the destination's Retry-After. */
     void open(Circuit circuit, LimitGroup group, long retryAfterMicros) {
         open(circuit, group, false, retryAfterMicros);
     }
--- a/src/main/java/loftflow/policy/api/AttemptCompleted.java
+++ b/src/main/java/loftflow/policy/api/AttemptCompleted.java
@@ -1,6 +1,16 @@
 package loftflow.policy.api;
 
-/** An attempt ended. {@code toldWait} is 0 where none was told; {@code closed} means nothing is owed. */
+/**
+ * An attempt ended. An attempt that is unknown, or has ended before, is ignored.
+ *
+ * @param id the message
+ * @param attempt the number of the attempt, the first is 0
+ * @param outcome how it ended
+ * @param closed nothing more is owed for the message
+ * @param retryAfterMicros how long the destination asked to be left alone; 0 where it did not
+ * @param elapsedMicros since the attempt was sent
+ * @param limitReport never null
+ */
 public record AttemptCompleted(
         long id,
         int attempt,
--- a/src/main/java/loftflow/policy/api/Availability.java
+++ b/src/main/java/loftflow/policy/api/Availability.java
@@ -1,8 +1,11 @@
 package loftflow.policy.api;
 
-/** State of a route in a list. */
+/** State of an endpoint in a list. */
 public enum Availability {
+    /** Takes new work. */
     LISTED,
+    /** Finishes what it has and takes nothing new. */
     DRAINING,
+    /** Is gone; appears among changes only. */
     REMOVED
 }
--- a/src/main/java/loftflow/policy/api/CompletionAcknowledged.java
+++ b/src/main/java/loftflow/policy/api/CompletionAcknowledged.java
@@ -1,4 +1,9 @@
 package loftflow.policy.api;
 
-/** The end of a request in order, of which {@link PolicyActions#isCompletionAcknowledged} was false, has been heard. */
+/**
+ * The completion of an ordered message, for which {@link PolicyActions#isCompletionAcknowledged} was false, was
+ * acknowledged.
+ *
+ * @param id the message
+ */
 public record CompletionAcknowledged(long id) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/CompletionPending.java
+++ b/src/main/java/loftflow/policy/api/CompletionPending.java
@@ -1,4 +1,7 @@
 package loftflow.policy.api;
 
-/** A restart has found a request whose end is decided, and has still to be heard. */
+/**
+ * A restart found a message that is finished, while the notification of that is not acknowledged: later messages of its
+ * ordering key wait for {@link CompletionAcknowledged}.
+ */
 public record CompletionPending(MessageAccepted message) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/EndpointEntry.java
+++ b/src/main/java/loftflow/policy/api/EndpointEntry.java
@@ -1,5 +1,13 @@
 package loftflow.policy.api;
 
-/** A route as listed. {@code rate} means what the settings' {@link RateHint} says. */
+/**
+ * An endpoint as discovery lists it.
+ *
+ * @param route the endpoint's name, the same at every relay
+ * @param destination the number of the destination that it belongs to
+ * @param kind the name of the destination's kind; unknown names are allowed
+ * @param zone the name of the zone in which it stands
+ * @param ratePerSecond calls a second for all relays together, as far as the settings' {@link RateHint} trusts it
+ */
 public record EndpointEntry(
         String route, int destination, String kind, String zone, Availability availability, double ratePerSecond) {}
--- a/src/main/java/loftflow/policy/api/EndpointListPending.java
+++ b/src/main/java/loftflow/policy/api/EndpointListPending.java
@@ -1,8 +1,9 @@
 package loftflow.policy.api;
 
 /**
- * The list that is known is from before a restart, and who knows better has been asked: until news of the list come, or
- * a
- * span is over, nothing is to go by it.
+ * The list in force is from before a restart, and discovery was asked for a newer one: nothing is sent until that
+ * arrives.
+ *
+ * @param maxWaitMicros after this long the list in force is used all the same
  */
 public record EndpointListPending(long maxWaitMicros) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/KeyScope.java
+++ b/src/main/java/loftflow/policy/api/KeyScope.java
@@ -1,8 +1,11 @@
 package loftflow.policy.api;
 
-/** Which routes of a destination drop a repeated key: all of them, or those in one zone or cell. */
+/** Which routes of a destination drop a repeat with the same key. */
 public enum KeyScope {
+    /** All of them. */
     ALL,
+    /** Those in the zone of the first attempt. */
     ZONE,
+    /** The route of the first attempt alone. */
     CELL
 }
--- a/src/main/java/loftflow/policy/api/LimitReport.java
+++ b/src/main/java/loftflow/policy/api/LimitReport.java
@@ -1,7 +1,12 @@
 package loftflow.policy.api;
 
-/** What a destination told of its limit: the share left and the calls a second, NaN where untold. */
+/**
+ * What a destination reported of its rate limit.
+ *
+ * @param remainingShare of the limit, 0 to 1; NaN where it was not reported
+ * @param limitPerSecond calls a second for all relays together; NaN where it was not reported
+ */
 public record LimitReport(double remainingShare, double limitPerSecond) {
-    /** Nothing was told. */
+    /** Nothing was reported. */
     public static final LimitReport NONE = new LimitReport(Double.NaN, Double.NaN);
 }
--- a/src/main/java/loftflow/policy/api/MessageWithdrawn.java
+++ b/src/main/java/loftflow/policy/api/MessageWithdrawn.java
@@ -1,4 +1,8 @@
 package loftflow.policy.api;
 
-/** The client gave the request up. */
+/**
+ * Nothing is owed for a message any more: its client gave it up, or it turned out to be delivered.
+ *
+ * @param id the message
+ */
 public record MessageWithdrawn(long id) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/PolicyActions.java
+++ b/src/main/java/loftflow/policy/api/PolicyActions.java
@@ -1,31 +1,48 @@
 package loftflow.policy.api;
 
-/** What a module may do; each call takes effect at the time of the round. */
+/**
+ * What a policy may do in a round. Each call takes effect at the time of the round, in the order of the calls.
+ * Durations are microseconds.
+ */
 public interface PolicyActions {
     /**
-     * Starts the next attempt of a request.
+     * Starts the next attempt of a message.
      *
-     * @param timeout how long its answer is waited for; 0 means until the request's deadline
-     * @param leaveWithin an attempt that has not begun to leave after so long ends as not sent; 0 means no bound
+     * @param id the message
+     * @param route the endpoint that it goes to
+     * @param timeoutMicros how long an answer is waited for; 0 means until the message's deadline
+     * @param leaveWithinMicros an attempt whose first byte has not left after this long ends as not sent; 0 means no
+     *     bound
      */
-    void send(long id, String route, long timeout, long leaveWithin);
+    void send(long id, String route, long timeoutMicros, long leaveWithinMicros);
 
     /** Stops waiting for an attempt. */
     void cancel(long id, int attempt);
 
-    /** Ends a request as safe to hand in again, after {@code retryIn} where that is above 0. */
-    void reject(long id, long retryIn);
+    /**
+     * Ends a message as one that may safely be handed in again.
+     *
+     * @param retryAfterMicros when the client had better do so; 0 where that is not known
+     */
+    void reject(long id, long retryAfterMicros);
 
-    /** Ends a request; whether it took effect stays untold. */
+    /** Ends a message as failed; whether it took effect is not reported. */
     void fail(long id);
 
-    /** Asks for a {@link TimerFired} after a delay. */
-    void setTimer(long name, long delay);
+    /**
+     * Sets a timer, in addition to those that are set.
+     *
+     * @param timer the name that {@link TimerFired} will carry
+     */
+    void setTimer(long timer, long delayMicros);
 
-    /** Sends a check to a route; it counts as a call there. */
+    /** Sends a health check to a route; it counts as a call there. */
     void probe(String route);
 
-    /** True where whoever is to hear how a request ended has heard it: until then those after it in order wait. */
+    /**
+     * True where whoever is to be notified of a message's completion has acknowledged it; until then later messages of
+     * its ordering key wait.
+     */
     default boolean isCompletionAcknowledged(long id) {
         return true;
     }
@@ -33,15 +50,19 @@
     /** Closes this relay's idle connections to a route. */
     void closeIdleConnections(String route);
 
-    /** Sends a note to one relay, or to all where {@code relay} is negative. */
-    void sendToPeer(int relay, byte[] bytes);
+    /**
+     * Sends a message to another relay of the fleet.
+     *
+     * @param relay its index; all relays where negative
+     */
+    void sendToPeer(int relay, byte[] payload);
 
-    /** Asks for changes of the list from now on, or for no more of them. */
+    /** Subscribes to changes of the endpoint list, or ends the subscription. */
     void subscribe(boolean on);
 
-    /** Asks for the whole list once. */
+    /** Requests the whole endpoint list once. */
     void fetchEndpointList();
 
-    /** Writes a line for staff. */
+    /** Writes a line to the operators' log. */
     void log(String text);
 }
--- a/src/main/java/loftflow/policy/api/PolicySettings.java
+++ b/src/main/java/loftflow/policy/api/PolicySettings.java
@@ -2,7 +2,18 @@
 
 import java.util.List;
 
-/** Everything a module is told at its start. */
+/**
+ * What a policy is given at its start.
+ *
+ * @param seed determines every random choice
+ * @param relayIndex of this relay in its fleet, from 0
+ * @param fleetSize how many relays share the destinations, 1 or more
+ * @param zone where this relay stands
+ * @param overQuotaWeight share of a message's weight that counts beyond its tenant's quota
+ * @param halvingDecay weights halve with each further latency objective, in place of falling evenly to the deadline
+ * @param mustSubscribe the policy has to subscribe to the endpoint list
+ * @param crossZoneCost of an attempt in another zone
+ */
 public record PolicySettings(
         long seed,
         int relayIndex,
@@ -19,9 +30,15 @@
         boolean mustSubscribe,
         RateHint rateHint,
         double crossZoneCost) {
+    /**
+     * Checks the settings.
+     *
+     * @throws IllegalArgumentException where one is out of its bounds
+     */
     public PolicySettings {
         Preconditions.require(!classes.isEmpty(), "classes: at least one is needed");
-        Preconditions.require(fleetSize > 0, "fleetSize: must be above 0");
-        Preconditions.require(rules.overloadMultiple() > 0, "fallMultiple: must be above 0");
+        Preconditions.require(fleetSize > 0, "fleetSize: " + fleetSize + ", must be above 0");
+        Preconditions.require(
+                rules.overloadMultiple() > 0, "overloadMultiple: " + rules.overloadMultiple() + ", must be above 0");
     }
 }
--- a/src/main/java/loftflow/policy/api/RateHint.java
+++ b/src/main/java/loftflow/policy/api/RateHint.java
@@ -1,8 +1,11 @@
 package loftflow.policy.api;
 
-/** What the rate listed with a route is worth: nothing, exact, or up to half too high or too low. */
+/** How far the rates that discovery lists are to be trusted. */
 public enum RateHint {
+    /** Not at all. */
     NONE,
+    /** They are exact. */
     NOMINAL,
+    /** They may be up to half too high or too low. */
     ROUGH
 }
--- a/src/main/java/loftflow/policy/api/RequestClass.java
+++ b/src/main/java/loftflow/policy/api/RequestClass.java
@@ -1,6 +1,16 @@
 package loftflow.policy.api;
 
-/** A class of request. {@code lateWorth} is the share of {@code worth} left at the deadline. */
+/**
+ * A class of messages.
+ *
+ * @param keyScope which routes drop a repeat, for a class that is idempotent by key
+ * @param keyWindowMicros how long they do
+ * @param latencyObjectiveMicros a delivery within it earns the full weight
+ * @param deadlineMicros after which a message is given up; above the latency objective
+ * @param priorityWeight what a timely delivery earns
+ * @param lateWeight share of the weight that is left at the deadline, 0 to 1
+ * @param ordered messages with equal keys are sent one at a time, in the order accepted
+ */
 public record RequestClass(
         String name,
         Idempotency idempotency,
@@ -11,10 +21,15 @@
         double priorityWeight,
         double lateWeight,
         boolean ordered) {
+    /**
+     * Checks the class.
+     *
+     * @throws IllegalArgumentException where a duration is out of its bounds
+     */
     public RequestClass {
         Preconditions.require(
                 latencyObjectiveMicros >= 0 && deadlineMicros > latencyObjectiveMicros,
-                "goal and deadline of class " + name);
-        Preconditions.require(keyWindowMicros >= 0, "keyWindow of class " + name);
+                "class " + name + ": the latency objective must not be negative and the deadline must be above it");
+        Preconditions.require(keyWindowMicros >= 0, "class " + name + ": the key window must not be negative");
     }
 }
--- a/src/main/java/loftflow/policy/api/ResponseStarted.java
+++ b/src/main/java/loftflow/policy/api/ResponseStarted.java
@@ -1,4 +1,8 @@
 package loftflow.policy.api;
 
-/** The answer of an attempt has begun to arrive; its time-out no longer applies. */
+/**
+ * The answer of an attempt has begun to arrive; its timeout no longer applies.
+ *
+ * @param id the message
+ */
 public record ResponseStarted(long id, int attempt, String route) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/RetryAfterReceived.java
+++ b/src/main/java/loftflow/policy/api/RetryAfterReceived.java
@@ -1,4 +1,8 @@
 package loftflow.policy.api;
 
-/** A route has told this relay to wait; the call that was told so may be over, or go on. */
+/**
+ * A destination asked to be left alone; the call that it answered may be over or go on.
+ *
+ * @param retryAfterMicros for how long, from now
+ */
 public record RetryAfterReceived(String route, long retryAfterMicros) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/RouteSnapshot.java
+++ b/src/main/java/loftflow/policy/api/RouteSnapshot.java
@@ -1,13 +1,15 @@
 package loftflow.policy.api;
 
 /**
- * What a module knows of a route. Spans are in microseconds from now, rates in calls a second; 0 where unknown.
+ * What a policy knows of a route, as stored over a restart. Durations in microseconds from now, rates in calls a
+ * second; 0 where unknown.
  *
- * @param retryAfterRemainingMicros how long a told wait runs on
- * @param limitPerSecond calls a second that it takes from all relays, as it reported
- * @param usualRatePerSecond calls a second of this relay while it served as ever
- * @param circuitOpen its circuit is not closed
- * @param warmUpRemainingMicros how long it stays cold after its return
+ * @param retryAfterRemainingMicros how much longer a Retry-After applies
+ * @param limitPerSecond the limit for all relays together, as the destination reported it
+ * @param usualRatePerSecond this relay's calls while nothing disturbed it
+ * @param responseTimeMicros of a served call
+ * @param circuitOpen its circuit, or its group's, is not closed
+ * @param warmUpRemainingMicros how much longer it warms up after an outage
  */
 public record RouteSnapshot(
         String route,
--- a/src/main/java/loftflow/policy/api/Tenant.java
+++ b/src/main/java/loftflow/policy/api/Tenant.java
@@ -1,4 +1,8 @@
 package loftflow.policy.api;
 
-/** A tenant and the requests a second, over all relays, that count as its share. */
+/**
+ * A tenant.
+ *
+ * @param quotaPerSecond messages a second, over all relays, that count in full
+ */
 public record Tenant(String name, double quotaPerSecond) {}
--- a/src/main/java/loftflow/policy/api/TimerFired.java
+++ b/src/main/java/loftflow/policy/api/TimerFired.java
@@ -1,4 +1,8 @@
 package loftflow.policy.api;
 
-/** A timer set by {@link PolicyActions#setTimer} fell due. */
+/**
+ * A timer fired.
+ *
+ * @param timer the name given to {@link PolicyActions#setTimer}
+ */
 public record TimerFired(long timer) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/Zone.java
+++ b/src/main/java/loftflow/policy/api/Zone.java
@@ -1,4 +1,8 @@
 package loftflow.policy.api;
 
-/** A zone and the price of an attempt that a route apart takes on there. */
+/**
+ * A zone.
+ *
+ * @param cost of an attempt at an independent route in it; 0 where there is none
+ */
 public record Zone(String name, double cost) {}
--- a/src/main/java/loftflow/simulator/SimulatorHost.java
+++ b/src/main/java/loftflow/simulator/SimulatorHost.java
@@ -27,20 +27,23 @@
 import loftflow.policy.api.PolicySettings;
 import loftflow.settings.PlatformSettingsReader;
 
-/** Hosts one decision module for each simulated relay and speaks the simulator's wire. */
+/**
+ * Hosts one delivery policy for each simulated relay: answers each batch of events by one reply with the policies'
+ * actions. Instances share nothing. One thread.
+ */
 public final class SimulatorHost {
     private final JsonFactory factory = new JsonFactory();
-    private final SimulatorWireCodec codec = new SimulatorWireCodec();
-    private final Function<PolicySettings, DeliveryPolicy> start;
+    private final SimulatorEventReader events = new SimulatorEventReader();
+    private final Function<PolicySettings, DeliveryPolicy> policyFactory;
     private final Map<Long, DeliveryPolicy> instances = new HashMap<>();
     private final Map<Long, List<PolicyEvent>> pending = new LinkedHashMap<>();
 
-    /** A host that makes each instance's module by {@code start}. */
-    SimulatorHost(Function<PolicySettings, DeliveryPolicy> start) {
-        this.start = start;
+    /** A host that creates each instance's policy by {@code policyFactory}. */
+    SimulatorHost(Function<PolicySettings, DeliveryPolicy> policyFactory) {
+        this.policyFactory = policyFactory;
     }
 
-    /** Runs the decision module on standard input and output until the input ends. */
+    /** Runs the default policy on standard input and output until the input ends. */
     public static void runOnStandardStreams() throws IOException {
         new SimulatorHost(DefaultDeliveryPolicy::new)
                 .run(
@@ -76,33 +79,33 @@
                 throw new MalformedInputException("batch: more than one value");
             }
         }
-        long now = batch.micros("t-s");
-        long number = batch.whole("n");
+        long now = batch.micros(SimulatorProtocol.CLOCK_SECONDS);
+        long number = batch.whole(SimulatorProtocol.BATCH_NUMBER);
         pending.clear();
-        for (Object json : batch.list("groups")) {
+        for (Object json : batch.list(SimulatorProtocol.GROUPS)) {
             JsonFields group = JsonFields.ofObject("group", json);
-            long instance = group.whole("i");
-            for (Object message : group.list("in")) {
-                take(instance, JsonFields.ofMessage(message));
+            long instance = group.whole(SimulatorProtocol.INSTANCE);
+            for (Object message : group.list(SimulatorProtocol.EVENTS)) {
+                accept(instance, JsonFields.ofMessage(message));
             }
         }
         return reply(number, now);
     }
 
-    private void take(long instance, JsonFields message) {
+    private void accept(long instance, JsonFields message) {
         String name = message.text(0);
         switch (name) {
-            case "directory" -> codec.directory(message);
-            case "launch" -> {
+            case SimulatorProtocol.ENDPOINT_DIRECTORY -> events.directory(message);
+            case SimulatorProtocol.INSTANCE_STARTED -> {
                 instances.put(instance, launch(message));
                 pending.put(instance, new ArrayList<>());
             }
-            case "detach" -> {
+            case SimulatorProtocol.INSTANCE_STOPPED -> {
                 instances.remove(instance);
                 pending.remove(instance);
             }
             default -> {
-                PolicyEvent event = codec.event(name, message);
+                PolicyEvent event = events.event(name, message);
                 if (instances.containsKey(instance)) {
                     pending.computeIfAbsent(instance, i -> new ArrayList<>()).add(event);
                 }
@@ -112,7 +115,7 @@
 
     private DeliveryPolicy launch(JsonFields message) {
         try {
-            return start.apply(PlatformSettingsReader.read(message.whole(1), message.object(2)));
+            return policyFactory.apply(PlatformSettingsReader.read(message.whole(1), message.object(2)));
         } catch (IllegalArgumentException e) {
             throw new MalformedInputException("launch: " + e.getMessage());
         }
@@ -122,13 +125,13 @@
         StringWriter text = new StringWriter();
         try (JsonGenerator json = factory.createGenerator(text)) {
             json.writeStartObject();
-            json.writeNumberField("n", number);
-            json.writeArrayFieldStart("groups");
+            json.writeNumberField(SimulatorProtocol.BATCH_NUMBER, number);
+            json.writeArrayFieldStart(SimulatorProtocol.GROUPS);
             for (Map.Entry<Long, List<PolicyEvent>> entry : pending.entrySet()) {
                 json.writeStartObject();
-                json.writeNumberField("i", entry.getKey());
-                json.writeArrayFieldStart("cmds");
-                decide(instances.get(entry.getKey()), now, entry.getValue(), new SimulatorWireCodec.Commands(json));
+                json.writeNumberField(SimulatorProtocol.INSTANCE, entry.getKey());
+                json.writeArrayFieldStart(SimulatorProtocol.COMMANDS);
+                runRound(instances.get(entry.getKey()), now, entry.getValue(), new SimulatorCommandWriter(json));
                 json.writeEndArray();
                 json.writeEndObject();
             }
@@ -138,10 +141,10 @@
         return text.toString();
     }
 
-    private static void decide(
-            DeliveryPolicy policy, long now, List<PolicyEvent> events, SimulatorWireCodec.Commands commands) {
+    private static void runRound(
+            DeliveryPolicy policy, long now, List<PolicyEvent> roundEvents, SimulatorCommandWriter commands) {
         try {
-            policy.onRound(now, events, commands);
+            policy.onRound(now, roundEvents, commands);
         } catch (RuntimeException e) {
             commands.internalError(String.valueOf(e));
         }
--- a/src/test/java/loftflow/policy/DefaultDeliveryPolicyTest.java
+++ b/src/test/java/loftflow/policy/DefaultDeliveryPolicyTest.java
@@ -806,7 +806,7 @@
     @Test
     void settingsWithoutSenseNameTheField() {
         var thrown = assertThrows(IllegalArgumentException.class, () -> PolicyHarness.settings(0, 5));
-        assertTrue(thrown.getMessage().contains("callSlots"));
+        assertTrue(thrown.getMessage().contains("maxConcurrentCalls"));
     }
 
     /** So many served calls to route c that it is called often. */
--- a/src/test/java/loftflow/simulator/SimulatorHostTest.java
+++ b/src/test/java/loftflow/simulator/SimulatorHostTest.java
@@ -138,7 +138,7 @@
         assertMessage("line 1: batch: value n must be a whole number", "{\"t-s\":1,\"groups\":[]}");
         assertMessage("unknown event nonsense", batch(LAUNCH, "[\"nonsense\",1]"));
         assertMessage("dropped: value 1 must be a whole number", batch(LAUNCH, "[\"dropped\"]"));
-        assertMessage("callSlots", batch(LAUNCH.replace("\"call-slots\":4", "\"call-slots\":0")));
+        assertMessage("maxConcurrentCalls", batch(LAUNCH.replace("\"call-slots\":4", "\"call-slots\":0")));
     }
 
     private void assertMessage(String part, String line) {
