--- a/src/main/java/loftflow/journal/Journal.java
+++ b/src/main/java/loftflow/journal/Journal.java
@@ -1,112 +1,80 @@
 package loftflow.journal;
 
 import java.io.ByteArrayInputStream;
-import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
-import java.io.DataOutputStream;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 import loftflow.engine.Message;
 import loftflow.engine.WriteAheadLog;
 import loftflow.log.Log;
 import loftflow.policy.api.AttemptOutcome;
-import loftflow.policy.api.PastAttempt;
 import loftflow.recordfile.RecordFile;
 
 /**
- * The write-ahead journal of accepted work: one segment of records, each with its length and checksum.
- * When enough of the segment speaks of finished messages, what is still open is written to a new segment,
- * which then takes its place.
+ * The write-ahead log of accepted messages in one segment of records, each with its length and checksum. When enough of
+ * the segment belongs to finished messages, a compaction writes the records of open ones to a new segment that replaces
+ * it.
  *
- * <p>Appending needs no sync: what was written outlasts the process, and nothing outlasts the machine.
+ * <p>Invariants: the segment holds whole records only; each open message can be restored from it; the folder takes at
+ * most half of the disk, plus a new segment during a compaction. Opening replays the segment and removes a torn tail.
+ * Not safe for use by several threads.
  */
 public final class Journal implements WriteAheadLog, AutoCloseable {
-    // Shares of the disk. Both segments are there during rewriting: 0.5 + 0.4 at the most.
-    private static final double LARGEST_OPEN = 0.3; // what is open when a message is taken on
-    private static final double LARGEST_FINISHED = 0.1; // then the segment is rewritten
-    private static final double LARGEST_SEGMENT = 0.45; // for what makes the relay owe more
-    private static final double LARGEST_WITH_ENDS = 0.5; // so that an end has room without a rewrite
-    private static final long REWRITE_PAUSE = 1_000_000_000; // after a rewrite that failed
+    /** Share of the disk that the records of open messages may take when one more is accepted. */
+    private static final double MAX_OPEN_SHARE = 0.3;
+    /** Share of the disk that the records of finished messages may take before a compaction. */
+    private static final double MAX_FINISHED_SHARE = 0.1;
+    /** Share of the disk that the segment may take by records that add work: accepted messages and attempts. */
+    private static final double MAX_SEGMENT_SHARE = 0.45;
+    /** Share of the disk that the segment may take in all, so that work can be completed without a compaction. */
+    private static final double MAX_SEGMENT_SHARE_FOR_COMPLETION = 0.5;
 
-    private static final String SEGMENT = "journal-%010d.log";
-    private static final String UNFINISHED = "journal.new";
+    private static final long COMPACTION_RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** The route of an attempt that went to none. */
-    private static final String NOWHERE = "";
+    /** The route of an attempt that is known only to have been possible. */
+    private static final String UNKNOWN_ROUTE = "";
 
-    private static final int MOST_ATTEMPTS = 10_000;
+    private static final int MAX_ATTEMPTS = 10_000;
 
-    private static final int ACCEPTED = 1;
-    private static final int ATTEMPT = 2;
-    private static final int RESULT = 3;
-    private static final int DECIDED = 4;
-    private static final int DONE = 5;
-    /**
-     * Accepted to be sent again, with the attempts that bind it: in one record, since none may be without the others.
-     */
-    private static final int RESENT = 6;
-    /** Accepted from a client that asked for a reply, with where to. */
-    private static final int ACCEPTED_FOR_REPLY = 7;
-    /** Accepted from a client that names, beside or without a key, the line whose order its message keeps. */
-    private static final int ACCEPTED_IN_LINE = 8;
-
-    private interface Payload {
-        void write(DataOutputStream out) throws IOException;
-    }
-
-    private static final class Open {
+    private static final class OpenMessage {
         final Message message;
-        long bytes;
+        /** Bytes of all its records in the segment. */
+        long recordBytes;
 
-        Open(Message message) {
+        OpenMessage(Message message, long recordBytes) {
             this.message = message;
+            this.recordBytes = recordBytes;
         }
     }
 
-    private final Path folder;
-    private final long disk;
-    private final Map<Long, Open> open = new LinkedHashMap<>();
-    private FileChannel segment;
-    private Path path;
-    private long segmentNumber;
-    private long size;
+    private final JournalFolder folder;
+    private final long diskBytes;
+    /** By number, in the order accepted. */
+    private final Map<Long, OpenMessage> openMessages = new LinkedHashMap<>();
+
+    private JournalSegment segment;
     private long openBytes;
     private long lastNumber;
-    private boolean broken;
-    private long nextRewrite = System.nanoTime();
+    /** Set for good where a partly written record could not be removed. */
+    private boolean isBroken;
 
-    /** Opens the journal of a folder and replays it; a torn tail is cut off. */
-    public Journal(Path folder, long disk) throws IOException {
-        this.folder = folder;
-        this.disk = disk;
-        Files.createDirectories(folder);
-        Files.deleteIfExists(folder.resolve(UNFINISHED));
-        List<Path> segments;
-        try (var files = Files.list(folder)) {
-            segments = files.filter(f -> f.getFileName().toString().matches("journal-\\d{10}\\.log"))
-                    .sorted()
-                    .toList();
-        }
-        path = folder.resolve(SEGMENT.formatted(0));
-        if (!segments.isEmpty()) {
-            // Guards against a kill between a rewrite and the removal of what it replaces: the newest is whole.
-            path = segments.get(segments.size() - 1);
-            segmentNumber = Long.parseLong(path.getFileName().toString().replaceAll("\\D", ""));
-            for (Path old : segments.subList(0, segments.size() - 1)) {
-                Files.delete(old);
-            }
-        }
-        segment = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+    private long nextCompactionNanos = System.nanoTime();
+
+    /**
+     * Opens the journal of a folder, which is created where it is missing, and replays it.
+     *
+     * @param diskBytes space of which the journal takes its shares
+     */
+    public Journal(Path folder, long diskBytes) throws IOException {
+        this.folder = new JournalFolder(folder);
+        this.diskBytes = diskBytes;
+        segment = this.folder.openNewest();
         replay();
     }
 
@@ -117,49 +85,44 @@
 
     @Override
     public List<Message> openMessages() {
-        return open.values().stream().map(o -> o.message).toList();
+        return openMessages.values().stream().map(open -> open.message).toList();
     }
 
     @Override
     public boolean recordAccepted(Message message) {
-        byte[] record = record(accepted(message));
-        if (openBytes + record.length > LARGEST_OPEN * disk || !append(record, LARGEST_SEGMENT)) {
+        byte[] record = JournalRecordCodec.accepted(message);
+        if (openBytes + record.length > MAX_OPEN_SHARE * diskBytes || !append(record, MAX_SEGMENT_SHARE)) {
             return false;
         }
-        add(message, record.length);
+        addOpen(message, record.length);
         return true;
     }
 
     @Override
     public boolean recordAttempt(Message.Attempt attempt) {
-        return note(attempt.message(), attempt(attempt.message(), attempt), LARGEST_SEGMENT);
+        return appendFor(attempt.message(), JournalRecordCodec.attemptStarted(attempt), MAX_SEGMENT_SHARE);
     }
 
     @Override
     public void recordOutcome(Message.Attempt attempt) {
-        note(attempt.message(), result(attempt.message(), attempt), LARGEST_WITH_ENDS);
+        byte[] record = JournalRecordCodec.attemptEnded(attempt);
+        appendFor(attempt.message(), record, MAX_SEGMENT_SHARE_FOR_COMPLETION);
     }
 
     @Override
     public void recordCompletion(Message message) {
-        note(message, decision(message), LARGEST_WITH_ENDS);
+        appendFor(message, JournalRecordCodec.completionDecided(message), MAX_SEGMENT_SHARE_FOR_COMPLETION);
     }
 
     @Override
     public void recordDone(Message message) {
-        boolean noted = note(
-                message,
-                out -> {
-                    out.writeByte(DONE);
-                    out.writeLong(message.number());
-                },
-                LARGEST_WITH_ENDS);
-        boolean known = open.containsKey(message.number());
-        forget(message.number());
-        // Guards against a full disk that would bring a finished message back: a rewrite leaves it out.
-        boolean wanted = known && !noted || size - openBytes > LARGEST_FINISHED * disk;
-        if (wanted && System.nanoTime() - nextRewrite >= 0) {
-            rewrite();
+        boolean isRecorded = appendFor(message, JournalRecordCodec.done(message), MAX_SEGMENT_SHARE_FOR_COMPLETION);
+        boolean wasOpen = removeOpen(message.number());
+        // A finished message without a record would be restored as open; a compaction leaves it out.
+        boolean isCompactionDue =
+                wasOpen && !isRecorded || segment.sizeBytes() - openBytes > MAX_FINISHED_SHARE * diskBytes;
+        if (isCompactionDue && System.nanoTime() - nextCompactionNanos >= 0) {
+            compact();
         }
     }
 
@@ -168,321 +131,157 @@
         segment.close();
     }
 
-    private boolean note(Message message, Payload payload, double share) {
-        Open entry = open.get(message.number());
-        byte[] record = record(payload);
-        if (entry == null || !append(record, share)) {
+    /** Appends a record of a message; false where the message is not open or the record is not written. */
+    private boolean appendFor(Message message, byte[] record, double maxShare) {
+        OpenMessage open = openMessages.get(message.number());
+        if (open == null || !append(record, maxShare)) {
             return false;
         }
-        entry.bytes += record.length;
-        openBytes += record.length;
+        addBytes(open, record.length);
         return true;
     }
 
-    private void add(Message message, long bytes) {
-        Open entry = new Open(message);
-        entry.bytes = bytes;
+    private void addBytes(OpenMessage open, long bytes) {
+        open.recordBytes += bytes;
         openBytes += bytes;
-        open.put(message.number(), entry);
+    }
+
+    private void addOpen(Message message, long recordBytes) {
+        openMessages.put(message.number(), new OpenMessage(message, recordBytes));
+        openBytes += recordBytes;
         lastNumber = Math.max(lastNumber, message.number());
     }
 
-    private void forget(long number) {
-        Open entry = open.remove(number);
-        if (entry != null) {
-            openBytes -= entry.bytes;
+    private boolean removeOpen(long number) {
+        OpenMessage open = openMessages.remove(number);
+        if (open == null) {
+            return false;
         }
+        openBytes -= open.recordBytes;
+        return true;
     }
 
-    /** Appends a record whole or, where the disk is full or fails, not at all. */
-    private boolean append(byte[] record, double share) {
-        if (broken || size + record.length > share * disk) {
+    /** Appends a record whole or, where the segment or the disk is full or the disk fails, not at all. */
+    private boolean append(byte[] record, double maxShare) {
+        if (isBroken || segment.sizeBytes() + record.length > maxShare * diskBytes) {
             return false;
         }
         try {
-            RecordFile.write(segment, record, size);
-            size += record.length;
+            segment.append(record);
             return true;
         } catch (IOException e) {
-            Log.line("journal: can't write: " + e.getMessage());
-            cutOff();
+            Log.line("journal: append failed error=" + e.getMessage());
+            removePartialRecord();
             return false;
         }
     }
 
-    /** Guards against half a record that later ones would follow: none of them could be replayed. */
-    private void cutOff() {
+    private void removePartialRecord() {
         try {
-            segment.truncate(size);
+            segment.truncateTail();
         } catch (IOException e) {
-            Log.line("journal: can't be mended, nothing more is taken on: " + e.getMessage());
-            broken = true;
+            Log.line("journal: truncation failed, no more messages are accepted error=" + e.getMessage());
+            isBroken = true;
         }
     }
 
-    private void rewrite() {
-        Path unfinished = folder.resolve(UNFINISHED);
-        Path next = folder.resolve(SEGMENT.formatted(segmentNumber + 1));
+    /** Replaces the segment by one that holds the records of open messages only. */
+    private void compact() {
+        Map<OpenMessage, Integer> sizes = new LinkedHashMap<>();
         try {
-            FileChannel channel = FileChannel.open(
-                    unfinished,
-                    StandardOpenOption.CREATE,
-                    StandardOpenOption.TRUNCATE_EXISTING,
-                    StandardOpenOption.WRITE);
-            long written = 0;
-            Map<Long, Long> sizes = new LinkedHashMap<>();
-            try {
-                for (Open entry : open.values()) {
-                    byte[] records = recordsOf(entry.message);
-                    RecordFile.write(channel, records, written);
-                    written += records.length;
-                    sizes.put(entry.message.number(), (long) records.length);
+            JournalSegment next = folder.writeNext(segment, target -> {
+                for (OpenMessage open : openMessages.values()) {
+                    byte[] records = JournalRecordCodec.all(open.message);
+                    target.append(records);
+                    sizes.put(open, records.length);
                 }
-                Files.move(unfinished, next, StandardCopyOption.ATOMIC_MOVE);
-            } catch (IOException e) {
-                channel.close();
-                Files.deleteIfExists(unfinished);
-                throw e;
-            }
+            });
             segment.close();
-            segment = channel;
-            Path old = path;
-            path = next;
-            segmentNumber++;
-            size = written;
-            openBytes = written;
-            sizes.forEach((number, bytes) -> open.get(number).bytes = bytes);
-            Files.deleteIfExists(old);
+            Path replaced = segment.path();
+            segment = next;
+            openBytes = next.sizeBytes();
+            sizes.forEach((open, bytes) -> open.recordBytes = bytes);
+            Files.deleteIfExists(replaced);
         } catch (IOException e) {
-            Log.line("journal: can't be rewritten: " + e.getMessage());
-            nextRewrite = System.nanoTime() + REWRITE_PAUSE;
-        }
-    }
-
-    private static byte[] recordsOf(Message message) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.write(record(accepted(message)));
-        // The record of one that is sent again holds its attempts.
-        for (Message.Attempt attempt : message.deadLetterId() == 0 ? message.attempts() : List.<Message.Attempt>of()) {
-            all.write(record(attempt(message, attempt)));
-            if (attempt.outcome() != null) {
-                all.write(record(result(message, attempt)));
-            }
+            Log.line("journal: compaction failed error=" + e.getMessage());
+            nextCompactionNanos = System.nanoTime() + COMPACTION_RETRY_NANOS;
         }
-        if (message.completion() != null) {
-            all.write(record(decision(message)));
-        }
-        return all.toByteArray();
-    }
-
-    private static Payload accepted(Message message) {
-        Message.Content content = message.content();
-        return out -> {
-            Message.Reply reply = content.reply();
-            boolean inLine = content.orderingKey() != null && reply == null && message.deadLetterId() == 0;
-            out.writeByte(
-                    message.deadLetterId() != 0
-                            ? RESENT
-                            : reply != null ? ACCEPTED_FOR_REPLY : inLine ? ACCEPTED_IN_LINE : ACCEPTED);
-            out.writeLong(message.number());
-            if (message.deadLetterId() != 0) {
-                writePast(out, message);
-            } else if (reply != null) {
-                out.writeUTF(reply.listener());
-                out.writeUTF(reply.queue());
-                writeOptional(out, reply.correlationId());
-            } else if (inLine) {
-                out.writeUTF(content.orderingKey());
-            }
-            out.writeUTF(content.messageId());
-            out.writeUTF(content.requestClass());
-            writeOptional(out, content.tenant());
-            writeOptional(out, content.key());
-            out.writeLong(content.deadlineMicros());
-            out.writeInt(content.destination());
-            out.writeInt(content.body().length);
-            out.write(content.body());
-        };
-    }
-
-    private static void writePast(DataOutputStream out, Message message) throws IOException {
-        out.writeLong(message.deadLetterId());
-        out.writeInt(message.attempts().size());
-        for (Message.Attempt attempt : message.attempts()) {
-            out.writeUTF(attempt.route());
-            out.writeLong(attempt.sentAtMicros());
-            writeOptional(
-                    out, attempt.outcome() == null ? null : attempt.outcome().code());
-        }
-    }
-
-    private static Message readResent(DataInputStream in, long number) throws IOException {
-        long entry = in.readLong();
-        int count = in.readInt();
-        List<PastAttempt> past = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            String route = in.readUTF();
-            long sentAt = in.readLong();
-            String result = readOptional(in);
-            past.add(new PastAttempt(route, sentAt, result == null ? null : AttemptOutcome.ofCode(result)));
-        }
-        Message message = new Message(number, readContent(in, null, null), entry);
-        past.forEach(p -> message.addAttempt(p.route(), p.sentAtMicros()).outcome(p.outcome()));
-        return message;
-    }
-
-    private static Payload attempt(Message message, Message.Attempt attempt) {
-        return out -> {
-            out.writeByte(ATTEMPT);
-            out.writeLong(message.number());
-            out.writeInt(attempt.number());
-            out.writeUTF(attempt.route());
-            out.writeLong(attempt.sentAtMicros());
-        };
-    }
-
-    private static Payload result(Message message, Message.Attempt attempt) {
-        return out -> {
-            out.writeByte(RESULT);
-            out.writeLong(message.number());
-            out.writeInt(attempt.number());
-            out.writeUTF(attempt.outcome().code());
-        };
-    }
-
-    private static Payload decision(Message message) {
-        return out -> {
-            out.writeByte(DECIDED);
-            out.writeLong(message.number());
-            out.writeByte(message.completion().kind().ordinal());
-            out.writeLong(message.completion().retryAfterMicros());
-        };
-    }
-
-    private static byte[] record(Payload payload) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeLong(0); // the head's place
-            payload.write(out);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return RecordFile.seal(bytes.toByteArray());
     }
 
     private void replay() throws IOException {
-        ByteBuffer all = RecordFile.all(segment);
-        byte[] payload = RecordFile.next(all);
-        while (payload != null) {
-            replay(payload, size);
-            size = all.position();
-            payload = RecordFile.next(all);
+        ByteBuffer all = segment.readAll();
+        long position = 0;
+        for (byte[] payload = segment.readRecord(all); payload != null; payload = segment.readRecord(all)) {
+            replay(payload, position);
+            position = segment.sizeBytes();
         }
-        if (size < segment.size()) {
-            Log.line("journal: a torn tail of " + (segment.size() - size) + " bytes is cut off");
-            segment.truncate(size);
+        long tornBytes = segment.tailBytes();
+        if (tornBytes > 0) {
+            Log.line("journal: torn tail truncated bytes=" + tornBytes);
+            segment.truncateTail();
         }
     }
 
-    /** Takes a whole record in, or passes over one that makes no sense: what stands behind it is no less true. */
-    private void replay(byte[] payload, long at) {
+    /** Applies a whole record, or skips one that can't be read: the records behind it hold all the same. */
+    private void replay(byte[] payload, long position) {
         long number = 0;
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
-            int type = in.readByte();
-            number = in.readLong();
-            if (type == ACCEPTED) {
-                add(new Message(number, readContent(in, null, null)), payload.length + RecordFile.HEAD);
-                return;
-            }
-            if (type == ACCEPTED_IN_LINE) {
-                String line = in.readUTF();
-                add(new Message(number, readContent(in, null, line)), payload.length + RecordFile.HEAD);
-                return;
-            }
-            if (type == ACCEPTED_FOR_REPLY) {
-                Message.Reply reply = new Message.Reply(in.readUTF(), in.readUTF(), readOptional(in));
-                add(new Message(number, readContent(in, reply, null)), payload.length + RecordFile.HEAD);
-                return;
-            }
-            if (type == RESENT) {
-                add(readResent(in, number), payload.length + RecordFile.HEAD);
+            JournalRecordCodec.Header header = JournalRecordCodec.readHeader(in);
+            number = header.messageNumber();
+            if (header.isAccepted()) {
+                addOpen(JournalRecordCodec.readAccepted(header, in), payload.length + RecordFile.HEAD);
                 return;
             }
             lastNumber = Math.max(lastNumber, number);
-            Open entry = open.get(number);
-            if (entry == null) {
-                return;
-            }
-            entry.bytes += payload.length + RecordFile.HEAD;
-            openBytes += payload.length + RecordFile.HEAD;
-            Message message = entry.message;
-            switch (type) {
-                case ATTEMPT -> replayAttempt(message, in.readInt(), in.readUTF(), in.readLong());
-                case RESULT -> replayResult(message, in.readInt(), AttemptOutcome.ofCode(in.readUTF()));
-                case DECIDED -> message.complete(
-                        new Message.Completion(Message.Completion.Kind.values()[in.readByte()], in.readLong()));
-                case DONE -> forget(number);
-                default -> throw new IOException("unknown record " + type);
+            OpenMessage open = openMessages.get(number);
+            if (open != null) {
+                addBytes(open, payload.length + RecordFile.HEAD);
+                apply(JournalRecordCodec.readUpdate(header, in), open.message);
             }
         } catch (IOException | IllegalArgumentException | IndexOutOfBoundsException e) {
-            Log.line("journal: " + path.getFileName() + ": the record at byte " + at + ", of message " + number
-                    + ", is passed over: " + e);
-            Open entry = open.get(number);
-            if (entry != null) {
-                // Guards against a message that is sent twice: what can't be read may have been an attempt.
-                entry.message.addAttempt(NOWHERE, 0);
+            Log.line("journal: record skipped segment=" + segment.path().getFileName() + " position=" + position
+                    + " message=" + number + " error=" + e);
+            OpenMessage open = openMessages.get(number);
+            if (open != null) {
+                // The record may have been an attempt; without one, the message could be sent twice.
+                open.message.addAttempt(UNKNOWN_ROUTE, 0);
             }
         }
     }
 
-    private static void replayAttempt(Message message, int number, String route, long sentAt) throws IOException {
-        if (number < message.attempts().size()) {
-            throw new IOException("attempt " + number + " is out of order");
+    private void apply(MessageUpdate update, Message message) throws IOException {
+        if (update instanceof MessageUpdate.AttemptStarted started) {
+            applyAttemptStarted(started, message);
+        } else if (update instanceof MessageUpdate.AttemptEnded ended) {
+            // An attempt whose time was up before it could be sent has an outcome and no other record.
+            addUnrecordedAttempts(message, ended.number() + 1, UNKNOWN_ROUTE, 0);
+            message.attempts().get(ended.number()).outcome(ended.outcome());
+        } else if (update instanceof MessageUpdate.CompletionDecided decided) {
+            message.complete(decided.completion());
+        } else {
+            removeOpen(message.number());
         }
-        addUnrecorded(message, number, route, sentAt);
-        message.addAttempt(route, sentAt);
     }
 
-    /** Its attempt may have no record: one whose time was up before it could be sent has a result alone. */
-    private static void replayResult(Message message, int number, AttemptOutcome result) throws IOException {
-        addUnrecorded(message, number + 1, NOWHERE, 0);
-        message.attempts().get(number).outcome(result);
+    private static void applyAttemptStarted(MessageUpdate.AttemptStarted started, Message message) throws IOException {
+        if (started.number() < message.attempts().size()) {
+            throw new IOException("attempt " + started.number() + " is out of order");
+        }
+        addUnrecordedAttempts(message, started.number(), started.route(), started.sentAtMicros());
+        message.addAttempt(started.route(), started.sentAtMicros());
     }
 
     /**
-     * Guards against attempts that were never recorded, as the disk failed: they were not sent, but later ones keep
-     * their numbers.
+     * Adds attempts that could not be recorded, as the disk failed, up to a count. They were not sent, but those behind
+     * them are recorded by their numbers.
      */
-    private static void addUnrecorded(Message message, int count, String route, long sentAt) throws IOException {
-        if (count > MOST_ATTEMPTS) {
-            throw new IOException("attempt " + count + " is one of too many");
+    private static void addUnrecordedAttempts(Message message, int count, String route, long sentAtMicros)
+            throws IOException {
+        if (count > MAX_ATTEMPTS) {
+            throw new IOException("attempt " + count + " exceeds the limit of " + MAX_ATTEMPTS);
         }
         while (message.attempts().size() < count) {
-            message.addAttempt(route, sentAt).outcome(AttemptOutcome.NOT_SENT);
-        }
-    }
-
-    private static Message.Content readContent(DataInputStream in, Message.Reply reply, String line)
-            throws IOException {
-        String callId = in.readUTF();
-        String requestClass = in.readUTF();
-        String tenant = readOptional(in);
-        String key = readOptional(in);
-        long deadline = in.readLong();
-        int destination = in.readInt();
-        byte[] body = new byte[in.readInt()];
-        in.readFully(body);
-        return new Message.Content(callId, requestClass, tenant, key, deadline, destination, body, reply, line);
-    }
-
-    private static void writeOptional(DataOutputStream out, String text) throws IOException {
-        out.writeBoolean(text != null);
-        if (text != null) {
-            out.writeUTF(text);
+            message.addAttempt(route, sentAtMicros).outcome(AttemptOutcome.NOT_SENT);
         }
     }
-
-    private static String readOptional(DataInputStream in) throws IOException {
-        return in.readBoolean() ? in.readUTF() : null;
-    }
 }
--- a/src/main/java/loftflow/journal/package-info.java
+++ b/src/main/java/loftflow/journal/package-info.java
@@ -1,5 +1,7 @@
 /**
- * What outlasts the process: the write-ahead journal of accepted work.
+ * The write-ahead log of accepted messages, in segment files that outlast the process: the stored form of records in
+ * {@code JournalRecordCodec}, files and their replacement in {@code JournalFolder} and {@code JournalSegment}, and what
+ * is open, admission by space, replay and compaction in {@code Journal}.
  *
  * <p>May use: the engine, {@code recordfile} and the log; files, but no network.
  */
--- a/src/test/java/loftflow/journal/JournalTest.java
+++ b/src/test/java/loftflow/journal/JournalTest.java
@@ -11,6 +11,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import loftflow.engine.Message;
@@ -20,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class JournalTest {
-    private static final long DISK = 3 << 20;
+    private static final long DISK_BYTES = 3 << 20;
 
     @TempDir
     Path folder;
@@ -30,12 +31,12 @@
     }
 
     private List<Message> reopened() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             return journal.openMessages();
         }
     }
 
-    private long used() throws IOException {
+    private long usedBytes() throws IOException {
         try (var files = Files.list(folder)) {
             return files.mapToLong(file -> (file.toFile().length() + 511) / 512 * 512)
                     .sum();
@@ -49,36 +50,37 @@
     }
 
     @Test
-    void endsHaveRoomWhereAttemptsHaveNone() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
-            List<Message> messages = new java.util.ArrayList<>();
+    void completionsAreRecordedWhereNoMoreAttemptsAre() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
+            List<Message> messages = new ArrayList<>();
             for (int i = 1; i <= 100; i++) {
                 messages.add(message(i, 8_000));
                 assertTrue(journal.recordAccepted(messages.get(i - 1)));
             }
-            int tried = 0;
-            while (journal.recordAttempt(messages.get(tried % 100).addAttempt("r", 50))) {
-                tried++;
+            int attempts = 0;
+            while (journal.recordAttempt(messages.get(attempts % 100).addAttempt("r", 50))) {
+                attempts++;
             }
             messages.forEach(journal::recordDone);
-            int rewrites = Integer.parseInt(segment().getFileName().toString().replaceAll("\\D", ""));
-            assertTrue(rewrites < 10, "written again so often: " + rewrites);
+            int compactions =
+                    Integer.parseInt(segment().getFileName().toString().replaceAll("\\D", ""));
+            assertTrue(compactions < 10, "compactions: " + compactions);
         }
         assertTrue(reopened().isEmpty());
     }
 
     @Test
-    void everythingRecordedComesBack() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+    void everyRecordIsReplayed() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             Message first = message(1, 10);
             Message second = message(2, 0);
             assertTrue(journal.recordAccepted(first)
                     && journal.recordAccepted(second)
                     && journal.recordAccepted(message(3, 0)));
-            Message.Attempt refused = first.addAttempt("r1", 50);
-            assertTrue(journal.recordAttempt(refused));
-            refused.outcome(AttemptOutcome.REJECTED);
-            journal.recordOutcome(refused);
+            Message.Attempt rejected = first.addAttempt("r1", 50);
+            assertTrue(journal.recordAttempt(rejected));
+            rejected.outcome(AttemptOutcome.REJECTED);
+            journal.recordOutcome(rejected);
             assertTrue(journal.recordAttempt(first.addAttempt("r2", 60)));
             second.complete(new Message.Completion(true, 5));
             journal.recordCompletion(second);
@@ -96,15 +98,15 @@
         assertEquals(new Message.Completion(true, 5), open.get(1).completion());
     }
 
-    /** A record that is whole but makes no sense loses nothing behind it; its own message may have been sent. */
+    /** The records behind a whole one of an unknown type are replayed; its own message may have been sent. */
     @Test
-    void recordThatMakesNoSenseIsPassedOver() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+    void recordOfAnUnknownTypeIsSkipped() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             assertTrue(journal.recordAccepted(message(1, 10)) && journal.recordAccepted(message(2, 10)));
         }
-        byte[] senseless = RecordFile.seal(new byte[] {0, 0, 0, 0, 0, 0, 0, 0, 99, 0, 0, 0, 0, 0, 0, 0, 1});
-        Files.write(segment(), senseless, StandardOpenOption.APPEND);
-        try (Journal journal = new Journal(folder, DISK)) {
+        byte[] unknown = RecordFile.seal(new byte[] {0, 0, 0, 0, 0, 0, 0, 0, 99, 0, 0, 0, 0, 0, 0, 0, 1});
+        Files.write(segment(), unknown, StandardOpenOption.APPEND);
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             assertTrue(journal.recordAccepted(message(3, 10)));
         }
         List<Message> open = reopened();
@@ -115,14 +117,14 @@
     }
 
     @Test
-    void tornTailIsCutOffAndWritingGoesOn() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+    void tornTailIsTruncatedAndAppendsGoOn() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             journal.recordAccepted(message(1, 10));
             journal.recordAccepted(message(2, 1000));
         }
         byte[] all = Files.readAllBytes(segment());
         Files.write(segment(), Arrays.copyOf(all, all.length - 1));
-        try (Journal journal = new Journal(folder, DISK)) {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             assertEquals(1, journal.openMessages().size());
             assertTrue(journal.recordAccepted(message(3, 10)));
         }
@@ -130,8 +132,8 @@
     }
 
     @Test
-    void recordWithAWrongChecksumIsCutOff() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+    void recordWithAWrongChecksumIsTruncated() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             journal.recordAccepted(message(1, 10));
         }
         byte[] bytes = Files.readAllBytes(segment());
@@ -141,34 +143,34 @@
     }
 
     @Test
-    void folderStaysUnderItsLimitWithTheLargestBodies() throws IOException {
-        ArrayDeque<Message> held = new ArrayDeque<>();
-        int refused = 0;
-        long most = 0;
-        try (Journal journal = new Journal(folder, DISK)) {
+    void folderStaysWithinItsLimitWithTheLargestBodies() throws IOException {
+        ArrayDeque<Message> open = new ArrayDeque<>();
+        int rejected = 0;
+        long maxBytes = 0;
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             for (int number = 1; number <= 500; number++) {
                 Message message = message(number, 64 << 10);
                 if (journal.recordAccepted(message)) {
-                    held.add(message);
+                    open.add(message);
                     assertTrue(journal.recordAttempt(message.addAttempt("r", 1)));
                 } else {
-                    refused++;
-                    journal.recordDone(held.poll());
+                    rejected++;
+                    journal.recordDone(open.poll());
                 }
-                most = Math.max(most, used());
+                maxBytes = Math.max(maxBytes, usedBytes());
             }
         }
-        assertTrue(refused > 100, "refused: " + refused);
-        // During a rewrite the new segment, no larger than what is open, stands beside the old one.
-        assertTrue(most < 0.5 * DISK, "most on disk: " + most);
+        assertTrue(rejected > 100, "rejected: " + rejected);
+        // During a compaction the new segment, no larger than the records of open messages, is beside the old one.
+        assertTrue(maxBytes < 0.5 * DISK_BYTES, "bytes on disk: " + maxBytes);
         assertEquals(
-                held.stream().map(m -> m.number()).toList(),
+                open.stream().map(m -> m.number()).toList(),
                 reopened().stream().map(m -> m.number()).toList());
     }
 
     @Test
-    void attemptThatCouldNotBeRecordedLeavesTheOthersTheirNumbers() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+    void unrecordedAttemptLeavesTheNumbersOfLaterOnes() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             Message message = message(1, 10);
             journal.recordAccepted(message);
             message.addAttempt("lost", 1);
@@ -180,12 +182,12 @@
     }
 
     /**
-     * An attempt whose time is up before it is recorded has a result alone: what follows it in the journal must not go
-     * with it.
+     * An attempt whose time is up before it is recorded has an outcome and no other record. The records behind it are
+     * replayed.
      */
     @Test
-    void resultOfAnAttemptThatWasNeverRecordedLosesNothingBehindIt() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+    void recordsBehindTheOutcomeOfAnUnrecordedAttemptAreReplayed() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             Message first = message(1, 10);
             assertTrue(journal.recordAccepted(first));
             Message.Attempt late = first.addAttempt("r1", 50);
@@ -194,23 +196,23 @@
             assertTrue(journal.recordAttempt(first.addAttempt("r2", 60)));
             assertTrue(journal.recordAccepted(message(2, 0)));
         }
-        List<Message> back = reopened();
-        assertEquals(List.of(1L, 2L), back.stream().map(Message::number).toList());
+        List<Message> replayed = reopened();
+        assertEquals(List.of(1L, 2L), replayed.stream().map(Message::number).toList());
         assertEquals(
                 List.of(AttemptOutcome.NOT_SENT),
-                back.get(0).attempts().stream()
+                replayed.get(0).attempts().stream()
                         .map(Message.Attempt::outcome)
                         .limit(1)
                         .toList());
         assertEquals(
                 List.of("", "r2"),
-                back.get(0).attempts().stream().map(Message.Attempt::route).toList());
-        assertNull(back.get(0).attempts().get(1).outcome());
+                replayed.get(0).attempts().stream().map(Message.Attempt::route).toList());
+        assertNull(replayed.get(0).attempts().get(1).outcome());
     }
 
     @Test
-    void unfinishedRewriteIsPassedOver() throws IOException {
-        try (Journal journal = new Journal(folder, DISK)) {
+    void unfinishedCompactionIsRemoved() throws IOException {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             journal.recordAccepted(message(1, 10));
         }
         Files.writeString(folder.resolve("journal.new"), "half");
@@ -219,39 +221,41 @@
     }
 
     @Test
-    void messageIsNotTakenOnWhereTheDiskIsFull() throws IOException {
+    void messageIsRejectedWhereTheDiskIsFull() throws IOException {
         Path full = Path.of("/dev/full");
         assumeTrue(Files.exists(full));
         Files.createSymbolicLink(folder.resolve("journal-0000000000.log"), full);
-        try (Journal journal = new Journal(folder, DISK)) {
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
             assertFalse(journal.recordAccepted(message(1, 10)));
             assertTrue(journal.openMessages().isEmpty());
         }
     }
 
     @Test
-    void messageThatIsSentAgainComesBackWithTheAttemptsThatBindIt() throws IOException {
+    void redrivenDeadLetterIsReplayedWithItsPastAttempts() throws IOException {
         Message.Content content = new Message.Content("id1", "unsafe", null, "k", 123, 7, new byte[] {1, 2});
-        try (Journal journal = new Journal(folder, DISK)) {
-            Message again = new Message(1, content, 42);
-            again.addAttempt("r1", 50).outcome(AttemptOutcome.TIMEOUT);
-            again.addAttempt("r2", 60);
-            assertTrue(journal.recordAccepted(again));
-            assertTrue(journal.recordAttempt(again.addAttempt("r1", 70)));
-            again.attempts().get(2).outcome(AttemptOutcome.REJECTED);
-            journal.recordOutcome(again.attempts().get(2));
+        try (Journal journal = new Journal(folder, DISK_BYTES)) {
+            Message redriven = new Message(1, content, 42);
+            redriven.addAttempt("r1", 50).outcome(AttemptOutcome.TIMEOUT);
+            redriven.addAttempt("r2", 60);
+            assertTrue(journal.recordAccepted(redriven));
+            assertTrue(journal.recordAttempt(redriven.addAttempt("r1", 70)));
+            redriven.attempts().get(2).outcome(AttemptOutcome.REJECTED);
+            journal.recordOutcome(redriven.attempts().get(2));
         }
-        for (int rewrites = 0; rewrites < 2; rewrites++) {
-            Message back = reopened().get(0);
-            assertEquals(42, back.deadLetterId());
-            assertEquals("id1", back.content().messageId());
+        for (int compactions = 0; compactions < 2; compactions++) {
+            Message replayed = reopened().get(0);
+            assertEquals(42, replayed.deadLetterId());
+            assertEquals("id1", replayed.content().messageId());
             assertEquals(
                     Arrays.asList(AttemptOutcome.TIMEOUT, null, AttemptOutcome.REJECTED),
-                    back.attempts().stream().map(Message.Attempt::outcome).toList());
+                    replayed.attempts().stream().map(Message.Attempt::outcome).toList());
             assertEquals(
                     List.of(50L, 60L, 70L),
-                    back.attempts().stream().map(Message.Attempt::sentAtMicros).toList());
-            try (Journal journal = new Journal(folder, DISK)) {
+                    replayed.attempts().stream()
+                            .map(Message.Attempt::sentAtMicros)
+                            .toList());
+            try (Journal journal = new Journal(folder, DISK_BYTES)) {
                 for (int i = 0; i < 60; i++) {
                     Message other = message(100 + i, 8_000);
                     assertTrue(journal.recordAccepted(other));
@@ -259,6 +263,6 @@
                 }
             }
         }
-        assertTrue(!segment().getFileName().toString().equals("journal-0000000000.log"), "it was written anew");
+        assertTrue(!segment().getFileName().toString().equals("journal-0000000000.log"), "it was compacted");
     }
 }
