--- /dev/null
+++ b/src/main/java/loftflow/engine/AttemptDispatcher.java
@@ -0,0 +1,163 @@
+package loftflow.engine;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import loftflow.policy.api.AttemptCompleted;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.MessageWithdrawn;
+
+/**
+ * Starts attempts and processes their outcomes. An attempt is recorded in the journal before it is sent; the attempts
+ * of one round are sent in one batch a route at the end of the round.
+ */
+final class AttemptDispatcher {
+    private final EngineContext context;
+    private final MessageTable messages;
+    private final PolicyEventQueue events;
+    private final MessageLifecycle lifecycle;
+    private final Map<String, List<UpstreamClient.OutboundAttempt>> pendingByRoute = new LinkedHashMap<>();
+    private int attemptsInFlight;
+
+    AttemptDispatcher(
+            EngineContext context, MessageTable messages, PolicyEventQueue events, MessageLifecycle lifecycle) {
+        this.context = context;
+        this.messages = messages;
+        this.events = events;
+        this.lifecycle = lifecycle;
+    }
+
+    boolean hasAttemptsInFlight() {
+        return attemptsInFlight != 0;
+    }
+
+    /**
+     * Starts an attempt of an open message; it is sent by {@link #sendPending}.
+     *
+     * @param timeoutMicros 0 where only the message's deadline bounds the attempt
+     * @param sendWithinMicros an attempt that has not been sent after so long ends as not sent; 0 for no bound
+     */
+    void start(long number, String route, long timeoutMicros, long sendWithinMicros) {
+        Message message = messages.find(number);
+        if (message == null || message.completion() != null) {
+            return;
+        }
+        long nowMicros = context.nowMicros();
+        Message.Attempt attempt = message.addAttempt(route, nowMicros);
+        message.attemptStarted();
+        attemptsInFlight++;
+        long remainingMicros = message.content().deadlineMicros() - nowMicros;
+        // An attempt that is not in the journal would be unknown after a restart, so it is not sent.
+        if (remainingMicros <= 0 || !context.journal().recordAttempt(attempt)) {
+            completeAsNotSent(attempt);
+            return;
+        }
+        pendingByRoute
+                .computeIfAbsent(route, newRoute -> new ArrayList<>())
+                .add(new UpstreamClient.OutboundAttempt(
+                        attempt,
+                        timeoutMicros > 0 ? Math.min(timeoutMicros, remainingMicros) : remainingMicros,
+                        sendWithinMicros > 0 ? nowMicros + sendWithinMicros : Long.MAX_VALUE));
+    }
+
+    /** Sends the attempts that were started since the last call. */
+    void sendPending() {
+        Map<String, List<UpstreamClient.OutboundAttempt>> batches = new LinkedHashMap<>(pendingByRoute);
+        pendingByRoute.clear();
+        batches.forEach(this::sendBatch);
+    }
+
+    private void sendBatch(String route, List<UpstreamClient.OutboundAttempt> batch) {
+        List<UpstreamClient.OutboundAttempt> sendable = new ArrayList<>(batch.size());
+        for (UpstreamClient.OutboundAttempt outbound : batch) {
+            // A message is done here already where its client disconnected before the 202 could be written.
+            if (outbound.attempt().message().isDone()) {
+                completeAsNotSent(outbound.attempt());
+            } else {
+                sendable.add(outbound);
+            }
+        }
+        if (!sendable.isEmpty()) {
+            context.upstreamClient().send(route, sendable);
+        }
+    }
+
+    private void completeAsNotSent(Message.Attempt attempt) {
+        onAttemptCompleted(attempt, AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
+    }
+
+    /** Cancels an attempt, by its number within its message; without effect where there is none. */
+    void cancel(long messageNumber, int attemptNumber) {
+        Message message = messages.find(messageNumber);
+        if (message != null && attemptNumber < message.attemptCount()) {
+            context.upstreamClient().cancel(message.attempt(attemptNumber));
+        }
+    }
+
+    /** Implements {@link UpstreamClient.ResultListener#onAttemptCompleted}. */
+    void onAttemptCompleted(
+            Message.Attempt attempt,
+            AttemptOutcome outcome,
+            boolean isFinal,
+            long retryAfterMicros,
+            LimitReport limitReport) {
+        Message message = attempt.message();
+        attempt.outcome(outcome);
+        message.attemptEnded();
+        attemptsInFlight--;
+        applyOutcome(attempt, isFinal);
+        events.add(new AttemptCompleted(
+                message.number(),
+                attempt.number(),
+                attempt.route(),
+                outcome,
+                !message.isOpen(),
+                retryAfterMicros,
+                context.nowMicros() - attempt.sentAtMicros(),
+                limitReport));
+        messages.removeIfSettled(message);
+    }
+
+    /** Ends the message where the attempt's outcome decides it; otherwise records the outcome in the journal. */
+    private void applyOutcome(Message.Attempt attempt, boolean isFinal) {
+        Message message = attempt.message();
+        boolean isDelivered = attempt.outcome() == AttemptOutcome.OK;
+        if (isDelivered && context.nowMicros() > message.content().deadlineMicros()) {
+            // The client counts a delivery after its deadline as none.
+            context.journal().recordOutcome(attempt);
+            lifecycle.fail(message.number());
+        } else if (isFinal && message.isRedrive() && message.isOpen()) {
+            context.journal().recordOutcome(attempt);
+            lifecycle.endRedrive(message);
+        } else if (isFinal && message.isOpen()) {
+            lifecycle.finish(message, isDelivered);
+        } else if (!message.isDone()) {
+            context.journal().recordOutcome(attempt);
+            if (message.completion() != null) {
+                context.deadLetterSink().onOutcomeLearned(attempt);
+            }
+        }
+    }
+
+    /** Implements {@link UpstreamClient.ResultListener#onLateDelivery}. */
+    void onLateDelivery(Message.Attempt attempt) {
+        Message message = attempt.message();
+        attempt.outcome(AttemptOutcome.OK);
+        if (!messages.contains(message)) {
+            context.deadLetterSink().onOutcomeLearned(attempt);
+            return;
+        }
+        context.journal().recordOutcome(attempt);
+        if (message.completion() != null) {
+            context.deadLetterSink().onOutcomeLearned(attempt);
+        } else if (message.isRedrive()) {
+            lifecycle.cancelRedrive(message);
+        } else if (!message.isDone() && context.nowMicros() <= message.content().deadlineMicros()) {
+            // The message is delivered, so the policy must start no further attempt.
+            events.add(new MessageWithdrawn(message.number()));
+            lifecycle.finish(message, true);
+        }
+    }
+}
--- a/src/main/java/loftflow/engine/CompletionNotifier.java
+++ b/src/main/java/loftflow/engine/CompletionNotifier.java
@@ -1,13 +1,13 @@
 package loftflow.engine;
 
 /**
- * The port through which ends are told: those other than delivery, and all of messages whose client asked for a reply.
- * Each is told until it has been heard.
+ * The port through which completions are notified: every end other than delivery, and every end of a message whose
+ * client requested a reply. A notification is repeated until it is acknowledged.
  */
 public interface CompletionNotifier {
     /**
-     * Tells how a message ended; {@link DeliveryEngine#onCompletionAcknowledged} is called once that is known to have
-     * been heard.
+     * Notifies {@link Message#completion()}; {@link DeliveryEngine#onCompletionAcknowledged} is called, now or later,
+     * once it is acknowledged. To be called on the event loop.
      */
     void notifyCompletion(Message message);
 }
--- a/src/main/java/loftflow/engine/DeadLetterSink.java
+++ b/src/main/java/loftflow/engine/DeadLetterSink.java
@@ -4,12 +4,12 @@
 import loftflow.policy.api.EndpointListKind;
 
 /**
- * The port through which messages that could not be delivered are kept, and come back to be sent again. To be called
- * on the event loop only; {@link DeliveryEngine#onDeadLetterStored} answers {@link #store} and {@link #onRedriveEnded},
- * then or later.
+ * The port to the store of undeliverable messages, which may redrive them by {@link DeliveryEngine#redrive}. To be
+ * called on the event loop. {@link DeliveryEngine#onDeadLetterStored} acknowledges {@link #store} and
+ * {@link #onRedriveEnded}, during the call or later.
  */
 public interface DeadLetterSink extends EndpointListListener {
-    /** Keeps nothing. */
+    /** Stores nothing. */
     DeadLetterSink NONE = new DeadLetterSink() {
         @Override
         public boolean accepts(Message message) {
@@ -23,7 +23,7 @@
 
         @Override
         public void store(Message message) {
-            throw new IllegalStateException("nothing is kept");
+            throw new IllegalStateException("there is no dead-letter store");
         }
 
         @Override
@@ -31,37 +31,31 @@
 
         @Override
         public void onRedriveEnded(Message message) {
-            throw new IllegalStateException("nothing is sent again");
+            throw new IllegalStateException("there is no dead-letter store to redrive from");
         }
 
         @Override
         public void onOutcomeLearned(Message.Attempt attempt) {}
 
         @Override
-        public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> targets) {}
+        public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> endpoints) {}
     };
 
-    /** True where a message that its client was told is taken on, and that ends undelivered, is to be kept. */
+    /** True where this message, whose client was notified of its acceptance, is to be stored if it ends undelivered. */
     boolean accepts(Message message);
 
-    /** True where work of that class is refused, since what it might leave could not be kept. */
+    /** True where new messages of this class are to be rejected, since the store has no capacity for them. */
     boolean rejects(Message.Content content);
 
-    /**
-     * Keeps a message that has ended; {@link DeliveryEngine#onDeadLetterStored} is called once it outlasts the process
-     * there.
-     */
+    /** Stores a message that ended; {@link DeliveryEngine#onDeadLetterStored} is called once it is durable. */
     void store(Message message);
 
-    /** A restart has brought back a message from the journal, before anything else is told of it. */
+    /** A message was resumed from the journal; called before any other method for that message. */
     void onMessageResumed(Message message);
 
-    /**
-     * A message that was sent again has ended; {@link DeliveryEngine#onDeadLetterStored} is called once that outlasts
-     * the process.
-     */
+    /** A redrive ended; {@link DeliveryEngine#onDeadLetterStored} is called once its result is durable. */
     void onRedriveEnded(Message message);
 
-    /** More has become known of an attempt whose message has ended or been kept. */
+    /** An outcome was learned after the message of the attempt had ended or been stored. */
     void onOutcomeLearned(Message.Attempt attempt);
 }
--- /dev/null
+++ b/src/main/java/loftflow/engine/DeliveryRound.java
@@ -0,0 +1,66 @@
+package loftflow.engine;
+
+import java.util.List;
+import loftflow.policy.api.DeliveryPolicy;
+import loftflow.policy.api.PolicyActions;
+import loftflow.policy.api.PolicyEvent;
+
+/**
+ * One round: the policy processes the events since the last round, then the clients of accepted messages are answered,
+ * then the attempts are sent.
+ */
+final class DeliveryRound {
+    /** How the log line of a round that threw begins; the emulator stops at such a line. */
+    private static final String ROUND_FAILED = "a round failed";
+
+    private final EngineContext context;
+    private final PolicyEventQueue events;
+    private final MessageAdmission admission;
+    private final AttemptDispatcher dispatcher;
+    private final DeliveryPolicy policy;
+    private final PolicyActions actions;
+
+    DeliveryRound(
+            EngineContext context,
+            PolicyEventQueue events,
+            MessageAdmission admission,
+            AttemptDispatcher dispatcher,
+            DeliveryPolicy policy,
+            PolicyActions actions) {
+        this.context = context;
+        this.events = events;
+        this.admission = admission;
+        this.dispatcher = dispatcher;
+        this.policy = policy;
+        this.actions = actions;
+    }
+
+    void run() {
+        long nowMicros = context.nowMicros();
+        List<PolicyEvent> pendingEvents = events.drain();
+        List<Message> acceptedMessages = admission.drainUnanswered();
+        runPolicy(nowMicros, pendingEvents);
+        confirmAcceptance(acceptedMessages);
+        dispatcher.sendPending();
+    }
+
+    /** An error is logged and ends this round only: the relay goes on with the messages that it is responsible for. */
+    private void runPolicy(long nowMicros, List<PolicyEvent> pendingEvents) {
+        try {
+            if (!context.isQuiescing()) {
+                policy.onRound(nowMicros, pendingEvents, actions);
+            }
+        } catch (RuntimeException e) {
+            StackTraceElement[] trace = e.getStackTrace();
+            context.log(ROUND_FAILED + ": " + e + " at " + (trace.length > 0 ? trace[0] : null));
+        }
+    }
+
+    private static void confirmAcceptance(List<Message> acceptedMessages) {
+        for (Message message : acceptedMessages) {
+            if (message.isClientWaiting()) {
+                message.takeClientReply().accepted();
+            }
+        }
+    }
+}
--- a/src/main/java/loftflow/engine/Endpoint.java
+++ b/src/main/java/loftflow/engine/Endpoint.java
@@ -5,13 +5,14 @@
 import java.net.UnknownHostException;
 import loftflow.policy.api.EndpointEntry;
 
-/** A host in a list and the address at which this relay reaches it. */
+/** An entry of an endpoint list and the address at which this relay reaches it. */
 public record Endpoint(EndpointEntry entry, InetSocketAddress address) {
 
     /**
-     * Reads an address in digits with its port, such as {@code 127.0.0.1:8080} or {@code [::1]:8080}: there is no DNS.
+     * Parses a numeric address with its port, such as {@code 127.0.0.1:8080} or {@code [::1]:8080}; host names are not
+     * resolved.
      *
-     * @throws IllegalArgumentException where it is anything else
+     * @throws IllegalArgumentException where the text is anything else
      */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/loftflow/engine/EndpointListListener.java
+++ b/src/main/java/loftflow/engine/EndpointListListener.java
@@ -3,8 +3,12 @@
 import java.util.List;
 import loftflow.policy.api.EndpointListKind;
 
-/** Takes in what discovery, or a list on file, tells of hosts. */
+/** Receives the endpoint lists of discovery or of a file. */
 public interface EndpointListListener {
-    /** A whole list or changes to it, with its version. */
-    void onEndpointList(EndpointListKind kind, long version, List<Endpoint> targets);
+    /**
+     * A full list, or changes to it. To be called on the event loop.
+     *
+     * @param version the version of the list after this update
+     */
+    void onEndpointList(EndpointListKind kind, long version, List<Endpoint> endpoints);
 }
--- a/src/main/java/loftflow/engine/EventLoopLag.java
+++ b/src/main/java/loftflow/engine/EventLoopLag.java
@@ -1,34 +1,36 @@
 package loftflow.engine;
 
 /**
- * Tells since when bytes that are read now may have lain unread. A pass of the loop reads, then runs its timers:
- * what it reads had not come when the pass before it looked, and no pass runs two beats.
+ * Bounds how long bytes that are read now may have waited unread. An event-loop pass reads sockets, then runs timers.
+ * A timer of this class samples the clock at a fixed interval; bytes that are read after a sample arrived no earlier
+ * than the sample before it, since the pass of that sample read everything that had arrived by then.
  */
 public final class EventLoopLag {
-    /** Every message counts as up to two beats older than it is. */
-    private static final long BEAT = 10_000;
+    /** Interval between samples: the age of a message is overestimated by up to twice this. */
+    private static final long SAMPLE_INTERVAL_MICROS = 10_000;
 
     private final Timers timers;
     private final Clock clock;
-    private long last;
-    private long beforeLast;
+    private long lastSampleMicros;
+    private long previousSampleMicros;
 
+    /** A bound that stays at the time of construction until {@link #start}. */
     public EventLoopLag(Timers timers, Clock clock) {
         this.timers = timers;
         this.clock = clock;
-        last = clock.micros();
-        beforeLast = last;
+        lastSampleMicros = clock.micros();
+        previousSampleMicros = lastSampleMicros;
     }
 
-    /** Beats from now on; until then everything counts as having come at the start. */
+    /** Starts sampling; once, on the event loop. */
     public void start() {
-        beforeLast = last;
-        last = clock.micros();
-        timers.schedule(BEAT, this::start);
+        previousSampleMicros = lastSampleMicros;
+        lastSampleMicros = clock.micros();
+        timers.schedule(SAMPLE_INTERVAL_MICROS, this::start);
     }
 
-    /** The earliest time at which what is read or accepted now can have come. */
+    /** The earliest time at which bytes that are read now can have arrived, in microseconds since the epoch. */
     public long unreadSince() {
-        return beforeLast;
+        return previousSampleMicros;
     }
 }
--- a/src/main/java/loftflow/engine/Message.java
+++ b/src/main/java/loftflow/engine/Message.java
@@ -4,27 +4,34 @@
 import java.util.Collections;
 import java.util.List;
 import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.MessageAccepted;
 
 /**
- * A message that a client handed in, and how far its delivery has come. Times are the {@link Clock}'s, in
- * microseconds. Not safe for use by several threads: everything about a message happens on the event loop.
+ * A message that a client sent, and the state of its delivery. Times are the {@link Clock}'s, in microseconds since the
+ * epoch. Not thread-safe: to be used on the event loop only.
  */
 public final class Message {
     /**
-     * Where the end of a message is to be told, whatever it is.
+     * Where the completion of a message is to be sent, whatever it is.
      *
-     * @param listener the front that tells it
-     * @param queue the name that its client listens by
-     * @param correlationId what the client knows its message by; may be null
+     * @param listener the name of the listener that sends it
+     * @param queue the queue that the client consumes
+     * @param correlationId the client's own id of the message; may be null
      */
     public record Reply(String listener, String queue, String correlationId) {}
 
     /**
-     * What a client handed in; {@code tenant} and {@code key} may be null.
+     * What a client sent.
      *
-     * @param reply null where the client asked for none, and hears of ends other than delivery by
-     *     {@link CompletionNotifier}' usual way
-     * @param orderingKey what order is kept by where that is another than the key; null where it is not
+     * @param messageId unique among the messages in the journal
+     * @param requestClass name of a class in the settings
+     * @param tenant may be null
+     * @param key idempotency key; may be null
+     * @param deadlineMicros a delivery after this time counts as none
+     * @param body not copied; must not be changed
+     * @param reply null where the client requested none, and is notified of other ends than delivery by
+     *     {@link CompletionNotifier}
+     * @param orderingKey the ordering key where it is not {@code key}; else null
      */
     public record Content(
             String messageId,
@@ -36,7 +43,7 @@
             byte[] body,
             Reply reply,
             String orderingKey) {
-        /** A message whose order, where its class keeps one, is that of its key. */
+        /** A message that is ordered by its idempotency key, where its class is ordered. */
         public Content(
                 String messageId,
                 String requestClass,
@@ -49,7 +56,7 @@
             this(messageId, requestClass, tenant, key, deadlineMicros, destination, body, reply, null);
         }
 
-        /** A message whose client asked for no reply. */
+        /** A message whose client requested no reply. */
         public Content(
                 String messageId,
                 String requestClass,
@@ -63,24 +70,27 @@
     }
 
     /**
-     * How a message ends, where its end is to be told.
+     * How a message ends, where that is to be notified.
      *
-     * @param retryAfterMicros microseconds after which a refused one may be handed in again; 0 where that is not known
+     * @param retryAfterMicros microseconds after which the client may send a rejected message again; 0 where not known
      */
     public record Completion(Kind kind, long retryAfterMicros) {
-        /** What an end is: delivered, refused and never run, or failed with what became of it untold. */
+        /** The ordinals are stored in the journal. */
         public enum Kind {
+            /** Not delivered as far as is known; whether it took effect is not known. */
             FAILED,
+            /** Surely not executed; the client may send it again. */
             REJECTED,
+            /** Delivered before its deadline. */
             DELIVERED
         }
 
-        /** An end that is told as failed, or as refused with a time to come back. */
+        /** A completion as failed or rejected. */
         public Completion(boolean isRejected, long retryAfterMicros) {
             this(isRejected ? Kind.REJECTED : Kind.FAILED, retryAfterMicros);
         }
 
-        /** The word by which it is told (PROTOCOL, ends). */
+        /** The value of the protocol's {@code result} field. */
         public String word() {
             return switch (kind) {
                 case FAILED -> "dead";
@@ -89,32 +99,32 @@
             };
         }
 
-        /** True where it never ran, and may be handed in again. */
+        /** True where the message was surely not executed and may be sent again. */
         public boolean isRejected() {
             return kind == Kind.REJECTED;
         }
     }
 
-    /** One attempt; {@code result} stays null while nothing is known. */
+    /** One attempt to deliver a message. */
     public static final class Attempt {
-        final Message message;
-        final int number;
-        final String route;
-        final long sentAtMicros;
-        AttemptOutcome outcome;
+        private final Message message;
+        private final int number;
+        private final String route;
+        private final long sentAtMicros;
+        private AttemptOutcome outcome;
 
-        private Attempt(Message message, int number, String route, long sentAt) {
+        private Attempt(Message message, int number, String route, long sentAtMicros) {
             this.message = message;
             this.number = number;
             this.route = route;
-            this.sentAtMicros = sentAt;
+            this.sentAtMicros = sentAtMicros;
         }
 
         public Message message() {
             return message;
         }
 
-        /** How many attempts came before it. */
+        /** Its index within its message, from 0. */
         public int number() {
             return number;
         }
@@ -127,60 +137,67 @@
             return sentAtMicros;
         }
 
-        /** How it ended, or null while nothing is known. */
+        /** Its outcome, or null while that is not known. */
         public AttemptOutcome outcome() {
             return outcome;
         }
 
-        /** Takes in how it ended. */
+        /** Sets its outcome. */
         public void outcome(AttemptOutcome known) {
             outcome = known;
         }
     }
 
-    /** Number in this relay's journal. */
-    final long number;
-
-    final Content content;
-    final List<Attempt> attempts = new ArrayList<>();
-    /** Where the client that handed the message in waits; null once it has its answer. */
-    ClientReply client;
-
-    Completion completion;
-    /** The timer that ends the message should the module leave it open. */
-    Timers.Timer endWatch;
-    /** Nothing more is owed. */
-    boolean over;
-    /** A restart has found it. */
-    boolean resumed;
-    /** How many have still to hear how it ended. */
-    int owed = 1;
-
+    private final long number;
+    private final Content content;
     private final long deadLetterId;
-    private int out;
+    private final List<Attempt> attempts = new ArrayList<>();
+    /** Null once the client has its answer. */
+    private ClientReply clientReply;
 
-    /** A message with the number that it has in this relay's journal. */
+    private Completion completion;
+    private Timers.Timer overdueTimer;
+    private boolean isDone;
+    private boolean isResumed;
+    private int acknowledgementsPending = 1;
+    private int attemptsInFlight;
+
+    /**
+     * A message that a client sent.
+     *
+     * @param number its sequence number in this relay's journal
+     */
     public Message(long number, Content content) {
         this(number, content, 0);
     }
 
-    /** A message that was kept as an entry of the {@link DeadLetterSink} and is sent again; 0 for one from a client. */
-    public Message(long number, Content content, long entry) {
+    /**
+     * A message that is sent again from the dead-letter store.
+     *
+     * @param deadLetterId its entry in the store; 0 for a message from a client
+     */
+    public Message(long number, Content content, long deadLetterId) {
         this.number = number;
         this.content = content;
-        this.deadLetterId = entry;
+        this.deadLetterId = deadLetterId;
     }
 
-    /** The entry that this message sends again; 0 where a client handed it in. */
+    /** The dead-letter entry that this message redrives; 0 for a message from a client. */
     public long deadLetterId() {
         return deadLetterId;
     }
 
-    /** True where some attempt is known to have taken effect. */
+    /** True where this message redrives a dead letter. */
+    boolean isRedrive() {
+        return deadLetterId != 0;
+    }
+
+    /** True where an attempt is known to have taken effect. */
     public boolean isDelivered() {
         return attempts.stream().anyMatch(attempt -> attempt.outcome == AttemptOutcome.OK);
     }
 
+    /** Its sequence number in this relay's journal. */
     public long number() {
         return number;
     }
@@ -189,49 +206,135 @@
         return content;
     }
 
-    /** Every attempt so far, the first one first. */
+    /** All attempts so far, the first one first; an unmodifiable view. */
     public List<Attempt> attempts() {
         return Collections.unmodifiableList(attempts);
     }
 
-    /** How it ends, or null where that is not decided, or not to be told. */
+    boolean hasAttempts() {
+        return !attempts.isEmpty();
+    }
+
+    int attemptCount() {
+        return attempts.size();
+    }
+
+    Attempt attempt(int attemptNumber) {
+        return attempts.get(attemptNumber);
+    }
+
+    /** Adds an attempt that is about to be sent, or was sent before a restart. */
+    public Attempt addAttempt(String route, long sentAtMicros) {
+        Attempt attempt = new Attempt(this, attempts.size(), route, sentAtMicros);
+        attempts.add(attempt);
+        return attempt;
+    }
+
+    /** How it ends, or null where that is not decided or is not to be notified. */
     public Completion completion() {
         return completion;
     }
 
-    /** Takes in how it ends. */
+    /** Sets how it ends. */
     public void complete(Completion decided) {
         completion = decided;
     }
 
-    /** Adds an attempt that is about to be made, or was made before a restart. */
-    public Attempt addAttempt(String route, long sentAt) {
-        Attempt attempt = new Attempt(this, attempts.size(), route, sentAt);
-        attempts.add(attempt);
-        return attempt;
+    /** True until its completion is decided or nothing more is owed for it. */
+    boolean isOpen() {
+        return completion == null && !isDone;
+    }
+
+    /** True once nothing more is owed for it, and the journal records it as done. */
+    boolean isDone() {
+        return isDone;
+    }
+
+    void markDone() {
+        isDone = true;
+    }
+
+    /** True where this process found it in the journal at its start. */
+    boolean isResumed() {
+        return isResumed;
+    }
+
+    void markResumed() {
+        isResumed = true;
+    }
+
+    /** Sets the client that waits for its answer. */
+    void awaitAnswer(ClientReply waitingClient) {
+        clientReply = waitingClient;
+    }
+
+    boolean isClientWaiting() {
+        return clientReply != null;
+    }
+
+    /** Removes and returns the client that waits for its answer, or null. */
+    ClientReply takeClientReply() {
+        ClientReply waitingClient = clientReply;
+        clientReply = null;
+        return waitingClient;
+    }
+
+    /** Sets the timer that ends the message should the policy leave it open. */
+    void startOverdueTimer(Timers.Timer timer) {
+        overdueTimer = timer;
+    }
+
+    void cancelOverdueTimer() {
+        overdueTimer.cancel();
+    }
+
+    /** Sets how many acknowledgements of its completion must arrive. */
+    void expectAcknowledgements(int count) {
+        acknowledgementsPending = count;
+    }
+
+    /** Counts an acknowledgement of its completion; true where it was the last one expected. */
+    boolean acknowledge() {
+        acknowledgementsPending--;
+        return acknowledgementsPending == 0;
     }
 
     void attemptStarted() {
-        out++;
+        attemptsInFlight++;
     }
 
     void attemptEnded() {
-        out--;
+        attemptsInFlight--;
+    }
+
+    boolean hasAttemptsInFlight() {
+        return attemptsInFlight > 0;
     }
 
-    boolean hasAttemptsOut() {
-        return out > 0;
+    /** The event by which the policy learns of this message. */
+    MessageAccepted toAcceptedEvent() {
+        return new MessageAccepted(
+                number,
+                content.requestClass(),
+                content.tenant(),
+                content.orderingKey() != null ? content.orderingKey() : content.key(),
+                content.deadlineMicros(),
+                content.destination());
     }
 
-    /** The answer that a client waits for after it has handed a message in; exactly one of these is called, once. */
+    /** The answer that a client waits for after it has sent a message; exactly one method is called, once. */
     public interface ClientReply {
-        /** Taken on: the relay owes the message its end. */
+        /** Accepted: the relay is responsible for the message from now on. */
         void accepted();
 
-        /** Refused: handing it in again is harmless, after so many microseconds where that is above 0. */
-        void rejected(long retryIn);
+        /**
+         * Rejected: sending it again is safe.
+         *
+         * @param retryAfterMicros microseconds after which to send it again; 0 where that is not known
+         */
+        void rejected(long retryAfterMicros);
 
-        /** Failed: whether it took effect stays untold. */
+        /** Failed: whether it took effect is not known. */
         void failed();
     }
 }
--- a/src/main/java/loftflow/engine/MessageAcceptor.java
+++ b/src/main/java/loftflow/engine/MessageAcceptor.java
@@ -1,36 +1,37 @@
 package loftflow.engine;
 
-/**
- * The port through which any front hands messages in and hears their end. To be called on the event loop only.
- */
+/** The port through which listeners submit messages. To be called on the event loop. */
 public interface MessageAcceptor {
-    /** True once a list of hosts is known, also an old one. */
+    /** True once an endpoint list is known, be it a cached one. */
     boolean isReady();
 
     /**
-     * True where the class, the tenant and the destination are known, or may be once discovery has told its
-     * list, and a key is there if one is needed.
+     * True where class, tenant and destination are known and the key is present if the class needs one. A destination
+     * that the full list may still name counts as known.
      */
     boolean recognizes(Message.Content content);
 
-    /** True where the destination is known, or may be once discovery has told its list. */
+    /** True where the destination is known, or where the full list that may name it has not been received yet. */
     boolean hasDestination(int destination);
 
     /**
-     * Takes a message on, whose bytes may have lain unread since a time, and returns it; its client is answered at
-     * the end of the round, so that one who leaves meanwhile is noticed and one whose message ends at once hears
-     * that instead. Null where the client has its answer already.
+     * Accepts a message. Its client is answered at the end of the round: until then a disconnect is noticed and
+     * withdraws the message, and a message that ends at once is answered with its end.
+     *
+     * @param unreadSinceMicros the earliest time at which its bytes can have arrived
+     * @return the message, or null where the client has been answered already
      */
-    Message accept(Message.Content content, long unreadSince, Message.ClientReply client);
+    Message accept(Message.Content content, long unreadSinceMicros, Message.ClientReply clientReply);
 
-    /** The client left before its answer: nothing is owed to it. */
+    /** The client disconnected before its answer: nothing is owed for the message. */
     void withdraw(Message message);
 
     /**
-     * The client left before its answer and can't take that back: the message goes on, and its end is told as usual.
+     * The client disconnected before its answer but can't withdraw the message: it is delivered, and its completion
+     * notified, as usual.
      */
     void clientDisconnected(Message message);
 
-    /** Which share of the messages that may be open are, from 0 to 1. */
+    /** The share of the open-message limit that is in use, 0 to 1. */
     double utilization();
 }
--- /dev/null
+++ b/src/main/java/loftflow/engine/MessageAdmission.java
@@ -0,0 +1,133 @@
+package loftflow.engine;
+
+import java.util.ArrayList;
+import java.util.List;
+import loftflow.policy.api.MessageResumed;
+import loftflow.policy.api.MessageWithdrawn;
+import loftflow.policy.api.PastAttempt;
+
+/**
+ * Decides which messages are accepted: those that clients send, and those that the dead-letter store sends again. A
+ * message is in the journal and in the table before its client is answered.
+ */
+final class MessageAdmission {
+    /** A rejected client may retry after this long. */
+    private static final long RETRY_AFTER_MICROS = 1_000_000;
+    /** Redrives are accepted while at most this share of the open-message limit is in use. */
+    private static final double MAX_UTILIZATION_FOR_REDRIVE = 0.5;
+    /** A message that may have been unread for longer is rejected; clients wait 400 ms for their answer. */
+    private static final long MAX_UNREAD_MICROS = 400_000;
+
+    private final EngineContext context;
+    private final MessageTable messages;
+    private final DestinationRegistry destinations;
+    private final PolicyEventQueue events;
+    private final MessageLifecycle lifecycle;
+    /** Accepted since the last round; their clients are answered at the end of the next one. */
+    private List<Message> unanswered = new ArrayList<>();
+
+    private long nextSequenceNumber;
+
+    MessageAdmission(
+            EngineContext context,
+            MessageTable messages,
+            DestinationRegistry destinations,
+            PolicyEventQueue events,
+            MessageLifecycle lifecycle) {
+        this.context = context;
+        this.messages = messages;
+        this.destinations = destinations;
+        this.events = events;
+        this.lifecycle = lifecycle;
+        nextSequenceNumber = context.journal().nextSequenceNumber();
+    }
+
+    /** Implements {@link MessageAcceptor#accept}. */
+    Message accept(Message.Content content, long unreadSinceMicros, Message.ClientReply clientReply) {
+        Message duplicate = messages.findByMessageId(content.messageId());
+        if (duplicate != null) {
+            answerDuplicate(duplicate, clientReply);
+            return null;
+        }
+        // A cached list may lack a destination that exists by now, so this rejects the message instead of failing it.
+        boolean isReachable = destinations.contains(content.destination());
+        // A client whose message was unread for so long may have stopped waiting. The price is that a client that has
+        // only just connected is rejected too.
+        boolean isLate = context.nowMicros() - unreadSinceMicros > MAX_UNREAD_MICROS;
+        Message message = new Message(nextSequenceNumber, content);
+        if (!destinations.isReady()
+                || context.isQuiescing()
+                || isLate
+                || !isReachable
+                || context.deadLetterSink().rejects(content)
+                || messages.openCount() >= context.maxOpenMessages()
+                || !context.journal().recordAccepted(message)) {
+            clientReply.rejected(RETRY_AFTER_MICROS);
+            return null;
+        }
+        nextSequenceNumber++;
+        messages.incrementOpenCount();
+        message.awaitAnswer(clientReply);
+        messages.add(message);
+        unanswered.add(message);
+        lifecycle.startOverdueTimer(message);
+        events.add(message.toAcceptedEvent());
+        return message;
+    }
+
+    /**
+     * Answers a client that repeats a request, usually since its connection was closed. The repeat is accepted only
+     * where the first request has been answered, so that it can't be withdrawn any more, and its message is open.
+     */
+    private static void answerDuplicate(Message duplicate, Message.ClientReply clientReply) {
+        if (!duplicate.isClientWaiting() && duplicate.isOpen()) {
+            clientReply.accepted();
+        } else {
+            clientReply.failed();
+        }
+    }
+
+    /** Implements {@link DeliveryEngine#redrive}. */
+    Message redrive(long deadLetterId, Message.Content content, List<PastAttempt> pastAttempts) {
+        boolean isBusy = messages.openCount() > context.maxOpenMessages() * MAX_UTILIZATION_FOR_REDRIVE;
+        if (!destinations.isReady()
+                || context.isQuiescing()
+                || isBusy
+                || messages.findByMessageId(content.messageId()) != null
+                || !destinations.contains(content.destination())) {
+            return null;
+        }
+        Message message = new Message(nextSequenceNumber, content, deadLetterId);
+        pastAttempts.forEach(
+                past -> message.addAttempt(past.route(), past.sentAtMicros()).outcome(past.outcome()));
+        if (!context.journal().recordAccepted(message)) {
+            return null;
+        }
+        nextSequenceNumber++;
+        messages.incrementOpenCount();
+        messages.add(message);
+        lifecycle.startOverdueTimer(message);
+        events.add(new MessageResumed(message.toAcceptedEvent(), pastAttempts));
+        return message;
+    }
+
+    /** Implements {@link MessageAcceptor#withdraw}. */
+    void withdraw(Message message) {
+        message.takeClientReply();
+        if (messages.find(message.number()) != null && message.isOpen()) {
+            events.add(new MessageWithdrawn(message.number()));
+            lifecycle.closeWithoutNotice(message);
+        }
+    }
+
+    boolean hasUnansweredClients() {
+        return !unanswered.isEmpty();
+    }
+
+    /** Removes and returns the messages accepted since the last call, in order of acceptance. */
+    List<Message> drainUnanswered() {
+        List<Message> drained = unanswered;
+        unanswered = new ArrayList<>();
+        return drained;
+    }
+}
--- a/src/main/java/loftflow/engine/Timers.java
+++ b/src/main/java/loftflow/engine/Timers.java
@@ -1,13 +1,13 @@
 package loftflow.engine;
 
-/** Runs tasks later, on the thread that everything in the engine happens on. */
+/** Schedules tasks on the event loop. */
 public interface Timers {
-    /** A task that is due once. */
+    /** A scheduled task. */
     interface Timer {
-        /** Lets the task be; without effect once it has run. */
+        /** Cancels the task; without effect once it has run. */
         void cancel();
     }
 
-    /** Runs a task once after a span in microseconds. */
-    Timer schedule(long micros, Runnable task);
+    /** Runs a task once, after a delay in microseconds. */
+    Timer schedule(long delayMicros, Runnable task);
 }
--- a/src/main/java/loftflow/engine/UpstreamClient.java
+++ b/src/main/java/loftflow/engine/UpstreamClient.java
@@ -6,54 +6,66 @@
 import loftflow.policy.api.LimitReport;
 
 /**
- * The port through which the engine calls partners of any kind. Every attempt that is sent ends by exactly one call
- * of {@link ResultListener#onAttemptCompleted}, every probe by one of {@link ResultListener#onProbeCompleted}; both may
- * come before {@code send} or
- * {@code probe} returns. Nothing is sent a second time by itself. To be called on the event loop only.
+ * The port through which the engine calls upstreams of any protocol. Every attempt that is sent ends by exactly one
+ * call of {@link ResultListener#onAttemptCompleted}, every probe by one of {@link ResultListener#onProbeCompleted};
+ * both may be called before {@code send} or {@code probe} returns. An implementation never retries by itself. To be
+ * called on the event loop.
  */
 public interface UpstreamClient {
-    /** Takes in what became of attempts and probes. */
+    /** Receives the results of attempts and probes, on the event loop. */
     interface ResultListener {
         /**
          * An attempt ended.
          *
-         * @param over nothing more is owed for its message
-         * @param wait how long the partner told this relay to wait, in microseconds; 0 where it did not
+         * @param isFinal the upstream needs nothing more for its message
+         * @param retryAfterMicros how long the upstream requested to be sent nothing; 0 where it did not
          */
         void onAttemptCompleted(
-                Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report);
+                Message.Attempt attempt,
+                AttemptOutcome outcome,
+                boolean isFinal,
+                long retryAfterMicros,
+                LimitReport limitReport);
 
-        /** A partner has told this relay to wait; what becomes of the call that it told so is told for itself. */
-        void onRetryAfter(String route, long wait);
+        /** An upstream requested to be sent nothing for a while; the call that carried this ends separately. */
+        void onRetryAfter(String route, long retryAfterMicros);
 
-        /** A partner has answered, after its attempt ended as timed out, that the message took effect. */
+        /** An upstream reported that a message took effect after its attempt had timed out. */
         void onLateDelivery(Message.Attempt attempt);
 
-        /** A probe ended after so many microseconds; {@code wait} as above. */
-        void onProbeCompleted(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report);
+        /**
+         * A probe ended.
+         *
+         * @param retryAfterMicros how long the upstream requested to be sent nothing; 0 where it did not
+         */
+        void onProbeCompleted(
+                String route,
+                AttemptOutcome outcome,
+                long retryAfterMicros,
+                long elapsedMicros,
+                LimitReport limitReport);
     }
 
     /**
      * An attempt to send.
      *
-     * @param timeoutMicros how many microseconds its answer is waited for
-     * @param latestArrivalMicros when a partner may meet it at the latest, on the clock of messages: what can't be
-     *     there by then, since
-     *     it still waits for a connection or is the first on one, ends as not sent. {@link Long#MAX_VALUE} where that
-     *     is no matter
+     * @param timeoutMicros how long to wait for the response, in microseconds
+     * @param latestArrivalMicros the latest time at which the upstream may receive it, on the {@link Clock}: an attempt
+     *     that can't arrive by then, because it waits for a connection or is the first on a new one, ends as not sent.
+     *     {@link Long#MAX_VALUE} for no bound
      */
     record OutboundAttempt(Message.Attempt attempt, long timeoutMicros, long latestArrivalMicros) {}
 
-    /** Takes in a list of hosts; what drains or is gone is sent nothing new from now on. */
-    void onEndpointList(EndpointListKind kind, List<Endpoint> targets);
+    /** An endpoint list was received; endpoints that drain or are gone are sent nothing new from now on. */
+    void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints);
 
-    /** Sends what one round has for one route, in as few calls as its kind allows. */
-    void send(String route, List<OutboundAttempt> outgoing);
+    /** Sends the attempts of one round to one route, in as few calls as the protocol allows. */
+    void send(String route, List<OutboundAttempt> attempts);
 
-    /** Gives up one attempt; one that is over already stays as it is. */
+    /** Cancels an attempt; without effect where it has ended. */
     void cancel(Message.Attempt attempt);
 
-    /** Asks a route how it fares; it counts as a call there. */
+    /** Sends a health check to a route; it counts as a call there. */
     void probe(String route);
 
     /** Closes idle connections to a route. */
--- a/src/test/java/loftflow/server/ShutdownTest.java
+++ b/src/test/java/loftflow/server/ShutdownTest.java
@@ -430,7 +430,7 @@
         loop.submit(this::resume).sync();
         await(() -> nothingIsOpen());
         assertEquals(1, host.count("POST /receive"));
-        assertTrue(log.contains("resumed 1 messages, 1 of them untried"), log.toString());
+        assertTrue(log.contains("engine: messages resumed count=1 untried=1"), log.toString());
         assertEquals(List.of(), ended);
     }
 
