--- a/src/main/java/loftflow/upstream/http/ResponseDecoder.java
+++ b/src/main/java/loftflow/upstream/http/ResponseDecoder.java
@@ -8,40 +8,41 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads answers, and tells what the first line of the awaited one says as soon as that line has come: it holds
- * even where the rest of the head can't be read or never ends.
+ * Decodes responses, and exposes the status of the awaited response as soon as its status line has been received. The
+ * status is valid even where the rest of the head is malformed or never ends.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
-    /** What {@link #status} says before the first line has come, and of one that can't be read. */
-    static final int UNKNOWN = 0;
+    /** The {@link #status} before the status line has been received. */
+    static final int STATUS_UNKNOWN = 0;
+    /** The {@link #status} where the status line is malformed. */
+    static final int STATUS_MALFORMED = -1;
 
-    static final int UNREADABLE = -1;
-    private static final int LONGEST_LINE = 1024;
-    private static final String START = "HTTP/1.";
-    private static final Pattern LINE = Pattern.compile("HTTP/1\\.[01] (\\d{3})(?: .*)?", Pattern.DOTALL);
+    private static final int MAX_LINE_CHARS = 1024;
+    private static final String STATUS_LINE_PREFIX = "HTTP/1.";
+    private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] (\\d{3})(?: .*)?", Pattern.DOTALL);
 
     private final StringBuilder line = new StringBuilder();
     private int status;
-    private boolean skipping;
+    private boolean isSkippingInformational;
 
-    /** Another answer is awaited from now on. */
-    void await() {
+    /** Starts over: the next response on the connection is the awaited one. */
+    void awaitResponse() {
         line.setLength(0);
-        status = UNKNOWN;
-        skipping = false;
+        status = STATUS_UNKNOWN;
+        isSkippingInformational = false;
     }
 
-    /** The status in the first line of the awaited answer; 1xx answers ahead of it don't count. */
+    /** The status in the first line of the awaited response; 1xx responses ahead of it are skipped. */
     int status() {
         return status;
     }
 
-    /** True where the awaited answer, or a 1xx ahead of it, has begun to come. */
+    /** Returns true where bytes of the awaited response, or of a 1xx response ahead of it, have been received. */
     boolean hasBegun() {
-        return status != UNKNOWN || skipping || !line.isEmpty();
+        return status != STATUS_UNKNOWN || isSkippingInformational || !line.isEmpty();
     }
 
-    /** True where bytes are left that belong to no answer read so far. */
+    /** Returns true where received bytes remain that belong to no response decoded so far. */
     boolean hasLeftover() {
         return actualReadableBytes() > 0;
     }
@@ -49,41 +50,47 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object bytes) throws Exception {
         ByteBuf buffer = (ByteBuf) bytes;
-        for (int at = buffer.readerIndex(); at < buffer.writerIndex() && status == UNKNOWN; at++) {
-            look((char) (buffer.getByte(at) & 0xff));
+        int index = buffer.readerIndex();
+        while (index < buffer.writerIndex() && status == STATUS_UNKNOWN) {
+            scan((char) (buffer.getByte(index) & 0xff));
+            index++;
         }
         super.channelRead(ctx, bytes);
     }
 
-    private void look(char next) {
+    private void scan(char next) {
         if (next == '\n') {
-            String text = line.toString().strip();
-            line.setLength(0);
-            if (skipping) {
-                skipping = !text.isEmpty();
-            } else if (!text.isEmpty()) {
-                firstLine(text);
-            }
+            scanLine();
             return;
         }
         line.append(next);
-        // What is longer than the start was looked at when it was as long.
-        boolean started = skipping
-                || line.length() > START.length()
-                || START.startsWith(line.toString().strip());
-        if (!started || line.length() > LONGEST_LINE) {
-            status = UNREADABLE;
+        // A line longer than the prefix was compared with it when it was as long.
+        boolean isPlausible = isSkippingInformational
+                || line.length() > STATUS_LINE_PREFIX.length()
+                || STATUS_LINE_PREFIX.startsWith(line.toString().strip());
+        if (!isPlausible || line.length() > MAX_LINE_CHARS) {
+            status = STATUS_MALFORMED;
         }
     }
 
-    private void firstLine(String text) {
-        Matcher matcher = LINE.matcher(text);
-        int code = matcher.matches() ? Integer.parseInt(matcher.group(1)) : UNREADABLE;
-        skipping = code / 100 == 1;
-        status = skipping ? UNKNOWN : code;
+    private void scanLine() {
+        String text = line.toString().strip();
+        line.setLength(0);
+        if (isSkippingInformational) {
+            isSkippingInformational = !text.isEmpty();
+        } else if (!text.isEmpty()) {
+            parseStatusLine(text);
+        }
+    }
+
+    private void parseStatusLine(String text) {
+        Matcher matcher = STATUS_LINE.matcher(text);
+        int code = matcher.matches() ? Integer.parseInt(matcher.group(1)) : STATUS_MALFORMED;
+        isSkippingInformational = code / 100 == 1;
+        status = isSkippingInformational ? STATUS_UNKNOWN : code;
     }
 
-    /** Guards against two lengths, of which only one can be true: both stay, for the reader to see. */
+    /** Retains both headers where a response has two conflicting lengths, so that the reader can reject it. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {}
 }
--- a/src/main/java/loftflow/upstream/http/UpstreamCall.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamCall.java
@@ -1,8 +1,5 @@
 package loftflow.upstream.http;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -14,195 +11,233 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import loftflow.engine.Message;
 import loftflow.engine.UpstreamClient;
-import loftflow.http.Headers;
-import loftflow.json.JsonFields;
 import loftflow.json.MalformedInputException;
 import loftflow.log.Log;
 import loftflow.policy.api.AttemptOutcome;
 import loftflow.policy.api.LimitReport;
 
-/** One call to a host, for one message, for several, or a probe; it knows the table of outcomes. */
+/**
+ * One call to a host: for one message, for a batch, or a probe. It is written at most once and reports one outcome for
+ * each of its attempts. For use on the event loop only.
+ */
 final class UpstreamCall {
-    /** What owns a call: the pool of the host that it goes to. */
+    /** Owns a call: the connection pool of the host that it goes to. */
     interface Owner {
         String route();
 
-        /** The host's address and port, as a request names them. */
+        /** The host's address and port, for the {@code Host} header. */
         String authority();
 
-        /** Microseconds, on the clock of messages. */
-        long now();
+        /** The time in microseconds, on the clock of message deadlines. */
+        long nowMicros();
 
-        Future<?> after(long micros, Runnable task);
+        /** Schedules a task on the event loop. */
+        Future<?> schedule(long delayMicros, Runnable task);
 
-        void ended(Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report);
+        /**
+         * Reports the outcome of an attempt.
+         *
+         * @param isMessageCompleted whether nothing more is owed for the message
+         * @param retryAfterMicros the back-off that the host requested; 0 for none
+         */
+        void onAttemptCompleted(
+                Message.Attempt attempt,
+                AttemptOutcome outcome,
+                boolean isMessageCompleted,
+                long retryAfterMicros,
+                LimitReport report);
 
-        void probed(UpstreamCall call, AttemptOutcome result, long wait, LimitReport report);
+        /** Reports the outcome of a probe. */
+        void onProbeCompleted(UpstreamCall call, AttemptOutcome outcome, long retryAfterMicros, LimitReport report);
 
-        /** Drops a call that was given up before it had a connection; the result says whether the host is to blame. */
-        AttemptOutcome unqueue(UpstreamCall call);
+        /**
+         * Removes a call that is abandoned before it has a connection, and returns its outcome, which says whether the
+         * host is the cause.
+         */
+        AttemptOutcome removeFromQueue(UpstreamCall call);
 
-        void toldToWait(long span);
+        /** Reports that the host wants no calls for a time. */
+        void onRetryAfter(long retryAfterMicros);
 
-        /** An attempt that ended as timed out has turned out to have taken effect. */
-        void late(Message.Attempt attempt);
+        /** Reports that an attempt that ended as timed out has turned out to be delivered. */
+        void onLateDelivery(Message.Attempt attempt);
 
-        /** True where a connection may stay open for the late answer of a call. */
-        boolean mayListenOn();
+        /** Returns true where a connection may stay open for the late response of a call. */
+        boolean canAwaitLateResponse();
 
-        /** Idle connections to the host are not worth trusting any more. */
+        /** Closes idle connections to the host, as they can no longer be relied on. */
         void closeIdle();
     }
 
-    /** What carries a call once it has a connection. */
+    /** The connection that carries a call. */
     interface Carrier {
         void close();
 
-        /** Stays open for a late answer, and carries nothing more. */
-        void listenOn();
+        /** Stays open for the late response of the current call and carries no other. */
+        void awaitLateResponse();
 
-        /** Takes in what has come and is not read yet. */
-        void readWhatCame();
+        /** Reads the bytes that the kernel has received and that the event loop has not read yet. */
+        void readPending();
     }
 
-    private static final JsonFactory JSON = new JsonFactory();
-    private static final int MOST_ANSWER = 64 << 10;
-    private static final int ITEM_OVERHEAD = 40;
-    private static final long LONGEST_WAIT_MS = 3_600_000;
+    /** The longest back-off that is honored. */
+    private static final long MAX_RETRY_AFTER_MILLIS = 3_600_000;
 
-    private record Part(Message.Attempt attempt, long until, long latest, Future<?> timeout) {}
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final String WHOLE_MILLIS_PATTERN = "\\d{1,9}";
 
-    private final Owner owner;
-    private final long startedAt;
     /**
-     * The call's time is up with that of the first of its messages. Guards against an answer after it: to the host the
-     * call is over by then, so "done" in it delivers none of the others, and they would be lost. Guards also against
-     * hosts that drop what is out of time and answer all the same. It harms where messages with much and with little
-     * time left share a slow call that would yet be answered: the former end with the latter.
+     * An attempt without an outcome.
+     *
+     * @param timeoutAtMicros when the relay stops waiting for its response
+     * @param latestArrivalMicros when the host may receive it at the latest
      */
-    private final long until;
+    private record PendingAttempt(
+            Message.Attempt attempt, long timeoutAtMicros, long latestArrivalMicros, Future<?> timeout) {}
 
+    private final Owner owner;
+    private final long startedAtMicros;
+    /**
+     * The deadline of the whole call is the earliest one of its messages. A host drops the call at that time, so a
+     * later "delivered" in a batch response proves nothing for the other messages, which would be lost. The cost: in a
+     * slow batch, messages that have much time left end together with those that have little.
+     */
+    private final long deadlineMicros;
+    /** The path of a probe; null for a call with attempts. */
     private final String probePath;
-    /** Attempts that nothing is known of yet. */
-    private final Map<Message.Attempt, Part> parts = new LinkedHashMap<>();
 
-    private final boolean several;
+    private final Map<Message.Attempt, PendingAttempt> pendingAttempts = new LinkedHashMap<>();
+    private final boolean isBatch;
     private final Future<?> probeTimeout;
     private Carrier connection;
-    private boolean sent;
-    private boolean ended;
+    private boolean isSent;
+    private boolean isProbeCompleted;
     private int status;
     private LimitReport report = LimitReport.NONE;
-    private long wait;
-    private boolean slotsTaken;
-    /** The attempt whose late answer is listened for; null where none is. */
-    private Message.Attempt late;
+    private long retryAfterMicros;
+    private boolean isConcurrencyLimited;
+    /** The timed-out attempt whose late response is awaited; null where there is none. */
+    private Message.Attempt lateAttempt;
 
-    private final ByteBuf body = Unpooled.buffer(0, MOST_ANSWER);
+    private final ByteBuf responseBody = Unpooled.buffer(0, HostProtocol.MAX_BODY_BYTES);
 
-    /** A call for one or more attempts. */
-    UpstreamCall(Owner owner, List<UpstreamClient.OutboundAttempt> outgoing) {
+    /** Creates a call for one or more attempts, and starts their timeouts. */
+    UpstreamCall(Owner owner, List<UpstreamClient.OutboundAttempt> outboundAttempts) {
         this.owner = owner;
-        startedAt = owner.now();
+        startedAtMicros = owner.nowMicros();
         probePath = null;
         probeTimeout = null;
-        several = outgoing.size() > 1;
-        until = outgoing.stream()
-                .mapToLong(o -> o.attempt().message().content().deadlineMicros())
+        isBatch = outboundAttempts.size() > 1;
+        deadlineMicros = outboundAttempts.stream()
+                .mapToLong(outbound -> outbound.attempt().message().content().deadlineMicros())
                 .min()
-                .orElse(startedAt);
-        for (UpstreamClient.OutboundAttempt o : outgoing) {
-            long span = Math.min(o.timeoutMicros(), until - startedAt);
-            Future<?> timeout = owner.after(span, () -> giveUp(o.attempt(), AttemptOutcome.TIMEOUT));
-            parts.put(o.attempt(), new Part(o.attempt(), startedAt + span, o.latestArrivalMicros(), timeout));
+                .orElse(startedAtMicros);
+        for (UpstreamClient.OutboundAttempt outbound : outboundAttempts) {
+            Message.Attempt attempt = outbound.attempt();
+            long timeoutMicros = Math.min(outbound.timeoutMicros(), deadlineMicros - startedAtMicros);
+            Future<?> timeout = owner.schedule(timeoutMicros, () -> abandon(attempt, AttemptOutcome.TIMEOUT));
+            long timeoutAtMicros = startedAtMicros + timeoutMicros;
+            pendingAttempts.put(
+                    attempt, new PendingAttempt(attempt, timeoutAtMicros, outbound.latestArrivalMicros(), timeout));
         }
     }
 
-    /** A probe. */
-    UpstreamCall(Owner owner, String path, long timeout) {
+    /** Creates a probe, and starts its timeout. */
+    UpstreamCall(Owner owner, String probePath, long timeoutMicros) {
         this.owner = owner;
-        startedAt = owner.now();
-        until = startedAt + timeout;
-        probePath = path;
-        several = false;
-        probeTimeout = owner.after(timeout, () -> {
-            readWhatCame();
-            if (!ended) {
-                abandon(AttemptOutcome.TIMEOUT);
-            }
-        });
+        startedAtMicros = owner.nowMicros();
+        deadlineMicros = startedAtMicros + timeoutMicros;
+        this.probePath = probePath;
+        isBatch = false;
+        probeTimeout = owner.schedule(timeoutMicros, this::onProbeTimeout);
+    }
+
+    private void onProbeTimeout() {
+        readPending();
+        if (!isProbeCompleted) {
+            abandonCall(AttemptOutcome.TIMEOUT);
+        }
     }
 
-    /** About how many bytes a message takes in a call for several. */
-    static int encodedSize(Message message) {
-        Message.Content content = message.content();
-        int key = content.key() == null ? 0 : content.key().length();
-        return (content.body().length + 2) / 3 * 4 + content.messageId().length() + key + ITEM_OVERHEAD;
+    private boolean isProbe() {
+        return probePath != null;
     }
 
-    long startedAt() {
-        return startedAt;
+    long startedAtMicros() {
+        return startedAtMicros;
     }
 
     /**
-     * Ends, as not sent, attempts that may not begin to leave any more: their destination may have forgotten the key.
+     * Ends, as not sent, the attempts whose latest arrival has passed: their destination may have forgotten the
+     * idempotency key by then.
      */
-    void endWhatIsLate(long now) {
-        List.copyOf(parts.values()).stream()
-                .filter(part -> now >= part.latest())
-                .forEach(part -> end(part.attempt(), AttemptOutcome.NOT_SENT, false));
+    void endAttemptsPastLatestArrival(long arrivalMicros) {
+        List.copyOf(pendingAttempts.values()).stream()
+                .filter(pending -> arrivalMicros >= pending.latestArrivalMicros())
+                .forEach(pending -> endAttempt(pending.attempt(), AttemptOutcome.NOT_SENT, false));
     }
 
-    /** True where nothing waits for this call's answer. */
-    boolean isOver() {
-        return probePath == null ? parts.isEmpty() : ended;
+    /** Returns true where nothing waits for this call's response. */
+    boolean isCompleted() {
+        return isProbe() ? isProbeCompleted : pendingAttempts.isEmpty();
     }
 
+    /** Returns true once the whole request has been written to the socket. */
     boolean isSent() {
-        return sent;
+        return isSent;
     }
 
-    void begin(Carrier carrier) {
+    /** Binds the call to the connection that carries it. */
+    void onConnectionAssigned(Carrier carrier) {
         connection = carrier;
     }
 
-    void sent() {
-        sent = true;
+    void onSent() {
+        isSent = true;
     }
 
-    FullHttpRequest request() {
-        if (probePath != null) {
-            return request(HttpMethod.GET, probePath, new byte[0]);
+    /** Builds the request, with the time that is left as its timeout. */
+    FullHttpRequest createRequest() {
+        if (isProbe()) {
+            return createRequest(HttpMethod.GET, probePath, new byte[0]);
         }
-        FullHttpRequest request;
-        if (several) {
-            request = request(HttpMethod.POST, "/receive-many", manyBody());
-            request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
-        } else {
-            Message.Content content = parts.keySet().iterator().next().message().content();
-            request = request(HttpMethod.POST, "/receive", content.body());
-            request.headers().set(Headers.CALL_ID, content.messageId());
-            if (content.key() != null) {
-                request.headers().set(Headers.KEY, content.key());
-            }
+        FullHttpRequest request = isBatch ? createBatchRequest() : createSingleRequest();
+        long latestTimeoutMicros = pendingAttempts.values().stream()
+                .mapToLong(PendingAttempt::timeoutAtMicros)
+                .max()
+                .orElse(0);
+        long leftMillis = Math.max(0, latestTimeoutMicros - owner.nowMicros()) / MICROS_PER_MILLI;
+        request.headers().set(HostProtocol.TIMEOUT_MILLIS_HEADER, leftMillis);
+        return request;
+    }
+
+    private FullHttpRequest createBatchRequest() {
+        byte[] body = BatchCodec.encode(pendingAttempts.keySet());
+        FullHttpRequest request = createRequest(HttpMethod.POST, HostProtocol.BATCH_PATH, body);
+        request.headers().set(HttpHeaderNames.CONTENT_TYPE, HostProtocol.BATCH_CONTENT_TYPE);
+        return request;
+    }
+
+    private FullHttpRequest createSingleRequest() {
+        Message.Content content =
+                pendingAttempts.keySet().iterator().next().message().content();
+        FullHttpRequest request = createRequest(HttpMethod.POST, HostProtocol.SINGLE_PATH, content.body());
+        request.headers().set(HostProtocol.MESSAGE_ID_HEADER, content.messageId());
+        if (content.key() != null) {
+            request.headers().set(HostProtocol.IDEMPOTENCY_KEY_HEADER, content.key());
         }
-        long until = parts.values().stream().mapToLong(Part::until).max().orElse(0);
-        request.headers().set(Headers.BUDGET, Math.max(0, until - owner.now()) / 1000);
         return request;
     }
 
-    private FullHttpRequest request(HttpMethod method, String path, byte[] content) {
+    private FullHttpRequest createRequest(HttpMethod method, String path, byte[] content) {
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(content));
         request.headers().set(HttpHeaderNames.HOST, owner.authority());
@@ -212,262 +247,186 @@
         return request;
     }
 
-    private byte[] manyBody() {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator json = JSON.createGenerator(bytes)) {
-            json.writeStartArray();
-            for (Message.Attempt attempt : parts.keySet()) {
-                Message.Content content = attempt.message().content();
-                json.writeStartObject();
-                json.writeStringField("id", content.messageId());
-                if (content.key() != null) {
-                    json.writeStringField("key", content.key());
-                }
-                json.writeBinaryField("body", content.body());
-                json.writeEndObject();
-            }
-            json.writeEndArray();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+    /**
+     * Applies the back-off in a complete response head. It is binding even where the rest of the response is cut off,
+     * malformed or endless, or where the call has been abandoned.
+     */
+    void onRetryAfter(HttpResponse response) {
+        retryAfterMicros = parseRetryAfterMicros(response.headers().get(HostProtocol.RETRY_AFTER_MILLIS_HEADER));
+        if (retryAfterMicros > 0) {
+            owner.onRetryAfter(retryAfterMicros);
         }
-        return bytes.toByteArray();
     }
 
-    /**
-     * A wait in a head that has come whole. Guards against calls that leave while the rest of the answer is cut off,
-     * spoilt or
-     * without an end, or that come after their call was given up: the host has told, whatever becomes of this call.
-     */
-    void told(HttpResponse response) {
-        wait = waitOf(response.headers().get(Headers.COME_BACK));
-        if (wait > 0) {
-            owner.toldToWait(wait);
+    private static long parseRetryAfterMicros(String millis) {
+        if (millis == null || !millis.matches(WHOLE_MILLIS_PATTERN)) {
+            return 0;
         }
+        return Math.min(MAX_RETRY_AFTER_MILLIS, Long.parseLong(millis)) * MICROS_PER_MILLI;
     }
 
-    /** The head of an answer; nothing else of it counts before the answer is whole. */
-    void head(HttpResponse response) {
+    /** Stores the head of a response; it takes effect once the response is complete. */
+    void onHead(HttpResponse response) {
         status = response.status().code();
-        report = report(response.headers().get(Headers.LOAD_REPORT));
-        slotsTaken = "1".equals(response.headers().get(Headers.LINE_BUSY));
-    }
-
-    /** The first line of an answer: that a single message is delivered holds, whatever follows. */
-    void firstLine(int code) {
-        if (probePath == null && !several && code == HttpResponseStatus.OK.code()) {
-            end(AttemptOutcome.OK, true);
-            if (late != null) {
-                Message.Attempt proven = late;
-                late = null;
-                owner.late(proven);
+        report = LoadReportParser.parse(response.headers().get(HostProtocol.LOAD_REPORT_HEADER));
+        isConcurrencyLimited = HostProtocol.CONCURRENCY_LIMITED.equals(
+                response.headers().get(HostProtocol.CONCURRENCY_LIMITED_HEADER));
+    }
+
+    /** Applies the status line of a response: a single message with status 200 is delivered, whatever follows. */
+    void onStatusLine(int code) {
+        if (!isProbe() && !isBatch && code == HttpResponseStatus.OK.code()) {
+            endAll(AttemptOutcome.OK, true);
+            if (lateAttempt != null) {
+                Message.Attempt delivered = lateAttempt;
+                lateAttempt = null;
+                owner.onLateDelivery(delivered);
             }
         }
     }
 
-    /** The answer can't be read or doesn't end; the host has run the call. */
-    void spoilt(int code) {
+    /** Ends a call whose response is malformed or does not end: the host may have run it. */
+    void onMalformedResponse(int code) {
         report = LimitReport.NONE;
-        firstLine(code);
+        onStatusLine(code);
         end(AttemptOutcome.ERROR);
     }
 
-    /** Takes in a piece of the answer's body; false where it is larger than any answer may be. */
-    boolean body(ByteBuf piece) {
-        if (body.readableBytes() + piece.readableBytes() > MOST_ANSWER) {
+    /** Appends a chunk of the response's body; returns false where the body exceeds its maximum size. */
+    boolean onBody(ByteBuf chunk) {
+        if (responseBody.readableBytes() + chunk.readableBytes() > HostProtocol.MAX_BODY_BYTES) {
             return false;
         }
-        body.writeBytes(piece);
+        responseBody.writeBytes(chunk);
         return true;
     }
 
-    /** The answer is whole. */
-    void complete() {
-        if (late != null) {
-            firstLine(status);
-            return;
-        }
-        if (probePath != null) {
-            if (status == 200 && report.equals(LimitReport.NONE)) {
-                report = report(body.toString(StandardCharsets.UTF_8));
-            }
-            probeEnd(
-                    status == 200
-                            ? AttemptOutcome.OK
-                            : status == 503 || status == 429 ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR);
-        } else if (several && isLate()) {
+    /** Ends the call by its complete response. */
+    void onResponseComplete() {
+        if (lateAttempt != null) {
+            onStatusLine(status);
+        } else if (isProbe()) {
+            onProbeResponse();
+        } else if (isBatch && isPastDeadline()) {
             end(AttemptOutcome.TIMEOUT);
-        } else if (several && status == 200) {
-            eachOutcome();
-            // Guards against an answer that leaves a message out: it may have run.
+        } else if (isBatch && status == HttpResponseStatus.OK.code()) {
+            endEachByState();
+            // A message that the response leaves out may have run.
             end(AttemptOutcome.ERROR);
         } else {
-            outcome(status);
+            OutcomeTable.Outcome outcome = OutcomeTable.ofStatus(status, isConcurrencyLimited);
+            endAll(outcome.attempt(), outcome.isMessageCompleted());
         }
     }
 
-    /** Guards against an answer that was read before the timers of the same pass ran. */
-    private boolean isLate() {
-        return owner.now() >= until;
+    private void onProbeResponse() {
+        if (status == HttpResponseStatus.OK.code() && report.equals(LimitReport.NONE)) {
+            report = LoadReportParser.parse(responseBody.toString(StandardCharsets.UTF_8));
+        }
+        endProbe(OutcomeTable.ofProbeStatus(status));
     }
 
-    private void outcome(int code) {
-        switch (code) {
-            case 200 -> end(AttemptOutcome.OK, true);
-            case 410 -> end(AttemptOutcome.NOT_SENT, true);
-            case 429 -> end(AttemptOutcome.REJECTED);
-            case 503 -> end(slotsTaken ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED);
-            case 400, 404, 413, 504 -> end(AttemptOutcome.NOT_SENT);
-            default -> end(AttemptOutcome.ERROR);
-        }
+    /** The response may be read before the timers that are due in the same iteration of the event loop have run. */
+    private boolean isPastDeadline() {
+        return owner.nowMicros() >= deadlineMicros;
     }
 
-    private void eachOutcome() {
-        Map<String, String> states = new HashMap<>();
-        try (JsonParser parser = JSON.createParser(body.toString(StandardCharsets.UTF_8))) {
-            parser.nextToken();
-            if (!(JsonFields.read(parser) instanceof List<?> entries)) {
-                throw new MalformedInputException("no array");
-            }
-            for (Object json : entries) {
-                JsonFields entry = JsonFields.ofObject("answer", json);
-                if (states.put(entry.text("id"), entry.text("state")) != null) {
-                    throw new MalformedInputException("a message is named twice");
-                }
-            }
-            if (parser.nextToken() != null) {
-                throw new MalformedInputException("more than an array");
-            }
+    private void endEachByState() {
+        Map<String, String> states;
+        try {
+            states = BatchCodec.decodeStates(responseBody.toString(StandardCharsets.UTF_8));
         } catch (IOException | MalformedInputException e) {
-            Log.line("host " + owner.route() + ": an answer can't be read: " + e.getMessage());
+            Log.line("upstream: malformed batch response route=" + owner.route() + " cause=" + e.getMessage());
             return;
         }
-        for (Message.Attempt attempt : new ArrayList<>(parts.keySet())) {
-            outcome(attempt, states.getOrDefault(attempt.message().content().messageId(), "failed"));
-        }
-    }
-
-    private void outcome(Message.Attempt attempt, String state) {
-        switch (state) {
-            case "done" -> end(attempt, AttemptOutcome.OK, true);
-            case "busy" -> end(attempt, AttemptOutcome.REJECTED, false);
-            case "void" -> end(attempt, AttemptOutcome.NOT_SENT, true);
-            case "used_up" -> end(attempt, AttemptOutcome.NOT_SENT, false);
-            default -> end(attempt, AttemptOutcome.ERROR, false);
+        for (Message.Attempt attempt : new ArrayList<>(pendingAttempts.keySet())) {
+            String messageId = attempt.message().content().messageId();
+            String state = states.getOrDefault(messageId, HostProtocol.STATE_FAILED);
+            OutcomeTable.Outcome outcome = OutcomeTable.ofMessageState(state);
+            endAttempt(attempt, outcome.attempt(), outcome.isMessageCompleted());
         }
     }
 
-    /** The connection broke, or ended, before the answer was whole. */
-    void broken() {
+    /** Ends a call whose connection closed before the response was complete. */
+    void onConnectionLost() {
         owner.closeIdle();
-        end(sent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
+        end(isSent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 
-    /** Every attempt that is still open ends alike. */
-    void end(AttemptOutcome result) {
-        end(result, false);
+    /** Ends every attempt that has no outcome yet with the same one. */
+    void end(AttemptOutcome outcome) {
+        endAll(outcome, false);
     }
 
-    private void end(AttemptOutcome result, boolean over) {
-        if (probePath != null) {
-            probeEnd(result);
+    private void endAll(AttemptOutcome outcome, boolean isMessageCompleted) {
+        if (isProbe()) {
+            endProbe(outcome);
         }
-        for (Message.Attempt attempt : new ArrayList<>(parts.keySet())) {
-            end(attempt, result, over);
+        for (Message.Attempt attempt : new ArrayList<>(pendingAttempts.keySet())) {
+            endAttempt(attempt, outcome, isMessageCompleted);
         }
     }
 
-    private void end(Message.Attempt attempt, AttemptOutcome result, boolean over) {
-        Part part = parts.remove(attempt);
-        if (part != null) {
-            part.timeout().cancel(false);
-            owner.ended(attempt, result, over, wait, report);
+    private void endAttempt(Message.Attempt attempt, AttemptOutcome outcome, boolean isMessageCompleted) {
+        PendingAttempt pending = pendingAttempts.remove(attempt);
+        if (pending != null) {
+            pending.timeout().cancel(false);
+            owner.onAttemptCompleted(attempt, outcome, isMessageCompleted, retryAfterMicros, report);
         }
     }
 
-    private void probeEnd(AttemptOutcome result) {
-        if (!ended) {
-            ended = true;
+    private void endProbe(AttemptOutcome outcome) {
+        if (!isProbeCompleted) {
+            isProbeCompleted = true;
             probeTimeout.cancel(false);
-            owner.probed(this, result, wait, report);
+            owner.onProbeCompleted(this, outcome, retryAfterMicros, report);
         }
     }
 
     /**
-     * Stops waiting for one attempt. With the last one the connection closes too: the host must not take a
-     * call for out that nobody waits for.
+     * Stops waiting for one attempt. With the last attempt the connection closes too, so that the host does not count
+     * a call as open for which nobody waits.
      */
-    void giveUp(Message.Attempt attempt, AttemptOutcome result) {
-        readWhatCame();
-        if (!parts.containsKey(attempt)) {
+    void abandon(Message.Attempt attempt, AttemptOutcome outcome) {
+        readPending();
+        if (!pendingAttempts.containsKey(attempt)) {
             return;
         }
-        if (parts.size() == 1) {
-            abandon(result);
+        if (pendingAttempts.size() == 1) {
+            abandonCall(outcome);
         } else {
-            // Guards against taking for never sent what goes on leaving with the rest of its call.
-            end(attempt, connection == null ? AttemptOutcome.CONNECT_FAILED : result, false);
+            // Once the call has a connection, the message is still written with the rest of the batch and may run.
+            endAttempt(attempt, connection == null ? AttemptOutcome.CONNECT_FAILED : outcome, false);
         }
     }
 
-    /** Guards against giving up on an answer, or a wait told in it, that came while the loop was at something else. */
-    private void readWhatCame() {
+    /** Reads a response, or a back-off in it, that was received while the event loop was busy. */
+    private void readPending() {
         if (connection != null) {
-            connection.readWhatCame();
+            connection.readPending();
         }
     }
 
-    /** Gives the whole call up. What has not left whole never ran. */
-    private void abandon(AttemptOutcome result) {
+    /** Abandons the whole call. A request that was not written whole has not run. */
+    private void abandonCall(AttemptOutcome outcome) {
         if (connection == null) {
-            end(owner.unqueue(this));
+            end(owner.removeFromQueue(this));
             return;
         }
-        boolean listens =
-                sent && result == AttemptOutcome.TIMEOUT && parts.size() == 1 && !several && owner.mayListenOn();
-        Message.Attempt only = listens ? parts.keySet().iterator().next() : null;
-        end(sent ? result : AttemptOutcome.CONNECT_FAILED);
+        boolean awaitsLateResponse = isSent
+                && outcome == AttemptOutcome.TIMEOUT
+                && pendingAttempts.size() == 1
+                && !isBatch
+                && owner.canAwaitLateResponse();
+        Message.Attempt timedOut =
+                awaitsLateResponse ? pendingAttempts.keySet().iterator().next() : null;
+        end(isSent ? outcome : AttemptOutcome.CONNECT_FAILED);
         owner.closeIdle();
-        if (listens) {
-            late = only;
-            connection.listenOn();
+        if (awaitsLateResponse) {
+            lateAttempt = timedOut;
+            connection.awaitLateResponse();
         } else {
             connection.close();
         }
     }
-
-    private static long waitOf(String text) {
-        if (text == null || !text.matches("\\d{1,9}")) {
-            return 0;
-        }
-        return Math.min(LONGEST_WAIT_MS, Long.parseLong(text)) * 1000;
-    }
-
-    /** Reads a load report such as {@code TEXT x0=0.4, x1=25}; what can't be read counts as not told. */
-    static LimitReport report(String text) {
-        if (text == null) {
-            return LimitReport.NONE;
-        }
-        double left = Double.NaN;
-        double rate = Double.NaN;
-        for (String pair : text.strip().replaceFirst("^TEXT\\s", "").split(",")) {
-            String[] halves = pair.strip().split("=", 2);
-            double value = halves.length < 2 ? Double.NaN : number(halves[1]);
-            if (halves[0].equals("x0")) {
-                left = value;
-            } else if (halves[0].equals("x1")) {
-                rate = value;
-            }
-        }
-        return new LimitReport(left, rate);
-    }
-
-    private static double number(String text) {
-        try {
-            double value = Double.parseDouble(text.strip());
-            return Double.isFinite(value) && value >= 0 ? value : Double.NaN;
-        } catch (NumberFormatException e) {
-            Log.line("a load report can't be read: " + text);
-            return Double.NaN;
-        }
-    }
 }
--- a/src/main/java/loftflow/upstream/http/UpstreamConnection.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamConnection.java
@@ -19,58 +19,68 @@
 import loftflow.http.UnreadBytes;
 
 /**
- * One connection to a host; it carries one call at a time and is used again only after a whole answer with
- * nothing behind it.
+ * One connection to a host. It carries one call at a time and is reused only after a complete response with nothing
+ * behind it.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements UpstreamCall.Carrier {
-    /** What owns a connection: the pool of one host. */
+    /** Owns a connection: the connection pool of one host. */
     interface Owner {
-        /** How often kept connections to the host were found not worth trusting. */
-        int breaks();
+        /** The number of times that idle connections to the host were found unreliable and closed. */
+        int idleClosures();
 
         /** The connection can carry another call. */
-        void free(UpstreamConnection connection);
+        void onReusable(UpstreamConnection connection);
 
-        /** The connection can carry another call once it has rested; false where one waits for it, or nothing may. */
-        boolean rests(UpstreamConnection connection);
+        /**
+         * The connection can carry another call after its settle time.
+         *
+         * @return false where a call waits for the connection, or where it may not stay idle
+         */
+        boolean offerSettling(UpstreamConnection connection);
 
         /** The connection has closed. */
-        void closed(UpstreamConnection connection);
+        void onClosed(UpstreamConnection connection);
 
-        Future<?> after(long micros, Runnable task);
+        /** Schedules a task on the event loop. */
+        Future<?> schedule(long delayMicros, Runnable task);
 
-        /** The connection listens for a late answer from now on; for how many microseconds. */
-        long listensOn(UpstreamConnection connection);
+        /** The connection awaits a late response from now on; returns for how many microseconds. */
+        long onAwaitingLateResponse(UpstreamConnection connection);
     }
 
-    /** Guards against an answer that begins and never ends: hosts write theirs in one go. */
-    private static final long LONGEST_ANSWER = 500_000;
-    /** Guards against a second copy, or noise, right behind an answer: the next call's would be mixed up with it. */
-    private static final long REST = TimeUnit.MILLISECONDS.toNanos(2);
+    /** The longest time from the first byte of a response to its last; hosts write theirs at once. */
+    private static final long MAX_RESPONSE_MICROS = 500_000;
+    /**
+     * The settle time after a response. Bytes that follow within it, such as a second copy of the response, close the
+     * connection before they can be taken for the response to the next call.
+     */
+    private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
     private final Owner owner;
     private final ResponseDecoder decoder = new ResponseDecoder();
     private ChannelHandlerContext context;
+    /** The call without a complete response; null where there is none. */
     private UpstreamCall call;
-    private boolean reusable;
-    private boolean informational;
-    private boolean answered;
-    /** The call is over; only a late answer is awaited. */
-    private boolean listening;
 
-    private long restedAt;
-    /** When bytes last went over it, or it came up: from then on it stands idle, to its host too. */
-    private long quietSince = System.nanoTime();
+    private boolean isReusable;
+    private boolean isInformational;
+    private boolean isResponseComplete;
+    /** The call has timed out; only its late response is awaited. */
+    private boolean isAwaitingLateResponse;
+
+    private long settledAtNanos;
+    /** When the last byte was sent or received, or the connection came up: the host's idle timeout runs from there. */
+    private long idleSinceNanos = System.nanoTime();
 
     private final ConnectionTimer timer;
     private boolean isNew = true;
 
     UpstreamConnection(Owner owner) {
         this.owner = owner;
-        timer = new ConnectionTimer((nanos, task) -> owner.after(TimeUnit.NANOSECONDS.toMicros(nanos), task));
+        timer = new ConnectionTimer((nanos, task) -> owner.schedule(TimeUnit.NANOSECONDS.toMicros(nanos), task));
     }
 
-    /** What the channel's pipeline is made of. */
+    /** The handlers of the channel's pipeline, in order. */
     ChannelHandler[] handlers() {
         return new ChannelHandler[] {new HttpRequestEncoder(), decoder, this};
     }
@@ -80,23 +90,23 @@
         context = ctx;
     }
 
-    /** True until it has carried a call. */
+    /** Returns true until the connection has carried a call. */
     boolean isNew() {
         return isNew;
     }
 
-    /** Writes a call; only its last byte's leaving decides whether it may have run. */
+    /** Writes a call. It counts as sent, and may have run, once its last byte is written. */
     void carry(UpstreamCall next) {
         timer.stop();
         call = next;
         isNew = false;
-        reusable = false;
-        decoder.await();
-        next.begin(this);
-        context.writeAndFlush(next.request()).addListener(sent -> {
-            if (sent.isSuccess()) {
-                quietSince = System.nanoTime();
-                next.sent();
+        isReusable = false;
+        decoder.awaitResponse();
+        next.onConnectionAssigned(this);
+        context.writeAndFlush(next.createRequest()).addListener(written -> {
+            if (written.isSuccess()) {
+                idleSinceNanos = System.nanoTime();
+                next.onSent();
             } else {
                 context.close();
             }
@@ -104,155 +114,169 @@
     }
 
     @Override
-    public void listenOn() {
-        listening = true;
-        timer.start(owner.listensOn(this), TimeUnit.MICROSECONDS, this::close);
+    public void awaitLateResponse() {
+        isAwaitingLateResponse = true;
+        timer.start(owner.onAwaitingLateResponse(this), TimeUnit.MICROSECONDS, this::close);
     }
 
     /**
-     * Closes once it has stood idle for a span, which taking it for a call that is not sent in the end does not begin
-     * anew.
+     * Closes the connection once it has been idle for a time. A call that takes it and is not sent in the end does not
+     * restart that time.
      */
-    void retireAfter(long micros) {
-        long left = quietSince + TimeUnit.MICROSECONDS.toNanos(micros) - System.nanoTime();
-        timer.start(Math.max(0, left), TimeUnit.NANOSECONDS, this::close);
+    void closeAfterIdle(long idleTimeoutMicros) {
+        long leftNanos = idleSinceNanos + TimeUnit.MICROSECONDS.toNanos(idleTimeoutMicros) - System.nanoTime();
+        timer.start(Math.max(0, leftNanos), TimeUnit.NANOSECONDS, this::close);
     }
 
     /**
-     * True where a call may leave on it. Guards against a timer that is late, as the loop has had no CPU, and against
-     * an end
-     * that has come and is not read yet: a call that is written then ends as a reset, and may have run.
+     * Returns true where a call may be written. The check does not rely on the idle timer, which may be late, and reads
+     * a pending end of the connection first: a call that crosses that end is reset and may have run.
      */
-    boolean isFit(long idleMicros) {
-        readWhatCame();
+    boolean isUsable(long idleTimeoutMicros) {
+        readPending();
         return context.channel().isActive()
-                && System.nanoTime() - quietSince < TimeUnit.MICROSECONDS.toNanos(idleMicros);
+                && System.nanoTime() - idleSinceNanos < TimeUnit.MICROSECONDS.toNanos(idleTimeoutMicros);
     }
 
     @Override
-    public void readWhatCame() {
+    public void readPending() {
         UnreadBytes.read(context.channel());
     }
 
-    /** True where nothing has come behind its last answer for long enough. */
-    boolean hasRested() {
-        return System.nanoTime() - restedAt >= 0;
+    /** Returns true where the settle time after the last response is over. */
+    boolean isSettled() {
+        return System.nanoTime() - settledAtNanos >= 0;
     }
 
-    /** Becomes free by itself as soon as it has rested. */
-    void freeOnceRested() {
-        int breaks = owner.breaks();
-        timer.start(Math.max(0, restedAt - System.nanoTime()), TimeUnit.NANOSECONDS, () -> free(breaks));
+    /** Offers itself for the next call as soon as its settle time is over. */
+    void becomeReusableOnceSettled() {
+        int idleClosures = owner.idleClosures();
+        long leftNanos = Math.max(0, settledAtNanos - System.nanoTime());
+        timer.start(leftNanos, TimeUnit.NANOSECONDS, () -> becomeReusable(idleClosures));
     }
 
     @Override
     public void close() {
-        // Guards against a connection that is found idle still while its end is being told.
-        owner.closed(this);
+        // The owner is notified first, so that it does not select the connection while the close is in progress.
+        owner.onClosed(this);
         context.close();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        quietSince = System.nanoTime();
-        // Guards against bytes that nobody asked for: what comes behind them can't be told apart any more.
+        idleSinceNanos = System.nanoTime();
+        // Bytes that no call awaits make it impossible to tell where a later response begins.
         if (call == null) {
             ctx.close();
             return;
         }
         if (message instanceof HttpResponse response && response.decoderResult().isSuccess()) {
-            call.told(response);
+            call.onRetryAfter(response);
         }
-        // Guards against an answer to a request that has not left whole: it has not run.
+        // A request that was not written whole when its response came has not run.
         if (!call.isSent()) {
-            lose(UpstreamCall::broken);
+            fail(UpstreamCall::onConnectionLost);
             return;
         }
         if (message.decoderResult().isFailure()) {
-            lose(this::spoil);
+            fail(this::endAsMalformed);
             return;
         }
-        if (message instanceof HttpResponse response) {
-            informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (!isSound(response)) {
-                lose(this::spoil);
-                return;
-            }
-            if (!informational) {
-                reusable = HttpUtil.isKeepAlive(response);
-                call.head(response);
-            }
+        if (message instanceof HttpResponse response && !readHead(response)) {
+            return;
         }
-        if (message instanceof HttpContent content && !informational) {
-            if (!call.body(content.content())) {
-                lose(this::spoil);
-            } else if (content instanceof LastHttpContent) {
-                UpstreamCall done = call;
-                call = null;
-                answered = true;
-                done.complete();
-            }
+        if (message instanceof HttpContent content && !isInformational) {
+            readContent(content);
+        }
+    }
+
+    /** Reads the head of a response; returns false where the call has failed by it. */
+    private boolean readHead(HttpResponse response) {
+        isInformational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+        if (!isWellFramed(response)) {
+            fail(this::endAsMalformed);
+            return false;
+        }
+        if (!isInformational) {
+            isReusable = HttpUtil.isKeepAlive(response);
+            call.onHead(response);
         }
+        return true;
     }
 
-    /** Guards against an answer whose end can't be known, and against one that leaves HTTP. */
-    private static boolean isSound(HttpResponse response) {
+    private void readContent(HttpContent content) {
+        if (!call.onBody(content.content())) {
+            fail(this::endAsMalformed);
+        } else if (content instanceof LastHttpContent) {
+            UpstreamCall completed = call;
+            call = null;
+            isResponseComplete = true;
+            completed.onResponseComplete();
+        }
+    }
+
+    /** Returns false for a response whose end is ambiguous, and for one that leaves HTTP. */
+    private static boolean isWellFramed(HttpResponse response) {
         return !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                 && !(response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                         && response.headers().contains(HttpHeaderNames.CONTENT_LENGTH));
     }
 
-    private void spoil(UpstreamCall broken) {
-        broken.spoilt(decoder.status());
+    private void endAsMalformed(UpstreamCall malformed) {
+        malformed.onMalformedResponse(decoder.status());
     }
 
-    /** The connection is of no further use, and its call ends as told. */
-    private void lose(Consumer<UpstreamCall> how) {
-        UpstreamCall lost = call;
+    /** Closes the connection, after its call, if any, has been ended in the given way. */
+    private void fail(Consumer<UpstreamCall> endCall) {
+        UpstreamCall failed = call;
         call = null;
-        if (lost != null) {
-            how.accept(lost);
+        if (failed != null) {
+            endCall.accept(failed);
         }
         context.close();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (answered) {
-            answered = false;
-            // Guards against what came with the answer and does not belong to it.
-            if (reusable && !listening && !decoder.hasLeftover()) {
-                restedAt = System.nanoTime() + REST;
-                if (!owner.rests(this)) {
-                    freeOnceRested();
-                }
-            } else {
-                ctx.close();
-            }
-        } else if (call != null && decoder.status() == ResponseDecoder.UNREADABLE) {
-            lose(this::spoil);
+        if (isResponseComplete) {
+            isResponseComplete = false;
+            reuseOrClose(ctx);
+        } else if (call != null && decoder.status() == ResponseDecoder.STATUS_MALFORMED) {
+            fail(this::endAsMalformed);
         } else if (call != null && decoder.hasBegun()) {
             if (!timer.isRunning()) {
-                timer.start(LONGEST_ANSWER, TimeUnit.MICROSECONDS, () -> lose(this::spoil));
+                timer.start(MAX_RESPONSE_MICROS, TimeUnit.MICROSECONDS, () -> fail(this::endAsMalformed));
             }
-            call.firstLine(decoder.status());
+            call.onStatusLine(decoder.status());
+        }
+    }
+
+    private void reuseOrClose(ChannelHandlerContext ctx) {
+        // Leftover bytes arrived with the response and do not belong to it.
+        if (!isReusable || isAwaitingLateResponse || decoder.hasLeftover()) {
+            ctx.close();
+            return;
+        }
+        settledAtNanos = System.nanoTime() + SETTLE_NANOS;
+        if (!owner.offerSettling(this)) {
+            becomeReusableOnceSettled();
         }
     }
 
-    /** Guards also against a connection that died with another one while it rested. */
-    private void free(int breaks) {
-        if (breaks != owner.breaks()) {
+    /** Offers itself for the next call, unless idle connections to the host were found unreliable meanwhile. */
+    private void becomeReusable(int idleClosuresBefore) {
+        if (idleClosuresBefore != owner.idleClosures()) {
             context.close();
         } else if (context.channel().isActive()) {
-            owner.free(this);
+            owner.onReusable(this);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         timer.end();
-        owner.closed(this);
-        lose(UpstreamCall::broken);
+        owner.onClosed(this);
+        fail(UpstreamCall::onConnectionLost);
     }
 
     @Override
--- a/src/main/java/loftflow/upstream/http/package-info.java
+++ b/src/main/java/loftflow/upstream/http/package-info.java
@@ -1,8 +1,11 @@
 /**
- * Partners over HTTP/1.1: pools of connections, calls and the table of outcomes, behind
- * {@link loftflow.engine.UpstreamClient}. Resends nothing.
+ * Calls to hosts over HTTP/1.1, behind {@link loftflow.engine.UpstreamClient}: connection pools, calls and the table of
+ * outcomes. Nothing is retried here.
  *
- * <p>May use: the engine, what speakers of HTTP/1.1 share, the log, Netty and Jackson; nothing of fronts, journal or
- * platform.
+ * <p>Start with {@link loftflow.upstream.http.HttpUpstreamClient}. {@code HostProtocol} holds the protocol's names,
+ * {@code OutcomeTable} says which response means which outcome.
+ *
+ * <p>May use: the engine, what the HTTP/1.1 sides share, the log, Netty and Jackson; not the listeners, the journal or
+ * discovery.
  */
 package loftflow.upstream.http;
--- a/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
+++ b/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
@@ -37,17 +37,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client of hosts at the bound of its connections. */
+/** The HTTP client at its connection limit, and which connection a call takes. */
 @Timeout(60)
 class HttpUpstreamClientTest implements UpstreamClient.ResultListener {
-    private static final long SECOND = 1_000_000;
-    private static final int MOST = 4;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int MAX_CONNECTIONS = 4;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final Clock clock = Clock.system();
     private final List<ScriptedPeer> hosts = new ArrayList<>();
-    private final Map<String, List<AttemptOutcome>> ends = Collections.synchronizedMap(new HashMap<>());
+    private final Map<String, List<AttemptOutcome>> outcomes = Collections.synchronizedMap(new HashMap<>());
     private HttpUpstreamClient client;
 
     @BeforeEach
@@ -58,27 +58,40 @@
                 1,
                 "b0",
                 List.of(new RequestClass(
-                        "unsafe", Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, SECOND, 30 * SECOND, 5, 0.3, false)),
+                        "unsafe",
+                        Idempotency.NON_IDEMPOTENT,
+                        KeyScope.ALL,
+                        0,
+                        SECOND_MICROS,
+                        30 * SECOND_MICROS,
+                        5,
+                        0.3,
+                        false)),
                 List.of(),
                 List.of(new DestinationKind("k", false, 1)),
                 List.of(),
-                new RelayLimits(8, 200, 12, true, true, false, false, true, 5 * SECOND),
-                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 200, 12, true, true, false, false, true, 5 * SECOND_MICROS),
+                new ServiceRules(0, SECOND_MICROS / 2, 2.5, 2 * SECOND_MICROS, 0.2, 5 * SECOND_MICROS, 0, 0),
                 1,
                 false,
                 false,
                 RateHint.NONE,
                 0);
         client = new HttpUpstreamClient(
-                loop, clock, settings, new HttpUpstreamClient.Options(false, 60 * SECOND, MOST, 0), this);
-        List<Endpoint> targets = new ArrayList<>();
+                loop,
+                clock,
+                settings,
+                new HttpUpstreamClient.Options(false, 60 * SECOND_MICROS, MAX_CONNECTIONS, 0),
+                this);
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             hosts.add(ScriptedPeer.always(ScriptedPeer.status(200)));
-            targets.add(new Endpoint(
+            endpoints.add(new Endpoint(
                     new EndpointEntry("r" + i, i, "k", "b0", Availability.LISTED, 0),
                     Endpoint.address(hosts.get(i).address())));
         }
-        loop.submit(() -> client.onEndpointList(EndpointListKind.FULL, targets)).syncUninterruptibly();
+        loop.submit(() -> client.onEndpointList(EndpointListKind.FULL, endpoints))
+                .syncUninterruptibly();
     }
 
     @AfterEach
@@ -90,32 +103,30 @@
     }
 
     /**
-     * Idle connections make room for calls to another host, one each and no more: each that closes gives its room to
-     * calls
-     * that were crowded out, and none of them waits for a connection while one stands idle.
+     * At the limit, each queued call to another host evicts one idle connection and no more, and no call waits for a
+     * connection while another one is idle.
      */
     @Test
-    void idleConnectionsMakeRoomOneForEachCall() throws Exception {
-        send(0, MOST);
-        await("r0", MOST);
+    void oneIdleConnectionIsEvictedForEachQueuedCall() throws Exception {
+        send(0, MAX_CONNECTIONS);
+        await("r0", MAX_CONNECTIONS);
         TimeUnit.MILLISECONDS.sleep(20);
         send(1, 1);
         await("r1", 1);
-        assertEquals(MOST, hosts.get(0).connections.size());
-        assertEquals(MOST - 1, open(0), "one of the idle ones has closed");
-        send(2, 3 * MOST);
-        await("r2", 3 * MOST);
-        assertTrue(ends.values().stream().flatMap(List::stream).allMatch(r -> r == AttemptOutcome.OK), ends.toString());
-        assertEquals(0, open(0), "and the others for the calls that wait");
-        assertTrue(hosts.get(2).connections.size() <= 3 * MOST);
+        assertEquals(MAX_CONNECTIONS, hosts.get(0).connections.size());
+        assertEquals(MAX_CONNECTIONS - 1, countOpen(0), "one of the idle connections is evicted");
+        send(2, 3 * MAX_CONNECTIONS);
+        await("r2", 3 * MAX_CONNECTIONS);
+        assertTrue(
+                outcomes.values().stream().flatMap(List::stream).allMatch(r -> r == AttemptOutcome.OK),
+                outcomes.toString());
+        assertEquals(0, countOpen(0), "the others are evicted for the queued calls");
+        assertTrue(hosts.get(2).connections.size() <= 3 * MAX_CONNECTIONS);
     }
 
-    /**
-     * Connections that rest from their last answer take calls as soon as they have rested, and are not lost when they
-     * are needed.
-     */
+    /** Connections within their settle time carry calls as soon as it is over. */
     @Test
-    void connectionsAreUsedAgainOnceTheyHaveRested() throws Exception {
+    void connectionsAreReusedOnceTheyHaveSettled() throws Exception {
         for (int i = 1; i <= 40; i++) {
             send(0, 1);
             await("r0", i);
@@ -128,37 +139,38 @@
     }
 
     /**
-     * A repeat that still waits for its connection when its key is forgotten never leaves; the next call takes the
+     * An attempt that still waits for its connection at its latest arrival is not sent; the next call takes the
      * connection.
      */
     @Test
-    void attemptThatMayNotLeaveAnyMoreEndsAsNotSent() throws Exception {
+    void attemptPastItsLatestArrivalEndsAsNotSent() throws Exception {
         send(1, 2, clock.micros());
         await("r1", 2);
         send(1, 1);
         await("r1", 3);
-        assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_SENT, AttemptOutcome.OK), ends.get("r1"));
+        assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_SENT, AttemptOutcome.OK), outcomes.get("r1"));
         assertEquals(1, hosts.get(1).count("POST /receive"));
     }
 
     /**
-     * A repeat leaves on a connection that is in use, and not as the first on a new one: its host may meet it too late.
+     * An attempt with a near latest arrival is sent on a used connection, and not as the first on a new one, where the
+     * handshake may delay it.
      */
     @Test
-    void attemptThatMustLeaveSoonTakesNoNewConnection() throws Exception {
-        send(1, 1, clock.micros() + 4 * SECOND);
+    void attemptWithANearLatestArrivalTakesNoNewConnection() throws Exception {
+        send(1, 1, clock.micros() + 4 * SECOND_MICROS);
         await("r1", 1);
         send(1, 1);
         await("r1", 2);
         TimeUnit.MILLISECONDS.sleep(20);
-        send(1, 1, clock.micros() + 4 * SECOND);
+        send(1, 1, clock.micros() + 4 * SECOND_MICROS);
         await("r1", 3);
-        assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.OK, AttemptOutcome.OK), ends.get("r1"));
+        assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.OK, AttemptOutcome.OK), outcomes.get("r1"));
         assertEquals(1, hosts.get(1).connections.size());
     }
 
-    private long open(int host) throws Exception {
-        // The host's side of a connection that has closed reads its end.
+    private long countOpen(int host) throws Exception {
+        // The host reads the end of a closed connection some time later.
         TimeUnit.MILLISECONDS.sleep(50);
         return hosts.get(host).connections.stream().filter(c -> !c.isClosed()).count();
     }
@@ -167,7 +179,7 @@
         send(host, calls, Long.MAX_VALUE);
     }
 
-    private void send(int host, int calls, long latest) {
+    private void send(int host, int calls, long latestArrivalMicros) {
         loop.submit(() -> client.send(
                         "r" + host,
                         IntStream.range(0, calls)
@@ -179,18 +191,20 @@
                                                     "unsafe",
                                                     null,
                                                     null,
-                                                    clock.micros() + 30 * SECOND,
+                                                    clock.micros() + 30 * SECOND_MICROS,
                                                     host,
                                                     new byte[0]));
                                     return new UpstreamClient.OutboundAttempt(
-                                            message.addAttempt("r" + host, clock.micros()), 30 * SECOND, latest);
+                                            message.addAttempt("r" + host, clock.micros()),
+                                            30 * SECOND_MICROS,
+                                            latestArrivalMicros);
                                 })
                                 .toList()))
                 .syncUninterruptibly();
     }
 
     private void await(String route, int calls) throws InterruptedException {
-        while (ends.getOrDefault(route, List.of()).size() < calls) {
+        while (outcomes.getOrDefault(route, List.of()).size() < calls) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
@@ -198,7 +212,7 @@
     @Override
     public void onAttemptCompleted(
             Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
-        ends.computeIfAbsent(attempt.route(), r -> Collections.synchronizedList(new ArrayList<>()))
+        outcomes.computeIfAbsent(attempt.route(), r -> Collections.synchronizedList(new ArrayList<>()))
                 .add(result);
     }
 
@@ -207,11 +221,11 @@
 
     @Override
     public void onLateDelivery(Message.Attempt attempt) {
-        throw new AssertionError("no late answers here");
+        throw new AssertionError("no late responses are expected");
     }
 
     @Override
     public void onProbeCompleted(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
-        throw new AssertionError("no probes here");
+        throw new AssertionError("no probes are sent");
     }
 }
--- /dev/null
+++ b/src/test/java/loftflow/upstream/http/OutcomeTableTest.java
@@ -0,0 +1,52 @@
+package loftflow.upstream.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import loftflow.policy.api.AttemptOutcome;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Every row of the protocol's table of outcomes. */
+class OutcomeTableTest {
+    @ParameterizedTest
+    @CsvSource({
+        "200, OK, true",
+        "500, ERROR, false",
+        "429, REJECTED, false",
+        "503, REJECTED, false",
+        "504, NOT_SENT, false",
+        "410, NOT_SENT, true",
+        "400, NOT_SENT, false",
+        "404, NOT_SENT, false",
+        "413, NOT_SENT, false",
+        "302, ERROR, false"
+    })
+    void statusDecidesTheOutcomeOfACall(int status, AttemptOutcome outcome, boolean isMessageCompleted) {
+        assertEquals(new OutcomeTable.Outcome(outcome, isMessageCompleted), OutcomeTable.ofStatus(status, false));
+    }
+
+    @Test
+    void concurrencyLimitOfTheRelayIsNotARejection() {
+        assertEquals(new OutcomeTable.Outcome(AttemptOutcome.NOT_SENT, false), OutcomeTable.ofStatus(503, true));
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "done, OK, true",
+        "failed, ERROR, false",
+        "busy, REJECTED, false",
+        "void, NOT_SENT, true",
+        "used_up, NOT_SENT, false",
+        "other, ERROR, false"
+    })
+    void stateDecidesTheOutcomeOfAMessageInABatch(String state, AttemptOutcome outcome, boolean isMessageCompleted) {
+        assertEquals(new OutcomeTable.Outcome(outcome, isMessageCompleted), OutcomeTable.ofMessageState(state));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"200, OK", "503, REJECTED", "429, REJECTED", "404, ERROR"})
+    void statusDecidesTheOutcomeOfAProbe(int status, AttemptOutcome outcome) {
+        assertEquals(outcome, OutcomeTable.ofProbeStatus(status));
+    }
+}
--- a/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
+++ b/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
@@ -52,20 +52,21 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Calls to hosts where two events cross; the loop is held, or the host's hand, so that the bad order comes every time.
+ * Calls to hosts where two events race; the event loop or the host is blocked so that the unfavorable order occurs every
+ * time.
  */
 @Timeout(60)
 class RaceConditionsTest implements UpstreamClient.ResultListener {
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000_000;
-    private static final int SMALL = 4096;
+    private static final long MILLI_MICROS = 1_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int SMALL_BUFFER_BYTES = 4096;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final Clock clock = Clock.system();
-    private final Map<String, AttemptOutcome> ends = new ConcurrentHashMap<>();
-    private final List<Long> waits = new CopyOnWriteArrayList<>();
-    private final CountDownLatch gate = new CountDownLatch(1);
+    private final Map<String, AttemptOutcome> outcomes = new ConcurrentHashMap<>();
+    private final List<Long> retryAfters = new CopyOnWriteArrayList<>();
+    private final CountDownLatch hostMayRespond = new CountDownLatch(1);
     private HttpUpstreamClient client;
     private ScriptedPeer host;
     private int sent;
@@ -77,7 +78,7 @@
                 loop,
                 clock,
                 settings(),
-                new HttpUpstreamClient.Options(false, 2 * SECOND, 4, 0),
+                new HttpUpstreamClient.Options(false, 2 * SECOND_MICROS, 4, 0),
                 this,
                 RaceConditionsTest::smallSocket);
         list(host.address());
@@ -90,12 +91,20 @@
                 1,
                 "b0",
                 List.of(new RequestClass(
-                        "unsafe", Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, SECOND, 30 * SECOND, 5, 0.3, false)),
+                        "unsafe",
+                        Idempotency.NON_IDEMPOTENT,
+                        KeyScope.ALL,
+                        0,
+                        SECOND_MICROS,
+                        30 * SECOND_MICROS,
+                        5,
+                        0.3,
+                        false)),
                 List.of(),
                 List.of(new DestinationKind("k", false, 4)),
                 List.of(),
-                new RelayLimits(8, 200, 12, true, true, false, false, true, 5 * SECOND),
-                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 200, 12, true, true, false, false, true, 5 * SECOND_MICROS),
+                new ServiceRules(0, SECOND_MICROS / 2, 2.5, 2 * SECOND_MICROS, 0.2, 5 * SECOND_MICROS, 0, 0),
                 1,
                 false,
                 false,
@@ -103,12 +112,10 @@
                 0);
     }
 
-    /**
-     * A socket whose kernel takes little at once, so that a write stays half done while the other side does not read.
-     */
+    /** A socket with a small send buffer, so that a write stays incomplete while the peer does not read. */
     private static Channel smallSocket() {
         NioSocketChannel channel = new NioSocketChannel();
-        channel.config().setSendBufferSize(SMALL);
+        channel.config().setSendBufferSize(SMALL_BUFFER_BYTES);
         return channel;
     }
 
@@ -121,7 +128,7 @@
 
     @AfterEach
     void end() throws IOException {
-        gate.countDown();
+        hostMayRespond.countDown();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         host.close();
     }
@@ -130,7 +137,8 @@
         loop.submit(task).syncUninterruptibly();
     }
 
-    private List<UpstreamClient.OutboundAttempt> messages(int count, long timeout, long latest, int bytes) {
+    private List<UpstreamClient.OutboundAttempt> messages(
+            int count, long timeoutMicros, long latestArrivalMicros, int bytes) {
         return IntStream.range(0, count)
                 .mapToObj(i -> {
                     Message message = new Message(
@@ -140,85 +148,85 @@
                                     "unsafe",
                                     null,
                                     null,
-                                    clock.micros() + 30 * SECOND,
+                                    clock.micros() + 30 * SECOND_MICROS,
                                     1,
                                     new byte[bytes]));
-                    return new UpstreamClient.OutboundAttempt(message.addAttempt("r", clock.micros()), timeout, latest);
+                    return new UpstreamClient.OutboundAttempt(
+                            message.addAttempt("r", clock.micros()), timeoutMicros, latestArrivalMicros);
                 })
                 .toList();
     }
 
-    /** One message, of a name such as {@code m0}; on the loop. */
-    private void send(long timeout) {
-        client.send("r", messages(1, timeout, Long.MAX_VALUE, 5));
+    /** Sends one message with the next id, such as {@code m0}; on the event loop. */
+    private void send(long timeoutMicros) {
+        client.send("r", messages(1, timeoutMicros, Long.MAX_VALUE, 5));
     }
 
     private void sendAndAwait(String id, AttemptOutcome expected) {
-        onLoop(() -> send(30 * SECOND));
-        await(() -> ends.containsKey(id));
-        assertEquals(expected, ends.get(id));
+        onLoop(() -> send(30 * SECOND_MICROS));
+        await(() -> outcomes.containsKey(id));
+        assertEquals(expected, outcomes.get(id));
     }
 
     /**
-     * One message of a call for two is given up while the call is half written. It goes on leaving with the other one
-     * and runs, so
-     * it must not end as one that never ran: its class would be sent twice.
+     * One message of a batch is abandoned while the call is partly written. It is still sent with the other message and
+     * runs, so its outcome must not say that it never ran.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void messageThatIsGivenUpWhileItsCallLeavesMayHaveRun(boolean cancelled) throws Exception {
+    void messageAbandonedWhileItsBatchIsWrittenMayHaveRun(boolean cancelled) throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
-            listener.setReceiveBufferSize(SMALL);
+            listener.setReceiveBufferSize(SMALL_BUFFER_BYTES);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             list("127.0.0.1:" + listener.getLocalPort());
-            List<UpstreamClient.OutboundAttempt> both =
-                    new ArrayList<>(messages(1, cancelled ? 30 * SECOND : 50 * MS, Long.MAX_VALUE, 20_000));
-            both.addAll(messages(1, 30 * SECOND, Long.MAX_VALUE, 20_000));
+            List<UpstreamClient.OutboundAttempt> both = new ArrayList<>(
+                    messages(1, cancelled ? 30 * SECOND_MICROS : 50 * MILLI_MICROS, Long.MAX_VALUE, 20_000));
+            both.addAll(messages(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 20_000));
             onLoop(() -> client.send("r", both));
             try (Socket socket = listener.accept()) {
                 if (cancelled) {
-                    // Something has left, and the kernel takes no more.
+                    // Part of the request is sent, and the send buffer is full.
                     assertEquals('P', socket.getInputStream().read());
                     onLoop(() -> client.cancel(both.get(0).attempt()));
                 }
-                await(() -> ends.containsKey("m0"));
-                StringBuilder came = new StringBuilder();
-                while (!came.toString().endsWith("}]")) {
-                    byte[] piece = new byte[SMALL];
-                    int bytes = socket.getInputStream().read(piece);
-                    assertTrue(bytes > 0, "the call goes on");
-                    came.append(new String(piece, 0, bytes, StandardCharsets.ISO_8859_1));
+                await(() -> outcomes.containsKey("m0"));
+                StringBuilder received = new StringBuilder();
+                while (!received.toString().endsWith("}]")) {
+                    byte[] chunk = new byte[SMALL_BUFFER_BYTES];
+                    int bytes = socket.getInputStream().read(chunk);
+                    assertTrue(bytes > 0, "the call is still being sent");
+                    received.append(new String(chunk, 0, bytes, StandardCharsets.ISO_8859_1));
                 }
-                assertTrue(came.indexOf("\"m0\"") > 0, "it was in the call, and ran");
-                assertEquals(cancelled ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT, ends.get("m0"));
+                assertTrue(received.indexOf("\"m0\"") > 0, "it was in the batch, and ran");
+                assertEquals(cancelled ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT, outcomes.get("m0"));
             }
         }
     }
 
     /**
-     * The host answers while the call is half written, and the kernel takes no more: it never ran, and a wait in the
-     * answer counts.
+     * The host responds while the call is partly written and the send buffer is full: the call never ran, and a back-off
+     * in the response applies.
      */
     @Test
-    void answerBeforeItsCallHasLeftProvesThatItNeverRan() throws Exception {
+    void responseBeforeTheRequestIsWrittenProvesThatItNeverRan() throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
-            listener.setReceiveBufferSize(SMALL);
+            listener.setReceiveBufferSize(SMALL_BUFFER_BYTES);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             list("127.0.0.1:" + listener.getLocalPort());
-            onLoop(() -> client.send("r", messages(1, 30 * SECOND, Long.MAX_VALUE, 60_000)));
+            onLoop(() -> client.send("r", messages(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 60_000)));
             try (Socket socket = listener.accept()) {
                 assertEquals('P', socket.getInputStream().read());
                 socket.getOutputStream()
                         .write("HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\nContent-Length: 0\r\n\r\n".getBytes());
-                await(() -> ends.containsKey("m0"));
-                assertEquals(AttemptOutcome.CONNECT_FAILED, ends.get("m0"));
-                assertEquals(List.of(60 * SECOND), waits);
+                await(() -> outcomes.containsKey("m0"));
+                assertEquals(AttemptOutcome.CONNECT_FAILED, outcomes.get("m0"));
+                assertEquals(List.of(60 * SECOND_MICROS), retryAfters);
                 sendAndAwait("m1", AttemptOutcome.NOT_SENT);
             }
         }
     }
 
-    /** The host tells to wait in a head whose rest is cut off, makes no sense, or never comes. */
+    /** A response head requests a back-off, and the rest is cut off, malformed or missing. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -226,21 +234,21 @@
                 "Transfer-Encoding: chunked\r\n\r\nnoise\r\n",
                 "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
             })
-    void waitInAHeadIsHeededWhateverFollows(String rest) {
+    void retryAfterInAHeadAppliesWhateverFollows(String rest) {
         String head = "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\n";
         host.answer(request -> head + rest);
-        onLoop(() -> send(30 * SECOND));
-        await(() -> !waits.isEmpty());
-        assertEquals(List.of(60 * SECOND), waits);
+        onLoop(() -> send(30 * SECOND_MICROS));
+        await(() -> !retryAfters.isEmpty());
+        assertEquals(List.of(60 * SECOND_MICROS), retryAfters);
         sendAndAwait("m1", AttemptOutcome.NOT_SENT);
-        await(() -> ends.containsKey("m0"));
-        assertEquals(AttemptOutcome.ERROR, ends.get("m0"), "whether it ran is not proven");
+        await(() -> outcomes.containsKey("m0"));
+        assertEquals(AttemptOutcome.ERROR, outcomes.get("m0"), "whether it ran is not proven");
         sendAndAwait("m2", AttemptOutcome.NOT_SENT);
         assertEquals(1, host.requests.size());
     }
 
     @Test
-    void waitOfACutAnswerIsHeeded() {
+    void retryAfterOfATruncatedResponseApplies() {
         host.answer(request -> {
             try {
                 Socket socket = host.connections.get(0);
@@ -252,32 +260,32 @@
             return ScriptedPeer.CLOSE;
         });
         sendAndAwait("m0", AttemptOutcome.RESET);
-        assertEquals(List.of(60 * SECOND), waits);
+        assertEquals(List.of(60 * SECOND_MICROS), retryAfters);
         sendAndAwait("m1", AttemptOutcome.NOT_SENT);
     }
 
-    /** An answer lies unread when its call's time is up: it counts, and so does a wait told in it. */
+    /** A response is pending in the socket when its call times out: it counts, and so does a back-off in it. */
     @ParameterizedTest
     @ValueSource(ints = {200, 429})
-    void answerThatLiesUnreadWhenItsCallIsGivenUpCounts(int status) throws Exception {
+    void responsePendingAtTheTimeoutCounts(int status) throws Exception {
         host.answer(request -> {
-            hold(gate);
+            hold(hostMayRespond);
             return ScriptedPeer.status(status, "X-Come-Back-Ms: " + (status == 429 ? 60_000 : 0));
         });
-        onLoop(() -> send(300 * MS));
+        onLoop(() -> send(300 * MILLI_MICROS));
         await(() -> host.requests.size() == 1);
         loop.execute(() -> {
-            // Both timers are due before the loop looks at them; the socket is looked at before, and holds nothing yet.
-            loop.schedule(this::letTheHostAnswer, 0, TimeUnit.MILLISECONDS);
+            // Both timers are due before the loop runs them; the sockets are polled earlier, and hold nothing yet.
+            loop.schedule(this::releaseHost, 0, TimeUnit.MILLISECONDS);
             RelayProcess.hold(400);
         });
-        await(() -> ends.containsKey("m0"));
-        assertEquals(status == 200 ? AttemptOutcome.OK : AttemptOutcome.REJECTED, ends.get("m0"));
-        assertEquals(status == 200 ? List.of() : List.of(60 * SECOND), waits);
+        await(() -> outcomes.containsKey("m0"));
+        assertEquals(status == 200 ? AttemptOutcome.OK : AttemptOutcome.REJECTED, outcomes.get("m0"));
+        assertEquals(status == 200 ? List.of() : List.of(60 * SECOND_MICROS), retryAfters);
     }
 
-    private void letTheHostAnswer() {
-        gate.countDown();
+    private void releaseHost() {
+        hostMayRespond.countDown();
         KernelSocketState.beyond(host.connections.get(0)).awaitUnread();
     }
 
@@ -290,42 +298,44 @@
     }
 
     /**
-     * A call that takes an idle connection and is not sent in the end does not make it younger: its host goes by bytes.
+     * A call that takes an idle connection and is not sent does not extend its idle time: the host counts from the last
+     * byte.
      */
     @Test
-    void connectionThatIsTakenForNothingGrowsNoYounger() {
+    void unsentCallDoesNotExtendTheIdleTimeOfItsConnection() {
         sendAndAwait("m0", AttemptOutcome.OK);
         long since = System.nanoTime();
         while (!host.connections.get(0).isClosed() && System.nanoTime() - since < 3_000_000_000L) {
             String id = "m" + sent;
-            onLoop(() -> client.send("r", messages(1, 30 * SECOND, clock.micros(), 5)));
-            await(() -> ends.containsKey(id));
+            onLoop(() -> client.send("r", messages(1, 30 * SECOND_MICROS, clock.micros(), 5)));
+            await(() -> outcomes.containsKey(id));
         }
-        assertTrue(host.connections.get(0).isClosed(), "its idle span of a second is over");
+        assertTrue(host.connections.get(0).isClosed(), "its idle timeout of a second is over");
         assertEquals(1, host.requests.size());
     }
 
     /**
-     * The timer that retires a connection is late, as the loop had no CPU; the host closes it as the next call leaves.
+     * The idle timer of a connection is late, as the event loop was blocked; the host closes the connection as the next
+     * call is sent.
      */
     @Test
-    void connectionThatIsTooOldIsNotTakenThoughItsTimerIsLate() {
+    void connectionPastItsIdleTimeoutIsNotUsedThoughItsTimerIsLate() {
         sendAndAwait("m0", AttemptOutcome.OK);
-        // The connection has rested from its answer.
+        // The settle time of the connection is over.
         RelayProcess.hold(5);
         onLoop(() -> {
             RelayProcess.hold(1100);
-            send(30 * SECOND);
+            send(30 * SECOND_MICROS);
         });
-        await(() -> ends.containsKey("m1"));
+        await(() -> outcomes.containsKey("m1"));
         assertEquals(2, host.connections.size());
     }
 
-    /** The host's end of an idle connection has come and lies unread when the next call leaves. */
+    /** The end of an idle connection is pending in the socket when the next call is sent. */
     @Test
-    void connectionWhoseEndLiesUnreadIsNotTaken() {
+    void connectionWithAPendingEndIsNotUsed() {
         sendAndAwait("m0", AttemptOutcome.OK);
-        // The connection has rested from its answer.
+        // The settle time of the connection is over.
         RelayProcess.hold(5);
         onLoop(() -> {
             KernelSocketState relay = KernelSocketState.beyond(host.connections.get(0));
@@ -335,22 +345,22 @@
                 throw new AssertionError(e);
             }
             relay.awaitEnd();
-            send(30 * SECOND);
+            send(30 * SECOND_MICROS);
         });
-        await(() -> ends.containsKey("m1"));
-        assertEquals(AttemptOutcome.OK, ends.get("m1"));
+        await(() -> outcomes.containsKey("m1"));
+        assertEquals(AttemptOutcome.OK, outcomes.get("m1"));
         assertEquals(2, host.connections.size());
-        assertFalse(ends.containsValue(AttemptOutcome.RESET));
+        assertFalse(outcomes.containsValue(AttemptOutcome.RESET));
     }
 
-    /** The host moves, or is gone and comes back, while a wait runs: the wait is its destination's. */
+    /** The host changes its address, or is removed and listed again, during a back-off: it is the destination's. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void waitOutlastsAChangeOfAddress(boolean goneMeanwhile) throws IOException {
+    void retryAfterOutlastsAChangeOfAddress(boolean removedMeanwhile) throws IOException {
         host.answer(request -> ScriptedPeer.status(429, "X-Come-Back-Ms: 60000"));
         sendAndAwait("m0", AttemptOutcome.REJECTED);
         try (ScriptedPeer next = ScriptedPeer.always(ScriptedPeer.status(200))) {
-            if (goneMeanwhile) {
+            if (removedMeanwhile) {
                 onLoop(() -> client.onEndpointList(EndpointListKind.FULL, List.of()));
             }
             list(next.address());
@@ -359,17 +369,17 @@
         }
     }
 
-    /** A connection comes up after its call was given up: that call never ran, and the next one has the connection. */
+    /** A connection comes up after its call was abandoned: that call never ran, and the next one uses the connection. */
     @Test
-    void connectionThatComesUpAfterItsCallWasGivenUpIsTheNextOnes() {
-        List<UpstreamClient.OutboundAttempt> first = messages(1, 30 * SECOND, Long.MAX_VALUE, 5);
+    void connectionOfAnAbandonedCallServesTheNextCall() {
+        List<UpstreamClient.OutboundAttempt> first = messages(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 5);
         onLoop(() -> {
             client.send("r", first);
             client.cancel(first.get(0).attempt());
         });
-        assertEquals(AttemptOutcome.CONNECT_FAILED, ends.get("m0"));
+        assertEquals(AttemptOutcome.CONNECT_FAILED, outcomes.get("m0"));
         await(() -> host.connections.size() == 1);
-        // A timer runs behind a look at the sockets: the loop has the connection too.
+        // Timers run after the sockets are polled, so the loop has the connection too.
         loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).syncUninterruptibly();
         sendAndAwait("m1", AttemptOutcome.OK);
         assertEquals(
@@ -378,21 +388,18 @@
         assertEquals(1, host.connections.size());
     }
 
-    /**
-     * A list that drains the host crosses a call that still connects: it never leaves, and neither does the connection
-     * stay.
-     */
+    /** A call still connects when its host starts to drain: it is never sent, and the connection is closed. */
     @Test
-    void callThatConnectsWhileItsHostDrainsNeverLeaves() {
+    void callThatConnectsWhileItsHostDrainsIsNeverSent() {
         onLoop(() -> {
-            send(30 * SECOND);
+            send(30 * SECOND_MICROS);
             client.onEndpointList(
                     EndpointListKind.DELTA,
                     List.of(new Endpoint(
                             new EndpointEntry("r", 1, "k", "b0", Availability.DRAINING, 0),
                             Endpoint.address(host.address()))));
         });
-        assertEquals(AttemptOutcome.NOT_SENT, ends.get("m0"));
+        assertEquals(AttemptOutcome.NOT_SENT, outcomes.get("m0"));
         await(() -> host.connections.stream().allMatch(Socket::isClosed));
         assertEquals(0, host.requests.size());
     }
@@ -400,21 +407,21 @@
     @Override
     public void onAttemptCompleted(
             Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
-        ends.put(attempt.message().content().messageId(), result);
+        outcomes.put(attempt.message().content().messageId(), result);
     }
 
     @Override
     public void onRetryAfter(String route, long wait) {
-        waits.add(wait);
+        retryAfters.add(wait);
     }
 
     @Override
     public void onLateDelivery(Message.Attempt attempt) {
-        throw new AssertionError("no late answers here");
+        throw new AssertionError("no late responses are expected");
     }
 
     @Override
     public void onProbeCompleted(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
-        throw new AssertionError("no probes here");
+        throw new AssertionError("no probes are sent");
     }
 }
