--- a/src/main/java/loftflow/listener/Listener.java
+++ b/src/main/java/loftflow/listener/Listener.java
@@ -1,19 +1,19 @@
 package loftflow.listener;
 
-/** A way in for messages, as the relay's end sees it. To be called on the event loop. */
+/** An inbound endpoint for messages, as the shutdown of the relay sees it. For use on the event loop only. */
 public interface Listener {
-    /** Takes nothing new where a client can go elsewhere; what a client has begun is still answered. */
+    /** Starts a graceful shutdown: new work goes to other relays where clients can, begun requests are answered. */
     void drain();
 
-    /** Takes in what has come and lies unread, with connections that are not accepted yet. */
+    /** Reads pending bytes from sockets, and accepts pending connections. */
     default void takeIn() {}
 
-    /** True where everything that was begun has its answer. */
+    /** Returns true where every request that was begun has its response. */
     boolean isIdle();
 
-    /** True while something that came whole has no answer yet. */
+    /** Returns true while a request that was received whole has no response yet. */
     boolean isAnswering();
 
-    /** Takes nothing from now on. */
+    /** Accepts nothing from now on. */
     void stopListening();
 }
--- a/src/main/java/loftflow/listener/amqp/AmqpListener.java
+++ b/src/main/java/loftflow/listener/amqp/AmqpListener.java
@@ -282,7 +282,7 @@
 
     @Override
     public void stopListening() {
-        door.shut();
+        door.close();
         sessions.forEach(s -> s.end(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - the relay ends"));
     }
 }
--- a/src/main/java/loftflow/listener/connection/Acceptor.java
+++ b/src/main/java/loftflow/listener/connection/Acceptor.java
@@ -16,21 +16,28 @@
 import loftflow.engine.EventLoopLag;
 import loftflow.log.Log;
 
-/** A listening socket, and since when what it accepts may have waited. */
+/**
+ * A listening socket. It also bounds how long an accepted connection, and the bytes on it, may have been pending.
+ */
 public final class Acceptor {
-    private static final int BACKLOG = 1024;
-    private static final long PAUSE_MS = 50;
+    private static final int BACKLOG_CONNECTIONS = 1024;
+    /** How long accepting pauses after a failure. */
+    private static final long PAUSE_MILLIS = 50;
 
-    private final EventLoopLag pulse;
-    private final Consumer<Channel> accept;
+    private final EventLoopLag eventLoopLag;
+    private final Consumer<Channel> initializer;
     private Channel listener;
-    /** Since when connections may have waited to be accepted that the last pass left behind. */
-    private long leftSince = Long.MAX_VALUE;
+    /** Since when connections may be pending that the last iteration of the event loop did not accept. */
+    private long backlogSinceMicros = Long.MAX_VALUE;
 
-    /** A door that is shut still; what it accepts is told with nothing in its pipeline. */
-    public Acceptor(EventLoopLag pulse, Consumer<Channel> accept) {
-        this.pulse = pulse;
-        this.accept = accept;
+    /**
+     * Creates an acceptor that does not listen yet.
+     *
+     * @param initializer receives each accepted channel, with an empty pipeline
+     */
+    public Acceptor(EventLoopLag eventLoopLag, Consumer<Channel> initializer) {
+        this.eventLoopLag = eventLoopLag;
+        this.initializer = initializer;
     }
 
     /** Listens at an address. */
@@ -38,14 +45,14 @@
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG_CONNECTIONS)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .handler(new Backlog())
+                .handler(new BacklogTracker())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
-                        accept.accept(ch);
+                    protected void initChannel(Channel channel) {
+                        initializer.accept(channel);
                     }
                 })
                 .bind(address);
@@ -53,33 +60,33 @@
         return bound;
     }
 
-    /**
-     * Accepts what waits. Guards against a connection that the kernel alone has taken, which the end of the process
-     * would reset.
-     */
-    public void takeIn() {
+    /** Accepts connections from the kernel's backlog, which the end of the process would reset. */
+    public void acceptPending() {
         ((AbstractNioChannel.NioUnsafe) listener.unsafe()).read();
     }
 
-    /** Takes no new connection from now on. */
-    public void shut() {
+    /** Stops listening. */
+    public void close() {
         listener.close();
     }
 
-    /** The earliest time at which a connection that is accepted now can have come. */
+    /** The earliest time at which a connection that is accepted now can have arrived, in microseconds. */
     public long acceptableSince() {
-        return Math.min(leftSince, pulse.unreadSince());
+        return Math.min(backlogSinceMicros, eventLoopLag.unreadSince());
     }
 
-    /** The earliest time at which bytes that are read now can have come. */
+    /** The earliest time at which bytes that are read now can have arrived, in microseconds. */
     public long unreadSince() {
-        return pulse.unreadSince();
+        return eventLoopLag.unreadSince();
     }
 
-    /** Guards against connections that wait for several passes, as one accepts only so many. */
-    private final class Backlog extends ChannelInboundHandlerAdapter {
+    /**
+     * Tracks connections that stay pending over several iterations of the event loop, as one iteration accepts a
+     * bounded number.
+     */
+    private final class BacklogTracker extends ChannelInboundHandlerAdapter {
         private int accepted;
-        private long since;
+        private long sinceMicros;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object child) {
@@ -89,23 +96,25 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            boolean all = accepted < ctx.channel().metadata().defaultMaxMessagesPerRead();
-            since = acceptableSince();
-            leftSince = all ? Long.MAX_VALUE : since;
+            boolean isBacklogEmpty = accepted < ctx.channel().metadata().defaultMaxMessagesPerRead();
+            sinceMicros = acceptableSince();
+            backlogSinceMicros = isBacklogEmpty ? Long.MAX_VALUE : sinceMicros;
             accepted = 0;
             ctx.fireChannelReadComplete();
         }
 
         /**
-         * Guards against a lack of descriptors or memory, which is over soon, that would end the event loop: Netty
-         * logs what nobody takes, and logging opens files. Those that connect meanwhile wait a little longer.
+         * Pauses accepting where it fails, which is mostly a temporary lack of file descriptors or memory. The
+         * exception ends here: Netty would log it, which opens files, and the event loop would end. Connections stay
+         * pending meanwhile.
          */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            Log.line("can't accept: " + cause);
-            leftSince = since;
+            Log.line("listener: accept failed cause=" + cause);
+            backlogSinceMicros = sinceMicros;
             ctx.channel().config().setAutoRead(false);
-            ctx.executor().schedule(() -> ctx.channel().config().setAutoRead(true), PAUSE_MS, TimeUnit.MILLISECONDS);
+            ctx.executor()
+                    .schedule(() -> ctx.channel().config().setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
+++ b/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
@@ -9,109 +9,112 @@
 import java.util.function.Predicate;
 
 /**
- * The connections of a front, within a bound: a full house lets go of the longest silent one, then of the longest idle
- * one.
+ * The connections of a listener and the limit on their number. At the limit, a new connection evicts the oldest one
+ * that has sent nothing yet, or else the one that has been idle longest; where all have a request in progress, the new
+ * one is closed.
  *
  * @param <C> a connection
  */
 public final class ConnectionLimiter<C> {
-    private final int most;
-    private final Consumer<C> takeIn;
+    private final int maxConnections;
+    private final Consumer<C> readPending;
     private final Consumer<C> close;
-    private final Set<C> all = new HashSet<>();
-    /** Connections that have sent nothing yet, and those that are idle since their last answer, oldest first. */
-    private final Set<C> silent = new LinkedHashSet<>();
-
+    private final Set<C> connections = new HashSet<>();
+    /** Connections that have sent no request yet, oldest first. */
+    private final Set<C> unused = new LinkedHashSet<>();
+    /** Connections that are idle since their last response, the one that has been idle longest first. */
     private final Set<C> idle = new LinkedHashSet<>();
 
     /**
-     * A house for so many connections.
+     * Creates a limiter without connections.
      *
-     * @param takeIn reads what has come on one and is not read yet
-     * @param close closes one
+     * @param readPending reads the bytes that are pending on a connection
+     * @param close closes a connection
      */
-    public ConnectionLimiter(int most, Consumer<C> takeIn, Consumer<C> close) {
-        this.most = most;
-        this.takeIn = takeIn;
+    public ConnectionLimiter(int maxConnections, Consumer<C> readPending, Consumer<C> close) {
+        this.maxConnections = maxConnections;
+        this.readPending = readPending;
         this.close = close;
     }
 
-    /** Guards against clients that take every descriptor: the ones that have stood longest go first. */
-    public void opened(C connection) {
-        if (all.size() >= most) {
-            letGo();
+    /** Adds a new connection. At the limit it evicts an inactive one, or is closed where there is none. */
+    public void onOpened(C connection) {
+        if (connections.size() >= maxConnections) {
+            evictIdle();
         }
-        if (all.size() >= most) {
+        if (connections.size() >= maxConnections) {
             close.accept(connection);
             return;
         }
-        all.add(connection);
-        silent.add(connection);
+        connections.add(connection);
+        unused.add(connection);
     }
 
-    /** Closes the one that has stood longest, if any stands. */
-    private void letGo() {
-        for (C longest : standing()) {
-            // Guards against a request that lies unread: it would end with no answer.
-            takeIn.accept(longest);
-            if (all.size() < most) {
+    /** Evicts the first inactive connection, if there is one. */
+    private void evictIdle() {
+        for (C candidate : inactive()) {
+            // A request that is pending in the socket would get no response.
+            readPending.accept(candidate);
+            if (connections.size() < maxConnections) {
                 return;
             }
-            if (stoodLongest(longest)) {
-                // Guards against a house that fills further: its end is told later, and others come in the same pass.
-                closed(longest);
-                close.accept(longest);
+            if (isFirstInactive(candidate)) {
+                // The channel reports its close later, and more connections may be accepted before that.
+                onClosed(candidate);
+                close.accept(candidate);
                 return;
             }
         }
     }
 
-    /** False for one that has begun a request, and for one that was answered at once and stands anew. */
-    private boolean stoodLongest(C connection) {
-        Set<C> standing = silent.isEmpty() ? idle : silent;
-        return !standing.isEmpty() && standing.iterator().next().equals(connection);
+    /** Returns false for a connection that has a request in progress, and for one that was answered just now. */
+    private boolean isFirstInactive(C connection) {
+        Set<C> evictable = unused.isEmpty() ? idle : unused;
+        return !evictable.isEmpty() && evictable.iterator().next().equals(connection);
     }
 
-    /** It has begun a request. */
-    public void began(C connection) {
-        silent.remove(connection);
+    /** The connection has begun a request. */
+    public void onRequestStarted(C connection) {
+        unused.remove(connection);
         idle.remove(connection);
     }
 
-    /** It has its last answer, and nothing is begun. */
-    public void fellIdle(C connection) {
-        // Guards against one that was let go and has its last answer only then.
-        if (all.contains(connection)) {
+    /** The connection has its last response, and no request is in progress. */
+    public void onIdle(C connection) {
+        // An evicted connection may get its last response after its removal.
+        if (connections.contains(connection)) {
             idle.add(connection);
         }
     }
 
-    /** It is gone. */
-    public void closed(C connection) {
-        all.remove(connection);
-        silent.remove(connection);
+    /** The connection is gone. */
+    public void onClosed(C connection) {
+        connections.remove(connection);
+        unused.remove(connection);
         idle.remove(connection);
     }
 
-    /** Those that wait for nothing. */
-    public List<C> standing() {
-        List<C> standing = new ArrayList<>(silent);
-        standing.addAll(idle);
-        return standing;
+    /** The connections without a request in progress, in the order of eviction. */
+    public List<C> inactive() {
+        List<C> inactive = new ArrayList<>(unused);
+        inactive.addAll(idle);
+        return inactive;
     }
 
-    /** True where nothing is begun but on connections of which something else is known. */
-    public boolean isIdle(Predicate<C> over) {
-        return all.stream().allMatch(c -> silent.contains(c) || idle.contains(c) || over.test(c));
+    /** Returns true where every connection is inactive, or has its last response by the given predicate. */
+    public boolean isIdle(Predicate<C> isFinished) {
+        return connections.stream()
+                .allMatch(connection ->
+                        unused.contains(connection) || idle.contains(connection) || isFinished.test(connection));
     }
 
-    /** The connections, in no order. */
+    /** A copy of the connections, in no particular order. */
     public List<C> all() {
-        return List.copyOf(all);
+        return List.copyOf(connections);
     }
 
-    /** How many there are. */
+    /** The number of connections. */
     public int size() {
-        return all.size();
+        return connections.size();
     }
 }
--- a/src/main/java/loftflow/listener/connection/RequestBufferPool.java
+++ b/src/main/java/loftflow/listener/connection/RequestBufferPool.java
@@ -1,25 +1,30 @@
 package loftflow.listener.connection;
 
-/** The memory that half-read requests of a front share. */
+/** The memory bound that the partly received requests of one listener share. It counts bytes and holds none. */
 public final class RequestBufferPool {
-    /** What the requests of one front may take together, in bytes. */
-    private static final int MOST = 4 << 20;
-    /** A request of so many bytes always has room. */
-    public static final int ALWAYS = 4 << 10;
+    /** The bytes that the requests of one listener may reserve together. */
+    private static final int MAX_POOL_BYTES = 4 << 20;
+    /** A request up to this size is admitted even where the pool is exhausted. */
+    public static final int GUARANTEED_REQUEST_BYTES = 4 << 10;
 
-    private int taken;
+    private int reservedBytes;
 
-    /** Takes bytes for a request of so many by now; false where there is no room. Small requests always have it. */
-    public boolean take(int bytes, int request) {
-        if (taken + bytes > MOST && request > ALWAYS) {
+    /**
+     * Reserves more bytes for a request.
+     *
+     * @param requestBytes the size of the request including these bytes
+     * @return false where the pool is exhausted, unless the request is small
+     */
+    public boolean tryReserve(int bytes, int requestBytes) {
+        if (reservedBytes + bytes > MAX_POOL_BYTES && requestBytes > GUARANTEED_REQUEST_BYTES) {
             return false;
         }
-        taken += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
-    /** Gives bytes back. */
-    public void give(int bytes) {
-        taken -= bytes;
+    /** Releases reserved bytes. */
+    public void release(int bytes) {
+        reservedBytes -= bytes;
     }
 }
--- a/src/main/java/loftflow/listener/connection/UnreadSince.java
+++ b/src/main/java/loftflow/listener/connection/UnreadSince.java
@@ -1,36 +1,37 @@
 package loftflow.listener.connection;
 
 /**
- * Since when bytes that a connection brings now may have lain unread: a message's time counts from when it was sent.
+ * Since when the bytes that a connection delivers now may have been pending. The deadline of a message counts from when
+ * its client sent it, so that the earliest possible time is used.
  */
 public final class UnreadSince {
-    private final Acceptor door;
-    private final long openedAt;
-    private final long acceptableSince;
-    /** Since when bytes may have waited while the connection was not read from. */
-    private long pausedSince = Long.MAX_VALUE;
+    private final Acceptor acceptor;
+    private final long openedAtMicros;
+    private final long acceptableSinceMicros;
+    /** Since when bytes may be pending while reading is paused. */
+    private long pausedSinceMicros = Long.MAX_VALUE;
 
-    /** A connection that is accepted now, by the engine's clock. */
-    public UnreadSince(Acceptor door, long now) {
-        this.door = door;
-        openedAt = now;
-        acceptableSince = door.acceptableSince();
+    /** Starts with a connection that is accepted now, by the engine's clock. */
+    public UnreadSince(Acceptor acceptor, long nowMicros) {
+        this.acceptor = acceptor;
+        openedAtMicros = nowMicros;
+        acceptableSinceMicros = acceptor.acceptableSince();
     }
 
-    /** The earliest time at which the bytes that are read now can have come. */
-    public long since() {
-        long since = Math.min(pausedSince, door.unreadSince());
-        // Guards against bytes that came with the connection and waited, with it, to be accepted.
-        return since <= openedAt ? Math.min(since, acceptableSince) : since;
+    /** The earliest time at which bytes that are read now can have arrived, in microseconds. */
+    public long earliestArrivalMicros() {
+        long sinceMicros = Math.min(pausedSinceMicros, acceptor.unreadSince());
+        // The first bytes may have been pending together with their connection.
+        return sinceMicros <= openedAtMicros ? Math.min(sinceMicros, acceptableSinceMicros) : sinceMicros;
     }
 
-    /** The connection is not read from, from now on or still. */
-    public void paused() {
-        pausedSince = Math.min(pausedSince, door.unreadSince());
+    /** Reading from the connection is paused, from now on or still. */
+    public void onReadPaused() {
+        pausedSinceMicros = Math.min(pausedSinceMicros, acceptor.unreadSince());
     }
 
-    /** All that waited has been read. */
-    public void caughtUp() {
-        pausedSince = Long.MAX_VALUE;
+    /** All pending bytes have been read. */
+    public void onReadCaughtUp() {
+        pausedSinceMicros = Long.MAX_VALUE;
     }
 }
--- a/src/main/java/loftflow/listener/http/HttpClientConnection.java
+++ b/src/main/java/loftflow/listener/http/HttpClientConnection.java
@@ -1,7 +1,5 @@
 package loftflow.listener.http;
 
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -9,28 +7,17 @@
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DuplexChannel;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import java.util.Arrays;
-import java.util.EnumMap;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import java.util.stream.Collectors;
 import loftflow.engine.Clock;
 import loftflow.engine.Message;
 import loftflow.engine.MessageAcceptor;
@@ -41,97 +28,105 @@
 import loftflow.listener.request.Exchange;
 import loftflow.listener.request.MessageRequest;
 
-/** One client's connection: reads its requests, answers them in order, and gives up a client that stalls. */
+/**
+ * The connection of one client: reads its requests, answers them in order, and closes it where the client stalls. Every
+ * request that was received whole gets exactly one response, unless the connection breaks.
+ */
 final class HttpClientConnection extends SimpleChannelInboundHandler<HttpObject> {
-    private static final int MOST_PIPELINED = 8;
-    private static final long IDLE_MS = 10_000;
-    private static final long LINGER_MS = 2000;
-    private static final Map<ClientResponse, ByteBuf> PLAIN = Arrays.stream(ClientResponse.values())
-            .collect(Collectors.toMap(
-                    a -> a, HttpClientConnection::plain, (a, b) -> a, () -> new EnumMap<>(ClientResponse.class)));
-
-    private final HttpListener server;
-    private final MessageAcceptor intake;
+    /** Pipelined requests that are buffered; reading pauses at that number. */
+    private static final int MAX_PIPELINED_REQUESTS = 8;
+
+    private static final long IDLE_TIMEOUT_MILLIS = 10_000;
+    /** How long the connection stays half-closed after its last response, for the client to read it. */
+    private static final long LINGER_MILLIS = 2000;
+
+    private final HttpListener listener;
+    private final MessageAcceptor messageAcceptor;
     private final Clock clock;
+    /** Complete requests that wait for the response to an earlier one. */
     private final ArrayDeque<HttpRequestReader> pipelined = new ArrayDeque<>();
+
     private final Exchange exchange;
     private ChannelHandlerContext context;
-    /** Bytes that are written here go out as they are. */
+    /** The context of the encoder: bytes that are written from there are sent unchanged. */
     private ChannelHandlerContext encoder;
 
-    private UnreadSince unread;
-    private long bytesSince;
-    private boolean idle = true;
-    private boolean served;
-    private boolean keepAlive;
+    private UnreadSince unreadSince;
+    private long earliestArrivalMicros;
+    private boolean isIdle = true;
+    private boolean hasResponded;
+    private boolean isKeepAlive;
+    /** The request that is being received; null between requests. */
     private HttpRequestReader reading;
-    private boolean handling;
-    private boolean answering;
-    /** The last request that is heeded can't be read on; its refusal is the last answer. */
-    private ClientResponse refusal;
 
-    private boolean ending;
-    private int buffered;
+    private boolean isHandling;
+    private boolean isAwaitingResponse;
+    /** The last response, to a request that is not acceptable; nothing after that request is read. */
+    private ClientResponse rejection;
+
+    private boolean isClosing;
+    private int reservedBytes;
     private final ConnectionTimer timer =
             new ConnectionTimer((nanos, task) -> context.executor().schedule(task, nanos, TimeUnit.NANOSECONDS));
 
-    HttpClientConnection(HttpListener server, MessageAcceptor intake, Clock clock) {
-        this.server = server;
-        this.intake = intake;
+    HttpClientConnection(HttpListener listener, MessageAcceptor messageAcceptor, Clock clock) {
+        this.listener = listener;
+        this.messageAcceptor = messageAcceptor;
         this.clock = clock;
-        exchange = new Exchange(intake) {
+        exchange = new Exchange(messageAcceptor) {
             @Override
-            protected void answer(ClientResponse answer, long retryIn) {
-                HttpClientConnection.this.answer(answer, retryIn);
+            protected void respond(ClientResponse response, long retryAfterMicros) {
+                HttpClientConnection.this.respond(response, retryAfterMicros);
             }
         };
     }
 
-    /** What the channel's pipeline is made of. */
+    /** The handlers of the channel's pipeline, in order. */
     ChannelHandler[] handlers() {
-        return new ChannelHandler[] {new Watch(), new Decoder(), new HttpResponseEncoder(), this};
+        return new ChannelHandler[] {new ActivityTracker(), new Decoder(), new HttpResponseEncoder(), this};
     }
 
-    boolean isAnswering() {
-        return answering;
+    /** Returns true while a request that was received whole has no response yet. */
+    boolean hasRequestInProgress() {
+        return isAwaitingResponse;
     }
 
-    /** True where the last answer has been written. */
-    boolean isEnding() {
-        return ending;
+    /** Returns true where the last response has been written. */
+    boolean isClosing() {
+        return isClosing;
     }
 
     void close() {
         context.close();
     }
 
-    /** Takes in what has come and is not read yet, but for what waits with a client that does not read its answers. */
-    void readWhatCame() {
+    /** Reads pending bytes, unless reading is paused because the client does not read its responses. */
+    void readPending() {
         if (context.channel().isWritable()) {
             UnreadBytes.read(context.channel());
         }
     }
 
-    /** True where the system has taken every answer. */
+    /** Returns true where the kernel has taken every response. */
     boolean isFlushed() {
-        ChannelOutboundBuffer waiting = context.channel().unsafe().outboundBuffer();
-        return waiting == null || waiting.isEmpty();
+        ChannelOutboundBuffer buffer = context.channel().unsafe().outboundBuffer();
+        return buffer == null || buffer.isEmpty();
     }
 
-    /** Notices the first byte of a request, and lets go by what comes after the last one that is heeded. */
-    private final class Watch extends ChannelInboundHandlerAdapter {
+    /** Tracks the first byte of a request and the age of pending bytes, and discards bytes after the last request. */
+    private final class ActivityTracker extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (refusal != null || ending) {
+            if (rejection != null || isClosing) {
                 ReferenceCountUtil.release(bytes);
                 return;
             }
-            bytesSince = unread.since();
-            if (idle) {
-                idle = false;
-                server.house().began(HttpClientConnection.this);
-                if (served) {
-                    timer.start(MessageRequest.READ_MS, TimeUnit.MILLISECONDS, HttpClientConnection.this::stalled);
+            earliestArrivalMicros = unreadSince.earliestArrivalMicros();
+            if (isIdle) {
+                isIdle = false;
+                listener.connections().onRequestStarted(HttpClientConnection.this);
+                if (hasResponded) {
+                    startReadTimeout();
                 }
             }
             ctx.fireChannelRead(bytes);
@@ -140,13 +135,13 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (ctx.channel().config().isAutoRead()) {
-                unread.caughtUp();
+                unreadSince.onReadCaughtUp();
             }
             ctx.fireChannelReadComplete();
         }
     }
 
-    /** Guards against two lengths, of which only one can be true: both stay, for the reader to see. */
+    /** Retains both headers where a request has two conflicting lengths, so that it can be rejected. */
     private static final class Decoder extends HttpRequestDecoder {
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage request) {}
@@ -156,17 +151,21 @@
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
         encoder = ctx.pipeline().context(HttpResponseEncoder.class);
-        unread = new UnreadSince(server.door(), clock.micros());
-        timer.start(MessageRequest.READ_MS, TimeUnit.MILLISECONDS, this::stalled);
-        server.house().opened(this);
+        unreadSince = new UnreadSince(listener.acceptor(), clock.micros());
+        startReadTimeout();
+        listener.connections().onOpened(this);
     }
 
-    /** Guards against clients that connect and say nothing, or begin a request and never end it. */
-    private void stalled() {
-        if (idle) {
+    private void startReadTimeout() {
+        timer.start(MessageRequest.READ_MS, TimeUnit.MILLISECONDS, this::onReadTimeout);
+    }
+
+    /** Closes the connection of a client that sends nothing, and rejects a request that does not end. */
+    private void onReadTimeout() {
+        if (isIdle) {
             close();
-        } else if (!answering) {
-            refuse(ClientResponse.TOO_SLOW);
+        } else if (!isAwaitingResponse) {
+            reject(ClientResponse.REQUEST_TIMEOUT);
         }
     }
 
@@ -175,17 +174,17 @@
         timer.end();
         pipelined.clear();
         reading = null;
-        server.house().closed(this);
-        server.room().give(buffered);
-        buffered = 0;
+        listener.connections().onClosed(this);
+        listener.bufferPool().release(reservedBytes);
+        reservedBytes = 0;
         withdraw();
     }
 
-    /** Guards against delivering what its client gave up and may hand in again under another id. */
+    /** Withdraws the message that awaits its response: its client may resubmit it under another id. */
     private void withdraw() {
-        Message waiting = exchange.release();
-        if (waiting != null) {
-            intake.withdraw(waiting);
+        Message message = exchange.releaseMessage();
+        if (message != null) {
+            messageAcceptor.withdraw(message);
         }
     }
 
@@ -196,172 +195,164 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (refusal != null || ending) {
+        if (rejection != null || isClosing) {
             return;
         }
-        if (part instanceof HttpRequest head) {
-            reading = new HttpRequestReader(head);
-            ClientResponse why = reading.refusal();
-            if (why != null) {
-                refuse(why);
-                return;
-            }
-            if (HttpUtil.is100ContinueExpected(head) && !answering) {
-                ctx.writeAndFlush(new DefaultFullHttpResponse(
-                        HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
-            }
+        if (part instanceof HttpRequest head && !readHead(ctx, head)) {
+            return;
         }
         if (part instanceof HttpContent content && reading != null) {
-            read(content);
+            readContent(content);
+        }
+    }
+
+    /** Begins a request; returns false where it is rejected. */
+    private boolean readHead(ChannelHandlerContext ctx, HttpRequest head) {
+        reading = new HttpRequestReader(head);
+        ClientResponse headRejection = reading.rejection();
+        if (headRejection != null) {
+            reject(headRejection);
+            return false;
+        }
+        if (HttpUtil.is100ContinueExpected(head) && !isAwaitingResponse) {
+            ctx.writeAndFlush(ResponseFactory.createContinue());
         }
+        return true;
     }
 
-    private void read(HttpContent content) {
+    private void readContent(HttpContent content) {
         int bytes = content.content().readableBytes();
         if (content.decoderResult().isFailure()) {
-            refuse(ClientResponse.MALFORMED);
-        } else if (!reading.add(content.content())) {
-            refuse(ClientResponse.TOO_LARGE);
-        } else if (!server.room().take(bytes, reading.size())) {
-            // Guards against half-read bodies that together take all the memory.
-            refuse(ClientResponse.NO_ROOM);
+            reject(ClientResponse.MALFORMED);
+        } else if (!reading.append(content.content())) {
+            reject(ClientResponse.TOO_LARGE);
+        } else if (!listener.bufferPool().tryReserve(bytes, reading.bodyBytes())) {
+            reject(ClientResponse.OVERLOADED);
         } else {
-            buffered += bytes;
+            reservedBytes += bytes;
             if (content instanceof LastHttpContent) {
-                reading.cameAt(bytesSince);
+                reading.onComplete(earliestArrivalMicros);
                 pipelined.add(reading);
                 reading = null;
-                handleNext();
-                readMore();
+                handlePipelined();
+                updateAutoRead();
             }
         }
     }
 
-    /**
-     * Guards against hundreds of requests at once, and of answers that are not read: what is not read yet waits with
-     * its client.
-     */
-    private void readMore() {
-        boolean full = pipelined.size() >= MOST_PIPELINED || !context.channel().isWritable();
-        if (full) {
-            unread.paused();
+    /** Pauses reading while many requests are buffered, or while the client does not read its responses. */
+    private void updateAutoRead() {
+        boolean isFull =
+                pipelined.size() >= MAX_PIPELINED_REQUESTS || !context.channel().isWritable();
+        if (isFull) {
+            unreadSince.onReadPaused();
         }
-        context.channel().config().setAutoRead(!full);
+        context.channel().config().setAutoRead(!isFull);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (!ending) {
-            readMore();
+        if (!isClosing) {
+            updateAutoRead();
         }
     }
 
-    /** Answers, after all that came before it, a request that can't be read on; nothing after it is heeded. */
-    private void refuse(ClientResponse why) {
+    /** Rejects the request that is being received, after the responses to all earlier ones, and reads no further. */
+    private void reject(ClientResponse response) {
         reading = null;
-        refusal = why;
-        handleNext();
+        rejection = response;
+        handlePipelined();
     }
 
-    private void handleNext() {
-        if (handling) {
+    private void handlePipelined() {
+        if (isHandling) {
             return;
         }
-        handling = true;
-        while (!answering && !pipelined.isEmpty()) {
+        isHandling = true;
+        while (!isAwaitingResponse && !pipelined.isEmpty()) {
             HttpRequestReader next = pipelined.poll();
             handle(next);
-            buffered -= next.size();
-            server.room().give(next.size());
+            reservedBytes -= next.bodyBytes();
+            listener.bufferPool().release(next.bodyBytes());
         }
-        handling = false;
-        if (refusal != null && !answering && !ending) {
-            keepAlive = false;
-            answer(refusal, 0);
+        isHandling = false;
+        if (rejection != null && !isAwaitingResponse && !isClosing) {
+            isKeepAlive = false;
+            respond(rejection, 0);
         }
     }
 
     private void handle(HttpRequestReader request) {
-        answering = true;
+        isAwaitingResponse = true;
         HttpRequest head = request.head();
-        keepAlive = HttpUtil.isKeepAlive(head);
+        isKeepAlive = HttpUtil.isKeepAlive(head);
         exchange.handle(
                 head.method().asciiName(),
                 head.uri(),
-                server.isDraining(),
-                request::content,
-                server.door().unreadSince());
-    }
-
-    /** An answer that says nothing but its status, the same bytes each time: only these go out by the thousand. */
-    private static ByteBuf plain(ClientResponse answer) {
-        return Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(
-                HttpVersion.HTTP_1_1 + " " + answer.status() + "\r\n" + HttpHeaderNames.CONTENT_LENGTH + ": 0\r\n\r\n",
-                StandardCharsets.US_ASCII));
-    }
-
-    private static FullHttpResponse withHeaders(ClientResponse answer, long retryIn, boolean last) {
-        FullHttpResponse response =
-                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(), Unpooled.EMPTY_BUFFER);
-        HttpUtil.setContentLength(response, 0);
-        if (last) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        }
-        if (retryIn > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, ClientResponse.retryAfter(retryIn));
-        }
-        return response;
+                listener.isDraining(),
+                request::parseMessage,
+                listener.acceptor().unreadSince());
     }
 
-    private void answer(ClientResponse answer, long retryIn) {
-        ending = !keepAlive || server.isDraining() && pipelined.isEmpty();
-        boolean last = ending;
-        Message answered = exchange.release();
-        answering = false;
-        ChannelFuture left = last || retryIn > 0
-                ? context.writeAndFlush(withHeaders(answer, retryIn, last))
-                : encoder.writeAndFlush(PLAIN.get(answer).duplicate());
-        left.addListener(written -> {
+    private void respond(ClientResponse response, long retryAfterMicros) {
+        isClosing = !isKeepAlive || listener.isDraining() && pipelined.isEmpty();
+        boolean isLast = isClosing;
+        Message answered = exchange.releaseMessage();
+        isAwaitingResponse = false;
+        write(response, retryAfterMicros, isLast).addListener(written -> {
             if (!written.isSuccess() && answered != null) {
-                intake.withdraw(answered);
+                messageAcceptor.withdraw(answered);
             }
             if (!written.isSuccess()) {
                 context.close();
-            } else if (last) {
+            } else if (isLast) {
                 linger();
             }
         });
-        if (!last) {
-            afterAnswer();
+        if (!isLast) {
+            onResponded();
         } else if (!isFlushed()) {
-            // Guards against a client that never reads its last answer.
-            timer.start(IDLE_MS, TimeUnit.MILLISECONDS, this::close);
+            // The client may never read its last response.
+            startIdleTimeout();
         }
     }
 
-    private void afterAnswer() {
+    private ChannelFuture write(ClientResponse response, long retryAfterMicros, boolean isLast) {
+        return isLast || retryAfterMicros > 0
+                ? context.writeAndFlush(ResponseFactory.create(response, retryAfterMicros, isLast))
+                : encoder.writeAndFlush(ResponseFactory.encoded(response));
+    }
+
+    private void onResponded() {
         timer.stop();
-        served = true;
-        idle = pipelined.isEmpty() && reading == null && refusal == null;
-        if (idle) {
-            server.house().fellIdle(this);
-            timer.start(IDLE_MS, TimeUnit.MILLISECONDS, this::close);
+        hasResponded = true;
+        isIdle = pipelined.isEmpty() && reading == null && rejection == null;
+        if (isIdle) {
+            listener.connections().onIdle(this);
+            startIdleTimeout();
         } else if (reading != null) {
-            timer.start(MessageRequest.READ_MS, TimeUnit.MILLISECONDS, this::stalled);
+            startReadTimeout();
         }
-        readMore();
-        handleNext();
+        updateAutoRead();
+        handlePipelined();
     }
 
-    /** Guards against an answer that a reset takes with it, as what the client still sends is not read. */
+    private void startIdleTimeout() {
+        timer.start(IDLE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS, this::close);
+    }
+
+    /**
+     * Half-closes the connection after its last response and reads on: closing it with unread bytes would reset it, and
+     * the client might lose the response.
+     */
     private void linger() {
         if (!context.channel().isActive()) {
             return;
         }
         ((DuplexChannel) context.channel()).shutdownOutput();
-        // Guards against a house full of these, whose clients never close: nothing more is owed to them.
-        server.house().fellIdle(this);
+        // Nothing more is owed to the client, so the connection may be evicted.
+        listener.connections().onIdle(this);
         context.channel().config().setAutoRead(true);
-        timer.start(LINGER_MS, TimeUnit.MILLISECONDS, this::close);
+        timer.start(LINGER_MILLIS, TimeUnit.MILLISECONDS, this::close);
     }
 }
--- a/src/main/java/loftflow/listener/http/HttpListener.java
+++ b/src/main/java/loftflow/listener/http/HttpListener.java
@@ -11,82 +11,73 @@
 import loftflow.listener.connection.ConnectionLimiter;
 import loftflow.listener.connection.RequestBufferPool;
 
-/** Listens for clients and keeps their connections, and what they have half sent, within bounds. */
+/** Listens for HTTP/1.1 clients, with a limit on their connections and on the memory of their partial requests. */
 public final class HttpListener implements Listener {
-    private final MessageAcceptor intake;
-    private final Clock clock;
-    private final Acceptor door;
-    private final ConnectionLimiter<HttpClientConnection> house;
-    private final RequestBufferPool room = new RequestBufferPool();
-    private boolean draining;
+    private final Acceptor acceptor;
+    private final ConnectionLimiter<HttpClientConnection> connections;
+    private final RequestBufferPool bufferPool = new RequestBufferPool();
+    private boolean isDraining;
 
-    /** A front for so many connections at the most. */
-    public HttpListener(MessageAcceptor intake, Clock clock, EventLoopLag pulse, int mostConnections) {
-        this.intake = intake;
-        this.clock = clock;
-        door = new Acceptor(
-                pulse, ch -> ch.pipeline().addLast(new HttpClientConnection(this, intake, clock).handlers()));
-        house = new ConnectionLimiter<>(
-                mostConnections, HttpClientConnection::readWhatCame, HttpClientConnection::close);
+    /** Creates a listener with a connection limit that does not listen yet. */
+    public HttpListener(MessageAcceptor messageAcceptor, Clock clock, EventLoopLag eventLoopLag, int maxConnections) {
+        acceptor = new Acceptor(eventLoopLag, channel -> channel.pipeline()
+                .addLast(new HttpClientConnection(this, messageAcceptor, clock).handlers()));
+        connections =
+                new ConnectionLimiter<>(maxConnections, HttpClientConnection::readPending, HttpClientConnection::close);
     }
 
     /** Listens for clients at an address. */
     public ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
-        return door.open(loop, address);
+        return acceptor.open(loop, address);
     }
 
-    Acceptor door() {
-        return door;
+    Acceptor acceptor() {
+        return acceptor;
     }
 
-    ConnectionLimiter<HttpClientConnection> house() {
-        return house;
+    ConnectionLimiter<HttpClientConnection> connections() {
+        return connections;
     }
 
-    RequestBufferPool room() {
-        return room;
+    RequestBufferPool bufferPool() {
+        return bufferPool;
     }
 
-    /**
-     * Closes connections as they fall idle; whatever a client has begun to send is still answered, and every answer
-     * goes out first.
-     */
+    /** Closes connections as they become idle; requests that were begun are answered and responses flushed first. */
     @Override
     public void drain() {
-        draining = true;
+        isDraining = true;
         takeIn();
-        house.standing().stream().filter(c -> c.isFlushed() && !c.isEnding()).forEach(HttpClientConnection::close);
+        connections.inactive().stream()
+                .filter(connection -> connection.isFlushed() && !connection.isClosing())
+                .forEach(HttpClientConnection::close);
     }
 
-    /**
-     * Guards against a request that lies unread on a connection that is about to close: it would end with no answer.
-     */
+    /** Also reads from inactive connections: one that closes with a pending request would leave it unanswered. */
     @Override
     public void takeIn() {
-        door.takeIn();
-        house.standing().forEach(HttpClientConnection::readWhatCame);
+        acceptor.acceptPending();
+        connections.inactive().forEach(HttpClientConnection::readPending);
     }
 
     boolean isDraining() {
-        return draining;
+        return isDraining;
     }
 
-    /** True where every request that was begun has its answer, and the system has taken it. */
+    /** Also requires that the kernel has taken every response. */
     @Override
     public boolean isIdle() {
-        return house.isIdle(HttpClientConnection::isEnding)
-                && house.all().stream().allMatch(HttpClientConnection::isFlushed);
+        return connections.isIdle(HttpClientConnection::isClosing)
+                && connections.all().stream().allMatch(HttpClientConnection::isFlushed);
     }
 
-    /** True while a request that was read whole has no answer yet. */
     @Override
     public boolean isAnswering() {
-        return house.all().stream().anyMatch(HttpClientConnection::isAnswering);
+        return connections.all().stream().anyMatch(HttpClientConnection::hasRequestInProgress);
     }
 
-    /** Takes no new connection from now on. */
     @Override
     public void stopListening() {
-        door.shut();
+        acceptor.close();
     }
 }
--- a/src/main/java/loftflow/listener/http/HttpRequestReader.java
+++ b/src/main/java/loftflow/listener/http/HttpRequestReader.java
@@ -12,11 +12,11 @@
 import loftflow.listener.request.ClientResponse;
 import loftflow.listener.request.MessageRequest;
 
-/** A client's request as it comes in: whether it can be read at all, and the message that it holds. */
+/** A request while it is received: validates its head, buffers its body and parses its message. */
 final class HttpRequestReader {
     private final HttpRequest head;
-    private final ByteBuf body = Unpooled.buffer(0, MessageRequest.MOST_BODY);
-    private long came;
+    private final ByteBuf body = Unpooled.buffer(0, MessageRequest.MAX_BODY_BYTES);
+    private long arrivedAtMicros;
 
     HttpRequestReader(HttpRequest head) {
         this.head = head;
@@ -26,48 +26,48 @@
         return head;
     }
 
-    /** Why the request can't be read, told from its head alone; null where nothing speaks against it. */
-    ClientResponse refusal() {
+    /** The response to a request whose head is not acceptable; null where it is. */
+    ClientResponse rejection() {
         if (head.decoderResult().isFailure()) {
             return ClientResponse.MALFORMED;
         }
-        // Guards against repeated lengths, of which the decoder takes the first in HTTP/1.0.
+        // In HTTP/1.0 the decoder accepts repeated lengths and uses the first.
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             return ClientResponse.WRONG_VERSION;
         }
         List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        // Guards against a second request hidden in the body, for those who heed the other of the two.
+        // With an ambiguous length, an intermediary may see a second request within the body (request smuggling).
         if (lengths.size() + codings.size() > 1
                 || codings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
             return ClientResponse.MALFORMED;
         }
-        // The decoder has made sure that a length is a number.
-        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > MessageRequest.MOST_BODY
+        // The decoder has verified that a length is a number.
+        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > MessageRequest.MAX_BODY_BYTES
                 ? ClientResponse.TOO_LARGE
                 : null;
     }
 
-    /** Takes in a piece of the body; false where the body is larger than any may be. */
-    boolean add(ByteBuf piece) {
-        if (piece.readableBytes() > body.maxWritableBytes()) {
+    /** Appends a chunk of the body; returns false where the body exceeds its maximum size. */
+    boolean append(ByteBuf chunk) {
+        if (chunk.readableBytes() > body.maxWritableBytes()) {
             return false;
         }
-        body.writeBytes(piece);
+        body.writeBytes(chunk);
         return true;
     }
 
-    /** The request is whole; its last byte can have come no earlier than this. */
-    void cameAt(long time) {
-        came = time;
+    /** The request is complete; its last byte can have arrived no earlier than the given time. */
+    void onComplete(long earliestArrivalMicros) {
+        arrivedAtMicros = earliestArrivalMicros;
     }
 
-    int size() {
+    int bodyBytes() {
         return body.readableBytes();
     }
 
-    /** The message that the request holds, or null where a header is missing or makes no sense. */
-    Message.Content content() {
-        return MessageRequest.content(head.uri(), head.headers()::get, came, ByteBufUtil.getBytes(body));
+    /** Parses the message in the request; null where a header is missing or invalid. */
+    Message.Content parseMessage() {
+        return MessageRequest.parse(head.uri(), head.headers()::get, arrivedAtMicros, ByteBufUtil.getBytes(body));
     }
 }
--- a/src/main/java/loftflow/listener/http/package-info.java
+++ b/src/main/java/loftflow/listener/http/package-info.java
@@ -1,9 +1,8 @@
 /**
- * Clients over HTTP/1.1: listens, reads requests within bounds, hands messages in through
- * {@link loftflow.engine.MessageAcceptor} and answers.
+ * Clients over HTTP/1.1: reads requests within bounds, submits messages through
+ * {@link loftflow.engine.MessageAcceptor} and responds. Start with {@link loftflow.listener.http.HttpListener}.
  *
- * <p>May use: the engine, {@code listener.connection}, {@code listener.request}, {@code http} and Netty; nothing of
- * partners, journal or
- * platform.
+ * <p>May use: the engine, {@code listener.connection}, {@code listener.request}, {@code http} and Netty; not the
+ * upstream clients, the journal or discovery.
  */
 package loftflow.listener.http;
--- a/src/main/java/loftflow/listener/http2/ClientSession.java
+++ b/src/main/java/loftflow/listener/http2/ClientSession.java
@@ -56,11 +56,11 @@
 /** One client's connection: its streams, and what it may cost. It carries out what {@code limits} decides. */
 final class ClientSession extends Http2ConnectionHandler {
     /** What a stream may bring of its body before a word is said; the rest is let in as there is room for it. */
-    static final int FIRST_WINDOW = RequestBufferPool.ALWAYS;
+    static final int FIRST_WINDOW = RequestBufferPool.GUARANTEED_REQUEST_BYTES;
 
     private static final int STEP = 16 << 10;
     /** One byte more than any body may have lets a client that told no length hear that its own is too large. */
-    static final int MOST_WINDOW = MessageRequest.MOST_BODY + 1;
+    static final int MOST_WINDOW = MessageRequest.MAX_BODY_BYTES + 1;
 
     private static final long COME_BACK = 1_000_000;
     private static final long LINGER_MS = 1_000;
@@ -121,7 +121,7 @@
         key = connection().newKey();
         budget = new FrameBudget(server.options().resets());
         standing = new ConnectionExpiry(server.options().standing(), clock.micros(), spread);
-        account = server.credit().open();
+        account = server.credit().openAccount();
         unread = new UnreadSince(server.door(), clock.micros());
         allowance = new AcknowledgedStreamLimit(settings.maxConcurrentStreams().intValue());
         Listener listener = new Listener();
@@ -225,8 +225,8 @@
             ChannelHandlerContext ctx, boolean outbound, Throwable cause, Http2Exception.StreamException error) {
         switch (error.error()) {
             case REFUSED_STREAM -> server.refusedOne();
-            case STREAM_CLOSED -> allows(FrameBudget.Cost.LATE);
-            default -> allows(FrameBudget.Cost.FAULT);
+            case STREAM_CLOSED -> allows(FrameBudget.Kind.CLOSED_STREAM);
+            default -> allows(FrameBudget.Kind.STREAM_ERROR);
         }
         if (over) {
             return;
@@ -239,7 +239,7 @@
     public void channelWritabilityChanged(ChannelHandlerContext ctx) throws Exception {
         super.channelWritabilityChanged(ctx);
         if (!channel.isWritable()) {
-            unread.paused();
+            unread.onReadPaused();
         }
         channel.config().setAutoRead(channel.isWritable());
     }
@@ -247,7 +247,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
         if (channel.config().isAutoRead()) {
-            unread.caughtUp();
+            unread.onReadCaughtUp();
         }
         super.channelReadComplete(ctx);
     }
@@ -270,8 +270,8 @@
     /** The channel is closed. */
     void gone() {
         over = true;
-        server.house().closed(this);
-        server.credit().close(account);
+        server.house().onClosed(this);
+        server.credit().closeAccount(account);
         server.returned();
     }
 
@@ -325,14 +325,14 @@
         }
     }
 
-    private boolean allows(FrameBudget.Cost cost) {
+    private boolean allows(FrameBudget.Kind cost) {
         if (over) {
             return false;
         }
-        if (budget.allows(cost, clock.micros())) {
+        if (budget.tryConsume(cost, clock.micros())) {
             return true;
         }
-        end(Http2Error.ENHANCE_YOUR_CALM, "too many: " + cost);
+        end(Http2Error.ENHANCE_YOUR_CALM, "too many: " + cost.code());
         return false;
     }
 
@@ -341,22 +341,23 @@
         if (over) {
             return;
         }
-        switch (standing.look(now, !channel.isWritable())) {
-            case ENDS -> end(Http2Error.ENHANCE_YOUR_CALM, spoke ? "nothing is read" : "no settings were agreed on");
-            case GOES -> sayGoodbye(now + server.options().drain());
-            case STAYS -> {}
+        switch (standing.check(now, !channel.isWritable())) {
+            case TERMINATE -> end(
+                    Http2Error.ENHANCE_YOUR_CALM, spoke ? "nothing is read" : "no settings were agreed on");
+            case DRAIN -> sayGoodbye(now + server.options().drain());
+            case KEEP -> {}
         }
         for (RequestStream stream : List.copyOf(reading)) {
             if (now - stream.since() < MessageRequest.READ_MS * 1000) {
                 break;
             }
-            refuse(stream, stream.wantsCredit() ? ClientResponse.NO_ROOM : ClientResponse.TOO_SLOW);
+            refuse(stream, stream.wantsCredit() ? ClientResponse.OVERLOADED : ClientResponse.REQUEST_TIMEOUT);
         }
         if (farewell.hasBegun()) {
             boolean unsent = channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
-            step(farewell.look(now, open, unsent));
-        } else if (spoke && !over && server.worthTelling(allowance.last(), streams)) {
-            allowance.offer(streams);
+            step(farewell.check(now, open, unsent));
+        } else if (spoke && !over && server.worthTelling(allowance.lastSent(), streams)) {
+            allowance.onSettingsSent(streams);
             encoder().writeSettings(context, new Http2Settings().maxConcurrentStreams(streams), context.newPromise());
             flushSoon();
         }
@@ -376,17 +377,17 @@
 
     private void step(GracefulGoAway.Step step) {
         switch (step) {
-            case WARN -> {
+            case ANNOUNCE -> {
                 sayLast(Integer.MAX_VALUE, Http2Error.NO_ERROR, "going");
                 encoder().writePing(context, false, FAREWELL_PING, context.newPromise());
                 flushSoon();
             }
-            case NAME_LAST -> {
+            case SEND_LAST_STREAM_ID -> {
                 sayLast(connection().remote().lastStreamCreated(), Http2Error.NO_ERROR, "going");
                 flushSoon();
             }
             case CLOSE -> finish();
-            case NOTHING -> {}
+            case NONE -> {}
         }
     }
 
@@ -419,22 +420,22 @@
      * @throws Http2Exception where its stream is refused, or its head makes no sense
      */
     private RequestStream begin(Http2Stream http2, Http2Headers head) throws Http2Exception {
-        if (farewell.refusesNew() || !allowance.allows(open) || !server.opens(open == 0)) {
+        if (farewell.rejectsNewStreams() || !allowance.allowsNewStream(open) || !server.opens(open == 0)) {
             throw Http2Exception.streamError(http2.id(), Http2Error.REFUSED_STREAM, "never taken");
         }
         RequestStream stream = new RequestStream(this, intake, http2, head, clock.micros());
         http2.setProperty(key, stream);
         open++;
         if (open == 1) {
-            server.house().began(this);
-            standing.busy(true, clock.micros());
+            server.house().onRequestStarted(this);
+            standing.onStreamsChanged(true, clock.micros());
         }
         reading.add(stream);
         if (head.getAll(Http2Headers.PseudoHeaderName.PATH.value()).size() > 1
                 || head.getAll(Http2Headers.PseudoHeaderName.METHOD.value()).size() > 1) {
             throw Http2Exception.streamError(http2.id(), Http2Error.PROTOCOL_ERROR, "two of a pseudo header");
         }
-        if (stream.length() > MessageRequest.MOST_BODY) {
+        if (stream.length() > MessageRequest.MAX_BODY_BYTES) {
             refuse(stream, ClientResponse.TOO_LARGE);
         } else {
             if (stream.length() > FIRST_WINDOW) {
@@ -451,7 +452,7 @@
 
     /** Hands out a larger window for what is still to come of a body; false where it waits for room in the pool. */
     boolean extend(RequestStream stream, int bytes) {
-        if (server.credit().take(account, stream.type(), bytes) != ReceiveWindowAllocator.Verdict.GRANTED) {
+        if (server.credit().tryAllocate(account, stream.type(), bytes) != ReceiveWindowAllocator.Verdict.GRANTED) {
             server.waits(stream);
             return false;
         }
@@ -462,8 +463,8 @@
 
     /** Guards against slow bodies on another connection that hold what belongs to this one: one of them gives way. */
     void insist(RequestStream stream, int bytes) {
-        if (server.credit().verdict(account, stream.type(), bytes) == ReceiveWindowAllocator.Verdict.OTHERS_FIRST) {
-            server.giveWay(server.credit().heaviest());
+        if (server.credit().check(account, stream.type(), bytes) == ReceiveWindowAllocator.Verdict.AFTER_RECLAIM) {
+            server.giveWay(server.credit().largestHolder());
         }
     }
 
@@ -501,15 +502,18 @@
         reading.stream()
                 .filter(s -> s.held() > 0 && s.since() < slowSince)
                 .findFirst()
-                .ifPresent(s -> refuse(s, ClientResponse.NO_ROOM));
+                .ifPresent(s -> refuse(s, ClientResponse.OVERLOADED));
     }
 
     private void whole(RequestStream stream) {
         reading.remove(stream);
         returnCredit(stream);
-        stream.whole(server.isDraining(), unread.since(), server.door().unreadSince());
-        if (stream.isWaiting()) {
-            stream.life().on(StreamLifecycle.Event.RECORDED);
+        stream.whole(
+                server.isDraining(),
+                unread.earliestArrivalMicros(),
+                server.door().unreadSince());
+        if (stream.isAwaitingResponse()) {
+            stream.life().apply(StreamLifecycle.Event.JOURNALED);
         }
     }
 
@@ -518,25 +522,25 @@
         lend(-stream.lent());
         stream.returned();
         if (held > 0) {
-            server.credit().give(account, stream.type(), held);
+            server.credit().release(account, stream.type(), held);
             server.returned();
         }
     }
 
     /** Answers a request that is not read on, and lets its client know that the rest is not wanted (RFC 9113, 8.1). */
     private void refuse(RequestStream stream, ClientResponse answer) {
-        if (answer == ClientResponse.NO_ROOM) {
+        if (answer == ClientResponse.OVERLOADED) {
             server.refusedOne();
         }
-        answer(stream, answer, answer == ClientResponse.NO_ROOM ? COME_BACK : 0, StreamLifecycle.Event.REFUSED);
+        answer(stream, answer, answer == ClientResponse.OVERLOADED ? COME_BACK : 0, StreamLifecycle.Event.REJECTED);
     }
 
     /** Sends the one answer of a stream, if somebody waits for it. */
     void answer(RequestStream stream, ClientResponse answer, long retryIn, StreamLifecycle.Event event) {
-        if (answer == ClientResponse.REFUSED) {
+        if (answer == ClientResponse.REJECTED) {
             server.refusedOne();
         }
-        if (stream.life().on(event) != StreamLifecycle.Deed.ANSWER) {
+        if (stream.life().apply(event) != StreamLifecycle.Action.RESPOND) {
             return;
         }
         reading.remove(stream);
@@ -553,22 +557,22 @@
         }
         flushSoon();
         if (answer.status().codeClass() == HttpStatusClass.CLIENT_ERROR) {
-            allows(FrameBudget.Cost.SENSELESS);
+            allows(FrameBudget.Kind.INVALID_REQUEST);
         }
     }
 
     /** A stream is closed, by its answer, its client or the connection's end. */
     private void closed(RequestStream stream, StreamLifecycle.Event event) {
-        if (stream.life().on(event) == StreamLifecycle.Deed.GO_ON) {
-            intake.clientDisconnected(stream.release());
+        if (stream.life().apply(event) == StreamLifecycle.Action.CONTINUE_WITHOUT_CLIENT) {
+            intake.clientDisconnected(stream.releaseMessage());
         }
         reading.remove(stream);
         returnCredit(stream);
         open--;
         server.ended(open == 0);
         if (open == 0) {
-            standing.busy(false, clock.micros());
-            server.house().fellIdle(this);
+            standing.onStreamsChanged(false, clock.micros());
+            server.house().onIdle(this);
         }
     }
 
@@ -581,13 +585,13 @@
     private final class Listener extends Http2EventAdapter {
         @Override
         public void onSettingsRead(ChannelHandlerContext ctx, Http2Settings settings) {
-            allows(FrameBudget.Cost.SETTINGS);
+            allows(FrameBudget.Kind.SETTINGS);
         }
 
         /** The client knows what it may: until then it may have as much half read as every connection may at first. */
         @Override
         public void onSettingsAckRead(ChannelHandlerContext ctx) {
-            allowance.acknowledged();
+            allowance.onSettingsAcknowledged();
             // Guards against Netty's own rule: it would not create a stream that is one too many, and then end the
             // whole
             // connection for the DATA on it.
@@ -596,13 +600,13 @@
                 return;
             }
             spoke = true;
-            standing.spoke(clock.micros());
+            standing.onSettingsAcknowledged(clock.micros());
             if (open == 0) {
-                server.house().fellIdle(ClientSession.this);
+                server.house().onIdle(ClientSession.this);
             } else {
-                standing.busy(true, clock.micros());
+                standing.onStreamsChanged(true, clock.micros());
             }
-            int extra = server.credit().window(account, server.options().window());
+            int extra = server.credit().allocateWindow(account, server.options().window());
             if (extra > 0) {
                 widen(connection().connectionStream(), extra);
             }
@@ -647,14 +651,14 @@
                 throws Http2Exception {
             int bytes = data.readableBytes();
             int all = bytes + padding;
-            if (over || bytes == 0 && !last && !allows(FrameBudget.Cost.EMPTY_DATA)) {
+            if (over || bytes == 0 && !last && !allows(FrameBudget.Kind.EMPTY_DATA)) {
                 return all;
             }
             RequestStream stream = stream(id);
             if (stream == null || stream.life().state() != StreamLifecycle.State.READING) {
                 return all;
             }
-            if (stream.size() + bytes > MessageRequest.MOST_BODY) {
+            if (stream.size() + bytes > MessageRequest.MAX_BODY_BYTES) {
                 refuse(stream, ClientResponse.TOO_LARGE);
                 return all;
             }
@@ -676,40 +680,42 @@
         public void onStreamClosed(Http2Stream http2) {
             RequestStream stream = http2.getProperty(key);
             if (stream != null) {
-                closed(stream, channel.isActive() ? StreamLifecycle.Event.RESET : StreamLifecycle.Event.LOST);
+                closed(
+                        stream,
+                        channel.isActive() ? StreamLifecycle.Event.RESET : StreamLifecycle.Event.CONNECTION_LOST);
             }
         }
 
         @Override
         public void onRstStreamRead(ChannelHandlerContext ctx, int id, long error) {
-            allows(FrameBudget.Cost.RESET);
+            allows(FrameBudget.Kind.RESET);
         }
 
         @Override
         public void onPingRead(ChannelHandlerContext ctx, long data) {
-            allows(FrameBudget.Cost.PING);
+            allows(FrameBudget.Kind.PING);
         }
 
         @Override
         public void onPingAckRead(ChannelHandlerContext ctx, long data) {
             if (data == FAREWELL_PING && !over) {
-                step(farewell.answered(clock.micros()));
+                step(farewell.onPingAcknowledged(clock.micros()));
             }
         }
 
         @Override
         public void onPriorityRead(ChannelHandlerContext ctx, int id, int dependency, short weight, boolean exclusive) {
-            allows(FrameBudget.Cost.PRIORITY);
+            allows(FrameBudget.Kind.PRIORITY);
         }
 
         @Override
         public void onWindowUpdateRead(ChannelHandlerContext ctx, int id, int increment) {
-            allows(FrameBudget.Cost.WINDOW_UPDATE);
+            allows(FrameBudget.Kind.WINDOW_UPDATE);
         }
 
         @Override
         public void onUnknownFrame(ChannelHandlerContext ctx, byte type, int id, Http2Flags flags, ByteBuf payload) {
-            allows(FrameBudget.Cost.UNKNOWN);
+            allows(FrameBudget.Kind.UNKNOWN);
         }
     }
 }
--- a/src/main/java/loftflow/listener/http2/Http2Listener.java
+++ b/src/main/java/loftflow/listener/http2/Http2Listener.java
@@ -125,10 +125,10 @@
                 protocol -> AsciiString.contentEquals(Http2CodecUtil.HTTP_UPGRADE_PROTOCOL_NAME, protocol)
                         ? new Http2ServerUpgradeCodec(session)
                         : null,
-                MessageRequest.MOST_BODY);
+                MessageRequest.MAX_BODY_BYTES);
         ch.pipeline().addLast(new CleartextHttp2ServerUpgradeHandler(http1, upgrade, session), new Http1());
         ch.closeFuture().addListener(closed -> session.gone());
-        house.opened(session);
+        house.onOpened(session);
     }
 
     /** Answers what speaks HTTP/1.1 here and does not upgrade. */
@@ -174,7 +174,7 @@
 
     /** True where one more stream may be open, which is counted then; one that may not is refused as never taken. */
     boolean opens(boolean first) {
-        if (!offer.admits(open)) {
+        if (!offer.allowsNewStream(open)) {
             refused++;
             return false;
         }
@@ -191,12 +191,12 @@
 
     /** What a connection is offered now. */
     int streamsForEach() {
-        return offer.each(busy);
+        return offer.perConnection(busy);
     }
 
     /** True where a connection is to hear of a change in what it is offered. */
     boolean worthTelling(int told, int now) {
-        return offer.worthTelling(told, now);
+        return offer.shouldAnnounce(told, now);
     }
 
     /** Something was refused for want of room. */
@@ -259,7 +259,7 @@
      */
     @Override
     public void takeIn() {
-        door.takeIn();
+        door.acceptPending();
         house.all().stream().filter(session -> !session.hasSpoken()).forEach(ClientSession::readWhatCame);
     }
 
@@ -275,6 +275,6 @@
 
     @Override
     public void stopListening() {
-        door.shut();
+        door.close();
     }
 }
--- a/src/main/java/loftflow/listener/http2/RequestStream.java
+++ b/src/main/java/loftflow/listener/http2/RequestStream.java
@@ -169,7 +169,7 @@
     }
 
     private Message.Content content(long came) {
-        return MessageRequest.content(
+        return MessageRequest.parse(
                 head.path(),
                 name -> head.get(NAMES.get(name)),
                 came,
@@ -177,8 +177,8 @@
     }
 
     @Override
-    protected void answer(ClientResponse answer, long retryIn) {
-        release();
-        session.answer(this, answer, retryIn, StreamLifecycle.Event.ANSWERED);
+    protected void respond(ClientResponse answer, long retryIn) {
+        releaseMessage();
+        session.answer(this, answer, retryIn, StreamLifecycle.Event.RESPONDED);
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimit.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimit.java
@@ -3,39 +3,38 @@
 import java.util.ArrayDeque;
 
 /**
- * How many streams a connection may have open: what it was offered and has acknowledged. One that has not heard yet of
- * a
- * smaller offer may still use the larger one (RFC 9113, 6.5.3 and 5.1.2).
+ * The limit on the open streams of one connection that its client has acknowledged. Until the client acknowledges a
+ * lower limit, it may use the higher one (RFC 9113, sections 6.5.3 and 5.1.2).
  */
 public final class AcknowledgedStreamLimit {
-    private final ArrayDeque<Integer> unheard = new ArrayDeque<>();
-    private int heard = Integer.MAX_VALUE;
-    private int last;
+    private final ArrayDeque<Integer> unacknowledged = new ArrayDeque<>();
+    private int acknowledged = Integer.MAX_VALUE;
+    private int lastSent;
 
-    /** A connection whose first SETTINGS offer so many; until it has heard it may open any number. */
-    public AcknowledgedStreamLimit(int first) {
-        offer(first);
+    /** Starts with the limit in the first SETTINGS; until they are acknowledged, any number of streams is allowed. */
+    public AcknowledgedStreamLimit(int initialLimit) {
+        onSettingsSent(initialLimit);
     }
 
-    /** SETTINGS with another offer are on their way. */
-    public void offer(int streams) {
-        unheard.add(streams);
-        last = streams;
+    /** SETTINGS with another limit have been sent. */
+    public void onSettingsSent(int limit) {
+        unacknowledged.add(limit);
+        lastSent = limit;
     }
 
-    /** The oldest SETTINGS that were not acknowledged yet are. */
-    public void acknowledged() {
-        Integer next = unheard.poll();
-        heard = next == null ? heard : next;
+    /** The client has acknowledged the oldest SETTINGS that it had not acknowledged. */
+    public void onSettingsAcknowledged() {
+        Integer next = unacknowledged.poll();
+        acknowledged = next == null ? acknowledged : next;
     }
 
-    /** What was offered last. */
-    public int last() {
-        return last;
+    /** The limit that was sent last. */
+    public int lastSent() {
+        return lastSent;
     }
 
-    /** True where one more stream may be opened beside so many. */
-    public boolean allows(int open) {
-        return open < heard;
+    /** Returns true where one more stream may be opened in addition to those that are open. */
+    public boolean allowsNewStream(int openStreams) {
+        return openStreams < acknowledged;
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
@@ -1,95 +1,106 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * How many streams clients are offered at once (SETTINGS_MAX_CONCURRENT_STREAMS), and how that changes in service. A
- * level
- * between a floor and all halves while the relay is short of room or time, and grows by a quarter a step while it is
- * not, so
- * that clients wait with what they have in place of having it refused. What is offered to all busy connections together
- * stays within the total, as far as each has its floor; the total itself is a hard bound ({@link #admits}).
+ * The number of concurrent streams that each connection is offered (SETTINGS_MAX_CONCURRENT_STREAMS), adapted to load:
+ * multiplicative decrease to one half while the relay is overloaded, increase by a quarter while it is not. Clients then
+ * queue requests on their side where the relay would have to reject them. The offers to all busy connections together
+ * stay within the total, as far as the minimum per connection allows; {@link #allowsNewStream} enforces the total.
  */
 public final class ConcurrentStreamLimit {
-    /** How long a level holds at the least, in microseconds: time for clients to heed it. */
-    public static final long STEP = 250_000;
+    /** The shortest time between two changes of the level, in which clients adapt to the former. */
+    public static final long MIN_STEP_MICROS = 250_000;
 
-    /** Beyond this share of the messages that may be open there is no room to offer more. */
-    static final double FULL = 0.8;
-    /** Below it there is. */
-    static final double ROOMY = 0.6;
-    /** A pass of the loop that takes as long is a relay short of CPU; messages are refused from 400 ms on. */
-    static final long SLOW = 150_000;
+    /** The utilization of the message table above which the relay counts as overloaded. */
+    static final double HIGH_UTILIZATION = 0.8;
+    /** The utilization below which the offer may grow. */
+    static final double LOW_UTILIZATION = 0.6;
+    /** The event-loop lag above which the relay counts as overloaded; messages are rejected from 400 ms on. */
+    static final long HIGH_LAG_MICROS = 150_000;
 
-    private static final double GROWTH = 1.25;
+    private static final double INCREASE_FACTOR = 1.25;
+    private static final double DECREASE_FACTOR = 0.5;
 
     /**
      * Bounds, in streams.
      *
-     * @param floor what every connection is offered at the least
-     * @param most what one connection is offered at the most
-     * @param total what all connections may have open
+     * @param minPerConnection what every connection is offered at least
+     * @param maxPerConnection what one connection is offered at most
+     * @param maxTotal what all connections may have open together
      */
-    public record Bounds(int floor, int most, int total) {
-        /** Bounds that hold together. */
+    public record Bounds(int minPerConnection, int maxPerConnection, int maxTotal) {
+        /**
+         * Checks the bounds.
+         *
+         * @throws IllegalArgumentException where the minimum is below 1 or above another bound
+         */
         public Bounds {
-            if (floor < 1 || most < floor || total < floor) {
-                throw new IllegalArgumentException("floor " + floor + ", most " + most + ", total " + total);
+            if (minPerConnection < 1 || maxPerConnection < minPerConnection || maxTotal < minPerConnection) {
+                throw new IllegalArgumentException("HTTP/2 stream limits: minPerConnection=" + minPerConnection
+                        + " must be at least 1 and at most maxPerConnection=" + maxPerConnection + " and maxTotal="
+                        + maxTotal);
             }
         }
     }
 
     /**
-     * How the relay fares.
+     * The load of the relay.
      *
-     * @param fullness share of the messages that may be open which are
-     * @param lag how long what is read now may have waited
-     * @param refused streams or messages that were refused for want of room since the step before
+     * @param utilization the share of the message table that is in use, from 0 to 1
+     * @param lagMicros how long bytes that are read now may have been pending
+     * @param rejections streams or messages that were rejected for lack of capacity since the last observation
      */
-    public record Load(double fullness, long lag, int refused) {}
+    public record Load(double utilization, long lagMicros, int rejections) {}
 
     private final Bounds bounds;
+    /** The share of the bounds that is offered, from 0 to 1. */
     private double level = 1;
-    private long changed = Long.MIN_VALUE / 2;
 
-    /** Offers all at first. */
+    private long changedAtMicros = Long.MIN_VALUE / 2;
+
+    /** Creates a limit that offers the maximum at first. */
     public ConcurrentStreamLimit(Bounds bounds) {
         this.bounds = bounds;
     }
 
-    /** Takes in how the relay fares; the level changes once a step at the most. */
-    public void observe(Load load, long now) {
-        if (now - changed < STEP) {
+    /** Adapts the level to the load; it changes at most once in {@link #MIN_STEP_MICROS}. */
+    public void observe(Load load, long nowMicros) {
+        if (nowMicros - changedAtMicros < MIN_STEP_MICROS) {
             return;
         }
-        boolean pressed = load.fullness() > FULL || load.lag() > SLOW || load.refused() > 0;
+        boolean isOverloaded =
+                load.utilization() > HIGH_UTILIZATION || load.lagMicros() > HIGH_LAG_MICROS || load.rejections() > 0;
         double next = level;
-        if (pressed) {
-            next = Math.max((double) bounds.floor() / bounds.total(), level / 2);
-        } else if (load.fullness() < ROOMY && load.lag() < SLOW / 2) {
-            next = Math.min(1, level * GROWTH);
+        if (isOverloaded) {
+            double minLevel = (double) bounds.minPerConnection() / bounds.maxTotal();
+            next = Math.max(minLevel, level * DECREASE_FACTOR);
+        } else if (load.utilization() < LOW_UTILIZATION && load.lagMicros() < HIGH_LAG_MICROS / 2) {
+            next = Math.min(1, level * INCREASE_FACTOR);
         }
         if (next != level) {
             level = next;
-            changed = now;
+            changedAtMicros = nowMicros;
         }
     }
 
-    /** What one of so many busy connections is offered now. */
-    public int each(int busy) {
-        int share = (int) (level * bounds.total() / Math.max(1, busy));
-        return Math.max(bounds.floor(), Math.min(share, (int) Math.max(bounds.floor(), level * bounds.most())));
+    /** The number of streams to offer to each of the busy connections. */
+    public int perConnection(int busyConnections) {
+        int share = (int) (level * bounds.maxTotal() / Math.max(1, busyConnections));
+        int max = (int) Math.max(bounds.minPerConnection(), level * bounds.maxPerConnection());
+        return Math.max(bounds.minPerConnection(), Math.min(share, max));
     }
 
     /**
-     * True where what is offered to a connection is to be told anew: it shrinks by a quarter, or it has grown by as
-     * much or to
-     * all that there is, so that a client isn't told of each small step.
+     * Returns true where a changed offer is to be sent to a connection: it is lower by more than a quarter, or higher
+     * by a quarter or up to the maximum. Smaller changes are not sent.
      */
-    public boolean worthTelling(int told, int now) {
-        return now < told * 3 / 4 || now >= Math.max(told + 1, told * 5 / 4) || now > told && now == bounds.most();
+    public boolean shouldAnnounce(int lastSent, int current) {
+        return current < lastSent * 3 / 4
+                || current >= Math.max(lastSent + 1, lastSent * 5 / 4)
+                || current > lastSent && current == bounds.maxPerConnection();
     }
 
-    /** True where one more stream may be opened while so many are; one that may not is refused as never taken. */
-    public boolean admits(int open) {
-        return open < bounds.total();
+    /** Returns true where one more stream may be opened in addition to those that all connections have open. */
+    public boolean allowsNewStream(int openStreams) {
+        return openStreams < bounds.maxTotal();
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
@@ -1,75 +1,87 @@
 package loftflow.listener.http2.flowcontrol;
 
-/** When a connection has stood long enough: it never opened, nothing moves, its client does not read, or it is old. */
+/**
+ * Decides when a connection is to end: its handshake takes too long, it is idle, its client does not read, or it has
+ * reached its maximum age.
+ */
 public final class ConnectionExpiry {
     /**
-     * Spans in microseconds.
+     * The time limits of a connection, in microseconds.
      *
-     * @param opening until the client's first SETTINGS
-     * @param idle with no stream open
-     * @param age of a connection, so that clients find their way to new relays; 0 for any
-     * @param stall while the client reads nothing of what waits for it
+     * @param handshakeMicros from accepting the connection until the client acknowledges SETTINGS
+     * @param idleMicros without an open stream
+     * @param maxAgeMicros the age after which clients are to reconnect and so find new relays; 0 for no limit
+     * @param writeStallMicros while the client reads nothing of what is buffered for it
      */
-    public record Spans(long opening, long idle, long age, long stall) {}
+    public record Spans(long handshakeMicros, long idleMicros, long maxAgeMicros, long writeStallMicros) {}
 
-    /** What is to become of it. */
+    /** What to do with a connection. */
     public enum Verdict {
-        STAYS,
-        /** It goes in good order ({@link GracefulGoAway}). */
-        GOES,
-        /** GOAWAY and an end at once: nobody there reads, or speaks. */
-        ENDS
+        /** It stays open. */
+        KEEP,
+        /** It is shut down gracefully ({@link GracefulGoAway}). */
+        DRAIN,
+        /** It gets GOAWAY and is closed at once: its client does not respond. */
+        TERMINATE
     }
 
-    private final Spans spans;
-    private final long opened;
-    private final long age;
-    private boolean spoke;
-    private long idleSince;
-    private long stuckSince = -1;
+    /** The maximum age is shortened by up to a tenth, so that connections opened together do not end together. */
+    private static final double JITTER_DIVISOR = 10;
+
+    private static final long NOT_STALLED = -1;
+
+    private final Spans limits;
+    private final long openedAtMicros;
+    private final long maxAgeMicros;
+    private boolean isHandshakeComplete;
+    private long idleSinceMicros;
+    private long stalledSinceMicros = NOT_STALLED;
 
     /**
-     * A connection that has just come.
+     * Starts with a connection that is accepted now.
      *
-     * @param spread from 0 to 1: by how much of a tenth its age ends earlier, so that many that came at once don't go
-     *     at once
+     * @param jitter from 0 to 1, how far the maximum age is shortened
      */
-    public ConnectionExpiry(Spans spans, long now, double spread) {
-        this.spans = spans;
-        opened = now;
-        idleSince = now;
-        age = spans.age() == 0 ? Long.MAX_VALUE : (long) (spans.age() * (1 - spread / 10));
+    public ConnectionExpiry(Spans limits, long nowMicros, double jitter) {
+        this.limits = limits;
+        openedAtMicros = nowMicros;
+        idleSinceMicros = nowMicros;
+        maxAgeMicros = limits.maxAgeMicros() == 0 ? Long.MAX_VALUE : shorten(limits.maxAgeMicros(), jitter);
+    }
+
+    private static long shorten(long ageMicros, double jitter) {
+        return (long) (ageMicros * (1 - jitter / JITTER_DIVISOR));
     }
 
-    /** Its client has sent its preface and its settings. */
-    public void spoke(long now) {
-        spoke = true;
-        idleSince = now;
+    /** The client has acknowledged SETTINGS, which completes the handshake. */
+    public void onSettingsAcknowledged(long nowMicros) {
+        isHandshakeComplete = true;
+        idleSinceMicros = nowMicros;
     }
 
-    /** Streams have opened or ended. */
-    public void busy(boolean busy, long now) {
-        idleSince = busy ? Long.MAX_VALUE : now;
+    /** The first stream has opened, or the last one has closed. */
+    public void onStreamsChanged(boolean hasOpenStreams, long nowMicros) {
+        idleSinceMicros = hasOpenStreams ? Long.MAX_VALUE : nowMicros;
     }
 
     /**
-     * Looks at it.
+     * Decides, to be called periodically.
      *
-     * @param stuck whether so much waits to be read by the client that nothing more should be written
+     * @param isStalled whether the outbound buffer is full
      */
-    public Verdict look(long now, boolean stuck) {
-        if (!spoke) {
-            return now - opened >= spans.opening() ? Verdict.ENDS : Verdict.STAYS;
+    public Verdict check(long nowMicros, boolean isStalled) {
+        if (!isHandshakeComplete) {
+            return nowMicros - openedAtMicros >= limits.handshakeMicros() ? Verdict.TERMINATE : Verdict.KEEP;
         }
-        if (!stuck) {
-            stuckSince = -1;
-        } else if (stuckSince < 0) {
-            stuckSince = now;
+        if (!isStalled) {
+            stalledSinceMicros = NOT_STALLED;
+        } else if (stalledSinceMicros == NOT_STALLED) {
+            stalledSinceMicros = nowMicros;
         }
-        if (stuck && now - stuckSince >= spans.stall()) {
-            return Verdict.ENDS;
+        if (isStalled && nowMicros - stalledSinceMicros >= limits.writeStallMicros()) {
+            return Verdict.TERMINATE;
         }
-        boolean idle = idleSince != Long.MAX_VALUE && now - idleSince >= spans.idle();
-        return idle || now - opened >= age ? Verdict.GOES : Verdict.STAYS;
+        boolean isIdle = idleSinceMicros != Long.MAX_VALUE && nowMicros - idleSinceMicros >= limits.idleMicros();
+        return isIdle || nowMicros - openedAtMicros >= maxAgeMicros ? Verdict.DRAIN : Verdict.KEEP;
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
@@ -4,92 +4,97 @@
 import java.util.Map;
 
 /**
- * What a client may send beside its messages: each kind of frame has a token bucket, so that a burst passes and a flood
- * does not. One that is over its budget gets GOAWAY with ENHANCE_YOUR_CALM (RFC 9113, 10.5).
+ * Rate limits on what a client may send besides its messages: a token bucket for each kind of frame, so that a burst
+ * passes and a flood does not. A client that exceeds one gets GOAWAY with ENHANCE_YOUR_CALM (RFC 9113, section 10.5).
  */
 public final class FrameBudget {
-    /** A kind of frame that costs the relay work and brings it no message. */
-    public enum Cost {
+    /** A kind of frame or event that costs the relay work and carries no message. */
+    public enum Kind {
         /** RST_STREAM; its rate is a setting (CVE-2023-44487). */
-        RESET(0, 0),
-        /** A stream that the relay had to reset for what was sent on it (CVE-2025-8671). */
-        FAULT(20, 100),
-        /**
-         * A request that makes no sense, and has its answer at once: nothing else would hold back who sends only such.
-         */
-        SENSELESS(100, 1_000),
-        /** A frame on a stream that is closed; those that were on their way as it closed come too. */
-        LATE(1_000, 4_000),
-        /** PING, each of which must be answered (CVE-2019-9512). */
-        PING(10, 40),
-        /** SETTINGS, likewise (CVE-2019-9515). */
-        SETTINGS(5, 20),
-        /** DATA with no byte and no end (CVE-2019-9518). */
-        EMPTY_DATA(20, 100),
-        /** PRIORITY, which the relay does not heed (CVE-2019-9513). */
-        PRIORITY(50, 400),
-        /** WINDOW_UPDATE; the relay sends next to no DATA, so that clients need few. */
-        WINDOW_UPDATE(100, 2_000),
-        /** A frame of a type that nobody knows. */
-        UNKNOWN(20, 100);
+        RESET("RESET", 0, 0),
+        /** A stream that the relay has to reset because of an error in its frames (CVE-2025-8671). */
+        STREAM_ERROR("FAULT", 20, 100),
+        /** A request that is answered with a client error; such answers are immediate, so nothing else limits them. */
+        INVALID_REQUEST("SENSELESS", 100, 1_000),
+        /** A frame on a closed stream; frames that were sent before the client saw the close are among them. */
+        CLOSED_STREAM("LATE", 1_000, 4_000),
+        /** PING, each of which must be acknowledged (CVE-2019-9512). */
+        PING("PING", 10, 40),
+        /** SETTINGS, each of which must be acknowledged (CVE-2019-9515). */
+        SETTINGS("SETTINGS", 5, 20),
+        /** DATA without payload and END_STREAM (CVE-2019-9518). */
+        EMPTY_DATA("EMPTY_DATA", 20, 100),
+        /** PRIORITY, which the relay ignores (CVE-2019-9513). */
+        PRIORITY("PRIORITY", 50, 400),
+        /** WINDOW_UPDATE; the relay sends no DATA, so that clients need few. */
+        WINDOW_UPDATE("WINDOW_UPDATE", 100, 2_000),
+        /** A frame of an unknown type. */
+        UNKNOWN("UNKNOWN", 20, 100);
 
-        private final double rate;
+        private final String code;
+        private final double ratePerSecond;
         private final double burst;
 
-        Cost(double rate, double burst) {
-            this.rate = rate;
+        Kind(String code, double ratePerSecond, double burst) {
+            this.code = code;
+            this.ratePerSecond = ratePerSecond;
             this.burst = burst;
         }
+
+        /** The name of the kind in the debug data of GOAWAY, which clients log. */
+        public String code() {
+            return code;
+        }
     }
 
-    /** So many seconds' worth may come at once where the rate is a setting. */
-    private static final double BURST_SECONDS = 4;
+    /** The burst of {@link Kind#RESET}, in seconds of its rate. */
+    private static final double RESET_BURST_SECONDS = 4;
 
-    private static final double SECOND = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private static final class Bucket {
-        private final double rate;
-        private final double burst;
-        private double left;
-        private long since;
+    private static final class TokenBucket {
+        private final double ratePerSecond;
+        private final double capacity;
+        private double tokens;
+        private long updatedAtMicros;
 
-        Bucket(double rate, double burst, long now) {
-            this.rate = rate;
-            this.burst = burst;
-            left = burst;
-            since = now;
+        TokenBucket(double ratePerSecond, double capacity, long nowMicros) {
+            this.ratePerSecond = ratePerSecond;
+            this.capacity = capacity;
+            tokens = capacity;
+            updatedAtMicros = nowMicros;
         }
 
-        boolean take(long now) {
-            left = Math.min(burst, left + (now - since) * rate / SECOND);
-            since = now;
-            if (left < 1) {
+        boolean tryConsume(long nowMicros) {
+            double refill = (nowMicros - updatedAtMicros) * ratePerSecond / MICROS_PER_SECOND;
+            tokens = Math.min(capacity, tokens + refill);
+            updatedAtMicros = nowMicros;
+            if (tokens < 1) {
                 return false;
             }
-            left--;
+            tokens--;
             return true;
         }
     }
 
-    private final Map<Cost, Bucket> buckets = new EnumMap<>(Cost.class);
-    private final double resets;
+    private final Map<Kind, TokenBucket> buckets = new EnumMap<>(Kind.class);
+    private final double resetsPerSecond;
 
-    /**
-     * The budget of a connection.
-     *
-     * @param resets RST_STREAM frames a second
-     */
-    public FrameBudget(double resets) {
-        this.resets = resets;
+    /** Creates the budget of one connection. */
+    public FrameBudget(double resetsPerSecond) {
+        this.resetsPerSecond = resetsPerSecond;
     }
 
-    /** One more has come; false where that is too many. */
-    public boolean allows(Cost cost, long now) {
-        return buckets.computeIfAbsent(
-                        cost,
-                        c -> c == Cost.RESET
-                                ? new Bucket(resets, Math.max(1, resets * BURST_SECONDS), now)
-                                : new Bucket(c.rate, c.burst, now))
-                .take(now);
+    /** Counts one frame; returns false where it exceeds the limit of its kind. */
+    public boolean tryConsume(Kind kind, long nowMicros) {
+        return buckets.computeIfAbsent(kind, absent -> createBucket(absent, nowMicros))
+                .tryConsume(nowMicros);
+    }
+
+    private TokenBucket createBucket(Kind kind, long nowMicros) {
+        if (kind == Kind.RESET) {
+            return new TokenBucket(resetsPerSecond, Math.max(1, resetsPerSecond * RESET_BURST_SECONDS), nowMicros);
+        }
+        return new TokenBucket(kind.ratePerSecond, kind.burst, nowMicros);
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/GracefulGoAway.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/GracefulGoAway.java
@@ -1,88 +1,94 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * How a connection ends in good order (RFC 9113, 6.8): a first GOAWAY with the highest id lets everything on its way
- * still
- * come, a second one, after a round trip, names the last stream that was taken. What is above it was never taken; what
- * is
- * open finishes, and the connection closes with the last answer or at the stated time.
+ * The graceful shutdown of a connection (RFC 9113, section 6.8). A first GOAWAY with the highest stream id announces it,
+ * while streams that are in transit are still accepted. After a round trip a second GOAWAY carries the id of the last
+ * accepted stream; streams above it are never processed. Open streams finish, and the connection closes with the last
+ * response, or at the deadline.
  */
 public final class GracefulGoAway {
-    /** How long a round trip is waited for, in microseconds, before the second GOAWAY goes without one. */
-    public static final long ROUND_TRIP = 300_000;
-    /** How long the last answers may take to leave, in microseconds. */
-    private static final long FLUSH = 100_000;
+    /** How long the acknowledgement of the first GOAWAY's PING is awaited before the second one is sent. */
+    public static final long ROUND_TRIP_TIMEOUT_MICROS = 300_000;
+    /** How long the last responses may take to be written. */
+    private static final long FLUSH_TIMEOUT_MICROS = 100_000;
 
-    /** What is to be done now. */
+    /** What to do now. */
     public enum Step {
-        NOTHING,
-        /** GOAWAY with the highest id, and PING. */
-        WARN,
-        /** GOAWAY with the last stream that was taken. */
-        NAME_LAST,
-        /** The connection closes. */
+        /** Nothing. */
+        NONE,
+        /** Send GOAWAY with the highest stream id, and PING. */
+        ANNOUNCE,
+        /** Send GOAWAY with the id of the last accepted stream. */
+        SEND_LAST_STREAM_ID,
+        /** Close the connection. */
         CLOSE
     }
 
     private enum State {
         OPEN,
-        WARNED,
-        NAMED,
+        ANNOUNCED,
+        LAST_STREAM_ID_SENT,
         CLOSED
     }
 
     private State state = State.OPEN;
-    private long since;
-    private long until;
+    private long stateSinceMicros;
+    private long deadlineMicros;
 
-    /** Begins, or does nothing where that was before; a time that comes earlier than the one before it holds. */
-    public Step begin(long now, long latest) {
+    /** Begins the shutdown. Where it has begun before, the earlier of the deadlines applies. */
+    public Step begin(long nowMicros, long newDeadlineMicros) {
         if (state != State.OPEN) {
-            until = Math.min(until, latest);
-            return Step.NOTHING;
+            deadlineMicros = Math.min(deadlineMicros, newDeadlineMicros);
+            return Step.NONE;
         }
-        state = State.WARNED;
-        since = now;
-        until = latest;
-        return Step.WARN;
+        state = State.ANNOUNCED;
+        stateSinceMicros = nowMicros;
+        deadlineMicros = newDeadlineMicros;
+        return Step.ANNOUNCE;
     }
 
-    /** The PING of the first GOAWAY was answered: the client knows. */
-    public Step answered(long now) {
-        if (state != State.WARNED) {
-            return Step.NOTHING;
+    /** The client has acknowledged the PING behind the first GOAWAY, and so has received the GOAWAY. */
+    public Step onPingAcknowledged(long nowMicros) {
+        if (state != State.ANNOUNCED) {
+            return Step.NONE;
         }
-        state = State.NAMED;
-        since = now;
-        return Step.NAME_LAST;
+        state = State.LAST_STREAM_ID_SENT;
+        stateSinceMicros = nowMicros;
+        return Step.SEND_LAST_STREAM_ID;
     }
 
     /**
-     * Looks at the time.
+     * Applies the time limits, to be called periodically.
      *
-     * @param open streams with no answer
-     * @param unsent whether something that was written has not left yet
+     * @param openStreams streams without a response
+     * @param hasUnsentBytes whether written bytes are not sent yet
      */
-    public Step look(long now, int open, boolean unsent) {
-        if (state == State.WARNED && now - since >= Math.min(ROUND_TRIP, Math.max(0, until - since))) {
-            return answered(now);
+    public Step check(long nowMicros, int openStreams, boolean hasUnsentBytes) {
+        long inStateMicros = nowMicros - stateSinceMicros;
+        if (state == State.ANNOUNCED && inStateMicros >= roundTripTimeoutMicros()) {
+            return onPingAcknowledged(nowMicros);
         }
-        // Guards against closing on answers that wait to be sent, for ever where nobody reads them.
-        boolean done = open == 0 && (!unsent || now - since >= FLUSH);
-        if (state == State.NAMED && (done || now >= until)) {
+        // Responses are flushed before the close, unless the client does not read them.
+        boolean isFlushed = !hasUnsentBytes || inStateMicros >= FLUSH_TIMEOUT_MICROS;
+        boolean isFinished = openStreams == 0 && isFlushed;
+        if (state == State.LAST_STREAM_ID_SENT && (isFinished || nowMicros >= deadlineMicros)) {
             state = State.CLOSED;
             return Step.CLOSE;
         }
-        return Step.NOTHING;
+        return Step.NONE;
     }
 
-    /** True from the first GOAWAY on. */
+    private long roundTripTimeoutMicros() {
+        return Math.min(ROUND_TRIP_TIMEOUT_MICROS, Math.max(0, deadlineMicros - stateSinceMicros));
+    }
+
+    /** Returns true from the first GOAWAY on. */
     public boolean hasBegun() {
         return state != State.OPEN;
     }
 
-    /** True where no further stream is taken. */
-    public boolean refusesNew() {
-        return state == State.NAMED || state == State.CLOSED;
+    /** Returns true where no further stream is accepted. */
+    public boolean rejectsNewStreams() {
+        return state == State.LAST_STREAM_ID_SENT || state == State.CLOSED;
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
@@ -6,153 +6,159 @@
 import java.util.Set;
 
 /**
- * Who may have how many bytes half read. Receive windows are handed out only for what may be buffered: half of the
- * front's
- * pool belongs to classes by share, the other half is common. Where it is full, the connection that holds more than its
- * fair
- * share gives way to one that holds less, so that nobody takes what belongs to others.
+ * Allocates receive windows from one pool of bytes, so that clients may send only what can be buffered. Half of the pool
+ * is reserved for message classes by share, the rest is shared. Where the pool is exhausted, a connection that holds
+ * more than its fair share is to release bytes for one that holds less.
  */
 public final class ReceiveWindowAllocator {
-    /** Every connection starts with that by RFC 9113, 6.9.2; it can't be less. */
-    public static final int BASE_WINDOW = 65_535;
-    /** A connection gets such a part of what is left of the pool at the most. */
-    private static final int WINDOW_PART = 4;
+    /** The initial receive window of every connection, which can't be reduced (RFC 9113, section 6.9.2). */
+    public static final int INITIAL_WINDOW_BYTES = 65_535;
+    /** The window of a new connection takes at most this fraction (one in so many) of the unallocated bytes. */
+    private static final int WINDOW_DIVISOR = 4;
 
-    private static final double OWN_PART = 0.5;
+    /** The part of the pool that is reserved for classes. */
+    private static final double RESERVED_SHARE = 0.5;
 
-    /** What one connection holds. */
+    /** The bytes that one connection holds. */
     public static final class Account {
-        private long held;
-        private long window;
+        private long heldBytes;
+        private long windowBytes;
 
         private Account() {}
 
-        /** Bytes that it holds, half read or promised. */
-        public long held() {
-            return held;
+        /** Bytes of partly received bodies, including those that the client may still send. */
+        public long heldBytes() {
+            return heldBytes;
         }
     }
 
-    /** What becomes of a wish. */
+    /** The result of a request for bytes. */
     public enum Verdict {
-        /** It is granted. */
+        /** The bytes are allocated. */
         GRANTED,
-        /** There is no room, and nobody holds more than a fair share: it waits or is refused. */
-        NO_ROOM,
-        /** There is room once {@link #heaviest} has given something back. */
-        OTHERS_FIRST
+        /** The pool is exhausted, and no connection holds more than its fair share: the request waits or fails. */
+        EXHAUSTED,
+        /** The bytes become available once {@link #largestHolder} has released some. */
+        AFTER_RECLAIM
     }
 
-    private final long pool;
-    private final Map<String, Long> own = new HashMap<>();
-    private final Map<String, Long> used = new HashMap<>();
+    private final long poolBytes;
+    private final Map<String, Long> reservedByClass = new HashMap<>();
+    private final Map<String, Long> heldByClass = new HashMap<>();
     private final Set<Account> accounts = new LinkedHashSet<>();
-    private long common;
-    private long commonUsed;
-    private long windows;
+    private long sharedBytes;
+    private long sharedHeldBytes;
+    private long windowBytes;
 
     /**
-     * A pool.
+     * Creates a pool.
      *
-     * @param pool bytes that all connections may hold
-     * @param shares of classes in the half that belongs to them, summing up to 1 at the most; others have the common
+     * @param poolBytes what all connections may hold
+     * @param shares the shares of classes in the reserved half, with a sum of at most 1; other classes use the shared
      *     half
      */
-    public ReceiveWindowAllocator(long pool, Map<String, Double> shares) {
-        this.pool = pool;
-        common = pool;
-        shares.forEach((type, share) -> {
-            long bytes = (long) (pool * OWN_PART * share);
-            own.put(type, bytes);
-            common -= bytes;
+    public ReceiveWindowAllocator(long poolBytes, Map<String, Double> shares) {
+        this.poolBytes = poolBytes;
+        sharedBytes = poolBytes;
+        shares.forEach((requestClass, share) -> {
+            long reservedBytes = (long) (poolBytes * RESERVED_SHARE * share);
+            reservedByClass.put(requestClass, reservedBytes);
+            sharedBytes -= reservedBytes;
         });
     }
 
-    /** A connection has come. */
-    public Account open() {
+    /** Opens the account of a new connection. */
+    public Account openAccount() {
         Account account = new Account();
         accounts.add(account);
         return account;
     }
 
     /**
-     * What is added to a connection's receive window beside the base that it has anyway; once for each connection.
+     * Allocates the receive window of a connection; to be called once for each.
      *
-     * @param wanted the whole window that it should have if there is room
+     * @param wantedBytes the whole window that the connection should have
+     * @return the bytes to add to {@link #INITIAL_WINDOW_BYTES}
      */
-    public int window(Account account, int wanted) {
-        long left = Math.max(0, pool - windows) / WINDOW_PART;
-        int extra = (int) Math.max(0, Math.min(wanted - BASE_WINDOW, left));
-        account.window = extra;
-        windows += extra;
-        return extra;
+    public int allocateWindow(Account account, int wantedBytes) {
+        long availableBytes = Math.max(0, poolBytes - windowBytes) / WINDOW_DIVISOR;
+        int extraBytes = (int) Math.max(0, Math.min(wantedBytes - INITIAL_WINDOW_BYTES, availableBytes));
+        account.windowBytes = extraBytes;
+        windowBytes += extraBytes;
+        return extraBytes;
     }
 
-    /** A connection is gone, and all that it held is given back. */
-    public void close(Account account) {
+    /** Closes the account of a connection, whose streams have released their bytes. */
+    public void closeAccount(Account account) {
         if (accounts.remove(account)) {
-            windows -= account.window;
+            windowBytes -= account.windowBytes;
         }
     }
 
-    /** Takes bytes for a message of a class; nothing has changed where they are not granted. */
-    public Verdict take(Account account, String type, int bytes) {
-        Verdict verdict = verdict(account, type, bytes);
+    /** Allocates bytes for a message of a class; nothing changes where they are not granted. */
+    public Verdict tryAllocate(Account account, String requestClass, int bytes) {
+        Verdict verdict = check(account, requestClass, bytes);
         if (verdict == Verdict.GRANTED) {
-            long now = used.getOrDefault(type, 0L);
-            commonUsed += beyond(type, now + bytes) - beyond(type, now);
-            used.put(type, now + bytes);
-            account.held += bytes;
+            long classBytes = heldByClass.getOrDefault(requestClass, 0L);
+            sharedHeldBytes +=
+                    beyondReserved(requestClass, classBytes + bytes) - beyondReserved(requestClass, classBytes);
+            heldByClass.put(requestClass, classBytes + bytes);
+            account.heldBytes += bytes;
         }
         return verdict;
     }
 
-    /** What would become of a wish. */
-    public Verdict verdict(Account account, String type, int bytes) {
-        long now = used.getOrDefault(type, 0L);
-        if (commonUsed + beyond(type, now + bytes) - beyond(type, now) <= common) {
+    /** Returns what {@link #tryAllocate} would return, without allocating. */
+    public Verdict check(Account account, String requestClass, int bytes) {
+        long classBytes = heldByClass.getOrDefault(requestClass, 0L);
+        long fromSharedBytes =
+                beyondReserved(requestClass, classBytes + bytes) - beyondReserved(requestClass, classBytes);
+        if (sharedHeldBytes + fromSharedBytes <= sharedBytes) {
             return Verdict.GRANTED;
         }
-        Account heaviest = heaviest();
-        boolean others =
-                heaviest != null && heaviest != account && heaviest.held > fair() && account.held + bytes <= fair();
-        return others ? Verdict.OTHERS_FIRST : Verdict.NO_ROOM;
+        Account largest = largestHolder();
+        boolean canReclaim = largest != null
+                && largest != account
+                && largest.heldBytes > fairShareBytes()
+                && account.heldBytes + bytes <= fairShareBytes();
+        return canReclaim ? Verdict.AFTER_RECLAIM : Verdict.EXHAUSTED;
     }
 
-    private long beyond(String type, long bytes) {
-        return Math.max(0, bytes - own.getOrDefault(type, 0L));
+    /** The part of a class's bytes that exceeds its reservation and comes from the shared half. */
+    private long beyondReserved(String requestClass, long bytes) {
+        return Math.max(0, bytes - reservedByClass.getOrDefault(requestClass, 0L));
     }
 
-    /** Gives bytes back. */
-    public void give(Account account, String type, int bytes) {
-        long now = used.getOrDefault(type, 0L);
-        commonUsed -= beyond(type, now) - beyond(type, now - bytes);
-        if (now == bytes) {
-            used.remove(type);
+    /** Releases bytes of a message of a class. */
+    public void release(Account account, String requestClass, int bytes) {
+        long classBytes = heldByClass.getOrDefault(requestClass, 0L);
+        sharedHeldBytes -= beyondReserved(requestClass, classBytes) - beyondReserved(requestClass, classBytes - bytes);
+        if (classBytes == bytes) {
+            heldByClass.remove(requestClass);
         } else {
-            used.put(type, now - bytes);
+            heldByClass.put(requestClass, classBytes - bytes);
         }
-        account.held -= bytes;
+        account.heldBytes -= bytes;
     }
 
-    /** The connection that holds most; null where there is none. */
-    public Account heaviest() {
-        Account most = null;
+    /** The connection that holds the most bytes; null where there is no connection. */
+    public Account largestHolder() {
+        Account largest = null;
         for (Account account : accounts) {
-            if (most == null || account.held > most.held) {
-                most = account;
+            if (largest == null || account.heldBytes > largest.heldBytes) {
+                largest = account;
             }
         }
-        return most;
+        return largest;
     }
 
-    /** An even part of the common half: what a connection may hold while others want it. */
-    private long fair() {
-        return common / Math.max(1, accounts.size());
+    /** What a connection may hold while others request bytes: an equal part of the shared half. */
+    private long fairShareBytes() {
+        return sharedBytes / Math.max(1, accounts.size());
     }
 
-    /** Bytes that all hold. */
-    public long held() {
-        return used.values().stream().mapToLong(Long::longValue).sum();
+    /** The bytes that all connections hold. */
+    public long heldBytes() {
+        return heldByClass.values().stream().mapToLong(Long::longValue).sum();
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/StreamLifecycle.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/StreamLifecycle.java
@@ -1,89 +1,86 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * How one stream ends. Once its message is in the journal, nothing that its client does takes it back: a reset after
- * that
- * tells only that nobody waits for the answer (RFC 9113, 8.7: a client may take a request as never run on
- * REFUSED_STREAM or
- * GOAWAY alone).
+ * The state machine of one stream. Once its message is in the journal, nothing that its client does revokes it: a later
+ * reset only means that nobody awaits the response. A client may take a request as not processed after REFUSED_STREAM or
+ * GOAWAY alone (RFC 9113, section 8.7).
  */
 public final class StreamLifecycle {
-    /** How far a stream has come. */
+    /** The state of a stream. */
     public enum State {
-        /** Its request is not whole. */
+        /** Its request is not complete. */
         READING,
-        /** Its message is in the journal, and its answer is to come. */
-        TAKEN,
-        /** It has its one answer, or nobody waits for it. */
-        OVER
+        /** Its message is accepted, and its response is outstanding. */
+        ACCEPTED,
+        /** It has its one response, or nobody awaits it. */
+        CLOSED
     }
 
-    /** What happens to it. */
+    /** What happens to a stream. */
     public enum Event {
-        /** Its request is whole and the journal has its message. */
-        RECORDED,
-        /** Its answer is there. */
-        ANSWERED,
+        /** Its request is complete and its message is submitted to the journal. */
+        JOURNALED,
+        /** Its response is available. */
+        RESPONDED,
         /** Its client has reset it. */
         RESET,
-        /** Its connection is gone. */
-        LOST,
-        /** It can't be read on, or not in time. */
-        REFUSED
+        /** Its connection is lost. */
+        CONNECTION_LOST,
+        /** Its request is rejected before it is complete. */
+        REJECTED
     }
 
-    /** What is to be done. */
-    public enum Deed {
-        /** Nothing: nobody is owed anything, or all is done. */
-        NOTHING,
-        /** The answer is sent. */
-        ANSWER,
-        /** The message goes on to its one end, which is told as that of a client that left. */
-        GO_ON,
-        /** What was read is dropped; the message was never taken. */
-        DROP
+    /** What to do about an event. */
+    public enum Action {
+        /** Nothing. */
+        NONE,
+        /** Send the response. */
+        RESPOND,
+        /** Process the message without its client, and report its end as a completion notice. */
+        CONTINUE_WITHOUT_CLIENT,
+        /** Discard the partial request; the message was not accepted. */
+        DISCARD
     }
 
     private State state = State.READING;
 
-    /** How far it has come. */
+    /** The current state. */
     public State state() {
         return state;
     }
 
     /**
-     * Takes in what happens.
+     * Applies an event.
      *
-     * @throws IllegalStateException for what can't happen in its state
+     * @throws IllegalStateException where the event is impossible in the current state
      */
-    public Deed on(Event event) {
+    public Action apply(Event event) {
         State before = state;
         switch (event) {
-            case RECORDED -> {
+            case JOURNALED -> {
                 require(before == State.READING, event);
-                state = State.TAKEN;
-                return Deed.NOTHING;
+                state = State.ACCEPTED;
+                return Action.NONE;
             }
-            case ANSWERED, REFUSED -> {
-                // Guards against a second answer, and against one for somebody who is gone.
-                require(event == Event.ANSWERED || before != State.TAKEN, event);
-                state = State.OVER;
-                return before == State.OVER ? Deed.NOTHING : Deed.ANSWER;
+            case RESPONDED, REJECTED -> {
+                require(event == Event.RESPONDED || before != State.ACCEPTED, event);
+                state = State.CLOSED;
+                return before == State.CLOSED ? Action.NONE : Action.RESPOND;
             }
             default -> {
-                state = State.OVER;
+                state = State.CLOSED;
                 return switch (before) {
-                    case READING -> Deed.DROP;
-                    case TAKEN -> Deed.GO_ON;
-                    case OVER -> Deed.NOTHING;
+                    case READING -> Action.DISCARD;
+                    case ACCEPTED -> Action.CONTINUE_WITHOUT_CLIENT;
+                    case CLOSED -> Action.NONE;
                 };
             }
         }
     }
 
-    private void require(boolean possible, Event event) {
-        if (!possible) {
-            throw new IllegalStateException(event + " in " + state);
+    private void require(boolean isPossible, Event event) {
+        if (!isPossible) {
+            throw new IllegalStateException("HTTP/2 stream: event " + event + " is impossible in state " + state);
         }
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/package-info.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/package-info.java
@@ -1,7 +1,6 @@
 /**
- * What one HTTP/2 connection may cost, and how a stream and a connection end: decisions alone. Times are microseconds
- * of
- * one clock, sizes bytes.
+ * Decisions about HTTP/2 connections, apart from I/O: what a connection may cost, and how streams and connections end.
+ * Times are microseconds of one clock, sizes are bytes.
  *
  * <p>May use: nothing of the relay; no sockets, files, clocks, threads or Netty.
  */
--- a/src/main/java/loftflow/listener/package-info.java
+++ b/src/main/java/loftflow/listener/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What every front is to the relay, whatever its clients speak.
+ * The interface of every inbound endpoint, whichever protocol its clients speak.
  *
  * <p>May use: nothing of the relay.
  */
--- a/src/main/java/loftflow/listener/request/Exchange.java
+++ b/src/main/java/loftflow/listener/request/Exchange.java
@@ -4,79 +4,84 @@
 import loftflow.engine.Message;
 import loftflow.engine.MessageAcceptor;
 
-/** One request and its one answer, whatever carries them. */
+/** One request and its one response, independent of the version of HTTP. For use on the event loop only. */
 public abstract class Exchange implements Message.ClientReply {
-    private final MessageAcceptor intake;
+    private static final String POST = "POST";
+
+    private final MessageAcceptor messageAcceptor;
     private Message message;
 
-    protected Exchange(MessageAcceptor intake) {
-        this.intake = intake;
+    /** Creates an exchange that submits messages to an acceptor. */
+    protected Exchange(MessageAcceptor messageAcceptor) {
+        this.messageAcceptor = messageAcceptor;
     }
 
     /**
-     * Sends the answer.
+     * Sends the response.
      *
-     * @param retryIn microseconds after which to come back; 0 where that is not known
+     * @param retryAfterMicros when to resubmit; 0 where that is not known
      */
-    protected abstract void answer(ClientResponse answer, long retryIn);
+    protected abstract void respond(ClientResponse response, long retryAfterMicros);
 
     /**
-     * Does what a whole request asks for; the answer may come at once or later.
+     * Handles a complete request; the response may be sent at once or later.
      *
-     * @param draining whether the front is about to end
-     * @param content the message in it, or null where it makes no sense
+     * @param isDraining whether the listener is shutting down
+     * @param content supplies the message in the request, or null where it is malformed
+     * @param unreadSinceMicros since when the bytes may have been pending
      */
     public final void handle(
             CharSequence method,
             CharSequence path,
-            boolean draining,
+            boolean isDraining,
             Supplier<Message.Content> content,
-            long unreadSince) {
-        if (MessageRequest.isMessage(path)) {
-            if ("POST".contentEquals(method)) {
-                takeOn(content.get(), unreadSince);
+            long unreadSinceMicros) {
+        if (MessageRequest.isMessagePath(path)) {
+            if (POST.contentEquals(method)) {
+                submit(content.get(), unreadSinceMicros);
             } else {
-                answer(ClientResponse.WRONG_METHOD, 0);
+                respond(ClientResponse.WRONG_METHOD, 0);
             }
-        } else if ("/-/ready".contentEquals(path)) {
-            answer(intake.isReady() && !draining ? ClientResponse.READY : ClientResponse.NOT_READY, 0);
+        } else if (ClientProtocol.READINESS_PATH.contentEquals(path)) {
+            boolean isReady = messageAcceptor.isReady() && !isDraining;
+            respond(isReady ? ClientResponse.READY : ClientResponse.NOT_READY, 0);
         } else {
-            answer(ClientResponse.UNKNOWN_PATH, 0);
+            respond(ClientResponse.UNKNOWN_PATH, 0);
         }
     }
 
-    private void takeOn(Message.Content content, long unreadSince) {
-        if (content == null || !intake.recognizes(content)) {
-            answer(ClientResponse.MALFORMED, 0);
+    private void submit(Message.Content content, long unreadSinceMicros) {
+        if (content == null || !messageAcceptor.recognizes(content)) {
+            respond(ClientResponse.MALFORMED, 0);
         } else {
-            message = intake.accept(content, unreadSince, this);
+            message = messageAcceptor.accept(content, unreadSinceMicros, this);
         }
     }
 
-    /** True where a message was taken on and waits for its answer. */
-    public final boolean isWaiting() {
+    /** Returns true where a submitted message awaits its response. */
+    public final boolean isAwaitingResponse() {
         return message != null;
     }
 
-    /** The message that waits for its answer, which is forgotten here; null where none does. */
-    public final Message release() {
-        Message waiting = message;
+    /** Returns and forgets the message that awaits its response; null where there is none. */
+    public final Message releaseMessage() {
+        Message released = message;
         message = null;
-        return waiting;
+        return released;
     }
 
     @Override
     public final void accepted() {
-        answer(ClientResponse.TAKEN, 0);
+        respond(ClientResponse.ACCEPTED, 0);
     }
 
     @Override
-    public final void rejected(long retryIn) {
-        answer(ClientResponse.REFUSED, retryIn);
+    public final void rejected(long retryAfterMicros) {
+        respond(ClientResponse.REJECTED, retryAfterMicros);
     }
 
     @Override
     public final void failed() {
-        answer(ClientResponse.FAILED, 0);
+        respond(ClientResponse.FAILED, 0);
     }
 }
--- a/src/main/java/loftflow/listener/request/MessageRequest.java
+++ b/src/main/java/loftflow/listener/request/MessageRequest.java
@@ -3,99 +3,107 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import loftflow.engine.Message;
-import loftflow.http.Headers;
 
-/** What a client asks for, read of headers and body as any version of HTTP brings them. */
+/** Parses the message in a request from its path, headers and body. */
 public final class MessageRequest {
-    /** The largest body, in bytes. */
-    public static final int MOST_BODY = 64 << 10;
-    /** For a whole request, from its first byte; a connection's first one from connecting. */
+    /** The largest body of a message. */
+    public static final int MAX_BODY_BYTES = 64 << 10;
+    /** The longest time from the first byte of a request to its last; for the first request, from connecting. */
     public static final long READ_MS = 2500;
 
-    private static final int LONGEST_TOKEN = 200;
-    private static final int LONGEST_NUMBER = 9;
-    private static final String PATH = "/api";
-    private static final String DESTINATION = "dest=";
-    private static final Pattern CONSIGNEE = Pattern.compile("(?:.*[;,\\s])?dest=(\\d{1,9})(?:[;,\\s].*)?");
+    private static final int MAX_TOKEN_CHARS = 200;
+    private static final int MAX_DIGITS = 9;
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final Pattern DESTINATION = Pattern.compile(ClientProtocol.DESTINATION_PATTERN);
 
-    /** The first value of a header of {@link Headers}, or null. */
+    /** Looks up headers of a request. */
     public interface Lookup {
+        /** The first value of a header of {@link ClientProtocol}; null where it is absent. */
         CharSequence get(String name);
     }
 
     private MessageRequest() {}
 
-    /** True of the path that messages are handed in at: by itself, or with the line of a class in order behind it. */
-    static boolean isMessage(CharSequence path) {
-        return PATH.contentEquals(path)
-                || path.length() > PATH.length() + 1
-                        && path.charAt(PATH.length()) == '/'
-                        && PATH.contentEquals(path.subSequence(0, PATH.length()));
+    /** Returns true for the path of messages: by itself, or followed by the ordering key of the message. */
+    static boolean isMessagePath(CharSequence path) {
+        String prefix = ClientProtocol.MESSAGE_PATH;
+        return prefix.contentEquals(path)
+                || path.length() > prefix.length() + 1
+                        && path.charAt(prefix.length()) == '/'
+                        && prefix.contentEquals(path.subSequence(0, prefix.length()));
     }
 
     /**
-     * The message that a request holds, or null where a header is missing or makes no sense. Its time counts from when
-     * the client sent it, so that bytes that waited unread leave less of it.
+     * Parses the message in a request. Its deadline counts from when the client sent it, so that time in which its
+     * bytes were pending is subtracted.
      *
-     * @param path one that {@link #isMessage} is true of; it may name the line whose order the message keeps
-     * @param came when its last byte can have come at the earliest, by the engine's clock
+     * @param path a path for which {@link #isMessagePath} is true
+     * @param arrivedAtMicros the earliest time at which the last byte can have arrived, by the engine's clock
+     * @return null where a header is missing or invalid
      */
-    public static Message.Content content(CharSequence path, Lookup headers, long came, byte[] body) {
-        String line = path.length() == PATH.length()
-                ? null
-                : path.subSequence(PATH.length() + 1, path.length()).toString();
-        String callId = orEmpty(headers.get(Headers.CALL_ID));
-        String requestClass = orEmpty(headers.get(Headers.CALL_CLASS));
-        CharSequence tenant = headers.get(Headers.CALLER);
-        CharSequence key = headers.get(Headers.KEY);
-        String budget = orEmpty(headers.get(Headers.BUDGET));
-        String destination = destination(orEmpty(headers.get(Headers.CONSIGNEE)));
-        if (!isToken(callId)
-                || !isNumber(budget, 0)
+    public static Message.Content parse(CharSequence path, Lookup headers, long arrivedAtMicros, byte[] body) {
+        String orderingKey = orderingKey(path);
+        String messageId = orEmpty(headers.get(ClientProtocol.MESSAGE_ID_HEADER));
+        String requestClass = orEmpty(headers.get(ClientProtocol.CLASS_HEADER));
+        CharSequence tenant = headers.get(ClientProtocol.TENANT_HEADER);
+        CharSequence key = headers.get(ClientProtocol.IDEMPOTENCY_KEY_HEADER);
+        String timeoutMillis = orEmpty(headers.get(ClientProtocol.TIMEOUT_MILLIS_HEADER));
+        String destination = destination(orEmpty(headers.get(ClientProtocol.DESTINATION_HEADER)));
+        if (!isToken(messageId)
+                || !isNumber(timeoutMillis, 0)
                 || destination == null
                 || key != null && !isToken(key)
-                || line != null && !isToken(line)) {
+                || orderingKey != null && !isToken(orderingKey)) {
             return null;
         }
         return new Message.Content(
-                callId,
+                messageId,
                 requestClass,
                 tenant == null ? null : tenant.toString(),
                 key == null ? null : key.toString(),
-                came + Long.parseLong(budget) * 1000,
+                arrivedAtMicros + Long.parseLong(timeoutMillis) * MICROS_PER_MILLI,
                 Integer.parseInt(destination),
                 body,
                 null,
-                line);
+                orderingKey);
     }
 
-    private static String destination(String consignee) {
-        // Guards against a search with backtracking for each message, where nothing else is in the header.
-        if (consignee.startsWith(DESTINATION) && isNumber(consignee, DESTINATION.length())) {
-            return consignee.substring(DESTINATION.length());
+    private static String orderingKey(CharSequence path) {
+        int prefixLength = ClientProtocol.MESSAGE_PATH.length();
+        if (path.length() == prefixLength) {
+            return null;
+        }
+        return path.subSequence(prefixLength + 1, path.length()).toString();
+    }
+
+    private static String destination(String header) {
+        // The common case, a single field, avoids the cost of a regular expression for each message.
+        int valueStart = ClientProtocol.DESTINATION_FIELD.length();
+        if (header.startsWith(ClientProtocol.DESTINATION_FIELD) && isNumber(header, valueStart)) {
+            return header.substring(valueStart);
         }
-        Matcher matcher = CONSIGNEE.matcher(consignee);
+        Matcher matcher = DESTINATION.matcher(header);
         return matcher.matches() ? matcher.group(1) : null;
     }
 
-    /** Printable ASCII without spaces, 1 to 200 of them. */
+    /** Returns true for 1 to {@link #MAX_TOKEN_CHARS} characters of printable ASCII without spaces. */
     private static boolean isToken(CharSequence text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
                 return false;
             }
         }
-        return text.length() >= 1 && text.length() <= LONGEST_TOKEN;
+        return text.length() >= 1 && text.length() <= MAX_TOKEN_CHARS;
     }
 
-    /** 1 to 9 digits from a place on. */
+    /** Returns true where the text from an index on is 1 to {@link #MAX_DIGITS} digits. */
     private static boolean isNumber(String text, int from) {
         for (int i = from; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
                 return false;
             }
         }
-        return text.length() > from && text.length() - from <= LONGEST_NUMBER;
+        return text.length() > from && text.length() - from <= MAX_DIGITS;
     }
 
     private static String orEmpty(CharSequence value) {
--- a/src/main/java/loftflow/listener/request/package-info.java
+++ b/src/main/java/loftflow/listener/request/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What a request over HTTP is to the relay, whichever version carries it: the message in its headers and body, what is
- * refused at its head, and the table of answers.
+ * Requests of clients over HTTP, independent of the version: parsing a message from headers and body, the responses,
+ * and the names of the client protocol in {@code ClientProtocol}.
  *
- * <p>May use: the engine's port for messages, names of headers and Netty's status codes.
+ * <p>May use: the engine's port for messages, header names and Netty's status codes.
  */
 package loftflow.listener.request;
--- a/src/test/java/loftflow/listener/FakeMessageAcceptor.java
+++ b/src/test/java/loftflow/listener/FakeMessageAcceptor.java
@@ -9,24 +9,21 @@
 import loftflow.engine.Message;
 import loftflow.engine.MessageAcceptor;
 
-/** An intake whose answers a test gives, or that takes everything at once. */
+/** A message acceptor whose responses the test controls, or that accepts everything at once. */
 public final class FakeMessageAcceptor implements MessageAcceptor {
-    /** A message that was handed in, with whoever waits for the answer. */
-    public record Handed(Message message, Message.ClientReply client) {}
+    /** A submitted message, and its client. */
+    public record Submission(Message message, Message.ClientReply client) {}
 
-    /**
-     * Read by one thread while the loop adds; adding takes the same time however many there are, as floods are told
-     * here.
-     */
-    public final List<Handed> handed = Collections.synchronizedList(new ArrayList<>());
+    /** Every submission; read by one thread while the event loop adds in constant time, as floods are counted here. */
+    public final List<Submission> submissions = Collections.synchronizedList(new ArrayList<>());
 
     public final Set<String> withdrawn = ConcurrentHashMap.newKeySet();
-    private final AtomicLong numbers = new AtomicLong();
-    /** Messages whose client left, which go on. */
-    public final Set<String> left = ConcurrentHashMap.newKeySet();
+    private final AtomicLong nextNumber = new AtomicLong();
+    /** Messages that go on without their client. */
+    public final Set<String> disconnected = ConcurrentHashMap.newKeySet();
 
-    public volatile double fullness;
-    public volatile boolean takesAll = true;
+    public volatile double utilization;
+    public volatile boolean acceptsAll = true;
 
     @Override
     public boolean isReady() {
@@ -44,10 +41,10 @@
     }
 
     @Override
-    public Message accept(Message.Content content, long unreadSince, Message.ClientReply client) {
-        Message message = new Message(numbers.incrementAndGet(), content);
-        handed.add(new Handed(message, client));
-        if (takesAll) {
+    public Message accept(Message.Content content, long unreadSinceMicros, Message.ClientReply client) {
+        Message message = new Message(nextNumber.incrementAndGet(), content);
+        submissions.add(new Submission(message, client));
+        if (acceptsAll) {
             client.accepted();
             return null;
         }
@@ -61,18 +58,20 @@
 
     @Override
     public void clientDisconnected(Message message) {
-        left.add(message.content().messageId());
+        disconnected.add(message.content().messageId());
     }
 
     @Override
     public double utilization() {
-        return fullness;
+        return utilization;
     }
 
-    /** Of messages that were handed in. */
-    public List<String> ids() {
-        synchronized (handed) {
-            return handed.stream().map(h -> h.message().content().messageId()).toList();
+    /** The ids of all submissions, in order. */
+    public List<String> messageIds() {
+        synchronized (submissions) {
+            return submissions.stream()
+                    .map(submission -> submission.message().content().messageId())
+                    .toList();
         }
     }
 }
--- a/src/test/java/loftflow/listener/amqp/AmqpListenerTest.java
+++ b/src/test/java/loftflow/listener/amqp/AmqpListenerTest.java
@@ -124,15 +124,15 @@
 
     @Test
     void confirmIsWhatTheIntakeSays() throws Exception {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         publish("a", 1);
         publish("b", 1);
         publish("c", 1);
-        await(() -> intake.handed.size() == 3);
+        await(() -> intake.submissions.size() == 3);
         assertTrue(server.isAnswering());
-        on(() -> intake.handed.get(1).client().rejected(SECOND));
-        on(() -> intake.handed.get(0).client().accepted());
-        on(() -> intake.handed.get(2).client().failed());
+        on(() -> intake.submissions.get(1).client().rejected(SECOND));
+        on(() -> intake.submissions.get(0).client().accepted());
+        on(() -> intake.submissions.get(2).client().failed());
         awaitTold("1 nack 2", "1 ack 1", "1 nack 3");
         assertTrue(seen.contains("a") && !seen.contains("b") && !seen.contains("c"));
         assertTrue(server.isIdle());
@@ -148,7 +148,7 @@
         awaitTold("1 ack 1", "1 ack 2", "1 ack 3", "1 nack 4", "1 ack 5");
         assertEquals(
                 List.of(0, 20_000, 64 << 10, 1),
-                intake.handed.stream()
+                intake.submissions.stream()
                         .map(h -> h.message().content().body().length)
                         .toList());
     }
@@ -176,7 +176,7 @@
                 "1 return 406",
                 "1 nack 4",
                 "1 nack 5");
-        assertEquals(List.of(), intake.ids());
+        assertEquals(List.of(), intake.messageIds());
     }
 
     @Test
@@ -185,28 +185,28 @@
         awaitTold("1 ack 1");
         publish("a", 1);
         awaitTold("1 ack 1", "1 ack 2");
-        assertEquals(List.of("a"), intake.ids());
+        assertEquals(List.of("a"), intake.messageIds());
         room = false;
         publish("b", 1);
         awaitTold("1 ack 1", "1 ack 2", "1 nack 3");
-        assertEquals(List.of("a"), intake.ids());
+        assertEquals(List.of("a"), intake.messageIds());
     }
 
     @Test
     void tagsOfTwoChannelsAreApart() throws Exception {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         Channel second = confirming();
         publish("a", 1);
         second.basicPublish("loftflow", "7", properties("b"), new byte[1]);
-        await(() -> intake.handed.size() == 2);
-        Message.ClientReply ofB = intake.handed.stream()
+        await(() -> intake.submissions.size() == 2);
+        Message.ClientReply ofB = intake.submissions.stream()
                 .filter(h -> h.message().content().messageId().equals("b"))
                 .findFirst()
                 .orElseThrow()
                 .client();
         on(() -> ofB.rejected(0));
         awaitTold("2 nack 1");
-        on(() -> intake.handed.stream()
+        on(() -> intake.submissions.stream()
                 .filter(h -> h.message().content().messageId().equals("a"))
                 .forEach(h -> h.client().accepted()));
         awaitTold("2 nack 1", "1 ack 1");
@@ -214,25 +214,25 @@
 
     @Test
     void answerForAChannelThatIsGoneIsNotToldOnALaterOneOfItsNumber() throws Exception {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         publish("a", 1);
-        await(() -> intake.handed.size() == 1);
+        await(() -> intake.submissions.size() == 1);
         channel.close();
         await(() -> intake.withdrawn.contains("a"));
         channel = confirming();
         assertEquals(1, channel.getChannelNumber());
         publish("b", 1);
-        await(() -> intake.handed.size() == 2);
-        on(() -> intake.handed.get(0).client().accepted());
-        on(() -> intake.handed.get(1).client().rejected(0));
+        await(() -> intake.submissions.size() == 2);
+        on(() -> intake.submissions.get(0).client().accepted());
+        on(() -> intake.submissions.get(1).client().rejected(0));
         awaitTold("1 nack 1");
     }
 
     @Test
     void clientThatLeavesBeforeItsAnswerIsOwedNothing() throws Exception {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         publish("a", 1);
-        await(() -> intake.handed.size() == 1);
+        await(() -> intake.submissions.size() == 1);
         connection.abort();
         await(() -> intake.withdrawn.contains("a"));
     }
@@ -247,23 +247,23 @@
         await(() -> !channel.isOpen());
         assertTrue(channel.getCloseReason().getMessage().contains("404")
                 || channel.getCloseReason().getMessage().contains("no exchange"));
-        assertEquals(List.of(), intake.ids());
+        assertEquals(List.of(), intake.messageIds());
     }
 
     @Test
     void publisherThatDoesNotWaitIsReadNoFartherThanTheBound() throws Exception {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         for (int i = 0; i < 400; i++) {
             publish("m" + i, 4_000);
         }
-        await(() -> intake.handed.size() >= 256);
+        await(() -> intake.submissions.size() >= 256);
         // Longer than two heartbeats, of which the client's lie unread.
         Thread.sleep(5_000);
-        assertTrue(intake.handed.size() < 400, "not all of it is read: " + intake.handed.size());
+        assertTrue(intake.submissions.size() < 400, "not all of it is read: " + intake.submissions.size());
         assertTrue(connection.isOpen());
         on(() -> {
-            intake.takesAll = true;
-            List.copyOf(intake.handed).forEach(h -> h.client().accepted());
+            intake.acceptsAll = true;
+            List.copyOf(intake.submissions).forEach(h -> h.client().accepted());
         });
         await(() -> told.size() == 400);
     }
@@ -570,6 +570,6 @@
             publish("m" + i, 60_000);
         }
         awaitTold("1 ack 1", "1 ack 2", "1 ack 3");
-        assertEquals(List.of("m0", "m1", "m2"), intake.ids());
+        assertEquals(List.of("m0", "m1", "m2"), intake.messageIds());
     }
 }
--- a/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
+++ b/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
@@ -89,26 +89,26 @@
 
     @Test
     void acknowledgedOnceItIsTakenOnAndNotBefore() {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         put("a");
         start();
-        await(() -> intake.ids().equals(List.of("a")));
+        await(() -> intake.messageIds().equals(List.of("a")));
         assertEquals(0, broker.acked("in"));
-        on(() -> intake.handed.get(0).client().accepted());
+        on(() -> intake.submissions.get(0).client().accepted());
         await(() -> broker.acked("in") == 1);
         assertTrue(seen.contains("a"));
     }
 
     @Test
     void refusedGoesBackAndFailedIsRejectedForGood() {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         put("a");
         start();
-        await(() -> intake.handed.size() == 1);
-        on(() -> intake.handed.get(0).client().rejected(SECOND));
-        await(() -> intake.handed.size() == 2);
-        assertEquals(List.of("a", "a"), intake.ids());
-        on(() -> intake.handed.get(1).client().failed());
+        await(() -> intake.submissions.size() == 1);
+        on(() -> intake.submissions.get(0).client().rejected(SECOND));
+        await(() -> intake.submissions.size() == 2);
+        assertEquals(List.of("a", "a"), intake.messageIds());
+        on(() -> intake.submissions.get(1).client().failed());
         await(() -> broker.deadLetters().equals(List.of("a")));
     }
 
@@ -121,35 +121,35 @@
         broker.put("in", "7", properties("d"), new byte[(64 << 10) + 1]);
         start();
         await(() -> broker.deadLetters().size() == 5);
-        assertEquals(0, intake.handed.size());
+        assertEquals(0, intake.submissions.size());
     }
 
     @Test
     void brokerHandsOutNoMoreThanThePrefetch() {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         for (int i = 0; i < 20; i++) {
             put("m" + i);
         }
         start();
-        await(() -> intake.handed.size() == 5);
-        on(() -> intake.handed.get(0).client().accepted());
-        await(() -> intake.handed.size() == 6);
+        await(() -> intake.submissions.size() == 5);
+        on(() -> intake.submissions.get(0).client().accepted());
+        await(() -> intake.submissions.size() == 6);
         assertEquals(19, broker.size("in"));
     }
 
     /** The tag of a delivery on a connection that is gone would acknowledge another message on the next one. */
     @Test
     void lateAnswerAfterItsConnectionIsGoneAcknowledgesNothing() {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         put("a", "b");
         start();
-        await(() -> intake.handed.size() == 2);
+        await(() -> intake.submissions.size() == 2);
         broker.drop();
-        await(() -> intake.handed.size() == 4);
+        await(() -> intake.submissions.size() == 4);
         assertEquals(java.util.Set.of("a", "b"), intake.withdrawn, "the broker hands them out again");
         on(() -> {
-            intake.handed.get(0).client().accepted();
-            intake.handed.get(1).client().failed();
+            intake.submissions.get(0).client().accepted();
+            intake.submissions.get(1).client().failed();
         });
         on(() -> {});
         assertEquals(0, broker.acked("in"));
@@ -168,8 +168,8 @@
         assertEquals(2, lost.get());
         assertTrue(broker.connections() >= 2);
         put("b");
-        await(() -> intake.ids().contains("b"));
-        assertEquals(List.of("a", "b"), intake.ids());
+        await(() -> intake.messageIds().contains("b"));
+        assertEquals(List.of("a", "b"), intake.messageIds());
     }
 
     @Test
@@ -178,10 +178,10 @@
         put("a");
         start();
         await(() -> broker.connections() > 0 && broker.size("in") == 1);
-        assertEquals(0, intake.handed.size());
+        assertEquals(0, intake.submissions.size());
         room = true;
         await(() -> broker.acked("in") == 1);
-        assertEquals(List.of("a"), intake.ids());
+        assertEquals(List.of("a"), intake.messageIds());
     }
 
     @Test
@@ -195,7 +195,7 @@
         assertTrue(consumer.isIdle());
         on(consumer::stopListening);
         await(() -> broker.connected() == 0);
-        assertEquals(List.of("a"), intake.ids());
+        assertEquals(List.of("a"), intake.messageIds());
         assertEquals(1, broker.size("in"));
     }
 
@@ -269,36 +269,37 @@
         start();
         put(properties("a").with(Property.REPLY_TO, "ends").with(Property.CORRELATION_ID, "c"));
         put("b");
-        await(() -> intake.handed.size() == 2);
+        await(() -> intake.submissions.size() == 2);
         assertEquals(
                 new Message.Reply("front", "ends", "c"),
-                intake.handed.get(0).message().content().reply());
-        assertEquals(null, intake.handed.get(1).message().content().reply());
+                intake.submissions.get(0).message().content().reply());
+        assertEquals(null, intake.submissions.get(1).message().content().reply());
         on(consumer::stopListening);
         consumer = consumer(5, false, QueueConsumer.Tells.ALWAYS, "all-ends");
         start();
         put("c");
-        await(() -> intake.handed.size() == 3);
+        await(() -> intake.submissions.size() == 3);
         assertEquals(
-                "all-ends", intake.handed.get(2).message().content().reply().queue());
+                "all-ends",
+                intake.submissions.get(2).message().content().reply().queue());
         on(consumer::stopListening);
         consumer = consumer(5, false, QueueConsumer.Tells.NEVER, null);
         start();
         put(properties("d").with(Property.REPLY_TO, "ends"));
-        await(() -> intake.handed.size() == 4);
-        assertEquals(null, intake.handed.get(3).message().content().reply());
+        await(() -> intake.submissions.size() == 4);
+        assertEquals(null, intake.submissions.get(3).message().content().reply());
     }
 
     @Test
     void automaticAcknowledgementLosesWhatIsRefusedAndSaysSo() {
         on(consumer::stopListening);
         consumer = consumer(5, true, QueueConsumer.Tells.NEVER, null);
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         put(properties("a").with(Property.TYPE, "any"));
         start();
-        await(() -> intake.handed.size() == 1);
+        await(() -> intake.submissions.size() == 1);
         assertEquals(0, broker.size("in"), "the broker has forgotten it");
-        on(() -> intake.handed.get(0).client().failed());
+        on(() -> intake.submissions.get(0).client().failed());
         on(() -> {});
         assertEquals(List.of(), broker.deadLetters());
         assertEquals(1, broker.connected(), "nothing was said that the broker would mind");
@@ -311,10 +312,10 @@
         await(() -> broker.connections() >= 2);
         assertFalse(consumer.isAnswering());
         put("a");
-        await(() -> intake.ids().equals(List.of("a")));
+        await(() -> intake.messageIds().equals(List.of("a")));
         broker.shut();
         broker.open(false);
         put("b");
-        await(() -> intake.ids().equals(List.of("a", "b")));
+        await(() -> intake.messageIds().equals(List.of("a", "b")));
     }
 }
--- a/src/test/java/loftflow/listener/connection/ConnectionLimiterTest.java
+++ b/src/test/java/loftflow/listener/connection/ConnectionLimiterTest.java
@@ -8,69 +8,69 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Who goes when a house is full, and what of that depends on what lies unread. */
+/** Which connection is evicted at the limit, also where bytes are pending on one. */
 class ConnectionLimiterTest {
     private final List<String> closed = new ArrayList<>();
-    private final Map<String, Runnable> unread = new HashMap<>();
-    private final ConnectionLimiter<String> house =
-            new ConnectionLimiter<>(2, c -> unread.getOrDefault(c, () -> {}).run(), closed::add);
+    private final Map<String, Runnable> pending = new HashMap<>();
+    private final ConnectionLimiter<String> limiter =
+            new ConnectionLimiter<>(2, c -> pending.getOrDefault(c, () -> {}).run(), closed::add);
 
     @Test
-    void theOneThatHasStoodLongestGoesAndSilentOnesGoFirst() {
-        house.opened("a");
-        house.began("a");
-        house.fellIdle("a");
-        house.opened("b");
-        house.opened("c");
+    void oldestUnusedConnectionIsEvictedBeforeTheLongestIdleOne() {
+        limiter.onOpened("a");
+        limiter.onRequestStarted("a");
+        limiter.onIdle("a");
+        limiter.onOpened("b");
+        limiter.onOpened("c");
         assertEquals(List.of("b"), closed);
-        house.began("c");
-        house.opened("d");
+        limiter.onRequestStarted("c");
+        limiter.onOpened("d");
         assertEquals(List.of("b", "a"), closed);
-        assertEquals(2, house.size());
+        assertEquals(2, limiter.size());
     }
 
     @Test
-    void oneWhoseRequestLiesUnreadStays() {
-        house.opened("a");
-        house.opened("b");
-        unread.put("a", () -> house.began("a"));
-        house.opened("c");
+    void connectionWithAPendingRequestIsNotEvicted() {
+        limiter.onOpened("a");
+        limiter.onOpened("b");
+        pending.put("a", () -> limiter.onRequestStarted("a"));
+        limiter.onOpened("c");
         assertEquals(List.of("b"), closed);
-        assertEquals(2, house.size());
+        assertEquals(2, limiter.size());
     }
 
     @Test
-    void theNewOneGoesWhereAllHaveBegun() {
-        house.opened("a");
-        house.opened("b");
-        unread.put("a", () -> house.began("a"));
-        unread.put("b", () -> house.began("b"));
-        house.opened("c");
+    void newConnectionIsClosedWhereAllHaveRequestsInProgress() {
+        limiter.onOpened("a");
+        limiter.onOpened("b");
+        pending.put("a", () -> limiter.onRequestStarted("a"));
+        pending.put("b", () -> limiter.onRequestStarted("b"));
+        limiter.onOpened("c");
         assertEquals(List.of("c"), closed);
-        assertEquals(List.of(), house.standing());
-        assertEquals(2, house.size());
+        assertEquals(List.of(), limiter.inactive());
+        assertEquals(2, limiter.size());
     }
 
     @Test
-    void oneWhoseEndLiesUnreadMakesTheRoom() {
-        house.opened("a");
-        house.opened("b");
-        unread.put("a", () -> house.closed("a"));
-        house.opened("c");
+    void pendingEndOfAConnectionReplacesAnEviction() {
+        limiter.onOpened("a");
+        limiter.onOpened("b");
+        pending.put("a", () -> limiter.onClosed("a"));
+        limiter.onOpened("c");
         assertEquals(List.of(), closed);
-        assertEquals(List.of("b", "c"), house.standing());
+        assertEquals(List.of("b", "c"), limiter.inactive());
     }
 
-    /** Answered at once, it stands again: it has stood shortest then, and no connection is looked at twice. */
+    /** A connection that is answered at once is idle for the shortest time, and none is considered twice. */
     @Test
-    void oneThatIsAnsweredAtOnceStandsBehindTheOthers() {
-        house.opened("a");
-        house.opened("b");
-        unread.put("a", () -> {
-            house.began("a");
-            house.fellIdle("a");
+    void connectionThatIsAnsweredAtOnceIsEvictedLast() {
+        limiter.onOpened("a");
+        limiter.onOpened("b");
+        pending.put("a", () -> {
+            limiter.onRequestStarted("a");
+            limiter.onIdle("a");
         });
-        house.opened("c");
+        limiter.onOpened("c");
         assertEquals(List.of("b"), closed);
     }
 }
--- a/src/test/java/loftflow/listener/connection/UnreadSinceTest.java
+++ b/src/test/java/loftflow/listener/connection/UnreadSinceTest.java
@@ -6,55 +6,58 @@
 import loftflow.engine.EventLoopLag;
 import org.junit.jupiter.api.Test;
 
-/** From when a message's time counts, by a clock that the test moves. */
+/** The age of pending bytes, on a clock that the test advances. */
 class UnreadSinceTest {
-    private long now = 1_000_000;
-    private final ArrayDeque<Runnable> beats = new ArrayDeque<>();
-    private final EventLoopLag pulse = new EventLoopLag(
+    private long nowMicros = 1_000_000;
+    private final ArrayDeque<Runnable> scheduled = new ArrayDeque<>();
+    private final EventLoopLag eventLoopLag = new EventLoopLag(
             (micros, task) -> {
-                beats.add(task);
+                scheduled.add(task);
                 return () -> {};
             },
-            () -> now);
-    private final Acceptor door = new Acceptor(pulse, channel -> {});
+            () -> nowMicros);
+    private final Acceptor acceptor = new Acceptor(eventLoopLag, channel -> {});
 
-    private void pass(long micros) {
-        now += micros;
-        beats.poll().run();
+    private void runIteration(long micros) {
+        nowMicros += micros;
+        scheduled.poll().run();
     }
 
     @Test
-    void firstBytesMayHaveWaitedWithTheirConnectionAndLaterOnesNot() {
-        pulse.start();
-        pass(300_000);
-        pass(300_000);
-        UnreadSince unread = new UnreadSince(door, now);
-        assertEquals(1_300_000, unread.since(), "it can have come when the pass before the last one looked");
-        pass(10_000);
-        assertEquals(1_300_000, unread.since(), "still of the pass that accepted it");
-        pass(10_000);
-        pass(10_000);
-        assertEquals(1_620_000, unread.since());
-        pass(60_000_000);
-        pass(10_000);
-        assertEquals(61_620_000 + 10_000, unread.since(), "a minute of silence is no minute of waiting");
+    void firstBytesMayHaveBeenPendingWithTheirConnection() {
+        eventLoopLag.start();
+        runIteration(300_000);
+        runIteration(300_000);
+        UnreadSince unread = new UnreadSince(acceptor, nowMicros);
+        assertEquals(
+                1_300_000,
+                unread.earliestArrivalMicros(),
+                "it can have arrived after the iteration before the last one polled");
+        runIteration(10_000);
+        assertEquals(1_300_000, unread.earliestArrivalMicros(), "still in the iteration that accepted it");
+        runIteration(10_000);
+        runIteration(10_000);
+        assertEquals(1_620_000, unread.earliestArrivalMicros());
+        runIteration(60_000_000);
+        runIteration(10_000);
+        assertEquals(61_620_000 + 10_000, unread.earliestArrivalMicros(), "idle time is not pending time");
     }
 
     @Test
-    void bytesThatWaitedWhileNothingWasReadAreAsOldAsThePause() {
-        pulse.start();
-        UnreadSince unread = new UnreadSince(door, now);
+    void bytesPendingDuringAPauseAreAsOldAsThePause() {
+        eventLoopLag.start();
+        UnreadSince unread = new UnreadSince(acceptor, nowMicros);
         for (int i = 0; i < 10; i++) {
-            pass(10_000);
+            runIteration(10_000);
         }
-        unread.paused();
-        long since = unread.since();
-        pass(5_000_000);
-        unread.paused();
-        pass(10_000);
-        pass(10_000);
-        assertEquals(since, unread.since());
-        unread.caughtUp();
-        assertEquals(now - 10_000, unread.since());
+        unread.onReadPaused();
+        long pausedSince = unread.earliestArrivalMicros();
+        runIteration(5_000_000);
+        unread.onReadPaused();
+        runIteration(10_000);
+        runIteration(10_000);
+        assertEquals(pausedSince, unread.earliestArrivalMicros());
+        unread.onReadCaughtUp();
+        assertEquals(nowMicros - 10_000, unread.earliestArrivalMicros());
     }
 }
--- a/src/test/java/loftflow/listener/http/UnreadAnswersTest.java
+++ b/src/test/java/loftflow/listener/http/UnreadResponsesTest.java
@@ -26,28 +26,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client that sends requests on one connection and leaves its answers unread. */
+/** A client that sends requests on one connection and does not read the responses. */
 @Timeout(60)
-class UnreadAnswersTest {
+class UnreadResponsesTest {
     private static final String MESSAGE =
             "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: m\r\nX-Call-Class: safe\r\n"
                     + "X-Budget-Ms: 20000\r\nX-Consignee: dest=7\r\nContent-Length: 1\r\n\r\nx";
-    private static final String TAKEN = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
+    private static final String ACCEPTED_RESPONSE = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
     private static final int BATCH = 8;
-    /** More answers than wait in the relay before it leaves requests unread. */
-    private static final int MOST_WAITING = 1000;
+    /** More responses than the relay buffers before it stops reading requests. */
+    private static final int MAX_BUFFERED_RESPONSES = 1000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final FakeMessageAcceptor intake = new FakeMessageAcceptor();
-    private HttpListener server;
+    private final FakeMessageAcceptor messageAcceptor = new FakeMessageAcceptor();
+    private HttpListener listener;
     private SocketChannel client;
 
     @BeforeEach
     void connect() throws Exception {
         Clock clock = Clock.system();
-        server = new HttpListener(intake, clock, new EventLoopLag((micros, task) -> () -> {}, clock), 8);
-        InetSocketAddress address = (InetSocketAddress) server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
+        listener = new HttpListener(messageAcceptor, clock, new EventLoopLag((micros, task) -> () -> {}, clock), 8);
+        InetSocketAddress address = (InetSocketAddress) listener.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                 .sync()
                 .channel()
                 .localAddress();
@@ -71,7 +71,7 @@
     }
 
     private boolean isFlushed() {
-        return on(() -> server.house().all().stream().allMatch(HttpClientConnection::isFlushed));
+        return on(() -> listener.connections().all().stream().allMatch(HttpClientConnection::isFlushed));
     }
 
     private static ByteBuffer bytes(String text) {
@@ -85,80 +85,80 @@
         return BATCH;
     }
 
-    /** Hands in messages until answers wait in the relay, and returns how many; all of them have been read. */
-    private int sendUntilAnswersWait() throws Exception {
+    /** Sends messages until responses are buffered in the relay, and returns their number; all have been read. */
+    private int sendUntilResponsesAreBuffered() throws Exception {
         int sent = 0;
         while (isFlushed()) {
             sent += sendBatch();
-            while (intake.handed.size() < sent) {
+            while (messageAcceptor.submissions.size() < sent) {
                 Thread.onSpinWait();
             }
         }
         return sent;
     }
 
-    /** Reads answers until the end of the connection, or as many bytes as are awaited. */
+    /** Reads responses until the end of the connection, or the given number of bytes. */
     private long read(long awaited) throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate(1 << 16);
         long read = 0;
         while (read < awaited) {
             buffer.clear();
             buffer.limit((int) Math.min(buffer.capacity(), awaited - read));
-            int came = client.read(buffer);
-            if (came < 0) {
+            int received = client.read(buffer);
+            if (received < 0) {
                 return read;
             }
-            read += came;
+            read += received;
         }
         return read;
     }
 
-    /** What it sends on is not read until it reads: the answers would fill the memory. Nothing is lost by that. */
+    /** Reading pauses until the client reads, which bounds the memory for responses. Nothing is lost by that. */
     @Test
-    void clientThatReadsNoAnswerIsNotReadFrom() throws Exception {
-        int before = sendUntilAnswersWait();
-        int sent = before + on(this::sendUntilNoneIsRead);
-        int read = intake.handed.size();
+    void readingPausesForAClientThatReadsNoResponse() throws Exception {
+        int before = sendUntilResponsesAreBuffered();
+        int sent = before + on(this::sendUntilReadingPauses);
+        int read = messageAcceptor.submissions.size();
         assertTrue(
-                read < sent && read < before + MOST_WAITING,
+                read < sent && read < before + MAX_BUFFERED_RESPONSES,
                 read + " of " + sent + " were read, " + before + " of them before");
-        // The loop looks at its sockets at least once: what lies there stays.
+        // The loop polls its sockets at least once, and the pending bytes stay there.
         loop.submit(() -> {}).sync();
         loop.submit(() -> {}).sync();
-        assertEquals(read, intake.handed.size());
-        assertEquals((long) sent * TAKEN.length(), read((long) sent * TAKEN.length()));
-        assertEquals(sent, intake.handed.size());
+        assertEquals(read, messageAcceptor.submissions.size());
+        assertEquals((long) sent * ACCEPTED_RESPONSE.length(), read((long) sent * ACCEPTED_RESPONSE.length()));
+        assertEquals(sent, messageAcceptor.submissions.size());
     }
 
-    /** Holds the loop and has it read by hand what comes, until it leaves some of it. */
-    private int sendUntilNoneIsRead() throws IOException {
+    /** Blocks the loop and reads pending bytes by hand, until some of them are left in the socket. */
+    private int sendUntilReadingPauses() throws IOException {
         KernelSocketState relay = KernelSocketState.beyond(client.socket());
         int sent = 0;
         int read = -1;
-        while (read < intake.handed.size() || !relay.holdsUnread()) {
-            read = intake.handed.size();
+        while (read < messageAcceptor.submissions.size() || !relay.holdsUnread()) {
+            read = messageAcceptor.submissions.size();
             sent += sendBatch();
             relay.awaitUnread();
-            server.takeIn();
+            listener.takeIn();
         }
         return sent;
     }
 
-    /** At the drain its connection stands until the answers have gone out, and the relay is not done before. */
+    /** While the relay drains, a connection stays open until its responses are sent, and the relay is not idle before. */
     @Test
-    void answersThatWaitAtTheDrainGoOut() throws Exception {
-        int sent = sendUntilAnswersWait();
-        loop.submit(server::drain).sync();
-        assertFalse(on(server::isIdle));
-        assertEquals((long) sent * TAKEN.length(), read((long) sent * TAKEN.length()));
-        await(() -> on(server::isIdle));
+    void bufferedResponsesAreSentDuringTheDrain() throws Exception {
+        int sent = sendUntilResponsesAreBuffered();
+        loop.submit(listener::drain).sync();
+        assertFalse(on(listener::isIdle));
+        assertEquals((long) sent * ACCEPTED_RESPONSE.length(), read((long) sent * ACCEPTED_RESPONSE.length()));
+        await(() -> on(listener::isIdle));
     }
 
-    /** It never reads its last answer: its descriptor is free again after ten seconds. */
+    /** A client that never reads its last response is closed after ten seconds. */
     @Test
-    void clientThatNeverReadsItsLastAnswerIsLetGo() throws Exception {
-        sendUntilAnswersWait();
+    void clientThatNeverReadsItsLastResponseIsClosed() throws Exception {
+        sendUntilResponsesAreBuffered();
         client.write(bytes(MESSAGE.replace("Host", "Connection: close\r\nHost")));
-        await(() -> on(() -> server.house().size()) == 0);
+        await(() -> on(() -> listener.connections().size()) == 0);
     }
 }
--- a/src/test/java/loftflow/listener/http2/ConnectionEndTest.java
+++ b/src/test/java/loftflow/listener/http2/ConnectionEndTest.java
@@ -36,7 +36,7 @@
     })
     void streamThatItsClientLeaves(String stage, String how) throws IOException {
         serve(usual());
-        intake.takesAll = stage.equals("ANSWERED");
+        intake.acceptsAll = stage.equals("ANSWERED");
         RawClient client = client();
         int id = client.head(RawClient.message("m").add("content-length", "2"), false);
         if (!stage.equals("HEAD")) {
@@ -45,7 +45,7 @@
         boolean whole = stage.equals("TAKEN") || stage.equals("ANSWERED");
         if (whole) {
             client.data(id, new byte[1], true);
-            await(() -> intake.ids().contains("m"));
+            await(() -> intake.messageIds().contains("m"));
         } else {
             await(() -> on(() -> server.isIdle()) == false);
         }
@@ -56,9 +56,9 @@
             client.drop();
             await(() -> on(() -> server.house().size()) == 0);
         }
-        assertEquals(whole, intake.ids().contains("m"));
+        assertEquals(whole, intake.messageIds().contains("m"));
         assertEquals(Set.of(), intake.withdrawn, "nothing that is recorded is taken back");
-        await(() -> stage.equals("TAKEN") == intake.left.contains("m"));
+        await(() -> stage.equals("TAKEN") == intake.disconnected.contains("m"));
         assertFalse(on(() -> server.isAnswering()));
         if (stage.equals("TAKEN")) {
             take(0);
@@ -68,21 +68,21 @@
     }
 
     private int statusOfNext(RawClient client) throws IOException {
-        intake.takesAll = true;
+        intake.acceptsAll = true;
         return client.status(client.send(RawClient.message("next"), "x"));
     }
 
     @Test
     void streamsOfALostConnectionAllGoOn() throws IOException {
         serve(usual());
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         RawClient client = client();
         for (int i = 0; i < 100; i++) {
             client.send(RawClient.message("m" + i), "x");
         }
-        await(() -> intake.handed.size() == 100);
+        await(() -> intake.submissions.size() == 100);
         client.drop();
-        await(() -> intake.left.size() == 100);
+        await(() -> intake.disconnected.size() == 100);
         assertFalse(on(() -> server.isAnswering()));
     }
 
@@ -95,7 +95,9 @@
         await(() -> clock.micros() - opened > 3 * SECOND);
         long sent = clock.micros();
         assertEquals(202, client.status(client.send(RawClient.message("m"), "x")));
-        long lost = sent + 8 * SECOND - intake.handed.get(0).message().content().deadlineMicros();
+        long lost = sent
+                + 8 * SECOND
+                - intake.submissions.get(0).message().content().deadlineMicros();
         assertTrue(lost < 3 * SECOND / 2, "microseconds lost: " + lost);
     }
 
@@ -106,13 +108,13 @@
     @ValueSource(strings = {"closed from the start", "shrunk below what is out", "opened a byte at a time"})
     void windowThatStaysClosedHoldsNoAnswerUp(String how) throws IOException {
         serve(usual());
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         RawClient client = client();
         if (!how.startsWith("shrunk")) {
             client.frame(RawClient.SETTINGS, 0, 0, RawClient.setting(4, 0));
         }
         int id = client.send(RawClient.message("m"), "x");
-        await(() -> intake.ids().contains("m"));
+        await(() -> intake.messageIds().contains("m"));
         if (how.startsWith("shrunk")) {
             client.frame(RawClient.SETTINGS, 0, 0, RawClient.setting(4, 1));
         }
@@ -181,7 +183,7 @@
         // slow.
         greedy.await(() -> greedy.statuses.size() == 3);
         assertTrue(Set.of(408, 503).containsAll(greedy.statuses.values()), greedy.statuses.toString());
-        assertEquals(0, on(() -> server.credit().held()));
+        assertEquals(0, on(() -> server.credit().heldBytes()));
     }
 
     private static void send(RawClient client, int id, int bytes) throws IOException {
@@ -206,7 +208,7 @@
         for (int id : ids) {
             assertEquals(202, client.status(id));
         }
-        assertEquals(0, on(() -> server.credit().held()));
+        assertEquals(0, on(() -> server.credit().heldBytes()));
     }
 
     // ---- what is offered
@@ -214,25 +216,25 @@
     @Test
     void fewerStreamsAreOfferedUnderLoadAndWhatIsBeyondIsRefusedAsNeverTaken() throws IOException {
         serve(with(100, 150, 1 << 20, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND)));
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         RawClient first = client();
         RawClient second = client();
         for (int i = 0; i < 100; i++) {
             first.send(RawClient.message("f" + i), "x");
         }
-        await(() -> intake.handed.size() == 100);
+        await(() -> intake.submissions.size() == 100);
         List<Integer> ids = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             ids.add(second.send(RawClient.message("s" + i), "x"));
         }
         second.await(() -> second.resets.size() == 50);
         assertEquals(Set.of(REFUSED), Set.copyOf(second.resets.values()));
-        assertEquals(150, intake.handed.size(), "what was refused was never taken");
+        assertEquals(150, intake.submissions.size(), "what was refused was never taken");
         assertTrue(ids.subList(0, 50).stream().noneMatch(second.resets::containsKey));
         // The refusals were a shortage; a relay that is nearly full makes it worse.
-        intake.fullness = 0.95;
+        intake.utilization = 0.95;
         first.await(() -> first.offered.get(first.offered.size() - 1) <= 4);
-        intake.fullness = 0;
+        intake.utilization = 0;
         IntStream.range(0, 150).forEach(this::take);
         first.await(() -> first.offered.get(first.offered.size() - 1) == 100);
         assertEquals(100, first.offered.get(0));
@@ -242,14 +244,14 @@
     @Test
     void whatIsMoreThanAConnectionWasOfferedIsRefusedOneByOne() throws IOException {
         serve(with(10, 400, 1 << 20, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND)));
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         RawClient client = client();
         for (int i = 0; i < 30; i++) {
             client.send(RawClient.message("m" + i), "x");
         }
         client.await(() -> client.resets.size() == 20);
         assertEquals(Set.of(REFUSED), Set.copyOf(client.resets.values()));
-        assertEquals(10, intake.handed.size());
+        assertEquals(10, intake.submissions.size());
         IntStream.range(0, 10).forEach(this::take);
         client.await(() -> client.statuses.size() == 10);
         assertEquals(202, statusOfNext(client));
@@ -296,19 +298,19 @@
     private void assertIsAnsweredAndHearsAGoodbye(RawClient client) throws IOException {
         assertEquals(202, client.status(1));
         client.await(() -> !client.goAways.isEmpty());
-        assertEquals(List.of("m"), intake.ids());
+        assertEquals(List.of("m"), intake.messageIds());
     }
 
     @Test
     void drainLetsEachOfAHundredOpenStreamsFinish() throws IOException {
         serve(usual());
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         RawClient client = client();
         List<Integer> ids = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             ids.add(client.send(RawClient.message("m" + i), "x"));
         }
-        await(() -> intake.handed.size() == 100);
+        await(() -> intake.submissions.size() == 100);
         IntStream.range(0, 50).forEach(this::take);
         on(() -> {
             server.drain(8 * SECOND);
@@ -327,27 +329,27 @@
         ids.forEach(id -> assertEquals(202, client.statuses.get(id), id + " of " + client.statuses.keySet()));
         assertTrue(client.answers.values().stream().allMatch(times -> times == 1));
         assertFalse(client.statuses.containsKey(late));
-        assertFalse(intake.ids().contains("late"), "never taken");
+        assertFalse(intake.messageIds().contains("late"), "never taken");
         await(() -> on(() -> server.isIdle()));
     }
 
     @Test
     void streamBetweenTheTwoWordsIsTakenAndAClientThatHeedsNeitherIsClosedInTime() throws IOException {
         serve(usual());
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         RawClient client = client();
         client.send(RawClient.message("before"), "x");
-        await(() -> intake.handed.size() == 1);
+        await(() -> intake.submissions.size() == 1);
         on(() -> {
             server.drain(SECOND);
             return null;
         });
         client.send(RawClient.message("between"), "x");
-        await(() -> intake.ids().contains("between"));
+        await(() -> intake.messageIds().contains("between"));
         await(() -> on(() -> server.isIdle()));
         // Its streams are open still, and go on without it.
         client.awaitEnd();
-        await(() -> intake.left.equals(Set.of("before", "between")));
+        await(() -> intake.disconnected.equals(Set.of("before", "between")));
         RawClient fresh = client();
         fresh.awaitEnd();
         assertEquals(NO_ERROR, fresh.lastError(), "who comes now is told at once");
@@ -360,7 +362,7 @@
         idle.awaitEnd();
         assertEquals(NO_ERROR, idle.lastError());
         assertEquals(2, idle.goAways.size());
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         RawClient old = client();
         int id = old.send(RawClient.message("m"), "x");
         old.await(() -> old.goAways.size() == 2);
--- a/src/test/java/loftflow/listener/http2/FramesTest.java
+++ b/src/test/java/loftflow/listener/http2/FramesTest.java
@@ -295,7 +295,7 @@
             assertEquals(List.of(), client.goAways);
         }
         assertTrue(client.answers.values().stream().allMatch(times -> times == 1), "answers: " + client.answers);
-        assertFalse(one.status() != 202 && intake.ids().contains("m"), "it was not taken on");
+        assertFalse(one.status() != 202 && intake.messageIds().contains("m"), "it was not taken on");
         assertServes("after");
     }
 
@@ -304,7 +304,7 @@
         RawClient client = client();
         assertEquals(431, client.status(bomb(client)));
         assertServes("after");
-        assertEquals(List.of("after"), intake.ids());
+        assertEquals(List.of("after"), intake.messageIds());
     }
 
     private record Flood(String name, byte[] frame, boolean onStream) {
@@ -343,12 +343,12 @@
         client.awaitEnd();
         assertEquals(CALM, client.lastError(), flood + ": " + client.goAways.size());
         assertEquals(202, other.status(other.send(RawClient.message("other"), "x")));
-        assertFalse(intake.ids().contains("m"));
+        assertFalse(intake.messageIds().contains("m"));
     }
 
     @Test
     void rapidResetEndsItsConnectionAndWhatWasTakenIsBounded() throws IOException {
-        intake.takesAll = false;
+        intake.acceptsAll = false;
         RawClient client = client();
         try {
             for (int i = 0; i < 100_000; i++) {
@@ -361,8 +361,8 @@
         client.awaitEnd();
         assertEquals(CALM, client.lastError());
         // A burst of four seconds' worth may pass.
-        assertTrue(intake.handed.size() <= 402 + 100, "taken: " + intake.handed.size());
-        assertEquals(Set.copyOf(intake.ids()), intake.left, "what was taken goes on");
+        assertTrue(intake.submissions.size() <= 402 + 100, "taken: " + intake.submissions.size());
+        assertEquals(Set.copyOf(intake.messageIds()), intake.disconnected, "what was taken goes on");
         assertServes("after");
     }
 
@@ -379,7 +379,7 @@
         client.awaitEnd();
         assertEquals(CALM, client.lastError());
         assertServes("after");
-        assertEquals(List.of("after"), intake.ids());
+        assertEquals(List.of("after"), intake.messageIds());
     }
 
     @Test
@@ -429,9 +429,10 @@
                     Map.entry(202, HttpClient.Version.HTTP_2),
                     Map.entry(one.get().statusCode(), one.get().version()));
         }
-        assertEquals(91, Set.copyOf(intake.ids()).size());
+        assertEquals(91, Set.copyOf(intake.messageIds()).size());
         assertEquals(1, (int) on(() -> server.house().size()), "one connection");
-        assertTrue(intake.handed.stream().allMatch(h -> h.message().content().body().length >= 1_000));
+        assertTrue(
+                intake.submissions.stream().allMatch(h -> h.message().content().body().length >= 1_000));
     }
 
     private HttpRequest request(String id, String body) {
--- a/src/test/java/loftflow/listener/http2/Http2TestBase.java
+++ b/src/test/java/loftflow/listener/http2/Http2TestBase.java
@@ -93,7 +93,7 @@
     /** The message that was handed in as so many before it were is taken on. */
     void take(int index) {
         on(() -> {
-            intake.handed.get(index).client().accepted();
+            intake.submissions.get(index).client().accepted();
             return null;
         });
     }
@@ -101,10 +101,10 @@
     /** A message on a connection of its own is answered. */
     void assertServes(String id) throws IOException {
         RawClient other = client();
-        boolean before = intake.takesAll;
-        intake.takesAll = true;
+        boolean before = intake.acceptsAll;
+        intake.acceptsAll = true;
         assertEquals(202, other.status(other.send(RawClient.message(id), "x")));
-        intake.takesAll = before;
+        intake.acceptsAll = before;
         other.close();
     }
 
--- /dev/null
+++ b/src/test/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimitTest.java
@@ -0,0 +1,25 @@
+package loftflow.listener.http2.flowcontrol;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** The limit that a client has acknowledged. */
+class AcknowledgedStreamLimitTest {
+    @Test
+    void lowerLimitAppliesOnceItIsAcknowledged() {
+        AcknowledgedStreamLimit limit = new AcknowledgedStreamLimit(10);
+        assertTrue(
+                limit.allowsNewStream(1_000), "RFC 9113, 6.5.2: no limit before the first SETTINGS are acknowledged");
+        limit.onSettingsSent(4);
+        limit.onSettingsSent(8);
+        assertEquals(8, limit.lastSent());
+        for (int expected : new int[] {10, 4, 8, 8}) {
+            limit.onSettingsAcknowledged();
+            assertTrue(
+                    limit.allowsNewStream(expected - 1) && !limit.allowsNewStream(expected),
+                    "acknowledged " + expected);
+        }
+    }
+}
--- a/src/test/java/loftflow/server/BadClientTest.java
+++ b/src/test/java/loftflow/server/BadClientTest.java
@@ -73,7 +73,7 @@
         for (int i = 0; i < 200; i++) {
             connect();
         }
-        await(() -> relay.log().contains("can't accept"));
+        await(() -> relay.log().contains("listener: accept failed"));
         closeAll();
         assertEquals(202, relay.handIn("after", "safe", 7));
         await(() -> host.requests.size() == 1);
