--- a/src/main/java/loftflow/warmstart/ClockReading.java
+++ b/src/main/java/loftflow/warmstart/ClockReading.java
@@ -3,12 +3,12 @@
 /**
  * A reading of a machine's clocks.
  *
- * @param wall microseconds since 1970, by a clock that may be set
- * @param up microseconds since the machine's start, by a clock that is never set
- * @param boot which start of the machine that was; empty where it can't be told
+ * @param wall microseconds since the epoch, by the wall clock, which may be set at any time
+ * @param up microseconds since the machine booted, by a clock that is never set
+ * @param boot identifies the boot that {@code up} counts from; empty where the machine does not provide it
  */
 public record ClockReading(long wall, long up, String boot) {
-    /** A reading at another time of the same boot whose wall clock was not set. */
+    /** A reading {@code micros} microseconds later in the same boot, with the wall clock not set in between. */
     public ClockReading plus(long micros) {
         return new ClockReading(wall + micros, up + micros, boot);
     }
--- a/src/main/java/loftflow/warmstart/DowntimeEstimate.java
+++ b/src/main/java/loftflow/warmstart/DowntimeEstimate.java
@@ -1,40 +1,43 @@
 package loftflow.warmstart;
 
 /**
- * How long ago something was saved, as far as the clocks tell. Spans in microseconds.
+ * How much time passed between two clock readings, as far as the clocks can prove it.
  *
- * @param least it is no shorter: waits are reckoned by it, so that none is shortened
- * @param most it is no longer: trust is reckoned by it, so that none is too high; {@link #UNKNOWN} where nothing tells
- * @param doubtful the clocks prove neither: the machine was started anew between, or does not tell
+ * @param minMicros lower bound; used for retry-after waits, so that none is shortened
+ * @param maxMicros upper bound; used for trust, so that none is too high. {@link #UNKNOWN} where there is no bound
+ * @param doubtful neither bound is proven: the machine rebooted in between, or provides no boot id
  */
-public record DowntimeEstimate(long least, long most, boolean doubtful) {
-    /** Longer than anything is believed for. */
+public record DowntimeEstimate(long minMicros, long maxMicros, boolean doubtful) {
+    /** Stands for a duration without an upper bound. Longer than any age at which an endpoint is trusted. */
     public static final long UNKNOWN = Long.MAX_VALUE / 4;
 
     /**
-     * The span between two moments. Within one boot the clock that is never set measures it, whatever became of the
-     * wall
-     * clock. Over a boot the wall clock alone tells, which may have been set between: nothing is proven then, and one
-     * that
-     * stands before the earlier moment tells nothing at all.
+     * The time between two readings. Within one boot the uptime clock measures it exactly, whatever happened to the
+     * wall clock. Across a reboot only the wall clock is left. It may have been set in between, so nothing is proven,
+     * and a wall clock that is behind the earlier reading gives no upper bound at all.
      */
-    public static DowntimeEstimate between(ClockReading then, ClockReading now) {
-        if (!then.boot().isEmpty() && then.boot().equals(now.boot()) && now.up() >= then.up()) {
-            long span = now.up() - then.up();
-            return new DowntimeEstimate(span, span, false);
+    public static DowntimeEstimate between(ClockReading earlier, ClockReading later) {
+        if (isSameBoot(earlier, later) && later.up() >= earlier.up()) {
+            long elapsedMicros = later.up() - earlier.up();
+            return new DowntimeEstimate(elapsedMicros, elapsedMicros, false);
         }
-        long span = now.wall() - then.wall();
-        return new DowntimeEstimate(0, span >= 0 ? span : UNKNOWN, true);
+        long elapsedMicros = later.wall() - earlier.wall();
+        return new DowntimeEstimate(0, elapsedMicros >= 0 ? elapsedMicros : UNKNOWN, true);
+    }
+
+    private static boolean isSameBoot(ClockReading earlier, ClockReading later) {
+        return !earlier.boot().isEmpty() && earlier.boot().equals(later.boot());
     }
 
     /**
-     * The relay's own time now, in microseconds since 1970, so that what an earlier process wrote down still means the
-     * same: within a boot it goes on as it was, also where the wall clock was set; over a boot it never goes back.
+     * Continues the relay's own time, in microseconds since the epoch, so that times recorded by an earlier process
+     * keep their meaning. Within a boot it advances by the time that passed, even where the wall clock was set; across
+     * a reboot it never goes backwards.
      *
-     * @param time the relay's own time at the earlier moment
+     * @param relayTimeMicros the relay's own time at the earlier reading
      */
-    public static long goOn(long time, ClockReading then, ClockReading now) {
-        DowntimeEstimate elapsed = between(then, now);
-        return elapsed.doubtful() ? Math.max(time, now.wall()) : time + elapsed.least();
+    public static long goOn(long relayTimeMicros, ClockReading earlier, ClockReading later) {
+        DowntimeEstimate downtime = between(earlier, later);
+        return downtime.doubtful() ? Math.max(relayTimeMicros, later.wall()) : relayTimeMicros + downtime.minMicros();
     }
 }
--- a/src/main/java/loftflow/warmstart/EndpointHistory.java
+++ b/src/main/java/loftflow/warmstart/EndpointHistory.java
@@ -18,47 +18,46 @@
 import loftflow.policy.api.TrustLevel;
 
 /**
- * Keeps what a relay knows of its endpoints while it runs, opens with what an earlier process left, and meets discovery
- * again. Times are the relay's own, in microseconds.
+ * What a relay knows of its endpoints: restored at the start from the snapshot of an earlier process, then updated by
+ * discovery and by the outcomes of calls. Not thread-safe; used on the event loop. Times are the relay's own, in
+ * microseconds.
  */
 public final class EndpointHistory {
-    private static final int STRIKES = 2;
-    private static final long STRIKE_PAUSE = 1_000_000;
-    /** A call that ends so soon by its own deadline says nothing of a hang. */
-    private static final long HANG = 1_000_000;
-
-    private static final int FAILURES_DOWN = 3;
-    /** Before a process has served so long, the rates of the one before tell more. */
-    private static final long LEARNING = 20_000_000;
-    /** A wait that is noted is noted again only where it grows by this. */
-    private static final long WAIT_STEP = 200_000;
+    /** A call that times out sooner than this, by its own deadline, is no sign of a hanging endpoint. */
+    private static final long MIN_HANG_MICROS = 1_000_000;
+    /** Until a process has run this long, the call rates of the process before it are the better ones. */
+    private static final long RATE_LEARNING_MICROS = 20_000_000;
 
     /**
-     * By what rules.
+     * Settings.
      *
-     * @param settle how long a list of discovery that is in doubt must be told before it is believed
-     * @param margin added to a wait that outlasts a restart
-     * @param warmUp how long an endpoint is cold after its return
-     * @param fixed the list is on file: it is all there is, and nothing is struck out
+     * @param trust how far restored endpoints are trusted
+     * @param settle microseconds for which discovery must repeat a doubtful list before it is accepted; 0 accepts at
+     *     once
+     * @param margin microseconds added to a retry-after that outlasts a restart
+     * @param warmUp microseconds for which an endpoint is cold after it has recovered
+     * @param fixed the list comes from the deploy file: it is complete, and no endpoint is ejected
      */
     public record Rules(TrustPolicy trust, long settle, long margin, long warmUp, boolean fixed) {}
 
     /**
      * What a relay starts with.
      *
-     * @param list endpoints that are believed at least a little
-     * @param revision of the list that they come from; -1 where there was none
-     * @param remembered what the decision module is told of each
+     * @param list the endpoints with any trust at all
+     * @param revision revision of the list that they come from; -1 where there was none
+     * @param remembered what the decision module receives for each of them
+     * @param log lines to log
      */
     public record Opening(List<ListedEndpoint> list, long revision, List<RouteRestored> remembered, List<String> log) {}
 
     /**
-     * What follows from something heard or seen.
+     * What follows from a list or an event.
      *
-     * @param passOn a list for the relay; null for none
-     * @param remembered what the decision module is told with it
-     * @param notes what is to be noted at once
-     * @param askAt when the whole list is to be asked for again; {@link EndpointListReconciler#NEVER} for not at all
+     * @param passOn the list for the relay; null for none
+     * @param remembered what the decision module receives with it
+     * @param notes deltas to be written at once
+     * @param log lines to log
+     * @param askAt when the full list is to be requested again; {@link EndpointListReconciler#NEVER} for not at all
      */
     public record Heard(
             ListUpdate passOn,
@@ -66,394 +65,367 @@
             List<SnapshotDelta> notes,
             List<String> log,
             long askAt) {
-        static final Heard NOTHING = new Heard(null, List.of(), List.of(), List.of(), EndpointListReconciler.NEVER);
+        static final Heard NOTHING = ofDeltas(List.of());
+
+        static Heard ofDeltas(List<SnapshotDelta> deltas) {
+            return new Heard(null, List.of(), deltas, List.of(), EndpointListReconciler.NEVER);
+        }
     }
 
-    /** What this process has seen of an endpoint. */
-    private static final class Seen {
-        int strikes;
-        long struckAt = Long.MIN_VALUE / 2;
-        int failures;
-        boolean down;
-        long noted;
+    /** Why an endpoint is ejected. */
+    private enum EjectionReason {
+        UNEXPECTED_RESPONSE("unexpected-response"),
+        REFUSED_OR_HUNG("refused-or-hung-twice");
+
+        private final String label;
+
+        EjectionReason(String label) {
+            this.label = label;
+        }
     }
 
     private final Rules rules;
     private final String owner;
-    private final Map<String, KnownEndpoint> known = new LinkedHashMap<>();
-    private final Map<String, Seen> seen = new HashMap<>();
-    private final Set<String> confirmed = new HashSet<>();
-    private EndpointListReconciler lists;
+    private final Map<String, KnownEndpoint> endpoints = new LinkedHashMap<>();
+    private final Map<String, EndpointObservation> observations = new HashMap<>();
+    /** Endpoints that discovery has listed in this process, or that come from a fixed list. They are not ejected. */
+    private final Set<String> confirmedIds = new HashSet<>();
+
+    private EndpointListReconciler reconciler;
     private long revision = -1;
     private long generation;
-    private long openedAt;
-    private boolean changed;
+    private long openedAtMicros;
+    private boolean hasUnsavedChanges;
 
-    /** A book that is still empty; it is opened once. */
+    /** An empty history; {@link #open} is called once before anything else. */
     public EndpointHistory(Rules rules, String owner) {
         this.rules = rules;
         this.owner = owner;
     }
 
     /**
-     * Opens with what was kept.
+     * Restores what an earlier process left.
      *
-     * @param picture null where nothing was
-     * @param notes what was noted since, in order
-     * @param whole false where notes may be missing
-     * @param others the list that is known otherwise: used where there is no picture, or where it is all there is
-     * @param now the machine's clocks
-     * @param time the relay's own time
+     * @param snapshot null where there is none
+     * @param deltas deltas recorded since the snapshot, in order
+     * @param isComplete false where deltas may be missing
+     * @param otherList the list known from the deploy file; null for none. Used where there is no snapshot, where it is
+     *     newer, and where the list is fixed
+     * @param clocks the machine's clocks now
+     * @param nowMicros the relay's own time
      */
     public Opening open(
-            Snapshot picture,
-            List<SnapshotDelta> notes,
-            boolean whole,
-            ListUpdate others,
-            ClockReading now,
-            long time) {
-        openedAt = time;
-        List<String> log = new ArrayList<>();
-        List<RouteRestored> remembered = new ArrayList<>();
+            Snapshot snapshot,
+            List<SnapshotDelta> deltas,
+            boolean isComplete,
+            ListUpdate otherList,
+            ClockReading clocks,
+            long nowMicros) {
+        openedAtMicros = nowMicros;
         List<ListedEndpoint> list = new ArrayList<>();
-        if (picture != null) {
-            generation = picture.generation();
-            revision = picture.revision();
-            picture.endpoints().forEach(k -> known.put(k.id(), k));
-            boolean all = take(notes, picture.time()) && whole;
-            DowntimeEstimate elapsed = DowntimeEstimate.between(picture.at(), now);
-            Map<EndpointTrust, Integer> count = new HashMap<>();
-            if (rules.fixed() || others != null && (revision < 0 || others.revision() > revision)) {
-                restrictTo(others, time);
-                revision = others.revision();
+        List<RouteRestored> restoredRoutes = new ArrayList<>();
+        List<String> logLines = new ArrayList<>();
+        if (snapshot != null) {
+            boolean hasAllDeltas = load(snapshot, deltas) && isComplete;
+            if (rules.fixed() || isNewer(otherList)) {
+                restrictTo(otherList, nowMicros);
             }
-            for (KnownEndpoint one : List.copyOf(known.values())) {
-                EndpointTrust degree = rules.fixed()
-                        ? EndpointTrust.AS_LISTED
-                        : rules.trust().degree(one, picture.time(), elapsed, all);
-                count.merge(degree, 1, Integer::sum);
-                known.put(one.id(), one.notAfter(rules.trust().latestEvidence(degree, time)));
-                if (degree != EndpointTrust.NEVER) {
-                    list.add(new ListedEndpoint(one.listed(), one.address()));
-                    remembered.add(remember(one, degree, picture.time(), elapsed, time));
+            DowntimeEstimate downtime = DowntimeEstimate.between(snapshot.at(), clocks);
+            RestoreSummary summary = new RestoreSummary(revision, downtime);
+            for (KnownEndpoint endpoint : List.copyOf(endpoints.values())) {
+                EndpointTrust trust = trustOf(endpoint, snapshot, downtime, hasAllDeltas);
+                summary.count(trust);
+                endpoints.put(
+                        endpoint.id(),
+                        endpoint.withEvidenceNoLaterThan(rules.trust().latestEvidenceMicros(trust, nowMicros)));
+                if (trust != EndpointTrust.NEVER) {
+                    list.add(new ListedEndpoint(endpoint.listed(), endpoint.address()));
+                    restoredRoutes.add(restore(endpoint, trust, snapshot.time(), downtime, nowMicros));
                 }
             }
-            log.add("remembered " + known.size() + " endpoints of revision " + revision + ", saved "
-                    + (elapsed.most() == DowntimeEstimate.UNKNOWN
-                            ? "at a time that the clock does not tell"
-                            : elapsed.most() / 1_000_000 + " s ago"
-                                    + (elapsed.doubtful() ? " if the clock is right" : ""))
-                    + ": " + count.getOrDefault(EndpointTrust.AS_LISTED, 0) + " as listed, "
-                    + count.getOrDefault(EndpointTrust.TRY_FIRST, 0) + " to be tried first, "
-                    + count.getOrDefault(EndpointTrust.LAST, 0) + " if nothing else is left, "
-                    + count.getOrDefault(EndpointTrust.NEVER, 0) + " never");
-        } else if (others != null) {
-            revision = others.revision();
-            others.entries().forEach(e -> known.put(e.id(), KnownEndpoint.fresh(e.listed(), e.address(), time)));
-            list.addAll(others.entries());
+            logLines.add(summary.logLine());
+        } else if (otherList != null) {
+            revision = otherList.revision();
+            otherList.entries().forEach(entry -> endpoints.put(entry.id(), newlyListed(entry, nowMicros)));
+            list.addAll(otherList.entries());
         }
         if (rules.fixed()) {
-            confirmed.addAll(known.keySet());
+            confirmedIds.addAll(endpoints.keySet());
         }
-        lists = new EndpointListReconciler(rules.settle(), revision, list);
-        changed = true;
-        return new Opening(list, revision, remembered, log);
+        reconciler = new EndpointListReconciler(rules.settle(), revision, list);
+        hasUnsavedChanges = true;
+        return new Opening(list, revision, restoredRoutes, logLines);
     }
 
-    /** Another list is newer, or all there is: what was learnt of its endpoints stays, the rest is nothing. */
-    private void restrictTo(ListUpdate all, long time) {
-        Map<String, KnownEndpoint> old = new HashMap<>(known);
-        known.clear();
-        for (ListedEndpoint entry : all.entries()) {
-            KnownEndpoint one = old.get(entry.id());
-            known.put(
-                    entry.id(),
-                    one == null || !one.address().equals(entry.address())
-                            ? KnownEndpoint.fresh(entry.listed(), entry.address(), time)
-                            : one.listed(entry.listed(), entry.address(), one.listedAt()));
-        }
+    private boolean load(Snapshot snapshot, List<SnapshotDelta> deltas) {
+        generation = snapshot.generation();
+        revision = snapshot.revision();
+        snapshot.endpoints().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
+        return DeltaReplay.apply(endpoints, deltas, snapshot.time());
     }
 
-    /** Takes in what was noted since a picture; false where any endpoint may be other than that. */
-    private boolean take(List<SnapshotDelta> notes, long savedAt) {
-        boolean whole = true;
-        for (SnapshotDelta note : notes) {
-            if (note.kind() == SnapshotDelta.Kind.LOST) {
-                whole = false;
-                known.replaceAll((id, k) -> k.with(waiting(standing(k), note.at() - savedAt)));
-                continue;
-            }
-            known.computeIfPresent(note.id(), (id, k) -> switch (note.kind()) {
-                case GONE -> k.in(KnownEndpoint.State.GONE);
-                case STRUCK -> k.in(KnownEndpoint.State.STRUCK);
-                case WAIT -> k.with(waiting(standing(k), note.at() - savedAt));
-                case DOWN -> k.with(out(standing(k), true)).failed(note.at());
-                case BACK -> k.with(out(standing(k), false)).answered(note.at()).returned(note.at());
-                case LOST -> throw new IllegalStateException("of all endpoints");
-            });
-        }
-        return whole;
+    private boolean isNewer(ListUpdate list) {
+        return list != null && (revision < 0 || list.revision() > revision);
     }
 
-    private static RouteSnapshot standing(KnownEndpoint k) {
-        return k.standing() != null ? k.standing() : new RouteSnapshot(k.id(), 0, 0, 0, 0, false, 0);
+    /**
+     * Replaces the list by another one; endpoints that are in both with the same address keep what is known of them.
+     */
+    private void restrictTo(ListUpdate list, long nowMicros) {
+        Map<String, KnownEndpoint> previous = new HashMap<>(endpoints);
+        endpoints.clear();
+        for (ListedEndpoint entry : list.entries()) {
+            KnownEndpoint known = previous.get(entry.id());
+            boolean isSame = known != null && known.address().equals(entry.address());
+            endpoints.put(
+                    entry.id(),
+                    isSame
+                            ? known.withListing(entry.listed(), entry.address(), known.listedAt())
+                            : newlyListed(entry, nowMicros));
+        }
+        revision = list.revision();
     }
 
-    private static RouteSnapshot waiting(RouteSnapshot s, long wait) {
-        return new RouteSnapshot(
-                s.route(),
-                Math.max(s.retryAfterRemainingMicros(), wait),
-                s.limitPerSecond(),
-                s.usualRatePerSecond(),
-                s.responseTimeMicros(),
-                s.circuitOpen(),
-                s.warmUpRemainingMicros());
+    private static KnownEndpoint newlyListed(ListedEndpoint entry, long nowMicros) {
+        return KnownEndpoint.newlyListed(entry.listed(), entry.address(), nowMicros);
     }
 
-    private static RouteSnapshot out(RouteSnapshot s, boolean out) {
-        return new RouteSnapshot(
-                s.route(),
-                s.retryAfterRemainingMicros(),
-                s.limitPerSecond(),
-                s.usualRatePerSecond(),
-                s.responseTimeMicros(),
-                out,
-                s.warmUpRemainingMicros());
+    private EndpointTrust trustOf(
+            KnownEndpoint endpoint, Snapshot snapshot, DowntimeEstimate downtime, boolean hasAllDeltas) {
+        return rules.fixed()
+                ? EndpointTrust.AS_LISTED
+                : rules.trust().trustOf(endpoint, snapshot.time(), downtime, hasAllDeltas);
     }
 
-    private RouteRestored remember(
-            KnownEndpoint one, EndpointTrust degree, long savedAt, DowntimeEstimate elapsed, long time) {
-        RouteSnapshot s = standing(one);
-        // Guards against a wait that is shortened: only what is proven to have passed counts.
-        long wait = s.retryAfterRemainingMicros() > 0
-                ? Math.max(0, s.retryAfterRemainingMicros() - elapsed.least() + rules.margin())
+    private RouteRestored restore(
+            KnownEndpoint endpoint,
+            EndpointTrust trust,
+            long savedAtMicros,
+            DowntimeEstimate downtime,
+            long nowMicros) {
+        RouteSnapshot saved = endpoint.routeSnapshotOrUnknown();
+        // Only time that has provably passed counts against a wait: none is shortened by a restart.
+        long retryAfterMicros = saved.retryAfterRemainingMicros() > 0
+                ? Math.max(0, saved.retryAfterRemainingMicros() - downtime.minMicros() + rules.margin())
                 : 0;
-        long cold = one.returnedAt() > 0 ? one.returnedAt() + rules.warmUp() - savedAt : 0;
-        long warm = Math.max(0, Math.min(rules.warmUp(), Math.max(cold, s.warmUpRemainingMicros()) - elapsed.least()));
-        Seen mine = seenOf(one.id());
-        mine.down = s.circuitOpen();
-        mine.noted = wait > 0 ? time + wait : 0;
-        RouteSnapshot then = new RouteSnapshot(
-                s.route(),
-                wait,
-                s.limitPerSecond(),
-                s.usualRatePerSecond(),
-                s.responseTimeMicros(),
-                s.circuitOpen(),
-                warm);
-        known.computeIfPresent(one.id(), (id, k) -> k.with(then));
-        return new RouteRestored(degree.belief(), then);
+        long sinceRecoveryMicros =
+                endpoint.recoveredAtMicros() > 0 ? endpoint.recoveredAtMicros() + rules.warmUp() - savedAtMicros : 0;
+        long warmUpMicros = Math.max(sinceRecoveryMicros, saved.warmUpRemainingMicros()) - downtime.minMicros();
+        RouteSnapshot restored =
+                RouteSnapshots.withWaits(saved, retryAfterMicros, Math.max(0, Math.min(rules.warmUp(), warmUpMicros)));
+        observationOf(endpoint.id())
+                .restore(saved.circuitOpen(), retryAfterMicros > 0 ? nowMicros + retryAfterMicros : 0);
+        endpoints.computeIfPresent(endpoint.id(), (id, known) -> known.withRouteSnapshot(restored));
+        return new RouteRestored(trust.toTrustLevel(), restored);
     }
 
-    private Seen seenOf(String id) {
-        return seen.computeIfAbsent(id, i -> new Seen());
+    private EndpointObservation observationOf(String id) {
+        return observations.computeIfAbsent(id, absentId -> new EndpointObservation());
     }
 
-    /** Takes in what discovery tells. */
-    public Heard heard(ListUpdate told, long now) {
-        EndpointListReconciler.Verdict verdict = lists.take(told, now);
-        return passOn(verdict.passOn(), verdict.log(), verdict.askAt(), now);
+    /** Applies a list that discovery sent. */
+    public Heard heard(ListUpdate list, long nowMicros) {
+        EndpointListReconciler.Result result = reconciler.reconcile(list, nowMicros);
+        return apply(result.accepted(), result.logLines(), result.refreshAtMicros(), nowMicros);
     }
 
-    /** What was held back and is due. */
-    public Heard due(long now) {
-        ListUpdate told = lists.due(now);
-        return told == null ? Heard.NOTHING : passOn(told, List.of(), EndpointListReconciler.NEVER, now);
+    /** Applies the entries that were held back and whose hold has ended. */
+    public Heard due(long nowMicros) {
+        ListUpdate list = reconciler.releaseDue(nowMicros);
+        return list == null ? Heard.NOTHING : apply(list, List.of(), EndpointListReconciler.NEVER, nowMicros);
     }
 
-    /** When {@link #due} has something; {@link EndpointListReconciler#NEVER} where there is nothing to wait for. */
+    /** When {@link #due} next has entries to apply; {@link EndpointListReconciler#NEVER} for not at all. */
     public long nextDue() {
-        return lists.nextAt();
+        return reconciler.nextReleaseMicros();
     }
 
-    /** Another discovery tells from now on. */
+    /** Another discovery agent sends the lists from now on. */
     public void moved() {
-        lists.moved();
+        reconciler.resetRevision();
     }
 
-    private Heard passOn(ListUpdate told, List<String> log, long askAt, long now) {
-        if (told == null) {
-            return new Heard(null, List.of(), List.of(), log, askAt);
+    private Heard apply(ListUpdate list, List<String> logLines, long refreshAtMicros, long nowMicros) {
+        if (list == null) {
+            return new Heard(null, List.of(), List.of(), logLines, refreshAtMicros);
         }
-        changed = true;
-        revision = Math.max(told.kind() == EndpointListKind.FULL ? -1 : revision, told.revision());
-        List<RouteRestored> remembered = new ArrayList<>();
-        List<SnapshotDelta> notes = new ArrayList<>();
-        Set<String> in = new HashSet<>();
-        for (ListedEndpoint entry : told.entries()) {
-            KnownEndpoint before = known.get(entry.id());
-            if (!entry.inService()) {
-                gone(entry.id(), notes, now);
-                continue;
+        boolean isFull = list.kind() == EndpointListKind.FULL;
+        hasUnsavedChanges = true;
+        revision = Math.max(isFull ? -1 : revision, list.revision());
+        List<RouteRestored> restoredRoutes = new ArrayList<>();
+        List<SnapshotDelta> deltas = new ArrayList<>();
+        Set<String> listedIds = new HashSet<>();
+        for (ListedEndpoint entry : list.entries()) {
+            if (entry.isInService()) {
+                listedIds.add(entry.id());
+                applyListed(entry, restoredRoutes, nowMicros);
+            } else {
+                remove(entry.id(), deltas, nowMicros);
             }
-            in.add(entry.id());
-            confirmed.add(entry.id());
-            if (before != null && before.state() == KnownEndpoint.State.STRUCK) {
-                // Guards against a rush to one that did not answer just now: it is tried first, and released as after
-                // an outage.
-                remembered.add(new RouteRestored(TrustLevel.PROBE_FIRST, out(standing(before), true)));
-            }
-            known.put(
-                    entry.id(),
-                    before == null
-                            ? KnownEndpoint.fresh(entry.listed(), entry.address(), now)
-                            : before.listed(entry.listed(), entry.address(), now));
         }
-        if (told.kind() == EndpointListKind.FULL) {
-            known.keySet().stream().filter(id -> !in.contains(id)).toList().forEach(id -> gone(id, notes, now));
+        if (isFull) {
+            List<String> missingIds = endpoints.keySet().stream()
+                    .filter(id -> !listedIds.contains(id))
+                    .toList();
+            missingIds.forEach(id -> remove(id, deltas, nowMicros));
+        }
+        return new Heard(list, restoredRoutes, deltas, logLines, refreshAtMicros);
+    }
+
+    private void applyListed(ListedEndpoint entry, List<RouteRestored> restoredRoutes, long nowMicros) {
+        KnownEndpoint known = endpoints.get(entry.id());
+        confirmedIds.add(entry.id());
+        if (known != null && known.state() == KnownEndpoint.State.STRUCK) {
+            // It did not answer just now: it is probed first, and warmed up as after a failure.
+            RouteSnapshot route = RouteSnapshots.withCircuitOpen(known.routeSnapshotOrUnknown(), true);
+            restoredRoutes.add(new RouteRestored(TrustLevel.PROBE_FIRST, route));
         }
-        return new Heard(told, remembered, notes, log, askAt);
+        endpoints.put(
+                entry.id(),
+                known == null
+                        ? newlyListed(entry, nowMicros)
+                        : known.withListing(entry.listed(), entry.address(), nowMicros));
     }
 
-    private void gone(String id, List<SnapshotDelta> notes, long now) {
-        if (known.remove(id) != null) {
-            notes.add(new SnapshotDelta(SnapshotDelta.Kind.GONE, id, now));
+    private void remove(String id, List<SnapshotDelta> deltas, long nowMicros) {
+        if (endpoints.remove(id) != null) {
+            deltas.add(new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, id, nowMicros));
         }
-        seen.remove(id);
-        confirmed.remove(id);
+        observations.remove(id);
+        confirmedIds.remove(id);
     }
 
-    /** Takes in what passes between relay and decision module: how calls and checks ended. */
-    public Heard saw(PolicyEvent event, long now) {
-        if (event instanceof AttemptCompleted e) {
-            boolean hung = e.outcome() == AttemptOutcome.TIMEOUT && e.elapsedMicros() >= HANG;
-            return ended(
-                    e.route(),
-                    e.outcome(),
-                    e.retryAfterMicros(),
-                    e.outcome() == AttemptOutcome.CONNECT_FAILED || hung,
-                    false,
-                    now);
+    /** Applies an event that the engine sends to the decision module: how a call or a probe ended, or a retry-after. */
+    public Heard saw(PolicyEvent event, long nowMicros) {
+        if (event instanceof AttemptCompleted attempt) {
+            return onAttempt(attempt, nowMicros);
         }
-        if (event instanceof ProbeCompleted e) {
-            // A check is answered with 200 or 503, or 429 with a wait; all else is no endpoint of this protocol.
-            boolean unlike = e.outcome() == AttemptOutcome.ERROR;
-            boolean hung = e.outcome() == AttemptOutcome.TIMEOUT || e.outcome() == AttemptOutcome.CONNECT_FAILED;
-            return ended(e.route(), e.outcome(), e.retryAfterMicros(), hung, unlike, now);
+        if (event instanceof ProbeCompleted probe) {
+            return onProbe(probe, nowMicros);
         }
-        if (event instanceof RetryAfterReceived e && isListed(known.get(e.route()))) {
-            List<SnapshotDelta> notes = new ArrayList<>();
-            noteWait(e.route(), e.retryAfterMicros(), notes, now);
-            return notes.isEmpty()
-                    ? Heard.NOTHING
-                    : new Heard(null, List.of(), notes, List.of(), EndpointListReconciler.NEVER);
+        if (event instanceof RetryAfterReceived received && isListed(received.route())) {
+            List<SnapshotDelta> deltas = new ArrayList<>();
+            recordRetryAfter(received.route(), received.retryAfterMicros(), deltas, nowMicros);
+            return deltas.isEmpty() ? Heard.NOTHING : Heard.ofDeltas(deltas);
         }
         return Heard.NOTHING;
     }
 
-    private static boolean isListed(KnownEndpoint one) {
-        return one != null && one.state() == KnownEndpoint.State.LISTED;
+    private boolean isListed(String id) {
+        KnownEndpoint known = endpoints.get(id);
+        return known != null && known.isListed();
+    }
+
+    private Heard onAttempt(AttemptCompleted attempt, long nowMicros) {
+        boolean hung = attempt.outcome() == AttemptOutcome.TIMEOUT && attempt.elapsedMicros() >= MIN_HANG_MICROS;
+        boolean isStrike = hung || attempt.outcome() == AttemptOutcome.CONNECT_FAILED;
+        return onOutcome(attempt.route(), attempt.outcome(), attempt.retryAfterMicros(), isStrike, false, nowMicros);
+    }
+
+    private Heard onProbe(ProbeCompleted probe, long nowMicros) {
+        // A probe is answered with 200 or 503, or 429 with a retry-after; anything else does not speak this protocol.
+        boolean isUnexpected = probe.outcome() == AttemptOutcome.ERROR;
+        boolean isStrike =
+                probe.outcome() == AttemptOutcome.TIMEOUT || probe.outcome() == AttemptOutcome.CONNECT_FAILED;
+        return onOutcome(probe.route(), probe.outcome(), probe.retryAfterMicros(), isStrike, isUnexpected, nowMicros);
     }
 
-    private void noteWait(String id, long wait, List<SnapshotDelta> notes, long now) {
-        Seen mine = seenOf(id);
-        if (wait > 0 && now + wait > mine.noted + WAIT_STEP) {
-            mine.noted = now + wait;
-            notes.add(new SnapshotDelta(SnapshotDelta.Kind.WAIT, id, mine.noted));
+    private void recordRetryAfter(String id, long waitMicros, List<SnapshotDelta> deltas, long nowMicros) {
+        EndpointObservation observation = observationOf(id);
+        if (observation.recordRetryAfter(waitMicros, nowMicros)) {
+            deltas.add(new SnapshotDelta(SnapshotDelta.Kind.RETRY_AFTER, id, observation.retryAfterUntilMicros()));
         }
     }
 
     /**
-     * A call or a check ended.
+     * Applies the end of a call or a probe.
      *
-     * @param strike it was refused, or hung
-     * @param unlike it was answered as no endpoint answers
+     * @param isStrike it was refused, or hung
+     * @param isUnexpected its answer is none of this protocol
      */
-    private Heard ended(String id, AttemptOutcome result, long wait, boolean strike, boolean unlike, long now) {
-        KnownEndpoint one = known.get(id);
-        if (!isListed(one)) {
+    private Heard onOutcome(
+            String id,
+            AttemptOutcome outcome,
+            long retryAfterMicros,
+            boolean isStrike,
+            boolean isUnexpected,
+            long nowMicros) {
+        if (!isListed(id)) {
             return Heard.NOTHING;
         }
-        Seen mine = seenOf(id);
-        List<SnapshotDelta> notes = new ArrayList<>();
-        noteWait(id, wait, notes, now);
-        switch (result) {
-            case OK -> {
-                one = one.answered(now);
-                mine.failures = 0;
-                mine.strikes = 0;
-                if (mine.down) {
-                    mine.down = false;
-                    one = one.returned(now);
-                    notes.add(new SnapshotDelta(SnapshotDelta.Kind.BACK, id, now));
-                }
-            }
-            case REJECTED -> one = one.answered(now);
-            case ERROR, TIMEOUT, CONNECT_FAILED, RESET -> {
-                one = result == AttemptOutcome.ERROR ? one.answered(now) : one.failed(now);
-                if (++mine.failures >= FAILURES_DOWN && !mine.down) {
-                    mine.down = true;
-                    notes.add(new SnapshotDelta(SnapshotDelta.Kind.DOWN, id, now));
-                }
-            }
-            case CANCELLED, NOT_SENT -> {}
-        }
-        known.put(id, one);
-        if (confirmed.contains(id)) {
-            return new Heard(null, List.of(), notes, List.of(), EndpointListReconciler.NEVER);
+        EndpointObservation observation = observationOf(id);
+        List<SnapshotDelta> deltas = new ArrayList<>();
+        recordRetryAfter(id, retryAfterMicros, deltas, nowMicros);
+        KnownEndpoint endpoint = observation.recordOutcome(endpoints.get(id), outcome, deltas, nowMicros);
+        endpoints.put(id, endpoint);
+        if (confirmedIds.contains(id)) {
+            return Heard.ofDeltas(deltas);
         }
-        if (strike && now - mine.struckAt >= STRIKE_PAUSE) {
-            mine.strikes++;
-            mine.struckAt = now;
+        if (isStrike) {
+            observation.recordStrike(nowMicros);
         }
-        if (!unlike && mine.strikes < STRIKES) {
-            return new Heard(null, List.of(), notes, List.of(), EndpointListReconciler.NEVER);
+        if (isUnexpected) {
+            return eject(endpoint, EjectionReason.UNEXPECTED_RESPONSE, deltas, nowMicros);
         }
-        known.put(id, one.in(KnownEndpoint.State.STRUCK));
-        changed = true;
-        notes.add(new SnapshotDelta(SnapshotDelta.Kind.STRUCK, id, now));
-        ListedEndpoint listing = new ListedEndpoint(one.listed(), one.address()).gone();
+        return observation.hasEjectionStrikes()
+                ? eject(endpoint, EjectionReason.REFUSED_OR_HUNG, deltas, nowMicros)
+                : Heard.ofDeltas(deltas);
+    }
+
+    private Heard eject(KnownEndpoint endpoint, EjectionReason reason, List<SnapshotDelta> deltas, long nowMicros) {
+        endpoints.put(endpoint.id(), endpoint.withState(KnownEndpoint.State.STRUCK));
+        hasUnsavedChanges = true;
+        deltas.add(new SnapshotDelta(SnapshotDelta.Kind.EJECTED, endpoint.id(), nowMicros));
+        ListedEndpoint removed = new ListedEndpoint(endpoint.listed(), endpoint.address()).removed();
         return new Heard(
-                new ListUpdate(EndpointListKind.DELTA, revision, List.of(listing)),
+                new ListUpdate(EndpointListKind.DELTA, revision, List.of(removed)),
                 List.of(),
-                notes,
-                List.of(id + " at "
-                        + one.address() + (unlike ? " answers as something else" : " refused or hung twice")
-                        + ", and is out until discovery lists it"),
+                deltas,
+                List.of("warmstart: endpoint ejected until listed endpoint=" + endpoint.id() + " address="
+                        + endpoint.address() + " reason=" + reason.label),
                 EndpointListReconciler.NEVER);
     }
 
-    /** True where the list has changed since the last picture. */
+    /** True where the list has changed since the last snapshot. */
     public boolean hasChanged() {
-        return changed;
+        return hasUnsavedChanges;
     }
 
     /**
-     * A picture of all that is known now.
+     * A snapshot of all that is known now.
      *
-     * @param standings what the decision module knows
+     * @param clocks the machine's clocks now
+     * @param nowMicros the relay's own time
+     * @param routes what the decision module knows
      */
-    public Snapshot picture(ClockReading at, long time, List<RouteSnapshot> standings) {
-        Map<String, RouteSnapshot> byId = new HashMap<>();
-        standings.forEach(s -> byId.put(s.route(), s));
-        List<KnownEndpoint> endpoints = new ArrayList<>();
-        for (KnownEndpoint one : known.values()) {
-            RouteSnapshot now = byId.get(one.id());
-            RouteSnapshot before = one.standing();
-            if (now != null && before != null && time - openedAt < LEARNING) {
-                now = new RouteSnapshot(
-                        now.route(),
-                        now.retryAfterRemainingMicros(),
-                        now.limitPerSecond(),
-                        Math.max(now.usualRatePerSecond(), before.usualRatePerSecond()),
-                        now.responseTimeMicros() > 0 ? now.responseTimeMicros() : before.responseTimeMicros(),
-                        now.circuitOpen(),
-                        now.warmUpRemainingMicros());
+    public Snapshot picture(ClockReading clocks, long nowMicros, List<RouteSnapshot> routes) {
+        Map<String, RouteSnapshot> routesById = new HashMap<>();
+        routes.forEach(route -> routesById.put(route.route(), route));
+        boolean isLearning = nowMicros - openedAtMicros < RATE_LEARNING_MICROS;
+        List<KnownEndpoint> current = new ArrayList<>();
+        for (KnownEndpoint endpoint : endpoints.values()) {
+            RouteSnapshot route = routesById.get(endpoint.id());
+            RouteSnapshot earlier = endpoint.standing();
+            if (route == null) {
+                current.add(endpoint);
+            } else if (earlier != null && isLearning) {
+                current.add(endpoint.withRouteSnapshot(RouteSnapshots.withEarlierRates(route, earlier)));
+            } else {
+                current.add(endpoint.withRouteSnapshot(route));
             }
-            endpoints.add(now == null ? one : one.with(now));
         }
-        return new Snapshot(owner, generation + 1, at, time, revision, endpoints);
+        return new Snapshot(owner, generation + 1, clocks, nowMicros, revision, current);
     }
 
-    /** The picture is being saved: the next one has another generation. */
+    /** The write of the last snapshot has begun: the next one has the next generation. */
     public void saving() {
-        changed = false;
+        hasUnsavedChanges = false;
         generation++;
     }
 
-    /** It could not be: its generation is free, and what has changed since the one before still has. */
+    /** The write of the last snapshot has failed: its generation is free again, and its changes are unsaved. */
     public void notSaved() {
-        changed = true;
+        hasUnsavedChanges = true;
         generation--;
     }
 }
--- a/src/main/java/loftflow/warmstart/EndpointListReconciler.java
+++ b/src/main/java/loftflow/warmstart/EndpointListReconciler.java
@@ -6,249 +6,290 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointListKind;
 
 /**
- * What of discovery's lists is believed, and when. Whatever an entry takes away is believed at once; what is in doubt
- * is
- * only what a list gives back, or leaves out without a word.
+ * Decides which parts of a discovery list are accepted, and when. What an entry takes out of service is accepted at
+ * once. Only what a list puts back into service, or leaves out, can be in doubt.
  *
  * <ul>
- * <li>An empty list, and one that leaves out nine of ten endpoints (of {@value #FEWEST} or more): what it leaves out
- * stays
- * until discovery has told the like for the settling time.
- * <li>A list whose revision is behind: it may take away, and confirm; what it lists beyond, or leaves out, counts after
- * the settling time, as a discovery that counts anew.
- * <li>A new id at the address of another: the other one is gone, also where no word is said of it.
- * <li>An endpoint that comes back for the {@value #FLAPS}rd time within a minute is held back until it has been listed
- * for
- * ten seconds, twice as long with each time more, five minutes at the most.
+ * <li>An empty list, or one that leaves out nine of ten endpoints (of {@value #MIN_ENDPOINTS_FOR_LOSS_CHECK} or more):
+ * the endpoints that it leaves out stay until discovery has sent such lists for the settle time.
+ * <li>A list with an older revision: it takes endpoints out of service and confirms others. What it adds or leaves out
+ * is accepted after the settle time, since discovery may have restarted its count.
+ * <li>A new id at the address of another endpoint: the other one is removed, even where the list does not name it.
+ * <li>An endpoint that returns for the {@value #FLAP_RETURNS}rd time within a minute is held back until it has been
+ * listed for ten seconds; the hold doubles with each further return, up to five minutes.
  * </ul>
+ *
+ * <p>Not thread-safe. Times are in microseconds.
  */
 public final class EndpointListReconciler {
-    /** In place of a time: there is nothing to wait for. */
+    /** Stands for a time that never comes. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    static final int FLAPS = 3;
-    static final int FEWEST = 10;
-    private static final double MOST_LOST = 0.9;
-    private static final long SECOND = 1_000_000;
-    private static final long FLAP_SPAN = 60 * SECOND;
-    private static final long HOLD = 10 * SECOND;
-    private static final long LONGEST_HOLD = 300 * SECOND;
+    /** Returns within {@link #FLAP_WINDOW_MICROS} from which an endpoint counts as flapping. */
+    static final int FLAP_RETURNS = 3;
+    /** A fleet with fewer endpoints than this may lose most of them in one list. */
+    static final int MIN_ENDPOINTS_FOR_LOSS_CHECK = 10;
+
+    private static final double DOUBTFUL_LOSS_RATIO = 0.9;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long FLAP_WINDOW_MICROS = 60 * MICROS_PER_SECOND;
+    private static final long FIRST_HOLD_MICROS = 10 * MICROS_PER_SECOND;
+    private static final long MAX_HOLD_MICROS = 300 * MICROS_PER_SECOND;
+    private static final int MAX_HOLD_DOUBLINGS = 10;
 
     /**
-     * What becomes of a list.
+     * The outcome for one list.
      *
-     * @param passOn what is believed of it; null where that is nothing
-     * @param log lines for staff
-     * @param askAt when the whole list is to be asked for again; {@link #NEVER} for not at all
+     * @param accepted what is accepted of it; null for nothing
+     * @param logLines lines to log
+     * @param refreshAtMicros when the full list is to be requested again; {@link #NEVER} for not at all
      */
-    public record Verdict(ListUpdate passOn, List<String> log, long askAt) {}
+    public record Result(ListUpdate accepted, List<String> logLines, long refreshAtMicros) {}
 
     private static final class Member {
         ListedEndpoint listing;
-        boolean in;
+        boolean isInService;
         int returns;
-        long returnsSince;
-        /** Listed again, but held back until then; 0 for not held. */
-        long heldUntil;
+        long firstReturnMicros;
+        /** End of the hold of a flapping endpoint; 0 where it is not held back. */
+        long heldUntilMicros;
 
         Member(ListedEndpoint listing) {
             this.listing = listing;
+            this.isInService = true;
+        }
+
+        boolean isHeld() {
+            return heldUntilMicros > 0;
+        }
+
+        void takeOutOfService() {
+            isInService = false;
+            heldUntilMicros = 0;
+        }
+
+        void putIntoService() {
+            isInService = true;
+            heldUntilMicros = 0;
         }
     }
 
-    private final long settle;
+    private final long settleMicros;
     private final Map<String, Member> members = new LinkedHashMap<>();
     private long revision;
-    private long doubtedSince = NEVER;
+    private long doubtedSinceMicros = NEVER;
 
     /**
-     * Lists that go on from what is believed at the start.
+     * Starts from the endpoints that are in service.
      *
-     * @param settle microseconds after which a list in doubt is believed; 0 where none is doubted
-     * @param revision -1 where none is known
+     * @param settleMicros microseconds after which a doubtful list is accepted; 0 accepts every list at once
+     * @param revision revision of the list that the endpoints come from; -1 where it is not known
      */
-    public EndpointListReconciler(long settle, long revision, List<ListedEndpoint> believed) {
-        this.settle = settle;
+    public EndpointListReconciler(long settleMicros, long revision, List<ListedEndpoint> inService) {
+        this.settleMicros = settleMicros;
         this.revision = revision;
-        for (ListedEndpoint listing : believed) {
-            Member member = new Member(listing);
-            member.in = true;
-            members.put(listing.id(), member);
-        }
+        inService.forEach(listing -> members.put(listing.id(), new Member(listing)));
     }
 
-    /** Another discovery tells from now on: its revisions need not be those of the old one. */
-    public void moved() {
+    /** Another discovery agent sends the lists from now on; its revisions are not comparable with the earlier ones. */
+    public void resetRevision() {
         revision = -1;
-        doubtedSince = NEVER;
+        doubtedSinceMicros = NEVER;
     }
 
-    /** False where discovery's word holds, whatever it tells. */
-    private boolean doubts() {
-        return settle > 0;
+    private boolean isDoubtEnabled() {
+        return settleMicros > 0;
     }
 
-    /** Takes a list in. */
-    public Verdict take(ListUpdate told, long now) {
-        List<String> log = new ArrayList<>();
-        boolean behind = doubts() && told.revision() < revision;
-        if (told.kind() == EndpointListKind.DELTA) {
-            ListUpdate passOn = new ListUpdate(EndpointListKind.DELTA, told.revision(), each(told, now, behind, log));
-            revision = Math.max(revision, told.revision());
-            return verdict(passOn, log, behind ? now : NEVER);
-        }
-        String doubt = !doubts()
-                ? null
-                : behind ? "its revision went back from " + revision + " to " + told.revision() : lost(told);
-        if (doubt == null) {
-            doubtedSince = NEVER;
-        } else {
-            if (doubtedSince == NEVER) {
-                doubtedSince = now;
-                log.add("discovery's list is in doubt, what it leaves out stays for now: " + doubt);
+    private boolean isBehind(ListUpdate list) {
+        return isDoubtEnabled() && list.revision() < revision;
+    }
+
+    /** Reconciles a list with what is known. */
+    public Result reconcile(ListUpdate list, long nowMicros) {
+        return list.kind() == EndpointListKind.DELTA ? reconcileDelta(list, nowMicros) : reconcileFull(list, nowMicros);
+    }
+
+    private Result reconcileDelta(ListUpdate list, long nowMicros) {
+        List<String> logLines = new ArrayList<>();
+        boolean isBehind = isBehind(list);
+        List<ListedEndpoint> entries = acceptEntries(list, nowMicros, isBehind, logLines);
+        revision = Math.max(revision, list.revision());
+        return deltaResult(list.revision(), entries, logLines, isBehind ? nowMicros : NEVER);
+    }
+
+    private Result reconcileFull(ListUpdate list, long nowMicros) {
+        List<String> logLines = new ArrayList<>();
+        String doubt = doubtOf(list);
+        if (doubt != null) {
+            if (doubtedSinceMicros == NEVER) {
+                doubtedSinceMicros = nowMicros;
+                logLines.add("warmstart: discovery list in doubt " + doubt);
             }
-            if (now - doubtedSince < settle) {
-                List<ListedEndpoint> entries = each(told, now, behind, log);
-                return verdict(
-                        new ListUpdate(EndpointListKind.DELTA, told.revision(), entries), log, doubtedSince + settle);
+            if (nowMicros - doubtedSinceMicros < settleMicros) {
+                List<ListedEndpoint> entries = acceptEntries(list, nowMicros, isBehind(list), logLines);
+                return deltaResult(list.revision(), entries, logLines, doubtedSinceMicros + settleMicros);
             }
-            log.add("discovery has told the like for long enough, and is believed: " + doubt);
-            doubtedSince = NEVER;
+            logLines.add("warmstart: doubtful discovery list accepted " + doubt);
+        }
+        doubtedSinceMicros = NEVER;
+        revision = list.revision();
+        List<ListedEndpoint> entries = acceptEntries(list, nowMicros, false, logLines);
+        Set<String> namedIds = idsOf(list);
+        members.values().stream()
+                .filter(member -> !namedIds.contains(member.listing.id()))
+                .forEach(Member::takeOutOfService);
+        forgetOldMembers(nowMicros);
+        return new Result(new ListUpdate(EndpointListKind.FULL, list.revision(), entries), logLines, NEVER);
+    }
+
+    private static Result deltaResult(
+            long listRevision, List<ListedEndpoint> entries, List<String> logLines, long refreshAtMicros) {
+        ListUpdate accepted = entries.isEmpty() ? null : new ListUpdate(EndpointListKind.DELTA, listRevision, entries);
+        return new Result(accepted, logLines, refreshAtMicros);
+    }
+
+    private static Set<String> idsOf(ListUpdate list) {
+        Set<String> ids = new HashSet<>();
+        list.entries().forEach(entry -> ids.add(entry.id()));
+        return ids;
+    }
+
+    /** Why a full list is in doubt, as keys and values for the log; null where it is not. */
+    private String doubtOf(ListUpdate list) {
+        if (!isDoubtEnabled()) {
+            return null;
         }
-        revision = told.revision();
-        List<ListedEndpoint> entries = each(told, now, false, log);
-        Set<String> named = new HashSet<>();
-        told.entries().forEach(e -> named.add(e.id()));
-        members.values().stream().filter(m -> !named.contains(m.listing.id())).forEach(this::out);
-        forget(now);
-        return verdict(new ListUpdate(EndpointListKind.FULL, told.revision(), entries), log, NEVER);
-    }
-
-    private static Verdict verdict(ListUpdate passOn, List<String> log, long askAt) {
-        boolean nothing =
-                passOn.kind() == EndpointListKind.DELTA && passOn.entries().isEmpty();
-        return new Verdict(nothing ? null : passOn, log, askAt);
-    }
-
-    /** Why a list leaves out too much to be believed; null where it does not. */
-    private String lost(ListUpdate told) {
-        Set<String> listed = new HashSet<>();
-        // An entry that says so itself takes away with a word.
-        told.entries().forEach(e -> listed.add(e.id()));
-        long in = members.values().stream().filter(m -> m.in).count();
+        return isBehind(list)
+                ? "reason=older-revision revision=" + list.revision() + " known=" + revision
+                : doubtfulLossOf(list);
+    }
+
+    /**
+     * Counts only endpoints that the list does not name: an entry that takes its endpoint out of service is no loss.
+     */
+    private String doubtfulLossOf(ListUpdate list) {
+        Set<String> namedIds = idsOf(list);
+        long inService =
+                members.values().stream().filter(member -> member.isInService).count();
         long missing = members.values().stream()
-                .filter(m -> m.in && !listed.contains(m.listing.id()))
+                .filter(member -> member.isInService && !namedIds.contains(member.listing.id()))
                 .count();
-        boolean most = in >= FEWEST && missing >= MOST_LOST * in;
-        return missing > 0 && listed.isEmpty() || most ? "it leaves out " + missing + " of " + in + " endpoints" : null;
+        boolean isMost = inService >= MIN_ENDPOINTS_FOR_LOSS_CHECK && missing >= DOUBTFUL_LOSS_RATIO * inService;
+        boolean isDoubtful = missing > 0 && namedIds.isEmpty() || isMost;
+        return isDoubtful ? "reason=endpoints-missing missing=" + missing + " known=" + inService : null;
     }
 
-    /** What is believed of each entry; of a list whose revision is behind, only what takes away or confirms. */
-    private List<ListedEndpoint> each(ListUpdate told, long now, boolean behind, List<String> log) {
-        List<ListedEndpoint> believed = new ArrayList<>();
-        Set<String> named = new HashSet<>();
-        told.entries().forEach(e -> named.add(e.id()));
-        for (ListedEndpoint entry : told.entries()) {
+    /** The accepted entries; of a list with an older revision, only those that remove or confirm an endpoint. */
+    private List<ListedEndpoint> acceptEntries(
+            ListUpdate list, long nowMicros, boolean isBehind, List<String> logLines) {
+        List<ListedEndpoint> accepted = new ArrayList<>();
+        Set<String> namedIds = idsOf(list);
+        for (ListedEndpoint entry : list.entries()) {
             Member member = members.get(entry.id());
-            if (!entry.inService()) {
+            if (!entry.isInService()) {
                 if (member != null) {
                     member.listing = entry;
-                    out(member);
+                    member.takeOutOfService();
                 }
-                believed.add(entry);
-            } else if (!behind || member != null && member.in) {
-                supplant(entry, named, believed, log);
-                if (comesIn(entry, member, now, log)) {
-                    believed.add(entry);
+                accepted.add(entry);
+            } else if (!isBehind || member != null && member.isInService) {
+                removeOthersAtAddress(entry, namedIds, accepted, logLines);
+                if (acceptListed(entry, member, nowMicros, logLines)) {
+                    accepted.add(entry);
                 }
             }
         }
-        return believed;
+        return accepted;
     }
 
-    /** Guards against calls to an id whose address is another's now. */
-    private void supplant(ListedEndpoint entry, Set<String> named, List<ListedEndpoint> believed, List<String> log) {
+    private void removeOthersAtAddress(
+            ListedEndpoint entry, Set<String> namedIds, List<ListedEndpoint> accepted, List<String> logLines) {
         for (Member other : members.values()) {
-            if (other.in && other.listing.address().equals(entry.address()) && !named.contains(other.listing.id())) {
-                log.add("discovery: " + entry.address() + " is " + entry.id() + " now, " + other.listing.id()
-                        + " is gone");
-                out(other);
-                believed.add(other.listing.gone());
+            if (other.isInService
+                    && other.listing.address().equals(entry.address())
+                    && !namedIds.contains(other.listing.id())) {
+                logLines.add("warmstart: address reassigned address=" + entry.address() + " endpoint=" + entry.id()
+                        + " previous=" + other.listing.id());
+                other.takeOutOfService();
+                accepted.add(other.listing.removed());
             }
         }
     }
 
-    private boolean comesIn(ListedEndpoint entry, Member known, long now, List<String> log) {
+    /** Records an entry that is in service; false where the endpoint is held back for flapping. */
+    private boolean acceptListed(ListedEndpoint entry, Member known, long nowMicros, List<String> logLines) {
         if (known == null) {
-            Member member = new Member(entry);
-            member.in = true;
-            members.put(entry.id(), member);
+            members.put(entry.id(), new Member(entry));
             return true;
         }
         known.listing = entry;
-        if (known.in) {
+        if (known.isInService) {
             return true;
         }
-        if (known.heldUntil > 0) {
+        if (known.isHeld()) {
             return false;
         }
-        if (now - known.returnsSince > FLAP_SPAN) {
+        if (nowMicros - known.firstReturnMicros > FLAP_WINDOW_MICROS) {
             known.returns = 0;
-            known.returnsSince = now;
+            known.firstReturnMicros = nowMicros;
         }
         known.returns++;
-        if (doubts() && known.returns >= FLAPS) {
-            long hold = Math.min(LONGEST_HOLD, HOLD << Math.min(10, known.returns - FLAPS));
-            known.heldUntil = now + hold;
-            // Guards against the count being forgotten while the endpoint is held for longer than the span.
-            known.returnsSince = known.heldUntil;
-            log.add("discovery: " + entry.id() + " has come back " + known.returns
-                    + " times in a minute, and is held back" + " for " + hold / SECOND + " s");
+        if (isDoubtEnabled() && known.returns >= FLAP_RETURNS) {
+            hold(known, nowMicros, logLines);
             return false;
         }
-        known.in = true;
+        known.putIntoService();
         return true;
     }
 
-    private void out(Member member) {
-        member.in = false;
-        member.heldUntil = 0;
+    private static void hold(Member member, long nowMicros, List<String> logLines) {
+        int doublings = Math.min(MAX_HOLD_DOUBLINGS, member.returns - FLAP_RETURNS);
+        long holdMicros = Math.min(MAX_HOLD_MICROS, FIRST_HOLD_MICROS << doublings);
+        member.heldUntilMicros = nowMicros + holdMicros;
+        // The window starts at the end of the hold, so that a hold longer than the window does not reset the count.
+        member.firstReturnMicros = member.heldUntilMicros;
+        logLines.add("warmstart: flapping endpoint held back endpoint=" + member.listing.id() + " returns="
+                + member.returns + " holdSeconds=" + holdMicros / MICROS_PER_SECOND);
     }
 
-    /** Guards against a memory that grows with every endpoint that ever was. */
-    private void forget(long now) {
-        members.values().removeIf(m -> !m.in && m.heldUntil == 0 && now - m.returnsSince > LONGEST_HOLD);
+    /**
+     * Evicts members that have long been out of service, so that the map does not grow with every endpoint ever seen.
+     */
+    private void forgetOldMembers(long nowMicros) {
+        members.values()
+                .removeIf(member -> !member.isInService
+                        && !member.isHeld()
+                        && nowMicros - member.firstReturnMicros > MAX_HOLD_MICROS);
     }
 
-    /** When the next endpoint that is held back comes in; {@link #NEVER} where none is. */
-    public long nextAt() {
+    /** When the next hold ends; {@link #NEVER} where no endpoint is held back. */
+    public long nextReleaseMicros() {
         return members.values().stream()
-                .filter(m -> m.heldUntil > 0)
-                .mapToLong(m -> m.heldUntil)
+                .filter(Member::isHeld)
+                .mapToLong(member -> member.heldUntilMicros)
                 .min()
                 .orElse(NEVER);
     }
 
-    /** What was held back and has been listed for long enough; null where that is nothing. */
-    public ListUpdate due(long now) {
+    /** Puts endpoints whose hold has ended into service; null where there is none. */
+    public ListUpdate releaseDue(long nowMicros) {
         List<ListedEndpoint> entries = new ArrayList<>();
         for (Member member : members.values()) {
-            if (member.heldUntil > 0 && member.heldUntil <= now) {
-                member.heldUntil = 0;
-                member.in = true;
+            if (member.isHeld() && member.heldUntilMicros <= nowMicros) {
+                member.putIntoService();
                 entries.add(member.listing);
             }
         }
         return entries.isEmpty() ? null : new ListUpdate(EndpointListKind.DELTA, revision, entries);
     }
 
-    /** True where an endpoint is believed to be in service. */
-    public boolean has(String id) {
+    /** True where an endpoint is listed as in service and not held back. */
+    public boolean isInService(String id) {
         Member member = members.get(id);
-        return member != null && member.in && member.listing.listed().availability() == Availability.LISTED;
+        return member != null && member.isInService && member.listing.isInService();
     }
 }
--- a/src/main/java/loftflow/warmstart/EndpointTrust.java
+++ b/src/main/java/loftflow/warmstart/EndpointTrust.java
@@ -2,24 +2,28 @@
 
 import loftflow.policy.api.TrustLevel;
 
-/** How far a remembered endpoint is believed to be what it was. */
+/** How far a restored endpoint is trusted to be what it was when the snapshot was taken. */
 public enum EndpointTrust {
-    /** Like one that discovery has just listed, at the pace of a fleet that starts together. */
+    /** Used like an endpoint that discovery has just listed, at the pace of a fleet that starts together. */
     AS_LISTED,
-    /** A check, or one message where there are none, before anything else. */
-    TRY_FIRST,
-    /** As above, and only where the destination has nothing else left. */
-    LAST,
-    /** Nothing, until discovery says otherwise. */
+    /** Used after one successful probe, or one message where probes are off. */
+    PROBE_FIRST,
+    /** As {@link #PROBE_FIRST}, and only where the destination has no other endpoint. */
+    LAST_RESORT,
+    /** Not used until discovery lists it again. */
     NEVER;
 
-    /** What the decision module is told; {@link #NEVER} is not told at all. */
-    public TrustLevel belief() {
+    /**
+     * The level that the decision module receives.
+     *
+     * @throws IllegalStateException for {@link #NEVER}: such an endpoint is not passed on at all
+     */
+    public TrustLevel toTrustLevel() {
         return switch (this) {
             case AS_LISTED -> TrustLevel.AS_LISTED;
-            case TRY_FIRST -> TrustLevel.PROBE_FIRST;
-            case LAST -> TrustLevel.LAST_RESORT;
-            case NEVER -> throw new IllegalStateException("an endpoint that is never used is not listed");
+            case PROBE_FIRST -> TrustLevel.PROBE_FIRST;
+            case LAST_RESORT -> TrustLevel.LAST_RESORT;
+            case NEVER -> throw new IllegalStateException("an endpoint with trust NEVER has no trust level");
         };
     }
 }
--- a/src/main/java/loftflow/warmstart/KnownEndpoint.java
+++ b/src/main/java/loftflow/warmstart/KnownEndpoint.java
@@ -4,84 +4,114 @@
 import loftflow.policy.api.RouteSnapshot;
 
 /**
- * What is remembered of an endpoint. Times are the relay's own, in microseconds; 0 for never.
+ * What a relay knows of one endpoint. Immutable. Times are the relay's own, in microseconds; 0 for never.
  *
- * @param address digits and a port
- * @param listedAt when discovery last told that it is in service
- * @param answeredAt when it last answered a call, whatever it answered
- * @param failedAt when a call to it last failed with no answer
- * @param returnedAt when it served again after it was out; it is cold until its warm-up has passed
- * @param standing what the decision module knew of it; null where that is nothing
+ * @param listed its latest entry in a list
+ * @param address a numeric IP address and a port
+ * @param state its membership
+ * @param listedAt when discovery last listed it as in service
+ * @param answeredAtMicros when it last answered a call, with whatever status
+ * @param failedAtMicros when a call to it last failed without an answer
+ * @param recoveredAtMicros when it answered again after it had failed; it is cold until its warm-up is over
+ * @param standing what the decision module knows of its route; null where it knows nothing
  */
 public record KnownEndpoint(
         EndpointEntry listed,
         String address,
         State state,
         long listedAt,
-        long answeredAt,
-        long failedAt,
-        long returnedAt,
+        long answeredAtMicros,
+        long failedAtMicros,
+        long recoveredAtMicros,
         RouteSnapshot standing) {
 
-    /** What is known of its membership. */
+    /** Membership of an endpoint. */
     public enum State {
-        /** In service, when last told. */
+        /** Listed as in service. */
         LISTED,
-        /** Wants nothing new, or is gone, when last told. */
-        GONE,
-        /** Struck out by this relay: its address answered as something else, or refused or hung twice. */
+        /** Draining or removed. */
+        OUT_OF_SERVICE,
+        /** Ejected by this relay: its address gave an unexpected response, or refused calls or hung repeatedly. */
         STRUCK
     }
 
-    /** An endpoint that discovery lists and that nothing else is known of. */
-    public static KnownEndpoint fresh(EndpointEntry listed, String address, long now) {
-        return new KnownEndpoint(listed, address, State.LISTED, now, 0, 0, 0, null);
+    /** An endpoint of which nothing but its listing is known. */
+    public static KnownEndpoint newlyListed(EndpointEntry entry, String address, long nowMicros) {
+        return new KnownEndpoint(entry, address, State.LISTED, nowMicros, 0, 0, 0, null);
     }
 
+    /** The endpoint's id, which is the id of its route. */
     public String id() {
         return listed.route();
     }
 
-    /** The same in another state. */
-    public KnownEndpoint in(State next) {
-        return new KnownEndpoint(listed, address, next, listedAt, answeredAt, failedAt, returnedAt, standing);
+    boolean isListed() {
+        return state == State.LISTED;
     }
 
-    /** The same with what the module knows. */
-    public KnownEndpoint with(RouteSnapshot next) {
-        return new KnownEndpoint(listed, address, state, listedAt, answeredAt, failedAt, returnedAt, next);
+    /** The route snapshot, or one without any knowledge where there is none. */
+    RouteSnapshot routeSnapshotOrUnknown() {
+        return standing != null ? standing : RouteSnapshots.unknown(id());
     }
 
-    /** The same, listed again, with the entry that lists it. */
-    public KnownEndpoint listed(EndpointEntry entry, String at, long now) {
-        return new KnownEndpoint(entry, at, State.LISTED, now, answeredAt, failedAt, returnedAt, standing);
+    /** A copy with another state. */
+    public KnownEndpoint withState(State newState) {
+        return new KnownEndpoint(
+                listed, address, newState, listedAt, answeredAtMicros, failedAtMicros, recoveredAtMicros, standing);
+    }
+
+    /** A copy with another route snapshot. */
+    public KnownEndpoint withRouteSnapshot(RouteSnapshot newSnapshot) {
+        return new KnownEndpoint(
+                listed, address, state, listedAt, answeredAtMicros, failedAtMicros, recoveredAtMicros, newSnapshot);
     }
 
-    /** The same with evidence that is no later. */
-    public KnownEndpoint notAfter(long latest) {
+    /** A copy that is listed with a new entry and address. */
+    public KnownEndpoint withListing(EndpointEntry entry, String newAddress, long nowMicros) {
+        return new KnownEndpoint(
+                entry,
+                newAddress,
+                State.LISTED,
+                nowMicros,
+                answeredAtMicros,
+                failedAtMicros,
+                recoveredAtMicros,
+                standing);
+    }
+
+    /** The same as {@link #withListing}. */
+    public KnownEndpoint listed(EndpointEntry entry, String newAddress, long nowMicros) {
+        return withListing(entry, newAddress, nowMicros);
+    }
+
+    /** A copy whose evidence of being in service (its last listing and answer) is no later than the given time. */
+    public KnownEndpoint withEvidenceNoLaterThan(long latestMicros) {
         return new KnownEndpoint(
                 listed,
                 address,
                 state,
-                Math.min(listedAt, latest),
-                Math.min(answeredAt, latest),
-                failedAt,
-                returnedAt,
+                Math.min(listedAt, latestMicros),
+                Math.min(answeredAtMicros, latestMicros),
+                failedAtMicros,
+                recoveredAtMicros,
                 standing);
     }
 
-    /** The same after an answer. */
-    public KnownEndpoint answered(long now) {
-        return new KnownEndpoint(listed, address, state, listedAt, now, failedAt, returnedAt, standing);
+    /** A copy that has just answered a call. */
+    public KnownEndpoint withAnswer(long nowMicros) {
+        return new KnownEndpoint(
+                listed, address, state, listedAt, nowMicros, failedAtMicros, recoveredAtMicros, standing);
     }
 
-    /** The same after a call with no answer. */
-    public KnownEndpoint failed(long now) {
-        return new KnownEndpoint(listed, address, state, listedAt, answeredAt, now, returnedAt, standing);
+    /** A copy for which a call has just failed without an answer. */
+    public KnownEndpoint withFailure(long nowMicros) {
+        return new KnownEndpoint(
+                listed, address, state, listedAt, answeredAtMicros, nowMicros, recoveredAtMicros, standing);
     }
 
-    /** The same, back after it was out. */
-    public KnownEndpoint returned(long now) {
-        return new KnownEndpoint(listed, address, state, listedAt, answeredAt, failedAt, now, standing);
+    /** A copy that has just recovered. */
+    public KnownEndpoint withRecovery(long nowMicros) {
+        return new KnownEndpoint(
+                listed, address, state, listedAt, answeredAtMicros, failedAtMicros, nowMicros, standing);
     }
 }
--- a/src/main/java/loftflow/warmstart/ListUpdate.java
+++ b/src/main/java/loftflow/warmstart/ListUpdate.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import loftflow.policy.api.EndpointListKind;
 
-/** A whole list or changes of it, with its revision. */
+/** A full endpoint list, or a delta to it, with its revision. Immutable. */
 public record ListUpdate(EndpointListKind kind, long revision, List<ListedEndpoint> entries) {
     public ListUpdate {
         entries = List.copyOf(entries);
--- a/src/main/java/loftflow/warmstart/ListedEndpoint.java
+++ b/src/main/java/loftflow/warmstart/ListedEndpoint.java
@@ -3,18 +3,23 @@
 import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointEntry;
 
-/** An entry of a list and its address in digits with a port. */
+/**
+ * An entry of an endpoint list.
+ *
+ * @param address a numeric IP address and a port; an IPv6 address stands in brackets
+ */
 public record ListedEndpoint(EndpointEntry listed, String address) {
+    /** The endpoint's id, which is the id of its route. */
     public String id() {
         return listed.route();
     }
 
-    boolean inService() {
+    boolean isInService() {
         return listed.availability() == Availability.LISTED;
     }
 
-    /** The same endpoint, gone. */
-    ListedEndpoint gone() {
+    /** The same endpoint, marked as removed. */
+    ListedEndpoint removed() {
         return new ListedEndpoint(
                 new EndpointEntry(
                         listed.route(),
--- a/src/main/java/loftflow/warmstart/Snapshot.java
+++ b/src/main/java/loftflow/warmstart/Snapshot.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * All that is remembered at one time.
+ * Everything that a relay knows of its endpoints at one moment. Immutable.
  *
- * @param owner which relay it belongs to: another one's is not used
- * @param generation counts on with each picture that is saved
- * @param at the machine's clocks then
- * @param time the relay's own time then, in microseconds
- * @param revision of discovery's list; -1 where none was told
+ * @param owner name of the relay that wrote it; another relay does not use it
+ * @param generation increases by one with each snapshot that is written
+ * @param at the machine's clocks at that moment
+ * @param time the relay's own time at that moment, in microseconds
+ * @param revision revision of the discovery list; -1 where none was received
  */
 public record Snapshot(
         String owner, long generation, ClockReading at, long time, long revision, List<KnownEndpoint> endpoints) {
--- a/src/main/java/loftflow/warmstart/TrustPolicy.java
+++ b/src/main/java/loftflow/warmstart/TrustPolicy.java
@@ -1,79 +1,79 @@
 package loftflow.warmstart;
 
 /**
- * How far a remembered endpoint is believed, by age and evidence. Trust begins at 1 with the latest evidence (discovery
- * listed it, or it answered) and halves with each half-life. It never rises but by new evidence.
+ * How far a restored endpoint is trusted, by age and evidence. Trust is 1 at the latest evidence (discovery listed the
+ * endpoint, or it answered a call) and halves with each half-life. Only new evidence raises it.
  *
  * <table>
- * <caption>Degrees</caption>
- * <tr><td>removed, draining, struck out</td><td>never, at any age</td></tr>
- * <tr><td>trust of {@value #AS_LISTED_FROM} or more, the age proven, the last call not a failure</td><td>as
- * listed</td></tr>
- * <tr><td>2^-{@value #LAST_AFTER} or more</td><td>try first</td></tr>
- * <tr><td>less, or no age at all</td><td>only if nothing else is left</td></tr>
+ * <caption>Trust levels</caption>
+ * <tr><td>removed, draining or ejected</td><td>{@link EndpointTrust#NEVER}, at any age</td></tr>
+ * <tr><td>trust of {@value #MIN_AS_LISTED_VALUE} or more, its age proven, the last call not a failure</td>
+ * <td>{@link EndpointTrust#AS_LISTED}</td></tr>
+ * <tr><td>2^-{@value #LAST_RESORT_HALF_LIVES} or more</td><td>{@link EndpointTrust#PROBE_FIRST}</td></tr>
+ * <tr><td>less, or its age unknown</td><td>{@link EndpointTrust#LAST_RESORT}</td></tr>
  * </table>
  *
- * @param halfLife microseconds
+ * @param halfLifeMicros above 0
  */
-public record TrustPolicy(long halfLife) {
-    /** Half-lives after which an endpoint is the last to be tried. */
-    public static final int LAST_AFTER = 30;
-    /** Trust from which an endpoint is taken as listed: an address changes hands in minutes, not in seconds. */
-    public static final double AS_LISTED_FROM = 0.95;
+public record TrustPolicy(long halfLifeMicros) {
+    /** Half-lives after which an endpoint is used only as a last resort. */
+    public static final int LAST_RESORT_HALF_LIVES = 30;
+    /** Trust from which an endpoint is used as listed: an address is reassigned within minutes, not within seconds. */
+    public static final double MIN_AS_LISTED_VALUE = 0.95;
 
     public TrustPolicy {
-        if (halfLife <= 0) {
+        if (halfLifeMicros <= 0) {
             throw new IllegalArgumentException("halfLife: must be above 0");
         }
     }
 
-    /**
-     * Trust at an age in microseconds, from 0 to 1.
-     */
-    public double at(long age) {
-        return Math.pow(0.5, Math.max(0, age) / (double) halfLife);
+    /** Trust at an age in microseconds, from 0 to 1. */
+    public double valueAtAge(long ageMicros) {
+        return Math.pow(0.5, Math.max(0, ageMicros) / (double) halfLifeMicros);
     }
 
-    /** The age in microseconds up to which an endpoint is taken as listed. */
-    public long asListedFor() {
-        return (long) (halfLife * -Math.log(AS_LISTED_FROM) / Math.log(2));
+    /** The age in microseconds up to which an endpoint is used as listed. */
+    public long asListedMaxAgeMicros() {
+        return (long) (halfLifeMicros * -Math.log(MIN_AS_LISTED_VALUE) / Math.log(2));
     }
 
     /**
-     * The latest time at which evidence may be said to have come of an endpoint that has a degree at a start: it must
-     * not
-     * be believed more at the next one, by clocks that don't tell what these have shown.
+     * The latest time of evidence that is consistent with the trust that an endpoint has at a start. Evidence is capped
+     * to it, so that the next start, whose clocks may not show the doubt of this one, trusts the endpoint no more.
      *
-     * @param now the relay's own time
+     * @param nowMicros the relay's own time
      */
-    long latestEvidence(EndpointTrust degree, long now) {
-        return switch (degree) {
-            case AS_LISTED -> now;
-            case TRY_FIRST -> now - asListedFor() - 1;
-            case LAST, NEVER -> now - (LAST_AFTER + 1) * halfLife;
+    long latestEvidenceMicros(EndpointTrust trust, long nowMicros) {
+        return switch (trust) {
+            case AS_LISTED -> nowMicros;
+            case PROBE_FIRST -> nowMicros - asListedMaxAgeMicros() - 1;
+            case LAST_RESORT, NEVER -> nowMicros - (LAST_RESORT_HALF_LIVES + 1) * halfLifeMicros;
         };
     }
 
     /**
-     * The degree of an endpoint at a start.
+     * The trust in an endpoint at a start.
      *
-     * @param known what was remembered of it
-     * @param savedAt the relay's own time when that was so
-     * @param elapsed since then
-     * @param whole false where something may have been told since that could not be written down
+     * @param known what the snapshot and its deltas say of it
+     * @param savedAtMicros the relay's own time at the snapshot
+     * @param downtime the time since the snapshot
+     * @param isComplete false where deltas since the snapshot may be missing
      */
-    public EndpointTrust degree(KnownEndpoint known, long savedAt, DowntimeEstimate elapsed, boolean whole) {
-        if (known.state() != KnownEndpoint.State.LISTED) {
+    public EndpointTrust trustOf(
+            KnownEndpoint known, long savedAtMicros, DowntimeEstimate downtime, boolean isComplete) {
+        if (!known.isListed()) {
             return EndpointTrust.NEVER;
         }
-        long evidence = Math.max(known.listedAt(), known.answeredAt());
-        // Guards against evidence from the future, which would make a young endpoint of an old one.
-        long age = elapsed.most() + Math.max(0, savedAt - evidence);
-        double trust = at(age);
-        if (trust < Math.pow(0.5, LAST_AFTER)) {
-            return EndpointTrust.LAST;
+        long evidenceMicros = Math.max(known.listedAt(), known.answeredAtMicros());
+        // Evidence from after the snapshot counts as being of the snapshot's time: it must not lower the age.
+        long ageMicros = downtime.maxMicros() + Math.max(0, savedAtMicros - evidenceMicros);
+        if (valueAtAge(ageMicros) < Math.pow(0.5, LAST_RESORT_HALF_LIVES)) {
+            return EndpointTrust.LAST_RESORT;
         }
-        boolean sound = whole && !elapsed.doubtful() && evidence <= savedAt && known.failedAt() <= known.answeredAt();
-        return age <= asListedFor() && sound ? EndpointTrust.AS_LISTED : EndpointTrust.TRY_FIRST;
+        boolean isProven = isComplete
+                && !downtime.doubtful()
+                && evidenceMicros <= savedAtMicros
+                && known.failedAtMicros() <= known.answeredAtMicros();
+        return ageMicros <= asListedMaxAgeMicros() && isProven ? EndpointTrust.AS_LISTED : EndpointTrust.PROBE_FIRST;
     }
 }
--- a/src/main/java/loftflow/warmstart/WriteBudget.java
+++ b/src/main/java/loftflow/warmstart/WriteBudget.java
@@ -1,83 +1,84 @@
 package loftflow.warmstart;
 
 /**
- * How much may be written: in any span no more than {@link #burst} and {@code rate} for each second of it. A part is
- * set
- * by for notes, so that a picture never keeps a drain from being noted. Bytes and microseconds.
+ * Token bucket that bounds how many bytes are written: over any interval no more than {@link #burstBytes} plus the rate
+ * for each second of it. A part of the bucket is reserved for deltas, so that a snapshot never prevents a drain from
+ * being recorded. Times are in microseconds.
  */
 public final class WriteBudget {
-    private static final long SECOND = 1_000_000;
-    /** What may be written at once is what the rate allows in so many seconds. */
-    private static final long BURST_SPAN = 60;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    /** The bucket holds what the rate allows in this many seconds. */
+    private static final long BURST_SECONDS = 60;
+    /** One part in so many of the bucket is reserved for deltas. */
+    private static final long RESERVE_DIVISOR = 4;
 
-    private static final long RESERVE_PART = 4;
-
-    private final long rate;
-    private long left;
-    private long at;
+    private final long bytesPerSecond;
+    private long availableBytes;
+    private long refilledAtMicros;
 
     /**
-     * A budget that begins with what notes need and what a rest has earned, so that starts one after the other write no
-     * more than one process would.
+     * A bucket that starts with the reserve for deltas and what the time since the last write has refilled, so that a
+     * sequence of restarts writes no more than one process would.
      *
-     * @param rate bytes a second
-     * @param rest microseconds since something was last written
+     * @param idleMicros time since something was last written
      */
-    public WriteBudget(long rate, long rest, long now) {
-        this.rate = rate;
-        left = reserve();
-        at = now - Math.min(rest, BURST_SPAN * SECOND);
-        refill(now);
+    public WriteBudget(long bytesPerSecond, long idleMicros, long nowMicros) {
+        this.bytesPerSecond = bytesPerSecond;
+        availableBytes = reserveBytes();
+        refilledAtMicros = nowMicros - Math.min(idleMicros, BURST_SECONDS * MICROS_PER_SECOND);
+        refill(nowMicros);
     }
 
-    /** Bytes that may be written at once after a rest. */
-    public long burst() {
-        return rate * BURST_SPAN;
+    /** The capacity of the bucket. */
+    public long burstBytes() {
+        return bytesPerSecond * BURST_SECONDS;
     }
 
-    /** The largest picture that can ever be written. */
-    public long largestPicture() {
-        return burst() - reserve();
+    /** Size of the largest snapshot that can ever be written. */
+    public long maxSnapshotBytes() {
+        return burstBytes() - reserveBytes();
     }
 
-    private long reserve() {
-        return burst() / RESERVE_PART;
+    private long reserveBytes() {
+        return burstBytes() / RESERVE_DIVISOR;
     }
 
-    private void refill(long now) {
-        // Guards against parts of a byte that would get lost at each of many calls.
-        long earned = Math.max(0, now - at) * rate / SECOND;
-        if (earned >= burst() - left) {
-            left = burst();
-            at = now;
-        } else if (earned > 0) {
-            left += earned;
-            at += earned * SECOND / rate;
+    private void refill(long nowMicros) {
+        long refillBytes = Math.max(0, nowMicros - refilledAtMicros) * bytesPerSecond / MICROS_PER_SECOND;
+        if (refillBytes >= burstBytes() - availableBytes) {
+            availableBytes = burstBytes();
+            refilledAtMicros = nowMicros;
+        } else if (refillBytes > 0) {
+            availableBytes += refillBytes;
+            // Advances by the time of whole bytes only: fractions of a byte count at the next call.
+            refilledAtMicros += refillBytes * MICROS_PER_SECOND / bytesPerSecond;
         }
     }
 
-    /** True where a picture of so many bytes may be written now. */
-    public boolean allowsPicture(long bytes, long now) {
-        refill(now);
-        return left - bytes >= reserve();
+    /** True where a snapshot of this size may be written now. */
+    public boolean allowsSnapshot(long bytes, long nowMicros) {
+        refill(nowMicros);
+        return availableBytes - bytes >= reserveBytes();
     }
 
-    /** Takes bytes for a picture; false where they may not be written now. */
-    public boolean takePicture(long bytes, long now) {
-        if (!allowsPicture(bytes, now)) {
+    /** Takes the bytes of a snapshot; false, and nothing is taken, where they may not be written now. */
+    public boolean tryTakeSnapshot(long bytes, long nowMicros) {
+        if (!allowsSnapshot(bytes, nowMicros)) {
             return false;
         }
-        left -= bytes;
+        availableBytes -= bytes;
         return true;
     }
 
-    /** Takes bytes for notes; false where they may not be written now. */
-    public boolean takeNotes(long bytes, long now) {
-        refill(now);
-        if (left < bytes) {
+    /**
+     * Takes the bytes of deltas, from the reserve too; false, and nothing is taken, where they may not be written now.
+     */
+    public boolean tryTakeDeltas(long bytes, long nowMicros) {
+        refill(nowMicros);
+        if (availableBytes < bytes) {
             return false;
         }
-        left -= bytes;
+        availableBytes -= bytes;
         return true;
     }
 }
--- a/src/main/java/loftflow/warmstart/package-info.java
+++ b/src/main/java/loftflow/warmstart/package-info.java
@@ -1,8 +1,7 @@
 /**
- * What a relay remembers of its partners from one start to the next, and how far that is believed: ages, evidence,
- * lists
- * that discovery tells on its return, what is written and when. It decides, and reaches no socket, file, clock or
- * thread.
+ * Warm start: what a relay knows of its endpoints across restarts. Decides how far a restored endpoint is trusted,
+ * which parts of a discovery list are accepted at once, and how many bytes may be written. Free of sockets, files,
+ * clocks and threads; callers pass every time in.
  *
  * <p>May use: the types of the decision module.
  */
--- a/src/main/java/loftflow/warmstart/store/SnapshotCodec.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotCodec.java
@@ -9,7 +9,6 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointEntry;
 import loftflow.policy.api.RouteSnapshot;
 import loftflow.recordfile.RecordFile;
@@ -19,20 +18,21 @@
 import loftflow.warmstart.SnapshotDelta;
 
 /**
- * Pictures and notes as bytes. A file begins with eight bytes that tell what it is and in which format; records with
- * length and checksum follow ({@link RecordFile}).
+ * Binary format of snapshot and delta files. A file starts with a magic number and a format version; records with
+ * length and checksum follow ({@link RecordFile}). A snapshot file holds one record. A delta file holds a record with
+ * the generation of the snapshot that it follows, then one record a delta.
  */
 final class SnapshotCodec {
     private static final byte[] MAGIC = {'l', 'o', 'f', 't', 'r', 'm'};
-    /** Raised with each change of the form: a file of another format is not read. */
+    /** Version of the format, raised with each change. Files of another version are not read. */
     static final short FORMAT = 1;
-    /** Bytes ahead of the first record. */
-    static final int HEAD = MAGIC.length + Short.BYTES;
+    /** Size of the magic number and the version. */
+    static final int HEADER_BYTES = MAGIC.length + Short.BYTES;
 
-    private static final int MOST_TEXT = 1 << 10;
-    private static final int MOST_ENDPOINTS = 1 << 20;
+    private static final int MAX_TEXT_CHARACTERS = 1 << 10;
+    private static final int MAX_ENDPOINTS = 1 << 20;
 
-    /** A file that can't be read; the message says why. */
+    /** A file that can't be used; the message says why. */
     static final class UnreadableException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -43,188 +43,197 @@
 
     private SnapshotCodec() {}
 
-    /** The bytes that every file begins with. */
-    static byte[] head() {
-        return ByteBuffer.allocate(HEAD).put(MAGIC).putShort(FORMAT).array();
+    /** Magic number and version, with which every file starts. */
+    static byte[] header() {
+        return ByteBuffer.allocate(HEADER_BYTES).put(MAGIC).putShort(FORMAT).array();
     }
 
-    /** Reads the head of a file off. */
-    static void readHead(ByteBuffer file) throws UnreadableException {
-        if (file.remaining() < HEAD) {
-            throw new UnreadableException("it is torn at its head");
+    /** Checks the header of a file and advances behind it. */
+    static void readHeader(ByteBuffer file) throws UnreadableException {
+        if (file.remaining() < HEADER_BYTES) {
+            throw new UnreadableException("torn header");
         }
         byte[] magic = new byte[MAGIC.length];
         file.get(magic);
         if (!Arrays.equals(magic, MAGIC)) {
-            throw new UnreadableException("it is no file of remembered endpoints");
+            throw new UnreadableException("not a warm start file");
         }
         short format = file.getShort();
         if (format != FORMAT) {
-            throw new UnreadableException("its format is " + format + ", and this relay reads " + FORMAT);
+            throw new UnreadableException("format is " + format + ", supported is " + FORMAT);
         }
     }
 
-    /** A whole file that holds a picture. */
-    static byte[] picture(Snapshot p) throws IOException {
+    /** Encodes a snapshot as a whole file. */
+    static byte[] encodeSnapshot(Snapshot snapshot) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.write(new byte[RecordFile.HEAD]);
         DataOutputStream out = new DataOutputStream(bytes);
-        out.writeUTF(p.owner());
-        out.writeLong(p.generation());
-        out.writeLong(p.at().wall());
-        out.writeLong(p.at().up());
-        out.writeUTF(p.at().boot());
-        out.writeLong(p.time());
-        out.writeLong(p.revision());
-        out.writeInt(p.endpoints().size());
-        for (KnownEndpoint k : p.endpoints()) {
-            write(out, k);
+        out.writeUTF(snapshot.owner());
+        out.writeLong(snapshot.generation());
+        out.writeLong(snapshot.at().wall());
+        out.writeLong(snapshot.at().up());
+        out.writeUTF(snapshot.at().boot());
+        out.writeLong(snapshot.time());
+        out.writeLong(snapshot.revision());
+        out.writeInt(snapshot.endpoints().size());
+        for (KnownEndpoint endpoint : snapshot.endpoints()) {
+            writeEndpoint(out, endpoint);
         }
-        byte[] record = RecordFile.seal(bytes.toByteArray());
-        return ByteBuffer.allocate(HEAD + record.length).put(head()).put(record).array();
-    }
-
-    private static void write(DataOutputStream out, KnownEndpoint k) throws IOException {
-        EndpointEntry l = k.listed();
-        out.writeUTF(l.route());
-        out.writeInt(l.destination());
-        out.writeUTF(l.kind());
-        out.writeUTF(l.zone());
-        out.writeByte(l.availability().ordinal());
-        out.writeFloat((float) l.ratePerSecond());
-        out.writeUTF(k.address());
-        out.writeByte(k.state().ordinal());
-        out.writeLong(k.listedAt());
-        out.writeLong(k.answeredAt());
-        out.writeLong(k.failedAt());
-        out.writeLong(k.returnedAt());
-        RouteSnapshot s = k.standing();
-        out.writeBoolean(s != null);
-        if (s != null) {
-            out.writeLong(s.retryAfterRemainingMicros());
-            out.writeFloat((float) s.limitPerSecond());
-            out.writeFloat((float) s.usualRatePerSecond());
-            out.writeFloat((float) s.responseTimeMicros());
-            out.writeBoolean(s.circuitOpen());
-            out.writeLong(s.warmUpRemainingMicros());
+        return file(RecordFile.seal(bytes.toByteArray()));
+    }
+
+    private static byte[] file(byte[] record) {
+        return ByteBuffer.allocate(HEADER_BYTES + record.length)
+                .put(header())
+                .put(record)
+                .array();
+    }
+
+    private static void writeEndpoint(DataOutputStream out, KnownEndpoint endpoint) throws IOException {
+        EndpointEntry entry = endpoint.listed();
+        out.writeUTF(entry.route());
+        out.writeInt(entry.destination());
+        out.writeUTF(entry.kind());
+        out.writeUTF(entry.zone());
+        out.writeByte(StoredCodes.of(entry.availability()));
+        out.writeFloat((float) entry.ratePerSecond());
+        out.writeUTF(endpoint.address());
+        out.writeByte(StoredCodes.of(endpoint.state()));
+        out.writeLong(endpoint.listedAt());
+        out.writeLong(endpoint.answeredAtMicros());
+        out.writeLong(endpoint.failedAtMicros());
+        out.writeLong(endpoint.recoveredAtMicros());
+        RouteSnapshot route = endpoint.standing();
+        out.writeBoolean(route != null);
+        if (route != null) {
+            out.writeLong(route.retryAfterRemainingMicros());
+            out.writeFloat((float) route.limitPerSecond());
+            out.writeFloat((float) route.usualRatePerSecond());
+            out.writeFloat((float) route.responseTimeMicros());
+            out.writeBoolean(route.circuitOpen());
+            out.writeLong(route.warmUpRemainingMicros());
         }
     }
 
-    /** Reads a whole file that holds a picture. */
-    static Snapshot picture(byte[] file) throws UnreadableException {
-        ByteBuffer all = ByteBuffer.wrap(file);
-        readHead(all);
-        byte[] payload = RecordFile.next(all);
-        if (payload == null || all.hasRemaining()) {
-            throw new UnreadableException("it is torn, or its checksum is wrong");
+    /** Decodes a whole snapshot file. */
+    static Snapshot decodeSnapshot(byte[] file) throws UnreadableException {
+        ByteBuffer buffer = ByteBuffer.wrap(file);
+        readHeader(buffer);
+        byte[] payload = RecordFile.next(buffer);
+        if (payload == null || buffer.hasRemaining()) {
+            throw new UnreadableException("torn file or wrong checksum");
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
-            String owner = in.readUTF();
-            long generation = in.readLong();
-            ClockReading at = new ClockReading(in.readLong(), in.readLong(), in.readUTF());
-            long time = in.readLong();
-            long revision = in.readLong();
-            int count = in.readInt();
-            if (count < 0 || count > MOST_ENDPOINTS) {
-                throw new UnreadableException("it names " + count + " endpoints");
-            }
-            List<KnownEndpoint> endpoints = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
-                endpoints.add(known(in));
-            }
-            return new Snapshot(owner, generation, at, time, revision, endpoints);
+            return readSnapshot(in);
         } catch (UnreadableException e) {
             throw e;
         } catch (IOException | IllegalArgumentException e) {
-            // Guards against bytes whose checksum is right and that make no sense all the same.
-            throw new UnreadableException("it makes no sense: " + e.getMessage());
+            // The checksum is right, yet the content is not that of a snapshot.
+            throw new UnreadableException("invalid content: " + e.getMessage());
+        }
+    }
+
+    private static Snapshot readSnapshot(DataInputStream in) throws IOException {
+        String owner = in.readUTF();
+        long generation = in.readLong();
+        ClockReading clocks = new ClockReading(in.readLong(), in.readLong(), in.readUTF());
+        long relayTimeMicros = in.readLong();
+        long revision = in.readLong();
+        int count = in.readInt();
+        if (count < 0 || count > MAX_ENDPOINTS) {
+            throw new UnreadableException(count + " endpoints, allowed are 0 to " + MAX_ENDPOINTS);
+        }
+        List<KnownEndpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            endpoints.add(readEndpoint(in));
         }
+        return new Snapshot(owner, generation, clocks, relayTimeMicros, revision, endpoints);
     }
 
-    private static KnownEndpoint known(DataInputStream in) throws IOException {
-        EndpointEntry listed = new EndpointEntry(
-                text(in), in.readInt(), text(in), text(in), of(Availability.values(), in.readByte()), number(in));
-        String address = text(in);
-        KnownEndpoint.State state = of(KnownEndpoint.State.values(), in.readByte());
-        long listedAt = in.readLong();
-        long answeredAt = in.readLong();
-        long failedAt = in.readLong();
-        long returnedAt = in.readLong();
-        RouteSnapshot standing = in.readBoolean()
-                ? new RouteSnapshot(
-                        listed.route(),
-                        in.readLong(),
-                        number(in),
-                        number(in),
-                        number(in),
-                        in.readBoolean(),
-                        in.readLong())
-                : null;
-        return new KnownEndpoint(listed, address, state, listedAt, answeredAt, failedAt, returnedAt, standing);
-    }
-
-    private static String text(DataInputStream in) throws IOException {
+    private static KnownEndpoint readEndpoint(DataInputStream in) throws IOException {
+        EndpointEntry entry = new EndpointEntry(
+                readText(in),
+                in.readInt(),
+                readText(in),
+                readText(in),
+                StoredCodes.availability(in.readByte()),
+                readNumber(in));
+        String address = readText(in);
+        KnownEndpoint.State state = StoredCodes.state(in.readByte());
+        long listedAtMicros = in.readLong();
+        long answeredAtMicros = in.readLong();
+        long failedAtMicros = in.readLong();
+        long recoveredAtMicros = in.readLong();
+        RouteSnapshot route = in.readBoolean() ? readRoute(in, entry.route()) : null;
+        return new KnownEndpoint(
+                entry, address, state, listedAtMicros, answeredAtMicros, failedAtMicros, recoveredAtMicros, route);
+    }
+
+    private static RouteSnapshot readRoute(DataInputStream in, String routeId) throws IOException {
+        return new RouteSnapshot(
+                routeId,
+                in.readLong(),
+                readNumber(in),
+                readNumber(in),
+                readNumber(in),
+                in.readBoolean(),
+                in.readLong());
+    }
+
+    private static String readText(DataInputStream in) throws IOException {
         String text = in.readUTF();
-        if (text.length() > MOST_TEXT) {
-            throw new UnreadableException("a name of " + text.length() + " characters");
+        if (text.length() > MAX_TEXT_CHARACTERS) {
+            throw new UnreadableException(
+                    "text of " + text.length() + " characters, allowed are " + MAX_TEXT_CHARACTERS);
         }
         return text;
     }
 
-    private static double number(DataInputStream in) throws IOException {
+    private static double readNumber(DataInputStream in) throws IOException {
         float number = in.readFloat();
         if (!(number >= 0 && number < Float.POSITIVE_INFINITY)) {
-            throw new UnreadableException("a rate or span of " + number);
+            throw new UnreadableException("rate or duration of " + number);
         }
         return number;
     }
 
-    private static <T> T of(T[] values, byte ordinal) throws UnreadableException {
-        if (ordinal < 0 || ordinal >= values.length) {
-            throw new UnreadableException("an unknown state " + ordinal);
-        }
-        return values[ordinal];
-    }
-
-    /** The start of a file of notes: its head and the generation of the picture that they follow. */
-    static byte[] notesHead(long generation) {
+    /** The start of a delta file: its header and the generation of the snapshot that it follows. */
+    static byte[] deltaFileHeader(long generation) {
         byte[] record = new byte[RecordFile.HEAD + Long.BYTES];
         ByteBuffer.wrap(record).putLong(RecordFile.HEAD, generation);
-        return ByteBuffer.allocate(HEAD + record.length)
-                .put(head())
-                .put(RecordFile.seal(record))
-                .array();
+        return file(RecordFile.seal(record));
     }
 
-    /** A note as a record. */
-    static byte[] note(SnapshotDelta note) throws IOException {
+    /** Encodes a delta as a record. */
+    static byte[] encodeDelta(SnapshotDelta delta) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.write(new byte[RecordFile.HEAD]);
         DataOutputStream out = new DataOutputStream(bytes);
-        out.writeByte(note.kind().ordinal());
-        out.writeUTF(note.id());
-        out.writeLong(note.at());
+        out.writeByte(StoredCodes.of(delta.kind()));
+        out.writeUTF(delta.endpointId());
+        out.writeLong(delta.atMicros());
         return RecordFile.seal(bytes.toByteArray());
     }
 
-    /** The generation that a file of notes follows; its records are next. */
-    static long readNotesHead(ByteBuffer file) throws UnreadableException {
-        readHead(file);
+    /** Reads the start of a delta file; the generation that it follows. Its deltas are next. */
+    static long readDeltaFileHeader(ByteBuffer file) throws UnreadableException {
+        readHeader(file);
         byte[] payload = RecordFile.next(file);
         if (payload == null || payload.length != Long.BYTES) {
-            throw new UnreadableException("it is torn at its head");
+            throw new UnreadableException("torn header");
         }
         return ByteBuffer.wrap(payload).getLong();
     }
 
-    /** The next note, or null at the end and where one is torn. */
-    static SnapshotDelta nextNote(ByteBuffer file) {
+    /** Decodes the next delta; null at the end of the file, and where the record is torn or unknown. */
+    static SnapshotDelta decodeNextDelta(ByteBuffer file) {
         byte[] payload = RecordFile.next(file);
         if (payload == null) {
             return null;
         }
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
-            return new SnapshotDelta(of(SnapshotDelta.Kind.values(), in.readByte()), in.readUTF(), in.readLong());
+            return new SnapshotDelta(StoredCodes.kind(in.readByte()), in.readUTF(), in.readLong());
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/loftflow/warmstart/store/SnapshotFolder.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotFolder.java
@@ -8,24 +8,25 @@
 import java.nio.file.StandardOpenOption;
 import loftflow.recordfile.RecordFile;
 
-/** What the store does to files, one step a call, so that a test can fail or end the process at each. */
+/** The file operations of {@link SnapshotStore}, one step a call, so that a test can inject a fault at each step. */
 interface SnapshotFolder {
-    /** Everything in a file; null where there is none. */
+    /** The content of a file; null where there is no such file. */
     byte[] read(String name) throws IOException;
 
-    /** Writes a file anew; where {@code sync}, it is on the disk when this returns. */
+    /** Creates or overwrites a file; where {@code sync}, the content is on stable storage when this returns. */
     void write(String name, byte[] bytes, boolean sync) throws IOException;
 
-    /** Writes behind what a file holds; half of it is taken back where that fails. */
+    /** Appends to an existing file; a partial write is truncated where it fails. */
     void append(String name, byte[] bytes) throws IOException;
 
-    /** Puts a file in the place of another, in one step. */
-    void move(String from, String to) throws IOException;
+    /** Atomically renames a file, replacing the target. */
+    void replace(String from, String to) throws IOException;
 
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** The real one. */
-    static SnapshotFolder at(Path path) {
+    /** A folder on disk. */
+    static SnapshotFolder onDisk(Path path) {
         return new SnapshotFolder() {
             @Override
             public byte[] read(String name) throws IOException {
@@ -55,7 +56,7 @@
             }
 
             @Override
-            public void move(String from, String to) throws IOException {
+            public void replace(String from, String to) throws IOException {
                 Files.move(
                         path.resolve(from),
                         path.resolve(to),
--- a/src/main/java/loftflow/warmstart/store/SnapshotStore.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotStore.java
@@ -10,221 +10,233 @@
 import loftflow.warmstart.SnapshotDelta;
 
 /**
- * Two generations of a picture, each with the notes since it was taken. Pictures take turns at two places: a new one is
- * written beside them, then put in the place of the older one in one step, so that the newer one stays whole whatever
- * happens. Notes go to the newest picture's file; from the moment that a picture is taken until it stands, to its file
- * too.
+ * Two generations of snapshot files, each with a delta file. Generations alternate between two file names: a new
+ * snapshot is written to a third file and then atomically replaces the older generation, so that the newer one stays
+ * intact whatever happens. Deltas go to the delta file of the current snapshot; while a next snapshot is being written,
+ * to its delta file as well.
  *
- * <p>{@link #begin}, {@link #note} and {@link #end} are for the event loop: they write little, and sync nothing.
- * {@link #write} may go on a thread of its own.
+ * <p>{@link #beginSnapshot}, {@link #appendDelta} and {@link #endSnapshot} are called on the event loop: they write
+ * little and sync nothing. {@link #writeSnapshot} may run on another thread.
  */
 final class SnapshotStore {
-    static final String NEW = "remembered.new";
-    private static final int PLACES = 2;
+    /** File of a snapshot that is being written. */
+    static final String NEW_SNAPSHOT_FILE = "remembered.new";
+
+    private static final int SLOTS = 2;
+    private static final String DISCARDED_SUFFIX = ".bad";
+    /** In place of a generation: there is none. */
+    private static final long NO_GENERATION = 0;
 
     /**
-     * What was found.
+     * What was found on disk.
      *
-     * @param picture null where none can be used
-     * @param whole false where notes since the picture may be missing
-     * @param complaints what was set aside, and why
+     * @param snapshot null where none can be used
+     * @param deltas deltas recorded since the snapshot, in order
+     * @param isComplete false where deltas since the snapshot may be missing
+     * @param logLines events to log, without their component
      */
-    record Found(Snapshot picture, List<SnapshotDelta> notes, boolean whole, List<String> complaints) {}
+    record LoadedState(Snapshot snapshot, List<SnapshotDelta> deltas, boolean isComplete, List<String> logLines) {}
 
     private final SnapshotFolder folder;
-    private final long mostNotes;
+    private final long maxDeltaBytes;
     private final boolean sync;
-    /** The generation that stands, 0 for none, and the one that is being written, 0 for none. */
-    private long standing;
+    private long currentGeneration = NO_GENERATION;
+    private long currentDeltaBytes;
+    /** The generation that is being written. */
+    private long nextGeneration = NO_GENERATION;
 
-    private long coming;
-    private long standingSize;
-    private long comingSize;
+    private long nextDeltaBytes;
 
     /**
-     * The files of a folder.
+     * A store over a folder.
      *
-     * @param mostNotes bytes that the notes of one picture may take
-     * @param sync whether a picture must be on the disk before it counts
+     * @param maxDeltaBytes size of a delta file from which the next snapshot is needed
+     * @param sync whether a snapshot must be on stable storage before it replaces an older one
      */
-    SnapshotStore(SnapshotFolder folder, long mostNotes, boolean sync) {
+    SnapshotStore(SnapshotFolder folder, long maxDeltaBytes, boolean sync) {
         this.folder = folder;
-        this.mostNotes = mostNotes;
+        this.maxDeltaBytes = maxDeltaBytes;
         this.sync = sync;
     }
 
-    static SnapshotStore at(Path path, long mostNotes, boolean sync) throws IOException {
+    static SnapshotStore at(Path path, long maxDeltaBytes, boolean sync) throws IOException {
         Files.createDirectories(path);
-        return new SnapshotStore(SnapshotFolder.at(path), mostNotes, sync);
+        return new SnapshotStore(SnapshotFolder.onDisk(path), maxDeltaBytes, sync);
     }
 
-    static String picture(long generation) {
-        return "remembered-" + generation % PLACES + ".picture";
+    static String snapshotFileName(long generation) {
+        return "remembered-" + generation % SLOTS + ".picture";
     }
 
-    static String notes(long generation) {
-        return "remembered-" + generation % PLACES + ".notes";
+    static String deltaFileName(long generation) {
+        return "remembered-" + generation % SLOTS + ".notes";
     }
 
-    /** Finds the newest picture that is whole and this relay's own; what can't be used is set aside. */
-    Found load(String owner) {
-        List<String> complaints = new ArrayList<>();
+    /** Loads the newest intact snapshot of this owner, and its deltas. Files that can't be used are set aside. */
+    LoadedState load(String owner) {
+        List<String> logLines = new ArrayList<>();
         Snapshot newest = null;
-        for (int place = 0; place < PLACES; place++) {
-            Snapshot one = read(picture(place), owner, complaints);
-            if (one != null && (newest == null || one.generation() > newest.generation())) {
-                newest = one;
+        for (int slot = 0; slot < SLOTS; slot++) {
+            Snapshot snapshot = readSnapshot(snapshotFileName(slot), owner, logLines);
+            if (snapshot != null && (newest == null || snapshot.generation() > newest.generation())) {
+                newest = snapshot;
             }
         }
-        // What was being written when the process ended was never promised.
-        drop(NEW, complaints);
+        // A snapshot that was being written when the process ended does not count.
+        delete(NEW_SNAPSHOT_FILE, logLines);
         if (newest == null) {
-            return new Found(null, List.of(), true, complaints);
+            return new LoadedState(null, List.of(), true, logLines);
         }
-        standing = newest.generation();
-        List<SnapshotDelta> notes = new ArrayList<>();
-        boolean whole = readNotes(newest.generation(), notes, complaints);
-        if (follows(newest.generation() + 1)) {
-            // Guards against a newer picture that went bad: what was noted since that one holds all the same.
-            whole &= readNotes(newest.generation() + 1, notes, complaints);
+        currentGeneration = newest.generation();
+        List<SnapshotDelta> deltas = new ArrayList<>();
+        boolean isComplete = readDeltas(newest.generation(), deltas, logLines);
+        if (hasDeltasOf(newest.generation() + 1)) {
+            // The snapshot of the next generation is missing or damaged; its deltas are valid all the same.
+            isComplete &= readDeltas(newest.generation() + 1, deltas, logLines);
         }
-        return new Found(newest, notes, whole, complaints);
+        return new LoadedState(newest, deltas, isComplete, logLines);
     }
 
-    private Snapshot read(String name, String owner, List<String> complaints) {
+    private Snapshot readSnapshot(String fileName, String owner, List<String> logLines) {
         try {
-            byte[] bytes = folder.read(name);
+            byte[] bytes = folder.read(fileName);
             if (bytes == null) {
                 return null;
             }
-            Snapshot picture = SnapshotCodec.picture(bytes);
-            if (!picture.owner().equals(owner)) {
-                throw new SnapshotCodec.UnreadableException(
-                        "it is " + picture.owner() + "'s, and this relay is " + owner);
+            Snapshot snapshot = SnapshotCodec.decodeSnapshot(bytes);
+            if (!snapshot.owner().equals(owner)) {
+                throw new SnapshotCodec.UnreadableException("owner is " + snapshot.owner() + ", expected is " + owner);
             }
-            return picture;
+            return snapshot;
         } catch (IOException e) {
-            setAside(name, e.getMessage(), complaints);
+            setAside(fileName, e.getMessage(), logLines);
             return null;
         }
     }
 
-    private void setAside(String name, String why, List<String> complaints) {
-        complaints.add(name + " is set aside as " + name + ".bad: " + why);
+    private void setAside(String fileName, String reason, List<String> logLines) {
+        String newName = fileName + DISCARDED_SUFFIX;
+        logLines.add("file set aside file=" + fileName + " as=" + newName + " reason=\"" + reason + "\"");
         try {
-            folder.move(name, name + ".bad");
+            folder.replace(fileName, newName);
         } catch (IOException e) {
-            complaints.add(name + " can't be set aside: " + e.getMessage());
+            logLines.add("file can't be set aside file=" + fileName + " error=\"" + e.getMessage() + "\"");
         }
     }
 
-    private void drop(String name, List<String> complaints) {
+    private void delete(String fileName, List<String> logLines) {
         try {
-            folder.delete(name);
+            folder.delete(fileName);
         } catch (IOException e) {
-            complaints.add(name + " can't be removed: " + e.getMessage());
+            logLines.add("file can't be removed file=" + fileName + " error=\"" + e.getMessage() + "\"");
         }
     }
 
-    private boolean follows(long generation) {
+    private boolean hasDeltasOf(long generation) {
         try {
-            byte[] bytes = folder.read(notes(generation));
-            return bytes != null && SnapshotCodec.readNotesHead(ByteBuffer.wrap(bytes)) == generation;
+            byte[] bytes = folder.read(deltaFileName(generation));
+            return bytes != null && SnapshotCodec.readDeltaFileHeader(ByteBuffer.wrap(bytes)) == generation;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private boolean readNotes(long generation, List<SnapshotDelta> into, List<String> complaints) {
-        String name = notes(generation);
+    /** Reads the deltas of a generation; false where some may be missing. */
+    private boolean readDeltas(long generation, List<SnapshotDelta> deltas, List<String> logLines) {
+        String fileName = deltaFileName(generation);
         try {
-            byte[] bytes = folder.read(name);
+            byte[] bytes = folder.read(fileName);
             if (bytes == null) {
-                complaints.add(name + " is missing: what was told since the picture is not known");
+                logLines.add("delta file missing file=" + fileName);
                 return false;
             }
-            ByteBuffer all = ByteBuffer.wrap(bytes);
-            long of = SnapshotCodec.readNotesHead(all);
-            if (of != generation) {
-                complaints.add(name + " follows picture " + of + ", and the newest that is whole is " + generation);
+            ByteBuffer buffer = ByteBuffer.wrap(bytes);
+            long fileGeneration = SnapshotCodec.readDeltaFileHeader(buffer);
+            if (fileGeneration != generation) {
+                logLines.add("delta file of another generation file=" + fileName + " generation=" + fileGeneration
+                        + " expected=" + generation);
                 return false;
             }
-            int end = all.position();
-            for (SnapshotDelta next = SnapshotCodec.nextNote(all); next != null; next = SnapshotCodec.nextNote(all)) {
-                into.add(next);
-                end = all.position();
+            int endOfDeltas = buffer.position();
+            SnapshotDelta delta = SnapshotCodec.decodeNextDelta(buffer);
+            while (delta != null) {
+                deltas.add(delta);
+                endOfDeltas = buffer.position();
+                delta = SnapshotCodec.decodeNextDelta(buffer);
             }
-            if (end < bytes.length) {
-                // The last note was cut off by the end of the process: what it said was never promised to be known.
-                complaints.add(name + " is torn: " + (bytes.length - end) + " bytes are passed over");
+            if (endOfDeltas < bytes.length) {
+                // The process ended while it wrote the last delta, whose write was never acknowledged.
+                logLines.add("torn delta file truncated file=" + fileName + " bytes=" + (bytes.length - endOfDeltas));
                 return false;
             }
-            standingSize = bytes.length;
+            currentDeltaBytes = bytes.length;
             return true;
         } catch (IOException e) {
-            setAside(name, e.getMessage(), complaints);
+            setAside(fileName, e.getMessage(), logLines);
             return false;
         }
     }
 
     /**
-     * A picture of this generation, the one after what stands, has been taken: what is noted from now on follows it
-     * too.
+     * Begins the next generation, whose snapshot has just been taken: deltas from now on go to its file as well.
+     *
+     * @throws IllegalStateException where this is not the generation after the current one
      */
-    void begin(long generation) throws IOException {
-        if (standing > 0 && generation != standing + 1) {
-            throw new IllegalStateException("generation " + generation + " after " + standing);
+    void beginSnapshot(long generation) throws IOException {
+        if (currentGeneration != NO_GENERATION && generation != currentGeneration + 1) {
+            throw new IllegalStateException("generation " + generation + " after " + currentGeneration);
         }
-        byte[] head = SnapshotCodec.notesHead(generation);
-        folder.write(notes(generation), head, false);
-        coming = generation;
-        comingSize = head.length;
+        byte[] header = SnapshotCodec.deltaFileHeader(generation);
+        folder.write(deltaFileName(generation), header, false);
+        nextGeneration = generation;
+        nextDeltaBytes = header.length;
     }
 
     /**
-     * Writes a picture.
+     * Writes a snapshot.
      *
-     * @param bytes as of {@link SnapshotCodec#picture(Picture)}
+     * @param bytes as of {@link SnapshotCodec#encodeSnapshot}
      */
-    void write(long generation, byte[] bytes) throws IOException {
-        folder.write(NEW, bytes, sync);
-        folder.move(NEW, picture(generation));
+    void writeSnapshot(long generation, byte[] bytes) throws IOException {
+        folder.write(NEW_SNAPSHOT_FILE, bytes, sync);
+        folder.replace(NEW_SNAPSHOT_FILE, snapshotFileName(generation));
     }
 
-    /** The picture that was begun stands, or does not. */
-    void end(boolean written) {
-        if (written) {
-            standing = coming;
-            standingSize = comingSize;
+    /** Ends the generation that was begun: it becomes the current one where its snapshot was written. */
+    void endSnapshot(boolean isWritten) {
+        if (isWritten) {
+            currentGeneration = nextGeneration;
+            currentDeltaBytes = nextDeltaBytes;
         }
-        coming = 0;
+        nextGeneration = NO_GENERATION;
     }
 
-    /** True where notes have nothing to go to, or no room: a picture is needed first. */
-    boolean isFull() {
-        return coming == 0 && (standing == 0 || standingSize >= mostNotes);
+    /** True where deltas have no snapshot to follow, or their file is full: a snapshot is needed first. */
+    boolean needsSnapshot() {
+        boolean isWritable = currentGeneration != NO_GENERATION && currentDeltaBytes < maxDeltaBytes;
+        return nextGeneration == NO_GENERATION && !isWritable;
     }
 
-    /** Notes something, as a record of {@link SnapshotCodec#note}. */
-    void note(byte[] record) throws IOException {
-        IOException failed = null;
-        if (standing > 0) {
-            failed = append(notes(standing), record);
-            standingSize += record.length;
+    /** Appends a delta, as a record of {@link SnapshotCodec#encodeDelta}. */
+    void appendDelta(byte[] record) throws IOException {
+        IOException failure = null;
+        if (currentGeneration != NO_GENERATION) {
+            failure = tryAppend(deltaFileName(currentGeneration), record);
+            currentDeltaBytes += record.length;
         }
-        if (coming > 0) {
-            IOException other = append(notes(coming), record);
-            failed = failed == null ? other : failed;
-            comingSize += record.length;
+        if (nextGeneration != NO_GENERATION) {
+            IOException nextFailure = tryAppend(deltaFileName(nextGeneration), record);
+            failure = failure == null ? nextFailure : failure;
+            nextDeltaBytes += record.length;
         }
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
     }
 
-    private IOException append(String name, byte[] record) {
+    private IOException tryAppend(String fileName, byte[] record) {
         try {
-            folder.append(name, record);
+            folder.append(fileName, record);
             return null;
         } catch (IOException e) {
             return e;
--- a/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
@@ -18,254 +18,284 @@
 import loftflow.warmstart.WriteBudget;
 
 /**
- * Saves pictures on a thread of its own and notes at once, within a budget of bytes. One picture at a time is on its
- * way:
- * a later one waits for the next look. Notes that may not be written, for the budget's sake, for want of room or since
- * the
- * disk fails, are told by one note that says that something was ({@link SnapshotDelta.Kind#LOST}). To be called on the
- * event loop.
+ * Writes snapshots on a thread of its own and deltas at once, within a budget of bytes. One snapshot is written at a
+ * time. Deltas that can't be written, since the budget or their file is used up or the disk fails, are replaced by a
+ * single {@link SnapshotDelta.Kind#DELTAS_LOST}. All methods are called on the event loop.
  */
 public final class SnapshotWriter implements AutoCloseable {
-    private static final double PICTURE_SHARE = 0.3;
-    private static final double NOTES_SHARE = 0.02;
-    private static final int PATIENCE_S = 2;
-    private static final long SECOND = 1_000_000;
-    private static final long LONGEST_PAUSE = 60 * SECOND;
+    private static final String LOG_PREFIX = "warmstart: ";
+    /** Largest share of the limit that one snapshot takes. */
+    private static final double SNAPSHOT_SHARE = 0.3;
+    /** Share of the limit that the delta file of one generation takes. */
+    private static final double DELTA_SHARE = 0.02;
+
+    private static final int CLOSE_TIMEOUT_SECONDS = 2;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long MIN_RETRY_DELAY_MICROS = MICROS_PER_SECOND;
+    private static final long MAX_RETRY_DELAY_MICROS = 60 * MICROS_PER_SECOND;
+    private static final long LOST_DELTA_INTERVAL_MICROS = MICROS_PER_SECOND;
+    /** Where a snapshot is still too large, at least a tenth of its endpoints is left out of the next try. */
+    private static final double MAX_RETAINED_SHARE = 0.9;
 
     /**
-     * Where and how much.
+     * Settings.
      *
      * @param limit bytes of all files together
      * @param rate bytes a second, on average over a minute
-     * @param sync whether a picture must be on the disk itself before it counts
+     * @param sync whether a snapshot must be on stable storage before it counts
      */
     public record Options(Path folder, long limit, long rate, boolean sync) {}
 
+    /**
+     * What an earlier process left.
+     *
+     * @param picture the snapshot; null where none can be used
+     * @param notes deltas recorded since the snapshot, in order
+     * @param whole false where deltas since the snapshot may be missing
+     */
+    public record Left(Snapshot picture, List<SnapshotDelta> notes, boolean whole) {}
+
     private final Options options;
     private final SnapshotStore store;
-    private final Executor loop;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> {
-        Thread made = new Thread(work, "remember");
-        made.setDaemon(true);
-        return made;
+    private final Executor eventLoop;
+    private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
+        Thread created = new Thread(task, "warmstart-writer");
+        created.setDaemon(true);
+        return created;
     });
     private WriteBudget budget;
-    private boolean saving;
-    private boolean trimmed;
-    /** Guards against the work for a picture each second that may not be written anyway. */
-    private int lastSize;
+    private boolean isWriting;
+    private boolean hasLoggedTruncation;
+    /** Size of the last snapshot: avoids encoding one each second that the budget does not allow. */
+    private int lastSnapshotBytes;
 
-    private long nextTry;
-    private long pause = SECOND;
-    /** What could not be noted since the picture that stands, as one note; null for nothing. */
-    private SnapshotDelta lost;
+    private long nextAttemptMicros;
+    private long retryDelayMicros = MIN_RETRY_DELAY_MICROS;
+    /** Stands for the deltas since the current snapshot that could not be written; null for none. */
+    private SnapshotDelta lostDeltas;
 
-    private boolean lostIsNoted;
-    private long lostAt = Long.MIN_VALUE / 2;
+    private boolean areLostDeltasRecorded;
+    private long lostDeltasTriedMicros = Long.MIN_VALUE / 2;
 
-    /** A saver that tells results on an event loop. */
-    public SnapshotWriter(Options options, Executor loop) throws IOException {
-        this(options, SnapshotStore.at(options.folder(), (long) (options.limit() * NOTES_SHARE), options.sync()), loop);
+    /** A writer that reports results on an event loop. */
+    public SnapshotWriter(Options options, Executor eventLoop) throws IOException {
+        this(
+                options,
+                SnapshotStore.at(options.folder(), (long) (options.limit() * DELTA_SHARE), options.sync()),
+                eventLoop);
     }
 
-    SnapshotWriter(Options options, SnapshotStore store, Executor loop) {
+    SnapshotWriter(Options options, SnapshotStore store, Executor eventLoop) {
         this.options = options;
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
     }
 
-    /**
-     * What an earlier process left.
-     *
-     * @param picture null where nothing can be used
-     * @param whole false where notes since the picture may be missing
-     */
-    public record Left(Snapshot picture, List<SnapshotDelta> notes, boolean whole) {}
-
-    /** Reads what an earlier process left, once and before anything else; what can't be used is set aside and told. */
+    /** Loads what an earlier process left. Called once, before anything else; logs the files that are set aside. */
     public Left load(String owner) {
-        SnapshotStore.Found found = store.load(owner);
-        found.complaints().forEach(c -> Log.line("remembered: " + c));
-        return new Left(found.picture(), found.notes(), found.whole());
+        SnapshotStore.LoadedState loaded = store.load(owner);
+        loaded.logLines().forEach(line -> Log.line(LOG_PREFIX + line));
+        return new Left(loaded.snapshot(), loaded.deltas(), loaded.isComplete());
     }
 
     /**
-     * Begins to count what is written.
+     * Starts the write budget.
      *
-     * @param last the picture that an earlier process left; null for none
-     * @param time the relay's own time
+     * @param last the snapshot that an earlier process left; null for none
+     * @param nowMicros the relay's own time
      */
-    public void start(Snapshot last, ClockReading now, long time) {
-        long rest = last == null
+    public void start(Snapshot last, ClockReading clocks, long nowMicros) {
+        long idleMicros = last == null
                 ? DowntimeEstimate.UNKNOWN
-                : DowntimeEstimate.between(last.at(), now).least();
-        budget = new WriteBudget(options.rate(), rest, time);
+                : DowntimeEstimate.between(last.at(), clocks).minMicros();
+        budget = new WriteBudget(options.rate(), idleMicros, nowMicros);
     }
 
-    /** True where notes have no room before the next picture. */
+    /** True where deltas can't be written before the next snapshot. */
     public boolean wantsPicture() {
-        return store.isFull() || lost != null;
+        return store.needsSnapshot() || lostDeltas != null;
     }
 
-    /** True where a picture could be saved now, if it is no larger than the one before. */
-    public boolean isFree(long time) {
-        return !saving && time >= nextTry && budget.allowsPicture(lastSize, time);
+    /** True where a snapshot of the last one's size could be written now. */
+    public boolean isFree(long nowMicros) {
+        return !isWriting && nowMicros >= nextAttemptMicros && budget.allowsSnapshot(lastSnapshotBytes, nowMicros);
     }
 
     /**
-     * Saves a picture where that is allowed now.
+     * Starts to write a snapshot, where that is allowed now.
      *
-     * @param failed is run on the event loop where it was begun and failed later
-     * @return false where it was not begun
+     * @param onFailure runs on the event loop where the write was started and failed later
+     * @return false where the write was not started
      */
-    public boolean save(Snapshot picture, long time, Runnable failed) {
-        if (!isFree(time)) {
+    public boolean save(Snapshot snapshot, long nowMicros, Runnable onFailure) {
+        if (!isFree(nowMicros)) {
             return false;
         }
         try {
-            byte[] bytes = encoded(picture);
-            lastSize = bytes.length;
-            if (!budget.takePicture(bytes.length, time)) {
+            byte[] bytes = encodeWithinLimit(snapshot);
+            lastSnapshotBytes = bytes.length;
+            if (!budget.tryTakeSnapshot(bytes.length, nowMicros)) {
                 return false;
             }
-            store.begin(picture.generation());
-            saving = true;
-            SnapshotDelta covered = lost;
+            store.beginSnapshot(snapshot.generation());
+            isWriting = true;
+            SnapshotDelta lostBefore = lostDeltas;
             thread.execute(() -> {
-                IOException fault = write(picture.generation(), bytes);
-                loop.execute(() -> {
-                    saving = false;
-                    store.end(fault == null);
-                    if (fault != null) {
-                        putOff(fault, time);
-                        failed.run();
-                    } else {
-                        pause = SECOND;
-                        // What was lost before a picture was taken does not matter to it.
-                        lost = lost == covered ? null : lost;
-                    }
-                });
+                IOException failure = tryWrite(snapshot.generation(), bytes);
+                eventLoop.execute(() -> onWritten(failure, nowMicros, lostBefore, onFailure));
             });
             return true;
         } catch (IOException e) {
-            putOff(e, time);
+            delayNextAttempt(e, nowMicros);
             return false;
         }
     }
 
-    private IOException write(long generation, byte[] bytes) {
+    private IOException tryWrite(long generation, byte[] bytes) {
         try {
-            store.write(generation, bytes);
+            store.writeSnapshot(generation, bytes);
             return null;
         } catch (IOException e) {
             return e;
         }
     }
 
-    private void putOff(IOException fault, long time) {
-        if (pause == SECOND) {
-            Log.line("remembered: can't be saved, the picture before stands: " + fault.getMessage());
+    private void onWritten(IOException failure, long startedAtMicros, SnapshotDelta lostBefore, Runnable onFailure) {
+        isWriting = false;
+        store.endSnapshot(failure == null);
+        if (failure != null) {
+            delayNextAttempt(failure, startedAtMicros);
+            onFailure.run();
+            return;
         }
-        // Guards against a try a second, and a line each, on a disk that is full.
-        nextTry = time + pause;
-        pause = Math.min(LONGEST_PAUSE, 2 * pause);
+        retryDelayMicros = MIN_RETRY_DELAY_MICROS;
+        if (lostDeltas == lostBefore) {
+            // The snapshot contains what was lost before it was taken.
+            lostDeltas = null;
+        }
+    }
+
+    /** Backs off exponentially on a disk that fails, and logs only the first of consecutive failures. */
+    private void delayNextAttempt(IOException failure, long nowMicros) {
+        if (retryDelayMicros == MIN_RETRY_DELAY_MICROS) {
+            Log.line(LOG_PREFIX + "snapshot write failed, the previous one stays error=\"" + failure.getMessage()
+                    + "\"");
+        }
+        nextAttemptMicros = nowMicros + retryDelayMicros;
+        retryDelayMicros = Math.min(MAX_RETRY_DELAY_MICROS, 2 * retryDelayMicros);
     }
 
-    /** The bytes of a picture; one that is too large goes without those that were heard of longest ago. */
-    private byte[] encoded(Snapshot picture) throws IOException {
-        long most = Math.min((long) (options.limit() * PICTURE_SHARE), budget.largestPicture());
-        byte[] bytes = SnapshotCodec.picture(picture);
-        if (bytes.length <= most) {
+    /** Encodes a snapshot; one that is too large is encoded without the endpoints whose evidence is oldest. */
+    private byte[] encodeWithinLimit(Snapshot snapshot) throws IOException {
+        long maxBytes = Math.min((long) (options.limit() * SNAPSHOT_SHARE), budget.maxSnapshotBytes());
+        byte[] bytes = SnapshotCodec.encodeSnapshot(snapshot);
+        if (bytes.length <= maxBytes) {
             return bytes;
         }
-        List<KnownEndpoint> kept = new ArrayList<>(picture.endpoints());
-        kept.sort(Comparator.comparingLong((KnownEndpoint k) -> Math.max(k.listedAt(), k.answeredAt()))
-                .reversed()
-                .thenComparing(
-                        Comparator.comparingLong(KnownEndpoint::answeredAt).reversed()));
-        while (bytes.length > most && !kept.isEmpty()) {
-            // One picture's mean says how many fit; a tenth more goes each time where it does not.
-            int fit = (int) Math.min(kept.size() * 0.9, kept.size() * most / bytes.length);
-            kept.subList(fit, kept.size()).clear();
-            bytes = SnapshotCodec.picture(new Snapshot(
-                    picture.owner(), picture.generation(), picture.at(), picture.time(), picture.revision(), kept));
+        List<KnownEndpoint> retained = new ArrayList<>(snapshot.endpoints());
+        retained.sort(newestEvidenceFirst());
+        while (bytes.length > maxBytes && !retained.isEmpty()) {
+            // The mean size of an endpoint tells how many fit, unless those that are retained are larger than it.
+            int count = (int) Math.min(retained.size() * MAX_RETAINED_SHARE, retained.size() * maxBytes / bytes.length);
+            retained.subList(count, retained.size()).clear();
+            bytes = SnapshotCodec.encodeSnapshot(new Snapshot(
+                    snapshot.owner(),
+                    snapshot.generation(),
+                    snapshot.at(),
+                    snapshot.time(),
+                    snapshot.revision(),
+                    retained));
         }
-        if (!trimmed) {
-            trimmed = true;
-            Log.line("remembered: room for " + kept.size() + " of "
-                    + picture.endpoints().size()
-                    + " endpoints, those heard of last; raise memory.limit or memory.write-rate");
+        if (!hasLoggedTruncation) {
+            hasLoggedTruncation = true;
+            Log.line(LOG_PREFIX + "snapshot truncated, raise memory.limit or memory.write-rate retained="
+                    + retained.size() + " endpoints=" + snapshot.endpoints().size());
         }
         return bytes;
     }
 
-    /** Notes things at once; where that can't be, that something was. */
-    public void note(List<SnapshotDelta> notes, long time) {
-        if (notes.isEmpty()) {
+    private static Comparator<KnownEndpoint> newestEvidenceFirst() {
+        Comparator<KnownEndpoint> byEvidence =
+                Comparator.comparingLong(endpoint -> Math.max(endpoint.listedAt(), endpoint.answeredAtMicros()));
+        return byEvidence.thenComparingLong(KnownEndpoint::answeredAtMicros).reversed();
+    }
+
+    /** Writes deltas at once; where that can't be, a single one that stands for them. */
+    public void note(List<SnapshotDelta> deltas, long nowMicros) {
+        if (deltas.isEmpty()) {
             return;
         }
-        if (lost != null || store.isFull() || !written(notes, time)) {
-            List<SnapshotDelta> all = new ArrayList<>(notes);
-            if (lost != null) {
-                all.add(lost);
-            }
-            SnapshotDelta whole = SnapshotDelta.inPlaceOf(all);
-            if (lost == null || saving || whole.at() > lost.at()) {
-                lost = whole;
-                lostIsNoted = false;
-                noteLost(time);
-            }
+        if (lostDeltas == null && !store.needsSnapshot() && tryAppend(deltas, nowMicros)) {
+            return;
+        }
+        List<SnapshotDelta> unwritten = new ArrayList<>(deltas);
+        if (lostDeltas != null) {
+            unwritten.add(lostDeltas);
+        }
+        SnapshotDelta summary = SnapshotDelta.summaryOf(unwritten);
+        if (lostDeltas == null || isWriting || summary.atMicros() > lostDeltas.atMicros()) {
+            lostDeltas = summary;
+            areLostDeltasRecorded = false;
+            recordLostDeltas(nowMicros);
         }
     }
 
-    private boolean written(List<SnapshotDelta> notes, long time) {
+    private boolean tryAppend(List<SnapshotDelta> deltas, long nowMicros) {
         try {
             List<byte[]> records = new ArrayList<>();
-            long size = 0;
-            for (SnapshotDelta note : notes) {
-                records.add(SnapshotCodec.note(note));
-                size += records.get(records.size() - 1).length;
+            long totalBytes = 0;
+            for (SnapshotDelta delta : deltas) {
+                byte[] record = SnapshotCodec.encodeDelta(delta);
+                records.add(record);
+                totalBytes += record.length;
             }
-            if (!budget.takeNotes(size, time)) {
+            if (!budget.tryTakeDeltas(totalBytes, nowMicros)) {
                 return false;
             }
             for (byte[] record : records) {
-                store.note(record);
+                store.appendDelta(record);
             }
             return true;
         } catch (IOException e) {
-            Log.line("remembered: can't be noted: " + e.getMessage());
+            logDeltaFailure(e);
             return false;
         }
     }
 
     /**
-     * Beyond the budget, once a second at the most: it is a few bytes, and all that stands for what was not written.
+     * Records that deltas were lost, at most once a second. This is not charged to the budget: it is a few bytes, and
+     * all that stands for what was not written.
      */
-    private void noteLost(long time) {
-        if (lost == null || lostIsNoted || time - lostAt < SECOND) {
+    private void recordLostDeltas(long nowMicros) {
+        if (lostDeltas == null
+                || areLostDeltasRecorded
+                || nowMicros - lostDeltasTriedMicros < LOST_DELTA_INTERVAL_MICROS) {
             return;
         }
-        lostAt = time;
+        lostDeltasTriedMicros = nowMicros;
         try {
-            store.note(SnapshotCodec.note(lost));
-            lostIsNoted = true;
+            store.appendDelta(SnapshotCodec.encodeDelta(lostDeltas));
+            areLostDeltasRecorded = true;
         } catch (IOException e) {
-            Log.line("remembered: can't be noted: " + e.getMessage());
+            logDeltaFailure(e);
         }
     }
 
-    /** To be called each second: tells what could not be told when it came. */
-    public void look(long time) {
-        noteLost(time);
+    private static void logDeltaFailure(IOException failure) {
+        Log.line(LOG_PREFIX + "delta write failed error=\"" + failure.getMessage() + "\"");
+    }
+
+    /** Called each second: records lost deltas that could not be recorded when they were lost. */
+    public void look(long nowMicros) {
+        recordLostDeltas(nowMicros);
     }
 
-    /** Waits for what is being saved. */
+    /** Waits, for a bounded time, until the snapshot that is being written is done. */
     @Override
     public void close() {
         thread.shutdown();
         try {
-            thread.awaitTermination(PATIENCE_S, TimeUnit.SECONDS);
+            thread.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/loftflow/server/WarmStartOffTest.java
+++ b/src/test/java/loftflow/server/WarmStartOffTest.java
@@ -34,7 +34,7 @@
         relay.kill();
         int before = host.requests.size();
         relay.start();
-        assertTrue(relay.log().contains("remembered 1 endpoints of revision 1"), relay.log());
+        assertTrue(relay.log().contains("warmstart: restored endpoints=1 revision=1 "), relay.log());
         assertEquals(202, relay.handIn("b", "unsafe", 7));
         await(() -> host.count("POST ") == 2);
         assertTrue(
--- a/src/test/java/loftflow/server/WarmStartRestartTest.java
+++ b/src/test/java/loftflow/server/WarmStartRestartTest.java
@@ -143,7 +143,7 @@
 
     private boolean isStruck(String id) {
         try {
-            return isNoted("STRUCK " + id)
+            return isNoted("EJECTED " + id)
                     || SnapshotSamples.of(state).endpoints().stream()
                             .anyMatch(k -> k.id().equals(id) && k.state() == KnownEndpoint.State.STRUCK);
         } catch (IOException e) {
@@ -184,7 +184,7 @@
         }
         handIn(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
-        assertTrue(relay.log().contains("remembered 1 endpoints of revision 1"), relay.log());
+        assertTrue(relay.log().contains("warmstart: restored endpoints=1 revision=1 "), relay.log());
     }
 
     @Test
@@ -216,7 +216,7 @@
             }
             await(() -> partner.effects().size() == 4);
             assertEquals(0, other.count("POST "), "a message went to another service");
-            assertTrue(other.count("GET ") == 0 || relay.log().contains("answers as something else"), relay.log());
+            assertTrue(other.count("GET ") == 0 || relay.log().contains("reason=unexpected-response"), relay.log());
         }
     }
 
@@ -246,7 +246,7 @@
             assertEquals(0, silent.count("POST "));
             relay.close();
             ServedRelay again = start(file);
-            assertTrue(again.log().contains("2 never"), "out over a restart too: " + again.log());
+            assertTrue(again.log().contains("never=2"), "out over a restart too: " + again.log());
         }
     }
 
@@ -259,7 +259,7 @@
         ServedRelay first = start(file);
         await(() -> hasPicture(2));
         discovery.list(List.of(entry("iron-1", 7, "terminating"), entry("iron-2", 7, "in_service")));
-        await(() -> isNoted("GONE iron-1") || hasPicture(1));
+        await(() -> isNoted("OUT_OF_SERVICE iron-1") || hasPicture(1));
         first.close();
         discovery.close();
         ServedRelay relay = start(file);
@@ -316,11 +316,11 @@
         handIn(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
         discovery.list(List.of());
-        await(() -> logs(relay, "discovery's list is in doubt"));
+        await(() -> logs(relay, "discovery list in doubt"));
         handIn(relay, "s2", 7);
         await(() -> ran(partner, "s2"));
-        await(() -> logs(relay, "discovery has told the like for long enough"));
-        await(() -> isNoted("GONE iron-1") || hasPicture(0));
+        await(() -> logs(relay, "doubtful discovery list accepted"));
+        await(() -> isNoted("OUT_OF_SERVICE iron-1") || hasPicture(0));
     }
 
     @Test
@@ -335,7 +335,7 @@
             await(() -> hasPicture(1));
             handIn(first, "s1", 7);
             await(() -> busy.count("POST ") == 1);
-            await(() -> isNoted("WAIT iron-1") || standsToWait());
+            await(() -> isNoted("RETRY_AFTER iron-1") || standsToWait());
             first.close();
             discovery.close();
             full.set(false);
@@ -372,7 +372,7 @@
                                 .map(k -> k.listed(k.listed(), k.address(), k.listedAt() - weeks))
                                 .toList()));
         ServedRelay relay = start(file);
-        assertTrue(relay.log().contains("1 if nothing else is left"), relay.log());
+        assertTrue(relay.log().contains("lastResort=1"), relay.log());
         handIn(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
         assertEquals(1, partner.checks().size(), "a check went first");
@@ -385,7 +385,7 @@
         long listedAt = SnapshotSamples.of(state).endpoints().get(0).listedAt();
         for (int i = 0; i < 10; i++) {
             ServedRelay relay = start(file);
-            assertTrue(relay.log().contains("remembered 1 endpoints"), relay.log());
+            assertTrue(relay.log().contains("warmstart: restored endpoints=1 "), relay.log());
             relay.close();
         }
         assertEquals(listedAt, SnapshotSamples.of(state).endpoints().get(0).listedAt(), "no start is evidence");
@@ -464,13 +464,13 @@
         Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
         SnapshotSamples.tear(state);
         ServedRelay torn = start(file);
-        assertTrue(torn.log().contains("is set aside as"), torn.log());
+        assertTrue(torn.log().contains("file set aside"), torn.log());
         torn.close();
         Files.walk(state).filter(f -> f.toString().contains("remembered")).forEach(f -> f.toFile()
                 .delete());
         SnapshotSamples.write(state, new Snapshot("app#1", 1, new ClockReading(0, 0, ""), 0, 1, List.of()));
         ServedRelay foreign = start(file);
-        assertTrue(foreign.log().contains("it is app#1's, and this relay is app#0"), foreign.log());
+        assertTrue(foreign.log().contains("owner is app#1, expected is app#0"), foreign.log());
     }
 
     @Test
@@ -482,7 +482,7 @@
         ServedRelay relay = start(written(discovery.address()));
         handIn(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
-        await(() -> logs(relay, "can't be saved, the picture before stands"));
+        await(() -> logs(relay, "warmstart: snapshot write failed"));
         handIn(relay, "s2", 7);
         await(() -> ran(partner, "s2"));
     }
--- a/src/test/java/loftflow/warmstart/EndpointHistoryTest.java
+++ b/src/test/java/loftflow/warmstart/EndpointHistoryTest.java
@@ -19,52 +19,54 @@
 import loftflow.policy.api.TrustLevel;
 import org.junit.jupiter.api.Test;
 
-/** What a relay knows over a restart, and how it meets discovery again. */
+/** What a relay restores at a start, and how it reconciles that with discovery and the outcomes of calls. */
 class EndpointHistoryTest {
-    private static final long SECOND = 1_000_000;
-    private static final long T = 1_700_000_000 * SECOND;
-    private static final ClockReading AT = new ClockReading(T, 900 * SECOND, "b1");
-    private static final EndpointHistory.Rules RULES =
-            new EndpointHistory.Rules(new TrustPolicy(1800 * SECOND), 60 * SECOND, SECOND / 10, 10 * SECOND, false);
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long START_MICROS = 1_700_000_000 * SECOND_MICROS;
+    private static final ClockReading START_READING = new ClockReading(START_MICROS, 900 * SECOND_MICROS, "b1");
+    private static final EndpointHistory.Rules OPTIONS = new EndpointHistory.Rules(
+            new TrustPolicy(1800 * SECOND_MICROS), 60 * SECOND_MICROS, SECOND_MICROS / 10, 10 * SECOND_MICROS, false);
 
-    private static ListedEndpoint listing(int i) {
+    private static ListedEndpoint listedEndpoint(int i) {
         return new ListedEndpoint(
                 new EndpointEntry("e" + i, i, "k", "b", Availability.LISTED, 0), "127.0.0.1:" + (1000 + i));
     }
 
-    private static ListUpdate all(long revision, int n) {
+    private static ListUpdate fullList(long revision, int n) {
         return new ListUpdate(
                 EndpointListKind.FULL,
                 revision,
-                IntStream.range(0, n).mapToObj(EndpointHistoryTest::listing).toList());
+                IntStream.range(0, n)
+                        .mapToObj(EndpointHistoryTest::listedEndpoint)
+                        .toList());
     }
 
-    private static AttemptCompleted outcome(int i, AttemptOutcome result, long wait) {
-        return new AttemptCompleted(1, 0, "e" + i, result, false, wait, 2 * SECOND, LimitReport.NONE);
+    private static AttemptCompleted attempt(int i, AttemptOutcome result, long wait) {
+        return new AttemptCompleted(1, 0, "e" + i, result, false, wait, 2 * SECOND_MICROS, LimitReport.NONE);
     }
 
     private static ProbeCompleted probe(int i, AttemptOutcome result) {
         return new ProbeCompleted("e" + i, result, 0, 1000, LimitReport.NONE);
     }
 
-    private static RouteSnapshot standing(int i, long wait, double usual, boolean out, long warm) {
+    private static RouteSnapshot routeSnapshot(int i, long wait, double usual, boolean out, long warm) {
         return new RouteSnapshot("e" + i, wait, 0, usual, 30_000, out, warm);
     }
 
-    /** A book that discovery has told of {@code n} endpoints. */
-    private static EndpointHistory told(int n) {
-        EndpointHistory book = new EndpointHistory(RULES, "app#0");
-        book.open(null, List.of(), true, null, AT, T);
-        book.heard(all(5, n), T);
-        return book;
+    /** A history with a list of {@code n} endpoints from discovery. */
+    private static EndpointHistory historyWithList(int n) {
+        EndpointHistory history = new EndpointHistory(OPTIONS, "app#0");
+        history.open(null, List.of(), true, null, START_READING, START_MICROS);
+        history.heard(fullList(5, n), START_MICROS);
+        return history;
     }
 
     private static EndpointHistory.Opening reopen(
-            EndpointHistory book, Snapshot picture, List<SnapshotDelta> notes, long later) {
-        return book.open(picture, notes, true, null, AT.plus(later), T + later);
+            EndpointHistory history, Snapshot snapshot, List<SnapshotDelta> deltas, long later) {
+        return history.open(snapshot, deltas, true, null, START_READING.plus(later), START_MICROS + later);
     }
 
-    private static RouteRestored of(EndpointHistory.Opening opening, int i) {
+    private static RouteRestored restoredRoute(EndpointHistory.Opening opening, int i) {
         return opening.remembered().stream()
                 .filter(r -> r.snapshot().route().equals("e" + i))
                 .findFirst()
@@ -72,226 +74,260 @@
     }
 
     @Test
-    void startKnowsTheListAndWhatWasLearnt() {
-        Snapshot picture = told(3).picture(AT, T, List.of(standing(1, 0, 4.5, false, 0)));
-        EndpointHistory.Opening opening = reopen(new EndpointHistory(RULES, "app#0"), picture, List.of(), 5 * SECOND);
-        assertEquals(List.of(listing(0), listing(1), listing(2)), opening.list());
+    void startRestoresTheListAndWhatWasLearnt() {
+        Snapshot snapshot =
+                historyWithList(3).picture(START_READING, START_MICROS, List.of(routeSnapshot(1, 0, 4.5, false, 0)));
+        EndpointHistory.Opening opening =
+                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, List.of(), 5 * SECOND_MICROS);
+        assertEquals(List.of(listedEndpoint(0), listedEndpoint(1), listedEndpoint(2)), opening.list());
         assertEquals(5, opening.revision());
-        assertEquals(new RouteRestored(TrustLevel.AS_LISTED, standing(1, 0, 4.5, false, 0)), of(opening, 1));
         assertEquals(
-                List.of("remembered 3 endpoints of revision 5, saved 5 s ago: 3 as listed, 0 to be tried first,"
-                        + " 0 if nothing else is left, 0 never"),
+                new RouteRestored(TrustLevel.AS_LISTED, routeSnapshot(1, 0, 4.5, false, 0)), restoredRoute(opening, 1));
+        assertEquals(
+                List.of("warmstart: restored endpoints=3 revision=5 ageSeconds=5 clock=proven asListed=3 probeFirst=0"
+                        + " lastResort=0 never=0"),
                 opening.log());
     }
 
     @Test
-    void drainAndRemovalToldAfterThePictureHold() {
-        EndpointHistory book = told(3);
-        Snapshot picture = book.picture(AT, T, List.of());
+    void drainAndRemovalAfterTheSnapshotAreRestored() {
+        EndpointHistory history = historyWithList(3);
+        Snapshot snapshot = history.picture(START_READING, START_MICROS, List.of());
         ListedEndpoint drained =
                 new ListedEndpoint(new EndpointEntry("e1", 1, "k", "b", Availability.DRAINING, 0), "127.0.0.1:1001");
-        EndpointHistory.Heard heard = book.heard(
+        EndpointHistory.Heard update = history.heard(
                 new ListUpdate(
-                        EndpointListKind.DELTA, 6, List.of(drained, listing(2).gone())),
-                T + SECOND);
+                        EndpointListKind.DELTA,
+                        6,
+                        List.of(drained, listedEndpoint(2).removed())),
+                START_MICROS + SECOND_MICROS);
         assertEquals(
                 List.of(
-                        new SnapshotDelta(SnapshotDelta.Kind.GONE, "e1", T + SECOND),
-                        new SnapshotDelta(SnapshotDelta.Kind.GONE, "e2", T + SECOND)),
-                heard.notes());
+                        new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, "e1", START_MICROS + SECOND_MICROS),
+                        new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, "e2", START_MICROS + SECOND_MICROS)),
+                update.notes());
         EndpointHistory.Opening opening =
-                reopen(new EndpointHistory(RULES, "app#0"), picture, heard.notes(), 2 * SECOND);
-        assertEquals(List.of(listing(0)), opening.list());
+                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.notes(), 2 * SECOND_MICROS);
+        assertEquals(List.of(listedEndpoint(0)), opening.list());
     }
 
     @Test
-    void waitIsNeverShortenedByARestart() {
-        EndpointHistory book = told(2);
-        Snapshot picture = book.picture(AT, T, List.of(standing(0, 20 * SECOND, 0, false, 0)));
-        EndpointHistory.Heard heard = book.saw(outcome(1, AttemptOutcome.REJECTED, 8 * SECOND), T + SECOND);
-        assertEquals(List.of(new SnapshotDelta(SnapshotDelta.Kind.WAIT, "e1", T + 9 * SECOND)), heard.notes());
+    void retryAfterIsNeverShortenedByARestart() {
+        EndpointHistory history = historyWithList(2);
+        Snapshot snapshot = history.picture(
+                START_READING, START_MICROS, List.of(routeSnapshot(0, 20 * SECOND_MICROS, 0, false, 0)));
+        EndpointHistory.Heard update =
+                history.saw(attempt(1, AttemptOutcome.REJECTED, 8 * SECOND_MICROS), START_MICROS + SECOND_MICROS);
+        assertEquals(
+                List.of(new SnapshotDelta(SnapshotDelta.Kind.RETRY_AFTER, "e1", START_MICROS + 9 * SECOND_MICROS)),
+                update.notes());
         assertTrue(
-                book.saw(outcome(1, AttemptOutcome.REJECTED, 7 * SECOND), T + 2 * SECOND)
+                history.saw(attempt(1, AttemptOutcome.REJECTED, 7 * SECOND_MICROS), START_MICROS + 2 * SECOND_MICROS)
                         .notes()
                         .isEmpty(),
-                "no longer wait");
+                "the wait ends no later");
         EndpointHistory.Opening opening =
-                reopen(new EndpointHistory(RULES, "app#0"), picture, heard.notes(), 5 * SECOND);
-        assertEquals(15 * SECOND + SECOND / 10, of(opening, 0).snapshot().retryAfterRemainingMicros());
-        assertEquals(4 * SECOND + SECOND / 10, of(opening, 1).snapshot().retryAfterRemainingMicros());
-        // Where the clock was set two hours back over a boot, nothing is known to have passed.
-        ClockReading back = new ClockReading(T - 7200 * SECOND, SECOND, "b2");
-        EndpointHistory.Opening doubtful =
-                new EndpointHistory(RULES, "app#0").open(picture, heard.notes(), true, null, back, T);
-        assertEquals(20 * SECOND + SECOND / 10, of(doubtful, 0).snapshot().retryAfterRemainingMicros());
-        assertEquals(TrustLevel.LAST_RESORT, of(doubtful, 0).trust());
+                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.notes(), 5 * SECOND_MICROS);
+        assertEquals(
+                15 * SECOND_MICROS + SECOND_MICROS / 10,
+                restoredRoute(opening, 0).snapshot().retryAfterRemainingMicros());
+        assertEquals(
+                4 * SECOND_MICROS + SECOND_MICROS / 10,
+                restoredRoute(opening, 1).snapshot().retryAfterRemainingMicros());
+        // With the clock set back two hours across a reboot, no time has provably passed.
+        ClockReading clockSetBack = new ClockReading(START_MICROS - 7200 * SECOND_MICROS, SECOND_MICROS, "b2");
+        EndpointHistory.Opening doubtful = new EndpointHistory(OPTIONS, "app#0")
+                .open(snapshot, update.notes(), true, null, clockSetBack, START_MICROS);
+        assertEquals(
+                20 * SECOND_MICROS + SECOND_MICROS / 10,
+                restoredRoute(doubtful, 0).snapshot().retryAfterRemainingMicros());
+        assertEquals(TrustLevel.LAST_RESORT, restoredRoute(doubtful, 0).trust());
     }
 
     @Test
-    void lostNoteDoubtsEverythingAndWaitsForAll() {
-        Snapshot picture = told(2).picture(AT, T, List.of());
-        SnapshotDelta lost = SnapshotDelta.inPlaceOf(List.of(
-                new SnapshotDelta(SnapshotDelta.Kind.GONE, "e0", T),
-                new SnapshotDelta(SnapshotDelta.Kind.WAIT, "e1", T + 9 * SECOND)));
-        EndpointHistory.Opening opening = reopen(new EndpointHistory(RULES, "app#0"), picture, List.of(lost), SECOND);
+    void lostDeltasLowerTrustAndExtendRetryAfterOfAllEndpoints() {
+        Snapshot snapshot = historyWithList(2).picture(START_READING, START_MICROS, List.of());
+        SnapshotDelta deltasLost = SnapshotDelta.summaryOf(List.of(
+                new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, "e0", START_MICROS),
+                new SnapshotDelta(SnapshotDelta.Kind.RETRY_AFTER, "e1", START_MICROS + 9 * SECOND_MICROS)));
+        EndpointHistory.Opening opening =
+                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, List.of(deltasLost), SECOND_MICROS);
         for (RouteRestored one : opening.remembered()) {
             assertEquals(TrustLevel.PROBE_FIRST, one.trust());
-            assertEquals(8 * SECOND + SECOND / 10, one.snapshot().retryAfterRemainingMicros());
+            assertEquals(8 * SECOND_MICROS + SECOND_MICROS / 10, one.snapshot().retryAfterRemainingMicros());
         }
     }
 
     @Test
-    void partnerThatWasOutIsColdAndOneThatCameBackJustNowStaysSo() {
-        EndpointHistory book = told(3);
-        Snapshot picture = book.picture(AT, T, List.of(standing(0, 0, 0, true, 0)));
+    void failedEndpointIsColdAndOneThatHasJustRecoveredStaysCold() {
+        EndpointHistory history = historyWithList(3);
+        Snapshot snapshot = history.picture(START_READING, START_MICROS, List.of(routeSnapshot(0, 0, 0, true, 0)));
         for (int i = 0; i < 3; i++) {
             assertEquals(
                     i == 2 ? 1 : 0,
-                    book.saw(outcome(1, AttemptOutcome.CONNECT_FAILED, 0), T + i * SECOND)
+                    history.saw(attempt(1, AttemptOutcome.CONNECT_FAILED, 0), START_MICROS + i * SECOND_MICROS)
                             .notes()
                             .size());
-            book.saw(outcome(2, AttemptOutcome.RESET, 0), T + i * SECOND);
+            history.saw(attempt(2, AttemptOutcome.RESET, 0), START_MICROS + i * SECOND_MICROS);
         }
-        List<SnapshotDelta> notes = List.of(
-                new SnapshotDelta(SnapshotDelta.Kind.DOWN, "e1", T + 2 * SECOND),
-                new SnapshotDelta(SnapshotDelta.Kind.DOWN, "e2", T + 2 * SECOND),
-                book.saw(outcome(2, AttemptOutcome.OK, 0), T + 4 * SECOND)
+        List<SnapshotDelta> deltas = List.of(
+                new SnapshotDelta(SnapshotDelta.Kind.FAILED, "e1", START_MICROS + 2 * SECOND_MICROS),
+                new SnapshotDelta(SnapshotDelta.Kind.FAILED, "e2", START_MICROS + 2 * SECOND_MICROS),
+                history.saw(attempt(2, AttemptOutcome.OK, 0), START_MICROS + 4 * SECOND_MICROS)
                         .notes()
                         .get(0));
-        assertEquals(new SnapshotDelta(SnapshotDelta.Kind.BACK, "e2", T + 4 * SECOND), notes.get(2));
-        EndpointHistory.Opening opening = reopen(new EndpointHistory(RULES, "app#0"), picture, notes, 6 * SECOND);
-        assertTrue(of(opening, 0).snapshot().circuitOpen());
-        assertTrue(of(opening, 1).snapshot().circuitOpen());
-        assertEquals(TrustLevel.PROBE_FIRST, of(opening, 1).trust(), "its last call failed");
-        assertFalse(of(opening, 2).snapshot().circuitOpen());
-        assertEquals(8 * SECOND, of(opening, 2).snapshot().warmUpRemainingMicros());
+        assertEquals(
+                new SnapshotDelta(SnapshotDelta.Kind.RECOVERED, "e2", START_MICROS + 4 * SECOND_MICROS), deltas.get(2));
+        EndpointHistory.Opening opening =
+                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, deltas, 6 * SECOND_MICROS);
+        assertTrue(restoredRoute(opening, 0).snapshot().circuitOpen());
+        assertTrue(restoredRoute(opening, 1).snapshot().circuitOpen());
+        assertEquals(TrustLevel.PROBE_FIRST, restoredRoute(opening, 1).trust(), "its last call failed");
+        assertFalse(restoredRoute(opening, 2).snapshot().circuitOpen());
+        assertEquals(8 * SECOND_MICROS, restoredRoute(opening, 2).snapshot().warmUpRemainingMicros());
     }
 
     @Test
-    void addressThatAnswersAsSomethingElseIsOutUntilDiscoverySaysOtherwise() {
-        Snapshot picture = told(3).picture(AT, T, List.of());
-        EndpointHistory book = new EndpointHistory(RULES, "app#0");
-        reopen(book, picture, List.of(), SECOND);
-        EndpointHistory.Heard heard = book.saw(probe(1, AttemptOutcome.ERROR), T + 2 * SECOND);
+    void unexpectedResponseEjectsAnEndpointUntilDiscoveryListsIt() {
+        Snapshot snapshot = historyWithList(3).picture(START_READING, START_MICROS, List.of());
+        EndpointHistory history = new EndpointHistory(OPTIONS, "app#0");
+        reopen(history, snapshot, List.of(), SECOND_MICROS);
+        EndpointHistory.Heard update = history.saw(probe(1, AttemptOutcome.ERROR), START_MICROS + 2 * SECOND_MICROS);
         assertEquals(
-                new ListUpdate(EndpointListKind.DELTA, 5, List.of(listing(1).gone())), heard.passOn());
-        assertEquals(SnapshotDelta.Kind.STRUCK, heard.notes().get(0).kind());
-        EndpointHistory.Opening again = reopen(new EndpointHistory(RULES, "app#0"), picture, heard.notes(), 9 * SECOND);
-        assertEquals(List.of(listing(0), listing(2)), again.list(), "over a restart too");
-        EndpointHistory.Heard back = book.heard(all(6, 3), T + 20 * SECOND);
-        assertEquals(3, back.passOn().entries().size());
+                new ListUpdate(
+                        EndpointListKind.DELTA, 5, List.of(listedEndpoint(1).removed())),
+                update.passOn());
+        assertEquals(SnapshotDelta.Kind.EJECTED, update.notes().get(0).kind());
+        EndpointHistory.Opening reopened =
+                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.notes(), 9 * SECOND_MICROS);
+        assertEquals(List.of(listedEndpoint(0), listedEndpoint(2)), reopened.list(), "across a restart too");
+        EndpointHistory.Heard relisted = history.heard(fullList(6, 3), START_MICROS + 20 * SECOND_MICROS);
+        assertEquals(3, relisted.passOn().entries().size());
         assertEquals(
                 List.of("e1"),
-                back.remembered().stream().map(r -> r.snapshot().route()).toList());
-        assertTrue(back.remembered().get(0).snapshot().circuitOpen(), "it is cold, as far as this relay knows");
+                relisted.remembered().stream().map(r -> r.snapshot().route()).toList());
+        assertTrue(relisted.remembered().get(0).snapshot().circuitOpen(), "it is cold");
         assertNull(
-                book.saw(probe(1, AttemptOutcome.ERROR), T + 21 * SECOND).passOn(),
-                "what discovery lists is not struck out");
+                history.saw(probe(1, AttemptOutcome.ERROR), START_MICROS + 21 * SECOND_MICROS)
+                        .passOn(),
+                "an endpoint that discovery lists is not ejected");
     }
 
     @Test
-    void addressThatRefusesOrHangsTwiceIsOutAndOneRefusalIsNot() {
-        Snapshot picture = told(4).picture(AT, T, List.of());
-        EndpointHistory book = new EndpointHistory(RULES, "app#0");
-        reopen(book, picture, List.of(), SECOND);
-        assertNull(book.saw(outcome(0, AttemptOutcome.CONNECT_FAILED, 0), T + 2 * SECOND)
+    void twoRefusalsOrHangsEjectAnEndpointAndOneRefusalDoesNot() {
+        Snapshot snapshot = historyWithList(4).picture(START_READING, START_MICROS, List.of());
+        EndpointHistory history = new EndpointHistory(OPTIONS, "app#0");
+        reopen(history, snapshot, List.of(), SECOND_MICROS);
+        assertNull(history.saw(attempt(0, AttemptOutcome.CONNECT_FAILED, 0), START_MICROS + 2 * SECOND_MICROS)
                 .passOn());
         assertNull(
-                book.saw(outcome(0, AttemptOutcome.CONNECT_FAILED, 0), T + 2 * SECOND + 9)
+                history.saw(attempt(0, AttemptOutcome.CONNECT_FAILED, 0), START_MICROS + 2 * SECOND_MICROS + 9)
                         .passOn(),
-                "one burst is one refusal");
+                "refusals within a second count as one");
         assertEquals(
                 "e0",
-                book.saw(outcome(0, AttemptOutcome.CONNECT_FAILED, 0), T + 4 * SECOND)
+                history.saw(attempt(0, AttemptOutcome.CONNECT_FAILED, 0), START_MICROS + 4 * SECOND_MICROS)
                         .passOn()
                         .entries()
                         .get(0)
                         .id());
-        assertNull(book.saw(probe(1, AttemptOutcome.TIMEOUT), T + 2 * SECOND).passOn());
+        assertNull(history.saw(probe(1, AttemptOutcome.TIMEOUT), START_MICROS + 2 * SECOND_MICROS)
+                .passOn());
         assertEquals(
                 "e1",
-                book.saw(probe(1, AttemptOutcome.TIMEOUT), T + 4 * SECOND)
+                history.saw(probe(1, AttemptOutcome.TIMEOUT), START_MICROS + 4 * SECOND_MICROS)
                         .passOn()
                         .entries()
                         .get(0)
                         .id());
-        book.saw(outcome(2, AttemptOutcome.CONNECT_FAILED, 0), T + 2 * SECOND);
-        book.saw(outcome(2, AttemptOutcome.OK, 0), T + 3 * SECOND);
+        history.saw(attempt(2, AttemptOutcome.CONNECT_FAILED, 0), START_MICROS + 2 * SECOND_MICROS);
+        history.saw(attempt(2, AttemptOutcome.OK, 0), START_MICROS + 3 * SECOND_MICROS);
         assertNull(
-                book.saw(outcome(2, AttemptOutcome.CONNECT_FAILED, 0), T + 9 * SECOND)
+                history.saw(attempt(2, AttemptOutcome.CONNECT_FAILED, 0), START_MICROS + 9 * SECOND_MICROS)
                         .passOn(),
                 "an answer between");
-        book.saw(outcome(3, AttemptOutcome.REJECTED, 0), T + 2 * SECOND);
-        assertNull(book.saw(outcome(3, AttemptOutcome.RESET, 0), T + 9 * SECOND).passOn());
+        history.saw(attempt(3, AttemptOutcome.REJECTED, 0), START_MICROS + 2 * SECOND_MICROS);
+        assertNull(history.saw(attempt(3, AttemptOutcome.RESET, 0), START_MICROS + 9 * SECOND_MICROS)
+                .passOn());
     }
 
     @Test
-    void tenStartsInTenSecondsKeepPaceAndTrust() {
-        Snapshot picture = told(1).picture(AT, T, List.of(standing(0, 0, 8, false, 0)));
+    void tenStartsInTenSecondsRetainRateAndTrust() {
+        Snapshot snapshot =
+                historyWithList(1).picture(START_READING, START_MICROS, List.of(routeSnapshot(0, 0, 8, false, 0)));
         for (int start = 1; start <= 10; start++) {
-            EndpointHistory book = new EndpointHistory(RULES, "app#0");
-            long now = start * SECOND;
-            EndpointHistory.Opening opening = reopen(book, picture, List.of(), now);
-            assertEquals(TrustLevel.AS_LISTED, of(opening, 0).trust());
-            assertEquals(8, of(opening, 0).snapshot().usualRatePerSecond(), 1e-6);
-            // In so short a life the module has seen a tenth of the usual calls.
-            picture = book.picture(AT.plus(now), T + now, List.of(standing(0, 0, 0.8, false, 0)));
+            EndpointHistory history = new EndpointHistory(OPTIONS, "app#0");
+            long now = start * SECOND_MICROS;
+            EndpointHistory.Opening opening = reopen(history, snapshot, List.of(), now);
+            assertEquals(TrustLevel.AS_LISTED, restoredRoute(opening, 0).trust());
+            assertEquals(8, restoredRoute(opening, 0).snapshot().usualRatePerSecond(), 1e-6);
+            // In its short run this process has seen a tenth of the usual calls.
+            snapshot = history.picture(
+                    START_READING.plus(now), START_MICROS + now, List.of(routeSnapshot(0, 0, 0.8, false, 0)));
         }
-        assertEquals(T, picture.endpoints().get(0).listedAt(), "no start counts as evidence");
-        EndpointHistory late = new EndpointHistory(RULES, "app#0");
+        assertEquals(START_MICROS, snapshot.endpoints().get(0).listedAt(), "a start is no evidence");
+        EndpointHistory late = new EndpointHistory(OPTIONS, "app#0");
         assertEquals(
                 TrustLevel.PROBE_FIRST,
-                of(reopen(late, picture, List.of(), 1802 * SECOND), 0).trust());
+                restoredRoute(reopen(late, snapshot, List.of(), 1802 * SECOND_MICROS), 0)
+                        .trust());
     }
 
     @Test
-    void listOnFileIsAllThereIsAndKeepsWhatWasLearnt() {
+    void fixedListIsCompleteAndRetainsWhatWasLearnt() {
         EndpointHistory.Rules fixed =
-                new EndpointHistory.Rules(RULES.trust(), RULES.settle(), RULES.margin(), RULES.warmUp(), true);
-        Snapshot picture = told(3).picture(AT, T, List.of(standing(1, 9 * SECOND, 3, true, 0)));
-        EndpointHistory book = new EndpointHistory(fixed, "app#0");
-        ListUpdate file = new ListUpdate(EndpointListKind.FULL, 0, List.of(listing(1), listing(5)));
-        EndpointHistory.Opening opening = book.open(
-                picture,
-                List.of(new SnapshotDelta(SnapshotDelta.Kind.STRUCK, "e1", T)),
+                new EndpointHistory.Rules(OPTIONS.trust(), OPTIONS.settle(), OPTIONS.margin(), OPTIONS.warmUp(), true);
+        Snapshot snapshot = historyWithList(3)
+                .picture(START_READING, START_MICROS, List.of(routeSnapshot(1, 9 * SECOND_MICROS, 3, true, 0)));
+        EndpointHistory history = new EndpointHistory(fixed, "app#0");
+        ListUpdate fileList = new ListUpdate(EndpointListKind.FULL, 0, List.of(listedEndpoint(1), listedEndpoint(5)));
+        EndpointHistory.Opening opening = history.open(
+                snapshot,
+                List.of(new SnapshotDelta(SnapshotDelta.Kind.EJECTED, "e1", START_MICROS)),
                 true,
-                file,
-                AT.plus(99_999 * SECOND),
-                T + 99_999 * SECOND);
-        assertEquals(List.of(listing(1), listing(5)), opening.list());
-        assertEquals(TrustLevel.AS_LISTED, of(opening, 1).trust());
-        assertTrue(of(opening, 1).snapshot().circuitOpen());
-        assertNull(book.saw(probe(1, AttemptOutcome.ERROR), T).passOn(), "nobody could say otherwise");
+                fileList,
+                START_READING.plus(99_999 * SECOND_MICROS),
+                START_MICROS + 99_999 * SECOND_MICROS);
+        assertEquals(List.of(listedEndpoint(1), listedEndpoint(5)), opening.list());
+        assertEquals(TrustLevel.AS_LISTED, restoredRoute(opening, 1).trust());
+        assertTrue(restoredRoute(opening, 1).snapshot().circuitOpen());
+        assertNull(
+                history.saw(probe(1, AttemptOutcome.ERROR), START_MICROS).passOn(),
+                "there is no discovery that could list it again");
     }
 
     @Test
-    void newerListThanThePictureIsUsedWithWhatWasLearnt() {
-        Snapshot picture = told(2).picture(AT, T, List.of(standing(0, 0, 0, true, 0)));
-        EndpointHistory.Opening opening =
-                new EndpointHistory(RULES, "app#0").open(picture, List.of(), true, all(9, 1), AT, T);
+    void newerListThanTheSnapshotIsUsedWithWhatWasLearnt() {
+        Snapshot snapshot =
+                historyWithList(2).picture(START_READING, START_MICROS, List.of(routeSnapshot(0, 0, 0, true, 0)));
+        EndpointHistory.Opening opening = new EndpointHistory(OPTIONS, "app#0")
+                .open(snapshot, List.of(), true, fullList(9, 1), START_READING, START_MICROS);
         assertEquals(9, opening.revision());
-        assertEquals(List.of(listing(0)), opening.list());
-        assertTrue(of(opening, 0).snapshot().circuitOpen());
+        assertEquals(List.of(listedEndpoint(0)), opening.list());
+        assertTrue(restoredRoute(opening, 0).snapshot().circuitOpen());
         assertEquals(
                 2,
-                new EndpointHistory(RULES, "app#0")
-                        .open(picture, List.of(), true, all(4, 1), AT, T)
+                new EndpointHistory(OPTIONS, "app#0")
+                        .open(snapshot, List.of(), true, fullList(4, 1), START_READING, START_MICROS)
                         .list()
                         .size());
     }
 
     @Test
-    void pictureCountsOnAndIsDueAgainWhereItCouldNotBeSaved() {
-        EndpointHistory book = told(1);
-        assertTrue(book.hasChanged());
-        assertEquals(1, book.picture(AT, T, List.of()).generation());
-        assertTrue(book.hasChanged(), "it may not be saved just now");
-        book.saving();
-        assertFalse(book.hasChanged());
-        assertEquals(2, book.picture(AT, T, List.of()).generation());
-        book.saving();
-        book.notSaved();
-        assertTrue(book.hasChanged());
-        assertEquals(2, book.picture(AT, T, List.of()).generation(), "its place is the one that does not stand");
+    void generationIncreasesAndAFailedWriteIsRepeated() {
+        EndpointHistory history = historyWithList(1);
+        assertTrue(history.hasChanged());
+        assertEquals(1, history.picture(START_READING, START_MICROS, List.of()).generation());
+        assertTrue(history.hasChanged(), "taking a snapshot does not write it");
+        history.saving();
+        assertFalse(history.hasChanged());
+        assertEquals(2, history.picture(START_READING, START_MICROS, List.of()).generation());
+        history.saving();
+        history.notSaved();
+        assertTrue(history.hasChanged());
+        assertEquals(
+                2,
+                history.picture(START_READING, START_MICROS, List.of()).generation(),
+                "the generation of the failed write is free");
     }
 }
--- a/src/test/java/loftflow/warmstart/TrustModelTest.java
+++ b/src/test/java/loftflow/warmstart/TrustModelTest.java
@@ -26,92 +26,93 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random histories of lists, calls, ages, kills and clocks beside a model of what is true: an endpoint once told to be
- * gone is never listed without a later word of discovery, trust does not rise without evidence, and no wait is
- * shortened.
+ * Random sequences of lists, calls, ages, crashes and clock changes, compared with a model: an endpoint that was
+ * removed is never restored unless discovery lists it again, trust does not rise without evidence, and no retry-after
+ * is shortened.
  */
 class TrustModelTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final int HISTORIES = 3_000;
     private static final int STEPS = 60;
     private static final int ENDPOINTS = 8;
-    private static final EndpointHistory.Rules RULES =
-            new EndpointHistory.Rules(new TrustPolicy(1800 * SECOND), 60 * SECOND, SECOND / 10, 10 * SECOND, false);
+    private static final EndpointHistory.Rules OPTIONS = new EndpointHistory.Rules(
+            new TrustPolicy(1800 * SECOND_MICROS), 60 * SECOND_MICROS, SECOND_MICROS / 10, 10 * SECOND_MICROS, false);
 
-    /** The truth, by a clock that no relay sees, and what a relay's disk holds. */
-    private static final class History {
+    /** The model, by a clock that no relay reads, and the content of the relay's disk. */
+    private static final class Simulation {
         final SplittableRandom random;
-        long real = 10_000 * SECOND;
-        long wallError;
-        long bootedAt;
+        long realMicros = 10_000 * SECOND_MICROS;
+        long wallErrorMicros;
+        long bootedAtMicros;
         int boot;
-        EndpointHistory book;
+        EndpointHistory history;
         Snapshot saved;
-        List<SnapshotDelta> notes = new ArrayList<>();
-        long timeError;
+        List<SnapshotDelta> deltas = new ArrayList<>();
+        long relayTimeErrorMicros;
         long revision = 1;
-        final Set<String> in = new HashSet<>();
-        final Map<String, Long> waitUntil = new HashMap<>();
-        final Map<String, Long> evidenceAt = new HashMap<>();
+        final Set<String> inService = new HashSet<>();
+        final Map<String, Long> retryAfterUntilMicros = new HashMap<>();
+        final Map<String, Long> evidenceAtMicros = new HashMap<>();
         final Set<String> listed = new HashSet<>();
         int waits;
         int starts;
-        int gone;
-        int doubtful;
+        int removals;
+        int reboots;
 
-        History(long seed) {
+        Simulation(long seed) {
             random = new SplittableRandom(seed);
-            book = new EndpointHistory(RULES, "app#0");
-            book.open(null, List.of(), true, null, clocks(), time());
-            list(EndpointListKind.FULL);
+            history = new EndpointHistory(OPTIONS, "app#0");
+            history.open(null, List.of(), true, null, clocks(), relayTimeMicros());
+            sendList(EndpointListKind.FULL);
         }
 
         ClockReading clocks() {
-            return new ClockReading(real + wallError, real - bootedAt, "boot" + boot);
+            return new ClockReading(realMicros + wallErrorMicros, realMicros - bootedAtMicros, "boot" + boot);
         }
 
-        /** The relay's own time. */
-        long time() {
-            return real + timeError;
+        /** The relay's own time in microseconds. */
+        long relayTimeMicros() {
+            return realMicros + relayTimeErrorMicros;
         }
 
-        void list(EndpointListKind kind) {
+        void sendList(EndpointListKind kind) {
             List<ListedEndpoint> entries = new ArrayList<>();
             for (int i = 0; i < ENDPOINTS; i++) {
-                boolean wasIn = in.contains("e" + i);
+                boolean wasIn = inService.contains("e" + i);
                 boolean isIn = random.nextInt(4) > 0;
                 if (kind == EndpointListKind.DELTA && random.nextInt(3) > 0) {
                     continue;
                 }
                 if (isIn) {
-                    in.add("e" + i);
-                    entries.add(listing(i, Availability.LISTED));
+                    inService.add("e" + i);
+                    entries.add(listedEndpoint(i, Availability.LISTED));
                 } else {
-                    in.remove("e" + i);
-                    gone += wasIn ? 1 : 0;
+                    inService.remove("e" + i);
+                    removals += wasIn ? 1 : 0;
                     if (kind == EndpointListKind.DELTA) {
-                        entries.add(listing(i, random.nextBoolean() ? Availability.DRAINING : Availability.REMOVED));
+                        entries.add(
+                                listedEndpoint(i, random.nextBoolean() ? Availability.DRAINING : Availability.REMOVED));
                     }
                 }
             }
             if (kind == EndpointListKind.FULL && entries.isEmpty()) {
-                // An empty list is not believed at once, by rule: it says nothing here.
-                in.add("e0");
-                entries.add(listing(0, Availability.LISTED));
+                // An empty list is in doubt and would change nothing at once.
+                inService.add("e0");
+                entries.add(listedEndpoint(0, Availability.LISTED));
             }
-            EndpointHistory.Heard heard = book.heard(new ListUpdate(kind, ++revision, entries), time());
-            entries.stream().filter(ListedEndpoint::inService).forEach(e -> evidenceAt.put(e.id(), real));
-            take(heard);
+            EndpointHistory.Heard update = history.heard(new ListUpdate(kind, ++revision, entries), relayTimeMicros());
+            entries.stream().filter(ListedEndpoint::isInService).forEach(e -> evidenceAtMicros.put(e.id(), realMicros));
+            apply(update);
         }
 
-        void take(EndpointHistory.Heard heard) {
-            notes.addAll(heard.notes());
-            if (heard.passOn() != null) {
-                if (heard.passOn().kind() == EndpointListKind.FULL) {
+        void apply(EndpointHistory.Heard update) {
+            deltas.addAll(update.notes());
+            if (update.passOn() != null) {
+                if (update.passOn().kind() == EndpointListKind.FULL) {
                     listed.clear();
                 }
-                for (ListedEndpoint entry : heard.passOn().entries()) {
-                    if (entry.inService()) {
+                for (ListedEndpoint entry : update.passOn().entries()) {
+                    if (entry.isInService()) {
                         listed.add(entry.id());
                     } else {
                         listed.remove(entry.id());
@@ -126,30 +127,36 @@
                 return;
             }
             AttemptOutcome result = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
-            long wait = result == AttemptOutcome.REJECTED ? random.nextLong(20 * SECOND) : 0;
+            long wait = result == AttemptOutcome.REJECTED ? random.nextLong(20 * SECOND_MICROS) : 0;
             PolicyEvent event = random.nextInt(4) == 0
-                    ? new ProbeCompleted(id, result, wait, SECOND, LimitReport.NONE)
-                    : new AttemptCompleted(1, 0, id, result, false, wait, 2 * SECOND, LimitReport.NONE);
+                    ? new ProbeCompleted(id, result, wait, SECOND_MICROS, LimitReport.NONE)
+                    : new AttemptCompleted(1, 0, id, result, false, wait, 2 * SECOND_MICROS, LimitReport.NONE);
             if (wait > 0) {
                 waits++;
-                waitUntil.merge(id, real + wait, Math::max);
+                retryAfterUntilMicros.merge(id, realMicros + wait, Math::max);
             }
             if (result == AttemptOutcome.OK || result == AttemptOutcome.REJECTED || result == AttemptOutcome.ERROR) {
-                evidenceAt.put(id, real);
+                evidenceAtMicros.put(id, realMicros);
             }
-            take(book.saw(event, time()));
+            apply(history.saw(event, relayTimeMicros()));
         }
 
         void save() {
-            saved = book.picture(
+            saved = history.picture(
                     clocks(),
-                    time(),
+                    relayTimeMicros(),
                     listed.stream()
                             .map(id -> new RouteSnapshot(
-                                    id, Math.max(0, waitUntil.getOrDefault(id, 0L) - real), 0, 1, 1000, false, 0))
+                                    id,
+                                    Math.max(0, retryAfterUntilMicros.getOrDefault(id, 0L) - realMicros),
+                                    0,
+                                    1,
+                                    1000,
+                                    false,
+                                    0))
                             .toList());
-            book.saving();
-            notes.clear();
+            history.saving();
+            deltas.clear();
         }
 
         void restart() {
@@ -157,80 +164,85 @@
                 return;
             }
             starts++;
-            boolean anew = random.nextInt(4) == 0;
-            real += random.nextLong(random.nextInt(5) == 0 ? 90_000 * SECOND : 4 * SECOND);
+            boolean isReboot = random.nextInt(4) == 0;
+            realMicros += random.nextLong(random.nextInt(5) == 0 ? 90_000 * SECOND_MICROS : 4 * SECOND_MICROS);
             if (random.nextInt(3) == 0) {
-                wallError += random.nextLong(-7200 * SECOND, 7200 * SECOND);
+                wallErrorMicros += random.nextLong(-7200 * SECOND_MICROS, 7200 * SECOND_MICROS);
             }
-            if (anew) {
+            if (isReboot) {
                 boot++;
-                bootedAt = real - SECOND;
-                doubtful++;
+                bootedAtMicros = realMicros - SECOND_MICROS;
+                reboots++;
             }
-            boolean lost = !notes.isEmpty() && random.nextInt(5) == 0;
-            List<SnapshotDelta> kept = lost ? List.of(SnapshotDelta.inPlaceOf(notes)) : notes;
+            boolean areDeltasLost = !deltas.isEmpty() && random.nextInt(5) == 0;
+            List<SnapshotDelta> deltasOnDisk = areDeltasLost ? List.of(SnapshotDelta.summaryOf(deltas)) : deltas;
             long time = DowntimeEstimate.goOn(saved.time(), saved.at(), clocks());
-            timeError = time - real;
-            book = new EndpointHistory(RULES, "app#0");
-            EndpointHistory.Opening opening = book.open(saved, kept, true, null, clocks(), time);
+            relayTimeErrorMicros = time - realMicros;
+            history = new EndpointHistory(OPTIONS, "app#0");
+            EndpointHistory.Opening opening = history.open(saved, deltasOnDisk, true, null, clocks(), time);
             listed.clear();
             opening.list().forEach(l -> listed.add(l.id()));
-            if (lost) {
-                // What could not be noted is not known, but for that it is not: none of it is as listed.
-                in.addAll(listed);
+            if (areDeltasLost) {
+                // The relay knows only that deltas were lost: it must use no endpoint as listed.
+                inService.addAll(listed);
             } else {
-                assertTrue(in.containsAll(listed), "gone, and listed again: " + listed + " of " + in);
+                assertTrue(inService.containsAll(listed), "removed, and restored: " + listed + " of " + inService);
             }
-            for (RouteRestored one : opening.remembered()) {
-                check(one, anew, lost);
+            for (RouteRestored restored : opening.remembered()) {
+                check(restored, isReboot, areDeltasLost);
             }
             save();
         }
 
-        void check(RouteRestored one, boolean anew, boolean lost) {
-            String id = one.snapshot().route();
-            long left = waitUntil.getOrDefault(id, 0L) - real;
-            // A step of two hundredths of a second and a wait that grows by less than the note's step are not noted.
+        void check(RouteRestored restored, boolean isReboot, boolean areDeltasLost) {
+            String id = restored.snapshot().route();
+            long remainingMicros = retryAfterUntilMicros.getOrDefault(id, 0L) - realMicros;
+            // A retry-after whose end moves by less than 200 ms is not recorded.
             assertTrue(
-                    one.snapshot().retryAfterRemainingMicros() + 200_000 >= left,
-                    id + " waits " + left + ", not " + one.snapshot());
-            // The module keeps to a wait that it was told at the start, also where that is longer than need be.
-            waitUntil.merge(id, real + one.snapshot().retryAfterRemainingMicros(), Math::max);
-            long age = real - evidenceAt.get(id);
-            if (one.trust() == TrustLevel.AS_LISTED) {
-                assertFalse(anew || lost, "as listed, in doubt");
-                assertTrue(age <= RULES.trust().asListedFor(), "as listed at an age of " + age / SECOND + " s");
+                    restored.snapshot().retryAfterRemainingMicros() + 200_000 >= remainingMicros,
+                    id + " waits " + remainingMicros + ", not " + restored.snapshot());
+            // The relay applies the restored retry-after, even where it is longer than the original one.
+            retryAfterUntilMicros.merge(id, realMicros + restored.snapshot().retryAfterRemainingMicros(), Math::max);
+            long age = realMicros - evidenceAtMicros.get(id);
+            if (restored.trust() == TrustLevel.AS_LISTED) {
+                assertFalse(isReboot || areDeltasLost, "as listed, in doubt");
+                assertTrue(
+                        age <= OPTIONS.trust().asListedMaxAgeMicros(),
+                        "as listed at an age of " + age / SECOND_MICROS + " s");
             }
-            if (!anew && age > TrustPolicy.LAST_AFTER * RULES.trust().halfLife()) {
-                assertEquals(TrustLevel.LAST_RESORT, one.trust());
+            if (!isReboot
+                    && age
+                            > TrustPolicy.LAST_RESORT_HALF_LIVES
+                                    * OPTIONS.trust().halfLifeMicros()) {
+                assertEquals(TrustLevel.LAST_RESORT, restored.trust());
             }
         }
 
-        private static ListedEndpoint listing(int i, Availability availability) {
+        private static ListedEndpoint listedEndpoint(int i, Availability availability) {
             return new ListedEndpoint(
                     new EndpointEntry("e" + i, i, "k", "b", availability, 0), "127.0.0.1:" + (1000 + i));
         }
     }
 
     @Test
-    void randomHistoriesKeepTheInvariants() {
+    void randomHistoriesHoldTheInvariants() {
         int[] counts = new int[4];
         IntStream.range(0, HISTORIES).forEach(seed -> {
-            History history = new History(seed);
+            Simulation simulation = new Simulation(seed);
             for (int step = 0; step < STEPS; step++) {
-                history.real += history.random.nextLong(2 * SECOND);
-                switch (history.random.nextInt(12)) {
-                    case 0 -> history.list(EndpointListKind.FULL);
-                    case 1, 2 -> history.list(EndpointListKind.DELTA);
-                    case 3 -> history.save();
-                    case 4 -> history.restart();
-                    default -> history.call();
+                simulation.realMicros += simulation.random.nextLong(2 * SECOND_MICROS);
+                switch (simulation.random.nextInt(12)) {
+                    case 0 -> simulation.sendList(EndpointListKind.FULL);
+                    case 1, 2 -> simulation.sendList(EndpointListKind.DELTA);
+                    case 3 -> simulation.save();
+                    case 4 -> simulation.restart();
+                    default -> simulation.call();
                 }
             }
-            counts[0] += history.starts;
-            counts[1] += history.waits;
-            counts[2] += history.gone;
-            counts[3] += history.doubtful;
+            counts[0] += simulation.starts;
+            counts[1] += simulation.waits;
+            counts[2] += simulation.removals;
+            counts[3] += simulation.reboots;
         });
         for (int count : counts) {
             assertTrue(
