--- a/src/test/java/loftflow/warmstart/TrustPolicyTest.java
+++ b/src/test/java/loftflow/warmstart/TrustPolicyTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Ages, clocks and the curve of trust. */
+/** Trust by age and evidence, and downtime by clock readings. */
 class TrustPolicyTest {
-    private static final long SECOND = 1_000_000;
-    private static final long HOUR = 3600 * SECOND;
-    private static final long T = 1_700_000_000 * SECOND;
-    private static final TrustPolicy TRUST = new TrustPolicy(HOUR / 2);
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long HOUR_MICROS = 3600 * SECOND_MICROS;
+    private static final long NOW_MICROS = 1_700_000_000 * SECOND_MICROS;
+    private static final TrustPolicy POLICY = new TrustPolicy(HOUR_MICROS / 2);
 
     private static KnownEndpoint known(long listed, long answered, long failed, KnownEndpoint.State state) {
         return new KnownEndpoint(
@@ -29,104 +29,136 @@
                 null);
     }
 
-    private static DowntimeEstimate exactly(long span) {
-        return new DowntimeEstimate(span, span, false);
+    private static DowntimeEstimate exactly(long durationMicros) {
+        return new DowntimeEstimate(durationMicros, durationMicros, false);
     }
 
     @ParameterizedTest
     @CsvSource({
         "1, AS_LISTED",
         "133, AS_LISTED",
-        "134, TRY_FIRST",
-        "7200, TRY_FIRST",
-        "53999, TRY_FIRST",
-        "54001, LAST",
-        "1814400, LAST"
+        "134, PROBE_FIRST",
+        "7200, PROBE_FIRST",
+        "53999, PROBE_FIRST",
+        "54001, LAST_RESORT",
+        "1814400, LAST_RESORT"
     })
-    void degreeFallsWithAge(long seconds, EndpointTrust degree) {
+    void trustFallsWithAge(long seconds, EndpointTrust trust) {
         assertEquals(
-                degree, TRUST.degree(known(T, 0, 0, KnownEndpoint.State.LISTED), T, exactly(seconds * SECOND), true));
+                trust,
+                POLICY.trustOf(
+                        known(NOW_MICROS, 0, 0, KnownEndpoint.State.LISTED),
+                        NOW_MICROS,
+                        exactly(seconds * SECOND_MICROS),
+                        true));
         assertEquals(
-                degree,
-                TRUST.degree(known(T - seconds * SECOND, 0, 0, KnownEndpoint.State.LISTED), T, exactly(0), true),
-                "the age before the picture counts alike");
+                trust,
+                POLICY.trustOf(
+                        known(NOW_MICROS - seconds * SECOND_MICROS, 0, 0, KnownEndpoint.State.LISTED),
+                        NOW_MICROS,
+                        exactly(0),
+                        true),
+                "the age before the snapshot counts as well");
     }
 
     @Test
-    void answerIsEvidenceAndAFailureAfterItIsDoubt() {
+    void answerIsEvidenceAndAFailureAfterItLowersTrust() {
         assertEquals(
                 EndpointTrust.AS_LISTED,
-                TRUST.degree(known(T - 9 * HOUR, T, T - 1, KnownEndpoint.State.LISTED), T, exactly(1), true));
+                POLICY.trustOf(
+                        known(NOW_MICROS - 9 * HOUR_MICROS, NOW_MICROS, NOW_MICROS - 1, KnownEndpoint.State.LISTED),
+                        NOW_MICROS,
+                        exactly(1),
+                        true));
         assertEquals(
-                EndpointTrust.TRY_FIRST,
-                TRUST.degree(known(T, T - 2, T - 1, KnownEndpoint.State.LISTED), T, exactly(1), true));
+                EndpointTrust.PROBE_FIRST,
+                POLICY.trustOf(
+                        known(NOW_MICROS, NOW_MICROS - 2, NOW_MICROS - 1, KnownEndpoint.State.LISTED),
+                        NOW_MICROS,
+                        exactly(1),
+                        true));
     }
 
     @Test
-    void removedDrainingAndStruckNeverComeBackAtAnyAge() {
+    void removedDrainingAndEjectedEndpointsAreNeverRestored() {
         for (KnownEndpoint.State state :
-                new KnownEndpoint.State[] {KnownEndpoint.State.GONE, KnownEndpoint.State.STRUCK}) {
-            for (long age : new long[] {0, HOUR, 1000 * HOUR, DowntimeEstimate.UNKNOWN}) {
-                assertEquals(EndpointTrust.NEVER, TRUST.degree(known(T, T, 0, state), T, exactly(age), true));
+                new KnownEndpoint.State[] {KnownEndpoint.State.OUT_OF_SERVICE, KnownEndpoint.State.STRUCK}) {
+            for (long age : new long[] {0, HOUR_MICROS, 1000 * HOUR_MICROS, DowntimeEstimate.UNKNOWN}) {
+                assertEquals(
+                        EndpointTrust.NEVER,
+                        POLICY.trustOf(known(NOW_MICROS, NOW_MICROS, 0, state), NOW_MICROS, exactly(age), true));
             }
         }
     }
 
     @Test
-    void doubtAllowsNoMoreThanOneTry() {
-        KnownEndpoint young = known(T, T, 0, KnownEndpoint.State.LISTED);
+    void anyDoubtRequiresAProbe() {
+        KnownEndpoint young = known(NOW_MICROS, NOW_MICROS, 0, KnownEndpoint.State.LISTED);
         assertEquals(
-                EndpointTrust.TRY_FIRST,
-                TRUST.degree(young, T, new DowntimeEstimate(0, SECOND, true), true),
-                "a boot between");
-        assertEquals(EndpointTrust.TRY_FIRST, TRUST.degree(young, T, exactly(SECOND), false), "notes are missing");
+                EndpointTrust.PROBE_FIRST,
+                POLICY.trustOf(young, NOW_MICROS, new DowntimeEstimate(0, SECOND_MICROS, true), true),
+                "a reboot in between");
         assertEquals(
-                EndpointTrust.LAST,
-                TRUST.degree(young, T, new DowntimeEstimate(0, DowntimeEstimate.UNKNOWN, true), true),
-                "set back");
+                EndpointTrust.PROBE_FIRST,
+                POLICY.trustOf(young, NOW_MICROS, exactly(SECOND_MICROS), false),
+                "deltas are missing");
         assertEquals(
-                EndpointTrust.TRY_FIRST,
-                TRUST.degree(known(T + HOUR, 0, 0, KnownEndpoint.State.LISTED), T, exactly(1), true),
+                EndpointTrust.LAST_RESORT,
+                POLICY.trustOf(young, NOW_MICROS, new DowntimeEstimate(0, DowntimeEstimate.UNKNOWN, true), true),
+                "the clock was set back");
+        assertEquals(
+                EndpointTrust.PROBE_FIRST,
+                POLICY.trustOf(
+                        known(NOW_MICROS + HOUR_MICROS, 0, 0, KnownEndpoint.State.LISTED),
+                        NOW_MICROS,
+                        exactly(1),
+                        true),
                 "evidence from the future");
     }
 
     @Test
-    void clockThatIsNeverSetMeasuresWithinABoot() {
-        ClockReading then = new ClockReading(T, 500 * SECOND, "b1");
-        for (long set : new long[] {0, -2 * HOUR, 2 * HOUR}) {
-            ClockReading now = new ClockReading(T + set + 5 * SECOND, 505 * SECOND, "b1");
-            assertEquals(exactly(5 * SECOND), DowntimeEstimate.between(then, now));
-            assertEquals(T + 5 * SECOND, DowntimeEstimate.goOn(T, then, now), "the relay's own time goes on");
+    void uptimeMeasuresDowntimeWithinABoot() {
+        ClockReading then = new ClockReading(NOW_MICROS, 500 * SECOND_MICROS, "b1");
+        for (long set : new long[] {0, -2 * HOUR_MICROS, 2 * HOUR_MICROS}) {
+            ClockReading now = new ClockReading(NOW_MICROS + set + 5 * SECOND_MICROS, 505 * SECOND_MICROS, "b1");
+            assertEquals(exactly(5 * SECOND_MICROS), DowntimeEstimate.between(then, now));
+            assertEquals(
+                    NOW_MICROS + 5 * SECOND_MICROS,
+                    DowntimeEstimate.goOn(NOW_MICROS, then, now),
+                    "the relay's own time continues");
         }
     }
 
     @Test
-    void overABootNothingIsProven() {
-        ClockReading then = new ClockReading(T, 500 * SECOND, "b1");
-        DowntimeEstimate later = DowntimeEstimate.between(then, new ClockReading(T + HOUR, SECOND, "b2"));
-        assertEquals(new DowntimeEstimate(0, HOUR, true), later);
-        DowntimeEstimate back = DowntimeEstimate.between(then, new ClockReading(T - 2 * HOUR, SECOND, "b2"));
+    void acrossARebootNothingIsProven() {
+        ClockReading then = new ClockReading(NOW_MICROS, 500 * SECOND_MICROS, "b1");
+        DowntimeEstimate later =
+                DowntimeEstimate.between(then, new ClockReading(NOW_MICROS + HOUR_MICROS, SECOND_MICROS, "b2"));
+        assertEquals(new DowntimeEstimate(0, HOUR_MICROS, true), later);
+        DowntimeEstimate back =
+                DowntimeEstimate.between(then, new ClockReading(NOW_MICROS - 2 * HOUR_MICROS, SECOND_MICROS, "b2"));
         assertEquals(new DowntimeEstimate(0, DowntimeEstimate.UNKNOWN, true), back);
         assertEquals(
-                T,
-                DowntimeEstimate.goOn(T, then, new ClockReading(T - 2 * HOUR, SECOND, "b2")),
-                "time never goes back");
+                NOW_MICROS,
+                DowntimeEstimate.goOn(
+                        NOW_MICROS, then, new ClockReading(NOW_MICROS - 2 * HOUR_MICROS, SECOND_MICROS, "b2")),
+                "relay time never goes backwards");
         assertTrue(
-                DowntimeEstimate.between(new ClockReading(T, 0, ""), new ClockReading(T, 0, ""))
+                DowntimeEstimate.between(new ClockReading(NOW_MICROS, 0, ""), new ClockReading(NOW_MICROS, 0, ""))
                         .doubtful(),
-                "no boot is told");
+                "no boot id");
         assertTrue(
-                DowntimeEstimate.between(then, new ClockReading(T, 499 * SECOND, "b1"))
+                DowntimeEstimate.between(then, new ClockReading(NOW_MICROS, 499 * SECOND_MICROS, "b1"))
                         .doubtful(),
-                "a boot's clock can't go back");
+                "the uptime of one boot can't decrease");
     }
 
     @Test
     void trustOnlyFallsWithoutEvidence() {
-        double before = TRUST.at(0);
+        double before = POLICY.valueAtAge(0);
         assertEquals(1, before);
-        for (long age = SECOND; age < 40 * HOUR; age += 97 * SECOND) {
-            double now = TRUST.at(age);
+        for (long age = SECOND_MICROS; age < 40 * HOUR_MICROS; age += 97 * SECOND_MICROS) {
+            double now = POLICY.valueAtAge(age);
             assertFalse(now > before);
             before = now;
         }
--- a/src/test/java/loftflow/warmstart/WriteBudgetTest.java
+++ b/src/test/java/loftflow/warmstart/WriteBudgetTest.java
@@ -9,21 +9,21 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** How much may be written. */
+/** Bytes that may be written over any interval. */
 class WriteBudgetTest {
-    private static final long SECOND = 1_000_000;
-    private static final long RATE = 20_480;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long BYTES_PER_SECOND = 20_480;
 
     @Test
-    void noSpanHasMoreThanItsPartHoweverMuchIsWanted() {
+    void noIntervalExceedsTheRateUnderAnyDemand() {
         SplittableRandom random = new SplittableRandom(14);
-        WriteBudget budget = new WriteBudget(RATE, DowntimeEstimate.UNKNOWN, 0);
+        WriteBudget budget = new WriteBudget(BYTES_PER_SECOND, DowntimeEstimate.UNKNOWN, 0);
         List<long[]> written = new ArrayList<>();
         long now = 0;
         for (int i = 0; i < 20_000; i++) {
-            now += random.nextLong(SECOND / 2);
+            now += random.nextLong(SECOND_MICROS / 2);
             long size = 1 + random.nextLong(random.nextInt(9) == 0 ? 900_000 : 2_000);
-            if (random.nextBoolean() ? budget.takePicture(size, now) : budget.takeNotes(size, now)) {
+            if (random.nextBoolean() ? budget.tryTakeSnapshot(size, now) : budget.tryTakeDeltas(size, now)) {
                 written.add(new long[] {now, size});
             }
         }
@@ -33,20 +33,21 @@
             total = 0;
             for (int i = from; i < written.size(); i++) {
                 total += written.get(i)[1];
-                double most = budget.burst() + RATE * (written.get(i)[0] - written.get(from)[0]) / (double) SECOND;
-                assertTrue(total <= most + 1, total + " of " + most);
+                double maxBytes = budget.burstBytes()
+                        + BYTES_PER_SECOND * (written.get(i)[0] - written.get(from)[0]) / (double) SECOND_MICROS;
+                assertTrue(total <= maxBytes + 1, total + " of " + maxBytes);
             }
         }
     }
 
     @Test
-    void pictureLeavesRoomForNotes() {
-        WriteBudget budget = new WriteBudget(RATE, DowntimeEstimate.UNKNOWN, 0);
-        assertFalse(budget.takePicture(budget.burst(), 0));
-        assertTrue(budget.takePicture(budget.largestPicture(), 0));
-        assertTrue(budget.takeNotes(budget.burst() - budget.largestPicture(), 0));
-        assertFalse(budget.takeNotes(1, 0));
-        assertTrue(budget.takeNotes(RATE, SECOND));
+    void snapshotLeavesTheReserveForDeltas() {
+        WriteBudget budget = new WriteBudget(BYTES_PER_SECOND, DowntimeEstimate.UNKNOWN, 0);
+        assertFalse(budget.tryTakeSnapshot(budget.burstBytes(), 0));
+        assertTrue(budget.tryTakeSnapshot(budget.maxSnapshotBytes(), 0));
+        assertTrue(budget.tryTakeDeltas(budget.burstBytes() - budget.maxSnapshotBytes(), 0));
+        assertFalse(budget.tryTakeDeltas(1, 0));
+        assertTrue(budget.tryTakeDeltas(BYTES_PER_SECOND, SECOND_MICROS));
     }
 
     @Test
@@ -54,9 +55,9 @@
         long total = 0;
         long last = -DowntimeEstimate.UNKNOWN;
         for (int start = 0; start < 10; start++) {
-            long now = start * SECOND;
-            WriteBudget budget = new WriteBudget(RATE, now - last, now);
-            if (budget.takePicture(600_000, now)) {
+            long now = start * SECOND_MICROS;
+            WriteBudget budget = new WriteBudget(BYTES_PER_SECOND, now - last, now);
+            if (budget.tryTakeSnapshot(600_000, now)) {
                 total += 600_000;
                 last = now;
             }
--- a/src/test/java/loftflow/warmstart/store/SnapshotSamples.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotSamples.java
@@ -10,35 +10,37 @@
 import loftflow.warmstart.Snapshot;
 import loftflow.warmstart.SnapshotDelta;
 
-/** Looks at and changes what a relay that is stopped has remembered, as its disk would have it. */
+/** Reads, writes and damages the warm start files of a relay, for tests. */
 public final class SnapshotSamples {
-    private static final String OWN = "app#0";
+    private static final String OWNER = "app#0";
 
     private SnapshotSamples() {}
 
-    /** What the next start of a relay would find; reading a living relay's folder takes a copy. */
+    /** The snapshot that the next start of a relay would load. Works on a copy, since the relay may be running. */
     public static Snapshot of(Path folder) throws IOException {
-        return found(folder).picture();
+        return load(folder).snapshot();
     }
 
-    /** The ids that are noted since the newest picture, with what is noted. */
+    /** The deltas since the newest snapshot, each as its kind, a space and the id of the endpoint. */
     public static List<String> notes(Path folder) throws IOException {
-        return found(folder).notes().stream().map(n -> n.kind() + " " + n.id()).collect(Collectors.toList());
+        return load(folder).deltas().stream()
+                .map(n -> n.kind() + " " + n.endpointId())
+                .collect(Collectors.toList());
     }
 
-    private static SnapshotStore.Found found(Path folder) throws IOException {
-        return found(folder, OWN);
+    private static SnapshotStore.LoadedState load(Path folder) throws IOException {
+        return load(folder, OWNER);
     }
 
-    private static SnapshotStore.Found found(Path folder, String owner) throws IOException {
-        Path copy = Files.createTempDirectory("pictures");
+    private static SnapshotStore.LoadedState load(Path folder, String owner) throws IOException {
+        Path copy = Files.createTempDirectory("snapshots");
         try (var files = Files.list(folder)) {
             for (Path file : files.filter(f -> f.getFileName().toString().matches("remembered-.*(picture|notes)"))
                     .toList()) {
                 Files.copy(file, copy.resolve(file.getFileName()));
             }
         }
-        SnapshotStore.Found found =
+        SnapshotStore.LoadedState loaded =
                 SnapshotStore.at(copy, Long.MAX_VALUE, false).load(owner);
         try (var files = Files.list(copy)) {
             for (Path file : files.toList()) {
@@ -46,41 +48,43 @@
             }
         }
         Files.delete(copy);
-        return found;
+        return loaded;
     }
 
-    /** Puts another picture in the place of the newest; notes stay as they are. */
-    public static void change(Path folder, UnaryOperator<Snapshot> by) throws IOException {
-        change(folder, OWN, by);
+    /** Replaces the newest snapshot by a changed one; deltas stay as they are. */
+    public static void change(Path folder, UnaryOperator<Snapshot> change) throws IOException {
+        change(folder, OWNER, change);
     }
 
-    /** As above, of the relay that is called so. */
-    public static void change(Path folder, String owner, UnaryOperator<Snapshot> by) throws IOException {
-        Snapshot picture = found(folder, owner).picture();
+    /** As above, for the relay with the given name. */
+    public static void change(Path folder, String owner, UnaryOperator<Snapshot> change) throws IOException {
+        Snapshot snapshot = load(folder, owner).snapshot();
         Files.write(
-                folder.resolve(SnapshotStore.picture(picture.generation())), SnapshotCodec.picture(by.apply(picture)));
+                folder.resolve(SnapshotStore.snapshotFileName(snapshot.generation())),
+                SnapshotCodec.encodeSnapshot(change.apply(snapshot)));
     }
 
-    /** Writes a picture as the first of a folder, as of a relay that ended just then. */
-    public static void write(Path folder, Snapshot picture, SnapshotDelta... notes) throws IOException {
+    /** Writes the first snapshot of a folder, with deltas. */
+    public static void write(Path folder, Snapshot snapshot, SnapshotDelta... deltas) throws IOException {
         SnapshotStore store = SnapshotStore.at(folder, Long.MAX_VALUE, false);
-        store.begin(picture.generation());
-        store.write(picture.generation(), SnapshotCodec.picture(picture));
-        store.end(true);
-        for (SnapshotDelta note : notes) {
-            store.note(SnapshotCodec.note(note));
+        store.beginSnapshot(snapshot.generation());
+        store.writeSnapshot(snapshot.generation(), SnapshotCodec.encodeSnapshot(snapshot));
+        store.endSnapshot(true);
+        for (SnapshotDelta delta : deltas) {
+            store.appendDelta(SnapshotCodec.encodeDelta(delta));
         }
     }
 
-    /** Bytes that a file of a picture has. */
-    public static long size(Snapshot picture) throws IOException {
-        return SnapshotCodec.picture(picture).length;
+    /** Size in bytes of the file of a snapshot. */
+    public static long size(Snapshot snapshot) throws IOException {
+        return SnapshotCodec.encodeSnapshot(snapshot).length;
     }
 
-    /** Cuts the newest picture short. */
+    /** Truncates the newest snapshot file to half of its size. */
     public static void tear(Path folder) throws IOException {
-        Path file = folder.resolve(SnapshotStore.picture(found(folder).picture().generation()));
-        byte[] all = Files.readAllBytes(file);
-        Files.write(file, Arrays.copyOf(all, all.length / 2));
+        Path file = folder.resolve(
+                SnapshotStore.snapshotFileName(load(folder).snapshot().generation()));
+        byte[] bytes = Files.readAllBytes(file);
+        Files.write(file, Arrays.copyOf(bytes, bytes.length / 2));
     }
 }
--- a/src/test/java/loftflow/warmstart/store/SnapshotStoreTest.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotStoreTest.java
@@ -26,34 +26,34 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Files of what is remembered: a kill at each step, a full disk, torn, foreign and spoilt files. */
+/** Snapshot and delta files: a crash at each step, a full disk, and torn, foreign and damaged files. */
 class SnapshotStoreTest {
     @TempDir
     Path folder;
 
-    /** A disk that fails, or is cut off by a kill, at one step; a write that fails may have written a part. */
-    private static final class Faulty implements SnapshotFolder {
+    /** A folder whose process crashes at one step; a write that fails may have written a part. */
+    private static final class FaultyFolder implements SnapshotFolder {
         private final SnapshotFolder disk;
         private final SplittableRandom random;
         int steps;
-        int failAt = Integer.MAX_VALUE;
-        boolean killed;
-        boolean full;
+        int failAtStep = Integer.MAX_VALUE;
+        boolean isKilled;
+        boolean isFull;
 
-        Faulty(SnapshotFolder disk, long seed) {
+        FaultyFolder(SnapshotFolder disk, long seed) {
             this.disk = disk;
             random = new SplittableRandom(seed);
         }
 
         private boolean fails() throws IOException {
-            if (killed || full) {
-                throw new IOException(killed ? "killed" : "No space left on device");
+            if (isKilled || isFull) {
+                throw new IOException(isKilled ? "killed" : "No space left on device");
             }
-            return steps++ == failAt;
+            return steps++ == failAtStep;
         }
 
         private IOException kill() {
-            killed = true;
+            isKilled = true;
             return new IOException("killed");
         }
 
@@ -81,14 +81,14 @@
         }
 
         @Override
-        public void move(String from, String to) throws IOException {
+        public void replace(String firstDelta, String to) throws IOException {
             if (fails()) {
                 if (random.nextBoolean()) {
-                    disk.move(from, to);
+                    disk.replace(firstDelta, to);
                 }
                 throw kill();
             }
-            disk.move(from, to);
+            disk.replace(firstDelta, to);
         }
 
         @Override
@@ -97,7 +97,7 @@
         }
     }
 
-    private static Snapshot picture(long generation, String owner) {
+    private static Snapshot snapshot(long generation, String owner) {
         return new Snapshot(
                 owner,
                 generation,
@@ -122,170 +122,178 @@
     }
 
     private static void save(SnapshotStore store, long generation) throws IOException {
-        store.begin(generation);
-        store.write(generation, SnapshotCodec.picture(picture(generation, "app#0")));
-        store.end(true);
+        store.beginSnapshot(generation);
+        store.writeSnapshot(generation, SnapshotCodec.encodeSnapshot(snapshot(generation, "app#0")));
+        store.endSnapshot(true);
     }
 
-    private static void note(SnapshotStore store, String id) throws IOException {
-        store.note(SnapshotCodec.note(new SnapshotDelta(SnapshotDelta.Kind.GONE, id, 5)));
+    private static void appendDelta(SnapshotStore store, String id) throws IOException {
+        store.appendDelta(SnapshotCodec.encodeDelta(new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, id, 5)));
     }
 
-    private static List<String> ids(SnapshotStore.Found found) {
-        return found.notes().stream().map(SnapshotDelta::id).distinct().toList();
+    private static List<String> endpointIds(SnapshotStore.LoadedState loaded) {
+        return loaded.deltas().stream()
+                .map(SnapshotDelta::endpointId)
+                .distinct()
+                .toList();
     }
 
     @Test
-    void pictureAndNotesComeBackAsTheyWere() throws IOException {
+    void snapshotAndDeltasAreLoadedAsWritten() throws IOException {
         SnapshotStore store = store();
-        assertNull(store.load("app#0").picture());
-        assertTrue(store.isFull(), "there is nothing to note behind");
+        assertNull(store.load("app#0").snapshot());
+        assertTrue(store.needsSnapshot(), "there is no snapshot that a delta could follow");
         save(store, 1);
-        note(store, "x");
-        SnapshotStore.Found found = store().load("app#0");
-        assertEquals(picture(1, "app#0"), found.picture());
-        assertEquals(List.of(new SnapshotDelta(SnapshotDelta.Kind.GONE, "x", 5)), found.notes());
+        appendDelta(store, "x");
+        SnapshotStore.LoadedState loaded = store().load("app#0");
+        assertEquals(snapshot(1, "app#0"), loaded.snapshot());
+        assertEquals(List.of(new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, "x", 5)), loaded.deltas());
         assertTrue(
-                found.whole() && found.complaints().isEmpty(),
-                found.complaints().toString());
+                loaded.isComplete() && loaded.logLines().isEmpty(),
+                loaded.logLines().toString());
     }
 
-    /** Whatever the step at which the process is killed, the next start knows the newest promise. */
+    /** Whatever the step of the crash, the next start loads the newest acknowledged write. */
     @Test
-    void killAtEachStepOfSavingLosesNoNoteAndNoPicture() throws IOException {
+    void crashAtAnyStepLosesNoDeltaAndNoSnapshot() throws IOException {
         int kills = 0;
         for (int step = 0; step < 40; step++) {
             for (int seed = 0; seed < 20; seed++) {
-                Path here = folder.resolve(step + "-" + seed);
-                Files.createDirectories(here);
-                Faulty disk = new Faulty(SnapshotFolder.at(here), seed);
-                disk.failAt = step;
+                Path killFolder = folder.resolve(step + "-" + seed);
+                Files.createDirectories(killFolder);
+                FaultyFolder disk = new FaultyFolder(SnapshotFolder.onDisk(killFolder), seed);
+                disk.failAtStep = step;
                 SnapshotStore store = new SnapshotStore(disk, 10_000, false);
-                long stands = 0;
-                int noted = 0;
-                int notedBefore = 0;
+                long lastWritten = 0;
+                int deltasWritten = 0;
+                int deltasBefore = 0;
                 try {
                     for (long generation = 1; generation <= 3; generation++) {
-                        store.begin(generation);
-                        notedBefore = noted;
-                        note(store, "n" + ++noted);
-                        store.write(generation, SnapshotCodec.picture(picture(generation, "app#0")));
-                        stands = generation;
-                        store.end(true);
-                        note(store, "n" + ++noted);
+                        store.beginSnapshot(generation);
+                        deltasBefore = deltasWritten;
+                        appendDelta(store, "n" + ++deltasWritten);
+                        store.writeSnapshot(generation, SnapshotCodec.encodeSnapshot(snapshot(generation, "app#0")));
+                        lastWritten = generation;
+                        store.endSnapshot(true);
+                        appendDelta(store, "n" + ++deltasWritten);
                     }
                 } catch (IOException e) {
                     kills++;
                 }
-                SnapshotStore.Found found = new SnapshotStore(SnapshotFolder.at(here), 10_000, false).load("app#0");
-                long generation = found.picture() == null ? 0 : found.picture().generation();
-                assertTrue(generation == stands || generation == stands + 1, "picture " + generation + " of " + stands);
-                int until = disk.killed ? noted - 1 : noted;
-                int from = generation == 0 ? until + 1 : (int) (2 * generation - 1);
-                for (int n = from; n <= until; n++) {
+                SnapshotStore.LoadedState loaded =
+                        new SnapshotStore(SnapshotFolder.onDisk(killFolder), 10_000, false).load("app#0");
+                long generation =
+                        loaded.snapshot() == null ? 0 : loaded.snapshot().generation();
+                assertTrue(
+                        generation == lastWritten || generation == lastWritten + 1,
+                        "snapshot " + generation + " of " + lastWritten);
+                int lastDelta = disk.isKilled ? deltasWritten - 1 : deltasWritten;
+                int firstDelta = generation == 0 ? lastDelta + 1 : (int) (2 * generation - 1);
+                for (int n = firstDelta; n <= lastDelta; n++) {
                     assertTrue(
-                            ids(found).contains("n" + n) || !found.whole(),
-                            "note " + n + " of " + ids(found) + " step " + step);
-                    assertTrue(ids(found).contains("n" + n), "note " + n + " is lost");
+                            endpointIds(loaded).contains("n" + n) || !loaded.isComplete(),
+                            "delta " + n + " of " + endpointIds(loaded) + " step " + step);
+                    assertTrue(endpointIds(loaded).contains("n" + n), "delta " + n + " is lost");
                 }
-                assertTrue(notedBefore <= noted);
+                assertTrue(deltasBefore <= deltasWritten);
             }
         }
         assertTrue(kills > 200, "kills: " + kills);
     }
 
     @Test
-    void fullDiskLeavesThePictureBefore() throws IOException {
-        Faulty disk = new Faulty(SnapshotFolder.at(folder), 1);
+    void fullDiskLeavesThePreviousSnapshot() throws IOException {
+        FaultyFolder disk = new FaultyFolder(SnapshotFolder.onDisk(folder), 1);
         SnapshotStore store = new SnapshotStore(disk, 10_000, false);
         save(store, 1);
-        disk.full = true;
-        assertThrows(IOException.class, () -> store.begin(2));
-        store.end(false);
-        assertThrows(IOException.class, () -> note(store, "x"));
-        disk.full = false;
-        note(store, "y");
-        assertEquals(List.of("y"), ids(store().load("app#0")));
+        disk.isFull = true;
+        assertThrows(IOException.class, () -> store.beginSnapshot(2));
+        store.endSnapshot(false);
+        assertThrows(IOException.class, () -> appendDelta(store, "x"));
+        disk.isFull = false;
+        appendDelta(store, "y");
+        assertEquals(List.of("y"), endpointIds(store().load("app#0")));
         save(store, 2);
-        assertEquals(2, store().load("app#0").picture().generation());
+        assertEquals(2, store().load("app#0").snapshot().generation());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 7, 8, 12, 16, 40, 100})
-    void tornPictureIsSetAsideAndTheOneBeforeServesWithAllNotes(int length) throws IOException {
+    void tornSnapshotIsSetAsideAndThePreviousOneIsUsedWithAllDeltas(int length) throws IOException {
         SnapshotStore store = store();
         save(store, 1);
-        note(store, "a");
+        appendDelta(store, "a");
         save(store, 2);
-        note(store, "b");
-        Path newest = folder.resolve(SnapshotStore.picture(2));
+        appendDelta(store, "b");
+        Path newest = folder.resolve(SnapshotStore.snapshotFileName(2));
         Files.write(newest, Arrays.copyOf(Files.readAllBytes(newest), length));
-        SnapshotStore.Found found = store().load("app#0");
-        assertEquals(1, found.picture().generation());
-        assertEquals(List.of("a", "b"), ids(found));
-        assertTrue(found.whole());
-        assertEquals(1, found.complaints().size());
-        assertTrue(Files.exists(folder.resolve(SnapshotStore.picture(2) + ".bad")));
+        SnapshotStore.LoadedState loaded = store().load("app#0");
+        assertEquals(1, loaded.snapshot().generation());
+        assertEquals(List.of("a", "b"), endpointIds(loaded));
+        assertTrue(loaded.isComplete());
+        assertEquals(1, loaded.logLines().size());
+        assertTrue(Files.exists(folder.resolve(SnapshotStore.snapshotFileName(2) + ".bad")));
     }
 
     @Test
-    void anySpoiltByteIsFound() throws IOException {
-        byte[] whole = SnapshotCodec.picture(picture(1, "app#0"));
-        for (int at = 0; at < whole.length; at++) {
-            byte[] spoilt = whole.clone();
-            spoilt[at] ^= 0x10;
-            assertThrows(SnapshotCodec.UnreadableException.class, () -> SnapshotCodec.picture(spoilt), "byte " + at);
+    void anyDamagedByteIsDetected() throws IOException {
+        byte[] bytes = SnapshotCodec.encodeSnapshot(snapshot(1, "app#0"));
+        for (int at = 0; at < bytes.length; at++) {
+            byte[] damaged = bytes.clone();
+            damaged[at] ^= 0x10;
+            assertThrows(
+                    SnapshotCodec.UnreadableException.class, () -> SnapshotCodec.decodeSnapshot(damaged), "byte " + at);
         }
-        assertEquals(picture(1, "app#0"), SnapshotCodec.picture(whole));
+        assertEquals(snapshot(1, "app#0"), SnapshotCodec.decodeSnapshot(bytes));
     }
 
     @Test
-    void anotherRelaysFileAndALaterFormatAreToldAndNotUsed() throws IOException {
+    void foreignFilesAndLaterFormatsAreLoggedAndNotUsed() throws IOException {
         SnapshotStore store = store();
-        store.begin(1);
-        store.write(1, SnapshotCodec.picture(picture(1, "app#3")));
-        store.end(true);
-        SnapshotStore.Found foreign = store().load("app#0");
-        assertNull(foreign.picture());
+        store.beginSnapshot(1);
+        store.writeSnapshot(1, SnapshotCodec.encodeSnapshot(snapshot(1, "app#3")));
+        store.endSnapshot(true);
+        SnapshotStore.LoadedState foreign = store().load("app#0");
+        assertNull(foreign.snapshot());
         assertTrue(
-                foreign.complaints().get(0).contains("it is app#3's, and this relay is app#0"),
-                foreign.complaints().toString());
-        byte[] later = SnapshotCodec.picture(picture(1, "app#0"));
-        later[SnapshotCodec.HEAD - 1]++;
-        Files.write(folder.resolve(SnapshotStore.picture(1)), later);
-        assertTrue(store().load("app#0").complaints().get(0).contains("its format is 2, and this relay reads 1"));
-        Files.write(folder.resolve(SnapshotStore.picture(1)), "not a picture at all".getBytes());
-        assertTrue(store().load("app#0").complaints().get(0).contains("no file of remembered endpoints"));
+                foreign.logLines().get(0).contains("owner is app#3, expected is app#0"),
+                foreign.logLines().toString());
+        byte[] later = SnapshotCodec.encodeSnapshot(snapshot(1, "app#0"));
+        later[SnapshotCodec.HEADER_BYTES - 1]++;
+        Files.write(folder.resolve(SnapshotStore.snapshotFileName(1)), later);
+        assertTrue(store().load("app#0").logLines().get(0).contains("format is 2, supported is 1"));
+        Files.write(folder.resolve(SnapshotStore.snapshotFileName(1)), "not a snapshot at all".getBytes());
+        assertTrue(store().load("app#0").logLines().get(0).contains("not a warm start file"));
     }
 
     @Test
-    void missingOrTornNotesAreDoubt() throws IOException {
+    void missingOrTornDeltasMakeTheStateIncomplete() throws IOException {
         SnapshotStore store = store();
         save(store, 1);
-        note(store, "a");
-        note(store, "b");
-        Path notes = folder.resolve(SnapshotStore.notes(1));
-        byte[] all = Files.readAllBytes(notes);
-        Files.write(notes, Arrays.copyOf(all, all.length - 1));
-        SnapshotStore.Found torn = store().load("app#0");
-        assertEquals(List.of("a"), ids(torn));
-        assertFalse(torn.whole());
-        Files.delete(notes);
-        SnapshotStore.Found none = store().load("app#0");
-        assertNotNull(none.picture());
-        assertFalse(none.whole());
+        appendDelta(store, "a");
+        appendDelta(store, "b");
+        Path deltaFile = folder.resolve(SnapshotStore.deltaFileName(1));
+        byte[] all = Files.readAllBytes(deltaFile);
+        Files.write(deltaFile, Arrays.copyOf(all, all.length - 1));
+        SnapshotStore.LoadedState torn = store().load("app#0");
+        assertEquals(List.of("a"), endpointIds(torn));
+        assertFalse(torn.isComplete());
+        Files.delete(deltaFile);
+        SnapshotStore.LoadedState none = store().load("app#0");
+        assertNotNull(none.snapshot());
+        assertFalse(none.isComplete());
     }
 
     @Test
-    void notesFillUpUntilTheNextPicture() throws IOException {
+    void deltaFileFillsUpUntilTheNextSnapshot() throws IOException {
         SnapshotStore store = SnapshotStore.at(folder, 200, false);
         save(store, 1);
-        assertFalse(store.isFull());
+        assertFalse(store.needsSnapshot());
         for (int i = 0; i < 9; i++) {
-            note(store, "e" + i);
+            appendDelta(store, "e" + i);
         }
-        assertTrue(store.isFull());
+        assertTrue(store.needsSnapshot());
         save(store, 2);
-        assertFalse(store.isFull());
+        assertFalse(store.needsSnapshot());
     }
 }
--- a/src/test/java/loftflow/warmstart/store/SnapshotWriterTest.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotWriterTest.java
@@ -22,20 +22,19 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What is saved and noted, within its budget, on a disk in memory that counts and can be full. */
+/** Snapshots and deltas within the write budget, on a folder in memory that counts bytes and can be full. */
 class SnapshotWriterTest {
     private static final long SECOND = 1_000_000;
     private static final long RATE = 20_480;
     private static final long MIB = 1 << 20;
-    /** An hour in seconds. */
-    private static final long SPAN = 3_600;
+    private static final long HOUR_SECONDS = 3_600;
 
-    /** Files in memory. */
-    private static final class Disk implements SnapshotFolder {
+    /** A folder in memory. */
+    private static final class InMemoryFolder implements SnapshotFolder {
         final Map<String, byte[]> files = new HashMap<>();
-        long written;
-        boolean full;
-        boolean moves = true;
+        long bytesWritten;
+        boolean isFull;
+        boolean canReplace = true;
 
         @Override
         public synchronized byte[] read(String name) {
@@ -50,20 +49,20 @@
 
         @Override
         public synchronized void append(String name, byte[] bytes) throws IOException {
-            if (full) {
+            if (isFull) {
                 throw new IOException("No space left on device");
             }
             byte[] before = files.get(name);
             byte[] after = java.util.Arrays.copyOf(before, before.length + bytes.length);
             System.arraycopy(bytes, 0, after, before.length, bytes.length);
             files.put(name, after);
-            written += bytes.length;
+            bytesWritten += bytes.length;
         }
 
         @Override
-        public synchronized void move(String from, String to) throws IOException {
-            if (!moves) {
-                throw new IOException("it can't be moved");
+        public synchronized void replace(String from, String to) throws IOException {
+            if (!canReplace) {
+                throw new IOException("rename failed");
             }
             files.put(to, files.remove(from));
         }
@@ -78,27 +77,27 @@
         }
     }
 
-    private final Disk disk = new Disk();
+    private final InMemoryFolder disk = new InMemoryFolder();
     private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
-    private SnapshotWriter saver;
+    private SnapshotWriter writer;
     private long generation;
     private int failures;
 
     @AfterEach
     void end() {
-        saver.close();
+        writer.close();
     }
 
-    private void begin(long limit, long rate) {
-        saver = new SnapshotWriter(
+    private void openWriter(long limit, long rate) {
+        writer = new SnapshotWriter(
                 new SnapshotWriter.Options(null, limit, rate, false),
                 new SnapshotStore(disk, limit / 50, false),
                 loop::add);
-        saver.load("app#0");
-        saver.start(null, new ClockReading(0, 0, "b"), 0);
+        writer.load("app#0");
+        writer.start(null, new ClockReading(0, 0, "b"), 0);
     }
 
-    private Snapshot picture(int endpoints, long now) {
+    private Snapshot snapshot(int endpoints, long now) {
         return new Snapshot(
                 "app#0",
                 generation + 1,
@@ -118,166 +117,167 @@
                         .toList());
     }
 
-    /** Saves, and waits for what becomes of it. */
+    /** Writes a snapshot and waits for the result. */
     private boolean save(int endpoints, long now) throws InterruptedException {
-        if (!begun(endpoints, now)) {
+        if (!startSave(endpoints, now)) {
             return false;
         }
         loop.take().run();
         return true;
     }
 
-    private boolean begun(int endpoints, long now) {
-        boolean begun = saver.save(picture(endpoints, now), now, () -> {
+    private boolean startSave(int endpoints, long now) {
+        boolean isStarted = writer.save(snapshot(endpoints, now), now, () -> {
             failures++;
             generation--;
         });
-        generation += begun ? 1 : 0;
-        return begun;
+        generation += isStarted ? 1 : 0;
+        return isStarted;
     }
 
-    private SnapshotStore.Found found() {
+    private SnapshotStore.LoadedState load() {
         return new SnapshotStore(disk, MIB, false).load("app#0");
     }
 
-    private static SnapshotDelta note(SnapshotDelta.Kind kind, int endpoint, long at) {
+    private static SnapshotDelta delta(SnapshotDelta.Kind kind, int endpoint, long at) {
         return new SnapshotDelta(kind, "elevator-" + endpoint, at);
     }
 
     @Test
-    void noteFollowsThePictureThatStandsAndTheOneThatIsOnItsWay() throws InterruptedException {
-        begin(2 * MIB, RATE);
-        saver.note(List.of(note(SnapshotDelta.Kind.GONE, 9, 0)), 0);
-        assertEquals(0, disk.written, "nothing is remembered that a note could follow");
+    void deltaFollowsTheCurrentAndTheNextSnapshot() throws InterruptedException {
+        openWriter(2 * MIB, RATE);
+        writer.note(List.of(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, 9, 0)), 0);
+        assertEquals(0, disk.bytesWritten, "there is no snapshot that a delta could follow");
         assertTrue(save(3, 0));
-        saver.note(List.of(note(SnapshotDelta.Kind.GONE, 1, 1)), 1);
-        assertTrue(begun(3, SECOND));
-        assertFalse(saver.isFree(SECOND), "one picture at a time");
-        saver.note(List.of(note(SnapshotDelta.Kind.WAIT, 2, 5)), SECOND);
+        writer.note(List.of(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, 1, 1)), 1);
+        assertTrue(startSave(3, SECOND));
+        assertFalse(writer.isFree(SECOND), "one snapshot at a time");
+        writer.note(List.of(delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5)), SECOND);
         loop.take().run();
-        assertEquals(List.of(note(SnapshotDelta.Kind.WAIT, 2, 5)), found().notes());
-        disk.files.remove(SnapshotStore.picture(2));
+        assertEquals(List.of(delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5)), load().deltas());
+        disk.files.remove(SnapshotStore.snapshotFileName(2));
         assertEquals(
                 List.of(
-                        note(SnapshotDelta.Kind.GONE, 1, 1),
-                        note(SnapshotDelta.Kind.WAIT, 2, 5),
-                        note(SnapshotDelta.Kind.WAIT, 2, 5)),
-                found().notes(),
-                "the picture before has them all");
+                        delta(SnapshotDelta.Kind.OUT_OF_SERVICE, 1, 1),
+                        delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5),
+                        delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5)),
+                load().deltas(),
+                "the previous snapshot has them all");
     }
 
-    /** A picture that fails on its way takes nothing from the one that stands, nor from what was lost since that. */
+    /** A failed write changes neither the current snapshot nor the deltas lost since then. */
     @Test
-    void pictureThatFailsOnItsWayLeavesWhatWasLost() throws InterruptedException {
-        begin(MIB, 1_024);
+    void failedSnapshotWriteRetainsLostDeltas() throws InterruptedException {
+        openWriter(MIB, 1_024);
         assertTrue(save(2, 0));
         for (int i = 0; i < 3_000; i++) {
-            saver.note(List.of(note(SnapshotDelta.Kind.GONE, i, 7)), SECOND);
+            writer.note(List.of(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, i, 7)), SECOND);
         }
-        assertTrue(saver.wantsPicture());
-        disk.moves = false;
+        assertTrue(writer.wantsPicture());
+        disk.canReplace = false;
         assertTrue(save(2, 300 * SECOND));
         assertEquals(1, failures);
-        assertTrue(saver.wantsPicture(), "what was lost since the picture that stands still is");
-        assertTrue(found().notes().stream().anyMatch(n -> n.kind() == SnapshotDelta.Kind.LOST));
-        assertEquals(1, found().picture().generation());
-        disk.moves = true;
+        assertTrue(writer.wantsPicture(), "deltas lost since the current snapshot are still lost");
+        assertTrue(load().deltas().stream().anyMatch(n -> n.kind() == SnapshotDelta.Kind.DELTAS_LOST));
+        assertEquals(1, load().snapshot().generation());
+        disk.canReplace = true;
         assertTrue(save(2, 400 * SECOND));
-        assertFalse(saver.wantsPicture());
-        assertEquals(2, found().picture().generation());
+        assertFalse(writer.wantsPicture());
+        assertEquals(2, load().snapshot().generation());
     }
 
-    /** An hour in which an eighth of 5,000 endpoints changes each second: the disk sees its part and no more. */
+    /** An hour in which an eighth of 5,000 endpoints changes each second stays within the budget. */
     @Test
-    void anHourOfChurnWritesNoMoreThanItsBudgetAndDoubtsWhatItCouldNotWrite() throws InterruptedException {
-        begin(4 * MIB, RATE);
+    void anHourOfChurnStaysWithinTheBudgetAndRecordsLostDeltas() throws InterruptedException {
+        openWriter(4 * MIB, RATE);
         int lost = 0;
-        long most = 0;
-        for (long second = 0; second < SPAN; second++) {
+        long maxBytes = 0;
+        for (long second = 0; second < HOUR_SECONDS; second++) {
             long now = second * SECOND;
-            saver.look(now);
+            writer.look(now);
             save(5_000, now);
-            List<SnapshotDelta> notes = new ArrayList<>();
+            List<SnapshotDelta> deltas = new ArrayList<>();
             for (int i = 0; i < 600; i++) {
-                notes.add(note(SnapshotDelta.Kind.GONE, (int) (second * 600 + i) % 5_000, now));
+                deltas.add(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, (int) (second * 600 + i) % 5_000, now));
             }
-            for (SnapshotDelta each : notes) {
-                saver.note(List.of(each), now);
+            for (SnapshotDelta each : deltas) {
+                writer.note(List.of(each), now);
             }
             lost += second % 60 > 0
                     ? 0
-                    : found().notes().stream().anyMatch(n -> n.kind() == SnapshotDelta.Kind.LOST) ? 1 : 0;
-            most = Math.max(most, disk.size());
+                    : load().deltas().stream().anyMatch(n -> n.kind() == SnapshotDelta.Kind.DELTAS_LOST) ? 1 : 0;
+            maxBytes = Math.max(maxBytes, disk.size());
         }
-        // Besides the rate a minute's worth at the start, a head for each picture's notes and one note of loss a
-        // second.
-        long allowed = RATE * (SPAN + 60) + SPAN * 60;
-        assertTrue(disk.written <= allowed, disk.written + " of " + allowed);
-        assertTrue(disk.written > allowed / 2, "it does write: " + disk.written);
-        assertTrue(most < 4 * MIB, "on the disk: " + most);
-        assertTrue(lost > 0, "what is not written is told");
-        System.out.println("an hour of churn of 5,000 endpoints wrote " + disk.written + " bytes, " + most
+        // The rate, its burst, and for each second a delta file header and one delta that stands for lost ones.
+        long allowed = RATE * (HOUR_SECONDS + 60) + HOUR_SECONDS * 60;
+        assertTrue(disk.bytesWritten <= allowed, disk.bytesWritten + " of " + allowed);
+        assertTrue(disk.bytesWritten > allowed / 2, "it does write: " + disk.bytesWritten);
+        assertTrue(maxBytes < 4 * MIB, "on the disk: " + maxBytes);
+        assertTrue(lost > 0, "lost deltas are recorded");
+        System.out.println("an hour of churn of 5,000 endpoints wrote " + disk.bytesWritten + " bytes, " + maxBytes
                 + " at once on the disk");
     }
 
     @Test
-    void notesBeyondTheBudgetBecomeOneThatSaysSoUntilTheNextPicture() throws InterruptedException {
-        begin(MIB, 1_024);
+    void deltasBeyondTheBudgetBecomeOneUntilTheNextSnapshot() throws InterruptedException {
+        openWriter(MIB, 1_024);
         assertTrue(save(2, 0));
         for (int i = 0; i < 5_000; i++) {
-            saver.note(List.of(note(SnapshotDelta.Kind.WAIT, i, 7 + i)), SECOND);
+            writer.note(List.of(delta(SnapshotDelta.Kind.RETRY_AFTER, i, 7 + i)), SECOND);
         }
-        SnapshotStore.Found found = found();
+        SnapshotStore.LoadedState loaded = load();
         for (int i = 2; i < 100; i++) {
-            saver.look(i * SECOND);
+            writer.look(i * SECOND);
         }
-        long grown = disk.written;
+        long bytesBefore = disk.bytesWritten;
         for (int i = 100; i < 200; i++) {
-            saver.look(i * SECOND);
+            writer.look(i * SECOND);
         }
-        assertEquals(grown, disk.written, "what is noted is noted once");
-        SnapshotDelta last = found.notes().get(found.notes().size() - 1);
-        assertEquals(SnapshotDelta.Kind.LOST, last.kind());
-        assertTrue(saver.wantsPicture());
-        found = found();
+        assertEquals(bytesBefore, disk.bytesWritten, "the loss is recorded once");
+        SnapshotDelta last = loaded.deltas().get(loaded.deltas().size() - 1);
+        assertEquals(SnapshotDelta.Kind.DELTAS_LOST, last.kind());
+        assertTrue(writer.wantsPicture());
+        loaded = load();
         assertEquals(
-                new SnapshotDelta(SnapshotDelta.Kind.LOST, "", 7 + 4_999),
-                found.notes().get(found.notes().size() - 1),
-                "the longest wait of all that could not be noted");
+                new SnapshotDelta(SnapshotDelta.Kind.DELTAS_LOST, "", 7 + 4_999),
+                loaded.deltas().get(loaded.deltas().size() - 1),
+                "the longest retry-after of the lost deltas");
         assertTrue(save(2, 300 * SECOND));
-        assertFalse(saver.wantsPicture());
-        assertTrue(found().notes().isEmpty());
+        assertFalse(writer.wantsPicture());
+        assertTrue(load().deltas().isEmpty());
     }
 
     @Test
-    void pictureThatIsTooLargeGoesWithoutWhatWasHeardOfLongestAgo() throws InterruptedException {
-        begin(MIB, RATE);
+    void tooLargeSnapshotOmitsTheEndpointsWithTheOldestEvidence() throws InterruptedException {
+        openWriter(MIB, RATE);
         assertTrue(save(9_000, 0));
-        Snapshot kept = found().picture();
-        assertTrue(disk.files.get(SnapshotStore.picture(1)).length <= 0.3 * MIB);
-        assertTrue(kept.endpoints().size() > 1_500, "kept: " + kept.endpoints().size());
-        assertTrue(kept.endpoints().stream()
+        Snapshot retained = load().snapshot();
+        assertTrue(disk.files.get(SnapshotStore.snapshotFileName(1)).length <= 0.3 * MIB);
+        assertTrue(
+                retained.endpoints().size() > 1_500,
+                "retained: " + retained.endpoints().size());
+        assertTrue(retained.endpoints().stream()
                 .allMatch(k ->
-                        k.listed().destination() >= 9_000 - kept.endpoints().size()));
+                        k.listed().destination() >= 9_000 - retained.endpoints().size()));
     }
 
     @Test
-    void fullDiskIsTriedAgainLessAndLessOften() throws InterruptedException {
-        begin(MIB, RATE);
+    void retriesOnAFullDiskBackOff() throws InterruptedException {
+        openWriter(MIB, RATE);
         assertTrue(save(2, 0));
-        disk.full = true;
-        int tries = 0;
+        disk.isFull = true;
+        int attempts = 0;
         for (long now = SECOND; now < 120 * SECOND; now += SECOND) {
-            if (saver.isFree(now)) {
-                tries++;
+            if (writer.isFree(now)) {
+                attempts++;
                 save(2, now);
             }
         }
-        assertTrue(tries >= 6 && tries <= 9, "tries: " + tries);
-        assertEquals(0, failures, "it was not even begun");
-        assertEquals(1, found().picture().generation());
-        disk.full = false;
+        assertTrue(attempts >= 6 && attempts <= 9, "attempts: " + attempts);
+        assertEquals(0, failures, "no write was started");
+        assertEquals(1, load().snapshot().generation());
+        disk.isFull = false;
         assertTrue(save(2, 300 * SECOND));
-        assertEquals(generation, found().picture().generation());
+        assertEquals(generation, load().snapshot().generation());
     }
 }
--- a/src/test/java/loftflow/warmstart/store/StoreBenchmark.java
+++ b/src/test/java/loftflow/warmstart/store/StoreBenchmark.java
@@ -21,8 +21,9 @@
 import loftflow.warmstart.Snapshot;
 
 /**
- * What remembering costs, as a command: start-up and memory of a relay that remembers so many endpoints beside one that
- * remembers none and beside one with no memory at all, in turns; size of a picture and the time to write and read it.
+ * Measures the cost of warm start, as a command: start-up time and memory of a relay that restores a number of
+ * endpoints, compared with one that restores none and one with warm start off, in turns; also the size of a snapshot
+ * and the time to encode and decode it.
  */
 public final class StoreBenchmark {
     private static final int TURNS = 9;
@@ -63,7 +64,7 @@
         return values.get(values.size() / 2);
     }
 
-    private static Snapshot picture(int endpoints) {
+    private static Snapshot snapshot(int endpoints) {
         ClockReading now = SystemClocks.now();
         return new Snapshot(
                 "app#0",
@@ -85,16 +86,16 @@
     }
 
     private static void codec(int endpoints) throws IOException {
-        Snapshot picture = picture(endpoints);
-        byte[] bytes = SnapshotCodec.picture(picture);
+        Snapshot snapshot = snapshot(endpoints);
+        byte[] bytes = SnapshotCodec.encodeSnapshot(snapshot);
         long start = System.nanoTime();
         for (int i = 0; i < 200; i++) {
-            bytes = SnapshotCodec.picture(picture);
+            bytes = SnapshotCodec.encodeSnapshot(snapshot);
         }
         long wrote = System.nanoTime() - start;
         start = System.nanoTime();
         for (int i = 0; i < 200; i++) {
-            SnapshotCodec.picture(bytes);
+            SnapshotCodec.decodeSnapshot(bytes);
         }
         long read = System.nanoTime() - start;
         System.out.println(String.format(
@@ -136,7 +137,7 @@
                         .formatted(state, !kind.equals("off")));
         ConfigTool.Outcome outcome = ConfigTool.write(file, folder, true);
         if (!kind.equals("off") && !kind.equals("0")) {
-            SnapshotSamples.write(state, picture(Integer.parseInt(kind)));
+            SnapshotSamples.write(state, snapshot(Integer.parseInt(kind)));
         }
         long began = System.nanoTime();
         try (ServedRelay relay = ServedRelay.start(outcome.file(), folder.resolve("log"), "-Xmx72m", "-Xss512k")) {
