--- a/src/test/java/loftflow/stored/StoredSnapshotTest.java
+++ b/src/test/java/loftflow/stored/StoredSnapshotTest.java
@@ -47,7 +47,7 @@
     private static final KnownEndpoint GONE = new KnownEndpoint(
             entry("h2", 7, Availability.DRAINING, 0),
             "127.0.0.1:9002",
-            KnownEndpoint.State.GONE,
+            KnownEndpoint.State.OUT_OF_SERVICE,
             1_000_101,
             0,
             0,
@@ -71,9 +71,9 @@
             41,
             List.of(LISTED, GONE));
     private static final List<SnapshotDelta> AFTER_FIRST = List.of(
-            new SnapshotDelta(SnapshotDelta.Kind.GONE, "h1", 2_100_000),
-            new SnapshotDelta(SnapshotDelta.Kind.STRUCK, "h2", 2_200_000),
-            new SnapshotDelta(SnapshotDelta.Kind.LOST, "", 2_250_000));
+            new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, "h1", 2_100_000),
+            new SnapshotDelta(SnapshotDelta.Kind.EJECTED, "h2", 2_200_000),
+            new SnapshotDelta(SnapshotDelta.Kind.DELTAS_LOST, "", 2_250_000));
     private static final Snapshot SECOND = new Snapshot(
             OWNER,
             2,
@@ -82,9 +82,9 @@
             42,
             List.of(LISTED, GONE, STRUCK));
     private static final List<SnapshotDelta> AFTER_SECOND = List.of(
-            new SnapshotDelta(SnapshotDelta.Kind.WAIT, "h1", 9_000_000),
-            new SnapshotDelta(SnapshotDelta.Kind.DOWN, "h1", 3_100_000),
-            new SnapshotDelta(SnapshotDelta.Kind.BACK, "h1", 3_200_000));
+            new SnapshotDelta(SnapshotDelta.Kind.RETRY_AFTER, "h1", 9_000_000),
+            new SnapshotDelta(SnapshotDelta.Kind.FAILED, "h1", 3_100_000),
+            new SnapshotDelta(SnapshotDelta.Kind.RECOVERED, "h1", 3_200_000));
     private static final List<SnapshotDelta> AFTER_BOTH =
             Stream.concat(AFTER_FIRST.stream(), AFTER_SECOND.stream()).toList();
 
