--- a/src/main/java/loftflow/completion/HttpCompletionNotifier.java
+++ b/src/main/java/loftflow/completion/HttpCompletionNotifier.java
@@ -1,12 +1,7 @@
 package loftflow.completion;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.HttpMethod;
-import java.io.IOException;
-import java.io.StringWriter;
-import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,126 +14,128 @@
 import loftflow.engine.Message;
 import loftflow.log.Log;
 
-/** Tells the platform of messages that ended undelivered, and again until it has heard. */
+/**
+ * Reports completions other than delivery to the platform, in batches and one request at a time, and retries each until
+ * it is acknowledged. To be used on the event loop.
+ *
+ * <p>The platform rejects a batch as a whole when it can't read one notice of it. The batch is then halved until the
+ * notice is alone, which is dropped; successful requests double the batch again.
+ */
 public final class HttpCompletionNotifier implements CompletionNotifier {
-    private static final int MOST_IN_ONE = 100;
-    private static final long PATIENCE_MS = 100;
-    private static final long PAUSE_MS = 20;
-    private static final long LOOK_MS = 500;
+    private static final int MAX_BATCH_SIZE = 100;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 100;
+    private static final long RETRY_DELAY_MILLIS = 20;
+    private static final long CONNECTION_CHECK_MILLIS = 500;
+
+    private static final int STATUS_BAD_REQUEST = 400;
 
     private final EventLoop loop;
-    private final AgentConnection agent;
-    private final Consumer<Message> heard;
-    private final Runnable unreachable;
-    private final JsonFactory factory = new JsonFactory();
-    private final ArrayDeque<Message> waiting = new ArrayDeque<>();
-    private boolean out;
-    /** How many go in one request: fewer while one is looked for that the platform can't read. */
-    private int most = MOST_IN_ONE;
+    private final AgentConnection connection;
+    private final Consumer<Message> onAcknowledged;
+    private final Runnable onUnreachable;
+    /** In the order completed; the first ones are those of the request that is out. */
+    private final ArrayDeque<Message> unacknowledged = new ArrayDeque<>();
+
+    /** True from the first message on until none is unacknowledged. */
+    private boolean isPosting;
+
+    private int batchSize = MAX_BATCH_SIZE;
 
     /**
-     * Notices to a platform.
+     * A notifier that has no connection yet.
      *
-     * @param heard is told of each once the platform has taken it
-     * @param unreachable is run each {@value #LOOK_MS} ms for which there is no connection to the platform
+     * @param onAcknowledged receives each message once the platform has acknowledged its completion
+     * @param onUnreachable runs each {@value #CONNECTION_CHECK_MILLIS} ms while there is no connection to the platform
      */
     public HttpCompletionNotifier(
-            EventLoop loop, InetSocketAddress address, Consumer<Message> heard, Runnable unreachable) {
+            EventLoop loop, InetSocketAddress address, Consumer<Message> onAcknowledged, Runnable onUnreachable) {
         this.loop = loop;
-        this.heard = heard;
-        this.unreachable = unreachable;
-        agent = new AgentConnection(loop, address);
+        this.onAcknowledged = onAcknowledged;
+        this.onUnreachable = onUnreachable;
+        connection = new AgentConnection(loop, address);
     }
 
     /**
-     * Keeps a connection open from now on. Guards against an agent that is about to move: it serves the connections
-     * that it
-     * has and takes no new one, and a notice that has to wait for the new address is late.
+     * Holds a connection open from now on. An agent that is about to move serves the connections that it has and
+     * accepts no new one; a notice that had to wait for the new address would be late.
      */
     public void start() {
-        agent.open();
-        loop.schedule(this::keepOpen, LOOK_MS, TimeUnit.MILLISECONDS);
+        connection.open();
+        loop.schedule(this::checkConnection, CONNECTION_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void keepOpen() {
-        if (!agent.isOpen()) {
-            unreachable.run();
+    private void checkConnection() {
+        if (!connection.isOpen()) {
+            onUnreachable.run();
         }
         start();
     }
 
     @Override
     public void notifyCompletion(Message message) {
-        waiting.add(message);
-        if (!out) {
-            out = true;
+        unacknowledged.add(message);
+        if (!isPosting) {
+            isPosting = true;
             loop.execute(this::post);
         }
     }
 
-    /** Notices go to another address from now on, also those that have no answer yet. */
+    /** Sends notices to another address from now on, also those that are not acknowledged yet. */
     public void moveTo(InetSocketAddress address) {
-        agent.moveTo(address);
+        connection.moveTo(address);
     }
 
     private void post() {
         List<Message> batch = new ArrayList<>();
-        StringBuilder lines = new StringBuilder();
-        for (Iterator<Message> next = waiting.iterator(); next.hasNext() && batch.size() < most; ) {
+        StringBuilder notices = new StringBuilder();
+        for (Iterator<Message> next = unacknowledged.iterator(); next.hasNext() && batch.size() < batchSize; ) {
             Message message = next.next();
             batch.add(message);
-            lines.append(line(message)).append('\n');
+            notices.append(CompletionNoticeCodec.notice(message));
         }
-        agent.request(
-                HttpMethod.POST, "/status", lines.toString(), PATIENCE_MS, (status, body) -> answered(batch, status));
+        connection.request(
+                HttpMethod.POST,
+                CompletionNoticeCodec.NOTICE_PATH,
+                notices.toString(),
+                RESPONSE_TIMEOUT_MILLIS,
+                (status, body) -> onResponse(batch, status));
     }
 
-    private void answered(List<Message> batch, int status) {
-        boolean read = status / 100 == 2;
-        if (status == 400 && batch.size() > 1) {
-            // Guards against one notice that the platform can't read and that all others of its request would end with.
-            most = batch.size() / 2;
-        } else if (read || status == 400) {
-            if (!read) {
-                // Guards against asking for ever, which would block the others.
-                Log.line("notices: the platform can't read the end of "
-                        + batch.get(0).content().messageId() + ", it is set apart");
-            }
-            most = read ? Math.min(MOST_IN_ONE, 2 * most) : most;
-            batch.forEach(message -> waiting.poll());
-            batch.forEach(this::tell);
+    private void onResponse(List<Message> batch, int status) {
+        boolean isAccepted = status / 100 == 2;
+        boolean isUnreadable = status == STATUS_BAD_REQUEST;
+        if (isAccepted) {
+            batchSize = Math.min(MAX_BATCH_SIZE, 2 * batchSize);
+            acknowledge(batch);
+        } else if (isUnreadable && batch.size() > 1) {
+            batchSize = batch.size() / 2;
+        } else if (isUnreadable) {
+            // Retried for ever, it would block all notices behind it.
+            Log.line("completion: notice rejected and dropped message="
+                    + batch.get(0).content().messageId());
+            acknowledge(batch);
         }
-        if (waiting.isEmpty()) {
-            out = false;
-        } else if (read || status == 400) {
+        if (unacknowledged.isEmpty()) {
+            isPosting = false;
+        } else if (isAccepted || isUnreadable) {
             post();
         } else {
-            loop.schedule(this::post, PAUSE_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::post, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Guards against one message whose end can't be carried out: all later notices would wait for ever. */
-    private void tell(Message message) {
-        try {
-            heard.accept(message);
-        } catch (RuntimeException e) {
-            Log.line("notices: the end of " + message.content().messageId() + " can't be carried out: " + e);
-        }
+    private void acknowledge(List<Message> batch) {
+        batch.forEach(message -> unacknowledged.poll());
+        batch.forEach(this::reportAcknowledged);
     }
 
-    private String line(Message message) {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator json = factory.createGenerator(text)) {
-            json.writeStartObject();
-            json.writeStringField("ref", message.content().messageId());
-            json.writeStringField("result", message.completion().word());
-            if (message.completion().isRejected() && message.completion().retryAfterMicros() > 0) {
-                json.writeNumberField("wait_ms", message.completion().retryAfterMicros() / 1000);
-            }
-            json.writeEndObject();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+    /** A failure of one message must not end the notices of all later ones. */
+    private void reportAcknowledged(Message message) {
+        try {
+            onAcknowledged.accept(message);
+        } catch (RuntimeException e) {
+            Log.line("completion: acknowledgement failed message="
+                    + message.content().messageId() + " error=" + e);
         }
-        return text.toString();
     }
 }
--- a/src/main/java/loftflow/completion/package-info.java
+++ b/src/main/java/loftflow/completion/package-info.java
@@ -1,7 +1,6 @@
 /**
- * Completion notices: how messages ended is reported to the platform, or to a file where no platform listens, until it
- * is
- * acknowledged.
+ * Reports how messages ended other than by delivery, to the platform or, where there is none, to a file, until each
+ * report is acknowledged.
  *
  * <p>May use: the engine, {@code discovery}'s connection to the platform's agent, {@code recordfile}, the log, Netty
  * and Jackson.
--- a/src/main/java/loftflow/deduplication/DeduplicationFile.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationFile.java
@@ -9,46 +9,53 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import loftflow.log.Log;
 import loftflow.recordfile.RecordFile;
 
 /**
- * A memory that outlasts the process: a file of records, each with its length and checksum, that is written anew
- * without
- * what is over when it has grown to twice what is remembered. As with the journal, appending needs no sync.
+ * A deduplication window that outlasts the process, in an append-only file of records. Once the file holds more than
+ * twice as many records as ids are retained, a compaction replaces it by one without expired ids. Appending needs no
+ * sync: what was written outlasts the process, and nothing outlasts the machine.
+ *
+ * <p>A record's payload is the time at which the id was accepted, in microseconds since 1970 as a big-endian
+ * {@code long}, and the id in UTF-8.
  */
 public final class DeduplicationFile implements Deduplicator, AutoCloseable {
     private static final String NAME = "seen.log";
-    private static final String UNFINISHED = "seen.new";
-    private static final int MOST_ID = 1_000;
-    /** Records beyond twice the ids that are remembered, before the file is written anew. */
-    private static final int SLACK = 1_000;
+    private static final String UNFINISHED_NAME = "seen.new";
+    private static final int MAX_ID_BYTES = 1_000;
+    /** Records beyond twice the number of retained ids that a compaction waits for. */
+    private static final int COMPACTION_SLACK_RECORDS = 1_000;
 
-    private static final long PAUSE = 1_000_000;
+    private static final long COMPACTION_RETRY_MICROS = TimeUnit.SECONDS.toMicros(1);
 
     private final Path folder;
-    private final LongSupplier clock;
-    private final DeduplicationWindow ids;
+    private final LongSupplier clockMicros;
+    private final DeduplicationWindow window;
     private FileChannel file;
-    private long size;
+    private long sizeBytes;
     private int records;
-    private boolean broken;
-    private long nextTry;
+    /** Set from a failed append to the next compaction: the file may lack ids, and may end in a torn record. */
+    private boolean isBroken;
+
+    private long nextCompactionMicros;
 
     /**
-     * Opens the memory of a folder; a torn tail is cut off.
+     * Opens the file of a folder, which is created where it is missing; a torn tail is removed.
      *
-     * @param span microseconds for which an id is remembered
-     * @param most ids that are remembered
-     * @param clock microseconds since 1970
+     * @param windowMicros for how long an id is retained
+     * @param capacity how many ids are retained at most
+     * @param clockMicros the time in microseconds since 1970
      */
-    public DeduplicationFile(Path folder, long span, int most, LongSupplier clock) throws IOException {
+    public DeduplicationFile(Path folder, long windowMicros, int capacity, LongSupplier clockMicros)
+            throws IOException {
         this.folder = folder;
-        this.clock = clock;
-        ids = new DeduplicationWindow(span, most);
+        this.clockMicros = clockMicros;
+        window = new DeduplicationWindow(windowMicros, capacity);
         Files.createDirectories(folder);
-        Files.deleteIfExists(folder.resolve(UNFINISHED));
+        Files.deleteIfExists(folder.resolve(UNFINISHED_NAME));
         file = FileChannel.open(
                 folder.resolve(NAME), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
         replay();
@@ -56,94 +63,101 @@
 
     @Override
     public boolean contains(String id) {
-        return ids.contains(id, clock.getAsLong());
+        return window.contains(id, clockMicros.getAsLong());
     }
 
-    /** Also false where the file can't be written: what is not on file would be forgotten by a kill. */
+    /** Also false while the file can't be written: an id that is not in it would not outlast the process. */
     @Override
     public boolean hasRoom() {
-        if (broken && clock.getAsLong() >= nextTry) {
-            rewrite();
+        if (isBroken && clockMicros.getAsLong() >= nextCompactionMicros) {
+            compact();
         }
-        return !broken && ids.hasRoom(clock.getAsLong());
+        return !isBroken && window.hasRoom(clockMicros.getAsLong());
     }
 
     @Override
     public void add(String id) {
-        long now = clock.getAsLong();
-        ids.add(id, now);
-        append(record(id, now));
-        if (records > 2 * ids.size() + SLACK && now >= nextTry) {
-            rewrite();
+        long nowMicros = clockMicros.getAsLong();
+        window.add(id, nowMicros);
+        append(record(id, nowMicros));
+        if (records > 2 * window.size() + COMPACTION_SLACK_RECORDS && nowMicros >= nextCompactionMicros) {
+            compact();
         }
     }
 
     private void append(byte[] record) {
         try {
-            RecordFile.write(file, record, size);
-            size += record.length;
+            RecordFile.write(file, record, sizeBytes);
+            sizeBytes += record.length;
             records++;
         } catch (IOException e) {
-            Log.line("seen: can't be written, nothing is taken on that must not be taken on twice: " + e.getMessage());
-            broken = true;
+            Log.line("deduplication: append failed, no more messages are accepted over AMQP error=" + e.getMessage());
+            isBroken = true;
         }
     }
 
-    private static byte[] record(String id, long at) {
-        byte[] text = id.getBytes(StandardCharsets.UTF_8);
-        byte[] record = new byte[RecordFile.HEAD + Long.BYTES + text.length];
-        ByteBuffer.wrap(record).position(RecordFile.HEAD).putLong(at).put(text);
+    private static byte[] record(String id, long acceptedAtMicros) {
+        byte[] idBytes = id.getBytes(StandardCharsets.UTF_8);
+        byte[] record = new byte[RecordFile.HEAD + Long.BYTES + idBytes.length];
+        ByteBuffer.wrap(record)
+                .position(RecordFile.HEAD)
+                .putLong(acceptedAtMicros)
+                .put(idBytes);
         return RecordFile.seal(record);
     }
 
-    /** Writes what is remembered to a new file, which then takes the place of the old one. */
-    private void rewrite() {
-        Path unfinished = folder.resolve(UNFINISHED);
+    /** Replaces the file by one that holds the retained ids only. */
+    private void compact() {
         try {
             FileChannel next = FileChannel.open(
-                    unfinished,
+                    folder.resolve(UNFINISHED_NAME),
                     StandardOpenOption.CREATE,
                     StandardOpenOption.READ,
                     StandardOpenOption.TRUNCATE_EXISTING,
                     StandardOpenOption.WRITE);
-            long written = 0;
-            try {
-                for (Map.Entry<String, Long> one : ids.all().entrySet()) {
-                    byte[] record = record(one.getKey(), one.getValue());
-                    RecordFile.write(next, record, written);
-                    written += record.length;
-                }
-                Files.move(unfinished, folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
-            } catch (IOException e) {
-                next.close();
-                throw e;
-            }
+            long writtenBytes = writeRetained(next);
             file.close();
             file = next;
-            size = written;
-            records = ids.size();
-            broken = false;
+            sizeBytes = writtenBytes;
+            records = window.size();
+            isBroken = false;
+        } catch (IOException e) {
+            Log.line("deduplication: compaction failed error=" + e.getMessage());
+            // Without a pause, each message would start a compaction on a disk that is full.
+            nextCompactionMicros = clockMicros.getAsLong() + COMPACTION_RETRY_MICROS;
+        }
+    }
+
+    /** Writes every retained id and puts the new file in the place of the old one; the bytes written. */
+    private long writeRetained(FileChannel next) throws IOException {
+        try {
+            long writtenBytes = 0;
+            for (Map.Entry<String, Long> id : window.all().entrySet()) {
+                byte[] record = record(id.getKey(), id.getValue());
+                RecordFile.write(next, record, writtenBytes);
+                writtenBytes += record.length;
+            }
+            Files.move(folder.resolve(UNFINISHED_NAME), folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
+            return writtenBytes;
         } catch (IOException e) {
-            Log.line("seen: can't be written anew: " + e.getMessage());
-            // Guards against a new try with each message on a disk that is full.
-            nextTry = clock.getAsLong() + PAUSE;
+            next.close();
+            throw e;
         }
     }
 
     private void replay() throws IOException {
         ByteBuffer all = RecordFile.all(file);
         byte[] payload = RecordFile.next(all);
-        while (payload != null && payload.length > Long.BYTES && payload.length <= Long.BYTES + MOST_ID) {
-            ids.add(
-                    new String(payload, Long.BYTES, payload.length - Long.BYTES, StandardCharsets.UTF_8),
-                    ByteBuffer.wrap(payload).getLong());
+        while (payload != null && payload.length > Long.BYTES && payload.length <= Long.BYTES + MAX_ID_BYTES) {
+            String id = new String(payload, Long.BYTES, payload.length - Long.BYTES, StandardCharsets.UTF_8);
+            window.add(id, ByteBuffer.wrap(payload).getLong());
             records++;
-            size = all.position();
+            sizeBytes = all.position();
             payload = RecordFile.next(all);
         }
-        if (size < file.size()) {
-            Log.line("seen: a torn tail of " + (file.size() - size) + " bytes is cut off");
-            file.truncate(size);
+        if (sizeBytes < file.size()) {
+            Log.line("deduplication: torn tail truncated bytes=" + (file.size() - sizeBytes));
+            file.truncate(sizeBytes);
         }
     }
 
--- a/src/main/java/loftflow/deduplication/DeduplicationWindow.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationWindow.java
@@ -5,54 +5,61 @@
 import java.util.Map;
 
 /**
- * Which ids were taken on within a span. Free of clocks and files; times are microseconds of the caller's clock. It
- * never forgets an id before its span is over: where it is full, it says so, and the caller takes nothing on.
+ * The message ids accepted within a time window, without a clock or a file of its own; times are microseconds of the
+ * caller's clock. An id is never evicted before its window has passed: a full window reports that it has no capacity,
+ * and the caller accepts nothing more.
  */
 public final class DeduplicationWindow {
-    private final long span;
-    private final int most;
-    private final Map<String, Long> seen = new LinkedHashMap<>();
-
-    /** Remembers up to {@code most} ids, each for {@code span} microseconds. */
-    public DeduplicationWindow(long span, int most) {
-        this.span = span;
-        this.most = most;
+    private final long windowMicros;
+    private final int capacity;
+    /** When each id was accepted, the earliest first. */
+    private final Map<String, Long> acceptedAt = new LinkedHashMap<>();
+
+    /**
+     * An empty window.
+     *
+     * @param windowMicros for how long an id is retained
+     * @param capacity how many ids are retained at most
+     */
+    public DeduplicationWindow(long windowMicros, int capacity) {
+        this.windowMicros = windowMicros;
+        this.capacity = capacity;
     }
 
-    /** True where an id was taken on, and its span is not over. */
-    public boolean contains(String id, long now) {
-        Long at = seen.get(id);
-        return at != null && now - at <= span;
+    /** True where an id was accepted no longer ago than the window. */
+    public boolean contains(String id, long nowMicros) {
+        Long at = acceptedAt.get(id);
+        return at != null && nowMicros - at <= windowMicros;
     }
 
-    /** True where one more can be remembered. */
-    public boolean hasRoom(long now) {
-        forget(now);
-        return seen.size() < most;
+    /** True where one more id can be retained. */
+    public boolean hasRoom(long nowMicros) {
+        evictExpired(nowMicros);
+        return acceptedAt.size() < capacity;
     }
 
-    /** Remembers an id that is taken on. */
-    public void add(String id, long now) {
-        forget(now);
-        // Guards against the place of an id that is over and comes again: the oldest stay first.
-        seen.remove(id);
-        seen.put(id, now);
+    /** Retains an accepted id, from now on where it is retained already. */
+    public void add(String id, long nowMicros) {
+        evictExpired(nowMicros);
+        // A map keeps the position of a key that is put again, and the earliest id must stay first.
+        acceptedAt.remove(id);
+        acceptedAt.put(id, nowMicros);
     }
 
-    private void forget(long now) {
-        Iterator<Long> times = seen.values().iterator();
-        while (times.hasNext() && now - times.next() > span) {
+    private void evictExpired(long nowMicros) {
+        Iterator<Long> times = acceptedAt.values().iterator();
+        while (times.hasNext() && nowMicros - times.next() > windowMicros) {
             times.remove();
         }
     }
 
-    /** How many ids there are. */
+    /** How many ids are retained. */
     public int size() {
-        return seen.size();
+        return acceptedAt.size();
     }
 
-    /** Every id that is remembered with its time, the oldest first. */
+    /** Every retained id with the time at which it was accepted, the earliest first. */
     Map<String, Long> all() {
-        return seen;
+        return acceptedAt;
     }
 }
--- a/src/main/java/loftflow/deduplication/Deduplicator.java
+++ b/src/main/java/loftflow/deduplication/Deduplicator.java
@@ -1,8 +1,11 @@
 package loftflow.deduplication;
 
-/** What a front asks of the memory of what was taken on. */
+/**
+ * Recognizes messages that a client submits again. A listener looks an id up before it accepts a message, and adds it
+ * before it acknowledges one. To be called on the event loop.
+ */
 public interface Deduplicator {
-    /** Remembers nothing: every message is new. */
+    /** Retains nothing: every message is new. */
     Deduplicator NOTHING = new Deduplicator() {
         @Override
         public boolean contains(String id) {
@@ -18,12 +21,12 @@
         public void add(String id) {}
     };
 
-    /** True where a message of that id was taken on within the span. */
+    /** True where a message of that id was accepted within the window. */
     boolean contains(String id);
 
-    /** False where no more can be remembered, so that nothing may be taken on that must not be taken on twice. */
+    /** False where no more ids can be retained; no message that must not be accepted twice may be accepted then. */
     boolean hasRoom();
 
-    /** A message of that id is taken on; it outlasts the process when this returns. */
+    /** Retains the id of an accepted message; it outlasts the process when this returns. */
     void add(String id);
 }
--- a/src/main/java/loftflow/deduplication/package-info.java
+++ b/src/main/java/loftflow/deduplication/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The memory of what was taken on, for fronts whose clients hand the same message in again: which ids are known is
- * decided in {@code SeenIds}, free of files and clocks; {@code SeenFile} lets it outlast the process.
+ * The message ids that were accepted, for listeners whose clients submit the same message again: which ids are known is
+ * decided in {@code DeduplicationWindow}, free of files and clocks; {@code DeduplicationFile} stores them, so that they
+ * outlast the process.
  *
  * <p>May use: {@code recordfile} and the log.
  */
--- a/src/main/java/loftflow/recordfile/RecordFile.java
+++ b/src/main/java/loftflow/recordfile/RecordFile.java
@@ -5,61 +5,86 @@
 import java.nio.channels.FileChannel;
 import java.util.zip.CRC32;
 
-/** Records in a file, each with its length and checksum ahead, 4 bytes each. */
+/**
+ * Framing of records in an append-only file. A record is a header of 8 bytes, the payload's length and its CRC-32 in
+ * big-endian order, and the payload, which has at least one byte. A record that is cut short or whose checksum differs
+ * is torn; nothing behind it can be read.
+ */
 public final class RecordFile {
-    /** Bytes of a record ahead of its payload. */
+    /** Bytes of a record's header. */
     public static final int HEAD = Integer.BYTES * 2;
 
     private RecordFile() {}
 
-    /** Fills the head of a record whose payload stands behind the {@link #HEAD} bytes that are left for it. */
+    /**
+     * Fills in the header of a record.
+     *
+     * @param record {@link #HEAD} bytes for the header, then the payload; changed in place
+     * @return the same array
+     */
     public static byte[] seal(byte[] record) {
-        CRC32 crc = new CRC32();
-        crc.update(record, HEAD, record.length - HEAD);
-        ByteBuffer.wrap(record).putInt(record.length - HEAD).putInt((int) crc.getValue());
+        int length = record.length - HEAD;
+        ByteBuffer.wrap(record).putInt(length).putInt(checksum(record, HEAD, length));
         return record;
     }
 
-    /** The next record's payload, or null at the end and where a record is not whole. */
+    /**
+     * Reads the next record.
+     *
+     * @param all the content of a file; its position moves behind the record, or anywhere where null is returned
+     * @return the payload, or null at the end and where the record is torn
+     */
     public static byte[] next(ByteBuffer all) {
         if (all.remaining() < HEAD) {
             return null;
         }
         int length = all.getInt();
-        int expected = all.getInt();
+        int expectedChecksum = all.getInt();
         if (length <= 0 || length > all.remaining()) {
             return null;
         }
         byte[] payload = new byte[length];
         all.get(payload);
+        return checksum(payload, 0, length) == expectedChecksum ? payload : null;
+    }
+
+    private static int checksum(byte[] bytes, int offset, int length) {
         CRC32 crc = new CRC32();
-        crc.update(payload);
-        return (int) crc.getValue() == expected ? payload : null;
+        crc.update(bytes, offset, length);
+        return (int) crc.getValue();
     }
 
-    /** Everything that a file holds. */
+    /** Reads the whole content of a file, whatever the channel's position. */
     public static ByteBuffer all(FileChannel file) throws IOException {
-        ByteBuffer all = ByteBuffer.allocate((int) Math.min(file.size(), Integer.MAX_VALUE - HEAD));
-        while (all.hasRemaining() && file.read(all, all.position()) >= 0) {
+        ByteBuffer content = ByteBuffer.allocate((int) Math.min(file.size(), Integer.MAX_VALUE - HEAD));
+        while (content.hasRemaining() && file.read(content, content.position()) >= 0) {
             continue;
         }
-        return all.flip();
+        return content.flip();
     }
 
-    /** Writes all of some bytes at a place. */
+    /**
+     * Writes all of some bytes at a position of a file.
+     *
+     * @throws IOException where the disk is full or fails; some of the bytes may be written then
+     */
     public static void write(FileChannel file, byte[] bytes, long at) throws IOException {
-        ByteBuffer rest = ByteBuffer.wrap(bytes);
-        while (rest.hasRemaining()) {
-            file.write(rest, at + rest.position());
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+            file.write(remaining, at + remaining.position());
         }
     }
 
-    /** Writes all of some bytes at the end of a file, or nothing: half of them are cut off again. */
+    /**
+     * Writes all of some bytes at the end of a file, or none of them.
+     *
+     * @param end the file's size
+     * @throws IOException where the disk is full or fails; the file has its former size then, unless that fails too
+     */
     public static void append(FileChannel file, byte[] bytes, long end) throws IOException {
         try {
             write(file, bytes, end);
         } catch (IOException e) {
-            // Guards against half a record that the next one would be written behind.
             file.truncate(end);
             throw e;
         }
--- a/src/main/java/loftflow/recordfile/package-info.java
+++ b/src/main/java/loftflow/recordfile/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Files of records that outlast the process: how a record is framed, read back and written whole.
+ * Framing of records, with length and checksum, in append-only files that outlast the process.
  *
  * <p>May use: nothing of the relay.
  */
--- a/src/test/java/loftflow/deduplication/DeduplicatorTest.java
+++ b/src/test/java/loftflow/deduplication/DeduplicatorTest.java
@@ -3,97 +3,102 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assumptions.assumeTrue;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
+import java.util.Arrays;
 import java.util.HashSet;
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The window of accepted ids and the file that stores it. */
 class DeduplicatorTest {
-    private static final long SPAN = 1_000;
+    private static final long WINDOW_MICROS = 1_000;
 
     @TempDir
     Path folder;
 
-    private long now = 1_000_000;
+    private long nowMicros = 1_000_000;
 
-    private DeduplicationFile open(int most) throws IOException {
-        return new DeduplicationFile(folder, SPAN, most, () -> now);
+    private DeduplicationFile open(int capacity) throws IOException {
+        return new DeduplicationFile(folder, WINDOW_MICROS, capacity, () -> nowMicros);
     }
 
     @Test
-    void idIsKnownForItsSpanAndNotBeyond() {
-        DeduplicationWindow ids = new DeduplicationWindow(SPAN, 2);
-        ids.add("a", 0);
-        ids.add("b", 500);
-        assertTrue(ids.contains("a", SPAN) && !ids.contains("a", SPAN + 1) && ids.contains("b", SPAN + 1));
-        assertFalse(ids.hasRoom(SPAN), "two are all there may be");
-        assertTrue(ids.hasRoom(SPAN + 1), "one is over");
-        assertTrue(ids.contains("b", -9_000), "a clock that was set back forgets nothing");
+    void idIsKnownForItsWindowAndNotBeyond() {
+        DeduplicationWindow window = new DeduplicationWindow(WINDOW_MICROS, 2);
+        window.add("a", 0);
+        window.add("b", 500);
+        assertTrue(window.contains("a", WINDOW_MICROS)
+                && !window.contains("a", WINDOW_MICROS + 1)
+                && window.contains("b", WINDOW_MICROS + 1));
+        assertFalse(window.hasRoom(WINDOW_MICROS), "the capacity is two");
+        assertTrue(window.hasRoom(WINDOW_MICROS + 1), "one has expired");
+        assertTrue(window.contains("b", -9_000), "a clock that is set back evicts nothing");
     }
 
     @Test
-    void whatWasAddedOutlastsTheProcess() throws Exception {
-        try (DeduplicationFile seen = open(9)) {
-            seen.add("a");
-            now += 600;
-            seen.add("b");
+    void addedIdsOutlastTheProcess() throws Exception {
+        try (DeduplicationFile file = open(9)) {
+            file.add("a");
+            nowMicros += 600;
+            file.add("b");
         }
-        now += 500;
-        try (DeduplicationFile seen = open(9)) {
-            assertFalse(seen.contains("a"), "its span is over");
-            assertTrue(seen.contains("b"));
+        nowMicros += 500;
+        try (DeduplicationFile file = open(9)) {
+            assertFalse(file.contains("a"), "its window has passed");
+            assertTrue(file.contains("b"));
         }
     }
 
     @Test
-    void tornTailIsCutOffAndWhatIsWholeStays() throws Exception {
-        try (DeduplicationFile seen = open(9)) {
-            seen.add("a");
-            seen.add("b");
+    void tornTailIsTruncatedAndWholeRecordsStay() throws Exception {
+        try (DeduplicationFile file = open(9)) {
+            file.add("a");
+            file.add("b");
         }
-        Path file = folder.resolve("seen.log");
-        byte[] whole = Files.readAllBytes(file);
+        Path path = folder.resolve("seen.log");
+        byte[] whole = Files.readAllBytes(path);
         for (int cut = 0; cut < whole.length; cut++) {
-            Files.write(file, java.util.Arrays.copyOf(whole, cut), StandardOpenOption.TRUNCATE_EXISTING);
-            try (DeduplicationFile seen = open(9)) {
-                assertEquals(cut >= whole.length / 2, seen.contains("a"), "cut at " + cut);
-                assertFalse(seen.contains("b"));
-                seen.add("c");
+            Files.write(path, Arrays.copyOf(whole, cut), StandardOpenOption.TRUNCATE_EXISTING);
+            try (DeduplicationFile file = open(9)) {
+                assertEquals(cut >= whole.length / 2, file.contains("a"), "cut at " + cut);
+                assertFalse(file.contains("b"));
+                file.add("c");
             }
-            try (DeduplicationFile seen = open(9)) {
-                assertTrue(seen.contains("c"), "what comes behind a torn tail is kept");
+            try (DeduplicationFile file = open(9)) {
+                assertTrue(file.contains("c"), "what is appended behind a torn tail is read");
             }
         }
         byte[] flipped = whole.clone();
         flipped[whole.length - 1] ^= 1;
-        Files.write(file, flipped);
-        try (DeduplicationFile seen = open(9)) {
-            assertTrue(seen.contains("a") && !seen.contains("b"));
+        Files.write(path, flipped);
+        try (DeduplicationFile file = open(9)) {
+            assertTrue(file.contains("a") && !file.contains("b"));
         }
     }
 
     @Test
-    void fileStaysBoundedAndSaysTheSameAsTheMemory() throws Exception {
+    void compactedFileStaysBoundedAndHoldsTheWindow() throws Exception {
         Random random = new Random(5);
         Set<String> added = new HashSet<>();
-        DeduplicationFile seen = open(100_000);
+        DeduplicationFile file = open(100_000);
         for (int i = 0; i < 20_000; i++) {
-            now += random.nextInt(4);
-            seen.add("id-" + i);
+            nowMicros += random.nextInt(4);
+            file.add("id-" + i);
             added.add("id-" + i);
             if (i % 5_000 == 4_999) {
-                seen.close();
-                seen = open(100_000);
+                file.close();
+                file = open(100_000);
             }
         }
-        seen.close();
-        assertTrue(Files.size(folder.resolve("seen.log")) < 3_000 * 40, "some 700 ids are in their span");
+        file.close();
+        assertTrue(Files.size(folder.resolve("seen.log")) < 3_000 * 40, "some 700 ids are in their window");
         DeduplicationFile again = open(100_000);
         long known = added.stream().filter(again::contains).count();
         assertTrue(known > 400 && known < 1_000, "known: " + known);
@@ -102,19 +107,19 @@
     }
 
     @Test
-    void diskThatFailsTakesNothingMoreOnAndRecovers() throws Exception {
+    void fullDiskHasNoCapacityUntilACompactionSucceeds() throws Exception {
         Path full = Path.of("/dev/full");
-        org.junit.jupiter.api.Assumptions.assumeTrue(Files.exists(full));
+        assumeTrue(Files.exists(full));
         Files.createSymbolicLink(folder.resolve("seen.log"), full);
-        try (DeduplicationFile seen = open(9)) {
-            assertTrue(seen.hasRoom());
-            seen.add("a");
-            assertTrue(seen.contains("a"), "it is known as long as the process lasts");
-            // The next look writes the file anew, beside the one that fails.
-            assertTrue(seen.hasRoom());
+        try (DeduplicationFile file = open(9)) {
+            assertTrue(file.hasRoom());
+            file.add("a");
+            assertTrue(file.contains("a"), "it is known until the process ends");
+            // The next call compacts into a new file beside the one that fails.
+            assertTrue(file.hasRoom());
         }
-        try (DeduplicationFile seen = open(9)) {
-            assertTrue(seen.contains("a"));
+        try (DeduplicationFile file = open(9)) {
+            assertTrue(file.contains("a"));
         }
     }
 }
