--- a/src/test/java/loftflow/policy/FleetLimitTest.java
+++ b/src/test/java/loftflow/policy/FleetLimitTest.java
@@ -92,7 +92,7 @@
             }
             for (int i = 0; i < relays.size(); i++) {
                 PolicyHarness relay = relays.get(i);
-                relay.pass(now - relay.now);
+                relay.advance(now - relay.now);
                 double own = rate / relays.size() * (i % 5 == 0 ? 3 : 0.5);
                 if (random.nextDouble() < own * STEP / S) {
                     relay.accept(nextId++, "quick", 1);
@@ -130,7 +130,7 @@
         }
         for (int i = 0; i < FLEET; i++) {
             relays.add(new PolicyHarness(PolicyHarness.fleet(FLEET, seed * FLEET + i))
-                    .list(
+                    .applyList(
                             PolicyHarness.route("r0", 1, "apart", "east"),
                             PolicyHarness.route("r1", 1, "apart", "west"),
                             PolicyHarness.route("r2", 1, "apart", "east")));
@@ -144,7 +144,9 @@
         limits.put("b1", shared);
         for (int i = 0; i < fleet; i++) {
             relays.add(new PolicyHarness(PolicyHarness.fleet(fleet, seed * fleet + i))
-                    .list(PolicyHarness.route("b0", 1, "bulk", "east"), PolicyHarness.route("b1", 1, "bulk", "west")));
+                    .applyList(
+                            PolicyHarness.route("b0", 1, "bulk", "east"),
+                            PolicyHarness.route("b1", 1, "bulk", "west")));
         }
     }
 
@@ -163,7 +165,7 @@
      */
     @ParameterizedTest
     @CsvSource({"1.2, 1", "1.2, 2", "2, 1", "2, 2"})
-    void overrunLimitThatRefusedCallsUseUpGoesOnServing(double load, long seed) {
+    void exceededLimitThatRejectedCallsUseUpGoesOnServing(double load, long seed) {
         start(seed);
         play(30 * S, ALL * load, new SplittableRandom(seed));
         assertTrue(served() >= 0.8 * ALL * 30, "served of " + ALL * 30 + ": " + served());
@@ -179,7 +181,7 @@
      */
     @ParameterizedTest
     @CsvSource({"0.8, 1", "0.8, 2", "1.5, 1", "1.5, 2"})
-    void destinationThatWasShutIsNotOverrunOnItsReturn(double load, long seed) {
+    void closedDestinationIsNotOverloadedOnItsRecovery(double load, long seed) {
         start(seed);
         SplittableRandom random = new SplittableRandom(seed);
         play(10 * S, ALL * load, random);
@@ -208,7 +210,7 @@
      */
     @ParameterizedTest
     @CsvSource({"2.5, 1", "2.5, 2", "3, 1", "3, 2"})
-    void limitOfCallsServesRelaysByWhatTheirFullCallsNeed(double messagesForACall, long seed) {
+    void limitOfCallsServesRelaysByWhatTheirFullBatchesNeed(double messagesForACall, long seed) {
         double limit = 30;
         startBulk(14, limit, seed);
         play(30 * S, limit * messagesForACall, new SplittableRandom(seed));
@@ -218,14 +220,14 @@
 
     /** A destination that refuses even what keeps to the parts is shut, and is left alone. */
     @Test
-    void shutDestinationIsFoundByRelaysThatKeepToTheirParts() {
-        PolicyHarness relay =
-                new PolicyHarness(PolicyHarness.fleet(FLEET, 1)).list(PolicyHarness.route("r0", 1, "apart", "east"));
+    void closedDestinationIsFoundByRelaysWithinTheirShares() {
+        PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(FLEET, 1))
+                .applyList(PolicyHarness.route("r0", 1, "apart", "east"));
         LimitReport none = new LimitReport(0, 50);
         for (int id = 0; id < 3; id++) {
             relay.accept(id, "quick", 1)
                     .answer(id, AttemptOutcome.OK, 0, new LimitReport(1, 50))
-                    .pass(100 * MS);
+                    .advance(100 * MS);
         }
         refuseNext(relay, none);
         assertEquals(List.of(), relay.logged, "one of many that overrun a limit is refused as well");
@@ -239,7 +241,7 @@
         relay.accept(nextId + 100, "safe", 1);
         nextId++;
         for (int i = 0; i < 200 && relay.unanswered.isEmpty(); i++) {
-            relay.pass(100 * MS);
+            relay.advance(100 * MS);
         }
         if (!relay.unanswered.isEmpty()) {
             relay.answer(relay.unanswered.get(0).id(), AttemptOutcome.REJECTED, 0, report);
--- a/src/test/java/loftflow/policy/FleetRecoveryTest.java
+++ b/src/test/java/loftflow/policy/FleetRecoveryTest.java
@@ -13,7 +13,7 @@
 
     @ParameterizedTest
     @CsvSource({"10, OUT", "10, OLD", "10, OUT_NO_LIMIT", "100, WARM", "100, OUT", "100, OLD", "100, OUT_NO_LIMIT"})
-    void noPartnerIsOverrunAndServiceIsFullInTime(int relays, FleetRecoverySimulation.Memory memory) {
+    void noDestinationIsOverloadedAndServiceRecoversInTime(int relays, FleetRecoverySimulation.Memory memory) {
         FleetRecoverySimulation.Outcome outcome = FleetRecoverySimulation.play(relays, memory, 0.5, 2, SPAN);
         assertTrue(outcome.peak() < 2, "the rule's bound is 2.5: " + outcome);
         assertTrue(outcome.fullAfter() <= 35 && outcome.delivered() > 0.98, outcome.toString());
@@ -21,7 +21,7 @@
 
     /** Ten times as many messages held: they go by the partner's warm-up, not all at once. */
     @Test
-    void whatWasHeldIsReleasedWithinTheBoundToo() {
+    void waitingMessagesAreSentWithinTheBoundToo() {
         FleetRecoverySimulation.Outcome outcome =
                 FleetRecoverySimulation.play(100, FleetRecoverySimulation.Memory.OUT, 0.5, 20, SPAN);
         assertTrue(outcome.peak() < 2, outcome.toString());
@@ -29,14 +29,14 @@
 
     /** Proves that the simulation can tell: a fleet with nothing to remember overruns a cold partner. */
     @Test
-    void fleetThatRemembersNothingIsBeyondTheBound() {
+    void fleetWithoutSnapshotsExceedsTheBound() {
         assertTrue(FleetRecoverySimulation.play(100, FleetRecoverySimulation.Memory.NOTHING, 0.5, 2, SPAN)
                         .peak()
                 > FleetRecoverySimulation.FALL_MULTIPLE);
     }
 
     @Test
-    void sameFleetPlaysTheSame() {
+    void sameFleetBehavesTheSame() {
         assertEquals(
                 FleetRecoverySimulation.play(10, FleetRecoverySimulation.Memory.OLD, 0.5, 2, SPAN),
                 FleetRecoverySimulation.play(10, FleetRecoverySimulation.Memory.OLD, 0.5, 2, SPAN));
--- a/src/test/java/loftflow/policy/SizeTest.java
+++ b/src/test/java/loftflow/policy/ModuleSizeTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The decisions stand in small modules, one rule each. */
-class SizeTest {
+class ModuleSizeTest {
     private static final Path POLICY = Path.of("src/main/java/loftflow/policy");
     private static final int MAX_LINES = 250;
     private static final int MAX_LINE_LENGTH = 120;
--- /dev/null
+++ b/src/test/java/loftflow/policy/OutcomeProcessorTest.java
@@ -0,0 +1,67 @@
+package loftflow.policy;
+
+import static loftflow.policy.PolicyHarness.MILLISECOND;
+import static loftflow.policy.PolicyHarness.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.LimitReport;
+import loftflow.policy.api.ProbeCompleted;
+import loftflow.policy.api.RetryAfterReceived;
+import org.junit.jupiter.api.Test;
+
+/** Tests of {@link OutcomeProcessor}, played through the policy as a whole. */
+class OutcomeProcessorTest extends PolicyTestBase {
+
+    /** The call that was told so may be over, or go on. */
+    @Test
+    void retryAfterOutsideAnyOutcomeApplies() {
+        relay.round(new RetryAfterReceived("a", 2 * SECOND), new RetryAfterReceived("gone", SECOND))
+                .accept(1, "safe", 1)
+                .advance(1900 * MILLISECOND);
+        assertEquals(0, relay.sends(1), "of the whole destination");
+        relay.advance(200 * MILLISECOND);
+        assertEquals(1, relay.sends(1));
+    }
+
+    @Test
+    void timeoutByTheDeadlineIsNoFailureOfTheRoute() {
+        for (int id = 1; id <= 5; id++) {
+            relay.round(acceptedMessage(id, 300 * MILLISECOND))
+                    .advance(300 * MILLISECOND)
+                    .answer(id, AttemptOutcome.TIMEOUT);
+        }
+        assertEquals(5, relay.sent.size());
+        assertTrue(relay.logged.isEmpty());
+    }
+
+    @Test
+    void retryAfterHoldsTheWholeSharedGroup() {
+        relay.accept(1, "safe", 1)
+                .advance(MILLISECOND)
+                .answer(1, AttemptOutcome.REJECTED, 2 * SECOND)
+                .accept(2, "safe", 1)
+                .advance(1999 * MILLISECOND);
+        assertEquals(1, relay.sent.size());
+    }
+
+    @Test
+    void retryAfterOfALaterMessageOfABatchApplies() {
+        relay.accept(1, "safe", 3).advance(MILLISECOND).answer(1, AttemptOutcome.REJECTED);
+        relay.accept(2, "safe", 3).accept(3, "safe", 3).advance(1100 * MILLISECOND);
+        assertEquals(4, relay.sent.size(), "three in one call");
+        relay.answer(1, AttemptOutcome.REJECTED)
+                .answer(2, AttemptOutcome.REJECTED, 2 * SECOND)
+                .advance(1990 * MILLISECOND);
+        assertEquals(4, relay.sent.size());
+    }
+
+    @Test
+    void retryAfterOfAProbeBindsCalls() {
+        relay.round(new ProbeCompleted("a", AttemptOutcome.REJECTED, SECOND, MILLISECOND, LimitReport.NONE))
+                .accept(1, "safe", 1);
+        relay.advance(SECOND - MILLISECOND);
+        assertEquals(0, relay.sends(1));
+    }
+}
--- /dev/null
+++ b/src/test/java/loftflow/policy/OutlierDetectorTest.java
@@ -0,0 +1,53 @@
+package loftflow.policy;
+
+import static loftflow.policy.PolicyHarness.MILLISECOND;
+import static loftflow.policy.PolicyHarness.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import loftflow.policy.api.AttemptOutcome;
+import org.junit.jupiter.api.Test;
+
+/** Tests of {@link OutlierDetector}, played through the policy as a whole. */
+class OutlierDetectorTest extends PolicyTestBase {
+
+    @Test
+    void unresponsiveRouteOpensBeforeThreeTimeouts() {
+        for (int id = 0; id < 4; id++) {
+            relay.accept(id, "once", 2).advance(100 * MILLISECOND);
+        }
+        relay.advance(3 * SECOND).accept(9, "safe", 2).advance(900 * MILLISECOND);
+        assertEquals(0, relay.sends(9));
+        assertEquals(List.of("circuit: opened route=c cause=unresponsive"), relay.logged);
+    }
+
+    /** A partner that falls silent goes on with what it had in its queue: those answers tell of the time before. */
+    @Test
+    void answersToEarlierCallsDoNotHideAnUnresponsiveRoute() {
+        for (int id = 100; id < 120; id++) {
+            relay.accept(id, "safe", 2).advance(50 * MILLISECOND).answer(id, AttemptOutcome.OK);
+        }
+        for (int id = 0; id < 4; id++) {
+            relay.accept(id, "safe", 2).advance(100 * MILLISECOND);
+        }
+        relay.advance(SECOND)
+                .answer(0, AttemptOutcome.OK)
+                .advance(2 * SECOND)
+                .accept(9, "safe", 2)
+                .advance(500 * MILLISECOND);
+        assertEquals(List.of("circuit: opened route=c cause=unresponsive"), relay.logged);
+        assertEquals(0, relay.sends(9));
+    }
+
+    @Test
+    void answersToAllOverdueCallsShowThatTheRouteWasOnlySlow() {
+        PolicyHarness wide = relayWithUnresponsiveRouteC();
+        wide.answer(0, AttemptOutcome.OK)
+                .answer(1, AttemptOutcome.OK)
+                .answer(2, AttemptOutcome.OK)
+                .answer(3, AttemptOutcome.OK)
+                .advance(100 * MILLISECOND);
+        assertEquals(List.of("circuit: opened route=c cause=unresponsive", "circuit: closed route=c"), wide.logged);
+        assertEquals(11, wide.unanswered.size(), "all that was held");
+    }
+}
--- a/src/test/java/loftflow/policy/PolicyHarness.java
+++ b/src/test/java/loftflow/policy/PolicyHarness.java
@@ -29,20 +29,20 @@
 
 /** A relay of tests: plays rounds to a module and keeps what it asks for. */
 final class PolicyHarness implements PolicyActions {
-    static final long MS = 1_000;
-    static final long S = 1_000_000;
+    static final long MILLISECOND = 1_000;
+    static final long SECOND = 1_000_000;
 
-    record Sent(long at, long id, int attempt, String route, long timeout, long leaveWithin) {}
+    record Sent(long atMicros, long id, int attempt, String route, long timeoutMicros, long leaveWithinMicros) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<Sent> unanswered = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
+    final List<Long> rejected = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<Long> cancelled = new ArrayList<>();
     final List<String> probes = new ArrayList<>();
-    final List<Long> unheard = new ArrayList<>();
+    final List<Long> unacknowledged = new ArrayList<>();
     final List<Long> subscribed = new ArrayList<>();
-    final List<String> told = new ArrayList<>();
+    final List<String> peerMessages = new ArrayList<>();
     final List<String> logged = new ArrayList<>();
     private final List<long[]> timers = new ArrayList<>();
     private final DeliveryPolicy policy;
@@ -53,7 +53,7 @@
         policy = new DefaultDeliveryPolicy(settings);
     }
 
-    DeliveryPolicy module() {
+    DeliveryPolicy policy() {
         return policy;
     }
 
@@ -92,15 +92,24 @@
                         type("keyed", Idempotency.IDEMPOTENT_BY_KEY, false),
                         type("once", Idempotency.NON_IDEMPOTENT, false),
                         type("ordered", Idempotency.IDEMPOTENT, true),
-                        new RequestClass("quick", Idempotency.IDEMPOTENT, KeyScope.ALL, 0, S / 2, 20 * S, 9, 0, false)),
+                        new RequestClass(
+                                "quick",
+                                Idempotency.IDEMPOTENT,
+                                KeyScope.ALL,
+                                0,
+                                SECOND / 2,
+                                20 * SECOND,
+                                9,
+                                0,
+                                false)),
                 List.of(),
                 List.of(
                         new DestinationKind("plain", false, 1),
                         new DestinationKind("apart", true, 1),
                         new DestinationKind("bulk", false, 4)),
                 List.of(new Zone("east", 0), new Zone("west", 0)),
-                new RelayLimits(slots, maxOpen, 6, true, true, peers, false, false, S),
-                new ServiceRules(20 * MS, S, 2, 2 * S, 0.2, 10 * S, 10 * S, 3 * S),
+                new RelayLimits(slots, maxOpen, 6, true, true, peers, false, false, SECOND),
+                new ServiceRules(20 * MILLISECOND, SECOND, 2, 2 * SECOND, 0.2, 10 * SECOND, 10 * SECOND, 3 * SECOND),
                 1,
                 false,
                 mustSubscribe,
@@ -109,18 +118,18 @@
     }
 
     private static RequestClass type(String name, Idempotency repeat, boolean inOrder) {
-        return new RequestClass(name, repeat, KeyScope.ZONE, 6 * S, 2 * S, 20 * S, 1, 0.5, inOrder);
+        return new RequestClass(name, repeat, KeyScope.ZONE, 6 * SECOND, 2 * SECOND, 20 * SECOND, 1, 0.5, inOrder);
     }
 
     static EndpointEntry route(String name, int destination, String kind, String zone) {
         return new EndpointEntry(name, destination, kind, zone, Availability.LISTED, 0);
     }
 
-    PolicyHarness list(EndpointEntry... entries) {
+    PolicyHarness applyList(EndpointEntry... entries) {
         return round(new EndpointListReceived(EndpointListKind.FULL, 1, List.of(entries)));
     }
 
-    PolicyHarness changes(EndpointEntry... entries) {
+    PolicyHarness applyChanges(EndpointEntry... entries) {
         return round(new EndpointListReceived(EndpointListKind.DELTA, 2, List.of(entries)));
     }
 
@@ -129,7 +138,7 @@
     }
 
     PolicyHarness accept(long id, String type, int destination, String key) {
-        return round(new MessageAccepted(id, type, null, key, now + 20 * S, destination));
+        return round(new MessageAccepted(id, type, null, key, now + 20 * SECOND, destination));
     }
 
     PolicyHarness round(PolicyEvent... events) {
@@ -138,7 +147,7 @@
     }
 
     /** Lets time pass, playing timers as they fall due. */
-    PolicyHarness pass(long span) {
+    PolicyHarness advance(long span) {
         long end = now + span;
         while (true) {
             long[] next =
@@ -173,7 +182,7 @@
                 result,
                 result == AttemptOutcome.OK,
                 toldWait,
-                now - attempt.at(),
+                now - attempt.atMicros(),
                 report));
     }
 
@@ -195,7 +204,7 @@
 
     @Override
     public void reject(long id, long retryIn) {
-        refused.add(id);
+        rejected.add(id);
     }
 
     @Override
@@ -215,7 +224,7 @@
 
     @Override
     public boolean isCompletionAcknowledged(long id) {
-        return !unheard.contains(id);
+        return !unacknowledged.contains(id);
     }
 
     @Override
@@ -223,7 +232,7 @@
 
     @Override
     public void sendToPeer(int relay, byte[] bytes) {
-        told.add(relay + ":" + HexFormat.of().formatHex(bytes));
+        peerMessages.add(relay + ":" + HexFormat.of().formatHex(bytes));
     }
 
     @Override
--- /dev/null
+++ b/src/test/java/loftflow/policy/PolicyTestBase.java
@@ -0,0 +1,70 @@
+package loftflow.policy;
+
+import static loftflow.policy.PolicyHarness.MILLISECOND;
+import static loftflow.policy.PolicyHarness.SECOND;
+import static loftflow.policy.PolicyHarness.route;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.ByteBuffer;
+import java.util.List;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.policy.api.MessageAccepted;
+import loftflow.policy.api.MessageResumed;
+import loftflow.policy.api.PeerMessage;
+
+/** What the tests of the policy's rules share: a relay with four routes to three destinations, and its helpers. */
+abstract class PolicyTestBase {
+
+    final PolicyHarness relay = new PolicyHarness(PolicyHarness.settings())
+            .applyList(
+                    route("a", 1, "plain", "east"),
+                    route("b", 1, "plain", "west"),
+                    route("c", 2, "apart", "east"),
+                    route("d", 3, "bulk", "east"));
+
+    MessageResumed resumedMessage(long id) {
+        return new MessageResumed(new MessageAccepted(id, "safe", null, null, relay.now + 3 * SECOND, 1), List.of());
+    }
+
+    MessageAccepted acceptedMessage(long id, long left) {
+        return new MessageAccepted(id, "safe", null, null, relay.now + left, 2);
+    }
+
+    /** Four calls that are out for so long that their route counts as silent, and eleven messages that wait. */
+    static PolicyHarness relayWithUnresponsiveRouteC() {
+        PolicyHarness wide =
+                new PolicyHarness(PolicyHarness.settings(100, 200)).applyList(route("c", 2, "apart", "east"));
+        for (int id = 0; id < 4; id++) {
+            wide.accept(id, "once", 2).advance(100 * MILLISECOND);
+        }
+        wide.advance(3 * SECOND);
+        for (int id = 10; id < 21; id++) {
+            wide.accept(id, "safe", 2);
+        }
+        return wide;
+    }
+
+    static PeerMessage peerMessage(PeerMessageType word) {
+        return new PeerMessage(1, peerMessageBytes(word, 1));
+    }
+
+    static byte[] peerMessageBytes(PeerMessageType word, int number) {
+        return ByteBuffer.allocate(5).put((byte) word.ordinal()).putInt(number).array();
+    }
+
+    /** So many served calls to route c that it is called often. */
+    void callRouteCOften() {
+        for (int id = 1_000; id < 1_008; id++) {
+            relay.accept(id, "safe", 2).advance(MILLISECOND).answer(id, AttemptOutcome.OK);
+        }
+        relay.sent.clear();
+    }
+
+    void openCircuitOfRouteC() {
+        callRouteCOften();
+        for (int id = 1; id <= 3; id++) {
+            relay.accept(id, "once", 2).advance(MILLISECOND).answer(id, AttemptOutcome.ERROR);
+        }
+        assertEquals(List.of("circuit: opened route=c cause=failures"), relay.logged);
+    }
+}
--- a/src/test/java/loftflow/policy/RandomEventsTest.java
+++ b/src/test/java/loftflow/policy/RandomEventsTest.java
@@ -34,8 +34,8 @@
     private static final Set<AttemptOutcome> PROOFS =
             Set.of(AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT);
 
-    private static final long MS = PolicyHarness.MS;
-    private static final long S = PolicyHarness.S;
+    private static final long MS = PolicyHarness.MILLISECOND;
+    private static final long S = PolicyHarness.SECOND;
     private static final AttemptOutcome[] RESULTS = {
         AttemptOutcome.OK,
         AttemptOutcome.OK,
@@ -51,7 +51,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void keepsEveryRule(long seed) {
+    void everyRuleHoldsUnderRandomEvents(long seed) {
         Checker checker = new Checker(seed);
         for (int i = 0; i < 4_000; i++) {
             checker.step();
--- a/src/test/java/loftflow/policy/WarmStartTest.java
+++ b/src/test/java/loftflow/policy/WarmStartTest.java
@@ -1,7 +1,7 @@
 package loftflow.policy;
 
-import static loftflow.policy.PolicyHarness.MS;
-import static loftflow.policy.PolicyHarness.S;
+import static loftflow.policy.PolicyHarness.MILLISECOND;
+import static loftflow.policy.PolicyHarness.SECOND;
 import static loftflow.policy.PolicyHarness.route;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -53,7 +53,7 @@
     private static void checkWell(PolicyHarness relay) {
         for (String route : List.copyOf(relay.probes)) {
             relay.probes.remove(route);
-            relay.round(new ProbeCompleted(route, AttemptOutcome.OK, 0, MS, LimitReport.NONE));
+            relay.round(new ProbeCompleted(route, AttemptOutcome.OK, 0, MILLISECOND, LimitReport.NONE));
         }
     }
 
@@ -61,7 +61,7 @@
     private static int serve(PolicyHarness relay, long span) {
         int before = relay.sent.size();
         for (long end = relay.now + span; relay.now < end; ) {
-            relay.pass(50 * MS);
+            relay.advance(50 * MILLISECOND);
             checkWell(relay);
             for (PolicyHarness.Sent sent : List.copyOf(relay.unanswered)) {
                 relay.answer(sent.id(), AttemptOutcome.OK);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void believedRouteGoesOnAtThisRelaysPartOfTheLimitAndGrowsWithServes() {
+    void trustedRouteStartsAtThisRelaysShareOfTheLimitAndGrowsWhileServed() {
         int sum = 0;
         for (int seed = 0; seed < 12; seed++) {
             PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(12, seed));
@@ -79,85 +79,85 @@
                     cached(route("c", 2, "apart", "east")),
                     remembered("c", TrustLevel.AS_LISTED, standing(0, 24, 3, false, 0)));
             accept(relay, 1, 90, "safe", 2);
-            sum += serve(relay, S);
-            assertTrue(serve(relay, 9 * S) > 18, "it grows");
+            sum += serve(relay, SECOND);
+            assertTrue(serve(relay, 9 * SECOND) > 18, "it grows");
         }
         assertTrue(sum >= 10 && sum <= 36, "the fleet's first second, at a limit of 24: " + sum);
     }
 
     @Test
-    void routeWithNoLimitGoesOnAtItsUsualRate() {
+    void routeWithoutALimitStartsAtItsUsualRate() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(12, 5));
         relay.round(
                 cached(route("c", 2, "apart", "east")),
                 remembered("c", TrustLevel.AS_LISTED, standing(0, 0, 4, false, 0)));
         accept(relay, 1, 90, "safe", 2);
-        int first = serve(relay, 2 * S);
+        int first = serve(relay, 2 * SECOND);
         assertTrue(first >= 3 && first <= 11, "in two seconds: " + first);
     }
 
     @Test
-    void waitIsKept() {
+    void retryAfterIsRestored() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
                 cached(route("c", 2, "apart", "east")),
-                remembered("c", TrustLevel.AS_LISTED, standing(5 * S, 0, 100, false, 0)));
-        relay.accept(1, "safe", 2).pass(5 * S - MS);
+                remembered("c", TrustLevel.AS_LISTED, standing(5 * SECOND, 0, 100, false, 0)));
+        relay.accept(1, "safe", 2).advance(5 * SECOND - MILLISECOND);
         assertEquals(0, relay.sent.size());
-        relay.pass(S);
+        relay.advance(SECOND);
         checkWell(relay);
         assertEquals(1, relay.sent.size());
     }
 
     /** An address may be another's within seconds; a believed route is not cold for that. */
     @Test
-    void believedRouteIsCheckedToo() {
+    void trustedRouteIsProbedToo() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(1, 3));
         relay.round(
                 cached(route("c", 2, "apart", "east")),
                 remembered("c", TrustLevel.AS_LISTED, standing(0, 20, 0, false, 0)));
         accept(relay, 1, 30, "once", 2);
-        relay.pass(S);
+        relay.advance(SECOND);
         assertEquals(0, relay.sent.size());
         assertEquals(List.of("c"), relay.probes);
         assertTrue(
-                relay.module().routeSnapshots(relay.now).stream().noneMatch(RouteSnapshot::circuitOpen),
+                relay.policy().routeSnapshots(relay.now).stream().noneMatch(RouteSnapshot::circuitOpen),
                 "it waits for a check alone");
-        assertTrue(serve(relay, S) > 12, "warm");
+        assertTrue(serve(relay, SECOND) > 12, "warm");
     }
 
     @Test
-    void routeThatIsNotBelievedIsCheckedBeforeAnyMessage() {
+    void untrustedRouteIsProbedBeforeAnyMessage() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
                 cached(route("c", 2, "apart", "east")),
                 remembered("c", TrustLevel.PROBE_FIRST, standing(0, 20, 0, false, 0)));
         accept(relay, 1, 3, "safe", 2);
-        relay.pass(9 * S);
+        relay.advance(9 * SECOND);
         assertEquals(0, relay.sent.size(), "no message goes to an address that may be another's");
         assertEquals(List.of("c"), relay.probes);
         relay.round(new ProbeCompleted("c", AttemptOutcome.OK, 0, 1000, LimitReport.NONE))
-                .pass(S);
+                .advance(SECOND);
         assertTrue(relay.sent.size() >= 1, "then messages go");
     }
 
     @Test
-    void checkInVainKeepsMessagesAndIsTriedAgainLater() {
+    void failedHealthCheckHoldsMessagesAndIsRepeated() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
                 cached(route("c", 2, "apart", "east")),
                 remembered("c", TrustLevel.PROBE_FIRST, standing(0, 0, 0, false, 0)));
-        relay.accept(1, "once", 2).pass(2 * S);
+        relay.accept(1, "once", 2).advance(2 * SECOND);
         relay.round(new ProbeCompleted("c", AttemptOutcome.CONNECT_FAILED, 0, 1000, LimitReport.NONE));
-        relay.pass(S);
+        relay.advance(SECOND);
         assertEquals(1, relay.probes.size(), "not at once");
-        relay.pass(6 * S);
+        relay.advance(6 * SECOND);
         assertEquals(2, relay.probes.size());
         assertEquals(0, relay.sent.size());
     }
 
     @Test
-    void routeThatWasOutReturnsColdAfterOneTest() {
+    void routeWithAnOpenCircuitRampsUpAfterOneProbe() {
         int sum = 0;
         for (int seed = 0; seed < 10; seed++) {
             PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(10, seed));
@@ -165,16 +165,16 @@
                     cached(route("c", 2, "apart", "east")),
                     remembered("c", TrustLevel.AS_LISTED, standing(0, 50, 0, true, 0)));
             accept(relay, 1, 90, "safe", 2);
-            relay.pass(5 * S);
+            relay.advance(5 * SECOND);
             assertEquals(0, relay.sent.size(), "no message before the check");
-            sum += serve(relay, S);
+            sum += serve(relay, SECOND);
         }
         // It bears a fifth of 50 a second, and falls at twice that.
         assertTrue(sum <= 20, "the fleet's first second: " + sum);
     }
 
     @Test
-    void routeThatCameBackJustBeforeTheRestartStaysCold() {
+    void routeThatRecoveredJustBeforeTheRestartStillRampsUp() {
         PolicyHarness warm = new PolicyHarness(PolicyHarness.fleet(1, 3));
         PolicyHarness cold = new PolicyHarness(PolicyHarness.fleet(1, 3));
         warm.round(
@@ -182,68 +182,68 @@
                 remembered("c", TrustLevel.AS_LISTED, standing(0, 20, 0, false, 0)));
         cold.round(
                 cached(route("c", 2, "apart", "east")),
-                remembered("c", TrustLevel.AS_LISTED, standing(0, 20, 0, false, 9 * S)));
+                remembered("c", TrustLevel.AS_LISTED, standing(0, 20, 0, false, 9 * SECOND)));
         accept(warm, 1, 90, "safe", 2);
         accept(cold, 1, 90, "safe", 2);
-        int few = serve(cold, S);
-        int many = serve(warm, S);
+        int few = serve(cold, SECOND);
+        int many = serve(warm, SECOND);
         assertTrue(few < 0.75 * many, "cold: " + few + ", warm: " + many);
     }
 
     @Test
-    void lastResortIsTriedOnlyWhereNothingElseIsLeft() {
+    void lastResortIsProbedOnlyWhereNothingElseIsLeft() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
                 cached(route("a", 1, "plain", "east"), route("b", 1, "plain", "west")),
                 remembered("a", TrustLevel.PROBE_FIRST, standing(0, 0, 0, false, 0)),
                 remembered("b", TrustLevel.LAST_RESORT, standing(0, 0, 0, false, 0)));
-        relay.accept(1, "safe", 1).pass(2 * S);
+        relay.accept(1, "safe", 1).advance(2 * SECOND);
         assertEquals(List.of("a"), relay.probes);
         relay.round(new ProbeCompleted("a", AttemptOutcome.CONNECT_FAILED, 0, 1000, LimitReport.NONE))
-                .pass(4 * S);
+                .advance(4 * SECOND);
         assertTrue(relay.probes.contains("b"), relay.probes.toString());
     }
 
     @Test
-    void listOfDiscoveryProvesARoute() {
+    void discoverysListVerifiesARoute() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
         relay.round(
                 cached(route("c", 2, "apart", "east")),
                 remembered("c", TrustLevel.LAST_RESORT, standing(0, 0, 0, false, 0)));
-        relay.list(route("c", 2, "apart", "east")).accept(1, "safe", 2).pass(9 * S);
+        relay.applyList(route("c", 2, "apart", "east")).accept(1, "safe", 2).advance(9 * SECOND);
         assertEquals(1, relay.sent.size(), "a message is the test now");
         assertTrue(relay.probes.isEmpty());
     }
 
     /** What the journal brings back waits for the pace like anything else, and goes by what it is worth. */
     @Test
-    void resumedMessagesAreReleasedAtThePaceTheWorthiestFirst() {
+    void resumedMessagesAreSentAtTheRateTheMostValuableFirst() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(10, 3));
         List<PolicyEvent> events = new java.util.ArrayList<>(List.of(
                 cached(route("c", 2, "apart", "east")),
                 remembered("c", TrustLevel.AS_LISTED, standing(0, 30, 0, false, 0))));
         for (int id = 0; id < 60; id++) {
             events.add(new MessageResumed(
-                    new MessageAccepted(id, id % 6 == 5 ? "quick" : "safe", null, null, 20 * S, 2), List.of()));
+                    new MessageAccepted(id, id % 6 == 5 ? "quick" : "safe", null, null, 20 * SECOND, 2), List.of()));
         }
         relay.round(events.toArray(PolicyEvent[]::new));
-        int first = serve(relay, 2 * S);
+        int first = serve(relay, 2 * SECOND);
         assertTrue(first >= 3 && first <= 10, "in two seconds at three a second: " + first);
         assertTrue(relay.sent.stream().limit(3).allMatch(s -> s.id() % 6 == 5), "the worthiest first: " + relay.sent);
     }
 
     @Test
-    void standingTellsWhatIsKnown() {
+    void snapshotHoldsWhatIsKnown() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.settings());
-        relay.list(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
+        relay.applyList(route("c", 2, "apart", "east"), route("a", 1, "plain", "east"));
         for (int id = 1; id <= 30; id++) {
             relay.accept(id, "safe", 2)
-                    .pass(50 * MS)
+                    .advance(50 * MILLISECOND)
                     .answer(id, AttemptOutcome.OK)
-                    .pass(50 * MS);
+                    .advance(50 * MILLISECOND);
         }
-        relay.accept(40, "safe", 1).answer(40, AttemptOutcome.REJECTED, 2 * S);
-        List<RouteSnapshot> standings = relay.module().routeSnapshots(relay.now);
+        relay.accept(40, "safe", 1).answer(40, AttemptOutcome.REJECTED, 2 * SECOND);
+        List<RouteSnapshot> standings = relay.policy().routeSnapshots(relay.now);
         RouteSnapshot c = standings.stream()
                 .filter(s -> s.route().equals("c"))
                 .findFirst()
@@ -258,12 +258,12 @@
                 .filter(s -> s.route().equals("a"))
                 .findFirst()
                 .orElseThrow();
-        assertEquals(2 * S, a.retryAfterRemainingMicros());
+        assertEquals(2 * SECOND, a.retryAfterRemainingMicros());
         relay.accept(50, "once", 2);
         for (int i = 0; i < 3; i++) {
-            relay.answer(50, AttemptOutcome.CONNECT_FAILED).pass(MS);
+            relay.answer(50, AttemptOutcome.CONNECT_FAILED).advance(MILLISECOND);
         }
-        c = relay.module().routeSnapshots(relay.now).stream()
+        c = relay.policy().routeSnapshots(relay.now).stream()
                 .filter(s -> s.route().equals("c"))
                 .findFirst()
                 .orElseThrow();
