--- a/src/test/java/loftflow/policy/FleetLimitTest.java
+++ b/src/test/java/loftflow/policy/FleetLimitTest.java
@@ -19,11 +19,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A fleet of decision modules before one destination that tells its limits in answers: a hundred before three routes
- * with a limit
- * each, or fourteen before two that share one and take several messages in a call. None hears of another, and each
- * sends too
- * seldom to see the limit by its own calls.
+ * A fleet of policies before one destination that reports its limits: a hundred before three routes with a limit each,
+ * or fourteen before two that share one and take batches. None knows of another, and each sends too rarely to learn the
+ * limit from its own calls.
  */
 class FleetLimitTest {
     private static final long MS = 1_000;
@@ -37,10 +35,10 @@
 
     private static final double[] LIMITS = {12, 20, 28};
     private static final double ALL = 60;
-    /** Of the kind that takes several messages in a call. */
+    /** Of the kind that takes batches. */
     private static final int BATCH = 4;
 
-    /** A limit as tokens of half a second, which refused calls use up too. */
+    /** A limit as a token bucket of half a second, which rejected calls use up too. */
     private static final class Limit {
         private final double rate;
         private double tokens;
@@ -60,7 +58,7 @@
             tokens = Math.min(rate / 2, tokens + rate * (now - at) / S);
             at = now;
             boolean takes = tokens >= 1 && !shut;
-            // What a shut destination refuses leaves its limit as it was.
+            // Calls rejected while the destination is closed leave its limit unused.
             tokens = shut ? tokens : Math.max(0, tokens - 1);
             if (now - reportedAt >= REPORTED) {
                 reportedAt = now;
@@ -82,7 +80,7 @@
     private long nextId;
     private int delivered;
 
-    /** Plays messages of so many a second in all, of which the first relays send several times as many as the last. */
+    /** Plays a total rate of messages, of which the first relays send several times as many as the last. */
     private void play(long span, double rate, SplittableRandom random) {
         for (long end = now + span; now < end; now += STEP) {
             while (!answers.isEmpty() && answers.peek().at() <= now) {
@@ -102,7 +100,7 @@
         }
     }
 
-    /** What one round sends to one route goes in calls of up to a batch. */
+    /** What one round sends to one route travels in batches. */
     private void carry(int number, PolicyHarness relay) {
         Map<String, List<PolicyHarness.Sent>> sent = new TreeMap<>();
         relay.sent.forEach(
@@ -159,9 +157,8 @@
     }
 
     /**
-     * Without a first cut by what was sent, and while refusals of an overrun limit are taken for a shut destination,
-     * 1,215
-     * to 1,340 calls are served, 1,000 to 1,530 refused, and circuits open some 200 to 400 times.
+     * Without a first cut to the rate that was sent, and while rejections of an exceeded limit are taken for a closed
+     * destination, 1,215 to 1,340 calls are served, 1,000 to 1,530 rejected, and circuits open some 200 to 400 times.
      */
     @ParameterizedTest
     @CsvSource({"1.2, 1", "1.2, 2", "2, 1", "2, 2"})
@@ -175,9 +172,8 @@
     }
 
     /**
-     * After ten seconds in which a destination was shut, and said that its limit was not used up, no two seconds bring
-     * more
-     * than the rule's multiple of what it can do cold.
+     * After ten seconds in which a destination was closed, and reported that its limit was not used up, no two seconds
+     * bring more than the rule's multiple of its cold capacity.
      */
     @ParameterizedTest
     @CsvSource({"0.8, 1", "0.8, 2", "1.5, 1", "1.5, 2"})
@@ -202,11 +198,9 @@
     }
 
     /**
-     * A limit counts calls, and a call carries several messages. Relays whose parts are counted in messages overrun it
-     * for good
-     * (736 to 808 calls of 900 served, 205 to 336 refused). With equal parts of calls, relays that are asked for little
-     * spend theirs on
-     * calls of one message, and 1,850 to 1,930 of 2,250 and 2,700 messages are delivered.
+     * A limit counts calls, and a call carries several messages. Relays whose shares are counted in messages exceed it
+     * permanently (736 to 808 calls of 900 served, 205 to 336 rejected). With equal shares of calls, relays with little
+     * traffic spend theirs on calls of one message, and 1,850 to 1,930 of 2,250 and 2,700 messages are delivered.
      */
     @ParameterizedTest
     @CsvSource({"2.5, 1", "2.5, 2", "3, 1", "3, 2"})
@@ -218,7 +212,7 @@
         assertTrue(refused() <= served() / 15, "refused: " + refused() + " beside " + served() + " served");
     }
 
-    /** A destination that refuses even what keeps to the parts is shut, and is left alone. */
+    /** A destination that rejects calls within the shares is closed, and nothing more is sent to it. */
     @Test
     void closedDestinationIsFoundByRelaysWithinTheirShares() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(FLEET, 1))
--- a/src/test/java/loftflow/policy/FleetRecoverySimulation.java
+++ b/src/test/java/loftflow/policy/FleetRecoverySimulation.java
@@ -32,11 +32,10 @@
 import loftflow.policy.api.Zone;
 
 /**
- * A deterministic simulation of a whole fleet that starts at once with discovery down: every relay is a decision module
- * of
- * its own with what it remembers, and none hears of another. Partners are cold from the start and refuse above what
- * they
- * can do; messages that were held wait at every relay. As a command it prints a table for 10 to 10,000 relays.
+ * A deterministic simulation of a whole fleet that starts at once with discovery down: every relay is a policy of its
+ * own with its snapshots, and none knows of another. Destinations are cold from the start and reject calls above their
+ * capacity; messages from before the restart wait at every relay. As a command it prints a table for 10 to 10,000
+ * relays.
  */
 final class FleetRecoverySimulation {
     static final long SECOND = 1_000_000;
@@ -49,17 +48,17 @@
     private static final long REFUSAL = 5_000;
     private static final long LISTED = 60_000;
 
-    /** What the relays remember of a partner. */
+    /** What the relays' snapshots say of a destination. */
     enum Memory {
-        /** Served as ever when they died, and serves as ever now. */
+        /** Was sound when they died, and is sound now. */
         WARM(TrustLevel.AS_LISTED, false, false),
-        /** Was out when they died. */
+        /** Its circuit was open when they died. */
         OUT(TrustLevel.AS_LISTED, true, true),
-        /** Remembered for hours. */
+        /** The snapshot is hours old. */
         OLD(TrustLevel.PROBE_FIRST, false, true),
-        /** Was out when they died, and its limit is not known. */
+        /** Its circuit was open when they died, and its limit is not known. */
         OUT_NO_LIMIT(TrustLevel.AS_LISTED, true, true),
-        /** Nothing is remembered: the relays know the address alone, as they did before. */
+        /** There is no snapshot: the relays know the address alone. */
         NOTHING(null, false, true);
 
         final TrustLevel belief;
@@ -74,11 +73,11 @@
     }
 
     /**
-     * What came of it.
+     * The figures of one run.
      *
-     * @param peak the highest load in two seconds, as a multiple of what the partner could do then
-     * @param fullAfter seconds until less than a second's messages waited, for good
-     * @param inTime share of the messages that were delivered within their goal of two seconds
+     * @param peak the highest load in two seconds, as a multiple of the destination's capacity then
+     * @param fullAfter seconds until less than a second's messages waited, permanently
+     * @param inTime share of the messages that were delivered within their latency objective of two seconds
      * @param delivered share of the messages that were delivered at all
      */
     record Outcome(double peak, double fullAfter, double inTime, double delivered) {}
@@ -110,7 +109,7 @@
     /**
      * A fleet.
      *
-     * @param load share of the partner's capacity that is asked of it
+     * @param load offered load as a share of the destination's capacity
      */
     private FleetRecoverySimulation(int relays, Memory memory, double load, int heldEach, long span) {
         this.relays = relays;
@@ -147,7 +146,7 @@
                 0);
     }
 
-    /** Relays start within a second of each other, and find what they held. */
+    /** Relays start within a second of each other, and resume their messages. */
     private void begin(int relay, double load, int heldEach) {
         long at = random.nextLong(SECOND);
         push(
@@ -188,14 +187,14 @@
         queue.add(new Due(at, order++, relay, event));
     }
 
-    /** Calls a second that the partner can take now. */
+    /** Calls a second that the destination can take now. */
     private double able(long at) {
         return capacity * (memory.cold ? Math.min(1, COLD_FROM + (1 - COLD_FROM) * at / WARM_UP) : 1);
     }
 
     private AttemptOutcome meet() {
         calls[(int) (now / BUCKET)]++;
-        // It queues half a second of calls at the most, and refuses more.
+        // It queues half a second of calls at the most, and rejects more.
         double able = able(now);
         room = Math.min(Math.max(2, able / 2), room + able * (now - roomAt) / SECOND);
         roomAt = now;
@@ -304,12 +303,12 @@
         return 0;
     }
 
-    /** Plays a fleet for a span in microseconds. */
+    /** Plays a fleet for a duration in microseconds. */
     static Outcome play(int relays, Memory memory, double load, int heldEach, long span) {
         return new FleetRecoverySimulation(relays, memory, load, heldEach, span).run();
     }
 
-    /** Prints the table: load at half of the partner's capacity, two messages held at each relay. */
+    /** Prints the table: load at half of the destination's capacity, two messages waiting at each relay. */
     public static void main(String[] args) {
         System.out.println("relays memory       peak  full after  in time  delivered");
         for (int relays : new int[] {10, 100, 1_000, 10_000}) {
--- a/src/test/java/loftflow/policy/FleetRecoveryTest.java
+++ b/src/test/java/loftflow/policy/FleetRecoveryTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A whole fleet that starts at once: what its partners see, by a deterministic simulation. */
+/** A whole fleet that starts at once: the load on its destinations, by a deterministic simulation. */
 class FleetRecoveryTest {
     private static final long SPAN = 60 * FleetRecoverySimulation.SECOND;
 
@@ -19,7 +19,7 @@
         assertTrue(outcome.fullAfter() <= 35 && outcome.delivered() > 0.98, outcome.toString());
     }
 
-    /** Ten times as many messages held: they go by the partner's warm-up, not all at once. */
+    /** Ten times as many waiting messages: they are sent along the destination's warm-up, not all at once. */
     @Test
     void waitingMessagesAreSentWithinTheBoundToo() {
         FleetRecoverySimulation.Outcome outcome =
@@ -27,7 +27,7 @@
         assertTrue(outcome.peak() < 2, outcome.toString());
     }
 
-    /** Proves that the simulation can tell: a fleet with nothing to remember overruns a cold partner. */
+    /** Proves that the simulation can fail: a fleet without snapshots overloads a cold destination. */
     @Test
     void fleetWithoutSnapshotsExceedsTheBound() {
         assertTrue(FleetRecoverySimulation.play(100, FleetRecoverySimulation.Memory.NOTHING, 0.5, 2, SPAN)
--- a/src/test/java/loftflow/policy/KeyOrderTest.java
+++ b/src/test/java/loftflow/policy/KeyOrderTest.java
@@ -16,8 +16,8 @@
 class KeyOrderTest extends PolicyTestBase {
 
     /**
-     * Its end is told and not heard yet, or was so before a restart: the next one of its line waits, another line does
-     * not.
+     * Its completion is reported and not acknowledged, or was so before a restart: the next message of its key waits,
+     * one of another key does not.
      */
     @Test
     void unacknowledgedCompletionBlocksItsKeyAlone() {
--- a/src/test/java/loftflow/policy/LoadShedderTest.java
+++ b/src/test/java/loftflow/policy/LoadShedderTest.java
@@ -11,7 +11,7 @@
 /** Tests of {@link LoadShedder}, played through the policy as a whole. */
 class LoadShedderTest extends PolicyTestBase {
 
-    /** Nobody else can try it: for room, the newcomer is turned away, however much more it is worth. */
+    /** No other relay can deliver it: the arrival is rejected, however much higher its value is. */
     @Test
     void resumedUntriedMessageIsNotShed() {
         PolicyHarness full = new PolicyHarness(PolicyHarness.settings(1, 3)).applyList(route("a", 1, "plain", "east"));
--- a/src/test/java/loftflow/policy/MessageValueTest.java
+++ b/src/test/java/loftflow/policy/MessageValueTest.java
@@ -12,7 +12,7 @@
 /** Tests of {@link MessageValue}, played through the policy as a whole. */
 class MessageValueTest extends PolicyTestBase {
 
-    /** Its worth has faded, and new ones come all the time: it is tried before its time is up all the same. */
+    /** Its value has decayed, and new messages keep arriving: it is attempted before its deadline all the same. */
     @Test
     void resumedUntriedMessageGoesAheadOfNewOnes() {
         PolicyHarness busy =
--- a/src/test/java/loftflow/policy/NoOpPolicyActions.java
+++ b/src/test/java/loftflow/policy/NoOpPolicyActions.java
@@ -2,7 +2,7 @@
 
 import loftflow.policy.api.PolicyActions;
 
-/** Hands of a module that does what no test of it looks at: nothing comes of it. */
+/** Actions without effect, for tests that look at none of them. */
 abstract class NoOpPolicyActions implements PolicyActions {
     @Override
     public void closeIdleConnections(String route) {}
--- a/src/test/java/loftflow/policy/OutcomeProcessorTest.java
+++ b/src/test/java/loftflow/policy/OutcomeProcessorTest.java
@@ -14,7 +14,7 @@
 /** Tests of {@link OutcomeProcessor}, played through the policy as a whole. */
 class OutcomeProcessorTest extends PolicyTestBase {
 
-    /** The call that was told so may be over, or go on. */
+    /** The call that received it may have ended, or go on. */
     @Test
     void retryAfterOutsideAnyOutcomeApplies() {
         relay.round(new RetryAfterReceived("a", 2 * SECOND), new RetryAfterReceived("gone", SECOND))
--- a/src/test/java/loftflow/policy/OutlierDetectorTest.java
+++ b/src/test/java/loftflow/policy/OutlierDetectorTest.java
@@ -21,7 +21,9 @@
         assertEquals(List.of("circuit: opened route=c cause=unresponsive"), relay.logged);
     }
 
-    /** A partner that falls silent goes on with what it had in its queue: those answers tell of the time before. */
+    /**
+     * A destination that becomes unresponsive still answers what was in its queue: those answers say nothing of now.
+     */
     @Test
     void answersToEarlierCallsDoNotHideAnUnresponsiveRoute() {
         for (int id = 100; id < 120; id++) {
--- a/src/test/java/loftflow/policy/PolicyHarness.java
+++ b/src/test/java/loftflow/policy/PolicyHarness.java
@@ -27,7 +27,7 @@
 import loftflow.policy.api.TimerFired;
 import loftflow.policy.api.Zone;
 
-/** A relay of tests: plays rounds to a module and keeps what it asks for. */
+/** Plays rounds to a policy and records the actions that it takes. */
 final class PolicyHarness implements PolicyActions {
     static final long MILLISECOND = 1_000;
     static final long SECOND = 1_000_000;
@@ -57,7 +57,7 @@
         return policy;
     }
 
-    /** Two kinds: shared limits in batches of four ("plain" carries one), and routes apart. */
+    /** Two kinds: shared limits in batches of four ("plain" carries one), and independent routes. */
     static PolicySettings settings() {
         return settings(10, 100);
     }
@@ -75,7 +75,7 @@
         return settings(seed, size, 10, 100, false, false);
     }
 
-    /** The first of a fleet whose relays may send notes. */
+    /** The first relay of a fleet whose relays may exchange messages. */
     static PolicySettings peers(int size) {
         return settings(7, size, 10, 100, false, true);
     }
@@ -146,7 +146,7 @@
         return this;
     }
 
-    /** Lets time pass, playing timers as they fall due. */
+    /** Advances the clock, firing timers as they fall due. */
     PolicyHarness advance(long span) {
         long end = now + span;
         while (true) {
@@ -166,7 +166,7 @@
         return answer(id, result, 0);
     }
 
-    /** Answers the oldest attempt of a request that is out. */
+    /** Ends the oldest attempt of a message that is in flight. */
     PolicyHarness answer(long id, AttemptOutcome result, long toldWait) {
         return answer(id, result, toldWait, LimitReport.NONE);
     }
--- a/src/test/java/loftflow/policy/PolicyTestBase.java
+++ b/src/test/java/loftflow/policy/PolicyTestBase.java
@@ -30,7 +30,7 @@
         return new MessageAccepted(id, "safe", null, null, relay.now + left, 2);
     }
 
-    /** Four calls that are out for so long that their route counts as silent, and eleven messages that wait. */
+    /** Four calls in flight for so long that their route counts as unresponsive, and eleven messages that wait. */
     static PolicyHarness relayWithUnresponsiveRouteC() {
         PolicyHarness wide =
                 new PolicyHarness(PolicyHarness.settings(100, 200)).applyList(route("c", 2, "apart", "east"));
@@ -52,7 +52,7 @@
         return ByteBuffer.allocate(5).put((byte) word.ordinal()).putInt(number).array();
     }
 
-    /** So many served calls to route c that it is called often. */
+    /** Serves enough calls on route c that it counts as called often. */
     void callRouteCOften() {
         for (int id = 1_000; id < 1_008; id++) {
             relay.accept(id, "safe", 2).advance(MILLISECOND).answer(id, AttemptOutcome.OK);
--- a/src/test/java/loftflow/policy/RandomEventsTest.java
+++ b/src/test/java/loftflow/policy/RandomEventsTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Plays legal events in awkward order and checks the rules on every action. */
+/** Plays legal events in random order and checks the service rules on every action. */
 class RandomEventsTest {
-    /** Results that prove that nothing ran, as the rules name them. */
+    /** Outcomes that prove that nothing executed, as the service rules name them. */
     private static final Set<AttemptOutcome> PROOFS =
             Set.of(AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT);
 
@@ -77,7 +77,7 @@
         AttemptOutcome result;
     }
 
-    /** The world of one module; it holds each action against the rules. */
+    /** The surroundings of one policy; checks each of its actions against the service rules. */
     private static final class Checker extends NoOpPolicyActions {
         final PolicySettings settings = PolicyHarness.settings(8, 60);
         final DeliveryPolicy policy = new DefaultDeliveryPolicy(settings);
--- a/src/test/java/loftflow/policy/RecoveryRampTest.java
+++ b/src/test/java/loftflow/policy/RecoveryRampTest.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * What is usual is not taken for less because the relay has run for a short time only: it would be released at a
-     * crawl.
+     * The usual rate is extrapolated where the relay has run for a short time only; the ramp would be far too low
+     * otherwise.
      */
     @Test
     void youngRelayRampsUpByItsArrivalsASecond() {
--- a/src/test/java/loftflow/policy/SendRateLimiterTest.java
+++ b/src/test/java/loftflow/policy/SendRateLimiterTest.java
@@ -16,7 +16,7 @@
 /** Tests of {@link SendRateLimiter}, played through the policy as a whole. */
 class SendRateLimiterTest extends PolicyTestBase {
 
-    /** How far two messages accepted at once leave from one another. */
+    /** The time between the departures of two messages that are accepted at once. */
     private long departureSpacing(int id) {
         relay.sent.clear();
         relay.accept(id, "safe", 2).accept(id + 1, "safe", 2).advance(10 * SECOND);
@@ -24,7 +24,7 @@
         return relay.sent.get(1).atMicros() - relay.sent.get(0).atMicros();
     }
 
-    /** Refused once with no limit known, then served for five seconds while a thousand messages wait. */
+    /** Rejected once with no limit known, then served for five seconds while a thousand messages wait. */
     private static PolicyHarness fiveSecondsAfterTheFirstCut() {
         PolicyHarness wide =
                 new PolicyHarness(PolicyHarness.settings(100, 2_000)).applyList(route("c", 2, "apart", "east"));
@@ -36,7 +36,7 @@
         return wide;
     }
 
-    /** Lets time pass, and serves what was sent ten milliseconds later. */
+    /** Advances the clock and serves each call after ten milliseconds. */
     private static void serveFor(PolicyHarness relay, long span) {
         for (long end = relay.now + span; relay.now < end; ) {
             relay.advance(10 * MILLISECOND);
@@ -76,7 +76,7 @@
         assertTrue(cut > 100 * MILLISECOND && regrown < cut / 2, "cut " + cut + ", regrown " + regrown);
     }
 
-    /** What was sent at once is refused at once, or one by one over a second: either way it tells of one pace. */
+    /** Calls sent together are rejected together, or one by one over a second: either way they show one rate. */
     @Test
     void rejectionsOfOneBurstCutTheRateOnce() {
         PolicyHarness wide =
@@ -99,13 +99,13 @@
         int before = wide.sent.size();
         for (int i = 0; i < 40; i++) {
             wide.advance(100 * MILLISECOND);
-            // Neither a serve nor a refusal: the pace stays as it is.
+            // Neither served nor rejected: the rate stays as it is.
             List.copyOf(wide.unanswered).forEach(s -> wide.answer(s.id(), AttemptOutcome.NOT_SENT));
         }
         assertEquals(64, wide.sent.size() - before, 10, "four seconds at half of 33 a second");
     }
 
-    /** Without a limit to go by the first cut is a guess: what is served then soon shows better. */
+    /** Without a known limit the first cut is a guess, which served calls soon correct. */
     @Test
     void rateAfterTheFirstCutDoublesUntilTheNext() {
         PolicyHarness wide = fiveSecondsAfterTheFirstCut();
--- a/src/test/java/loftflow/policy/WarmStartTest.java
+++ b/src/test/java/loftflow/policy/WarmStartTest.java
@@ -21,7 +21,7 @@
 import loftflow.policy.api.TrustLevel;
 import org.junit.jupiter.api.Test;
 
-/** The decision module on routes that it knows from before a restart. */
+/** Tests of {@link WarmStart}, played through the policy as a whole. */
 class WarmStartTest {
     private static RouteRestored remembered(String route, TrustLevel belief, RouteSnapshot standing) {
         return new RouteRestored(
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Lets time pass while every call is answered well after 50 ms. */
+    /** Advances the clock while every call is served after 50 ms. */
     private static int serve(PolicyHarness relay, long span) {
         int before = relay.sent.size();
         for (long end = relay.now + span; relay.now < end; ) {
@@ -109,7 +109,7 @@
         assertEquals(1, relay.sent.size());
     }
 
-    /** An address may be another's within seconds; a believed route is not cold for that. */
+    /** An address may belong to another endpoint within seconds; a trusted route does not ramp up for that. */
     @Test
     void trustedRouteIsProbedToo() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(1, 3));
@@ -169,7 +169,7 @@
             assertEquals(0, relay.sent.size(), "no message before the check");
             sum += serve(relay, SECOND);
         }
-        // It bears a fifth of 50 a second, and falls at twice that.
+        // It takes a fifth of 50 a second, and fails at twice that.
         assertTrue(sum <= 20, "the fleet's first second: " + sum);
     }
 
@@ -215,7 +215,7 @@
         assertTrue(relay.probes.isEmpty());
     }
 
-    /** What the journal brings back waits for the pace like anything else, and goes by what it is worth. */
+    /** Resumed messages are sent within the rate limit like any other, by their value. */
     @Test
     void resumedMessagesAreSentAtTheRateTheMostValuableFirst() {
         PolicyHarness relay = new PolicyHarness(PolicyHarness.fleet(10, 3));
