--- a/src/main/java/loftflow/admin/AdminClient.java
+++ b/src/main/java/loftflow/admin/AdminClient.java
@@ -11,17 +11,19 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Asks a running relay over its admin socket. */
+/** Sends requests to the admin socket of a running relay. */
 public final class AdminClient {
     private AdminClient() {}
 
     /**
-     * Sends a request and hands on each line of the answer.
+     * Sends a request and passes on each line of the response.
      *
+     * @param folder the relay's state folder
      * @return false where no relay listens there
-     * @throws IOException where the connection breaks on the way
+     * @throws IOException where the connection breaks
      */
-    public static boolean ask(Path folder, Map<String, String> request, Consumer<String> lines) throws IOException {
+    public static boolean ask(Path folder, Map<String, String> request, Consumer<String> responseLines)
+            throws IOException {
         SocketChannel channel;
         try {
             channel = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve(AdminServer.NAME)));
@@ -29,12 +31,12 @@
             return false;
         }
         try (channel) {
-            Channels.newOutputStream(channel)
-                    .write((JsonLines.object(request) + "\n").getBytes(StandardCharsets.UTF_8));
-            BufferedReader in =
+            byte[] requestLine = (JsonLines.object(request) + "\n").getBytes(StandardCharsets.UTF_8);
+            Channels.newOutputStream(channel).write(requestLine);
+            BufferedReader reader =
                     new BufferedReader(new InputStreamReader(Channels.newInputStream(channel), StandardCharsets.UTF_8));
-            for (String line = in.readLine(); line != null; line = in.readLine()) {
-                lines.accept(line);
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                responseLines.accept(line);
             }
         }
         return true;
--- a/src/main/java/loftflow/admin/AdminServer.java
+++ b/src/main/java/loftflow/admin/AdminServer.java
@@ -23,50 +23,50 @@
 import java.util.function.Consumer;
 import loftflow.log.Log;
 
-/** Listens on the admin socket, one request at a time, on a thread of its own. */
+/** Serves the admin socket, one request at a time, on a thread of its own. */
 public final class AdminServer implements AutoCloseable {
-    /** The socket's name in the folder that lasts. */
+    /** Name of the socket in the state folder. */
     public static final String NAME = "admin.sock";
 
-    private static final int LONGEST = 64 << 10;
+    private static final int MAX_REQUEST_CHARACTERS = 64 << 10;
 
-    /** Carries out requests. */
+    /** Executes requests. Called on the thread of the server. */
     public interface Commands {
         /**
-         * Carries one out.
+         * Executes a request.
          *
-         * @param request its members; {@code command} is there
-         * @param out takes each line of the answer, without its end
-         * @throws IllegalArgumentException where the request makes no sense; its message is the answer
+         * @param request its members, among them {@code command}
+         * @param out receives each line of the response, without its line end
+         * @throws IllegalArgumentException where the request is invalid; its message is the response
          */
-        void carryOut(Map<String, String> request, Consumer<String> out) throws InterruptedException;
+        void execute(Map<String, String> request, Consumer<String> out) throws InterruptedException;
     }
 
     private final Commands commands;
     private final Path file;
     private final ServerSocketChannel listener;
 
-    /** Listens in a folder from now on; whoever may not write there can't connect either. */
+    /** Starts to listen in a folder. Only the user of the relay can connect. */
     public AdminServer(Path folder, Commands commands) throws IOException {
         this.commands = commands;
         file = folder.resolve(NAME);
-        // Guards against the socket of a process that was killed: the name would be taken for good.
+        // Removes the socket of a process that was killed; binding would fail otherwise.
         Files.deleteIfExists(file);
         listener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
         listener.bind(UnixDomainSocketAddress.of(file));
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
-        Thread thread = new Thread(this::listen, "admin");
+        Thread thread = new Thread(this::acceptConnections, "admin");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void listen() {
+    private void acceptConnections() {
         while (listener.isOpen()) {
-            try (SocketChannel peer = listener.accept()) {
-                answer(peer);
+            try (SocketChannel connection = listener.accept()) {
+                serve(connection);
             } catch (IOException | UncheckedIOException e) {
                 if (listener.isOpen()) {
-                    Log.line("admin: " + e.getMessage());
+                    Log.line("admin: request failed error=\"" + e.getMessage() + "\"");
                 }
             } catch (InterruptedException e) {
                 return;
@@ -74,26 +74,27 @@
         }
     }
 
-    private void answer(SocketChannel peer) throws IOException, InterruptedException {
-        BufferedReader in = new BufferedReader(
-                new InputStreamReader(Channels.newInputStream(peer), StandardCharsets.UTF_8), LONGEST);
-        Writer out = new OutputStreamWriter(Channels.newOutputStream(peer), StandardCharsets.UTF_8);
+    private void serve(SocketChannel connection) throws IOException, InterruptedException {
+        BufferedReader reader = new BufferedReader(
+                new InputStreamReader(Channels.newInputStream(connection), StandardCharsets.UTF_8),
+                MAX_REQUEST_CHARACTERS);
+        Writer writer = new OutputStreamWriter(Channels.newOutputStream(connection), StandardCharsets.UTF_8);
         Consumer<String> lines = line -> {
             try {
-                out.write(line + "\n");
+                writer.write(line + "\n");
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         };
         try {
-            commands.carryOut(request(in.readLine()), lines);
+            commands.execute(parseRequest(reader.readLine()), lines);
         } catch (IllegalArgumentException e) {
             lines.accept(JsonLines.error(e.getMessage()));
         }
-        out.flush();
+        writer.flush();
     }
 
-    private static Map<String, String> request(String line) {
+    private static Map<String, String> parseRequest(String line) {
         Map<String, String> members = new LinkedHashMap<>();
         try (JsonParser parser = new JsonFactory().createParser(line == null ? "" : line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -109,8 +110,8 @@
         } catch (IOException e) {
             throw new IllegalArgumentException("a request is one line with a JSON object", e);
         }
-        if (!members.containsKey("command")) {
-            throw new IllegalArgumentException("command is missing");
+        if (!members.containsKey(AdminProtocol.COMMAND)) {
+            throw new IllegalArgumentException(AdminProtocol.COMMAND + " is missing");
         }
         return members;
     }
@@ -121,7 +122,7 @@
             listener.close();
             Files.deleteIfExists(file);
         } catch (IOException e) {
-            Log.line("admin: the socket can't be closed: " + e.getMessage());
+            Log.line("admin: socket close failed error=\"" + e.getMessage() + "\"");
         }
     }
 }
--- a/src/main/java/loftflow/admin/DeadLetterCommands.java
+++ b/src/main/java/loftflow/admin/DeadLetterCommands.java
@@ -20,203 +20,252 @@
 import loftflow.engine.Clock;
 
 /**
- * What persons ask of the store: to see, to send again, to give their word, to discard. Each word and each resend that
- * is
- * asked for is in the audit before anything else happens.
+ * The operators' commands on dead letters: list, show, redrive, confirm, discard, pause. A confirmation, a redrive and a
+ * discard are in the audit trail before they take effect.
  */
 public final class DeadLetterCommands implements AdminServer.Commands {
-    private static final int PAGE = 500;
-    private static final int PATIENCE_S = 10;
+    private static final int PAGE_SIZE = 500;
+    private static final int TIMEOUT_SECONDS = 10;
+    /** Actions in the audit trail. */
+    private static final String AUDIT_PAUSE = "pause";
 
-    private final DeadLetterService desk;
-    private final DeadLetterStoreQueue shelf;
+    private static final String AUDIT_RESUME = "go on";
+    private static final String AUDIT_CANCEL = "cancel";
+    private static final String AUDIT_REDRIVE = "resend";
+    private static final String AUDIT_CONFIRM = "confirm not posted";
+    private static final String AUDIT_DISCARD = "discard";
+    /** The id under which the audit trail has what concerns no single dead letter. */
+    private static final long NO_ID = 0;
+
+    private final DeadLetterService service;
+    private final DeadLetterStoreQueue storeQueue;
     private final Clock clock;
-    private final Executor loop;
+    private final Executor eventLoop;
 
-    /** Asks a desk and its shelf; {@code loop} is the event loop that the desk lives on. */
-    public DeadLetterCommands(DeadLetterService desk, DeadLetterStoreQueue shelf, Clock clock, Executor loop) {
-        this.desk = desk;
-        this.shelf = shelf;
+    /** Commands on a service and its store; the service runs on the event loop. */
+    public DeadLetterCommands(
+            DeadLetterService service, DeadLetterStoreQueue storeQueue, Clock clock, Executor eventLoop) {
+        this.service = service;
+        this.storeQueue = storeQueue;
         this.clock = clock;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
     }
 
     @Override
-    public void carryOut(Map<String, String> request, Consumer<String> out) throws InterruptedException {
-        switch (request.get("command")) {
-            case "list" -> each(
-                    DeadLetterFilterReader.of(request),
-                    entry -> out.accept(
-                            JsonLines.entry(entry, request.containsKey("body"), word(verdict(entry)), List.of())));
-            case "show" -> show(request, out);
-            case "stats" -> out.accept(stats());
-            case "resend" -> resend(request, out);
-            case "confirm" -> confirm(request, out);
-            case "discard" -> discard(request, out);
-            case "pause", "go-on" -> {
-                boolean pauses = request.get("command").equals("pause");
-                audit(request, pauses ? "pause" : "go on", 0);
-                onLoop(() -> {
-                    desk.pause(pauses);
-                    return null;
-                });
-                out.accept(JsonLines.object(Map.of("paused", pauses)));
-            }
-            default -> throw new IllegalArgumentException("unknown command " + request.get("command"));
+    public void execute(Map<String, String> request, Consumer<String> out) throws InterruptedException {
+        String command = request.get(AdminProtocol.COMMAND);
+        switch (command) {
+            case AdminProtocol.COMMAND_LIST -> list(request, out);
+            case AdminProtocol.COMMAND_SHOW -> show(request, out);
+            case AdminProtocol.COMMAND_STATS -> out.accept(stats());
+            case AdminProtocol.COMMAND_REDRIVE -> redrive(request, out);
+            case AdminProtocol.COMMAND_CONFIRM -> confirm(request, out);
+            case AdminProtocol.COMMAND_DISCARD -> discard(request, out);
+            case AdminProtocol.COMMAND_PAUSE -> setPaused(true, request, out);
+            case AdminProtocol.COMMAND_RESUME -> setPaused(false, request, out);
+            default -> throw new IllegalArgumentException("unknown command " + command);
         }
     }
 
-    private <T> T wait(CompletableFuture<T> answer) throws InterruptedException {
+    private <T> T await(CompletableFuture<T> result) throws InterruptedException {
         try {
-            return answer.get(PATIENCE_S, TimeUnit.SECONDS);
+            return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IllegalArgumentException("the store does not answer; see the relay's log", e);
         }
     }
 
-    private <T> T ask(Function<DeadLetterStore, T> task) throws InterruptedException {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        if (!shelf.submit(task, answer::complete, () -> answer.completeExceptionally(new IllegalStateException()))) {
+    private <T> T inStore(Function<DeadLetterStore, T> task) throws InterruptedException {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        Runnable failed = () -> result.completeExceptionally(new IllegalStateException("the store task failed"));
+        if (!storeQueue.submit(task, result::complete, failed)) {
             throw new IllegalArgumentException("the store is busy; try again");
         }
-        return wait(answer);
+        return await(result);
     }
 
-    private <T> T onLoop(Supplier<T> task) throws InterruptedException {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        loop.execute(() -> answer.complete(task.get()));
-        return wait(answer);
+    private <T> T onEventLoop(Supplier<T> task) throws InterruptedException {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        eventLoop.execute(() -> result.complete(task.get()));
+        return await(result);
     }
 
-    private interface PerEntry {
-        void accept(DeadLetter entry) throws InterruptedException;
+    private interface Action {
+        void accept(DeadLetter deadLetter) throws InterruptedException;
     }
 
-    /** In pages, so that a large store is neither held whole nor keeps others waiting. */
-    private void each(DeadLetterFilterReader filters, PerEntry action) throws InterruptedException {
-        // One that is named is the first from its number on, if it is meant at all.
-        long from = filters.id();
-        long left = filters.id() == 0 ? filters.most() : Math.min(1, filters.most());
-        while (left > 0) {
-            long start = from;
-            int page = (int) Math.min(PAGE, left);
-            List<DeadLetter> entries = ask(s -> s.list(filters.filter(), start, page, filters.bodies()));
-            for (DeadLetter entry : entries) {
-                if (filters.id() == 0 || filters.id() == entry.id()) {
-                    action.accept(entry);
+    /** Runs an action for each selected dead letter, in pages: a large store is not read into memory as a whole. */
+    private void forEach(DeadLetterFilterReader selection, Action action) throws InterruptedException {
+        // A single dead letter is the first from its id on, if the filter selects it at all.
+        boolean isSingle = selection.id() != 0;
+        long fromId = selection.id();
+        long remaining = isSingle ? Math.min(1, selection.most()) : selection.most();
+        while (remaining > 0) {
+            long pageStart = fromId;
+            int pageSize = (int) Math.min(PAGE_SIZE, remaining);
+            List<DeadLetter> page =
+                    inStore(store -> store.list(selection.filter(), pageStart, pageSize, selection.bodies()));
+            for (DeadLetter deadLetter : page) {
+                if (!isSingle || deadLetter.id() == selection.id()) {
+                    action.accept(deadLetter);
                 }
-                from = entry.id() + 1;
+                fromId = deadLetter.id() + 1;
             }
-            left = entries.size() < page ? 0 : left - page;
+            remaining = page.size() < pageSize ? 0 : remaining - pageSize;
         }
     }
 
-    private DeadLetter one(Map<String, String> request) throws InterruptedException {
+    private DeadLetter find(Map<String, String> request) throws InterruptedException {
         long id = DeadLetterFilterReader.id(request);
-        Optional<DeadLetter> entry = ask(s -> s.get(id));
-        return entry.orElseThrow(() -> new IllegalArgumentException("there is no entry " + id));
+        Optional<DeadLetter> deadLetter = inStore(store -> store.get(id));
+        return deadLetter.orElseThrow(() -> new IllegalArgumentException("there is no entry " + id));
     }
 
-    private RedrivePolicy.Verdict verdict(DeadLetter entry) throws InterruptedException {
-        return onLoop(() -> desk.decide(entry));
+    private RedrivePolicy.Decision decide(DeadLetter deadLetter) throws InterruptedException {
+        return onEventLoop(() -> service.decide(deadLetter));
     }
 
-    private static String word(RedrivePolicy.Verdict verdict) {
-        if (verdict instanceof RedrivePolicy.Later later) {
-            return "later: " + later.why();
-        } else if (verdict instanceof RedrivePolicy.AfterWord after) {
-            return "after a person's word: " + after.why();
-        } else if (verdict instanceof RedrivePolicy.Over over) {
-            return "over: " + over.why();
+    private static String describe(RedrivePolicy.Decision decision) {
+        if (decision instanceof RedrivePolicy.SendLater later) {
+            return "later: " + later.reason();
+        }
+        if (decision instanceof RedrivePolicy.NeedsConfirmation needsConfirmation) {
+            return "after a person's word: " + needsConfirmation.reason();
+        }
+        if (decision instanceof RedrivePolicy.Settled settled) {
+            return "over: " + settled.reason();
         }
         return "may be sent";
     }
 
+    private void list(Map<String, String> request, Consumer<String> out) throws InterruptedException {
+        DeadLetterFilterReader selection = DeadLetterFilterReader.of(request);
+        forEach(
+                selection,
+                deadLetter -> out.accept(
+                        JsonLines.entry(deadLetter, selection.bodies(), describe(decide(deadLetter)), List.of())));
+    }
+
     private void show(Map<String, String> request, Consumer<String> out) throws InterruptedException {
-        DeadLetter entry = one(request);
-        List<String> audits = ask(s -> s.audits(entry.id()));
-        out.accept(JsonLines.entry(entry, request.containsKey("body"), word(verdict(entry)), audits));
+        DeadLetter deadLetter = find(request);
+        List<String> audits = inStore(store -> store.audits(deadLetter.id()));
+        boolean withBody = request.containsKey(AdminProtocol.BODY);
+        out.accept(JsonLines.entry(deadLetter, withBody, describe(decide(deadLetter)), audits));
     }
 
     private String stats() throws InterruptedException {
-        DeadLetterStore.Size size = ask(DeadLetterStore::size);
-        long lost = onLoop(desk::lost);
-        boolean paused = onLoop(desk::isPaused);
-        return JsonLines.object(
-                Map.of("entries", size.entries(), "bytes", size.bytes(), "lost", lost, "paused", paused));
+        DeadLetterStore.Size size = inStore(DeadLetterStore::size);
+        long lostCount = onEventLoop(service::lostCount);
+        boolean isPaused = onEventLoop(service::isPaused);
+        return JsonLines.object(Map.of(
+                AdminProtocol.ENTRIES,
+                size.entries(),
+                AdminProtocol.BYTES,
+                size.bytes(),
+                AdminProtocol.LOST,
+                lostCount,
+                AdminProtocol.PAUSED,
+                isPaused));
     }
 
-    private static String by(Map<String, String> request) {
-        String by = request.getOrDefault("by", "").strip();
-        if (by.isEmpty()) {
+    private static String operator(Map<String, String> request) {
+        String operator = request.getOrDefault(AdminProtocol.OPERATOR, "").strip();
+        if (operator.isEmpty()) {
             throw new IllegalArgumentException("by whom? --by NAME is needed");
         }
-        return by;
+        return operator;
     }
 
-    private static String reason(Map<String, String> request) {
-        String reason = request.getOrDefault("reason", "").strip();
+    private static String operatorReason(Map<String, String> request) {
+        String reason = request.getOrDefault(AdminProtocol.OPERATOR_REASON, "").strip();
         if (reason.isEmpty()) {
             throw new IllegalArgumentException("why? --reason TEXT is needed");
         }
         return reason;
     }
 
-    private void audit(Map<String, String> request, String what, long id) throws InterruptedException {
-        String by = by(request);
-        long at = clock.micros();
-        ask(s -> {
-            s.audit(at, by, what, id, request.getOrDefault("reason", ""));
+    private void audit(Map<String, String> request, String action, long id) throws InterruptedException {
+        String operator = operator(request);
+        String detail = request.getOrDefault(AdminProtocol.OPERATOR_REASON, "");
+        long nowMicros = clock.micros();
+        inStore(store -> {
+            store.appendAudit(nowMicros, operator, action, id, detail);
             return null;
         });
     }
 
-    /** Makes entries due, so that their destinations' pace holds for them too; or not due any more. */
-    private void resend(Map<String, String> request, Consumer<String> out) throws InterruptedException {
-        boolean dry = request.containsKey("dry-run");
-        boolean cancels = request.containsKey("cancel");
-        by(request);
-        each(DeadLetterFilterReader.of(request), entry -> {
-            if (entry.state() != DeadLetter.State.KEPT) {
+    /** Makes dead letters due, so that their destinations' pace applies to them too; or not due any more. */
+    private void redrive(Map<String, String> request, Consumer<String> out) throws InterruptedException {
+        operator(request);
+        boolean isDryRun = request.containsKey(AdminProtocol.DRY_RUN);
+        boolean isCancel = request.containsKey(AdminProtocol.CANCEL);
+        forEach(DeadLetterFilterReader.of(request), deadLetter -> {
+            if (deadLetter.state() != DeadLetter.State.KEPT) {
                 return;
             }
-            RedrivePolicy.Verdict verdict = verdict(entry);
-            boolean may = verdict instanceof RedrivePolicy.Now || verdict instanceof RedrivePolicy.Later;
-            boolean done = false;
-            if (!dry && (may || cancels)) {
-                audit(request, cancels ? "cancel" : "resend", entry.id());
-                long due = cancels ? DeadLetter.NEVER_DUE : clock.micros();
-                done = ask(s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.KEPT, due));
-            }
+            RedrivePolicy.Decision decision = decide(deadLetter);
+            boolean isAllowed = isCancel
+                    || decision instanceof RedrivePolicy.SendNow
+                    || decision instanceof RedrivePolicy.SendLater;
+            boolean isDone = !isDryRun && isAllowed && setDue(deadLetter.id(), isCancel, request);
             out.accept(JsonLines.object(Map.of(
-                    "id", entry.id(), "ref", entry.content().messageId(), "verdict", word(verdict), "done", done)));
+                    AdminProtocol.ID,
+                    deadLetter.id(),
+                    AdminProtocol.MESSAGE_ID,
+                    deadLetter.content().messageId(),
+                    AdminProtocol.DECISION,
+                    describe(decision),
+                    AdminProtocol.DONE,
+                    isDone)));
         });
     }
 
+    private boolean setDue(long id, boolean isCancel, Map<String, String> request) throws InterruptedException {
+        audit(request, isCancel ? AUDIT_CANCEL : AUDIT_REDRIVE, id);
+        long dueMicros = isCancel ? DeadLetter.NEVER_DUE : clock.micros();
+        return inStore(store -> store.transition(id, DeadLetter.State.KEPT, DeadLetter.State.KEPT, dueMicros));
+    }
+
     private void confirm(Map<String, String> request, Consumer<String> out) throws InterruptedException {
-        String by = by(request);
-        String reason = reason(request);
-        DeadLetter entry = one(request);
-        if (entry.ran() == ExecutionCertainty.DID || entry.state() != DeadLetter.State.KEPT) {
-            throw new IllegalArgumentException("entry " + entry.id() + " is "
-                    + (entry.ran() == ExecutionCertainty.DID
-                            ? "proven to be delivered"
-                            : entry.state().name().toLowerCase(java.util.Locale.ROOT)));
+        String operator = operator(request);
+        String reason = operatorReason(request);
+        DeadLetter deadLetter = find(request);
+        boolean isExecuted = deadLetter.ran() == ExecutionCertainty.EXECUTED;
+        if (isExecuted || deadLetter.state() != DeadLetter.State.KEPT) {
+            String state = isExecuted
+                    ? "proven to be delivered"
+                    : AdminProtocol.nameOf(deadLetter.state().code());
+            throw new IllegalArgumentException("entry " + deadLetter.id() + " is " + state);
         }
-        audit(request, "confirm not posted", entry.id());
-        long now = clock.micros();
-        DeadLetter.Word word = new DeadLetter.Word(by, reason, entry.tries().size(), now);
-        boolean done = ask(s -> s.word(entry.id(), word, now));
-        out.accept(JsonLines.object(Map.of("id", entry.id(), "done", done)));
+        audit(request, AUDIT_CONFIRM, deadLetter.id());
+        long nowMicros = clock.micros();
+        DeadLetter.Confirmation confirmation =
+                new DeadLetter.Confirmation(operator, reason, deadLetter.tries().size(), nowMicros);
+        boolean isDone = inStore(store -> store.recordConfirmation(deadLetter.id(), confirmation, nowMicros));
+        out.accept(done(deadLetter.id(), isDone));
     }
 
     private void discard(Map<String, String> request, Consumer<String> out) throws InterruptedException {
-        by(request);
-        reason(request);
-        DeadLetter entry = one(request);
-        audit(request, "discard", entry.id());
-        boolean done =
-                ask(s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, DeadLetter.NEVER_DUE));
-        out.accept(JsonLines.object(Map.of("id", entry.id(), "done", done)));
+        operator(request);
+        operatorReason(request);
+        DeadLetter deadLetter = find(request);
+        audit(request, AUDIT_DISCARD, deadLetter.id());
+        boolean isDone = inStore(store -> store.transition(
+                deadLetter.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, DeadLetter.NEVER_DUE));
+        out.accept(done(deadLetter.id(), isDone));
+    }
+
+    private static String done(long id, boolean isDone) {
+        return JsonLines.object(Map.of(AdminProtocol.ID, id, AdminProtocol.DONE, isDone));
+    }
+
+    private void setPaused(boolean isPaused, Map<String, String> request, Consumer<String> out)
+            throws InterruptedException {
+        audit(request, isPaused ? AUDIT_PAUSE : AUDIT_RESUME, NO_ID);
+        onEventLoop(() -> {
+            service.setPaused(isPaused);
+            return null;
+        });
+        out.accept(JsonLines.object(Map.of(AdminProtocol.PAUSED, isPaused)));
     }
 }
--- a/src/main/java/loftflow/admin/DeadLetterFilterReader.java
+++ b/src/main/java/loftflow/admin/DeadLetterFilterReader.java
@@ -2,81 +2,90 @@
 
 import java.time.Instant;
 import java.time.format.DateTimeParseException;
+import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.function.Function;
+import java.util.stream.Stream;
 import loftflow.deadletter.DeadLetter;
 import loftflow.deadletter.DeadLetterStore;
 import loftflow.deadletter.ExecutionCertainty;
 
 /**
- * Which entries a request means, read from its members.
+ * The dead letters that a request selects.
  *
- * @param id one alone, or 0
- * @param most so many at the most
+ * @param id the id of a single one; 0 for any
+ * @param most how many at most
+ * @param bodies whether their bodies are requested too
  */
 public record DeadLetterFilterReader(DeadLetterStore.Filter filter, long id, long most, boolean bodies) {
+    private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * Reads them.
+     * Reads the selection of a request.
      *
-     * @throws IllegalArgumentException where a member makes no sense, naming it
+     * @throws IllegalArgumentException where a member is invalid; the message names it
      */
     public static DeadLetterFilterReader of(Map<String, String> request) {
         DeadLetterStore.Filter filter = new DeadLetterStore.Filter(
-                word(request, "state", DeadLetter.State.class),
-                request.containsKey("destination") ? (int) number(request, "destination") : null,
-                request.get("class"),
-                request.get("tenant"),
-                word(request, "ran", ExecutionCertainty.class),
-                time(request, "since"),
-                time(request, "until"));
-        long id = request.containsKey("id") ? id(request) : 0;
+                code(request, AdminProtocol.STATE, DeadLetter.State.values(), DeadLetter.State::code),
+                request.containsKey(AdminProtocol.DESTINATION)
+                        ? (int) number(request, AdminProtocol.DESTINATION)
+                        : null,
+                request.get(AdminProtocol.REQUEST_CLASS),
+                request.get(AdminProtocol.TENANT),
+                code(request, AdminProtocol.CERTAINTY, ExecutionCertainty.values(), ExecutionCertainty::code),
+                timeMicros(request, AdminProtocol.SINCE),
+                timeMicros(request, AdminProtocol.UNTIL));
         return new DeadLetterFilterReader(
                 filter,
-                id,
-                request.containsKey("most") ? number(request, "most") : Long.MAX_VALUE,
-                request.containsKey("body"));
+                request.containsKey(AdminProtocol.ID) ? id(request) : 0,
+                request.containsKey(AdminProtocol.MAX_ENTRIES)
+                        ? number(request, AdminProtocol.MAX_ENTRIES)
+                        : Long.MAX_VALUE,
+                request.containsKey(AdminProtocol.BODY));
     }
 
     static long id(Map<String, String> request) {
-        return number(request, "id");
+        return number(request, AdminProtocol.ID);
     }
 
-    private static long number(Map<String, String> request, String name) {
-        String text = request.getOrDefault(name, "");
+    private static long number(Map<String, String> request, String member) {
+        String text = request.getOrDefault(member, "");
         if (!text.matches("\\d{1,15}")) {
-            throw new IllegalArgumentException(name + ": a number is needed, not \"" + text + "\"");
+            throw new IllegalArgumentException(member + ": a number is needed, not \"" + text + "\"");
         }
         return Long.parseLong(text);
     }
 
-    private static <E extends Enum<E>> E word(Map<String, String> request, String name, Class<E> words) {
-        String text = request.get(name);
+    /** The value with the code that a member names, in any case; null where the request has no such member. */
+    private static <E> E code(Map<String, String> request, String member, E[] values, Function<E, String> codeOf) {
+        String text = request.get(member);
         if (text == null) {
             return null;
         }
-        try {
-            return Enum.valueOf(words, text.toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(
-                    name + ": \"" + text + "\" is none of "
-                            + java.util.Arrays.toString(words.getEnumConstants())
-                                    .toLowerCase(Locale.ROOT),
-                    e);
+        String code = text.toUpperCase(Locale.ROOT);
+        for (E value : values) {
+            if (codeOf.apply(value).equals(code)) {
+                return value;
+            }
         }
+        List<String> names =
+                Stream.of(values).map(codeOf).map(AdminProtocol::nameOf).toList();
+        throw new IllegalArgumentException(member + ": \"" + text + "\" is none of " + names);
     }
 
-    /** Microseconds of a time such as {@code 2026-12-01T08:00:00Z}, 0 where there is none. */
-    private static long time(Map<String, String> request, String name) {
-        String text = request.get(name);
+    /** Microseconds since the epoch of a time such as {@code 2026-12-01T08:00:00Z}; 0 where there is none. */
+    private static long timeMicros(Map<String, String> request, String member) {
+        String text = request.get(member);
         if (text == null) {
             return 0;
         }
         try {
-            return Instant.parse(text).toEpochMilli() * 1000;
+            return Instant.parse(text).toEpochMilli() * MICROS_PER_MILLI;
         } catch (DateTimeParseException e) {
             throw new IllegalArgumentException(
-                    name + ": a time like 2026-12-01T08:00:00Z is needed, not \"" + text + "\"", e);
+                    member + ": a time like 2026-12-01T08:00:00Z is needed, not \"" + text + "\"", e);
         }
     }
 }
--- a/src/main/java/loftflow/admin/JsonLines.java
+++ b/src/main/java/loftflow/admin/JsonLines.java
@@ -9,22 +9,24 @@
 import java.util.List;
 import java.util.Map;
 import loftflow.deadletter.DeadLetter;
+import loftflow.engine.Message;
 
-/** Answers as lines of JSON. */
+/** Lines of JSON of the admin protocol. */
 public final class JsonLines {
     private static final JsonFactory JSON = new JsonFactory();
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private JsonLines() {}
 
-    private interface Body {
+    private interface MembersWriter {
         void write(JsonGenerator json) throws IOException;
     }
 
-    private static String line(Body body) {
+    private static String line(MembersWriter members) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
-            body.write(json);
+            members.write(json);
             json.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -33,10 +35,10 @@
     }
 
     static String error(String reason) {
-        return line(json -> json.writeStringField("error", reason));
+        return line(json -> json.writeStringField(AdminProtocol.ERROR, reason));
     }
 
-    /** An object with text, whole numbers and flags as its members. */
+    /** An object whose members are strings, integers and booleans. */
     public static String object(Map<String, ?> members) {
         return line(json -> {
             for (Map.Entry<String, ?> member : members.entrySet()) {
@@ -45,55 +47,84 @@
         });
     }
 
-    /** An entry; its body, in Base64, only where it was asked for. {@code verdict} may be null. */
-    public static String entry(DeadLetter entry, boolean body, String verdict, List<String> audits) {
+    /**
+     * A dead letter.
+     *
+     * @param withBody whether its body is included, in Base64
+     * @param decision the redrive decision; null leaves it out
+     * @param audits lines of its audit trail; left out where there are none
+     */
+    public static String entry(DeadLetter deadLetter, boolean withBody, String decision, List<String> audits) {
         return line(json -> {
-            json.writeNumberField("id", entry.id());
-            json.writeStringField("ref", entry.content().messageId());
-            json.writeStringField("class", entry.content().requestClass());
-            json.writeStringField("tenant", entry.content().tenant());
-            json.writeStringField("key", entry.content().key());
-            json.writeNumberField("destination", entry.content().destination());
-            json.writeStringField("kept", time(entry.keptAt()));
-            json.writeStringField("deadline", time(entry.content().deadlineMicros()));
-            json.writeStringField("state", entry.state().name().toLowerCase(java.util.Locale.ROOT));
-            json.writeStringField("ran", entry.ran().name().toLowerCase(java.util.Locale.ROOT));
-            json.writeStringField("why", entry.why());
-            json.writeStringField("told", entry.told());
-            json.writeNumberField("resends", entry.resends());
-            if (verdict != null) {
-                json.writeStringField("verdict", verdict);
+            json.writeNumberField(AdminProtocol.ID, deadLetter.id());
+            writeContent(json, deadLetter);
+            writeDelivery(json, deadLetter);
+            if (decision != null) {
+                json.writeStringField(AdminProtocol.DECISION, decision);
             }
-            if (entry.word() != null) {
-                json.writeStringField(
-                        "word", entry.word().by() + ": " + entry.word().reason());
+            DeadLetter.Confirmation confirmation = deadLetter.confirmation();
+            if (confirmation != null) {
+                json.writeStringField(AdminProtocol.CONFIRMATION, confirmation.by() + ": " + confirmation.reason());
             }
-            json.writeArrayFieldStart("tries");
-            for (DeadLetter.Try t : entry.tries()) {
-                json.writeStartObject();
-                json.writeStringField("route", t.route());
-                json.writeStringField("building", t.building());
-                json.writeStringField("sent", time(t.sentAt()));
-                json.writeStringField(
-                        "result", t.result() == null ? null : t.result().code());
-                json.writeStringField("ran", t.ran().name().toLowerCase(java.util.Locale.ROOT));
-                json.writeEndObject();
+            json.writeArrayFieldStart(AdminProtocol.ATTEMPTS);
+            for (DeadLetter.Attempt attempt : deadLetter.tries()) {
+                writeAttempt(json, attempt);
             }
             json.writeEndArray();
-            if (!audits.isEmpty()) {
-                json.writeArrayFieldStart("audit");
-                for (String audit : audits) {
-                    json.writeString(audit);
-                }
-                json.writeEndArray();
-            }
-            if (body) {
-                json.writeBinaryField("body", entry.content().body());
+            writeAudits(json, audits);
+            if (withBody) {
+                json.writeBinaryField(AdminProtocol.BODY, deadLetter.content().body());
             }
         });
     }
 
+    private static void writeContent(JsonGenerator json, DeadLetter deadLetter) throws IOException {
+        Message.Content content = deadLetter.content();
+        json.writeStringField(AdminProtocol.MESSAGE_ID, content.messageId());
+        json.writeStringField(AdminProtocol.REQUEST_CLASS, content.requestClass());
+        json.writeStringField(AdminProtocol.TENANT, content.tenant());
+        json.writeStringField(AdminProtocol.KEY, content.key());
+        json.writeNumberField(AdminProtocol.DESTINATION, content.destination());
+        json.writeStringField(AdminProtocol.STORED_AT, time(deadLetter.storedAtMicros()));
+        json.writeStringField(AdminProtocol.DEADLINE, time(content.deadlineMicros()));
+    }
+
+    private static void writeDelivery(JsonGenerator json, DeadLetter deadLetter) throws IOException {
+        json.writeStringField(
+                AdminProtocol.STATE, AdminProtocol.nameOf(deadLetter.state().code()));
+        json.writeStringField(
+                AdminProtocol.CERTAINTY, AdminProtocol.nameOf(deadLetter.ran().code()));
+        json.writeStringField(AdminProtocol.REASON, deadLetter.reason());
+        json.writeStringField(AdminProtocol.CLIENT_REPLY, deadLetter.clientReply());
+        json.writeNumberField(AdminProtocol.REDRIVES, deadLetter.redrives());
+    }
+
+    private static void writeAttempt(JsonGenerator json, DeadLetter.Attempt attempt) throws IOException {
+        json.writeStartObject();
+        json.writeStringField(AdminProtocol.ROUTE, attempt.route());
+        json.writeStringField(AdminProtocol.ZONE, attempt.zone());
+        json.writeStringField(AdminProtocol.SENT_AT, time(attempt.sentAtMicros()));
+        json.writeStringField(
+                AdminProtocol.OUTCOME,
+                attempt.outcome() == null ? null : attempt.outcome().code());
+        json.writeStringField(
+                AdminProtocol.CERTAINTY,
+                AdminProtocol.nameOf(attempt.certainty().code()));
+        json.writeEndObject();
+    }
+
+    private static void writeAudits(JsonGenerator json, List<String> audits) throws IOException {
+        if (audits.isEmpty()) {
+            return;
+        }
+        json.writeArrayFieldStart(AdminProtocol.AUDIT);
+        for (String audit : audits) {
+            json.writeString(audit);
+        }
+        json.writeEndArray();
+    }
+
     private static String time(long micros) {
-        return Instant.ofEpochMilli(micros / 1000).toString();
+        return Instant.ofEpochMilli(micros / MICROS_PER_MILLI).toString();
     }
 }
--- a/src/main/java/loftflow/deadletter/DeadLetter.java
+++ b/src/main/java/loftflow/deadletter/DeadLetter.java
@@ -5,68 +5,102 @@
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * A message that could not be delivered. Times are wall time in microseconds since the epoch.
+ * A message that could not be delivered. Times are wall-clock time in microseconds since the epoch.
  *
- * @param id its number in the store, above 0; 0 before it has one
- * @param content the message whole, with the deadline that it had
- * @param keptAt when it ended
- * @param why the last that happened, in a word or two
- * @param told what its client was told
- * @param due when it is next looked at; {@link #NEVER_DUE} where only a person's word brings it back
- * @param word the newest word of a person that it may be sent again, or null
- * @param resends how often it was sent again
+ * @param id its id in the store, above 0; 0 before it is stored
+ * @param content the message, with its original deadline
+ * @param storedAtMicros when its delivery ended
+ * @param reason the last outcome, in a word or two
+ * @param clientReply what its client was answered
+ * @param state where it stands
+ * @param dueMicros when it is next considered for redrive; {@link #NEVER_DUE} where only an operator brings it back
+ * @param confirmation the latest confirmation by an operator; null for none
+ * @param redrives how often it was sent again
+ * @param tries all attempts to deliver it, in order
  */
 public record DeadLetter(
         long id,
         Message.Content content,
-        long keptAt,
-        String why,
-        String told,
+        long storedAtMicros,
+        String reason,
+        String clientReply,
         State state,
-        long due,
-        Word word,
-        int resends,
-        List<Try> tries) {
-    /** Not due by itself. */
+        long dueMicros,
+        Confirmation confirmation,
+        int redrives,
+        List<Attempt> tries) {
+    /** In place of a due time: not due by itself. */
     public static final long NEVER_DUE = Long.MAX_VALUE;
 
-    /** Where an entry stands; a message ends in exactly one of these. */
+    /** State of a dead letter. */
     public enum State {
-        KEPT,
-        RESENDING,
-        DELIVERED,
-        DISCARDED
+        /** It waits in the store. */
+        KEPT("KEPT"),
+        /** The engine is sending it again. */
+        REDRIVING("RESENDING"),
+        /** It was delivered. */
+        DELIVERED("DELIVERED"),
+        /** An operator discarded it. */
+        DISCARDED("DISCARDED");
+
+        private final String code;
+
+        State(String code) {
+            this.code = code;
+        }
+
+        /** The name by which the database and, in lower case, the admin protocol know this state; it never changes. */
+        public String code() {
+            return code;
+        }
+
+        /**
+         * The state that a {@link #code} stands for.
+         *
+         * @throws IllegalArgumentException where no state has this code
+         */
+        public static State ofCode(String code) {
+            for (State state : values()) {
+                if (state.code.equals(code)) {
+                    return state;
+                }
+            }
+            throw new IllegalArgumentException("unknown dead-letter state: " + code);
+        }
     }
 
     /**
-     * An attempt.
+     * An attempt to deliver the message.
      *
-     * @param building where the route stood, empty where that is not known any more
+     * @param zone zone of the route; empty where it is not known any more
+     * @param outcome null while it is not known
      */
-    public record Try(String route, String building, long sentAt, AttemptOutcome result) {
-        public ExecutionCertainty ran() {
-            return ExecutionCertainty.of(result);
+    public record Attempt(String route, String zone, long sentAtMicros, AttemptOutcome outcome) {
+        /** Whether the attempt took effect, as far as its outcome proves it. */
+        public ExecutionCertainty certainty() {
+            return ExecutionCertainty.of(outcome);
         }
     }
 
     /**
-     * A person's word that the partner did not post the message.
+     * An operator's confirmation that the destination did not process the message.
      *
-     * @param tries how many attempts it speaks of, the first ones
-     * @param at when it was given
+     * @param by name of the operator
+     * @param attempts number of attempts that it covers, counted from the first
+     * @param atMicros when it was given
      */
-    public record Word(String by, String reason, int tries, long at) {}
+    public record Confirmation(String by, String reason, int attempts, long atMicros) {}
 
-    /** What is known of all attempts together. */
+    /** Whether the message took effect, as far as the outcomes of all attempts prove it. */
     public ExecutionCertainty ran() {
-        return tries.stream().map(Try::ran).max(Enum::compareTo).orElse(ExecutionCertainty.NEVER);
+        return tries.stream().map(Attempt::certainty).max(Enum::compareTo).orElse(ExecutionCertainty.NOT_EXECUTED);
     }
 
-    /** The attempts that may have run and that no person has spoken for. */
-    public List<Try> unproven() {
-        int from = word == null ? 0 : Math.min(word.tries(), tries.size());
-        return tries.subList(from, tries.size()).stream()
-                .filter(t -> t.ran() == ExecutionCertainty.MAYBE)
+    /** The attempts that may have taken effect and that no confirmation covers. */
+    public List<Attempt> unconfirmedAttempts() {
+        int confirmed = confirmation == null ? 0 : Math.min(confirmation.attempts(), tries.size());
+        return tries.subList(confirmed, tries.size()).stream()
+                .filter(attempt -> attempt.certainty() == ExecutionCertainty.MAYBE)
                 .toList();
     }
 }
--- a/src/main/java/loftflow/deadletter/DeadLetterService.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterService.java
@@ -3,460 +3,410 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
+import java.util.function.Function;
 import loftflow.engine.Clock;
 import loftflow.engine.DeadLetterSink;
 import loftflow.engine.DeliveryEngine;
 import loftflow.engine.Endpoint;
 import loftflow.engine.Message;
 import loftflow.engine.Timers;
-import loftflow.log.Log;
-import loftflow.policy.api.AttemptOutcome;
-import loftflow.policy.api.Availability;
-import loftflow.policy.api.EndpointEntry;
 import loftflow.policy.api.EndpointListKind;
 
 /**
- * Keeps what could not be delivered and brings it back: takes ended messages to the shelf, looks for entries that are
- * due, asks {@link RedrivePolicy} and hands them to the engine at a pace of each destination's own. Everything happens
- * on the
- * event loop; the shelf is reached through a queue.
+ * Stores undelivered messages and redrives them: polls the store for dead letters that are due, decides by
+ * {@link RedrivePolicy} and hands them to the engine at a pace of each destination's own. Not thread-safe; everything
+ * runs on the event loop, and the store is reached through a queue.
  */
 public final class DeadLetterService implements DeadLetterSink {
     /**
-     * How it is set.
+     * Settings.
      *
-     * @param shelves the classes, by name, with their shelf lives
-     * @param pace messages a second sent again to one destination at the most
-     * @param high bytes from which on the shelf is full
-     * @param low bytes below which it is not full any more
-     * @param most entries from which on it is full
-     * @param refuseWhenFull new work of a class that has failed meanwhile is refused then; otherwise it goes on, and
-     *        what fails is logged as lost
-     * @param age microseconds after which entries that are over are removed
+     * @param redriveClasses request classes by name, with the time for which their messages are redriven
+     * @param policy decides on redrives
+     * @param redrivesPerSecond highest rate of redrives to one destination
+     * @param highWatermarkBytes size from which the store is full
+     * @param lowWatermarkBytes size below which it is no longer full
+     * @param maxEntries number of dead letters from which it is full
+     * @param refuseWhenFull while the store is full, new messages of a class that has failed meanwhile are refused;
+     *     otherwise they are accepted, and those that fail are logged as lost
+     * @param retentionMicros time after which delivered and discarded dead letters are removed
      */
     public record Options(
-            Map<String, RedrivePolicy.Shelved> shelves,
-            RedrivePolicy rules,
-            double pace,
-            long high,
-            long low,
-            long most,
+            Map<String, RedrivePolicy.Shelved> redriveClasses,
+            RedrivePolicy policy,
+            double redrivesPerSecond,
+            long highWatermarkBytes,
+            long lowWatermarkBytes,
+            long maxEntries,
             boolean refuseWhenFull,
-            long age) {}
-
-    private static final long LOOK = 100_000;
-    private static final int MOST_DUE = 64;
-    private static final int MOST_IDLE_DOUBLINGS = 3;
-    private static final long SECOND = 1_000_000;
-    private static final int MOST_REMOVED = 500;
-
-    /** A destination's pace: when the next one may go, and how many are out. */
-    private static final class Lane {
-        private long next;
-        private int out;
-    }
+            long retentionMicros) {}
+
+    private static final long POLL_INTERVAL_MICROS = 100_000;
+    /** The poll interval doubles with each poll that finds nothing, up to this many times. */
+    private static final int MAX_IDLE_DOUBLINGS = 3;
 
-    /** What a look has found: entries that are due, and the size where something was removed. */
-    private record Looked(List<DeadLetter> due, DeadLetterStore.Size smaller) {}
+    private static final int MAX_DUE_PER_POLL = 64;
+    private static final int MAX_REMOVED_PER_POLL = 500;
+    private static final int ALL_DESTINATIONS = Integer.MIN_VALUE;
+    private static final DeadLetterStore.Filter REDRIVING =
+            new DeadLetterStore.Filter(DeadLetter.State.REDRIVING, null, null, null, null, 0, 0);
+
+    /** Result of a poll: what is due, and the size of the store where something was removed, else null. */
+    private record PollResult(List<DeadLetter> due, DeadLetterStore.Size sizeAfterRemoval) {}
 
     private final Timers timers;
     private final Clock clock;
     private final DeliveryEngine engine;
-    private final DeadLetterStoreQueue shelf;
+    private final DeadLetterStoreQueue storeQueue;
     private final Options options;
-    private final Map<Integer, Lane> lanes = new HashMap<>();
-    private final Map<String, String> buildings = new HashMap<>();
-    /** What is being sent again, by entry. */
-    private final Map<Long, Message> sending = new HashMap<>();
-    /** What the shelf has not taken yet, since its queue was full or it failed; the journal holds all of it. */
-    private final ArrayDeque<Runnable> again = new ArrayDeque<>();
-
-    private boolean full;
-    /** Classes of which something had to be kept since the store was last found not full. */
-    private final Set<String> failing = new HashSet<>();
-
-    private boolean looking;
-    private boolean paused;
-    private int lastLane = Integer.MIN_VALUE;
-    private int idleLooks;
-    private long lost;
-    /** Nothing is steady until the store has told how far earlier processes have come. */
-    private long steadySince = Long.MAX_VALUE;
-
-    private long newestJournaled;
-
-    /** A desk; {@link #start} sets it going. */
+    private final DeadLetterFactory factory = new DeadLetterFactory();
+    private final RedrivePacer pacer;
+    private final StoreCapacity capacity;
+    /** Messages that are being redriven, by the id of their dead letter. */
+    private final Map<Long, Message> redriving = new HashMap<>();
+    /** Store tasks to repeat, since the queue was full or they failed. The journal still has what they are about. */
+    private final ArrayDeque<Runnable> tasksToRetry = new ArrayDeque<>();
+
+    private boolean isPolling;
+    private boolean isPaused;
+    private int lastPolledDestination = ALL_DESTINATIONS;
+    private int idlePolls;
+    /** Time from which intervals can be measured; never, until the store has reported its newest time. */
+    private long steadySinceMicros = Long.MAX_VALUE;
+
+    private long newestJournaledMicros;
+
+    /** A service; {@link #start} starts it. */
     public DeadLetterService(
-            Timers timers, Clock clock, DeliveryEngine engine, DeadLetterStoreQueue shelf, Options options) {
+            Timers timers, Clock clock, DeliveryEngine engine, DeadLetterStoreQueue storeQueue, Options options) {
         this.timers = timers;
         this.clock = clock;
         this.engine = engine;
-        this.shelf = shelf;
+        this.storeQueue = storeQueue;
         this.options = options;
+        pacer = new RedrivePacer(options.redrivesPerSecond());
+        capacity = new StoreCapacity(options);
     }
 
-    /** Takes back what a crash left between the shelf and the journal, then looks for what is due again and again. */
+    /** Recovers redrives that a crash cut off between the store and the journal, then polls periodically. */
     public void start() {
-        List<Long> journaled = List.copyOf(sending.keySet());
-        insist(
-                s -> {
-                    for (DeadLetter entry : s.list(
-                            new DeadLetterStore.Filter(DeadLetter.State.RESENDING, null, null, null, null, 0, 0),
-                            0,
-                            Integer.MAX_VALUE,
-                            false)) {
-                        // Guards against a kill after the shelf was told and before the journal was: no attempt was
-                        // made.
-                        if (!journaled.contains(entry.id())) {
-                            s.move(entry.id(), DeadLetter.State.RESENDING, DeadLetter.State.KEPT, 0);
-                        }
-                    }
-                    return s.newest();
+        List<Long> journaledIds = List.copyOf(redriving.keySet());
+        submitUntilDone(
+                store -> {
+                    resetUnjournaledRedrives(store, journaledIds);
+                    return store.newestMicros();
                 },
-                newest -> {
-                    // Guards against a clock that was set back between two processes: what is older than anything that
-                    // the
+                newestStoredMicros -> {
+                    // The clock may have been set back between two processes: something older than anything that the
                     // earlier one has left may in truth be older still.
-                    steadySince = Math.max(clock.micros(), Math.max(newest, newestJournaled) + 1);
-                    insist(DeadLetterStore::size, this::measured);
+                    long newestMicros = Math.max(newestStoredMicros, newestJournaledMicros);
+                    steadySinceMicros = Math.max(clock.micros(), newestMicros + 1);
+                    submitUntilDone(DeadLetterStore::size, capacity::update);
                 });
-        look();
+        poll();
+    }
+
+    /** A dead letter that is redriving and not in the journal was never handed to the engine: it made no attempt. */
+    private static void resetUnjournaledRedrives(DeadLetterStore store, List<Long> journaledIds) {
+        for (DeadLetter deadLetter : store.list(REDRIVING, 0, Integer.MAX_VALUE, false)) {
+            if (!journaledIds.contains(deadLetter.id())) {
+                store.transition(deadLetter.id(), DeadLetter.State.REDRIVING, DeadLetter.State.KEPT, 0);
+            }
+        }
     }
 
     @Override
     public void onMessageResumed(Message message) {
-        message.attempts().forEach(a -> newestJournaled = Math.max(newestJournaled, a.sentAtMicros()));
+        message.attempts()
+                .forEach(attempt -> newestJournaledMicros = Math.max(newestJournaledMicros, attempt.sentAtMicros()));
         if (message.deadLetterId() != 0) {
-            sending.put(message.deadLetterId(), message);
-            lane(message.content().destination()).out++;
+            redriving.put(message.deadLetterId(), message);
+            pacer.resume(message.content().destination());
         }
     }
 
-    // ---- what ends
-
     @Override
     public boolean accepts(Message message) {
-        boolean takes = !full || options.refuseWhenFull();
-        if (!takes) {
-            lost++;
-            Log.line("undeliverable: the store is full, " + message.content().messageId() + " is lost, the " + lost
-                    + ". one");
-        }
-        return takes;
+        return capacity.accepts(message);
     }
 
     @Override
     public boolean rejects(Message.Content content) {
-        return full && options.refuseWhenFull() && failing.contains(content.requestClass());
+        return capacity.rejects(content.requestClass());
     }
 
     @Override
     public void store(Message message) {
-        DeadLetter entry = entry(message);
-        failing.add(message.content().requestClass());
-        insist(
-                s -> {
-                    s.put(entry);
-                    return s.size();
+        long nowMicros = clock.micros();
+        DeadLetter deadLetter =
+                factory.create(message, nowMicros, nowMicros + options.policy().pauseMicros());
+        capacity.onFailure(message.content().requestClass());
+        submitUntilDone(
+                store -> {
+                    store.put(deadLetter);
+                    return store.size();
                 },
                 size -> {
-                    measured(size);
+                    capacity.update(size);
                     engine.onDeadLetterStored(message);
                 });
     }
 
-    private DeadLetter entry(Message message) {
-        List<DeadLetter.Try> tries = tries(message, 0);
-        boolean did = tries.stream().anyMatch(t -> t.ran() == ExecutionCertainty.DID);
-        long now = clock.micros();
-        AttemptOutcome last =
-                tries.isEmpty() ? null : tries.get(tries.size() - 1).result();
-        String why = tries.isEmpty()
-                ? "no attempt"
-                : last == null ? "no outcome" : last.name().toLowerCase(java.util.Locale.ROOT);
-        return new DeadLetter(
-                0,
-                message.content(),
-                now,
-                why,
-                "failed",
-                did ? DeadLetter.State.DELIVERED : DeadLetter.State.KEPT,
-                now + options.rules().pause(),
-                null,
-                0,
-                tries);
-    }
-
-    private List<DeadLetter.Try> tries(Message message, int from) {
-        List<DeadLetter.Try> tries = new ArrayList<>();
-        for (Message.Attempt attempt :
-                message.attempts().subList(from, message.attempts().size())) {
-            tries.add(toTry(attempt));
-        }
-        return tries;
-    }
-
-    private DeadLetter.Try toTry(Message.Attempt attempt) {
-        return new DeadLetter.Try(
-                attempt.route(),
-                buildings.getOrDefault(attempt.route(), ""),
-                attempt.sentAtMicros(),
-                attempt.outcome());
-    }
-
     @Override
     public void onOutcomeLearned(Message.Attempt attempt) {
         Message message = attempt.message();
-        DeadLetter.Try more = toTry(attempt);
-        insist(
-                s -> {
-                    long id = message.deadLetterId() != 0
-                            ? message.deadLetterId()
-                            : s.find(
-                                            message.content().messageId(),
-                                            message.content().deadlineMicros())
-                                    .orElse(0);
+        DeadLetter.Attempt learned = factory.attemptOf(attempt);
+        submitUntilDone(
+                store -> {
+                    long id = idOf(message, store);
                     if (id != 0) {
-                        s.learn(id, more);
+                        store.recordOutcome(id, learned);
                     }
                     return id;
                 },
                 id -> {
-                    Message again = sending.get(id);
-                    // Guards against a second posting of what has just been proven to be posted.
-                    if (again != null && again != message && more.ran() == ExecutionCertainty.DID) {
-                        engine.cancelRedrive(again);
+                    Message redriven = redriving.get(id);
+                    boolean isOtherMessage = redriven != null && redriven != message;
+                    // A redrive of a message that is now proven to be executed would execute it twice.
+                    if (isOtherMessage && learned.certainty() == ExecutionCertainty.EXECUTED) {
+                        engine.cancelRedrive(redriven);
                     }
                 });
     }
 
-    // ---- what comes back
-
-    private void look() {
-        // Where nothing is due the store is looked at ever less often.
-        timers.schedule(LOOK << Math.min(MOST_IDLE_DOUBLINGS, idleLooks), this::look);
-        while (!again.isEmpty()) {
-            Runnable first = again.poll();
-            int before = again.size();
-            first.run();
-            if (again.size() > before) {
-                break;
-            }
+    private static long idOf(Message message, DeadLetterStore store) {
+        if (message.deadLetterId() != 0) {
+            return message.deadLetterId();
         }
-        if (!looking && !paused) {
-            looking = true;
-            long now = clock.micros();
-            boolean taken = submit(
-                    s -> {
-                        // Guards against a store that stays full in the desk's eyes, where it has become smaller by age
-                        // alone.
-                        DeadLetterStore.Size smaller =
-                                s.removeSettled(now - options.age(), MOST_REMOVED) > 0 ? s.size() : null;
-                        return new Looked(s.due(now, lastLane, MOST_DUE), smaller);
-                    },
-                    looked -> {
-                        if (looked.smaller() != null) {
-                            measured(looked.smaller());
-                        }
-                        release(looked.due());
-                    });
-            looking &= taken;
+        Message.Content content = message.content();
+        return store.find(content.messageId(), content.deadlineMicros()).orElse(0);
+    }
+
+    @Override
+    public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> endpoints) {
+        factory.onEndpointList(endpoints);
+    }
+
+    private void poll() {
+        timers.schedule(POLL_INTERVAL_MICROS << Math.min(MAX_IDLE_DOUBLINGS, idlePolls), this::poll);
+        retryTasks();
+        if (isPolling || isPaused) {
+            return;
         }
+        isPolling = true;
+        long nowMicros = clock.micros();
+        boolean isQueued = submit(
+                store -> {
+                    // Reports the size after a removal, since a full store may not be full any more.
+                    int removed = store.removeSettled(nowMicros - options.retentionMicros(), MAX_REMOVED_PER_POLL);
+                    DeadLetterStore.Size sizeAfterRemoval = removed > 0 ? store.size() : null;
+                    List<DeadLetter> due = store.findDue(nowMicros, lastPolledDestination, MAX_DUE_PER_POLL);
+                    return new PollResult(due, sizeAfterRemoval);
+                },
+                this::onPolled);
+        isPolling &= isQueued;
     }
 
-    private void release(List<DeadLetter> due) {
-        looking = false;
-        // The next look goes on behind the last destination of this one, or begins anew.
-        lastLane = due.size() < MOST_DUE
-                ? Integer.MIN_VALUE
-                : due.get(due.size() - 1).content().destination();
-        idleLooks = due.isEmpty() ? idleLooks + 1 : 0;
-        for (DeadLetter entry : due) {
-            Lane lane = lane(entry.content().destination());
-            if (lane.out == 0 && clock.micros() >= lane.next) {
-                tryNow(entry, verdict -> {});
+    private void retryTasks() {
+        while (!tasksToRetry.isEmpty()) {
+            Runnable task = tasksToRetry.poll();
+            int remaining = tasksToRetry.size();
+            task.run();
+            if (tasksToRetry.size() > remaining) {
+                // The queue is still full.
+                break;
             }
         }
     }
 
-    private Lane lane(int destination) {
-        return lanes.computeIfAbsent(destination, d -> new Lane());
+    private void onPolled(PollResult result) {
+        if (result.sizeAfterRemoval() != null) {
+            capacity.update(result.sizeAfterRemoval());
+        }
+        isPolling = false;
+        List<DeadLetter> due = result.due();
+        boolean hasMore = due.size() >= MAX_DUE_PER_POLL;
+        lastPolledDestination = hasMore ? due.get(due.size() - 1).content().destination() : ALL_DESTINATIONS;
+        idlePolls = due.isEmpty() ? idlePolls + 1 : 0;
+        for (DeadLetter deadLetter : due) {
+            if (pacer.isFree(deadLetter.content().destination(), clock.micros())) {
+                redrive(deadLetter, decision -> {});
+            }
+        }
     }
 
-    /** Decides on an entry, at its turn, and acts on it; the verdict is told. */
-    public void tryNow(DeadLetter entry, Consumer<RedrivePolicy.Verdict> told) {
-        long now = clock.micros();
-        // Guards against a second resend beside one whose end the store has not taken yet, as after a restart: the
-        // store would count it as kept, and know nothing of an attempt that is out.
-        RedrivePolicy.Verdict verdict = sending.containsKey(entry.id())
-                ? new RedrivePolicy.Later(now + options.rules().pause(), "it is being sent again")
-                : decide(entry);
-        if (verdict instanceof RedrivePolicy.Now) {
-            Lane lane = lane(entry.content().destination());
-            lane.out++;
-            lane.next = now + (long) (SECOND / options.pace());
-            boolean taken = submit(
-                    s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.RESENDING, 0),
-                    won -> {
-                        if (won) {
-                            send(entry, told);
-                        } else {
-                            lane.out--;
-                            told.accept(new RedrivePolicy.Later(now, "it is being sent again, or is over"));
-                        }
-                    },
-                    () -> lane.out--);
-            if (!taken) {
-                lane.out--;
-                told.accept(new RedrivePolicy.Later(now, "the store is busy"));
-            }
+    /**
+     * Decides on a dead letter and acts on the decision.
+     *
+     * @param decided receives the decision, then or later, on the event loop
+     */
+    public void redrive(DeadLetter deadLetter, Consumer<RedrivePolicy.Decision> decided) {
+        long nowMicros = clock.micros();
+        RedrivePolicy.Decision decision = decideUnlessRedriving(deadLetter, nowMicros);
+        if (decision instanceof RedrivePolicy.SendNow) {
+            beginRedrive(deadLetter, nowMicros, decided);
             return;
         }
-        long due = verdict instanceof RedrivePolicy.Later later ? later.at() : DeadLetter.NEVER_DUE;
-        submit(s -> s.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.KEPT, due), moved -> {});
-        told.accept(verdict);
+        long dueMicros = decision instanceof RedrivePolicy.SendLater later ? later.atMicros() : DeadLetter.NEVER_DUE;
+        submit(
+                store -> store.transition(deadLetter.id(), DeadLetter.State.KEPT, DeadLetter.State.KEPT, dueMicros),
+                isChanged -> {});
+        decided.accept(decision);
     }
 
-    /** What the rules say of an entry now. */
-    public RedrivePolicy.Verdict decide(DeadLetter entry) {
-        return options.rules()
-                .decide(entry, options.shelves().get(entry.content().requestClass()), clock.micros(), steadySince);
+    /** The store may not yet have recorded the end of a redrive, as after a restart: there is no second one beside it. */
+    private RedrivePolicy.Decision decideUnlessRedriving(DeadLetter deadLetter, long nowMicros) {
+        return redriving.containsKey(deadLetter.id())
+                ? new RedrivePolicy.SendLater(nowMicros + options.policy().pauseMicros(), "it is being sent again")
+                : decide(deadLetter);
     }
 
-    private void send(DeadLetter entry, Consumer<RedrivePolicy.Verdict> told) {
-        // Guards against a window that has closed, and a proof that has come, while the shelf was told.
-        RedrivePolicy.Verdict verdict = decide(entry);
-        Message message = null;
-        if (verdict instanceof RedrivePolicy.Now now) {
-            Message.Content c = entry.content();
-            message = engine.redrive(
-                    entry.id(),
-                    new Message.Content(
-                            c.messageId(),
-                            c.requestClass(),
-                            c.tenant(),
-                            c.key(),
-                            now.deadline(),
-                            c.destination(),
-                            c.body(),
-                            null,
-                            c.orderingKey()),
-                    now.past());
+    private void beginRedrive(DeadLetter deadLetter, long nowMicros, Consumer<RedrivePolicy.Decision> decided) {
+        int destination = deadLetter.content().destination();
+        pacer.begin(destination, nowMicros);
+        boolean isQueued = submit(
+                store -> store.transition(deadLetter.id(), DeadLetter.State.KEPT, DeadLetter.State.REDRIVING, 0),
+                isChanged -> {
+                    if (isChanged) {
+                        send(deadLetter, decided);
+                    } else {
+                        pacer.end(destination);
+                        decided.accept(new RedrivePolicy.SendLater(nowMicros, "it is being sent again, or is over"));
+                    }
+                },
+                () -> pacer.end(destination));
+        if (!isQueued) {
+            pacer.end(destination);
+            decided.accept(new RedrivePolicy.SendLater(nowMicros, "the store is busy"));
         }
+    }
+
+    /** The policy's decision on a dead letter at this moment. */
+    public RedrivePolicy.Decision decide(DeadLetter deadLetter) {
+        RedrivePolicy.Shelved redriveClass =
+                options.redriveClasses().get(deadLetter.content().requestClass());
+        return options.policy().decide(deadLetter, redriveClass, clock.micros(), steadySinceMicros);
+    }
+
+    /** Decides again, since a key window may have closed or a proof come in while the store was busy, and sends. */
+    private void send(DeadLetter deadLetter, Consumer<RedrivePolicy.Decision> decided) {
+        RedrivePolicy.Decision decision = decide(deadLetter);
+        Message message = decision instanceof RedrivePolicy.SendNow sendNow
+                ? engine.redrive(
+                        deadLetter.id(),
+                        withDeadline(deadLetter.content(), sendNow.deadlineMicros()),
+                        sendNow.pastAttempts())
+                : null;
         if (message != null) {
-            sending.put(entry.id(), message);
-            told.accept(verdict);
+            redriving.put(deadLetter.id(), message);
+            decided.accept(decision);
             return;
         }
-        lane(entry.content().destination()).out--;
-        long due = verdict instanceof RedrivePolicy.AfterWord
+        pacer.end(deadLetter.content().destination());
+        long dueMicros = decision instanceof RedrivePolicy.NeedsConfirmation
                 ? DeadLetter.NEVER_DUE
-                : clock.micros() + options.rules().pause();
-        insist(s -> s.move(entry.id(), DeadLetter.State.RESENDING, DeadLetter.State.KEPT, due), moved -> {});
-        told.accept(
-                verdict instanceof RedrivePolicy.Now
-                        ? new RedrivePolicy.Later(
-                                due, "the relay has no room for it, or does not know" + " its destination")
-                        : verdict);
+                : clock.micros() + options.policy().pauseMicros();
+        submitUntilDone(
+                store ->
+                        store.transition(deadLetter.id(), DeadLetter.State.REDRIVING, DeadLetter.State.KEPT, dueMicros),
+                isChanged -> {});
+        decided.accept(
+                decision instanceof RedrivePolicy.SendNow
+                        ? new RedrivePolicy.SendLater(
+                                dueMicros, "the relay has no room for it, or does not know its destination")
+                        : decision);
+    }
+
+    private static Message.Content withDeadline(Message.Content content, long deadlineMicros) {
+        return new Message.Content(
+                content.messageId(),
+                content.requestClass(),
+                content.tenant(),
+                content.key(),
+                deadlineMicros,
+                content.destination(),
+                content.body(),
+                null,
+                content.orderingKey());
     }
 
     @Override
     public void onRedriveEnded(Message message) {
         long id = message.deadLetterId();
-        // The attempts that it began with are the entry's already.
-        List<DeadLetter.Try> known = tries(message, 0);
-        long now = clock.micros();
-        insist(
-                s -> {
-                    DeadLetter entry = s.get(id).orElse(null);
-                    if (entry != null) {
-                        List<DeadLetter.Try> more = new ArrayList<>(known);
-                        more.removeIf(t -> entry.tries().stream()
-                                .anyMatch(e -> e.route().equals(t.route()) && e.sentAt() == t.sentAt()));
-                        boolean did = entry.ran() == ExecutionCertainty.DID
-                                || more.stream().anyMatch(t -> t.ran() == ExecutionCertainty.DID);
-                        DeadLetter.State state = did ? DeadLetter.State.DELIVERED : DeadLetter.State.KEPT;
-                        String why = more.isEmpty()
-                                ? entry.why()
-                                : "sent again: " + more.get(more.size() - 1).result();
-                        s.resent(id, more, state, options.rules().nextTry(entry, now), why);
-                    }
-                    return s.size();
+        List<DeadLetter.Attempt> attempts = factory.attemptsOf(message);
+        long nowMicros = clock.micros();
+        submitUntilDone(
+                store -> {
+                    store.get(id).ifPresent(deadLetter -> recordRedrive(store, deadLetter, attempts, nowMicros));
+                    return store.size();
                 },
                 size -> {
-                    measured(size);
-                    if (sending.remove(id) != null) {
-                        lane(message.content().destination()).out--;
+                    capacity.update(size);
+                    if (redriving.remove(id) != null) {
+                        pacer.end(message.content().destination());
                     }
                     engine.onDeadLetterStored(message);
                 });
     }
 
-    // ---- persons' words
-
-    /** Sends nothing again by itself until told otherwise. */
-    public void pause(boolean on) {
-        paused = on;
+    private void recordRedrive(
+            DeadLetterStore store, DeadLetter deadLetter, List<DeadLetter.Attempt> attempts, long nowMicros) {
+        // The message began with attempts that the store has already.
+        List<DeadLetter.Attempt> newAttempts = new ArrayList<>(attempts);
+        newAttempts.removeIf(attempt -> deadLetter.tries().stream().anyMatch(known -> isSame(known, attempt)));
+        boolean isExecuted = deadLetter.ran() == ExecutionCertainty.EXECUTED
+                || newAttempts.stream().anyMatch(attempt -> attempt.certainty() == ExecutionCertainty.EXECUTED);
+        store.recordRedrive(
+                deadLetter.id(),
+                newAttempts,
+                isExecuted ? DeadLetter.State.DELIVERED : DeadLetter.State.KEPT,
+                options.policy().nextAttemptMicros(deadLetter, nowMicros),
+                redriveReason(deadLetter, newAttempts));
     }
 
-    public boolean isPaused() {
-        return paused;
+    private static boolean isSame(DeadLetter.Attempt one, DeadLetter.Attempt other) {
+        return one.route().equals(other.route()) && one.sentAtMicros() == other.sentAtMicros();
     }
 
-    /** How many messages could not be kept since the start. */
-    public long lost() {
-        return lost;
+    private static String redriveReason(DeadLetter deadLetter, List<DeadLetter.Attempt> newAttempts) {
+        if (newAttempts.isEmpty()) {
+            return deadLetter.reason();
+        }
+        DeadLetter.Attempt last = newAttempts.get(newAttempts.size() - 1);
+        return "sent again: " + (last.outcome() == null ? null : last.outcome().code());
     }
 
-    // ---- the shelf
+    /** Pauses redrives, or resumes them. */
+    public void setPaused(boolean isPaused) {
+        this.isPaused = isPaused;
+    }
 
-    private <T> boolean submit(
-            java.util.function.Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
-        return shelf.submit(task, then, failed);
+    /** True while redrives are paused. */
+    public boolean isPaused() {
+        return isPaused;
     }
 
-    private <T> boolean submit(java.util.function.Function<DeadLetterStore, T> task, Consumer<T> then) {
-        return submit(task, then, () -> looking = false);
+    /** Number of messages that could not be stored since the start. */
+    public long lostCount() {
+        return capacity.lostCount();
     }
 
-    /**
-     * Does something with the shelf, and again where it failed or its queue was full: the journal holds it meanwhile.
-     */
-    private <T> void insist(java.util.function.Function<DeadLetterStore, T> task, Consumer<T> then) {
-        Runnable later = () -> insist(task, then);
-        if (!submit(task, then, () -> again.add(later))) {
-            again.add(later);
-        }
+    private <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then) {
+        return submit(task, then, () -> isPolling = false);
     }
 
-    private void measured(DeadLetterStore.Size size) {
-        boolean wasFull = full;
-        if (size.bytes() >= options.high() || size.entries() >= options.most()) {
-            full = true;
-        } else if (size.bytes() < options.low() && size.entries() < options.most()) {
-            full = false;
-            failing.clear();
-        }
-        if (full != wasFull) {
-            Log.line("undeliverable: the store is " + (full ? "full: " : "not full any more: ") + size.entries()
-                    + " entries, " + size.bytes() + " bytes");
-        }
+    private <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
+        return storeQueue.submit(task, then, failed);
     }
 
-    @Override
-    public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> targets) {
-        for (Endpoint target : targets) {
-            EndpointEntry listed = target.entry();
-            if (listed.availability() == Availability.REMOVED) {
-                buildings.remove(listed.route());
-            } else {
-                buildings.put(listed.route(), listed.zone());
-            }
+    /** Runs a store task, and repeats it at a later poll where the queue is full or the task fails. */
+    private <T> void submitUntilDone(Function<DeadLetterStore, T> task, Consumer<T> then) {
+        Runnable retry = () -> submitUntilDone(task, then);
+        if (!submit(task, then, () -> tasksToRetry.add(retry))) {
+            tasksToRetry.add(retry);
         }
     }
 }
--- a/src/main/java/loftflow/deadletter/DeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterStore.java
@@ -5,11 +5,11 @@
 import java.util.OptionalLong;
 
 /**
- * Where entries are kept. Every call has taken effect, and outlasts the process, when it returns. To be called on one
- * thread at a time.
+ * Storage of dead letters. Each call is durable against the end of the process when it returns, and throws
+ * {@link ShelfException} where it fails. Not thread-safe.
  */
 public interface DeadLetterStore extends AutoCloseable {
-    /** A shelf that fails; the message is for staff. */
+    /** A store that fails; the message is for operators. */
     final class ShelfException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -18,7 +18,12 @@
         }
     }
 
-    /** Which entries are meant; null and 0 mean any. {@code older} and {@code newer} are times when they were kept. */
+    /**
+     * Selects dead letters; null, and 0 for a time, select any.
+     *
+     * @param newer earliest time at which the dead letter was stored, in microseconds
+     * @param older time before which it was stored, in microseconds
+     */
     record Filter(
             DeadLetter.State state,
             Integer destination,
@@ -27,51 +32,58 @@
             ExecutionCertainty ran,
             long newer,
             long older) {
-        /** All entries. */
+        /** Selects all dead letters. */
         public static final Filter ALL = new Filter(null, null, null, null, null, 0, 0);
     }
 
-    /** How much there is. */
-    record Size(long entries, long bytes, long oldest) {}
+    /**
+     * Size of the store.
+     *
+     * @param oldestMicros when the oldest dead letter was stored; 0 where there is none
+     */
+    record Size(long entries, long bytes, long oldestMicros) {}
 
-    /** Keeps an entry; its number. One with the same message id and deadline is there already: that one's number. */
-    long put(DeadLetter entry);
+    /** Stores a dead letter. Idempotent: one with the same message id and deadline is stored once. Returns its id. */
+    long put(DeadLetter deadLetter);
 
+    /** The dead letter with an id. */
     Optional<DeadLetter> get(long id);
 
-    /** The number of the entry of a message; the newest where an id was used again. */
-    OptionalLong find(String callId, long deadline);
+    /** The id of the dead letter of a message. */
+    OptionalLong find(String messageId, long deadlineMicros);
 
-    /** Entries with or without their bodies, by number from one on, so many at the most. */
-    List<DeadLetter> list(Filter filter, long from, int most, boolean bodies);
+    /** Dead letters in the order of their ids, starting from an id, with or without their bodies. */
+    List<DeadLetter> list(Filter filter, long fromId, int maxEntries, boolean withBodies);
 
-    /** The most urgent kept entry that is due of each destination with a number above one, so many at the most. */
-    List<DeadLetter> due(long now, int after, int most);
+    /** Of each destination with a number above the given one, the stored dead letter that has been due the longest. */
+    List<DeadLetter> findDue(long nowMicros, int afterDestination, int maxEntries);
 
-    /** The newest time of anything that is known: when an entry was kept, or tried. */
-    long newest();
+    /** The latest time that is stored: when a dead letter was stored, or an attempt sent. 0 where there is none. */
+    long newestMicros();
 
-    /** Puts an entry from one state into another; false where it is in another one, and then nothing changes. */
-    boolean move(long id, DeadLetter.State from, DeadLetter.State to, long due);
+    /** Changes a state by compare-and-set; false, and nothing changes, where the state is another one. */
+    boolean transition(long id, DeadLetter.State from, DeadLetter.State to, long dueMicros);
 
-    /** Takes in that it was sent again: further attempts, where it stands now, when it is looked at next. */
-    void resent(long id, List<DeadLetter.Try> more, DeadLetter.State state, long due, String why);
+    /** Records the end of a redrive: its attempts, the new state, and when the dead letter is next due. */
+    void recordRedrive(
+            long id, List<DeadLetter.Attempt> attempts, DeadLetter.State state, long dueMicros, String reason);
 
-    /** Takes in what has become known of an attempt; a proof that it ran makes the entry delivered. */
-    void learn(long id, DeadLetter.Try more);
+    /** Records an outcome that has become known; one that proves execution makes the dead letter delivered. */
+    void recordOutcome(long id, DeadLetter.Attempt attempt);
 
-    /** Records a person's word that the partner did not post it; false where it is not kept. */
-    boolean word(long id, DeadLetter.Word word, long due);
+    /** Records an operator's confirmation; false, and nothing changes, where the dead letter is not stored any more. */
+    boolean recordConfirmation(long id, DeadLetter.Confirmation confirmation, long dueMicros);
 
-    /** Adds to the record of who did what; nothing changes or removes a line of it. */
-    void audit(long at, String who, String what, long id, String detail);
+    /** Appends to the audit trail, which can be neither changed nor removed. */
+    void appendAudit(long atMicros, String who, String what, long id, String detail);
 
-    /** Lines of that record, oldest first. */
+    /** The audit trail of a dead letter, oldest line first. */
     List<String> audits(long id);
 
-    /** Removes entries that are delivered or discarded, oldest first, so many at the most; how many. */
-    int removeSettled(long olderThan, int most);
+    /** Removes delivered and discarded dead letters that were stored before a time, oldest first; returns how many. */
+    int removeSettled(long storedBeforeMicros, int maxEntries);
 
+    /** The size of the store. */
     Size size();
 
     @Override
--- a/src/main/java/loftflow/deadletter/DeadLetterStoreQueue.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterStoreQueue.java
@@ -3,14 +3,14 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The way to a {@link DeadLetterStore} that must not be waited for: a queue with a bound. */
+/** Asynchronous access to a {@link DeadLetterStore} through a bounded queue. Called on the event loop. */
 public interface DeadLetterStoreQueue {
     /**
-     * Does something with the shelf, in order, and tells the result on the event loop.
+     * Queues a task for the store. Tasks run in the order in which they are queued.
      *
-     * @param then not called where the task failed; the failure has been told to staff
-     * @param failed called instead, on the event loop
-     * @return false where the queue is full; nothing will be done then
+     * @param then receives the result, on the event loop; not called where the task fails
+     * @param failed called, on the event loop, where the task fails; the failure has been logged
+     * @return false where the queue is full; the task is not run then
      */
     <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed);
 }
--- a/src/main/java/loftflow/deadletter/ExecutionCertainty.java
+++ b/src/main/java/loftflow/deadletter/ExecutionCertainty.java
@@ -2,23 +2,51 @@
 
 import loftflow.policy.api.AttemptOutcome;
 
-/** What is known about whether an attempt took effect. It only ever becomes more certain, by proof. */
+/**
+ * Whether an attempt took effect at the destination, as far as it is proven. Changes only by proof. Constants are in
+ * ascending order: the certainty of several attempts is the greatest of theirs.
+ */
 public enum ExecutionCertainty {
-    /** Proven never to have run. */
-    NEVER,
-    /** Nobody knows. */
-    MAYBE,
-    /** Proven to have run. */
-    DID;
+    /** Proven not to have taken effect. */
+    NOT_EXECUTED("NEVER"),
+    /** It may have taken effect. */
+    MAYBE("MAYBE"),
+    /** Proven to have taken effect. */
+    EXECUTED("DID");
 
-    /** What an outcome proves (PROTOCOL, Relays to hosts); null where there is none. */
-    public static ExecutionCertainty of(AttemptOutcome result) {
-        if (result == null) {
+    private final String code;
+
+    ExecutionCertainty(String code) {
+        this.code = code;
+    }
+
+    /** The name by which the database and, in lower case, the admin protocol know this value; it never changes. */
+    public String code() {
+        return code;
+    }
+
+    /**
+     * The certainty that a {@link #code} stands for.
+     *
+     * @throws IllegalArgumentException where none has this code
+     */
+    public static ExecutionCertainty ofCode(String code) {
+        for (ExecutionCertainty certainty : values()) {
+            if (certainty.code.equals(code)) {
+                return certainty;
+            }
+        }
+        throw new IllegalArgumentException("unknown execution certainty: " + code);
+    }
+
+    /** What an outcome proves by the wire protocol. An outcome of null, not known yet, proves nothing. */
+    public static ExecutionCertainty of(AttemptOutcome outcome) {
+        if (outcome == null) {
             return MAYBE;
         }
-        return switch (result) {
-            case OK -> DID;
-            case REJECTED, CONNECT_FAILED, NOT_SENT -> NEVER;
+        return switch (outcome) {
+            case OK -> EXECUTED;
+            case REJECTED, CONNECT_FAILED, NOT_SENT -> NOT_EXECUTED;
             case ERROR, TIMEOUT, RESET, CANCELLED -> MAYBE;
         };
     }
--- a/src/main/java/loftflow/deadletter/RedrivePolicy.java
+++ b/src/main/java/loftflow/deadletter/RedrivePolicy.java
@@ -10,133 +10,158 @@
 import loftflow.policy.api.RequestClass;
 
 /**
- * Whether a kept message may be sent again, and when. An unknown outcome never becomes 'never ran' by age, restart or
- * the number of tries: proof or a person's word alone changes what is believed of an attempt.
+ * Decides whether a dead letter may be sent again, and when. An unknown outcome never becomes "not executed" by age,
+ * restart or the number of attempts: only a proof, or an operator's confirmation, settles it.
  *
  * <ul>
- * <li>Repeatable: within its class's shelf life.
- * <li>Keyed: as above where every attempt is proven never to have run; else while the key window is open, measured from
- * the first possible effect, less a margin for clocks, to endpoints of the same scope.
- * <li>Unsafe: within its shelf life where every attempt is proven never to have run.
- * <li>Anything else: after a person's word that the partner did not post it, which speaks of the attempts until then.
+ * <li>Idempotent classes: within their redrive window.
+ * <li>Classes that are idempotent by key: as above where every attempt is proven not to be executed. Otherwise while the
+ * key window is open, measured from the first possible execution less a margin for clocks, to endpoints of the same
+ * scope.
+ * <li>Classes that are not idempotent: within their redrive window where every attempt is proven not to be executed.
+ * <li>In all other cases: after an operator has confirmed that the destination did not process the message. A
+ * confirmation covers the attempts made until then.
  * </ul>
  *
- * @param margin microseconds by which clocks may differ
- * @param pause microseconds between tries of one entry at the least; doubles with each, 64 times at the most
+ * @param clockMarginMicros by how much clocks may differ
+ * @param pauseMicros least time between two redrives of a dead letter; doubles with each, up to 64 times
  */
-public record RedrivePolicy(long margin, long pause) {
-    private static final int MOST_DOUBLINGS = 6;
+public record RedrivePolicy(long clockMarginMicros, long pauseMicros) {
+    private static final int MAX_PAUSE_DOUBLINGS = 6;
     /**
-     * A message that is sent again has so long at the least, since nobody waits for it: enough for the module to let it
-     * test a partner that was out (5 s), and to worth less than live messages meanwhile.
+     * Shortest deadline of a redrive, since no client waits for it: time enough to probe an endpoint that had failed
+     * (5 s), and for a priority weight below that of new messages.
      */
-    private static final long LEAST_TIME = 20_000_000;
+    private static final long MIN_DEADLINE_MICROS = 20_000_000;
 
-    /** What may become of an entry. */
-    public sealed interface Verdict {}
+    /** A decision on a dead letter. The reasons are sent to operators. */
+    public sealed interface Decision {}
 
     /**
      * It may be sent now.
      *
-     * @param deadline until when it must have been delivered
-     * @param past attempts that still bind where it may go
+     * @param deadlineMicros wall-clock time until which it must be delivered
+     * @param pastAttempts attempts that restrict where it may be sent
      */
-    public record Now(long deadline, List<PastAttempt> past) implements Verdict {}
+    public record SendNow(long deadlineMicros, List<PastAttempt> pastAttempts) implements Decision {}
 
-    /** It may be sent later. */
-    public record Later(long at, String why) implements Verdict {}
+    /**
+     * It may be sent later.
+     *
+     * @param atMicros wall-clock time at which it is to be decided on again
+     */
+    public record SendLater(long atMicros, String reason) implements Decision {}
 
-    /** Only after a person's word. */
-    public record AfterWord(String why) implements Verdict {}
+    /** It may be sent only after an operator's confirmation. */
+    public record NeedsConfirmation(String reason) implements Decision {}
 
-    /** It is over. */
-    public record Over(String why) implements Verdict {}
+    /** It is not sent any more. */
+    public record Settled(String reason) implements Decision {}
 
-    /** A class with how long its messages are worth sending again, in microseconds. */
-    public record Shelved(RequestClass type, long shelfLife) {}
+    /**
+     * A request class with its redrive window.
+     *
+     * @param redriveWindowMicros time for which its messages are redriven without an operator
+     */
+    public record Shelved(RequestClass requestClass, long redriveWindowMicros) {}
 
     /**
-     * Decides on an entry.
+     * Decides on a dead letter.
      *
-     * @param now wall time
-     * @param steadySince wall time from which on spans can be measured: no earlier than the process's start, nor than
-     *     anything that an earlier process has left. The wall clock may have been set between, forward or back, so that
-     *     a
-     *     key window that began before can't be told to be open
+     * @param redriveClass its class; null where the settings no longer have it
+     * @param nowMicros wall-clock time
+     * @param steadySinceMicros wall-clock time from which intervals can be measured: not before the start of the
+     *     process, nor before anything that an earlier process has left. The wall clock may have been set in between, so
+     *     a key window that began earlier can't be shown to be open
      */
-    public Verdict decide(DeadLetter entry, Shelved shelved, long now, long steadySince) {
-        if (entry.state() == DeadLetter.State.DELIVERED || entry.ran() == ExecutionCertainty.DID) {
-            return new Over("it was delivered");
+    public Decision decide(DeadLetter deadLetter, Shelved redriveClass, long nowMicros, long steadySinceMicros) {
+        if (deadLetter.state() == DeadLetter.State.DELIVERED || deadLetter.ran() == ExecutionCertainty.EXECUTED) {
+            return new Settled("it was delivered");
         }
-        if (entry.state() == DeadLetter.State.DISCARDED) {
-            return new Over("it was discarded");
+        if (deadLetter.state() == DeadLetter.State.DISCARDED) {
+            return new Settled("it was discarded");
         }
-        if (entry.state() == DeadLetter.State.RESENDING) {
-            return new Later(now + pause, "it is being sent again");
+        if (deadLetter.state() == DeadLetter.State.REDRIVING) {
+            return new SendLater(nowMicros + pauseMicros, "it is being sent again");
         }
-        if (shelved == null) {
-            return new AfterWord("its class " + entry.content().requestClass() + " is not known any more");
+        if (redriveClass == null) {
+            return new NeedsConfirmation("its class " + deadLetter.content().requestClass() + " is not known any more");
         }
-        // Guards against a clock that was set back: spans from then on can't be told any more.
-        boolean clockIsBack = now + margin < newest(entry);
-        boolean hasWord = entry.word() != null;
-        boolean fresh = !clockIsBack && now - entry.keptAt() <= shelved.shelfLife();
-        if (!fresh && !hasWord) {
-            return new AfterWord(
-                    clockIsBack ? "the clock was set back behind what is known of it" : "its shelf life is over");
+        // After the clock was set back, no interval from then on can be measured.
+        boolean isClockBehind = nowMicros + clockMarginMicros < newestMicros(deadLetter);
+        boolean isConfirmed = deadLetter.confirmation() != null;
+        boolean isInWindow =
+                !isClockBehind && nowMicros - deadLetter.storedAtMicros() <= redriveClass.redriveWindowMicros();
+        if (!isInWindow && !isConfirmed) {
+            return new NeedsConfirmation(
+                    isClockBehind ? "the clock was set back behind what is known of it" : "its shelf life is over");
         }
-        RequestClass type = shelved.type();
-        List<DeadLetter.Try> unproven = entry.unproven();
-        if (unproven.isEmpty() || type.idempotency() == Idempotency.IDEMPOTENT) {
-            return now < entry.due() && entry.due() != DeadLetter.NEVER_DUE && !hasWord
-                    ? new Later(entry.due(), "its pause is not over")
-                    : new Now(now + Math.max(LEAST_TIME, type.deadlineMicros()), List.of());
+        RequestClass requestClass = redriveClass.requestClass();
+        List<DeadLetter.Attempt> unconfirmed = deadLetter.unconfirmedAttempts();
+        if (unconfirmed.isEmpty() || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
+            return decideRepeatable(deadLetter, requestClass, nowMicros);
         }
-        if (type.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            return new AfterWord("an attempt may have run");
+        if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            return new NeedsConfirmation("an attempt may have run");
         }
-        return keyed(entry, type, unproven, now, clockIsBack, steadySince);
+        return decideByKey(requestClass, unconfirmed, nowMicros, isClockBehind, steadySinceMicros);
     }
 
-    private Verdict keyed(
-            DeadLetter entry,
-            RequestClass type,
-            List<DeadLetter.Try> unproven,
-            long now,
-            boolean clockIsBack,
-            long steadySince) {
-        DeadLetter.Try first = unproven.stream()
-                .min(Comparator.comparingLong(DeadLetter.Try::sentAt))
+    private static Decision decideRepeatable(DeadLetter deadLetter, RequestClass requestClass, long nowMicros) {
+        boolean isWaiting = nowMicros < deadLetter.dueMicros()
+                && deadLetter.dueMicros() != DeadLetter.NEVER_DUE
+                && deadLetter.confirmation() == null;
+        return isWaiting
+                ? new SendLater(deadLetter.dueMicros(), "its pause is not over")
+                : new SendNow(nowMicros + Math.max(MIN_DEADLINE_MICROS, requestClass.deadlineMicros()), List.of());
+    }
+
+    private Decision decideByKey(
+            RequestClass requestClass,
+            List<DeadLetter.Attempt> unconfirmed,
+            long nowMicros,
+            boolean isClockBehind,
+            long steadySinceMicros) {
+        DeadLetter.Attempt first = unconfirmed.stream()
+                .min(Comparator.comparingLong(DeadLetter.Attempt::sentAtMicros))
                 .orElseThrow();
-        long closes = first.sentAt() + type.keyWindowMicros() - margin;
-        if (first.sentAt() < steadySince) {
-            return new AfterWord(
+        long windowEndMicros = first.sentAtMicros() + requestClass.keyWindowMicros() - clockMarginMicros;
+        if (first.sentAtMicros() < steadySinceMicros) {
+            return new NeedsConfirmation(
                     "an attempt may have run before a restart, and its key window can't be measured since");
         }
-        if (clockIsBack || now >= closes) {
-            return new AfterWord("an attempt may have run, and its key window is over");
+        if (isClockBehind || nowMicros >= windowEndMicros) {
+            return new NeedsConfirmation("an attempt may have run, and its key window is over");
+        }
+        if (!isWithinOneScope(requestClass.keyScope(), unconfirmed)) {
+            return new NeedsConfirmation("attempts in several places may have run, which don't share their keys");
         }
-        if (type.keyScope() != KeyScope.ALL) {
-            Set<String> places = new HashSet<>();
-            unproven.forEach(t -> places.add(type.keyScope() == KeyScope.ZONE ? t.building() : t.route()));
-            if (places.size() > 1 || places.contains("")) {
-                return new AfterWord("attempts in several places may have run, which don't share their keys");
-            }
+        // The deadline is within the key window: no attempt is made after its end.
+        return new SendNow(
+                Math.min(nowMicros + requestClass.deadlineMicros(), windowEndMicros),
+                List.of(new PastAttempt(first.route(), first.sentAtMicros(), first.outcome())));
+    }
+
+    /** True where all attempts went to endpoints that share their keys; an unknown zone shares none. */
+    private static boolean isWithinOneScope(KeyScope keyScope, List<DeadLetter.Attempt> attempts) {
+        if (keyScope == KeyScope.ALL) {
+            return true;
         }
-        // The window is the deadline: what is not delivered within it must not be tried any more.
-        return new Now(
-                Math.min(now + type.deadlineMicros(), closes),
-                List.of(new PastAttempt(first.route(), first.sentAt(), first.result())));
+        Set<String> scopes = new HashSet<>();
+        attempts.forEach(attempt -> scopes.add(keyScope == KeyScope.ZONE ? attempt.zone() : attempt.route()));
+        return scopes.size() <= 1 && !scopes.contains("");
     }
 
-    /** When an entry that was tried without success is looked at next. */
-    public long nextTry(DeadLetter entry, long now) {
-        return now + (pause << Math.min(MOST_DOUBLINGS, entry.resends()));
+    /** When a dead letter whose redrive has failed is due again. */
+    public long nextAttemptMicros(DeadLetter deadLetter, long nowMicros) {
+        return nowMicros + (pauseMicros << Math.min(MAX_PAUSE_DOUBLINGS, deadLetter.redrives()));
     }
 
-    private static long newest(DeadLetter entry) {
-        long tried =
-                entry.tries().stream().mapToLong(DeadLetter.Try::sentAt).max().orElse(0);
-        return Math.max(entry.keptAt(), tried);
+    private static long newestMicros(DeadLetter deadLetter) {
+        long lastSentMicros = deadLetter.tries().stream()
+                .mapToLong(DeadLetter.Attempt::sentAtMicros)
+                .max()
+                .orElse(0);
+        return Math.max(deadLetter.storedAtMicros(), lastSentMicros);
     }
 }
--- a/src/main/java/loftflow/deadletter/store/DeadLetterExecutor.java
+++ b/src/main/java/loftflow/deadletter/store/DeadLetterExecutor.java
@@ -12,53 +12,55 @@
 import loftflow.log.Log;
 
 /**
- * The thread of a shelf, behind a queue of {@value #MOST} tasks. A full queue turns a task away, whoever asked keeps
- * what it is about (the journal, or the person who asked) and asks again. A task that fails is told to staff.
+ * Runs the tasks of a store on one thread, behind a queue of {@value #QUEUE_CAPACITY} tasks. A task is rejected where
+ * the queue is full; the caller repeats it later. A task that fails is logged.
  */
 public final class DeadLetterExecutor implements DeadLetterStoreQueue, AutoCloseable {
-    static final int MOST = 1_000;
-    private static final int PATIENCE_S = 2;
+    static final int QUEUE_CAPACITY = 1_000;
+    private static final int CLOSE_TIMEOUT_SECONDS = 2;
 
-    private final DeadLetterStore shelf;
-    private final Executor loop;
+    private final DeadLetterStore store;
+    private final Executor eventLoop;
     private final ThreadPoolExecutor thread =
-            new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST), work -> {
-                Thread made = new Thread(work, "undeliverable");
-                made.setDaemon(true);
-                return made;
+            new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE_CAPACITY), task -> {
+                Thread created = new Thread(task, "deadletter-store");
+                created.setDaemon(true);
+                return created;
             });
 
-    /** A thread for a shelf that tells results on an event loop. */
-    public DeadLetterExecutor(DeadLetterStore shelf, Executor loop) {
-        this.shelf = shelf;
-        this.loop = loop;
+    /** An executor that reports results on an event loop. It owns the store and closes it. */
+    public DeadLetterExecutor(DeadLetterStore store, Executor eventLoop) {
+        this.store = store;
+        this.eventLoop = eventLoop;
     }
 
     @Override
     public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
         try {
-            thread.execute(() -> {
-                try {
-                    T result = task.apply(shelf);
-                    loop.execute(() -> then.accept(result));
-                } catch (RuntimeException e) {
-                    Log.line(e.getMessage());
-                    loop.execute(failed);
-                }
-            });
+            thread.execute(() -> run(task, then, failed));
             return true;
         } catch (RejectedExecutionException e) {
             return false;
         }
     }
 
-    /** Does what is queued, then closes the shelf. */
+    private <T> void run(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
+        try {
+            T result = task.apply(store);
+            eventLoop.execute(() -> then.accept(result));
+        } catch (RuntimeException e) {
+            Log.line("deadletter: store task failed error=\"" + e.getMessage() + "\"");
+            eventLoop.execute(failed);
+        }
+    }
+
+    /** Runs the queued tasks, then closes the store; gives up after {@value #CLOSE_TIMEOUT_SECONDS} s. */
     @Override
     public void close() {
         thread.shutdown();
         try {
-            if (thread.awaitTermination(PATIENCE_S, TimeUnit.SECONDS)) {
-                shelf.close();
+            if (thread.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+                store.close();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/loftflow/deadletter/store/package-info.java
+++ b/src/main/java/loftflow/deadletter/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Entries in an SQLite database that ordinary tools can open, on a thread of its own.
+ * Dead letters in an SQLite database that standard tools can open, accessed on a thread of its own.
  *
  * <p>May use: {@code deadletter}, the engine's {@code Message}, the log, and SQLite's driver.
  */
--- a/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -61,7 +61,7 @@
                 now,
                 null,
                 0,
-                List.of(new DeadLetter.Try("elevator-1", "main", now - 1_000_000, AttemptOutcome.REJECTED)));
+                List.of(new DeadLetter.Attempt("elevator-1", "main", now - 1_000_000, AttemptOutcome.REJECTED)));
     }
 
     private static void say(String form, Object... values) {
@@ -80,7 +80,8 @@
             for (DeadLetterStore.Filter filter : List.of(
                     DeadLetterStore.Filter.ALL,
                     new DeadLetterStore.Filter(DeadLetter.State.KEPT, 7, null, null, null, 0, 0),
-                    new DeadLetterStore.Filter(null, null, "settlement", "acme", ExecutionCertainty.NEVER, 0, 0))) {
+                    new DeadLetterStore.Filter(
+                            null, null, "settlement", "acme", ExecutionCertainty.NOT_EXECUTED, 0, 0))) {
                 start = System.nanoTime();
                 int found = shelf.list(filter, 0, 500, false).size();
                 say("%s: %d in %.0f ms", filter, found, (System.nanoTime() - start) / 1e6);
@@ -90,7 +91,7 @@
                     .size();
             say("all %d with their attempts in %.0f ms", all, (System.nanoTime() - start) / 1e6);
             start = System.nanoTime();
-            int due = shelf.due(Long.MAX_VALUE - 1, 100, 64).size();
+            int due = shelf.findDue(Long.MAX_VALUE - 1, 100, 64).size();
             say(
                     "the %d most urgent of 500 destinations in %.1f ms; %s",
                     due, (System.nanoTime() - start) / 1e6, shelf.size());
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
@@ -417,19 +417,19 @@
         return new DeadLetter(
                 e.id(),
                 e.content(),
-                e.keptAt(),
-                e.why(),
-                e.told(),
+                e.storedAtMicros(),
+                e.reason(),
+                e.clientReply(),
                 e.state(),
-                e.due(),
-                e.word(),
-                e.resends(),
+                e.dueMicros(),
+                e.confirmation(),
+                e.redrives(),
                 e.tries().stream()
-                        .map(t -> new DeadLetter.Try(
+                        .map(t -> new DeadLetter.Attempt(
                                 t.route(),
-                                t.building(),
-                                t.sentAt(),
-                                t.ran() == ExecutionCertainty.MAYBE ? AttemptOutcome.NOT_SENT : t.result()))
+                                t.zone(),
+                                t.sentAtMicros(),
+                                t.certainty() == ExecutionCertainty.MAYBE ? AttemptOutcome.NOT_SENT : t.outcome()))
                         .toList());
     }
 
@@ -540,18 +540,18 @@
                         boolean posted = world.effects.containsKey(id) || world.pending.getOrDefault(id, 0) > 0;
                         int what = random.nextInt(4);
                         if (what == 0 && !posted) {
-                            DeadLetter.Word word = new DeadLetter.Word(
+                            DeadLetter.Confirmation word = new DeadLetter.Confirmation(
                                     "clerk", "not in their books", entry.tries().size(), now + skew);
-                            words += write(() -> shelf.word(entry.id(), word, 0)) ? 1 : 0;
+                            words += write(() -> shelf.recordConfirmation(entry.id(), word, 0)) ? 1 : 0;
                         } else if (what == 1 && random.nextInt(20) == 0) {
-                            if (write(() ->
-                                    shelf.move(entry.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, 0))) {
+                            if (write(() -> shelf.transition(
+                                    entry.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, 0))) {
                                 discarded.add(id);
                             }
                         } else {
                             // Two at once: only one of them may win.
-                            desk.tryNow(forgetful ? forgotten(entry) : entry, v -> {});
-                            desk.tryNow(forgetful ? forgotten(entry) : entry, v -> {});
+                            desk.redrive(forgetful ? forgotten(entry) : entry, v -> {});
+                            desk.redrive(forgetful ? forgotten(entry) : entry, v -> {});
                         }
                     }
                     persons(whose);
@@ -632,7 +632,7 @@
             doubles += effects > 1 && !world.types.get(id).equals("safe") ? 1 : 0;
             DeadLetter entry = entries.get(id);
             boolean isKept = entry != null
-                    && (entry.state() == DeadLetter.State.KEPT || entry.state() == DeadLetter.State.RESENDING);
+                    && (entry.state() == DeadLetter.State.KEPT || entry.state() == DeadLetter.State.REDRIVING);
             boolean isGone = entry != null && entry.state() == DeadLetter.State.DISCARDED;
             boolean isRefused = refused.contains(id);
             boolean isDelivered = effects > 0 && !isKept && !isGone && !isRefused;
--- a/src/test/java/loftflow/deadletter/DeadLetterServiceTest.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterServiceTest.java
@@ -41,34 +41,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The desk between a real engine, module and store, in a time that the test moves. */
+/** The service with the real engine, decision module and store, in virtual time. */
 class DeadLetterServiceTest {
-    private static final long SECOND = 1_000_000;
-    private static final long WINDOW = 30 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long KEY_WINDOW_MICROS = 30 * SECOND_MICROS;
 
-    private record Due(long at, long order, Runnable task) {}
+    private record ScheduledTask(long atMicros, long order, Runnable task) {}
 
     @TempDir
     Path folder;
 
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::atMicros).thenComparingLong(ScheduledTask::order));
     private final List<String> sent = new ArrayList<>();
-    private final List<Long> sentAt = new ArrayList<>();
-    private final Set<Long> done = new HashSet<>();
-    private final ArrayDeque<Runnable> held = new ArrayDeque<>();
-    private BiFunction<String, Message.Attempt, AttemptOutcome> fate = (route, attempt) -> AttemptOutcome.OK;
-    private long now = 1_000_000 * SECOND;
+    private final List<Long> sentAtMicros = new ArrayList<>();
+    private final Set<Long> doneNumbers = new HashSet<>();
+    private final ArrayDeque<Runnable> blockedTasks = new ArrayDeque<>();
+    private BiFunction<String, Message.Attempt, AttemptOutcome> outcomes = (route, attempt) -> AttemptOutcome.OK;
+    private long nowMicros = 1_000_000 * SECOND_MICROS;
     private long order;
-    private boolean storeFails;
-    private boolean storeHolds;
-    private DeadLetterStore shelf;
+    private boolean isStoreFailing;
+    private boolean isStoreBlocked;
+    private DeadLetterStore store;
     private DeliveryEngine engine;
-    private DeadLetterService desk;
+    private DeadLetterService service;
 
     @BeforeEach
     void prepare() {
-        shelf = SqliteDeadLetterStore.open(folder, 1 << 30);
+        store = SqliteDeadLetterStore.open(folder, 1 << 30);
         PolicySettings settings = new PolicySettings(
                 3,
                 0,
@@ -79,9 +79,9 @@
                                 "keyed",
                                 Idempotency.IDEMPOTENT_BY_KEY,
                                 KeyScope.ZONE,
-                                WINDOW,
-                                SECOND,
-                                2 * SECOND,
+                                KEY_WINDOW_MICROS,
+                                SECOND_MICROS,
+                                2 * SECOND_MICROS,
                                 1,
                                 0.5,
                                 false),
@@ -90,16 +90,16 @@
                                 Idempotency.NON_IDEMPOTENT,
                                 KeyScope.ALL,
                                 0,
-                                SECOND,
-                                2 * SECOND,
+                                SECOND_MICROS,
+                                2 * SECOND_MICROS,
                                 5,
                                 0.3,
                                 false)),
                 List.of(),
                 List.of(new DestinationKind("k", false, 1)),
                 List.of(),
-                new RelayLimits(8, 50, 12, true, false, false, false, true, SECOND),
-                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 50, 12, true, false, false, false, true, SECOND_MICROS),
+                new ServiceRules(0, SECOND_MICROS / 2, 2.5, 2 * SECOND_MICROS, 0.2, 5 * SECOND_MICROS, 0, 0),
                 1,
                 false,
                 false,
@@ -107,80 +107,87 @@
                 0);
         engine = new DeliveryEngine(
                 (micros, task) -> {
-                    boolean[] off = new boolean[1];
-                    queue.add(new Due(now + micros, order++, () -> {
-                        if (!off[0]) {
+                    boolean[] isCancelled = new boolean[1];
+                    queue.add(new ScheduledTask(nowMicros + micros, order++, () -> {
+                        if (!isCancelled[0]) {
                             task.run();
                         }
                     }));
-                    return () -> off[0] = true;
+                    return () -> isCancelled[0] = true;
                 },
-                () -> now,
+                () -> nowMicros,
                 settings,
                 1_000,
-                new Memory(),
+                new InMemoryLog(),
                 DefaultDeliveryPolicy::new);
-        Map<String, RedrivePolicy.Shelved> shelves = Map.of(
+        Map<String, RedrivePolicy.Shelved> redriveClasses = Map.of(
                 "keyed",
-                new RedrivePolicy.Shelved(settings.classes().get(0), 3_600 * SECOND),
+                new RedrivePolicy.Shelved(settings.classes().get(0), 3_600 * SECOND_MICROS),
                 "unsafe",
-                new RedrivePolicy.Shelved(settings.classes().get(1), 3_600 * SECOND));
-        desk = new DeadLetterService(
+                new RedrivePolicy.Shelved(settings.classes().get(1), 3_600 * SECOND_MICROS));
+        service = new DeadLetterService(
                 (micros, task) -> {
-                    queue.add(new Due(now + micros, order++, task));
+                    queue.add(new ScheduledTask(nowMicros + micros, order++, task));
                     return () -> {};
                 },
-                () -> now,
+                () -> nowMicros,
                 engine,
-                new Queue(),
+                new VirtualStoreQueue(),
                 new DeadLetterService.Options(
-                        shelves, new RedrivePolicy(SECOND, SECOND), 2, 1 << 30, 1 << 29, 1_000, true, 3_600 * SECOND));
-        engine.setDeadLetterSink(desk);
-        engine.attach(new Calls(), message -> engine.onCompletionAcknowledged(message));
-        engine.start(EndpointListKind.FULL, 1, List.of(target("r0", "b0"), target("r1", "b1")));
-        desk.start();
-        pass(SECOND);
+                        redriveClasses,
+                        new RedrivePolicy(SECOND_MICROS, SECOND_MICROS),
+                        2,
+                        1 << 30,
+                        1 << 29,
+                        1_000,
+                        true,
+                        3_600 * SECOND_MICROS));
+        engine.setDeadLetterSink(service);
+        engine.attach(new FakeUpstream(), message -> engine.onCompletionAcknowledged(message));
+        engine.start(EndpointListKind.FULL, 1, List.of(endpoint("r0", "b0"), endpoint("r1", "b1")));
+        service.start();
+        advance(SECOND_MICROS);
     }
 
     @AfterEach
     void end() {
-        shelf.close();
+        store.close();
     }
 
-    private static Endpoint target(String route, String building) {
-        return new Endpoint(new EndpointEntry(route, 7, "k", building, Availability.LISTED, 0), null);
+    private static Endpoint endpoint(String route, String zone) {
+        return new Endpoint(new EndpointEntry(route, 7, "k", zone, Availability.LISTED, 0), null);
     }
 
-    private void pass(long span) {
-        long end = now + span;
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
-            Due due = queue.poll();
-            now = Math.max(now, due.at());
+    private void advance(long durationMicros) {
+        long end = nowMicros + durationMicros;
+        while (!queue.isEmpty() && queue.peek().atMicros() <= end) {
+            ScheduledTask due = queue.poll();
+            nowMicros = Math.max(nowMicros, due.atMicros());
             due.task().run();
         }
-        now = end;
+        nowMicros = end;
     }
 
-    private final class Queue implements DeadLetterStoreQueue {
+    private final class VirtualStoreQueue implements DeadLetterStoreQueue {
         @Override
         public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
             Runnable work = () -> {
-                if (storeFails) {
+                if (isStoreFailing) {
                     failed.run();
                 } else {
-                    then.accept(task.apply(shelf));
+                    then.accept(task.apply(store));
                 }
             };
-            if (storeHolds) {
-                held.add(work);
+            if (isStoreBlocked) {
+                blockedTasks.add(work);
             } else {
-                queue.add(new Due(now + 100, order++, work));
+                queue.add(new ScheduledTask(nowMicros + 100, order++, work));
             }
             return true;
         }
     }
 
-    private final class Calls implements UpstreamClient {
+    private final class FakeUpstream implements UpstreamClient {
         @Override
         public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {}
 
@@ -188,11 +195,11 @@
         public void send(String route, List<OutboundAttempt> outgoing) {
             for (OutboundAttempt o : outgoing) {
                 sent.add(o.attempt().message().content().messageId() + "@" + route);
-                sentAt.add(now);
-                AttemptOutcome result = fate.apply(route, o.attempt());
+                sentAtMicros.add(nowMicros);
+                AttemptOutcome result = outcomes.apply(route, o.attempt());
                 long after = result == AttemptOutcome.TIMEOUT ? o.timeoutMicros() : 10_000;
-                queue.add(new Due(
-                        now + after,
+                queue.add(new ScheduledTask(
+                        nowMicros + after,
                         order++,
                         () -> engine.onAttemptCompleted(
                                 o.attempt(), result, result == AttemptOutcome.OK, 0, LimitReport.NONE)));
@@ -209,8 +216,8 @@
         public void closeIdleConnections(String route) {}
     }
 
-    /** A journal that holds what it is told and remembers what is done. */
-    private final class Memory implements WriteAheadLog {
+    /** A journal in memory that records which messages are done. */
+    private final class InMemoryLog implements WriteAheadLog {
         @Override
         public long nextSequenceNumber() {
             return 1;
@@ -239,18 +246,27 @@
 
         @Override
         public void recordDone(Message message) {
-            done.add(message.number());
+            doneNumbers.add(message.number());
         }
     }
 
-    private void handIn(String id, String type) {
-        handIn(id, type, null);
+    private void accept(String id, String requestClass) {
+        accept(id, requestClass, null);
     }
 
-    private void handIn(String id, String type, String line) {
+    private void accept(String id, String requestClass, String orderingKey) {
         engine.accept(
-                new Message.Content(id, type, null, "key-" + id, now + 2 * SECOND, 7, new byte[1], null, line),
-                now,
+                new Message.Content(
+                        id,
+                        requestClass,
+                        null,
+                        "key-" + id,
+                        nowMicros + 2 * SECOND_MICROS,
+                        7,
+                        new byte[1],
+                        null,
+                        orderingKey),
+                nowMicros,
                 new Message.ClientReply() {
                     @Override
                     public void accepted() {}
@@ -267,169 +283,177 @@
                 });
     }
 
-    private DeadLetter entry(String id) {
-        return shelf.list(DeadLetterStore.Filter.ALL, 0, 100, false).stream()
+    private DeadLetter deadLetter(String id) {
+        return store.list(DeadLetterStore.Filter.ALL, 0, 100, false).stream()
                 .filter(e -> e.content().messageId().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
     @Test
-    void journalForgetsOnlyWhatTheStoreHas() {
-        fate = (route, attempt) -> AttemptOutcome.RESET;
-        storeFails = true;
-        handIn("m1", "unsafe");
-        pass(5 * SECOND);
-        assertFalse(done.contains(1L), "the store does not have it yet");
-        storeFails = false;
-        pass(SECOND);
-        assertTrue(done.contains(1L));
-        assertEquals(ExecutionCertainty.MAYBE, entry("m1").ran());
+    void journalRemovesOnlyWhatTheStoreHas() {
+        outcomes = (route, attempt) -> AttemptOutcome.RESET;
+        isStoreFailing = true;
+        accept("m1", "unsafe");
+        advance(5 * SECOND_MICROS);
+        assertFalse(doneNumbers.contains(1L), "the store does not have it yet");
+        isStoreFailing = false;
+        advance(SECOND_MICROS);
+        assertTrue(doneNumbers.contains(1L));
+        assertEquals(ExecutionCertainty.MAYBE, deadLetter("m1").ran());
     }
 
     @Test
-    void keyedGoesOnlyToTheBuildingThatMayKnowItsKey() {
-        fate = (route, attempt) -> route.equals("r0") ? AttemptOutcome.RESET : AttemptOutcome.OK;
+    void keyedMessageIsRedrivenOnlyInTheZoneThatMayKnowItsKey() {
+        outcomes = (route, attempt) -> route.equals("r0") ? AttemptOutcome.RESET : AttemptOutcome.OK;
         for (int i = 0; i < 6; i++) {
-            handIn("k" + i, "keyed");
-            pass(3 * SECOND);
+            accept("k" + i, "keyed");
+            advance(3 * SECOND_MICROS);
         }
-        pass(60 * SECOND);
+        advance(60 * SECOND_MICROS);
         Set<String> first = new HashSet<>();
         for (String one : sent) {
             String id = one.substring(0, one.indexOf('@'));
             if (one.endsWith("@r0")) {
                 first.add(id);
             }
-            assertTrue(!one.endsWith("@r1") || !first.contains(id), "sent in another building: " + sent);
+            assertTrue(!one.endsWith("@r1") || !first.contains(id), "sent in another zone: " + sent);
         }
         assertFalse(first.isEmpty(), "some went to r0 first: " + sent);
         for (String id : first) {
-            assertEquals(DeadLetter.State.KEPT, entry(id).state());
-            assertTrue(desk.decide(entry(id)) instanceof RedrivePolicy.AfterWord, "its window is over now");
+            assertEquals(DeadLetter.State.KEPT, deadLetter(id).state());
+            assertTrue(
+                    service.decide(deadLetter(id)) instanceof RedrivePolicy.NeedsConfirmation,
+                    "its key window is over");
         }
     }
 
     @Test
-    void windowThatClosesBeforeItsTurnComesSendsNothing() {
-        fate = (route, attempt) -> AttemptOutcome.RESET;
-        handIn("k1", "keyed");
-        pass(3 * SECOND);
-        desk.pause(true);
-        pass(10 * SECOND);
-        DeadLetter kept = entry("k1");
-        assertEquals(DeadLetter.State.KEPT, kept.state());
-        assertTrue(desk.decide(kept) instanceof RedrivePolicy.Now, "open at decision: " + desk.decide(kept));
-        int before = sent.size();
-        storeHolds = true;
-        List<RedrivePolicy.Verdict> told = new ArrayList<>();
-        desk.tryNow(kept, told::add);
-        // The store has its turn only when the window is over.
-        now += WINDOW;
-        storeHolds = false;
-        held.poll().run();
-        pass(5 * SECOND);
-        assertEquals(before, sent.size());
-        assertTrue(told.get(0) instanceof RedrivePolicy.AfterWord, told.toString());
-        assertEquals(DeadLetter.State.KEPT, entry("k1").state());
-        assertEquals(DeadLetter.NEVER_DUE, entry("k1").due());
+    void keyWindowThatClosesWhileTheStoreIsBusySendsNothing() {
+        outcomes = (route, attempt) -> AttemptOutcome.RESET;
+        accept("k1", "keyed");
+        advance(3 * SECOND_MICROS);
+        service.setPaused(true);
+        advance(10 * SECOND_MICROS);
+        DeadLetter stored = deadLetter("k1");
+        assertEquals(DeadLetter.State.KEPT, stored.state());
+        assertTrue(
+                service.decide(stored) instanceof RedrivePolicy.SendNow, "open at decision: " + service.decide(stored));
+        int sentBefore = sent.size();
+        isStoreBlocked = true;
+        List<RedrivePolicy.Decision> decisions = new ArrayList<>();
+        service.redrive(stored, decisions::add);
+        // The store task runs only after the end of the window.
+        nowMicros += KEY_WINDOW_MICROS;
+        isStoreBlocked = false;
+        blockedTasks.poll().run();
+        advance(5 * SECOND_MICROS);
+        assertEquals(sentBefore, sent.size());
+        assertTrue(decisions.get(0) instanceof RedrivePolicy.NeedsConfirmation, decisions.toString());
+        assertEquals(DeadLetter.State.KEPT, deadLetter("k1").state());
+        assertEquals(DeadLetter.NEVER_DUE, deadLetter("k1").dueMicros());
     }
 
     @Test
-    void nothingIsSentAgainWhileTheRelayDrains() {
-        fate = (route, attempt) -> AttemptOutcome.REJECTED;
-        handIn("m1", "unsafe");
-        pass(2_500_000);
+    void drainingRelayRedrivesNothing() {
+        outcomes = (route, attempt) -> AttemptOutcome.REJECTED;
+        accept("m1", "unsafe");
+        advance(2_500_000);
         engine.quiesce();
-        fate = (route, attempt) -> AttemptOutcome.OK;
-        int before = sent.size();
-        pass(40 * SECOND);
-        assertEquals(before, sent.size());
-        assertEquals(ExecutionCertainty.NEVER, entry("m1").ran());
+        outcomes = (route, attempt) -> AttemptOutcome.OK;
+        int sentBefore = sent.size();
+        advance(40 * SECOND_MICROS);
+        assertEquals(sentBefore, sent.size());
+        assertEquals(ExecutionCertainty.NOT_EXECUTED, deadLetter("m1").ran());
     }
 
-    /** The module orders it by that among what is sent again, and beside what is new. */
+    /** The decision module orders redrives by that key, also relative to new messages. */
     @Test
-    void messageThatIsSentAgainIsOfItsLine() {
+    void redriveRetainsTheOrderingKey() {
         List<String> lines = new ArrayList<>();
-        fate = (route, attempt) -> {
+        outcomes = (route, attempt) -> {
             lines.add(
                     attempt.message().deadLetterId() == 0
                             ? "new"
                             : attempt.message().content().orderingKey());
             return attempt.message().deadLetterId() == 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK;
         };
-        handIn("m1", "unsafe", "track-4");
-        pass(60 * SECOND);
-        assertEquals(DeadLetter.State.DELIVERED, entry("m1").state());
+        accept("m1", "unsafe", "track-4");
+        advance(60 * SECOND_MICROS);
+        assertEquals(DeadLetter.State.DELIVERED, deadLetter("m1").state());
         assertEquals("track-4", lines.get(lines.size() - 1));
     }
 
     @Test
-    void messageThatThePartnerNeverTakesStaysKeptAndItsPausesGrow() {
-        fate = (route, attempt) -> AttemptOutcome.NOT_SENT; // as 413 is taken
-        handIn("m1", "unsafe");
-        pass(60 * SECOND);
-        assertEquals(DeadLetter.State.KEPT, entry("m1").state());
-        int first = entry("m1").resends();
-        pass(240 * SECOND);
+    void rejectedMessageStaysStoredAndItsPausesGrow() {
+        outcomes = (route, attempt) -> AttemptOutcome.NOT_SENT; // as for status 413
+        accept("m1", "unsafe");
+        advance(60 * SECOND_MICROS);
+        assertEquals(DeadLetter.State.KEPT, deadLetter("m1").state());
+        int first = deadLetter("m1").redrives();
+        advance(240 * SECOND_MICROS);
         assertTrue(
-                first >= 1 && entry("m1").resends() > first && entry("m1").resends() < 14,
-                first + " then " + entry("m1").resends());
+                first >= 1
+                        && deadLetter("m1").redrives() > first
+                        && deadLetter("m1").redrives() < 14,
+                first + " then " + deadLetter("m1").redrives());
     }
 
     @Test
-    void backlogGoesOutOneAtATimeAtItsPace() {
-        long kept = now;
+    void backlogIsRedrivenOneAtATimeAtThePace() {
+        long stored = nowMicros;
         for (int i = 0; i < 40; i++) {
-            shelf.put(new DeadLetter(
+            store.put(new DeadLetter(
                     0,
-                    new Message.Content("m" + i, "unsafe", null, null, kept + i, 7, new byte[1]),
-                    kept,
+                    new Message.Content("m" + i, "unsafe", null, null, stored + i, 7, new byte[1]),
+                    stored,
                     "",
                     "failed",
                     DeadLetter.State.KEPT,
-                    kept,
+                    stored,
                     null,
                     0,
                     List.of()));
         }
-        pass(12 * SECOND);
+        advance(12 * SECOND_MICROS);
         assertTrue(sent.size() >= 20 && sent.size() <= 26, "two a second for 12 s: " + sent.size());
-        for (int i = 1; i < sentAt.size(); i++) {
-            assertTrue(sentAt.get(i) - sentAt.get(i - 1) >= SECOND / 2, "no closer than the pace");
+        for (int i = 1; i < sentAtMicros.size(); i++) {
+            assertTrue(
+                    sentAtMicros.get(i) - sentAtMicros.get(i - 1) >= SECOND_MICROS / 2,
+                    "intervals no shorter than the pace");
         }
-        pass(20 * SECOND);
+        advance(20 * SECOND_MICROS);
         assertEquals(40, new HashSet<>(sent).size());
         assertEquals(40, sent.size());
     }
 
     @Test
-    void recalledResendIsNotTriedAnyMore() {
-        fate = (route, attempt) -> AttemptOutcome.RESET;
-        handIn("m1", "unsafe");
-        pass(3 * SECOND);
-        DeadLetter kept = entry("m1");
-        shelf.word(kept.id(), new DeadLetter.Word("clerk", "not in their books", 9, now), now);
-        fate = (route, attempt) -> AttemptOutcome.REJECTED;
-        pass(2 * SECOND);
-        assertEquals(DeadLetter.State.RESENDING, entry("m1").state());
-        Message first = new Message(1, kept.content());
+    void cancelledRedriveIsNotAttemptedAgain() {
+        outcomes = (route, attempt) -> AttemptOutcome.RESET;
+        accept("m1", "unsafe");
+        advance(3 * SECOND_MICROS);
+        DeadLetter stored = deadLetter("m1");
+        store.recordConfirmation(
+                stored.id(), new DeadLetter.Confirmation("clerk", "not in their books", 9, nowMicros), nowMicros);
+        outcomes = (route, attempt) -> AttemptOutcome.REJECTED;
+        advance(2 * SECOND_MICROS);
+        assertEquals(DeadLetter.State.REDRIVING, deadLetter("m1").state());
+        Message first = new Message(1, stored.content());
         Message.Attempt late = first.addAttempt(
-                kept.tries().get(0).route(), kept.tries().get(0).sentAt());
+                stored.tries().get(0).route(), stored.tries().get(0).sentAtMicros());
         engine.onLateDelivery(late);
-        pass(SECOND);
-        int before = sent.size();
-        fate = (route, attempt) -> AttemptOutcome.OK;
-        pass(60 * SECOND);
-        assertEquals(DeadLetter.State.DELIVERED, entry("m1").state());
-        assertEquals(before, sent.size());
+        advance(SECOND_MICROS);
+        int sentBefore = sent.size();
+        outcomes = (route, attempt) -> AttemptOutcome.OK;
+        advance(60 * SECOND_MICROS);
+        assertEquals(DeadLetter.State.DELIVERED, deadLetter("m1").state());
+        assertEquals(sentBefore, sent.size());
     }
 
     @Test
-    void windowIsNotTrustedWhereTheClockWasSetBackWhileTheRelayWasDown() {
-        long ahead = now + 20 * SECOND;
-        shelf.put(new DeadLetter(
+    void keyWindowIsNotTrustedAfterTheClockWasSetBackBetweenProcesses() {
+        long ahead = nowMicros + 20 * SECOND_MICROS;
+        store.put(new DeadLetter(
                 0,
                 new Message.Content("k1", "keyed", null, "k", ahead, 7, new byte[1]),
                 ahead,
@@ -439,15 +463,15 @@
                 DeadLetter.NEVER_DUE,
                 null,
                 0,
-                List.of(new DeadLetter.Try("r0", "b0", ahead - SECOND, AttemptOutcome.TIMEOUT))));
+                List.of(new DeadLetter.Attempt("r0", "b0", ahead - SECOND_MICROS, AttemptOutcome.TIMEOUT))));
         DeadLetterService next = new DeadLetterService(
                 (micros, task) -> {
-                    queue.add(new Due(now + micros, order++, task));
+                    queue.add(new ScheduledTask(nowMicros + micros, order++, task));
                     return () -> {};
                 },
-                () -> now,
+                () -> nowMicros,
                 engine,
-                new Queue(),
+                new VirtualStoreQueue(),
                 new DeadLetterService.Options(
                         Map.of(
                                 "keyed",
@@ -456,53 +480,54 @@
                                                 "keyed",
                                                 Idempotency.IDEMPOTENT_BY_KEY,
                                                 KeyScope.ZONE,
-                                                WINDOW,
-                                                SECOND,
-                                                2 * SECOND,
+                                                KEY_WINDOW_MICROS,
+                                                SECOND_MICROS,
+                                                2 * SECOND_MICROS,
                                                 1,
                                                 0.5,
                                                 false),
-                                        3_600 * SECOND)),
-                        new RedrivePolicy(SECOND, SECOND),
+                                        3_600 * SECOND_MICROS)),
+                        new RedrivePolicy(SECOND_MICROS, SECOND_MICROS),
                         2,
                         1 << 30,
                         1 << 29,
                         1_000,
                         true,
-                        3_600 * SECOND));
+                        3_600 * SECOND_MICROS));
         next.start();
-        pass(25 * SECOND);
-        RedrivePolicy.Verdict verdict = next.decide(entry("k1"));
+        advance(25 * SECOND_MICROS);
+        RedrivePolicy.Decision verdict = next.decide(deadLetter("k1"));
         assertTrue(
-                verdict instanceof RedrivePolicy.AfterWord after && after.why().contains("restart"),
+                verdict instanceof RedrivePolicy.NeedsConfirmation after
+                        && after.reason().contains("restart"),
                 verdict.toString());
     }
 
     @Test
-    void entryWhoseEndTheStoreHasNotTakenIsNotSentBesideItself() {
-        fate = (route, attempt) -> AttemptOutcome.REJECTED;
-        handIn("m1", "unsafe");
-        pass(4 * SECOND);
-        assertEquals(DeadLetter.State.RESENDING, entry("m1").state());
-        // As after a restart: the store says kept, and a resend of it is out.
-        shelf.move(entry("m1").id(), DeadLetter.State.RESENDING, DeadLetter.State.KEPT, now);
-        List<RedrivePolicy.Verdict> told = new ArrayList<>();
-        desk.tryNow(entry("m1"), told::add);
-        assertTrue(told.get(0) instanceof RedrivePolicy.Later, told.toString());
-        assertEquals(DeadLetter.State.KEPT, entry("m1").state());
+    void redriveWhoseEndIsNotStoredYetIsNotDuplicated() {
+        outcomes = (route, attempt) -> AttemptOutcome.REJECTED;
+        accept("m1", "unsafe");
+        advance(4 * SECOND_MICROS);
+        assertEquals(DeadLetter.State.REDRIVING, deadLetter("m1").state());
+        // As after a restart: a redrive is in flight, and the store does not show it.
+        store.transition(deadLetter("m1").id(), DeadLetter.State.REDRIVING, DeadLetter.State.KEPT, nowMicros);
+        List<RedrivePolicy.Decision> decisions = new ArrayList<>();
+        service.redrive(deadLetter("m1"), decisions::add);
+        assertTrue(decisions.get(0) instanceof RedrivePolicy.SendLater, decisions.toString());
+        assertEquals(DeadLetter.State.KEPT, deadLetter("m1").state());
     }
 
-    private static Message.Content content(String type) {
-        return new Message.Content("new", type, null, "key-new", Long.MAX_VALUE, 7, new byte[1]);
+    private static Message.Content content(String requestClass) {
+        return new Message.Content("new", requestClass, null, "key-new", Long.MAX_VALUE, 7, new byte[1]);
     }
 
     @Test
-    void fullStoreRefusesTheClassThatFailsAlone() {
+    void fullStoreRefusesOnlyTheFailingClass() {
         for (int i = 0; i < 999; i++) {
-            shelf.put(new DeadLetter(
+            store.put(new DeadLetter(
                     0,
                     new Message.Content("old" + i, "unsafe", null, null, i, 7, new byte[1]),
-                    now,
+                    nowMicros,
                     "",
                     "failed",
                     DeadLetter.State.DISCARDED,
@@ -511,16 +536,16 @@
                     0,
                     List.of()));
         }
-        fate = (route, attempt) -> AttemptOutcome.RESET;
-        assertFalse(desk.rejects(content("unsafe")));
-        handIn("m1", "unsafe");
-        pass(3 * SECOND);
-        assertEquals(1_000, shelf.size().entries());
-        assertTrue(desk.rejects(content("unsafe")), "the store is full, and this class is what fills it");
-        assertFalse(desk.rejects(content("keyed")), "nothing of this class has failed");
-        now += 3_600 * SECOND;
-        pass(2 * SECOND);
-        assertTrue(shelf.size().entries() < 1_000, "what is over goes by age");
-        assertFalse(desk.rejects(content("unsafe")), "there is room again, though nothing new was kept");
+        outcomes = (route, attempt) -> AttemptOutcome.RESET;
+        assertFalse(service.rejects(content("unsafe")));
+        accept("m1", "unsafe");
+        advance(3 * SECOND_MICROS);
+        assertEquals(1_000, store.size().entries());
+        assertTrue(service.rejects(content("unsafe")), "this class has failed, and the store is full");
+        assertFalse(service.rejects(content("keyed")), "nothing of this class has failed");
+        nowMicros += 3_600 * SECOND_MICROS;
+        advance(2 * SECOND_MICROS);
+        assertTrue(store.size().entries() < 1_000, "settled dead letters are removed by age");
+        assertFalse(service.rejects(content("unsafe")), "the store is no longer full");
     }
 }
--- a/src/test/java/loftflow/deadletter/RedrivePolicyTest.java
+++ b/src/test/java/loftflow/deadletter/RedrivePolicyTest.java
@@ -15,169 +15,261 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** Decisions by class, outcomes, age, confirmations and clocks. */
 class RedrivePolicyTest {
-    private static final long SECOND = 1_000_000;
-    private static final long T = 1_000_000 * SECOND;
-    private static final long DAY = 86_400 * SECOND;
-    private static final RedrivePolicy RULES = new RedrivePolicy(SECOND, SECOND);
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long STORED_AT_MICROS = 1_000_000 * SECOND_MICROS;
+    private static final long DAY_MICROS = 86_400 * SECOND_MICROS;
+    private static final RedrivePolicy POLICY = new RedrivePolicy(SECOND_MICROS, SECOND_MICROS);
 
-    private static RedrivePolicy.Shelved shelved(Idempotency repeat, KeyScope scope) {
+    private static RedrivePolicy.Shelved redriveClass(Idempotency idempotency, KeyScope scope) {
         return new RedrivePolicy.Shelved(
                 new RequestClass(
                         "c",
-                        repeat,
+                        idempotency,
                         scope,
-                        repeat == Idempotency.IDEMPOTENT_BY_KEY ? 30 * SECOND : 0,
-                        SECOND,
-                        10 * SECOND,
+                        idempotency == Idempotency.IDEMPOTENT_BY_KEY ? 30 * SECOND_MICROS : 0,
+                        SECOND_MICROS,
+                        10 * SECOND_MICROS,
                         1,
                         0,
                         false),
-                DAY);
+                DAY_MICROS);
     }
 
-    private static final RedrivePolicy.Shelved SAFE = shelved(Idempotency.IDEMPOTENT, KeyScope.ALL);
-    private static final RedrivePolicy.Shelved KEYED = shelved(Idempotency.IDEMPOTENT_BY_KEY, KeyScope.ZONE);
-    private static final RedrivePolicy.Shelved UNSAFE = shelved(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
+    private static final RedrivePolicy.Shelved IDEMPOTENT = redriveClass(Idempotency.IDEMPOTENT, KeyScope.ALL);
+    private static final RedrivePolicy.Shelved KEYED = redriveClass(Idempotency.IDEMPOTENT_BY_KEY, KeyScope.ZONE);
+    private static final RedrivePolicy.Shelved NON_IDEMPOTENT = redriveClass(Idempotency.NON_IDEMPOTENT, KeyScope.ALL);
 
-    private static DeadLetter entry(DeadLetter.Word word, DeadLetter.Try... tries) {
+    private static DeadLetter deadLetter(DeadLetter.Confirmation confirmation, DeadLetter.Attempt... attempts) {
         return new DeadLetter(
                 1,
-                new Message.Content("m", "c", null, "k", T + SECOND, 7, new byte[0]),
-                T,
+                new Message.Content("m", "c", null, "k", STORED_AT_MICROS + SECOND_MICROS, 7, new byte[0]),
+                STORED_AT_MICROS,
                 "",
                 "failed",
                 DeadLetter.State.KEPT,
-                T,
-                word,
+                STORED_AT_MICROS,
+                confirmation,
                 0,
-                List.of(tries));
+                List.of(attempts));
     }
 
-    private static DeadLetter.Try tried(long at, AttemptOutcome result, String building) {
-        return new DeadLetter.Try("r-" + building, building, at, result);
+    private static DeadLetter.Attempt attempt(long sentAtMicros, AttemptOutcome outcome, String zone) {
+        return new DeadLetter.Attempt("r-" + zone, zone, sentAtMicros, outcome);
     }
 
-    private static DeadLetter.Try tried(AttemptOutcome result) {
-        return tried(T - SECOND, result, "b0");
+    private static DeadLetter.Attempt attempt(AttemptOutcome outcome) {
+        return attempt(STORED_AT_MICROS - SECOND_MICROS, outcome, "b0");
     }
 
-    private static void now(RedrivePolicy.Verdict verdict) {
-        assertInstanceOf(RedrivePolicy.Now.class, verdict, verdict.toString());
+    private static void assertSentNow(RedrivePolicy.Decision decision) {
+        assertInstanceOf(RedrivePolicy.SendNow.class, decision, decision.toString());
     }
 
-    private static void afterWord(RedrivePolicy.Verdict verdict, String why) {
+    private static void assertNeedsConfirmation(RedrivePolicy.Decision decision, String reason) {
         assertTrue(
-                assertInstanceOf(RedrivePolicy.AfterWord.class, verdict, verdict.toString())
-                        .why()
-                        .contains(why),
-                verdict.toString());
+                assertInstanceOf(RedrivePolicy.NeedsConfirmation.class, decision, decision.toString())
+                        .reason()
+                        .contains(reason),
+                decision.toString());
     }
 
     @ParameterizedTest
     @EnumSource(AttemptOutcome.class)
-    void unsafeGoesByItselfOnlyWhereEveryAttemptIsProvenNeverToHaveRun(AttemptOutcome result) {
-        RedrivePolicy.Verdict verdict = RULES.decide(
-                entry(null, tried(AttemptOutcome.REJECTED), tried(result)), UNSAFE, T + 5 * SECOND, T - DAY);
-        switch (result) {
-            case REJECTED, CONNECT_FAILED, NOT_SENT -> now(verdict);
-            case OK -> assertInstanceOf(RedrivePolicy.Over.class, verdict);
-            default -> afterWord(verdict, "may have run");
+    void nonIdempotentIsSentOnlyWhereNoAttemptCanHaveBeenExecuted(AttemptOutcome outcome) {
+        RedrivePolicy.Decision decision = POLICY.decide(
+                deadLetter(null, attempt(AttemptOutcome.REJECTED), attempt(outcome)),
+                NON_IDEMPOTENT,
+                STORED_AT_MICROS + 5 * SECOND_MICROS,
+                STORED_AT_MICROS - DAY_MICROS);
+        switch (outcome) {
+            case REJECTED, CONNECT_FAILED, NOT_SENT -> assertSentNow(decision);
+            case OK -> assertInstanceOf(RedrivePolicy.Settled.class, decision);
+            default -> assertNeedsConfirmation(decision, "may have run");
         }
     }
 
     @Test
-    void unknownOutcomeNeverBecomesNeverByAgeOrRestart() {
-        for (long age : new long[] {SECOND, DAY / 2, 30 * DAY}) {
-            afterWord(RULES.decide(entry(null, tried(null)), UNSAFE, T + age, T - DAY), "");
-            afterWord(RULES.decide(entry(null, tried(AttemptOutcome.TIMEOUT)), UNSAFE, T + age, T + age), "");
+    void unknownOutcomeStaysUnknownWithAgeAndRestart() {
+        for (long age : new long[] {SECOND_MICROS, DAY_MICROS / 2, 30 * DAY_MICROS}) {
+            assertNeedsConfirmation(
+                    POLICY.decide(
+                            deadLetter(null, attempt(null)),
+                            NON_IDEMPOTENT,
+                            STORED_AT_MICROS + age,
+                            STORED_AT_MICROS - DAY_MICROS),
+                    "");
+            assertNeedsConfirmation(
+                    POLICY.decide(
+                            deadLetter(null, attempt(AttemptOutcome.TIMEOUT)),
+                            NON_IDEMPOTENT,
+                            STORED_AT_MICROS + age,
+                            STORED_AT_MICROS + age),
+                    "");
         }
     }
 
     @Test
-    void wordOfAPersonSpeaksOfTheAttemptsUntilThenAlone() {
-        DeadLetter.Word word = new DeadLetter.Word("clerk", "not in the books", 1, T + SECOND);
-        now(RULES.decide(entry(word, tried(AttemptOutcome.TIMEOUT)), UNSAFE, T + 2 * SECOND, T - DAY));
-        afterWord(
-                RULES.decide(
-                        entry(word, tried(AttemptOutcome.TIMEOUT), tried(T + 3 * SECOND, AttemptOutcome.RESET, "b0")),
-                        UNSAFE,
-                        T + 9 * SECOND,
-                        T - DAY),
+    void confirmationCoversTheAttemptsUntilThenOnly() {
+        DeadLetter.Confirmation confirmation =
+                new DeadLetter.Confirmation("clerk", "not in the books", 1, STORED_AT_MICROS + SECOND_MICROS);
+        assertSentNow(POLICY.decide(
+                deadLetter(confirmation, attempt(AttemptOutcome.TIMEOUT)),
+                NON_IDEMPOTENT,
+                STORED_AT_MICROS + 2 * SECOND_MICROS,
+                STORED_AT_MICROS - DAY_MICROS));
+        assertNeedsConfirmation(
+                POLICY.decide(
+                        deadLetter(
+                                confirmation,
+                                attempt(AttemptOutcome.TIMEOUT),
+                                attempt(STORED_AT_MICROS + 3 * SECOND_MICROS, AttemptOutcome.RESET, "b0")),
+                        NON_IDEMPOTENT,
+                        STORED_AT_MICROS + 9 * SECOND_MICROS,
+                        STORED_AT_MICROS - DAY_MICROS),
                 "may have run");
-        now(RULES.decide(
-                entry(word, tried(AttemptOutcome.TIMEOUT), tried(T + 3 * SECOND, AttemptOutcome.REJECTED, "b0")),
-                UNSAFE,
-                T + 9 * SECOND,
-                T - DAY));
+        assertSentNow(POLICY.decide(
+                deadLetter(
+                        confirmation,
+                        attempt(AttemptOutcome.TIMEOUT),
+                        attempt(STORED_AT_MICROS + 3 * SECOND_MICROS, AttemptOutcome.REJECTED, "b0")),
+                NON_IDEMPOTENT,
+                STORED_AT_MICROS + 9 * SECOND_MICROS,
+                STORED_AT_MICROS - DAY_MICROS));
     }
 
     @Test
-    void lateProofEndsIt() {
-        DeadLetter.Word word = new DeadLetter.Word("clerk", "not in the books", 1, T + SECOND);
+    void lateProofOfExecutionSettlesIt() {
+        DeadLetter.Confirmation confirmation =
+                new DeadLetter.Confirmation("clerk", "not in the books", 1, STORED_AT_MICROS + SECOND_MICROS);
         assertInstanceOf(
-                RedrivePolicy.Over.class,
-                RULES.decide(entry(word, tried(AttemptOutcome.OK)), UNSAFE, T + 2 * SECOND, T - DAY));
+                RedrivePolicy.Settled.class,
+                POLICY.decide(
+                        deadLetter(confirmation, attempt(AttemptOutcome.OK)),
+                        NON_IDEMPOTENT,
+                        STORED_AT_MICROS + 2 * SECOND_MICROS,
+                        STORED_AT_MICROS - DAY_MICROS));
     }
 
     @Test
-    void keyedGoesWithinItsWindowLessTheMarginFromTheFirstPossibleEffect() {
-        DeadLetter one =
-                entry(null, tried(T - 20 * SECOND, AttemptOutcome.TIMEOUT, "b0"), tried(T, AttemptOutcome.RESET, "b0"));
-        RedrivePolicy.Now now =
-                assertInstanceOf(RedrivePolicy.Now.class, RULES.decide(one, KEYED, T + 8 * SECOND, T - DAY));
-        assertEquals(T - 20 * SECOND + 30 * SECOND - SECOND, now.deadline(), "the window is the deadline");
-        assertEquals(List.of(new PastAttempt("r-b0", T - 20 * SECOND, AttemptOutcome.TIMEOUT)), now.past());
-        afterWord(RULES.decide(one, KEYED, T + 9 * SECOND, T - DAY), "key window is over");
+    void keyWindowIsMeasuredFromTheFirstPossibleExecutionLessTheMargin() {
+        DeadLetter one = deadLetter(
+                null,
+                attempt(STORED_AT_MICROS - 20 * SECOND_MICROS, AttemptOutcome.TIMEOUT, "b0"),
+                attempt(STORED_AT_MICROS, AttemptOutcome.RESET, "b0"));
+        RedrivePolicy.SendNow now = assertInstanceOf(
+                RedrivePolicy.SendNow.class,
+                POLICY.decide(one, KEYED, STORED_AT_MICROS + 8 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS));
+        assertEquals(
+                STORED_AT_MICROS - 20 * SECOND_MICROS + 30 * SECOND_MICROS - SECOND_MICROS,
+                now.deadlineMicros(),
+                "the deadline is the end of the window");
+        assertEquals(
+                List.of(new PastAttempt("r-b0", STORED_AT_MICROS - 20 * SECOND_MICROS, AttemptOutcome.TIMEOUT)),
+                now.pastAttempts());
+        assertNeedsConfirmation(
+                POLICY.decide(one, KEYED, STORED_AT_MICROS + 9 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
+                "key window is over");
     }
 
     @Test
-    void keyedThatNeverRanIsNotBoundByTheWindow() {
-        now(RULES.decide(entry(null, tried(AttemptOutcome.REJECTED)), KEYED, T + DAY / 2, T - DAY));
+    void keyWindowDoesNotApplyWhereNothingWasExecuted() {
+        assertSentNow(POLICY.decide(
+                deadLetter(null, attempt(AttemptOutcome.REJECTED)),
+                KEYED,
+                STORED_AT_MICROS + DAY_MICROS / 2,
+                STORED_AT_MICROS - DAY_MICROS));
     }
 
     @Test
-    void keysThatSeveralBuildingsMayHaveSeenNeedAWord() {
-        DeadLetter two =
-                entry(null, tried(T - SECOND, AttemptOutcome.TIMEOUT, "b0"), tried(T, AttemptOutcome.TIMEOUT, "b1"));
-        afterWord(RULES.decide(two, KEYED, T + SECOND, T - DAY), "several places");
-        now(RULES.decide(two, shelved(Idempotency.IDEMPOTENT_BY_KEY, KeyScope.ALL), T + SECOND, T - DAY));
-        afterWord(
-                RULES.decide(entry(null, tried(T, AttemptOutcome.TIMEOUT, "")), KEYED, T + SECOND, T - DAY),
+    void possibleExecutionInSeveralZonesNeedsConfirmation() {
+        DeadLetter two = deadLetter(
+                null,
+                attempt(STORED_AT_MICROS - SECOND_MICROS, AttemptOutcome.TIMEOUT, "b0"),
+                attempt(STORED_AT_MICROS, AttemptOutcome.TIMEOUT, "b1"));
+        assertNeedsConfirmation(
+                POLICY.decide(two, KEYED, STORED_AT_MICROS + SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
+                "several places");
+        assertSentNow(POLICY.decide(
+                two,
+                redriveClass(Idempotency.IDEMPOTENT_BY_KEY, KeyScope.ALL),
+                STORED_AT_MICROS + SECOND_MICROS,
+                STORED_AT_MICROS - DAY_MICROS));
+        assertNeedsConfirmation(
+                POLICY.decide(
+                        deadLetter(null, attempt(STORED_AT_MICROS, AttemptOutcome.TIMEOUT, "")),
+                        KEYED,
+                        STORED_AT_MICROS + SECOND_MICROS,
+                        STORED_AT_MICROS - DAY_MICROS),
                 "several places");
     }
 
     @Test
-    void windowIsNotMeasuredAcrossARestartNorByAClockThatWasSetBack() {
-        DeadLetter one = entry(null, tried(T, AttemptOutcome.TIMEOUT, "b0"));
-        afterWord(RULES.decide(one, KEYED, T + 2 * SECOND, T + SECOND), "restart");
-        afterWord(RULES.decide(one, KEYED, T - 5 * SECOND, T - DAY), "clock");
-        afterWord(RULES.decide(one, KEYED, T + DAY, T - DAY), "over");
+    void keyWindowIsNotMeasuredAcrossARestartOrAClockSetBack() {
+        DeadLetter one = deadLetter(null, attempt(STORED_AT_MICROS, AttemptOutcome.TIMEOUT, "b0"));
+        assertNeedsConfirmation(
+                POLICY.decide(one, KEYED, STORED_AT_MICROS + 2 * SECOND_MICROS, STORED_AT_MICROS + SECOND_MICROS),
+                "restart");
+        assertNeedsConfirmation(
+                POLICY.decide(one, KEYED, STORED_AT_MICROS - 5 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
+                "clock");
+        assertNeedsConfirmation(
+                POLICY.decide(one, KEYED, STORED_AT_MICROS + DAY_MICROS, STORED_AT_MICROS - DAY_MICROS), "over");
     }
 
     @Test
-    void shelfLifeEndsWhatGoesByItself() {
-        now(RULES.decide(entry(null, tried(AttemptOutcome.TIMEOUT)), SAFE, T + DAY - 1, T - DAY));
-        afterWord(RULES.decide(entry(null, tried(AttemptOutcome.TIMEOUT)), SAFE, T + DAY + 1, T - DAY), "shelf life");
-        afterWord(
-                RULES.decide(entry(null, tried(AttemptOutcome.REJECTED)), UNSAFE, T + DAY + 1, T - DAY), "shelf life");
-        now(RULES.decide(
-                entry(new DeadLetter.Word("clerk", "still wanted", 1, T), tried(AttemptOutcome.REJECTED)),
-                UNSAFE,
-                T + 2 * DAY,
-                T - DAY));
+    void redriveWindowEndsRedrivesWithoutConfirmation() {
+        assertSentNow(POLICY.decide(
+                deadLetter(null, attempt(AttemptOutcome.TIMEOUT)),
+                IDEMPOTENT,
+                STORED_AT_MICROS + DAY_MICROS - 1,
+                STORED_AT_MICROS - DAY_MICROS));
+        assertNeedsConfirmation(
+                POLICY.decide(
+                        deadLetter(null, attempt(AttemptOutcome.TIMEOUT)),
+                        IDEMPOTENT,
+                        STORED_AT_MICROS + DAY_MICROS + 1,
+                        STORED_AT_MICROS - DAY_MICROS),
+                "shelf life");
+        assertNeedsConfirmation(
+                POLICY.decide(
+                        deadLetter(null, attempt(AttemptOutcome.REJECTED)),
+                        NON_IDEMPOTENT,
+                        STORED_AT_MICROS + DAY_MICROS + 1,
+                        STORED_AT_MICROS - DAY_MICROS),
+                "shelf life");
+        assertSentNow(POLICY.decide(
+                deadLetter(
+                        new DeadLetter.Confirmation("clerk", "still wanted", 1, STORED_AT_MICROS),
+                        attempt(AttemptOutcome.REJECTED)),
+                NON_IDEMPOTENT,
+                STORED_AT_MICROS + 2 * DAY_MICROS,
+                STORED_AT_MICROS - DAY_MICROS));
     }
 
     @Test
-    void pauseGrowsWithEachTryUpToABound() {
-        DeadLetter once = entry(null);
-        assertEquals(T + SECOND, RULES.nextTry(once, T));
-        DeadLetter often = new DeadLetter(1, once.content(), T, "", "", DeadLetter.State.KEPT, T, null, 40, List.of());
-        assertEquals(T + 64 * SECOND, RULES.nextTry(often, T));
+    void pauseDoublesWithEachRedriveUpToALimit() {
+        DeadLetter once = deadLetter(null);
+        assertEquals(STORED_AT_MICROS + SECOND_MICROS, POLICY.nextAttemptMicros(once, STORED_AT_MICROS));
+        DeadLetter often = new DeadLetter(
+                1,
+                once.content(),
+                STORED_AT_MICROS,
+                "",
+                "",
+                DeadLetter.State.KEPT,
+                STORED_AT_MICROS,
+                null,
+                40,
+                List.of());
+        assertEquals(STORED_AT_MICROS + 64 * SECOND_MICROS, POLICY.nextAttemptMicros(often, STORED_AT_MICROS));
     }
 
     @Test
-    void classThatIsNotKnownAnyMoreNeedsAWord() {
-        afterWord(RULES.decide(entry(null), null, T, T - DAY), "not known any more");
+    void unknownClassNeedsConfirmation() {
+        assertNeedsConfirmation(
+                POLICY.decide(deadLetter(null), null, STORED_AT_MICROS, STORED_AT_MICROS - DAY_MICROS),
+                "not known any more");
     }
 }
--- a/src/test/java/loftflow/deadletter/SqliteDeadLetterStoreTest.java
+++ b/src/test/java/loftflow/deadletter/SqliteDeadLetterStoreTest.java
@@ -21,27 +21,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The store in SQLite: round trips, migration, concurrency of states, damage and size limits. */
 class SqliteDeadLetterStoreTest {
     @TempDir
     Path folder;
 
-    private DeadLetterStore shelf;
+    private DeadLetterStore store;
 
     private DeadLetterStore open() {
-        shelf = SqliteDeadLetterStore.open(folder, 1 << 30);
-        return shelf;
+        store = SqliteDeadLetterStore.open(folder, 1 << 30);
+        return store;
     }
 
     @AfterEach
     void end() {
-        if (shelf != null) {
-            shelf.close();
+        if (store != null) {
+            store.close();
         }
     }
 
-    private static DeadLetter entry(String id, int destination, long due, AttemptOutcome... results) {
-        List<DeadLetter.Try> tries = java.util.stream.IntStream.range(0, results.length)
-                .mapToObj(i -> new DeadLetter.Try("r" + i, "b0", 100 + i, results[i]))
+    private static DeadLetter deadLetter(String id, int destination, long due, AttemptOutcome... outcomes) {
+        List<DeadLetter.Attempt> attempts = java.util.stream.IntStream.range(0, outcomes.length)
+                .mapToObj(i -> new DeadLetter.Attempt("r" + i, "b0", 100 + i, outcomes[i]))
                 .toList();
         return new DeadLetter(
                 0,
@@ -53,35 +54,35 @@
                 due,
                 null,
                 0,
-                tries);
+                attempts);
     }
 
     @Test
-    void entryComesBackWholeAfterAReopening() {
-        long id = open().put(entry("m1", 7, 900, AttemptOutcome.REJECTED, null, AttemptOutcome.TIMEOUT));
-        shelf.close();
-        DeadLetter back = open().get(id).orElseThrow();
-        assertEquals("m1", back.content().messageId());
-        assertEquals(3, back.content().body().length);
+    void deadLetterIsUnchangedAfterReopening() {
+        long id = open().put(deadLetter("m1", 7, 900, AttemptOutcome.REJECTED, null, AttemptOutcome.TIMEOUT));
+        store.close();
+        DeadLetter stored = open().get(id).orElseThrow();
+        assertEquals("m1", stored.content().messageId());
+        assertEquals(3, stored.content().body().length);
         assertEquals(
-                entry("m1", 7, 900, AttemptOutcome.REJECTED, null, AttemptOutcome.TIMEOUT)
+                deadLetter("m1", 7, 900, AttemptOutcome.REJECTED, null, AttemptOutcome.TIMEOUT)
                         .tries(),
-                back.tries());
-        assertEquals(ExecutionCertainty.MAYBE, back.ran());
+                stored.tries());
+        assertEquals(ExecutionCertainty.MAYBE, stored.ran());
         assertEquals(
                 0,
-                shelf.list(DeadLetterStore.Filter.ALL, 0, 9, false)
+                store.list(DeadLetterStore.Filter.ALL, 0, 9, false)
                         .get(0)
                         .content()
                         .body()
                         .length,
-                "bodies when asked");
+                "bodies only on request");
     }
 
-    private static DeadLetter inLine(String id, String line) {
+    private static DeadLetter ordered(String id, String orderingKey) {
         return new DeadLetter(
                 0,
-                new Message.Content(id, "ordered", "acme", null, 500, 7, new byte[] {1}, null, line),
+                new Message.Content(id, "ordered", "acme", null, 500, 7, new byte[] {1}, null, orderingKey),
                 400,
                 "timeout",
                 "failed",
@@ -93,22 +94,19 @@
     }
 
     @Test
-    void lineComesBack() {
-        long id = open().put(inLine("m1", "track-4"));
-        assertEquals("track-4", shelf.get(id).orElseThrow().content().orderingKey());
+    void orderingKeyIsStored() {
+        long id = open().put(ordered("m1", "track-4"));
+        assertEquals("track-4", store.get(id).orElseThrow().content().orderingKey());
         assertEquals(
                 "track-4",
-                shelf.due(1_000, Integer.MIN_VALUE, 9).get(0).content().orderingKey());
+                store.findDue(1_000, Integer.MIN_VALUE, 9).get(0).content().orderingKey());
     }
 
-    /**
-     * A file from before lines were kept is read as it is, and brought up to date when a relay opens it; nothing of it
-     * is lost.
-     */
+    /** A file without ordering keys is read as it is, and migrated without loss when a relay opens it. */
     @Test
-    void fileWithoutLinesGoesOn() throws SQLException {
-        long id = open().put(inLine("m1", "track-4"));
-        shelf.close();
+    void fileWithoutOrderingKeysIsMigrated() throws SQLException {
+        long id = open().put(ordered("m1", "track-4"));
+        store.close();
         try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(SqliteDeadLetterStore.NAME));
                 Statement statement = db.createStatement()) {
             statement.execute("ALTER TABLE entry DROP COLUMN line");
@@ -122,69 +120,69 @@
                             .toList());
         }
         assertNull(open().get(id).orElseThrow().content().orderingKey());
-        long next = shelf.put(inLine("m2", "track-5"));
-        shelf.close();
+        long next = store.put(ordered("m2", "track-5"));
+        store.close();
         assertEquals("track-5", open().get(next).orElseThrow().content().orderingKey());
     }
 
     @Test
-    void sameMessageTwiceIsOneEntry() {
-        long id = open().put(entry("m1", 7, 900, AttemptOutcome.TIMEOUT));
-        assertEquals(id, shelf.put(entry("m1", 7, 900, AttemptOutcome.TIMEOUT)));
-        assertEquals(1, shelf.size().entries());
-        assertEquals(1, shelf.get(id).orElseThrow().tries().size());
+    void sameMessageTwiceIsOneDeadLetter() {
+        long id = open().put(deadLetter("m1", 7, 900, AttemptOutcome.TIMEOUT));
+        assertEquals(id, store.put(deadLetter("m1", 7, 900, AttemptOutcome.TIMEOUT)));
+        assertEquals(1, store.size().entries());
+        assertEquals(1, store.get(id).orElseThrow().tries().size());
     }
 
     @Test
-    void onlyOneOfTwoMovesWins() {
-        long id = open().put(entry("m1", 7, 900));
-        assertTrue(shelf.move(id, DeadLetter.State.KEPT, DeadLetter.State.RESENDING, 0));
-        assertFalse(shelf.move(id, DeadLetter.State.KEPT, DeadLetter.State.RESENDING, 0));
+    void onlyOneOfTwoTransitionsWins() {
+        long id = open().put(deadLetter("m1", 7, 900));
+        assertTrue(store.transition(id, DeadLetter.State.KEPT, DeadLetter.State.REDRIVING, 0));
+        assertFalse(store.transition(id, DeadLetter.State.KEPT, DeadLetter.State.REDRIVING, 0));
     }
 
     @Test
-    void proofDeliversAndIsNeverTakenBack() {
-        long id = open().put(entry("m1", 7, 900, AttemptOutcome.TIMEOUT));
-        shelf.learn(id, new DeadLetter.Try("r0", "b0", 100, AttemptOutcome.OK));
-        shelf.learn(id, new DeadLetter.Try("r0", "b0", 100, AttemptOutcome.NOT_SENT));
-        shelf.resent(id, List.of(), DeadLetter.State.KEPT, 0, "sent again: FULL");
-        assertEquals("a late answer", shelf.get(id).orElseThrow().why());
-        assertEquals(DeadLetter.State.DELIVERED, shelf.get(id).orElseThrow().state());
-        assertEquals(ExecutionCertainty.DID, shelf.get(id).orElseThrow().ran());
-        assertEquals(List.of(), shelf.due(Long.MAX_VALUE - 1, Integer.MIN_VALUE, 9));
+    void proofOfExecutionDeliversAndIsFinal() {
+        long id = open().put(deadLetter("m1", 7, 900, AttemptOutcome.TIMEOUT));
+        store.recordOutcome(id, new DeadLetter.Attempt("r0", "b0", 100, AttemptOutcome.OK));
+        store.recordOutcome(id, new DeadLetter.Attempt("r0", "b0", 100, AttemptOutcome.NOT_SENT));
+        store.recordRedrive(id, List.of(), DeadLetter.State.KEPT, 0, "sent again: FULL");
+        assertEquals("a late answer", store.get(id).orElseThrow().reason());
+        assertEquals(DeadLetter.State.DELIVERED, store.get(id).orElseThrow().state());
+        assertEquals(ExecutionCertainty.EXECUTED, store.get(id).orElseThrow().ran());
+        assertEquals(List.of(), store.findDue(Long.MAX_VALUE - 1, Integer.MIN_VALUE, 9));
     }
 
     @Test
-    void backlogOfOneDestinationDoesNotHideTheOthers() {
+    void backlogOfOneDestinationDoesNotHideOthers() {
         open();
         for (int i = 0; i < 100; i++) {
-            shelf.put(entry("a" + i, 1, i));
+            store.put(deadLetter("a" + i, 1, i));
         }
-        shelf.put(entry("b", 2, 500));
-        shelf.put(entry("c", 3, 5_000));
+        store.put(deadLetter("b", 2, 500));
+        store.put(deadLetter("c", 3, 5_000));
         assertEquals(
                 List.of("a0", "b"),
-                shelf.due(1_000, Integer.MIN_VALUE, 64).stream()
+                store.findDue(1_000, Integer.MIN_VALUE, 64).stream()
                         .map(e -> e.content().messageId())
                         .toList());
     }
 
     @Test
-    void auditIsNeitherChangedNorRemoved() throws SQLException {
-        open().audit(1, "clerk", "discard", 7, "posted by hand");
-        assertEquals(1, shelf.audits(7).size());
+    void auditTrailCannotBeChangedOrRemoved() throws SQLException {
+        open().appendAudit(1, "clerk", "discard", 7, "posted by hand");
+        assertEquals(1, store.audits(7).size());
         try (Connection db = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(SqliteDeadLetterStore.NAME));
                 Statement statement = db.createStatement()) {
             assertThrows(SQLException.class, () -> statement.execute("UPDATE audit SET who = 'nobody'"));
             assertThrows(SQLException.class, () -> statement.execute("DELETE FROM audit"));
         }
         assertTrue(
-                shelf.audits(7).get(0).endsWith("clerk discard: posted by hand"),
-                shelf.audits(7).toString());
+                store.audits(7).get(0).endsWith("clerk discard: posted by hand"),
+                store.audits(7).toString());
     }
 
     @Test
-    void fileThatIsNoDatabaseIsSetAsideWhole() throws IOException {
+    void fileThatIsNoDatabaseIsSetAside() throws IOException {
         Path file = folder.resolve(SqliteDeadLetterStore.NAME);
         Files.writeString(file, "no database ".repeat(1_000));
         assertEquals(0, open().size().entries());
@@ -197,51 +195,52 @@
     }
 
     @Test
-    void damagedPageIsFoundAtTheStartAndSetAside() throws IOException {
+    void damagedPageIsDetectedAtTheStart() throws IOException {
         open();
         for (int i = 0; i < 200; i++) {
-            shelf.put(entry("m" + i, 7, 900, AttemptOutcome.TIMEOUT));
+            store.put(deadLetter("m" + i, 7, 900, AttemptOutcome.TIMEOUT));
         }
-        shelf.close();
+        store.close();
         Path file = folder.resolve(SqliteDeadLetterStore.NAME);
         byte[] bytes = Files.readAllBytes(file);
         java.util.Arrays.fill(bytes, 4_096, bytes.length, (byte) 0x5a);
         Files.write(file, bytes);
         assertEquals(0, open().size().entries());
-        assertEquals(1, shelf.put(entry("new", 7, 1)));
+        assertEquals(1, store.put(deadLetter("new", 7, 1)));
     }
 
     @Test
-    void folderThatIsNoneEndsWithAPlainLine() throws IOException {
+    void fileInPlaceOfTheFolderFailsWithOneLine() throws IOException {
         Path file = Files.writeString(folder.resolve("taken"), "");
         String message = assertThrows(
                         DeadLetterStore.ShelfException.class, () -> SqliteDeadLetterStore.open(file, 1 << 30))
                 .getMessage();
-        assertTrue(message.startsWith("undeliverable: "), message);
+        assertTrue(message.startsWith("deadletter: "), message);
         assertEquals(1, message.lines().count());
     }
 
     @Test
-    void settledEntriesGoByAgeAndKeptOnesStay() {
+    void settledDeadLettersAreRemovedByAgeAndOthersStay() {
         open();
-        long delivered = shelf.put(entry("m1", 7, 900, AttemptOutcome.OK));
-        long kept = shelf.put(entry("m2", 7, 900, AttemptOutcome.TIMEOUT));
-        shelf.move(delivered, DeadLetter.State.KEPT, DeadLetter.State.DELIVERED, 0);
-        assertEquals(1, shelf.removeSettled(1_000, 10));
-        assertTrue(shelf.get(kept).isPresent() && shelf.get(delivered).isEmpty());
+        long delivered = store.put(deadLetter("m1", 7, 900, AttemptOutcome.OK));
+        long undelivered = store.put(deadLetter("m2", 7, 900, AttemptOutcome.TIMEOUT));
+        store.transition(delivered, DeadLetter.State.KEPT, DeadLetter.State.DELIVERED, 0);
+        assertEquals(1, store.removeSettled(1_000, 10));
+        assertTrue(store.get(undelivered).isPresent() && store.get(delivered).isEmpty());
     }
 
-    /** The database's own full: what a full disk makes of it, at the same place in its code. */
+    /** The size limit of the database takes the same path in its code as a full disk. */
     @Test
-    void databaseThatCanGrowNoMoreTurnsAwayWholeEntriesAndKeepsTheOthers() {
-        shelf = SqliteDeadLetterStore.open(folder, 256 << 10);
-        int taken = 0;
+    void fullDatabaseRejectsDeadLettersAsAWholeAndRetainsTheOthers() {
+        store = SqliteDeadLetterStore.open(folder, 256 << 10);
+        int storedCount = 0;
         DeadLetterStore.ShelfException full = null;
         while (full == null) {
             try {
-                shelf.put(new DeadLetter(
+                store.put(new DeadLetter(
                         0,
-                        new Message.Content("m" + taken, "unsafe", null, null, 500 + taken, 7, new byte[3_000]),
+                        new Message.Content(
+                                "m" + storedCount, "unsafe", null, null, 500 + storedCount, 7, new byte[3_000]),
                         400,
                         "timeout",
                         "failed",
@@ -249,22 +248,25 @@
                         0,
                         null,
                         0,
-                        List.of(new DeadLetter.Try("r0", "b0", 100, AttemptOutcome.TIMEOUT))));
-                taken++;
+                        List.of(new DeadLetter.Attempt("r0", "b0", 100, AttemptOutcome.TIMEOUT))));
+                storedCount++;
             } catch (DeadLetterStore.ShelfException e) {
                 full = e;
             }
         }
         assertTrue(full.getMessage().contains("full"), full.getMessage());
-        assertTrue(taken > 20, "only " + taken);
-        assertTrue(shelf.find("m" + taken, 500 + taken).isEmpty(), "nothing of what was turned away is left");
-        assertTrue(shelf.size().bytes() <= 256 << 10, shelf.size().toString());
-        assertTrue(shelf.move(1, DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, 0));
-        assertEquals(1, shelf.removeSettled(Long.MAX_VALUE, 9));
-        shelf.put(entry("m-later", 7, 900, AttemptOutcome.REJECTED));
-        shelf.close();
-        shelf = SqliteDeadLetterStore.open(folder, 256 << 10);
+        assertTrue(storedCount > 20, "only " + storedCount);
+        assertTrue(
+                store.find("m" + storedCount, 500 + storedCount).isEmpty(),
+                "nothing of a rejected dead letter is left");
+        assertTrue(store.size().bytes() <= 256 << 10, store.size().toString());
+        assertTrue(store.transition(1, DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, 0));
+        assertEquals(1, store.removeSettled(Long.MAX_VALUE, 9));
+        store.put(deadLetter("m-later", 7, 900, AttemptOutcome.REJECTED));
+        store.close();
+        store = SqliteDeadLetterStore.open(folder, 256 << 10);
         assertEquals(
-                taken, shelf.list(DeadLetterStore.Filter.ALL, 0, 10_000, false).size());
+                storedCount,
+                store.list(DeadLetterStore.Filter.ALL, 0, 10_000, false).size());
     }
 }
--- a/src/test/java/loftflow/server/DeadLetterTest.java
+++ b/src/test/java/loftflow/server/DeadLetterTest.java
@@ -343,7 +343,7 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(202, handIn("s" + i, "settlement"));
         }
-        await(() -> log().contains("the store is full"));
+        await(() -> log().contains("deadletter: store full"));
         assertEquals(503, handInOnce("s9", "settlement"));
         ask("command", "discard", "id", id("s0"), "by", "clerk", "reason", "posted by hand");
         assertTrue(ask("command", "stats").get(0).contains("\"entries\":3"));
@@ -354,7 +354,7 @@
         Files.createDirectories(state());
         Files.writeString(state().resolve("undeliverable.db"), "no database".repeat(1_000));
         start(written(""));
-        assertTrue(log().contains("is damaged") && log().contains("set aside"), log());
+        assertTrue(log().contains("deadletter: damaged database set aside"), log());
         assertEquals(202, handIn("s1", "settlement"));
         await(() -> partner.effects().containsKey("s1"));
     }
