--- a/src/main/java/loftflow/listener/http2/RequestStream.java
+++ b/src/main/java/loftflow/listener/http2/RequestStream.java
@@ -6,179 +6,194 @@
 import io.netty.handler.codec.http2.Http2Stream;
 import io.netty.util.AsciiString;
 import java.util.Arrays;
-import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Function;
 import java.util.stream.Collectors;
 import loftflow.engine.Message;
 import loftflow.engine.MessageAcceptor;
-import loftflow.http.Headers;
 import loftflow.listener.http2.flowcontrol.StreamLifecycle;
+import loftflow.listener.request.ClientProtocol;
 import loftflow.listener.request.ClientResponse;
 import loftflow.listener.request.Exchange;
 import loftflow.listener.request.MessageRequest;
 
-/** One request on a connection, from its head to its one answer. */
+/** One request on a connection, from its head to its one response. */
 final class RequestStream extends Exchange {
-    private static final Map<String, AsciiString> NAMES = List.of(
-                    Headers.CALL_ID, Headers.CALL_CLASS, Headers.CALLER, Headers.KEY, Headers.BUDGET, Headers.CONSIGNEE)
-            .stream()
+    /** The lower-case names that HTTP/2 requires, by header name. */
+    private static final Map<String, AsciiString> LOWER_CASE_NAMES = ClientProtocol.requestHeaders().stream()
             .collect(Collectors.toMap(Function.identity(), name -> AsciiString.cached(name.toLowerCase(Locale.ROOT))));
-    private static final byte[] NONE = new byte[0];
-    private static final long UNTOLD = -1;
 
-    private final ClientSession session;
+    private static final byte[] EMPTY_BODY = new byte[0];
+    private static final long UNKNOWN_LENGTH = -1;
+
+    private final StreamTable streams;
+    private final SessionFlowControl flowControl;
     private final Http2Stream stream;
     private final Http2Headers head;
-    private final StreamLifecycle life = new StreamLifecycle();
-    private int granted = ClientSession.FIRST_WINDOW;
-    private int held;
-    private int lent;
-    private final long since;
-    private final long length;
-    private int wished;
-    private byte[] body = NONE;
-    private int size;
-    private boolean whole;
-
-    /** A stream whose head has come. */
-    RequestStream(ClientSession session, MessageAcceptor intake, Http2Stream stream, Http2Headers head, long since) {
-        super(intake);
-        this.session = session;
+    private final StreamLifecycle lifecycle = new StreamLifecycle();
+    private final long startedAtMicros;
+    private final long contentLength;
+
+    private int windowBytes = SessionFlowControl.INITIAL_STREAM_WINDOW_BYTES;
+    private int allocatedBytes;
+    private int compensatedBytes;
+    /** Bytes by which the window is to be extended once they are available; 0 for none. */
+    private int wantedBytes;
+
+    private byte[] body = EMPTY_BODY;
+    private int bodyBytes;
+    private boolean isComplete;
+
+    /** Creates the request of a stream whose head was received. */
+    RequestStream(
+            StreamTable streams,
+            SessionFlowControl flowControl,
+            MessageAcceptor messageAcceptor,
+            Http2Stream stream,
+            Http2Headers head,
+            long startedAtMicros) {
+        super(messageAcceptor);
+        this.streams = streams;
+        this.flowControl = flowControl;
         this.stream = stream;
         this.head = head;
-        this.since = since;
-        // The decoder has made sure that it is a number.
-        length = head.getLong(HttpHeaderNames.CONTENT_LENGTH, UNTOLD);
+        this.startedAtMicros = startedAtMicros;
+        // The decoder has verified that a length is a number.
+        contentLength = head.getLong(HttpHeaderNames.CONTENT_LENGTH, UNKNOWN_LENGTH);
     }
 
     Http2Stream stream() {
         return stream;
     }
 
-    StreamLifecycle life() {
-        return life;
+    StreamLifecycle lifecycle() {
+        return lifecycle;
+    }
+
+    boolean isReading() {
+        return lifecycle.state() == StreamLifecycle.State.READING;
     }
 
-    /** Bytes of its body as its head tells them; below 0 where it tells none. */
-    long length() {
-        return length;
+    /** The length of the body by its head; negative where the head does not say. */
+    long contentLength() {
+        return contentLength;
     }
 
-    /** When its head came. */
-    long since() {
-        return since;
+    /** When the head was received. */
+    long startedAtMicros() {
+        return startedAtMicros;
     }
 
-    /** The class that it says it is of, for what it may hold; it may be none that there is. */
-    String type() {
-        CharSequence type = head.get(NAMES.get(Headers.CALL_CLASS));
-        return type == null ? "" : type.toString();
+    /** The class in its head, which decides from which part of the pool its bytes come; possibly an unknown one. */
+    String requestClass() {
+        CharSequence name = head.get(LOWER_CASE_NAMES.get(ClientProtocol.CLASS_HEADER));
+        return name == null ? "" : name.toString();
     }
 
-    /** Bytes of its body that its window lets come in all. */
-    int granted() {
-        return granted;
+    /** The number of body bytes that its receive windows have allowed so far. */
+    int windowBytes() {
+        return windowBytes;
     }
 
-    void grant(int bytes) {
-        granted += bytes;
-        held += bytes;
+    /** Its window has been extended by bytes that were allocated from the pool. */
+    void onWindowExtended(int bytes) {
+        windowBytes += bytes;
+        allocatedBytes += bytes;
     }
 
-    /** Asks for room for so many more bytes; where there is none now, it is asked for again when some comes back. */
-    void wish(int bytes) {
-        wished = bytes;
-        ask();
+    /** Requests a larger window; where the pool is exhausted, the request is repeated as bytes are released. */
+    void requestWindow(int bytes) {
+        wantedBytes = bytes;
+        retryWindowRequest();
     }
 
-    /** Asks again for what was wished. */
-    void ask() {
-        if (wantsCredit() && session.extend(this, wished)) {
-            wished = 0;
+    /** Repeats the request for a larger window. */
+    void retryWindowRequest() {
+        if (isAwaitingWindow() && flowControl.tryExtend(this, wantedBytes)) {
+            wantedBytes = 0;
         }
     }
 
-    /** It has waited for long. */
-    void insist() {
-        if (wantsCredit()) {
-            session.insist(this, wished);
+    /** Makes another connection release bytes, after a long wait for a larger window. */
+    void reclaimWindow() {
+        if (isAwaitingWindow()) {
+            flowControl.reclaim(this, wantedBytes);
         }
     }
 
-    /** True where its body waits for room. */
-    boolean wantsCredit() {
-        return wished > 0 && life.state() == StreamLifecycle.State.READING;
+    /** Returns true where the body waits for a larger window. */
+    boolean isAwaitingWindow() {
+        return wantedBytes > 0 && isReading();
     }
 
-    /** True where its length is untold and what its window lets come is nearly used up. */
-    boolean mayNeedMore() {
-        return wished == 0
-                && granted < ClientSession.MOST_WINDOW
-                && granted - size < ClientSession.FIRST_WINDOW / 2
-                && length == UNTOLD;
+    /** Returns true where the length is unknown and the window is nearly used up. */
+    boolean needsLargerWindow() {
+        return wantedBytes == 0
+                && windowBytes < SessionFlowControl.MAX_STREAM_WINDOW_BYTES
+                && windowBytes - bodyBytes < SessionFlowControl.INITIAL_STREAM_WINDOW_BYTES / 2
+                && contentLength == UNKNOWN_LENGTH;
     }
 
-    /** Bytes that it has of the front's pool. */
-    int held() {
-        return held;
+    /** The bytes that are allocated to it from the pool. */
+    int allocatedBytes() {
+        return allocatedBytes;
     }
 
-    /** Bytes by which the connection's window is wider while it is half read. */
-    int lent() {
-        return lent;
+    /** The bytes by which the connection's window is extended on its behalf. */
+    int compensatedBytes() {
+        return compensatedBytes;
     }
 
-    void lend(int bytes) {
-        lent += bytes;
+    /** The connection's window is extended on its behalf. */
+    void onCompensated(int bytes) {
+        compensatedBytes += bytes;
     }
 
-    /** What it had is given back. */
-    void returned() {
-        held = 0;
-        lent = 0;
+    /** All its bytes have been released. */
+    void onReleased() {
+        allocatedBytes = 0;
+        compensatedBytes = 0;
     }
 
-    /** Bytes of the body that have come. */
-    int size() {
-        return size;
+    /** The number of body bytes received. */
+    int bodyBytes() {
+        return bodyBytes;
     }
 
-    /** Takes in a piece of the body, which has room for it. */
-    void add(ByteBuf piece) {
-        int bytes = piece.readableBytes();
-        if (size + bytes > body.length) {
-            // Guards against streams that tell a long body and send a byte: no more is held than was let come.
-            int whole = (int) Math.min(granted, length == UNTOLD ? 2 * body.length : length);
-            body = Arrays.copyOf(body, Math.max(size + bytes, whole));
+    /** Appends a chunk of the body, which must fit its maximum size. */
+    void append(ByteBuf chunk) {
+        int chunkBytes = chunk.readableBytes();
+        if (bodyBytes + chunkBytes > body.length) {
+            // The buffer never exceeds what the window allows, however long a body the head announces.
+            long expectedBytes = contentLength == UNKNOWN_LENGTH ? 2 * body.length : contentLength;
+            int capacity = (int) Math.min(windowBytes, expectedBytes);
+            body = Arrays.copyOf(body, Math.max(bodyBytes + chunkBytes, capacity));
         }
-        piece.readBytes(body, size, bytes);
-        size += bytes;
+        chunk.readBytes(body, bodyBytes, chunkBytes);
+        bodyBytes += chunkBytes;
     }
 
-    /** True where its client has sent all of it. */
-    boolean isWhole() {
-        return whole;
+    /** Returns true where the client has sent the whole request. */
+    boolean isComplete() {
+        return isComplete;
     }
 
-    /** Does what the request asks for, which is whole. */
-    void whole(boolean draining, long came, long unreadSince) {
-        whole = true;
-        handle(head.method(), head.path(), draining, () -> content(came), unreadSince);
+    /** Handles the request, which is complete. */
+    void onComplete(boolean isDraining, long earliestArrivalMicros, long unreadSinceMicros) {
+        isComplete = true;
+        handle(head.method(), head.path(), isDraining, () -> parseMessage(earliestArrivalMicros), unreadSinceMicros);
     }
 
-    private Message.Content content(long came) {
+    private Message.Content parseMessage(long arrivedAtMicros) {
+        byte[] content = bodyBytes == body.length ? body : Arrays.copyOf(body, bodyBytes);
         return MessageRequest.parse(
-                head.path(),
-                name -> head.get(NAMES.get(name)),
-                came,
-                size == body.length ? body : Arrays.copyOf(body, size));
+                head.path(), name -> head.get(LOWER_CASE_NAMES.get(name)), arrivedAtMicros, content);
     }
 
     @Override
-    protected void respond(ClientResponse answer, long retryIn) {
+    protected void respond(ClientResponse response, long retryAfterMicros) {
         releaseMessage();
-        session.answer(this, answer, retryIn, StreamLifecycle.Event.RESPONDED);
+        streams.respond(this, response, retryAfterMicros, StreamLifecycle.Event.RESPONDED);
     }
 }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
@@ -2,9 +2,10 @@
 
 /**
  * The number of concurrent streams that each connection is offered (SETTINGS_MAX_CONCURRENT_STREAMS), adapted to load:
- * multiplicative decrease to one half while the relay is overloaded, increase by a quarter while it is not. Clients then
- * queue requests on their side where the relay would have to reject them. The offers to all busy connections together
- * stay within the total, as far as the minimum per connection allows; {@link #allowsNewStream} enforces the total.
+ * multiplicative decrease to one half while the relay is overloaded, increase by a quarter while it is not. Clients
+ * then queue requests on their side where the relay would have to reject them. The offers to all busy connections
+ * together stay within the total, as far as the minimum per connection allows; {@link #allowsNewStream} enforces the
+ * total.
  */
 public final class ConcurrentStreamLimit {
     /** The shortest time between two changes of the level, in which clients adapt to the former. */
--- a/src/main/java/loftflow/listener/http2/flowcontrol/GracefulGoAway.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/GracefulGoAway.java
@@ -1,10 +1,10 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * The graceful shutdown of a connection (RFC 9113, section 6.8). A first GOAWAY with the highest stream id announces it,
- * while streams that are in transit are still accepted. After a round trip a second GOAWAY carries the id of the last
- * accepted stream; streams above it are never processed. Open streams finish, and the connection closes with the last
- * response, or at the deadline.
+ * The graceful shutdown of a connection (RFC 9113, section 6.8). A first GOAWAY with the highest stream id announces
+ * it, while streams that are in transit are still accepted. After a round trip a second GOAWAY carries the id of the
+ * last accepted stream; streams above it are never processed. Open streams finish, and the connection closes with the
+ * last response, or at the deadline.
  */
 public final class GracefulGoAway {
     /** How long the acknowledgement of the first GOAWAY's PING is awaited before the second one is sent. */
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * Allocates receive windows from one pool of bytes, so that clients may send only what can be buffered. Half of the pool
- * is reserved for message classes by share, the rest is shared. Where the pool is exhausted, a connection that holds
- * more than its fair share is to release bytes for one that holds less.
+ * Allocates receive windows from one pool of bytes, so that clients may send only what can be buffered. Half of the
+ * pool is reserved for message classes by share, the rest is shared. Where the pool is exhausted, a connection that
+ * holds more than its fair share is to release bytes for one that holds less.
  */
 public final class ReceiveWindowAllocator {
     /** The initial receive window of every connection, which can't be reduced (RFC 9113, section 6.9.2). */
--- a/src/main/java/loftflow/listener/http2/flowcontrol/StreamLifecycle.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/StreamLifecycle.java
@@ -2,8 +2,8 @@
 
 /**
  * The state machine of one stream. Once its message is in the journal, nothing that its client does revokes it: a later
- * reset only means that nobody awaits the response. A client may take a request as not processed after REFUSED_STREAM or
- * GOAWAY alone (RFC 9113, section 8.7).
+ * reset only means that nobody awaits the response. A client may take a request as not processed after REFUSED_STREAM
+ * or GOAWAY alone (RFC 9113, section 8.7).
  */
 public final class StreamLifecycle {
     /** The state of a stream. */
--- a/src/main/java/loftflow/upstream/http/HostProtocol.java
+++ b/src/main/java/loftflow/upstream/http/HostProtocol.java
@@ -29,7 +29,9 @@
     static final String TIMEOUT_MILLIS_HEADER = Headers.BUDGET;
     /** Response header: the time in whole milliseconds for which the host wants no more calls. */
     static final String RETRY_AFTER_MILLIS_HEADER = Headers.COME_BACK;
-    /** Response header of a 503: {@link #CONCURRENCY_LIMITED} where the relay's own concurrent calls were the reason. */
+    /**
+     * Response header of a 503: {@link #CONCURRENCY_LIMITED} where the relay's own concurrent calls were the reason.
+     */
     static final String CONCURRENCY_LIMITED_HEADER = Headers.LINE_BUSY;
     /** Response header: the host's load report. */
     static final String LOAD_REPORT_HEADER = Headers.LOAD_REPORT;
--- a/src/test/java/loftflow/listener/http/UnreadResponsesTest.java
+++ b/src/test/java/loftflow/listener/http/UnreadResponsesTest.java
@@ -144,7 +144,9 @@
         return sent;
     }
 
-    /** While the relay drains, a connection stays open until its responses are sent, and the relay is not idle before. */
+    /**
+     * While the relay drains, a connection stays open until its responses are sent, and the relay is not idle before.
+     */
     @Test
     void bufferedResponsesAreSentDuringTheDrain() throws Exception {
         int sent = sendUntilResponsesAreBuffered();
--- a/src/test/java/loftflow/listener/http2/FramesTest.java
+++ b/src/test/java/loftflow/listener/http2/FramesTest.java
@@ -24,16 +24,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** What clients send, right and wrong, and what they hear. */
+/** Frames of clients, valid and invalid, and what the relay sends in return. */
 @Timeout(60)
 class FramesTest extends Http2TestBase {
-    /** Does something on a connection and names the stream that it is about. */
-    private interface Act {
-        int on(RawClient client) throws IOException;
+    /** Sends frames and returns the id of the stream that the case is about. */
+    private interface ClientAction {
+        int perform(RawClient client) throws IOException;
     }
 
-    /** What is sent, and what is heard of it: the answer or the reset of its stream, or the connection's last error. */
-    private record Case(String name, Act act, int status, int reset, int goAway) {
+    /** Sent frames and the expected response, reset of the stream, or error of the last GOAWAY. */
+    private record Case(String name, ClientAction action, int status, int reset, int goAway) {
         @Override
         public String toString() {
             return name;
@@ -41,22 +41,22 @@
     }
 
     private static final int NONE = -1;
-    private static final byte[] BIG = new byte[16 << 10];
+    private static final byte[] LARGE_CHUNK = new byte[16 << 10];
 
     @BeforeEach
     void prepare() {
-        serve(usual());
+        serve(defaultOptions());
     }
 
-    private static Case answered(String name, int status, Act act) {
+    private static Case answered(String name, int status, ClientAction act) {
         return new Case(name, act, status, NONE, NONE);
     }
 
-    private static Case reset(String name, int error, Act act) {
+    private static Case reset(String name, int error, ClientAction act) {
         return new Case(name, act, NONE, error, NONE);
     }
 
-    private static Case ends(String name, int error, Act act) {
+    private static Case ends(String name, int error, ClientAction act) {
         return new Case(name, act, NONE, NONE, error);
     }
 
@@ -82,7 +82,7 @@
                             RawClient.HEADERS,
                             RawClient.END_HEADERS | RawClient.END_STREAM,
                             id,
-                            c.block(
+                            c.encodeHeaders(
                                     id,
                                     new io.netty.handler.codec.http2.DefaultHttp2Headers(false).add("checksum", "1")));
                     return id;
@@ -99,7 +99,7 @@
                     c.data(id, new byte[1], false);
                     return id;
                 }),
-                // Netty ends the connection where RFC 9113, 6.9.1, lets it choose, with INTERNAL_ERROR.
+                // RFC 9113, section 6.9.1, allows either kind of error; Netty ends the connection with INTERNAL_ERROR.
                 ends("more than its window", 2, c -> {
                     int id = c.head(RawClient.message("m"), false);
                     c.data(id, new byte[8 << 10], false);
@@ -175,11 +175,11 @@
                         c -> c.head(RawClient.message("m").add("connection", "close"), true)),
                 reset("a second head that is no trailer", PROTOCOL_ERROR, c -> {
                     int id = c.head(RawClient.message("m"), false);
-                    c.frame(RawClient.HEADERS, RawClient.END_HEADERS, id, c.block(id, RawClient.message("m")));
+                    c.frame(RawClient.HEADERS, RawClient.END_HEADERS, id, c.encodeHeaders(id, RawClient.message("m")));
                     return id;
                 }),
                 ends("an even stream", PROTOCOL_ERROR, c -> {
-                    c.frame(RawClient.HEADERS, 5, 2, c.block(2, RawClient.message("m")));
+                    c.frame(RawClient.HEADERS, 5, 2, c.encodeHeaders(2, RawClient.message("m")));
                     return 2;
                 }),
                 ends("DATA on a stream that never was", PROTOCOL_ERROR, c -> {
@@ -191,7 +191,7 @@
                     c.frame(RawClient.DATA, RawClient.PADDED, id, new byte[] {9, 0, 0});
                     return id;
                 }),
-                ends("a frame that is too large", FRAME_SIZE, c -> {
+                ends("a frame that is too large", FRAME_SIZE_ERROR, c -> {
                     int id = c.head(RawClient.message("m"), false);
                     c.data(id, new byte[(16 << 10) + 1], false);
                     return id;
@@ -202,14 +202,14 @@
                     });
                     return 1;
                 }),
-                ends("a block of headers that does not end", CALM, c -> {
-                    c.frame(RawClient.HEADERS, 0, 1, c.block(1, RawClient.message("m")));
+                ends("a block of headers that does not end", ENHANCE_YOUR_CALM, c -> {
+                    c.frame(RawClient.HEADERS, 0, 1, c.encodeHeaders(1, RawClient.message("m")));
                     c.flood(2_000, RawClient.bytes(RawClient.CONTINUATION, 0, 1, new byte[0]));
                     return 1;
                 }),
                 ends("another block within one", PROTOCOL_ERROR, c -> {
-                    c.frame(RawClient.HEADERS, 0, 1, c.block(1, RawClient.message("m")));
-                    c.frame(RawClient.HEADERS, 5, 3, c.block(3, RawClient.message("m")));
+                    c.frame(RawClient.HEADERS, 0, 1, c.encodeHeaders(1, RawClient.message("m")));
+                    c.frame(RawClient.HEADERS, 5, 3, c.encodeHeaders(3, RawClient.message("m")));
                     return 1;
                 }),
                 ends("a window beyond all bounds", 3, c -> {
@@ -224,14 +224,21 @@
 
     private static int large(RawClient c, boolean told, int pieces) throws IOException {
         Http2Headers head = RawClient.message("m");
-        return part(c, told ? head.add("content-length", Integer.toString(pieces * BIG.length)) : head, pieces, true);
+        return part(
+                c,
+                told ? head.add("content-length", Integer.toString(pieces * LARGE_CHUNK.length)) : head,
+                pieces,
+                true);
     }
 
-    /** Sends pieces as a client does that keeps to the windows it is given. */
+    /** Sends chunks within the windows. */
     private static int part(RawClient c, Http2Headers head, int pieces, boolean whole) throws IOException {
         int id = c.head(head, false);
-        for (int sent = 0; sent < pieces * BIG.length; sent += BIG.length / 4) {
-            c.paced(id, new byte[BIG.length / 4], whole && sent + BIG.length / 4 == pieces * BIG.length);
+        for (int sent = 0; sent < pieces * LARGE_CHUNK.length; sent += LARGE_CHUNK.length / 4) {
+            c.sendWithinWindow(
+                    id,
+                    new byte[LARGE_CHUNK.length / 4],
+                    whole && sent + LARGE_CHUNK.length / 4 == pieces * LARGE_CHUNK.length);
         }
         return id;
     }
@@ -243,7 +250,7 @@
                 type,
                 RawClient.END_HEADERS | RawClient.END_STREAM,
                 id,
-                type == RawClient.DATA ? new byte[1] : c.block(id, RawClient.message("m2")));
+                type == RawClient.DATA ? new byte[1] : c.encodeHeaders(id, RawClient.message("m2")));
         return id;
     }
 
@@ -253,8 +260,8 @@
         return head;
     }
 
-    /** RFC 7541, 6.2.1 and 6.1: a literal that goes into the table, then its index, again and again. */
-    private static int bomb(RawClient c) throws IOException {
+    /** Adds a large literal to the dynamic table and indexes it many times (RFC 7541, sections 6.2.1 and 6.1). */
+    private static int sendHpackBomb(RawClient c) throws IOException {
         byte[] name = "x".repeat(100).getBytes(StandardCharsets.US_ASCII);
         byte[] first = new byte[2 + name.length + 3 + 3_500];
         first[0] = 0x40;
@@ -273,9 +280,9 @@
 
     @ParameterizedTest
     @MethodSource("cases")
-    void whatIsSentIsHeardOf(Case one) throws IOException {
+    void framesLeadToResponseResetOrGoAway(Case one) throws IOException {
         RawClient client = client();
-        int stream = one.act().on(client);
+        int stream = one.action().perform(client);
         if (one.goAway() != NONE) {
             client.awaitEnd();
             assertEquals(one.goAway(), client.lastError());
@@ -289,22 +296,22 @@
             if (one.reset() != NONE) {
                 assertEquals(one.reset(), client.resets.get(stream), one + ", ended with " + client.lastError());
             }
-            // The connection survives, and its other streams do.
+            // The connection and its other streams continue.
             int next = client.send(RawClient.message("next"), "x");
             assertEquals(202, client.status(next), one + ", ended with " + client.lastError());
             assertEquals(List.of(), client.goAways);
         }
         assertTrue(client.answers.values().stream().allMatch(times -> times == 1), "answers: " + client.answers);
-        assertFalse(one.status() != 202 && intake.messageIds().contains("m"), "it was not taken on");
+        assertFalse(one.status() != 202 && messageAcceptor.messageIds().contains("m"), "the message was not accepted");
         assertServes("after");
     }
 
     @Test
-    void oneLargeHeaderNamedAThousandTimesIsNotUnpacked() throws IOException {
+    void headerListIsLimitedAfterDecompression() throws IOException {
         RawClient client = client();
-        assertEquals(431, client.status(bomb(client)));
+        assertEquals(431, client.status(sendHpackBomb(client)));
         assertServes("after");
-        assertEquals(List.of("after"), intake.messageIds());
+        assertEquals(List.of("after"), messageAcceptor.messageIds());
     }
 
     private record Flood(String name, byte[] frame, boolean onStream) {
@@ -341,14 +348,14 @@
         }
         client.flood(100_000, flood.frame());
         client.awaitEnd();
-        assertEquals(CALM, client.lastError(), flood + ": " + client.goAways.size());
+        assertEquals(ENHANCE_YOUR_CALM, client.lastError(), flood + ": " + client.goAways.size());
         assertEquals(202, other.status(other.send(RawClient.message("other"), "x")));
-        assertFalse(intake.messageIds().contains("m"));
+        assertFalse(messageAcceptor.messageIds().contains("m"));
     }
 
     @Test
-    void rapidResetEndsItsConnectionAndWhatWasTakenIsBounded() throws IOException {
-        intake.acceptsAll = false;
+    void rapidResetEndsTheConnectionAndAcceptedMessagesAreBounded() throws IOException {
+        messageAcceptor.acceptsAll = false;
         RawClient client = client();
         try {
             for (int i = 0; i < 100_000; i++) {
@@ -356,64 +363,64 @@
                 client.reset(id);
             }
         } catch (IOException e) {
-            // It has had enough.
+            // The relay has closed the connection.
         }
         client.awaitEnd();
-        assertEquals(CALM, client.lastError());
-        // A burst of four seconds' worth may pass.
-        assertTrue(intake.submissions.size() <= 402 + 100, "taken: " + intake.submissions.size());
-        assertEquals(Set.copyOf(intake.messageIds()), intake.disconnected, "what was taken goes on");
+        assertEquals(ENHANCE_YOUR_CALM, client.lastError());
+        // A burst of four seconds of the rate is within the budget.
+        assertTrue(messageAcceptor.submissions.size() <= 402 + 100, "accepted: " + messageAcceptor.submissions.size());
+        assertEquals(Set.copyOf(messageAcceptor.messageIds()), messageAcceptor.disconnected, "accepted messages go on");
         assertServes("after");
     }
 
     @Test
-    void senselessRequestsWithoutEndAreStopped() throws IOException {
+    void floodOfInvalidRequestsEndsTheConnection() throws IOException {
         RawClient client = client();
         try {
             for (int i = 0; i < 100_000; i++) {
                 client.send(RawClient.message("bad id"), "x");
             }
         } catch (IOException e) {
-            // It has had enough.
+            // The relay has closed the connection.
         }
         client.awaitEnd();
-        assertEquals(CALM, client.lastError());
+        assertEquals(ENHANCE_YOUR_CALM, client.lastError());
         assertServes("after");
-        assertEquals(List.of("after"), intake.messageIds());
+        assertEquals(List.of("after"), messageAcceptor.messageIds());
     }
 
     @Test
-    void halfAPrefaceAndSilenceAreLetGo() throws IOException {
+    void incompleteHandshakeTimesOut() throws IOException {
         for (String begin :
                 List.of("", "PRI * HTT", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", "POST /api HTTP/1.1\r\nHost:")) {
-            RawClient client = silentClient();
+            RawClient client = clientWithoutPreface();
             client.write(begin.getBytes(StandardCharsets.US_ASCII));
             client.awaitEnd();
-            assertTrue(client.ended, begin);
+            assertTrue(client.hasEnded, begin);
         }
     }
 
     @Test
-    void whatSpeaksOnlyHttp1IsToldToUpgrade() throws IOException {
-        RawClient client = silentClient();
+    void http11RequestGetsUpgradeRequired() throws IOException {
+        RawClient client = clientWithoutPreface();
         client.write("GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         String answer = new String(client.socket().getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         assertTrue(answer.startsWith("HTTP/1.1 426 ") && answer.toLowerCase().contains("upgrade: h2c"), answer);
     }
 
     @Test
-    void thousandConnectionsOfOneClientStayWithinTheBoundAndAFreshOneIsServed() throws IOException {
+    void connectionLimitHoldsAndANewConnectionIsServed() throws IOException {
         for (int i = 0; i < 1_000; i++) {
-            silentClient();
+            clientWithoutPreface();
         }
         assertServes("after");
-        int held = on(() -> server.house().size());
+        int held = onLoop(() -> listener.connections().size());
         assertTrue(held <= 20, "held: " + held);
     }
 
-    /** A client that no one here wrote: the JDK's own, which asks for an upgrade and then keeps its one connection. */
+    /** The client of the JDK, which upgrades from HTTP/1.1 and then uses one connection. */
     @Test
-    void clientOfTheJdkUpgradesAndSendsManyAtOnce() throws Exception {
+    void jdkClientUpgradesAndSendsConcurrently() throws Exception {
         HttpClient jdk =
                 HttpClient.newBuilder().version(HttpClient.Version.HTTP_2).build();
         List<String> ids = IntStream.range(0, 200).mapToObj(i -> "j" + i).toList();
@@ -429,10 +436,10 @@
                     Map.entry(202, HttpClient.Version.HTTP_2),
                     Map.entry(one.get().statusCode(), one.get().version()));
         }
-        assertEquals(91, Set.copyOf(intake.messageIds()).size());
-        assertEquals(1, (int) on(() -> server.house().size()), "one connection");
-        assertTrue(
-                intake.submissions.stream().allMatch(h -> h.message().content().body().length >= 1_000));
+        assertEquals(91, Set.copyOf(messageAcceptor.messageIds()).size());
+        assertEquals(1, (int) onLoop(() -> listener.connections().size()), "one connection");
+        assertTrue(messageAcceptor.submissions.stream()
+                .allMatch(h -> h.message().content().body().length >= 1_000));
     }
 
     private HttpRequest request(String id, String body) {
--- a/src/test/java/loftflow/listener/http2/Http2Benchmark.java
+++ b/src/test/java/loftflow/listener/http2/Http2Benchmark.java
@@ -204,7 +204,7 @@
             ConcurrentLinkedQueue<Double> spans)
             throws IOException, InterruptedException {
         try (RawClient client = RawClient.open("127.0.0.1", relay.http2Port())) {
-            client.await(() -> !client.offered.isEmpty());
+            client.await(() -> !client.streamLimits.isEmpty());
             Semaphore room = new Semaphore(shape.streams());
             Map<Integer, Long> out = new ConcurrentHashMap<>();
             Thread reader = new Thread(() -> {
@@ -232,9 +232,9 @@
                     throw new IOException("no answer came for 5 s; " + out.size() + " are out, told "
                             + client.goAways.stream()
                                     .map(g -> g[0] + "/" + g[1])
-                                    .toList() + ", ended " + client.ended);
+                                    .toList() + ", ended " + client.hasEnded);
                 }
-                while (out.size() >= client.offered.get(client.offered.size() - 1)) {
+                while (out.size() >= client.streamLimits.get(client.streamLimits.size() - 1)) {
                     Thread.sleep(0, 100_000);
                 }
                 // Told before it is sent, as its answer may be quicker.
@@ -314,7 +314,7 @@
             List<RawClient> idle = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
                 RawClient client = RawClient.open("127.0.0.1", relay.http2Port());
-                client.await(() -> !client.offered.isEmpty());
+                client.await(() -> !client.streamLimits.isEmpty());
                 idle.add(client);
             }
             Thread.sleep(1_000);
@@ -380,7 +380,7 @@
                     List<RawClient> others = new ArrayList<>();
                     for (int i = 0; i < 10 && !kind.equals("none"); i++) {
                         RawClient client = RawClient.open("127.0.0.1", relay.http2Port());
-                        client.await(() -> !client.offered.isEmpty());
+                        client.await(() -> !client.streamLimits.isEmpty());
                         others.add(client);
                         Thread talker = new Thread(() -> talk(client, kind, ended));
                         talker.setDaemon(true);
--- a/src/test/java/loftflow/listener/http2/Http2TestBase.java
+++ b/src/test/java/loftflow/listener/http2/Http2TestBase.java
@@ -19,34 +19,35 @@
 import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 import org.junit.jupiter.api.AfterEach;
 
-/** A listener on a loop of its own, whose messages the test answers. */
+/** A listener on an event loop of its own, whose messages the test accepts. */
 abstract class Http2TestBase {
-    static final long SECOND = 1_000_000;
+    static final long SECOND_MICROS = 1_000_000;
     static final int NO_ERROR = 0;
     static final int PROTOCOL_ERROR = 1;
     static final int STREAM_CLOSED = 5;
-    static final int FRAME_SIZE = 6;
-    static final int REFUSED = 7;
-    static final int CALM = 11;
+    static final int FRAME_SIZE_ERROR = 6;
+    static final int REFUSED_STREAM = 7;
+    static final int ENHANCE_YOUR_CALM = 11;
     final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = (EventLoop) group.next();
-    final FakeMessageAcceptor intake = new FakeMessageAcceptor();
+    final FakeMessageAcceptor messageAcceptor = new FakeMessageAcceptor();
     final Clock clock = Clock.system();
-    final EventLoopLag pulse = new EventLoopLag(
+    final EventLoopLag eventLoopLag = new EventLoopLag(
             (micros, task) -> {
                 var timer = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
                 return () -> timer.cancel(false);
             },
             clock);
     final List<RawClient> clients = new ArrayList<>();
-    Http2Listener server;
+    Http2Listener listener;
     int port;
 
-    static Http2Listener.Options usual() {
-        return with(100, 400, 1 << 20, new ConnectionExpiry.Spans(SECOND, 60 * SECOND, 0, SECOND));
+    static Http2Listener.Options defaultOptions() {
+        return options(
+                100, 400, 1 << 20, new ConnectionExpiry.Spans(SECOND_MICROS, 60 * SECOND_MICROS, 0, SECOND_MICROS));
     }
 
-    static Http2Listener.Options with(int streams, int total, long pool, ConnectionExpiry.Spans spans) {
+    static Http2Listener.Options options(int streams, int total, long pool, ConnectionExpiry.Spans spans) {
         return new Http2Listener.Options(
                 20,
                 new ConcurrentStreamLimit.Bounds(2, streams, total),
@@ -56,16 +57,16 @@
                 Map.of("settlement", 0.8, "car-order", 0.2),
                 100,
                 spans,
-                SECOND);
+                SECOND_MICROS);
     }
 
     void serve(Http2Listener.Options options) {
-        server = new Http2Listener(intake, clock, pulse, options);
-        on(() -> {
-            pulse.start();
+        listener = new Http2Listener(messageAcceptor, clock, eventLoopLag, options);
+        onLoop(() -> {
+            eventLoopLag.start();
             return null;
         });
-        port = ((InetSocketAddress) server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
+        port = ((InetSocketAddress) listener.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                         .syncUninterruptibly()
                         .channel()
                         .localAddress())
@@ -75,36 +76,36 @@
     RawClient client() throws IOException {
         RawClient client = RawClient.open("127.0.0.1", port);
         clients.add(client);
-        client.await(() -> !client.offered.isEmpty());
+        client.await(() -> !client.streamLimits.isEmpty());
         return client;
     }
 
-    RawClient silentClient() throws IOException {
+    RawClient clientWithoutPreface() throws IOException {
         RawClient client = new RawClient("127.0.0.1", port);
         clients.add(client);
         return client;
     }
 
-    /** Does something on the loop. */
-    <T> T on(Callable<T> task) {
+    /** Runs a task on the event loop and returns its result. */
+    <T> T onLoop(Callable<T> task) {
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    /** The message that was handed in as so many before it were is taken on. */
-    void take(int index) {
-        on(() -> {
-            intake.submissions.get(index).client().accepted();
+    /** Accepts the submission with an index. */
+    void acceptSubmission(int index) {
+        onLoop(() -> {
+            messageAcceptor.submissions.get(index).client().accepted();
             return null;
         });
     }
 
-    /** A message on a connection of its own is answered. */
+    /** Asserts that a message on a new connection is accepted. */
     void assertServes(String id) throws IOException {
         RawClient other = client();
-        boolean before = intake.acceptsAll;
-        intake.acceptsAll = true;
+        boolean acceptedAll = messageAcceptor.acceptsAll;
+        messageAcceptor.acceptsAll = true;
         assertEquals(202, other.status(other.send(RawClient.message(id), "x")));
-        intake.acceptsAll = before;
+        messageAcceptor.acceptsAll = acceptedAll;
         other.close();
     }
 
--- a/src/test/java/loftflow/listener/http2/RawClient.java
+++ b/src/test/java/loftflow/listener/http2/RawClient.java
@@ -22,9 +22,8 @@
 import loftflow.server.KernelSocketState;
 
 /**
- * A client that sends any frame, also a wrong one (RFC 9113, 4.1), and keeps all that it is told. Its reading is done
- * by
- * whoever waits for something, so that one that waits for nothing does not read.
+ * A client that sends any frame, also a malformed one (RFC 9113, section 4.1), and stores all that it receives. It
+ * reads only while a caller waits for something, so that a client without a caller does not read.
  */
 public final class RawClient implements AutoCloseable {
     static final int DATA = 0;
@@ -40,10 +39,10 @@
     static final int ACK = 1;
     static final int END_HEADERS = 4;
     static final int PADDED = 8;
-    private static final int PATIENCE_MS = 10_000;
-    private static final int BASE = 65_535;
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
+    private static final int INITIAL_WINDOW_BYTES = 65_535;
 
-    /** A frame as it came. */
+    /** A received frame. */
     record Frame(int type, int flags, int stream, byte[] payload) {
         int number() {
             return ByteBuffer.wrap(payload).getInt();
@@ -54,7 +53,7 @@
         }
     }
 
-    /** Says when what was waited for is there. */
+    /** The condition that a caller waits for. */
     public interface Until {
         boolean isThere();
     }
@@ -63,42 +62,42 @@
     private final DataInputStream in;
     private final Http2HeadersEncoder encoder = new DefaultHttp2HeadersEncoder();
     private final DefaultHttp2HeadersDecoder decoder = new DefaultHttp2HeadersDecoder(false);
-    /** The status of each stream that has its answer; how often one was answered stands in {@link #answers}. */
+    /** The status of each stream with a response; {@link #answers} counts the responses. */
     public final Map<Integer, Integer> statuses = new ConcurrentSkipListMap<>();
 
     public final Map<Integer, Integer> answers = new ConcurrentSkipListMap<>();
     public final Map<Integer, Integer> resets = new ConcurrentSkipListMap<>();
-    final Map<Integer, String> comeBacks = new ConcurrentSkipListMap<>();
+    final Map<Integer, String> retryAfters = new ConcurrentSkipListMap<>();
     final Map<Integer, Long> windows = new ConcurrentSkipListMap<>();
     /** Each GOAWAY: the last stream, and the error. */
     public final List<int[]> goAways = new CopyOnWriteArrayList<>();
 
-    final List<Integer> offered = new CopyOnWriteArrayList<>();
-    boolean ended;
-    private final Map<Integer, Long> sentOn = new ConcurrentSkipListMap<>();
-    private long sent;
-    private int next = 1;
-    private int written;
+    final List<Integer> streamLimits = new CopyOnWriteArrayList<>();
+    boolean hasEnded;
+    private final Map<Integer, Long> sentByStream = new ConcurrentSkipListMap<>();
+    private long sentBytes;
+    private int nextStreamId = 1;
+    private int writtenBytes;
 
-    /** Connects and says nothing. */
+    /** Connects and sends nothing. */
     public RawClient(String host, int port) throws IOException {
         this(host, port, 0);
     }
 
-    /** As above; of what it does not read the system holds so many bytes for it, or as many as it likes where 0. */
-    RawClient(String host, int port, int unread) throws IOException {
+    /** Connects with a receive buffer of a size in bytes; 0 for the default. */
+    RawClient(String host, int port, int receiveBufferBytes) throws IOException {
         socket = new Socket();
-        if (unread > 0) {
-            // Only before it connects: after that the other side knows of a larger window already.
-            socket.setReceiveBufferSize(unread);
+        if (receiveBufferBytes > 0) {
+            // The size is effective before the connect only: the peer learns of the window in the handshake.
+            socket.setReceiveBufferSize(receiveBufferBytes);
         }
         socket.connect(new InetSocketAddress(host, port));
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         in = new DataInputStream(socket.getInputStream());
     }
 
-    /** Connects and begins as every client does. */
+    /** Connects and sends the connection preface. */
     public static RawClient open(String host, int port) throws IOException {
         RawClient client = new RawClient(host, port);
         client.preface();
@@ -111,13 +110,13 @@
     }
 
     synchronized void write(byte[] bytes) throws IOException {
-        written += bytes.length;
+        writtenBytes += bytes.length;
         socket.getOutputStream().write(bytes);
     }
 
-    /** Waits until all that was sent lies unread with the other side. */
+    /** Waits until all that was sent is pending in the socket of the peer. */
     void awaitReceived() {
-        KernelSocketState.beyond(socket).awaitUnread(written);
+        KernelSocketState.beyond(socket).awaitUnread(writtenBytes);
     }
 
     static byte[] bytes(int type, int flags, int stream, byte[] payload) {
@@ -135,7 +134,7 @@
         write(bytes(type, flags, stream, payload));
     }
 
-    /** So many of one frame, in few writes; it ends early where the other side does. */
+    /** Sends one frame many times, in few writes; stops early where the peer closes. */
     void flood(int count, byte[] frame) {
         ByteBuffer many = ByteBuffer.allocate(frame.length * 1000);
         while (many.hasRemaining()) {
@@ -146,7 +145,7 @@
                 write(many.array());
             }
         } catch (IOException e) {
-            // It has had enough: what it said stands in what can still be read.
+            // The peer has closed; what it sent before can still be read.
         }
     }
 
@@ -158,7 +157,7 @@
         return ByteBuffer.allocate(6).putShort((short) id).putInt(value).array();
     }
 
-    /** The head of a message as a client sends it. */
+    /** The head of a message. */
     public static Http2Headers message(String id, String type, String key, int destination, long budgetMs) {
         Http2Headers head = new DefaultHttp2Headers(false)
                 .method("POST")
@@ -176,7 +175,7 @@
         return message(id, "settlement", null, 7, 8_000);
     }
 
-    byte[] block(int stream, Http2Headers head) {
+    byte[] encodeHeaders(int stream, Http2Headers head) {
         ByteBuf block = Unpooled.buffer();
         try {
             encoder.encodeHeaders(stream, head, block);
@@ -186,24 +185,24 @@
         return ByteBufUtil.getBytes(block);
     }
 
-    /** Begins a stream, and returns its number. */
+    /** Begins a stream and returns its id. */
     public int head(Http2Headers head, boolean last) throws IOException {
-        int id = next;
-        next += 2;
-        frame(HEADERS, END_HEADERS | (last ? END_STREAM : 0), id, block(id, head));
+        int id = nextStreamId;
+        nextStreamId += 2;
+        frame(HEADERS, END_HEADERS | (last ? END_STREAM : 0), id, encodeHeaders(id, head));
         return id;
     }
 
-    /** The stream that the next message will have. */
+    /** The id of the next stream. */
     int nextStream() {
-        return next;
+        return nextStreamId;
     }
 
-    /** Sends a whole message in one write, and returns its stream. */
+    /** Sends a whole message in one write, and returns the id of its stream. */
     public int send(Http2Headers head, String body) throws IOException {
-        int id = next;
-        next += 2;
-        byte[] block = bytes(HEADERS, END_HEADERS, id, block(id, head));
+        int id = nextStreamId;
+        nextStreamId += 2;
+        byte[] block = bytes(HEADERS, END_HEADERS, id, encodeHeaders(id, head));
         byte[] data = bytes(DATA, END_STREAM, id, body.getBytes(StandardCharsets.UTF_8));
         write(ByteBuffer.allocate(block.length + data.length)
                 .put(block)
@@ -216,13 +215,14 @@
         frame(DATA, last ? END_STREAM : 0, stream, body);
     }
 
-    /** Sends a piece of a body once the connection's window and the stream's let it, as clients do. */
-    void paced(int stream, byte[] body, boolean last) throws IOException {
-        await(() -> BASE + windows.getOrDefault(0, 0L) - sent >= body.length
-                        && 4_096 + windows.getOrDefault(stream, 0L) - sentOn.getOrDefault(stream, 0L) >= body.length
+    /** Sends a chunk of a body once the windows of the connection and the stream allow it. */
+    void sendWithinWindow(int stream, byte[] body, boolean last) throws IOException {
+        await(() -> INITIAL_WINDOW_BYTES + windows.getOrDefault(0, 0L) - sentBytes >= body.length
+                        && 4_096 + windows.getOrDefault(stream, 0L) - sentByStream.getOrDefault(stream, 0L)
+                                >= body.length
                 || statuses.containsKey(stream));
-        sent += body.length;
-        sentOn.merge(stream, (long) body.length, Long::sum);
+        sentBytes += body.length;
+        sentByStream.merge(stream, (long) body.length, Long::sum);
         data(stream, body, last);
     }
 
@@ -230,7 +230,7 @@
         frame(RST_STREAM, 0, stream, number(8));
     }
 
-    /** Reads one frame and keeps what it tells; false where the other side has ended. */
+    /** Reads and stores one frame; returns false where the peer has closed. */
     boolean read() throws IOException {
         Frame frame;
         try {
@@ -239,14 +239,14 @@
             int flags = in.readUnsignedByte();
             frame = new Frame(type, flags, in.readInt(), in.readNBytes(length));
         } catch (java.io.EOFException | java.net.SocketException e) {
-            ended = true;
+            hasEnded = true;
             return false;
         }
-        keep(frame);
+        store(frame);
         return true;
     }
 
-    private void keep(Frame frame) throws IOException {
+    private void store(Frame frame) throws IOException {
         switch (frame.type()) {
             case HEADERS -> {
                 Http2Headers head = headers(frame);
@@ -255,7 +255,7 @@
                     statuses.put(frame.stream(), status);
                     answers.merge(frame.stream(), 1, Integer::sum);
                     if (head.contains("retry-after")) {
-                        comeBacks.put(frame.stream(), head.get("retry-after").toString());
+                        retryAfters.put(frame.stream(), head.get("retry-after").toString());
                     }
                 }
             }
@@ -274,7 +274,7 @@
                         int id = settings.getShort();
                         int value = settings.getInt();
                         if (id == 3) {
-                            offered.add(value);
+                            streamLimits.add(value);
                         }
                     }
                     answer(SETTINGS, new byte[0]);
@@ -288,7 +288,7 @@
         try {
             frame(type, ACK, 0, payload);
         } catch (IOException e) {
-            // It listens no more; what it says is still read.
+            // The peer reads no more; what it sends is still read.
         }
     }
 
@@ -300,7 +300,7 @@
         }
     }
 
-    /** Reads until something is there, or the other side has ended; false then. */
+    /** Reads until a condition holds; returns false where the peer closes before. */
     public boolean await(Until until) throws IOException {
         while (!until.isThere()) {
             if (!read()) {
@@ -310,23 +310,23 @@
         return true;
     }
 
-    /** The status that a stream is answered with. */
+    /** Awaits the response of a stream and returns its status; 0 where the stream is reset. */
     public int status(int stream) throws IOException {
         await(() -> statuses.containsKey(stream) || resets.containsKey(stream));
         return statuses.getOrDefault(stream, 0);
     }
 
-    /** Reads on until the other side ends. */
+    /** Reads until the peer closes. */
     void awaitEnd() throws IOException {
         await(() -> false);
     }
 
-    /** The last error that it was told with GOAWAY; -1 where none was. */
+    /** The error of the last GOAWAY; -1 where there was none. */
     int lastError() {
         return goAways.isEmpty() ? -1 : goAways.get(goAways.size() - 1)[1];
     }
 
-    /** Ends with a reset, as a process that dies. */
+    /** Resets the connection, as a process that dies does. */
     public void drop() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
+++ b/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
@@ -52,8 +52,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Calls to hosts where two events race; the event loop or the host is blocked so that the unfavorable order occurs every
- * time.
+ * Calls to hosts where two events race; the event loop or the host is blocked so that the unfavorable order occurs
+ * every time.
  */
 @Timeout(60)
 class RaceConditionsTest implements UpstreamClient.ResultListener {
@@ -204,8 +204,8 @@
     }
 
     /**
-     * The host responds while the call is partly written and the send buffer is full: the call never ran, and a back-off
-     * in the response applies.
+     * The host responds while the call is partly written and the send buffer is full: the call never ran, and a
+     * back-off in the response applies.
      */
     @Test
     void responseBeforeTheRequestIsWrittenProvesThatItNeverRan() throws Exception {
@@ -369,7 +369,9 @@
         }
     }
 
-    /** A connection comes up after its call was abandoned: that call never ran, and the next one uses the connection. */
+    /**
+     * A connection comes up after its call was abandoned: that call never ran, and the next one uses the connection.
+     */
     @Test
     void connectionOfAnAbandonedCallServesTheNextCall() {
         List<UpstreamClient.OutboundAttempt> first = messages(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 5);
