--- a/src/main/java/loftflow/upstream/amqp/BrokerClient.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerClient.java
@@ -16,110 +16,117 @@
 import loftflow.policy.api.LimitReport;
 
 /**
- * Publishes attempts to brokers, one connection to each route, and tells what their confirms prove. A connection is
- * made
- * when something is to be sent and none is there, never by itself: pauses and trials are the decision module's.
+ * Publishes attempts to brokers, over one connection for each route, and reports what their confirms prove. A connection
+ * is opened when something is to be sent and there is none; back-off and probes are the delivery policy's decisions. For
+ * use on the event loop only.
  */
 public final class BrokerClient implements UpstreamClient {
     private final EventLoop loop;
     private final Clock clock;
     private final ResultListener results;
-    private final long connectTimeout;
-    private final Map<String, BrokerDestination> brokers;
-    private final Map<String, BrokerConnection> routes = new HashMap<>();
-    private final Map<Message.Attempt, BrokerConnection> attempts = new HashMap<>();
+    private final long connectTimeoutMicros;
+    private final Map<String, BrokerDestination> destinations;
+    private final Map<String, BrokerConnection> connections = new HashMap<>();
+    /** The connection of every attempt that has no outcome yet. */
+    private final Map<Message.Attempt, BrokerConnection> openAttempts = new HashMap<>();
 
     /**
-     * A client.
+     * Creates a client without connections.
      *
-     * @param brokers how each of its routes is reached, by the route's name
-     * @param connectTimeout microseconds until a connection is open in AMQP's sense
+     * @param connectTimeoutMicros the time for a connection to complete its AMQP handshake
+     * @param destinations how each route of this client is reached, by the route's name
      */
     public BrokerClient(
             EventLoop loop,
             Clock clock,
-            long connectTimeout,
-            Map<String, BrokerDestination> brokers,
+            long connectTimeoutMicros,
+            Map<String, BrokerDestination> destinations,
             ResultListener results) {
         this.loop = loop;
         this.clock = clock;
-        this.connectTimeout = connectTimeout;
-        this.brokers = brokers;
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.destinations = destinations;
         this.results = results;
     }
 
-    /** True where a route is one of this client's. */
+    /** Returns true where a route is reached through a broker. */
     public boolean has(String route) {
-        return brokers.containsKey(route);
+        return destinations.containsKey(route);
     }
 
     @Override
-    public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {
-        Set<String> named = new HashSet<>();
-        for (Endpoint target : targets) {
-            String name = target.entry().route();
-            named.add(name);
-            boolean listed = target.entry().availability() == Availability.LISTED;
-            BrokerConnection old = routes.get(name);
-            if (old != null && (!listed || !old.isAt(target))) {
-                old.stop();
-                routes.remove(name);
-            }
-            if (listed) {
-                routes.computeIfAbsent(name, n -> new BrokerConnection(n, target, brokers.get(n), new Owner()));
-            }
+    public void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints) {
+        Set<String> listedRoutes = new HashSet<>();
+        for (Endpoint endpoint : endpoints) {
+            listedRoutes.add(endpoint.entry().route());
+            update(endpoint);
         }
         if (kind != EndpointListKind.DELTA) {
-            routes.values().stream()
-                    .filter(r -> !named.contains(r.name()))
+            connections.values().stream()
+                    .filter(connection -> !listedRoutes.contains(connection.route()))
                     .toList()
-                    .forEach(gone -> {
-                        gone.stop();
-                        routes.remove(gone.name());
-                    });
+                    .forEach(this::remove);
+        }
+    }
+
+    private void update(Endpoint endpoint) {
+        String route = endpoint.entry().route();
+        boolean isListed = endpoint.entry().availability() == Availability.LISTED;
+        BrokerConnection previous = connections.get(route);
+        if (previous != null && (!isListed || !previous.isAt(endpoint))) {
+            remove(previous);
+        }
+        if (isListed) {
+            connections.computeIfAbsent(
+                    route, absent -> new BrokerConnection(route, endpoint, destinations.get(route), new Owner()));
         }
     }
 
+    private void remove(BrokerConnection connection) {
+        connection.stop();
+        connections.remove(connection.route());
+    }
+
     @Override
     public void send(String route, List<OutboundAttempt> outgoing) {
-        BrokerConnection to = routes.get(route);
-        for (OutboundAttempt one : outgoing) {
-            if (to == null) {
-                results.onAttemptCompleted(one.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
+        BrokerConnection connection = connections.get(route);
+        for (OutboundAttempt outbound : outgoing) {
+            if (connection == null) {
+                results.onAttemptCompleted(outbound.attempt(), AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
             } else {
-                attempts.put(one.attempt(), to);
-                to.send(one);
+                openAttempts.put(outbound.attempt(), connection);
+                connection.send(outbound);
             }
         }
     }
 
     @Override
     public void cancel(Message.Attempt attempt) {
-        BrokerConnection route = attempts.get(attempt);
-        if (route != null) {
-            route.giveUp(attempt, AttemptOutcome.CANCELLED);
+        BrokerConnection connection = openAttempts.get(attempt);
+        if (connection != null) {
+            connection.abandon(attempt, AttemptOutcome.CANCELLED);
         }
     }
 
     @Override
     public void probe(String route) {
-        BrokerConnection to = routes.get(route);
-        if (to == null) {
+        BrokerConnection connection = connections.get(route);
+        if (connection == null) {
             results.onProbeCompleted(route, AttemptOutcome.NOT_SENT, 0, 0, LimitReport.NONE);
         } else {
-            to.probe();
+            connection.probe();
         }
     }
 
     @Override
     public void closeIdleConnections(String route) {
-        BrokerConnection to = routes.get(route);
-        if (to != null) {
-            to.closeIdle();
+        BrokerConnection connection = connections.get(route);
+        if (connection != null) {
+            connection.closeIdle();
         }
     }
 
-    /** What routes need of their client. */
+    /** The services and callbacks of connections. */
     private final class Owner implements BrokerConnection.Owner {
         @Override
         public EventLoop loop() {
@@ -127,29 +134,30 @@
         }
 
         @Override
-        public long now() {
+        public long nowMicros() {
             return clock.micros();
         }
 
         @Override
-        public long connectTimeout() {
-            return connectTimeout;
+        public long connectTimeoutMicros() {
+            return connectTimeoutMicros;
         }
 
         @Override
-        public void ended(Message.Attempt attempt, AttemptOutcome result, long wait) {
-            attempts.remove(attempt);
-            results.onAttemptCompleted(attempt, result, result == AttemptOutcome.OK, wait, LimitReport.NONE);
+        public void onAttemptCompleted(Message.Attempt attempt, AttemptOutcome outcome, long retryAfterMicros) {
+            openAttempts.remove(attempt);
+            boolean isMessageCompleted = outcome == AttemptOutcome.OK;
+            results.onAttemptCompleted(attempt, outcome, isMessageCompleted, retryAfterMicros, LimitReport.NONE);
         }
 
         @Override
-        public void late(Message.Attempt attempt) {
+        public void onLateDelivery(Message.Attempt attempt) {
             results.onLateDelivery(attempt);
         }
 
         @Override
-        public void probed(String route, AttemptOutcome result, long wait, long elapsed) {
-            results.onProbeCompleted(route, result, wait, elapsed, LimitReport.NONE);
+        public void onProbeCompleted(String route, AttemptOutcome outcome, long retryAfterMicros, long elapsedMicros) {
+            results.onProbeCompleted(route, outcome, retryAfterMicros, elapsedMicros, LimitReport.NONE);
         }
     }
 }
--- a/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
@@ -12,298 +12,286 @@
 import loftflow.amqp.codec.Command;
 import loftflow.amqp.codec.Method;
 import loftflow.amqp.codec.MethodType;
-import loftflow.amqp.codec.Properties;
-import loftflow.amqp.codec.Property;
 import loftflow.amqp.confirm.PublisherConfirms;
 import loftflow.amqp.link.AmqpClientConnection;
 import loftflow.engine.Endpoint;
 import loftflow.engine.Message;
 import loftflow.engine.UpstreamClient.OutboundAttempt;
-import loftflow.http.Headers;
 import loftflow.log.Log;
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * One route through a broker: its connection with a channel in confirm mode, and the attempts on it. What a broker does
- * becomes one of the module's results by the table in docs/operators/amqp.md; {@link PublisherConfirms} says what is
- * proven.
+ * One route through a broker: its connection with a channel in confirm mode, and the attempts on it. Events of the
+ * broker become outcomes by the table of docs/operators/amqp.md ({@link BrokerOutcomes}); {@link PublisherConfirms}
+ * decides what is proven. For use on the event loop only.
  */
 final class BrokerConnection implements AmqpClientConnection.Owner {
-    /** What a route needs of its client. */
+    /** The services and callbacks that a connection needs from its client. */
     interface Owner {
         EventLoop loop();
 
-        long now();
+        /** The time in microseconds, on the clock of message deadlines. */
+        long nowMicros();
 
-        long connectTimeout();
+        long connectTimeoutMicros();
 
-        /** An attempt ended; {@code wait} microseconds were asked for. */
-        void ended(Message.Attempt attempt, AttemptOutcome result, long wait);
+        /** An attempt has an outcome; a back-off of 0 stands for none. */
+        void onAttemptCompleted(Message.Attempt attempt, AttemptOutcome outcome, long retryAfterMicros);
 
-        /** An attempt that ended as unknown has turned out to have taken effect. */
-        void late(Message.Attempt attempt);
+        /** An attempt whose outcome was unknown has turned out to be delivered. */
+        void onLateDelivery(Message.Attempt attempt);
 
-        void probed(String route, AttemptOutcome result, long wait, long elapsed);
+        /** A probe has an outcome. */
+        void onProbeCompleted(String route, AttemptOutcome outcome, long retryAfterMicros, long elapsedMicros);
     }
 
     private static final int CHANNEL = 1;
-    private static final int MOST_BODY = 1 << 20;
-    /** Publishes that may have no confirm; with more of them the connection is of no use any more. */
-    private static final int MOST_OPEN = 5_000;
-    /** How long the module is told to wait while the broker blocks publishers; it is told again then. */
-    private static final long BLOCKED_WAIT = 1_000_000;
-
-    private static final long PROBE_TIMEOUT = 1_000_000;
-    private static final int PERSISTENT = 2;
-    private static final long MS = 1_000;
-    private static final int OK = 200;
-
-    private record Pending(OutboundAttempt outgoing, Future<?> timeout) {}
-
-    private final String name;
-    private final Endpoint target;
-    private final BrokerDestination broker;
+    /** The AMQP reply code of a regular close. */
+    private static final int REPLY_SUCCESS = 200;
+
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    /** The largest number of unconfirmed publishes; a connection that reaches it is closed. */
+    private static final int MAX_UNCONFIRMED_PUBLISHES = 5_000;
+    /** The back-off that is reported while the broker blocks publishers; it is reported again after that time. */
+    private static final long BLOCKED_RETRY_AFTER_MICROS = 1_000_000;
+
+    private static final long PROBE_TIMEOUT_MICROS = 1_000_000;
+    private static final String NOT_LISTED_REASON = "the route is not listed any more";
+
+    private record PendingAttempt(OutboundAttempt outbound, Future<?> timeout) {}
+
+    private final String route;
+    private final Endpoint endpoint;
+    private final BrokerDestination destination;
     private final Owner owner;
-    /** What waits for the connection. */
-    private final Map<Message.Attempt, Pending> waiting = new LinkedHashMap<>();
-    /** What was published and has not ended; what has ended stays in {@link #confirms} for a late confirm. */
-    private final Map<Message.Attempt, Pending> out = new HashMap<>();
-    /** When each probe began that the broker has not answered. */
-    private final ArrayDeque<Long> probes = new ArrayDeque<>();
+    /** Attempts that wait for the connection, oldest first. */
+    private final Map<Message.Attempt, PendingAttempt> unpublished = new LinkedHashMap<>();
+    /** Published attempts without an outcome. Those with one remain in {@link #confirms} for a late confirm. */
+    private final Map<Message.Attempt, PendingAttempt> published = new HashMap<>();
+    /** The start times of unanswered probes, oldest first. */
+    private final ArrayDeque<Long> probeStarts = new ArrayDeque<>();
 
     private PublisherConfirms<Message.Attempt> confirms = new PublisherConfirms<>();
-    private AmqpClientConnection link;
-    /** Publishes may leave. */
-    private boolean ready;
-    /** The connection has been ready, so that its end says nothing of whether the broker can be reached. */
-    private boolean served;
-
-    private boolean stopped;
-
-    BrokerConnection(String name, Endpoint target, BrokerDestination broker, Owner owner) {
-        this.name = name;
-        this.target = target;
-        this.broker = broker;
+    /** Null while there is no connection. */
+    private AmqpClientConnection connection;
+    /** The channel is in confirm mode, so that attempts may be published. */
+    private boolean isReady;
+    /** The connection has been ready, so that its end does not mean that the broker is unreachable. */
+    private boolean hasBeenReady;
+
+    private boolean isStopped;
+
+    BrokerConnection(String route, Endpoint endpoint, BrokerDestination destination, Owner owner) {
+        this.route = route;
+        this.endpoint = endpoint;
+        this.destination = destination;
         this.owner = owner;
     }
 
-    String name() {
-        return name;
+    String route() {
+        return route;
     }
 
     boolean isAt(Endpoint other) {
-        return target.address().equals(other.address());
+        return endpoint.address().equals(other.address());
     }
 
-    // ---- what the engine asks for
+    // ---- requests of the engine
 
-    void send(OutboundAttempt outgoing) {
-        if (mustWait()) {
-            owner.ended(outgoing.attempt(), AttemptOutcome.REJECTED, BLOCKED_WAIT);
+    /** Publishes an attempt, once the connection is ready. */
+    void send(OutboundAttempt outbound) {
+        Message.Attempt attempt = outbound.attempt();
+        if (isBlocked()) {
+            owner.onAttemptCompleted(attempt, AttemptOutcome.REJECTED, BLOCKED_RETRY_AFTER_MICROS);
             return;
         }
         Future<?> timeout = owner.loop()
                 .schedule(
-                        () -> giveUp(outgoing.attempt(), AttemptOutcome.TIMEOUT),
-                        outgoing.timeoutMicros(),
+                        () -> abandon(attempt, AttemptOutcome.TIMEOUT),
+                        outbound.timeoutMicros(),
                         TimeUnit.MICROSECONDS);
-        waiting.put(outgoing.attempt(), new Pending(outgoing, timeout));
-        if (link == null) {
+        unpublished.put(attempt, new PendingAttempt(outbound, timeout));
+        if (connection == null) {
             connect();
         } else {
-            publishWaiting();
+            publishPending();
         }
     }
 
-    /** Stops waiting for an attempt. What was handed to the socket may still leave, and run. */
-    void giveUp(Message.Attempt attempt, AttemptOutcome result) {
-        Pending pending = waiting.remove(attempt);
+    /** Stops waiting for an attempt. One that was written to the socket may still be sent, and run. */
+    void abandon(Message.Attempt attempt, AttemptOutcome outcome) {
+        PendingAttempt pending = unpublished.remove(attempt);
         if (pending != null) {
-            end(attempt, pending, ready ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, 0);
+            end(attempt, pending, BrokerOutcomes.ofUnpublished(isReady), 0);
             return;
         }
-        pending = out.remove(attempt);
+        pending = published.remove(attempt);
         if (pending != null) {
-            end(attempt, pending, result, 0);
+            end(attempt, pending, outcome, 0);
         }
     }
 
-    private void end(Message.Attempt attempt, Pending pending, AttemptOutcome result, long wait) {
+    private void end(Message.Attempt attempt, PendingAttempt pending, AttemptOutcome outcome, long retryAfterMicros) {
         pending.timeout().cancel(false);
-        owner.ended(attempt, result, wait);
+        owner.onAttemptCompleted(attempt, outcome, retryAfterMicros);
     }
 
-    /** Asks the broker for an answer that costs it nothing; a blocked one tells by that how it fares. */
+    /** Sends a request that costs the broker nothing; the answer also shows whether the broker blocks publishers. */
     void probe() {
-        probes.add(owner.now());
-        if (link == null) {
+        probeStarts.add(owner.nowMicros());
+        if (connection == null) {
             connect();
-        } else if (ready) {
-            askForProbe();
+        } else if (isReady) {
+            sendProbe();
         }
-        owner.loop()
-                .schedule(
-                        () -> {
-                            if (!probes.isEmpty() && owner.now() - probes.peek() >= PROBE_TIMEOUT) {
-                                endProbes(AttemptOutcome.TIMEOUT);
-                            }
-                        },
-                        PROBE_TIMEOUT,
-                        TimeUnit.MICROSECONDS);
+        owner.loop().schedule(this::onProbeTimeout, PROBE_TIMEOUT_MICROS, TimeUnit.MICROSECONDS);
     }
 
-    private void askForProbe() {
-        link.send(CHANNEL, Method.of(MethodType.BASIC_QOS, 0L, 0, false));
+    private void onProbeTimeout() {
+        if (!probeStarts.isEmpty() && owner.nowMicros() - probeStarts.peek() >= PROBE_TIMEOUT_MICROS) {
+            endProbes(AttemptOutcome.TIMEOUT);
+        }
     }
 
-    private void endProbes(AttemptOutcome result) {
-        while (!probes.isEmpty()) {
-            owner.probed(name, result, 0, owner.now() - probes.poll());
+    private void sendProbe() {
+        connection.send(CHANNEL, Method.of(MethodType.BASIC_QOS, 0L, 0, false));
+    }
+
+    private void endProbes(AttemptOutcome outcome) {
+        while (!probeStarts.isEmpty()) {
+            owner.onProbeCompleted(route, outcome, 0, owner.nowMicros() - probeStarts.poll());
         }
     }
 
     void closeIdle() {
-        if (link != null && ready && confirms.open() == 0 && waiting.isEmpty() && probes.isEmpty()) {
-            link.end(OK, "idle");
+        if (connection != null && isReady && confirms.open() == 0 && unpublished.isEmpty() && probeStarts.isEmpty()) {
+            connection.end(REPLY_SUCCESS, "idle");
         }
     }
 
-    /** Guards against a first byte after the grace: what waits never leaves. What is out may yet be confirmed. */
+    /** Stops for good: unpublished attempts are never sent, while published ones may still be confirmed. */
     void stop() {
-        stopped = true;
-        endWaiting(AttemptOutcome.NOT_SENT, 0);
+        isStopped = true;
+        endUnpublished(AttemptOutcome.NOT_SENT, 0);
         endProbes(AttemptOutcome.NOT_SENT);
         if (confirms.open() == 0) {
-            closeLink("the route is not listed any more");
+            closeConnection(NOT_LISTED_REASON);
         }
     }
 
-    private void closeLink(String reason) {
-        if (link != null) {
-            link.close(reason);
+    private void closeConnection(String reason) {
+        if (connection != null) {
+            connection.close(reason);
         }
     }
 
     // ---- the connection
 
     private void connect() {
-        link = AmqpClientConnection.dial(
+        connection = AmqpClientConnection.dial(
                 owner.loop(),
-                new AmqpClientConnection.Broker(target.address(), broker.login(), broker.tls(), broker.tlsName()),
-                MOST_BODY,
-                owner.connectTimeout(),
+                new AmqpClientConnection.Broker(
+                        endpoint.address(), destination.login(), destination.tls(), destination.tlsName()),
+                MAX_BODY_BYTES,
+                owner.connectTimeoutMicros(),
                 this);
     }
 
     @Override
     public void opened() {
-        link.openChannel(CHANNEL);
+        connection.openChannel(CHANNEL);
     }
 
     @Override
     public void received(Command command) throws AmqpException {
         Method method = command.method();
         switch (method.op()) {
-            case CHANNEL_OPEN_OK -> link.send(CHANNEL, Method.of(MethodType.CONFIRM_SELECT, false));
-            case CONFIRM_SELECT_OK -> ready();
-            case BASIC_ACK, BASIC_NACK -> confirmed(method);
-            case BASIC_RETURN -> returned(command);
-            case BASIC_QOS_OK -> probeAnswered();
-            case CHANNEL_CLOSE -> channelClosed(method);
+            case CHANNEL_OPEN_OK -> connection.send(CHANNEL, Method.of(MethodType.CONFIRM_SELECT, false));
+            case CONFIRM_SELECT_OK -> onReady();
+            case BASIC_ACK, BASIC_NACK -> onConfirm(method);
+            case BASIC_RETURN -> onReturn(command);
+            case BASIC_QOS_OK -> onProbeAnswered();
+            case CHANNEL_CLOSE -> onChannelClosed(method);
             default -> throw new AmqpException(AmqpException.COMMAND_INVALID, method.op() + " was not asked for");
         }
     }
 
-    private void ready() {
-        link.ready();
-        ready = true;
-        served = true;
-        probes.forEach(began -> askForProbe());
-        publishWaiting();
+    private void onReady() {
+        connection.ready();
+        isReady = true;
+        hasBeenReady = true;
+        probeStarts.forEach(start -> sendProbe());
+        publishPending();
     }
 
-    private void probeAnswered() {
-        Long began = probes.poll();
-        if (began != null) {
-            owner.probed(
-                    name,
-                    mustWait() ? AttemptOutcome.REJECTED : AttemptOutcome.OK,
-                    mustWait() ? BLOCKED_WAIT : 0,
-                    owner.now() - began);
+    private void onProbeAnswered() {
+        Long start = probeStarts.poll();
+        if (start != null) {
+            AttemptOutcome outcome = isBlocked() ? AttemptOutcome.REJECTED : AttemptOutcome.OK;
+            long retryAfterMicros = isBlocked() ? BLOCKED_RETRY_AFTER_MICROS : 0;
+            owner.onProbeCompleted(route, outcome, retryAfterMicros, owner.nowMicros() - start);
         }
     }
 
-    private boolean mustWait() {
-        return link != null && !link.mayPublish(CHANNEL);
+    private boolean isBlocked() {
+        return connection != null && !connection.mayPublish(CHANNEL);
     }
 
-    /** While publishers must wait the module is told so, and nothing leaves. */
+    /** The broker blocks publishers, or accepts them again: while it blocks, unpublished attempts end as rejected. */
     @Override
     public void publishing(String why) {
-        Log.line("host " + name + ": " + why);
-        if (mustWait()) {
-            endWaiting(AttemptOutcome.REJECTED, BLOCKED_WAIT);
+        log(why, "");
+        if (isBlocked()) {
+            endUnpublished(AttemptOutcome.REJECTED, BLOCKED_RETRY_AFTER_MICROS);
         }
     }
 
-    private void endWaiting(AttemptOutcome result, long wait) {
-        Map.copyOf(waiting).forEach((attempt, pending) -> {
-            waiting.remove(attempt);
-            end(attempt, pending, result, wait);
+    private void endUnpublished(AttemptOutcome outcome, long retryAfterMicros) {
+        Map.copyOf(unpublished).forEach((attempt, pending) -> {
+            unpublished.remove(attempt);
+            end(attempt, pending, outcome, retryAfterMicros);
         });
     }
 
     // ---- publishes
 
-    private void publishWaiting() {
-        while (ready && !waiting.isEmpty() && link.isWritable() && confirms.open() < MOST_OPEN) {
-            Message.Attempt attempt = waiting.keySet().iterator().next();
-            Pending pending = waiting.remove(attempt);
-            // Guards against a repeat that its destination may not know as one any more.
-            if (owner.now() >= pending.outgoing().latestArrivalMicros()) {
+    private void publishPending() {
+        while (isReady
+                && !unpublished.isEmpty()
+                && connection.isWritable()
+                && confirms.open() < MAX_UNCONFIRMED_PUBLISHES) {
+            Message.Attempt attempt = unpublished.keySet().iterator().next();
+            PendingAttempt pending = unpublished.remove(attempt);
+            // After its latest arrival the destination may have forgotten the idempotency key.
+            if (owner.nowMicros() >= pending.outbound().latestArrivalMicros()) {
                 end(attempt, pending, AttemptOutcome.NOT_SENT, 0);
                 continue;
             }
-            out.put(attempt, pending);
-            publish(attempt, pending.outgoing());
+            published.put(attempt, pending);
+            publish(attempt);
         }
-        if (ready && confirms.open() >= MOST_OPEN) {
-            closeLink(confirms.open() + " publishes have no confirm");
+        if (isReady && confirms.open() >= MAX_UNCONFIRMED_PUBLISHES) {
+            closeConnection(confirms.open() + " publishes have no confirm");
         }
     }
 
-    private void publish(Message.Attempt attempt, OutboundAttempt outgoing) {
+    private void publish(Message.Attempt attempt) {
         Message.Content content = attempt.message().content();
         long tag = confirms.publish(attempt);
-        Map<String, Object> headers = new LinkedHashMap<>();
-        headers.put(PublisherConfirms.TAG, tag);
-        if (content.key() != null) {
-            headers.put(Headers.KEY, content.key());
-        }
-        long now = owner.now();
-        long left = Math.max(1, (content.deadlineMicros() - now) / MS);
-        Properties properties = Properties.NONE
-                .with(Property.HEADERS, headers)
-                .with(Property.DELIVERY_MODE, PERSISTENT)
-                .with(Property.EXPIRATION, Long.toString(left))
-                .with(Property.MESSAGE_ID, content.messageId())
-                .with(Property.TIMESTAMP, now / (MS * MS))
-                .with(Property.TYPE, content.requestClass());
         PublisherConfirms<Message.Attempt> current = confirms;
-        link.send(
-                        CHANNEL,
-                        Method.of(MethodType.BASIC_PUBLISH, broker.exchange(), broker.routingKey(), true, false),
-                        properties,
-                        content.body())
+        Method method =
+                Method.of(MethodType.BASIC_PUBLISH, destination.exchange(), destination.routingKey(), true, false);
+        connection
+                .send(CHANNEL, method, PublishProperties.of(content, tag, owner.nowMicros()), content.body())
                 .addListener(done -> {
                     if (done.isSuccess()) {
                         current.written(tag);
-                        publishWaiting();
+                        publishPending();
                     }
                 });
     }
 
-    private void confirmed(Method method) throws AmqpException {
+    private void onConfirm(Method method) throws AmqpException {
         long tag = method.number("delivery-tag");
         List<PublisherConfirms.Settled<Message.Attempt>> settled =
                 confirms.confirmed(tag, method.flag("multiple"), method.op() == MethodType.BASIC_ACK);
@@ -311,81 +299,72 @@
             throw new AmqpException(AmqpException.PRECONDITION_FAILED, method + " speaks of no publish that is open");
         }
         settled.forEach(this::settle);
-        afterConfirm();
+        publishPending();
+        if (isStopped && confirms.open() == 0) {
+            closeConnection(NOT_LISTED_REASON);
+        }
     }
 
-    private void returned(Command command) {
+    private void onReturn(Command command) {
         Object tag = command.properties().headers().get(PublisherConfirms.TAG);
         List<PublisherConfirms.Settled<Message.Attempt>> settled =
                 tag instanceof Long number ? confirms.returned(number) : List.of();
         if (settled.isEmpty()) {
-            Log.line("host " + name + ": a return speaks of no publish that is open");
+            log("return of an unknown publish", "");
         } else {
-            Log.line("host " + name + ": returned, " + command.method().text("reply-text") + ": exchange \""
-                    + broker.exchange() + "\", routing key \"" + broker.routingKey() + "\"");
+            log(
+                    "message returned",
+                    " reason=" + command.method().text("reply-text") + " exchange=\"" + destination.exchange()
+                            + "\" routingKey=\"" + destination.routingKey() + "\"");
         }
         settled.forEach(this::settle);
     }
 
     private void settle(PublisherConfirms.Settled<Message.Attempt> settled) {
         Message.Attempt attempt = settled.what();
-        Pending pending = out.remove(attempt);
-        if (pending == null) {
-            // It has ended as timed out or cancelled. Only that it took effect is news of use.
-            if (settled.fate() == PublisherConfirms.Fate.ACKED) {
-                owner.late(attempt);
-            }
-            return;
-        }
-        end(
-                attempt,
-                pending,
-                switch (settled.fate()) {
-                    case ACKED -> AttemptOutcome.OK;
-                    case NACKED -> AttemptOutcome.ERROR;
-                    case RETURNED, NEVER -> AttemptOutcome.NOT_SENT;
-                    case UNKNOWN -> AttemptOutcome.RESET;
-                },
-                0);
-    }
-
-    private void afterConfirm() {
-        publishWaiting();
-        if (stopped && confirms.open() == 0) {
-            closeLink("the route is not listed any more");
+        PendingAttempt pending = published.remove(attempt);
+        if (pending != null) {
+            end(attempt, pending, BrokerOutcomes.ofFate(settled.fate()), 0);
+        } else if (settled.fate() == PublisherConfirms.Fate.ACKED) {
+            // The attempt has timed out or was cancelled before.
+            owner.onLateDelivery(attempt);
         }
     }
 
-    /** The broker has closed the channel: what was on it is settled, and the connection goes with it. */
-    private void channelClosed(Method method) {
+    /** The broker has closed the channel: its publishes are settled, and the connection is closed with it. */
+    private void onChannelClosed(Method method) {
         long code = method.number("reply-code");
-        Log.line("host " + name + ": the broker closed the channel: " + code + " " + method.text("reply-text"));
-        boolean publish = method.number("class-id") == MethodType.BASIC_PUBLISH.classId()
-                && method.number("method-id") == MethodType.BASIC_PUBLISH.methodId()
-                && (code == AmqpException.NOT_FOUND || code == AmqpException.ACCESS_REFUSED);
-        link.send(CHANNEL, Method.of(MethodType.CHANNEL_CLOSE_OK));
-        settleAll(publish);
-        link.end(OK, "its channel was closed");
+        log("channel closed by the broker", " code=" + code + " reason=" + method.text("reply-text"));
+        boolean isPublish = method.number("class-id") == MethodType.BASIC_PUBLISH.classId()
+                && method.number("method-id") == MethodType.BASIC_PUBLISH.methodId();
+        boolean isPublishAtFault =
+                isPublish && (code == AmqpException.NOT_FOUND || code == AmqpException.ACCESS_REFUSED);
+        connection.send(CHANNEL, Method.of(MethodType.CHANNEL_CLOSE_OK));
+        settleAll(isPublishAtFault);
+        connection.end(REPLY_SUCCESS, "its channel was closed");
     }
 
-    private void settleAll(boolean publishAtFault) {
+    private void settleAll(boolean isPublishAtFault) {
         PublisherConfirms<Message.Attempt> last = confirms;
         confirms = new PublisherConfirms<>();
-        ready = false;
-        last.closed(publishAtFault).forEach(this::settle);
+        isReady = false;
+        last.closed(isPublishAtFault).forEach(this::settle);
     }
 
     @Override
     public void closed(String reason) {
-        boolean opened = served;
-        served = false;
-        if (!opened && !stopped || confirms.open() > 0) {
-            Log.line("host " + name + ": " + reason);
+        boolean wasReady = hasBeenReady;
+        hasBeenReady = false;
+        if (!wasReady && !isStopped || confirms.open() > 0) {
+            log("connection closed", " reason=" + reason);
         }
-        link = null;
+        connection = null;
         settleAll(false);
-        // What still waits never left, and the module hears why.
-        endWaiting(opened ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, 0);
-        endProbes(opened ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
+        endUnpublished(BrokerOutcomes.ofUnpublished(wasReady), 0);
+        endProbes(BrokerOutcomes.ofUnansweredProbe(wasReady));
+    }
+
+    private void log(String event, String details) {
+        Log.line("upstream: " + event + " route=" + route + details);
     }
 }
--- a/src/main/java/loftflow/upstream/amqp/package-info.java
+++ b/src/main/java/loftflow/upstream/amqp/package-info.java
@@ -1,8 +1,10 @@
 /**
- * Partners that are reached through a broker of AMQP 0-9-1: what its confirms prove is decided in {@code amqp.confirm},
- * free
- * of sockets; whether, when and where to send again is the decision module's, so nothing here recovers by itself.
+ * Upstream endpoints that are reached through a broker of AMQP 0-9-1. What the broker's confirms prove is decided in
+ * {@code amqp.confirm}, apart from I/O; whether, when and where to retry is the delivery policy's decision, so that
+ * nothing here reconnects or resends by itself.
  *
- * <p>May use: the module's types, the engine's ports, {@code amqp}, the names of headers, the log, and Netty.
+ * <p>Start with {@link loftflow.upstream.amqp.BrokerClient}.
+ *
+ * <p>May use: the policy's types, the engine's ports, {@code amqp}, header names, the log, and Netty.
  */
 package loftflow.upstream.amqp;
