--- a/src/test/java/loftflow/stored/StoredDeadLetterTest.java
+++ b/src/test/java/loftflow/stored/StoredDeadLetterTest.java
@@ -56,9 +56,9 @@
         return new Message.Content(id, "settlement", tenant, key, 5_000_123, 9, body);
     }
 
-    private static DeadLetter.Try attempt(String route, String zone, long sentAtMicros, String outcomeCode) {
+    private static DeadLetter.Attempt attempt(String route, String zone, long sentAtMicros, String outcomeCode) {
         AttemptOutcome outcome = outcomeCode == null ? null : AttemptOutcome.ofCode(outcomeCode);
-        return new DeadLetter.Try(route, zone, sentAtMicros, outcome);
+        return new DeadLetter.Attempt(route, zone, sentAtMicros, outcome);
     }
 
     /** An entry for each state; between them, attempts of every outcome and an operator's statement. */
@@ -71,7 +71,7 @@
                 "dead",
                 DeadLetter.State.KEPT,
                 25_000,
-                new DeadLetter.Word("an operator", "their log has no such id", 2, 15_000),
+                new DeadLetter.Confirmation("an operator", "their log has no such id", 2, 15_000),
                 1,
                 List.of(
                         attempt("r1", "annex", 50, "TIMEOUT"),
@@ -80,7 +80,7 @@
         Message.Content ordered =
                 new Message.Content("resending", "car-order", null, null, 6_000, 8, new byte[0], null, "line-1");
         DeadLetter resending = new DeadLetter(
-                2, ordered, 11_000, "no route", "bounced", DeadLetter.State.RESENDING, 30_000, null, 0, List.of());
+                2, ordered, 11_000, "no route", "bounced", DeadLetter.State.REDRIVING, 30_000, null, 0, List.of());
         DeadLetter delivered = new DeadLetter(
                 3,
                 content("delivered", null, null, 1),
@@ -126,13 +126,13 @@
         return new DeadLetter(
                 entry.id(),
                 null,
-                entry.keptAt(),
-                entry.why(),
-                entry.told(),
+                entry.storedAtMicros(),
+                entry.reason(),
+                entry.clientReply(),
                 entry.state(),
-                entry.due(),
-                entry.word(),
-                entry.resends(),
+                entry.dueMicros(),
+                entry.confirmation(),
+                entry.redrives(),
                 entry.tries());
     }
 
@@ -157,11 +157,11 @@
                 assertSame(expected().get(i), entries.get(i));
             }
             assertEquals(4, store.size().entries());
-            assertEquals(13_000, store.newest());
+            assertEquals(13_000, store.newestMicros());
             assertEquals(
                     List.of(1L),
-                    store.due(25_000, 0, ALL).stream().map(DeadLetter::id).toList());
-            assertEquals(List.of(), store.due(24_999, 0, ALL));
+                    store.findDue(25_000, 0, ALL).stream().map(DeadLetter::id).toList());
+            assertEquals(List.of(), store.findDue(24_999, 0, ALL));
             assertEquals(2, store.find("resending", 6_000).orElseThrow());
         }
     }
@@ -182,10 +182,10 @@
     void filtersFindEntriesOfTheEarlierBuild() throws IOException {
         try (DeadLetterStore store = open(copy())) {
             assertEquals(List.of(1L), ids(store, null, ExecutionCertainty.MAYBE));
-            assertEquals(List.of(2L), ids(store, null, ExecutionCertainty.NEVER));
-            assertEquals(List.of(3L, 4L), ids(store, null, ExecutionCertainty.DID));
+            assertEquals(List.of(2L), ids(store, null, ExecutionCertainty.NOT_EXECUTED));
+            assertEquals(List.of(3L, 4L), ids(store, null, ExecutionCertainty.EXECUTED));
             assertEquals(List.of(1L), ids(store, DeadLetter.State.KEPT, null));
-            assertEquals(List.of(2L), ids(store, DeadLetter.State.RESENDING, null));
+            assertEquals(List.of(2L), ids(store, DeadLetter.State.REDRIVING, null));
             assertEquals(List.of(3L), ids(store, DeadLetter.State.DELIVERED, null));
             assertEquals(List.of(4L), ids(store, DeadLetter.State.DISCARDED, null));
         }
@@ -200,7 +200,7 @@
                             "1970-01-01T00:00:16Z relay resend"),
                     store.audits(1));
             assertEquals(List.of("1970-01-01T00:00:17Z another discard: agreed by telephone"), store.audits(4));
-            store.audit(18_000_000, "a third", "discard", 4, "");
+            store.appendAudit(18_000_000, "a third", "discard", 4, "");
             assertEquals(
                     List.of(
                             "1970-01-01T00:00:17Z another discard: agreed by telephone",
@@ -236,7 +236,7 @@
     private static void assertSetAside(Path copy) throws IOException {
         try (DeadLetterStore store = open(copy)) {
             assertEquals(List.of(), list(store));
-            assertEquals(0, store.newest());
+            assertEquals(0, store.newestMicros());
         }
         List<String> files = StoredData.files(copy);
         assertEquals(2, files.size(), files.toString());
