--- /dev/null
+++ b/src/test/java/loftflow/journal/JournalRecordCodecTest.java
@@ -0,0 +1,90 @@
+package loftflow.journal;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.ByteArrayInputStream;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import loftflow.engine.Message;
+import loftflow.policy.api.AttemptOutcome;
+import loftflow.recordfile.RecordFile;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The stored form of records; that of whole messages is covered by the tests of the journal. */
+class JournalRecordCodecTest {
+    private static Message message() {
+        return new Message(5, new Message.Content("id", "safe", null, null, 123, 7, new byte[2]));
+    }
+
+    private static DataInputStream payload(byte[] record) {
+        return new DataInputStream(new ByteArrayInputStream(record, RecordFile.HEAD, record.length - RecordFile.HEAD));
+    }
+
+    private static MessageUpdate readUpdate(byte[] record) throws IOException {
+        DataInputStream in = payload(record);
+        JournalRecordCodec.Header header = JournalRecordCodec.readHeader(in);
+        assertEquals(5, header.messageNumber());
+        return JournalRecordCodec.readUpdate(header, in);
+    }
+
+    @Test
+    void updatesAreReadAsTheyAreWritten() throws IOException {
+        Message message = message();
+        Message.Attempt attempt = message.addAttempt("r1", 50);
+        assertEquals(
+                new MessageUpdate.AttemptStarted(0, "r1", 50), readUpdate(JournalRecordCodec.attemptStarted(attempt)));
+        attempt.outcome(AttemptOutcome.REJECTED);
+        assertEquals(
+                new MessageUpdate.AttemptEnded(0, AttemptOutcome.REJECTED),
+                readUpdate(JournalRecordCodec.attemptEnded(attempt)));
+        assertEquals(new MessageUpdate.Done(), readUpdate(JournalRecordCodec.done(message)));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"FAILED, 0", "REJECTED, 1", "DELIVERED, 2"})
+    void completionIsStoredByItsCode(Message.Completion.Kind kind, int code) throws IOException {
+        Message message = message();
+        message.complete(new Message.Completion(kind, 250));
+        byte[] record = JournalRecordCodec.completionDecided(message);
+        assertEquals(code, record[RecordFile.HEAD + Byte.BYTES + Long.BYTES]);
+        assertEquals(new MessageUpdate.CompletionDecided(message.completion()), readUpdate(record));
+    }
+
+    @Test
+    void unknownCodesAreRefused() {
+        Message message = message();
+        message.complete(new Message.Completion(Message.Completion.Kind.FAILED, 0));
+        byte[] unknownCompletion = JournalRecordCodec.completionDecided(message);
+        unknownCompletion[RecordFile.HEAD + Byte.BYTES + Long.BYTES] = 3;
+        assertThrows(IOException.class, () -> readUpdate(unknownCompletion));
+        byte[] unknownType = JournalRecordCodec.done(message);
+        unknownType[RecordFile.HEAD] = 99;
+        assertThrows(IOException.class, () -> readUpdate(unknownType));
+    }
+
+    /** A record of a redriven dead letter holds its attempts, so no others follow it. */
+    @Test
+    void allRecordsOfAMessageRestoreIt() {
+        Message redriven = new Message(5, message().content(), 42);
+        redriven.addAttempt("r1", 50);
+        assertEquals(1, recordsIn(JournalRecordCodec.all(redriven)));
+        Message attempted = message();
+        attempted.addAttempt("r1", 50).outcome(AttemptOutcome.OK);
+        attempted.addAttempt("r2", 60);
+        attempted.complete(new Message.Completion(Message.Completion.Kind.DELIVERED, 0));
+        assertEquals(5, recordsIn(JournalRecordCodec.all(attempted)));
+    }
+
+    private static int recordsIn(byte[] records) {
+        ByteBuffer all = ByteBuffer.wrap(records);
+        int count = 0;
+        while (RecordFile.next(all) != null) {
+            count++;
+        }
+        return count;
+    }
+}
