--- a/src/main/java/loftflow/listener/amqp/AmqpListener.java
+++ b/src/main/java/loftflow/listener/amqp/AmqpListener.java
@@ -4,12 +4,8 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -29,147 +25,145 @@
 import loftflow.log.Log;
 
 /**
- * Listens for programs that publish straight to the relay. Publishes are taken in confirm mode alone: a confirm means
- * that the message is taken on, a refusal that it is not and may be published again. Ends lie in the journal until a
- * consumer of their queue has acknowledged them.
+ * Listens for programs that publish to the relay directly. Publishes are accepted in confirm mode only: an ack means
+ * that the message is accepted, a nack that it is not and may be published again. Completions remain in the journal
+ * until a consumer of their reply queue has acknowledged them. For use on the event loop only.
  */
 public final class AmqpListener implements Listener, CompletionReplier {
     /**
-     * How it is set.
+     * The settings of a listener.
      *
-     * @param name by which the journal knows this front
-     * @param exchange where programs publish; the nameless one does as well
-     * @param user null where everyone may come in
-     * @param connections that programs may hold
-     * @param replyHold microseconds for which an end waits for its consumer, before it goes where others go
+     * @param name the name of this listener in the journal
+     * @param exchange where programs publish; the default exchange is accepted as well
+     * @param user null where every program is admitted
+     * @param maxConnections the limit on connections
+     * @param replyHoldMicros how long a completion waits for a consumer before it is reported elsewhere
      */
     public record Options(
             String name,
             String exchange,
             String user,
             String password,
-            int connections,
+            int maxConnections,
             AmqpServerConnection.Offer offer,
-            long replyHold) {}
+            long replyHoldMicros) {}
 
-    /** What everything here works with. */
-    record Parts(
-            MessageAcceptor intake,
+    /** What the sessions of a listener share. */
+    record Context(
+            MessageAcceptor messageAcceptor,
             Clock clock,
-            EventLoopLag pulse,
+            EventLoopLag eventLoopLag,
             MessageMapping mapping,
-            Deduplicator seen,
+            Deduplicator deduplicator,
             Options options) {}
 
-    /** Someone who takes ends. */
-    interface Taker {
-        /** True where it can take one more now. */
-        boolean mayTake();
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    /** The bytes of partly received bodies that all connections may hold together. */
+    private static final int MAX_BUFFERED_BYTES = 4 << 20;
 
-        /** Takes an end, to acknowledge it or give it back later. */
-        void take(Message message, boolean again);
-    }
-
-    /** Ends that wait for takers, by queue. */
-    private static final class Waiting {
-        final ArrayDeque<Told> ready = new ArrayDeque<>();
-        final Set<Taker> takers = new LinkedHashSet<>();
-    }
+    private static final long HANDSHAKE_TIMEOUT_MILLIS = 2_500;
+    private static final long EXPIRY_INTERVAL_MILLIS = 1_000;
 
-    private record Told(Message message, boolean again, long since) {}
-
-    private static final int MOST_BODY = 64 << 10;
-    private static final int MOST_BUFFERED = 4 << 20;
-    private static final long OPENING_MS = 2_500;
-    private static final long LOOK_MS = 1_000;
-
-    private final Parts parts;
-    private final Consumer<Message> heard;
-    private final CompletionNotifier others;
-    private final Map<String, Waiting> queues = new HashMap<>();
+    private final Context context;
+    private final Consumer<Message> acknowledged;
+    private final CompletionNotifier fallbackNotifier;
+    private final CompletionQueues completionQueues;
     private final Set<PublisherSession> sessions = new LinkedHashSet<>();
     private final GeneratedIds ids;
-    private final Acceptor door;
+    private final Acceptor acceptor;
+    private final BodyBuffer bodyBuffer = new BodyBuffer();
     private EventLoop loop;
-    private int buffered;
-    private boolean draining;
+    private boolean isDraining;
 
     /**
-     * A listener.
+     * Creates a listener that does not listen yet.
      *
-     * @param heard told of each end that a program has
-     * @param others where ends go that nobody takes
+     * @param acknowledged receives each message whose completion a program has acknowledged
+     * @param fallbackNotifier receives completions that no program consumes
      */
     public AmqpListener(
-            MessageAcceptor intake,
+            MessageAcceptor messageAcceptor,
             Clock clock,
-            EventLoopLag pulse,
+            EventLoopLag eventLoopLag,
             MessageMapping mapping,
-            Deduplicator seen,
+            Deduplicator deduplicator,
             Options options,
-            Consumer<Message> heard,
-            CompletionNotifier others) {
-        parts = new Parts(intake, clock, pulse, mapping, seen, options);
-        this.heard = heard;
-        this.others = others;
-        door = new Acceptor(pulse, this::accept);
+            Consumer<Message> acknowledged,
+            CompletionNotifier fallbackNotifier) {
+        context = new Context(messageAcceptor, clock, eventLoopLag, mapping, deduplicator, options);
+        this.acknowledged = acknowledged;
+        this.fallbackNotifier = fallbackNotifier;
+        completionQueues = new CompletionQueues(clock);
+        acceptor = new Acceptor(eventLoopLag, this::onAccepted);
         ids = new GeneratedIds(options.name(), clock.micros());
     }
 
     /** Listens at an address. */
     public ChannelFuture listen(EventLoop eventLoop, InetSocketAddress address) {
         loop = eventLoop;
-        loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
-        return door.open(loop, address);
+        scheduleExpiry();
+        return acceptor.open(loop, address);
     }
 
-    private void accept(Channel ch) {
-        PublisherSession session = new PublisherSession(this, parts);
-        AmqpServerConnection link = new AmqpServerConnection(
-                parts.options().offer(),
-                MOST_BODY,
-                new CommandAssembler.Room() {
-                    @Override
-                    public boolean take(int bytes) {
-                        if (buffered + bytes > MOST_BUFFERED) {
-                            return false;
-                        }
-                        buffered += bytes;
-                        return true;
-                    }
+    private void scheduleExpiry() {
+        loop.schedule(this::expireCompletions, EXPIRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+    }
 
-                    @Override
-                    public void give(int bytes) {
-                        buffered -= bytes;
-                    }
-                },
-                session);
-        session.attach(link);
-        // Guards against clients that take every descriptor: of those that are not in yet the oldest goes first.
-        if (sessions.size() >= parts.options().connections()) {
-            PublisherSession first =
-                    sessions.stream().filter(s -> !s.isIn()).findFirst().orElse(null);
-            if (first == null) {
-                ch.close();
-                return;
+    /** The memory bound of partly received bodies, which all connections share. */
+    private static final class BodyBuffer implements CommandAssembler.Room {
+        private int bufferedBytes;
+
+        @Override
+        public boolean take(int bytes) {
+            if (bufferedBytes + bytes > MAX_BUFFERED_BYTES) {
+                return false;
             }
-            closed(first);
-            first.close("others come");
+            bufferedBytes += bytes;
+            return true;
+        }
+
+        @Override
+        public void give(int bytes) {
+            bufferedBytes -= bytes;
+        }
+    }
+
+    private void onAccepted(Channel channel) {
+        PublisherSession session = new PublisherSession(this, context);
+        AmqpServerConnection connection =
+                new AmqpServerConnection(context.options().offer(), MAX_BODY_BYTES, bodyBuffer, session);
+        session.attach(connection);
+        if (sessions.size() >= context.options().maxConnections() && !evictOldestInHandshake()) {
+            channel.close();
+            return;
         }
         sessions.add(session);
-        ch.pipeline().addLast(link);
-        // Guards against clients that connect and never open, or send half a header.
+        channel.pipeline().addLast(connection);
         loop.schedule(
                 () -> {
-                    if (!session.isIn()) {
+                    if (!session.isAdmitted()) {
                         session.close("it did not open in time");
                     }
                 },
-                OPENING_MS,
+                HANDSHAKE_TIMEOUT_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
-    void closed(PublisherSession session) {
+    /** Evicts the oldest connection that is not admitted yet; returns false where there is none. */
+    private boolean evictOldestInHandshake() {
+        PublisherSession oldest = sessions.stream()
+                .filter(session -> !session.isAdmitted())
+                .findFirst()
+                .orElse(null);
+        if (oldest == null) {
+            return false;
+        }
+        onClosed(oldest);
+        oldest.close("others come");
+        return true;
+    }
+
+    void onClosed(PublisherSession session) {
         sessions.remove(session);
     }
 
@@ -178,96 +172,43 @@
     }
 
     boolean isDraining() {
-        return draining;
-    }
-
-    // ---- ends
-
-    @Override
-    public void tell(Message message) {
-        Waiting queue = queue(message.content().reply().queue());
-        queue.ready.add(new Told(message, false, parts.clock().micros()));
-        dispatch(queue);
-    }
-
-    private Waiting queue(String name) {
-        return queues.computeIfAbsent(name, n -> new Waiting());
-    }
-
-    int ready(String name) {
-        return queues.containsKey(name) ? queues.get(name).ready.size() : 0;
+        return isDraining;
     }
 
-    void addTaker(String name, Taker taker) {
-        queue(name).takers.add(taker);
-    }
-
-    void removeTaker(String name, Taker taker) {
-        Waiting queue = queues.get(name);
-        if (queue != null) {
-            queue.takers.remove(taker);
-            if (queue.takers.isEmpty() && queue.ready.isEmpty()) {
-                queues.remove(name);
-            }
-        }
-    }
+    // ---- completions
 
-    /** A program has an end. */
-    void heard(Message message) {
-        heard.accept(message);
+    CompletionQueues completionQueues() {
+        return completionQueues;
     }
 
-    /** An end was handed out and not acknowledged: it is told again, ahead of later ones. */
-    void giveBack(String name, Message message) {
-        queue(name).ready.addFirst(new Told(message, true, parts.clock().micros()));
-    }
-
-    /** Hands out what waits; each taker in turn, as far as it may. */
-    void dispatch(String name) {
-        if (queues.containsKey(name)) {
-            dispatch(queues.get(name));
-        }
+    @Override
+    public void tell(Message message) {
+        completionQueues.add(message);
     }
 
-    private void dispatch(Waiting queue) {
-        boolean progress = true;
-        while (progress && !queue.ready.isEmpty()) {
-            progress = false;
-            for (Taker taker : List.copyOf(queue.takers)) {
-                if (!queue.ready.isEmpty() && taker.mayTake()) {
-                    Told told = queue.ready.poll();
-                    taker.take(told.message(), told.again());
-                    progress = true;
-                }
-            }
-        }
+    /** A program has acknowledged the completion of a message. */
+    void onAcknowledged(Message message) {
+        acknowledged.accept(message);
     }
 
-    /** Guards against ends that nobody ever takes, which would fill the journal. */
-    private void look() {
-        loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
-        long now = parts.clock().micros();
-        for (Iterator<Map.Entry<String, Waiting>> all = queues.entrySet().iterator(); all.hasNext(); ) {
-            Map.Entry<String, Waiting> queue = all.next();
-            ArrayDeque<Told> ready = queue.getValue().ready;
-            while (!ready.isEmpty()
-                    && now - ready.peek().since() > parts.options().replyHold()) {
-                Message message = ready.poll().message();
-                Log.line("nobody took the end of " + message.content().messageId() + " from queue " + queue.getKey());
-                others.notifyCompletion(message);
-            }
-            if (ready.isEmpty() && queue.getValue().takers.isEmpty()) {
-                all.remove();
-            }
-        }
+    /** Reports completions elsewhere that no program consumes, so that they do not fill the journal. */
+    private void expireCompletions() {
+        scheduleExpiry();
+        completionQueues.expire(context.options().replyHoldMicros(), (queue, message) -> {
+            Log.line("amqp: completion not consumed messageId="
+                    + message.content().messageId() + " queue=" + queue);
+            fallbackNotifier.notifyCompletion(message);
+        });
     }
 
-    // ---- the end
+    // ---- shutdown
 
     @Override
     public void drain() {
-        draining = true;
-        List.copyOf(sessions).stream().filter(s -> !s.isIn()).forEach(s -> s.close("the relay ends"));
+        isDraining = true;
+        List.copyOf(sessions).stream()
+                .filter(session -> !session.isAdmitted())
+                .forEach(session -> session.close("the relay ends"));
     }
 
     @Override
@@ -277,12 +218,12 @@
 
     @Override
     public boolean isAnswering() {
-        return sessions.stream().anyMatch(PublisherSession::isAnswering);
+        return sessions.stream().anyMatch(PublisherSession::hasUnansweredPublishes);
     }
 
     @Override
     public void stopListening() {
-        door.close();
-        sessions.forEach(s -> s.end(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - the relay ends"));
+        acceptor.close();
+        sessions.forEach(session -> session.end(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - the relay ends"));
     }
 }
--- a/src/main/java/loftflow/listener/amqp/CompletionReplier.java
+++ b/src/main/java/loftflow/listener/amqp/CompletionReplier.java
@@ -2,8 +2,11 @@
 
 import loftflow.engine.Message;
 
-/** A front that tells the ends of messages that came by it; each is heard once whoever asked for it has it. */
+/**
+ * A listener that replies with the completions of its messages. A completion is acknowledged to the engine once the
+ * client, or the client's queue, has it. For use on the event loop only.
+ */
 public interface CompletionReplier {
-    /** Tells how a message ended, then or as soon as that can be done. */
+    /** Replies with the completion of a message, at once or as soon as that is possible. */
     void tell(Message message);
 }
--- a/src/main/java/loftflow/listener/amqp/QueueConsumer.java
+++ b/src/main/java/loftflow/listener/amqp/QueueConsumer.java
@@ -1,7 +1,6 @@
 package loftflow.listener.amqp;
 
 import io.netty.channel.EventLoop;
-import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -14,7 +13,6 @@
 import loftflow.amqp.codec.MethodType;
 import loftflow.amqp.codec.Properties;
 import loftflow.amqp.codec.Property;
-import loftflow.amqp.confirm.PublisherConfirms;
 import loftflow.amqp.link.AmqpClientConnection;
 import loftflow.amqp.mapping.GeneratedIds;
 import loftflow.amqp.mapping.MessageMapping;
@@ -28,81 +26,87 @@
 import loftflow.log.Log;
 
 /**
- * Takes messages from a queue of a broker: each is acknowledged once it is taken on, goes back to the queue where it is
- * refused, and is rejected for good where it can never be taken on. Ends are published to reply queues at the same
- * broker.
+ * Consumes a queue of a broker. A delivery is acknowledged once its message is accepted, requeued where it is rejected
+ * for now, and rejected for good where it can never be accepted. Completions are published to reply queues of the same
+ * broker. For use on the event loop only.
  */
 public final class QueueConsumer implements Listener, CompletionReplier, AmqpClientConnection.Owner {
-    /** Whether ends are told. */
+    /** For which messages completions are published; the names are values of a setting. */
     public enum Tells {
-        /** To the queue that a message asks for. */
+        /** For messages with a reply queue. */
         ASKED,
-        /** Also of messages that ask for none, to a queue that is set. */
+        /** Also for messages without one, to the reply queue of the settings. */
         ALWAYS,
+        /** For none. */
         NEVER
     }
 
     /**
-     * How it is set.
+     * The settings of a consumer.
      *
-     * @param name by which the journal knows this front
-     * @param prefetch deliveries that may be unacknowledged
-     * @param autoAcknowledge the broker forgets what it hands out, and what is refused is lost
-     * @param replyQueue where ends go of messages that ask for no reply; null where they are not told
-     * @param connectTimeout microseconds until a connection is open in AMQP's sense
+     * @param name the name of this consumer in the journal
+     * @param prefetch the largest number of unacknowledged deliveries
+     * @param isAutoAcknowledge whether the broker forgets what it delivers, so that rejected messages are lost
+     * @param replyQueue the reply queue of messages that name none; null where their completions are not published
+     * @param connectTimeoutMicros the time for a connection to complete its AMQP handshake
      */
     public record Options(
             String name,
             AmqpClientConnection.Broker broker,
             String queue,
             int prefetch,
-            boolean autoAcknowledge,
+            boolean isAutoAcknowledge,
             Tells tells,
             String replyQueue,
-            long connectTimeout) {}
+            long connectTimeoutMicros) {}
 
-    private static final int CONSUMING = 1;
-    private static final int REPLYING = 2;
-    private static final String TAG = "relay";
-    private static final int MOST_BODY = 64 << 10;
-    private static final long FIRST_PAUSE_MS = 100;
-    private static final long LONGEST_PAUSE_MS = 10_000;
-    /** Guards against a broker that hands out again and again, in no time, what is refused. */
-    private static final long LEAST_BACK_MS = 200;
+    private static final int CONSUMER_CHANNEL = 1;
+    private static final int REPLY_CHANNEL = 2;
+    private static final String CONSUMER_TAG = "relay";
+    /** The AMQP reply code of a regular close. */
+    private static final int REPLY_SUCCESS = 200;
 
-    private static final long MOST_BACK_MS = 5_000;
-    private static final int OK = 200;
+    private static final int MAX_BODY_BYTES = 64 << 10;
+    private static final long MIN_RECONNECT_PAUSE_MILLIS = 100;
+    private static final long MAX_RECONNECT_PAUSE_MILLIS = 10_000;
+    /** The shortest time before a rejected delivery is requeued; the broker redelivers it at once. */
+    private static final long MIN_REQUEUE_DELAY_MILLIS = 200;
 
-    /** One delivery that awaits its answer, on the link that it came by and no other. */
+    private static final long MAX_REQUEUE_DELAY_MILLIS = 5_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    /** A delivery that awaits its answer, which goes to the connection that it came from and no other. */
     private final class Delivery implements Message.ClientReply {
-        private final AmqpClientConnection on;
+        private final AmqpClientConnection origin;
         private final long tag;
-        private final String id;
-        private final boolean anonymous;
+        private final String messageId;
+        private final boolean isAnonymous;
+        /** The submitted message; null before its submission and after its answer. */
         private Message message;
 
-        Delivery(AmqpClientConnection on, long tag, MessageMapping.Fits fits) {
-            this.on = on;
+        Delivery(AmqpClientConnection origin, long tag, MessageMapping.Fits mapped) {
+            this.origin = origin;
             this.tag = tag;
-            id = fits.content().messageId();
-            anonymous = fits.anonymous();
+            messageId = mapped.content().messageId();
+            isAnonymous = mapped.anonymous();
         }
 
         @Override
         public void accepted() {
-            // On file before the broker hears of it: what it hands out again after a lost acknowledgement is known by
-            // then.
-            if (!anonymous) {
-                seen.add(id);
+            // The id is stored before the ack is sent, so that a redelivery after a lost ack is recognized.
+            if (!isAnonymous) {
+                deduplicator.add(messageId);
             }
             answer(Method.of(MethodType.BASIC_ACK, tag, false));
         }
 
         @Override
-        public void rejected(long retryIn) {
+        public void rejected(long retryAfterMicros) {
             message = null;
-            long wait = Math.max(LEAST_BACK_MS, Math.min(MOST_BACK_MS, retryIn / 1_000));
-            loop.schedule(() -> answer(Method.of(MethodType.BASIC_REJECT, tag, true)), wait, TimeUnit.MILLISECONDS);
+            long delayMillis = Math.max(
+                    MIN_REQUEUE_DELAY_MILLIS, Math.min(MAX_REQUEUE_DELAY_MILLIS, retryAfterMicros / MICROS_PER_MILLI));
+            loop.schedule(
+                    () -> answer(Method.of(MethodType.BASIC_REJECT, tag, true)), delayMillis, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -113,297 +117,260 @@
         private void answer(Method method) {
             message = null;
             deliveries.remove(this);
-            // Guards against a tag of a connection that is gone, which would speak of another message on this one.
-            if (options.autoAcknowledge()) {
+            if (options.isAutoAcknowledge()) {
                 if (method.op() != MethodType.BASIC_ACK) {
-                    Log.line("amqp: " + id + " is lost: it was refused, and the broker has forgotten it");
+                    Log.line("amqp: rejected message lost messageId=" + messageId + " queue=" + options.queue());
                 }
-            } else if (on == link && on.isOpen()) {
-                on.send(CONSUMING, method);
+            } else if (origin == connection && origin.isOpen()) {
+                // On another connection, the tag would name another message.
+                origin.send(CONSUMER_CHANNEL, method);
             }
         }
+
+        private Message releaseMessage() {
+            Message released = message;
+            message = null;
+            return released;
+        }
     }
 
     private final EventLoop loop;
-    private final MessageAcceptor intake;
+    private final MessageAcceptor messageAcceptor;
     private final Clock clock;
-    private final EventLoopLag pulse;
+    private final EventLoopLag eventLoopLag;
     private final MessageMapping mapping;
-    private final Deduplicator seen;
+    private final Deduplicator deduplicator;
     private final Options options;
-    private final Consumer<Message> heard;
-    private final CompletionNotifier others;
     private final GeneratedIds ids;
+    private final ReplyPublisher replyPublisher;
     private final Set<Delivery> deliveries = new HashSet<>();
-    /** Ends that are not published, the oldest first. */
-    private final ArrayDeque<Message> untold = new ArrayDeque<>();
 
-    private PublisherConfirms<Message> confirms = new PublisherConfirms<>();
-    private AmqpClientConnection link;
-    private boolean replies;
-    private boolean draining;
-    private boolean stopped;
-    private long pause = FIRST_PAUSE_MS;
+    /** Null while there is no connection. */
+    private AmqpClientConnection connection;
+
+    private boolean isDraining;
+    private boolean isStopped;
+    private long reconnectPauseMillis = MIN_RECONNECT_PAUSE_MILLIS;
 
     /**
-     * A consumer; {@link #start} sets it going.
+     * Creates a consumer, which {@link #start} connects.
      *
-     * @param heard told of each end that the broker has
-     * @param others where ends go whose queue is not there
+     * @param acknowledged receives each message whose completion the broker has acknowledged
+     * @param fallbackNotifier receives completions whose reply queue does not exist
      */
     public QueueConsumer(
             EventLoop loop,
-            MessageAcceptor intake,
+            MessageAcceptor messageAcceptor,
             Clock clock,
-            EventLoopLag pulse,
+            EventLoopLag eventLoopLag,
             MessageMapping mapping,
-            Deduplicator seen,
+            Deduplicator deduplicator,
             Options options,
-            Consumer<Message> heard,
-            CompletionNotifier others) {
+            Consumer<Message> acknowledged,
+            CompletionNotifier fallbackNotifier) {
         this.loop = loop;
-        this.intake = intake;
+        this.messageAcceptor = messageAcceptor;
         this.clock = clock;
-        this.pulse = pulse;
+        this.eventLoopLag = eventLoopLag;
         this.mapping = mapping;
-        this.seen = seen;
+        this.deduplicator = deduplicator;
         this.options = options;
-        this.heard = heard;
-        this.others = others;
         ids = new GeneratedIds(options.name(), clock.micros());
+        replyPublisher = new ReplyPublisher(loop, REPLY_CHANNEL, acknowledged, fallbackNotifier);
     }
 
-    /** Connects, and again after pauses that grow, until the end. */
+    /** Connects, and reconnects with exponential back-off until {@link #stopListening}. */
     public void start() {
-        if (stopped) {
+        if (isStopped) {
             return;
         }
-        link = AmqpClientConnection.dial(loop, options.broker(), MOST_BODY, options.connectTimeout(), this);
+        connection =
+                AmqpClientConnection.dial(loop, options.broker(), MAX_BODY_BYTES, options.connectTimeoutMicros(), this);
     }
 
     @Override
     public void opened() {
-        link.openChannel(CONSUMING);
+        connection.openChannel(CONSUMER_CHANNEL);
         if (options.tells() != Tells.NEVER) {
-            link.openChannel(REPLYING);
+            connection.openChannel(REPLY_CHANNEL);
         }
     }
 
     @Override
     public void received(Command command) throws AmqpException {
-        Method m = command.method();
-        switch (m.op()) {
-            case CHANNEL_OPEN_OK -> link.send(
-                    command.channel(),
-                    command.channel() == CONSUMING
-                            ? Method.of(MethodType.BASIC_QOS, 0L, options.prefetch(), false)
-                            : Method.of(MethodType.CONFIRM_SELECT, false));
-            case BASIC_QOS_OK -> link.send(
-                    CONSUMING,
-                    Method.of(
-                            MethodType.BASIC_CONSUME,
-                            options.queue(),
-                            TAG,
-                            false,
-                            options.autoAcknowledge(),
-                            false,
-                            false,
-                            Map.of()));
-            case BASIC_CONSUME_OK -> {
-                link.ready();
-                pause = FIRST_PAUSE_MS;
-                Log.line("amqp: consuming queue " + options.queue() + " at "
-                        + options.broker().address());
-            }
-            case CONFIRM_SELECT_OK -> {
-                replies = true;
-                tellAll();
-            }
-            case BASIC_DELIVER -> deliver(command);
-            case BASIC_ACK, BASIC_NACK -> confirmed(m);
-            case BASIC_RETURN -> returned(command);
+        Method method = command.method();
+        switch (method.op()) {
+            case CHANNEL_OPEN_OK -> onChannelOpened(command.channel());
+            case BASIC_QOS_OK -> consume();
+            case BASIC_CONSUME_OK -> onConsuming();
+            case CONFIRM_SELECT_OK -> replyPublisher.onReady(connection);
+            case BASIC_DELIVER -> onDelivery(command);
+            case BASIC_ACK, BASIC_NACK -> replyPublisher.onConfirm(method);
+            case BASIC_RETURN -> replyPublisher.onReturn(command);
             case BASIC_CANCEL_OK -> {}
-            case BASIC_CANCEL -> link.end(OK, "the queue is gone");
-            case CHANNEL_CLOSE -> {
-                Log.line("amqp: queue " + options.queue() + ": the broker closed channel " + command.channel() + ": "
-                        + m.number("reply-code") + " " + m.text("reply-text"));
-                link.send(command.channel(), Method.of(MethodType.CHANNEL_CLOSE_OK));
-                link.end(OK, "a channel was closed");
-            }
-            default -> throw new AmqpException(AmqpException.COMMAND_INVALID, m.op() + " was not asked for");
+            case BASIC_CANCEL -> connection.end(REPLY_SUCCESS, "the queue is gone");
+            case CHANNEL_CLOSE -> onChannelClosed(command.channel(), method);
+            default -> throw new AmqpException(AmqpException.COMMAND_INVALID, method.op() + " was not asked for");
         }
     }
 
-    // ---- messages in
+    private void onChannelOpened(int channel) {
+        Method next = channel == CONSUMER_CHANNEL
+                ? Method.of(MethodType.BASIC_QOS, 0L, options.prefetch(), false)
+                : Method.of(MethodType.CONFIRM_SELECT, false);
+        connection.send(channel, next);
+    }
 
-    private void deliver(Command command) {
-        Method m = command.method();
-        long tag = m.number("delivery-tag");
-        Properties properties = command.properties();
-        MessageMapping.Mapped mapped = command.isSkipped()
-                ? new MessageMapping.Misfits(command.size() + " bytes are more than is taken")
-                : mapping.map(
-                        properties,
-                        m.text("exchange"),
-                        m.text("routing-key"),
-                        command.body(),
-                        pulse.unreadSince(),
-                        ids,
-                        reply(properties));
+    private void consume() {
+        Method method = Method.of(
+                MethodType.BASIC_CONSUME,
+                options.queue(),
+                CONSUMER_TAG,
+                false,
+                options.isAutoAcknowledge(),
+                false,
+                false,
+                Map.of());
+        connection.send(CONSUMER_CHANNEL, method);
+    }
+
+    private void onConsuming() {
+        connection.ready();
+        reconnectPauseMillis = MIN_RECONNECT_PAUSE_MILLIS;
+        Log.line("amqp: consuming queue=" + options.queue() + " broker="
+                + options.broker().address());
+    }
+
+    private void onChannelClosed(int channel, Method method) {
+        Log.line("amqp: channel closed by the broker queue=" + options.queue() + " channel=" + channel + " code="
+                + method.number("reply-code") + " reason=" + method.text("reply-text"));
+        connection.send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
+        connection.end(REPLY_SUCCESS, "a channel was closed");
+    }
+
+    // ---- inbound messages
+
+    private void onDelivery(Command command) {
+        long tag = command.method().number("delivery-tag");
+        MessageMapping.Mapped mapped = map(command);
         if (mapped instanceof MessageMapping.Misfits misfit) {
             rejectForGood(tag, misfit.reason());
             return;
         }
         MessageMapping.Fits fits = (MessageMapping.Fits) mapped;
         Message.Content content = fits.content();
-        if (seen.contains(content.messageId())) {
-            // Taken on before, and acknowledged in vain: its end is owed once.
+        if (deduplicator.contains(content.messageId())) {
+            // A redelivery of an accepted message whose ack was lost; its completion is owed once.
             answer(Method.of(MethodType.BASIC_ACK, tag, false));
-            return;
-        }
-        if (!intake.recognizes(content)) {
+        } else if (!messageAcceptor.recognizes(content)) {
             rejectForGood(tag, "its destination or tenant is not known, or its class needs a key");
-            return;
-        }
-        if (content.deadlineMicros() <= clock.micros()) {
+        } else if (content.deadlineMicros() <= clock.micros()) {
             rejectForGood(tag, "its time is over");
-            return;
-        }
-        Delivery delivery = new Delivery(link, tag, fits);
-        deliveries.add(delivery);
-        if (draining || !fits.anonymous() && !seen.hasRoom()) {
-            delivery.rejected(0);
         } else {
-            // Null where it has its answer by now.
-            delivery.message = intake.accept(content, pulse.unreadSince(), delivery);
+            submit(tag, fits);
+        }
+    }
+
+    private MessageMapping.Mapped map(Command command) {
+        if (command.isSkipped()) {
+            return new MessageMapping.Misfits(command.size() + " bytes are more than is taken");
         }
+        Method method = command.method();
+        Properties properties = command.properties();
+        return mapping.map(
+                properties,
+                method.text("exchange"),
+                method.text("routing-key"),
+                command.body(),
+                eventLoopLag.unreadSince(),
+                ids,
+                reply(properties));
     }
 
     private Message.Reply reply(Properties properties) {
-        String asked = properties.text(Property.REPLY_TO);
-        String queue = options.tells() == Tells.NEVER
-                ? null
-                : asked != null ? asked : options.tells() == Tells.ALWAYS ? options.replyQueue() : null;
+        String queue = replyQueue(properties.text(Property.REPLY_TO));
         return queue == null
                 ? null
                 : new Message.Reply(options.name(), queue, properties.text(Property.CORRELATION_ID));
     }
 
+    private String replyQueue(String requestedQueue) {
+        return switch (options.tells()) {
+            case NEVER -> null;
+            case ASKED -> requestedQueue;
+            case ALWAYS -> requestedQueue != null ? requestedQueue : options.replyQueue();
+        };
+    }
+
+    private void submit(long tag, MessageMapping.Fits mapped) {
+        Delivery delivery = new Delivery(connection, tag, mapped);
+        deliveries.add(delivery);
+        if (isDraining || !mapped.anonymous() && !deduplicator.hasRoom()) {
+            delivery.rejected(0);
+        } else {
+            // The result is null where the delivery has been answered already.
+            delivery.message = messageAcceptor.accept(mapped.content(), eventLoopLag.unreadSince(), delivery);
+        }
+    }
+
     private void rejectForGood(long tag, String reason) {
-        Log.line("amqp: queue " + options.queue() + ": a message is rejected for good: " + reason);
+        Log.line("amqp: message rejected queue=" + options.queue() + " reason=" + reason);
         answer(Method.of(MethodType.BASIC_REJECT, tag, false));
     }
 
     private void answer(Method method) {
-        if (!options.autoAcknowledge()) {
-            link.send(CONSUMING, method);
+        if (!options.isAutoAcknowledge()) {
+            connection.send(CONSUMER_CHANNEL, method);
         }
     }
 
-    // ---- ends out
+    // ---- completions
 
     @Override
     public void tell(Message message) {
-        untold.add(message);
-        tellAll();
+        replyPublisher.add(message);
     }
 
-    /** Ends wait as long as the broker wants no publishes. */
+    /** The broker blocks publishers, or accepts them again. */
     @Override
     public void publishing(String why) {
-        tellAll();
+        replyPublisher.publishPending();
     }
 
-    private void tellAll() {
-        while (replies && link.mayPublish(REPLYING) && !untold.isEmpty() && link.isWritable()) {
-            Message message = untold.poll();
-            long tag = confirms.publish(message);
-            PublisherConfirms<Message> current = confirms;
-            link.send(
-                            REPLYING,
-                            Method.of(
-                                    MethodType.BASIC_PUBLISH,
-                                    "",
-                                    message.content().reply().queue(),
-                                    true,
-                                    false),
-                            ReplyBody.properties(message)
-                                    .with(Property.HEADERS, Map.<String, Object>of(PublisherConfirms.TAG, tag)),
-                            ReplyBody.body(message))
-                    .addListener(done -> {
-                        if (done.isSuccess()) {
-                            current.written(tag);
-                            tellAll();
-                        }
-                    });
-        }
-    }
+    // ---- the end of the connection, and shutdown
 
-    private void confirmed(Method m) throws AmqpException {
-        List<PublisherConfirms.Settled<Message>> settled =
-                confirms.confirmed(m.number("delivery-tag"), m.flag("multiple"), m.op() == MethodType.BASIC_ACK);
-        if (settled == null) {
-            throw new AmqpException(AmqpException.PRECONDITION_FAILED, m + " speaks of no publish that is open");
-        }
-        settled.forEach(this::settle);
-    }
-
-    /** An end is heard once the broker has it. One that it may have is told again, under the same id. */
-    private void settle(PublisherConfirms.Settled<Message> settled) {
-        switch (settled.fate()) {
-            case ACKED -> heard.accept(settled.what());
-            case RETURNED -> {
-                Log.line("amqp: queue " + settled.what().content().reply().queue() + " is not there for the end of "
-                        + settled.what().content().messageId());
-                others.notifyCompletion(settled.what());
-            }
-            default -> {
-                untold.add(settled.what());
-                // Guards against an end that waits for the next one, where the broker has refused it.
-                loop.schedule(this::tellAll, LEAST_BACK_MS, TimeUnit.MILLISECONDS);
-            }
+    @Override
+    public void closed(String reason) {
+        if (!isStopped) {
+            Log.line("amqp: connection closed queue=" + options.queue() + " broker="
+                    + options.broker().address() + " reason=" + reason);
         }
-    }
-
-    private void returned(Command command) {
-        if (command.properties().headers().get(PublisherConfirms.TAG) instanceof Long tag) {
-            confirms.returned(tag).forEach(this::settle);
+        connection = null;
+        replyPublisher.onDisconnected();
+        withdrawAll();
+        replyPublisher.settleUnconfirmed();
+        if (!isStopped) {
+            loop.schedule(this::start, reconnectPauseMillis, TimeUnit.MILLISECONDS);
+            reconnectPauseMillis = Math.min(MAX_RECONNECT_PAUSE_MILLIS, reconnectPauseMillis * 2);
         }
     }
 
-    // ---- the end
-
-    @Override
-    public void closed(String reason) {
-        if (!stopped) {
-            Log.line(
-                    "amqp: queue " + options.queue() + " at " + options.broker().address() + ": " + reason);
-        }
-        link = null;
-        replies = false;
-        // Guards against delivering what the broker now hands out again.
+    /** Withdraws unanswered messages, which the broker redelivers. */
+    private void withdrawAll() {
         for (Delivery delivery : List.copyOf(deliveries)) {
-            Message message = delivery.message;
-            delivery.message = null;
+            Message message = delivery.releaseMessage();
             deliveries.remove(delivery);
             if (message != null) {
-                intake.withdraw(message);
+                messageAcceptor.withdraw(message);
             }
         }
-        PublisherConfirms<Message> last = confirms;
-        confirms = new PublisherConfirms<>();
-        last.closed(false).forEach(this::settle);
-        if (!stopped) {
-            loop.schedule(this::start, pause, TimeUnit.MILLISECONDS);
-            pause = Math.min(LONGEST_PAUSE_MS, pause * 2);
-        }
     }
 
     @Override
     public void drain() {
-        draining = true;
-        if (link != null && link.isOpen()) {
-            link.send(CONSUMING, Method.of(MethodType.BASIC_CANCEL, TAG, false));
+        isDraining = true;
+        if (connection != null && connection.isOpen()) {
+            connection.send(CONSUMER_CHANNEL, Method.of(MethodType.BASIC_CANCEL, CONSUMER_TAG, false));
         }
     }
 
@@ -414,14 +381,14 @@
 
     @Override
     public boolean isAnswering() {
-        return deliveries.stream().anyMatch(d -> d.message != null);
+        return deliveries.stream().anyMatch(delivery -> delivery.message != null);
     }
 
     @Override
     public void stopListening() {
-        stopped = true;
-        if (link != null) {
-            link.end(OK, "the relay ends");
+        isStopped = true;
+        if (connection != null) {
+            connection.end(REPLY_SUCCESS, "the relay ends");
         }
     }
 }
--- a/src/main/java/loftflow/listener/amqp/ReplyBody.java
+++ b/src/main/java/loftflow/listener/amqp/ReplyBody.java
@@ -9,34 +9,44 @@
 import loftflow.amqp.codec.Property;
 import loftflow.engine.Message;
 
-/** What a reply says: the end of a message, in the words of the ends that are told over HTTP and in the file. */
+/** Encodes replies: the completion of a message, with the same names as in notices over HTTP and in files. */
 final class ReplyBody {
-    private static final int PERSISTENT = 2;
+    private static final int PERSISTENT_DELIVERY_MODE = 2;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final String CONTENT_TYPE = "application/json";
+    /** Suffix of the message id, which makes the reply's id; a redelivered reply has the same id. */
+    private static final String REPLY_ID_SUFFIX = ".end";
+
+    private static final String MESSAGE_ID_FIELD = "ref";
+    private static final String RESULT_FIELD = "result";
+    private static final String RETRY_AFTER_MILLIS_FIELD = "wait_ms";
+
     private static final JsonFactory JSON = new JsonFactory();
 
     private ReplyBody() {}
 
-    /** Its id is the same however often it is told, so that whoever hears it twice can tell. */
+    /** The properties of a reply. The correlation id is the one that the client set, or else the message's id. */
     static Properties properties(Message message) {
-        String correlation = message.content().reply().correlationId();
+        String messageId = message.content().messageId();
+        String correlationId = message.content().reply().correlationId();
         return Properties.NONE
-                .with(Property.MESSAGE_ID, message.content().messageId() + ".end")
-                .with(
-                        Property.CORRELATION_ID,
-                        correlation == null ? message.content().messageId() : correlation)
+                .with(Property.MESSAGE_ID, messageId + REPLY_ID_SUFFIX)
+                .with(Property.CORRELATION_ID, correlationId == null ? messageId : correlationId)
                 .with(Property.TYPE, message.completion().word())
-                .with(Property.CONTENT_TYPE, "application/json")
-                .with(Property.DELIVERY_MODE, PERSISTENT);
+                .with(Property.CONTENT_TYPE, CONTENT_TYPE)
+                .with(Property.DELIVERY_MODE, PERSISTENT_DELIVERY_MODE);
     }
 
+    /** The body of a reply, a JSON object. */
     static byte[] body(Message message) {
+        long retryAfterMicros = message.completion().retryAfterMicros();
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartObject();
-            json.writeStringField("ref", message.content().messageId());
-            json.writeStringField("result", message.completion().word());
-            if (message.completion().retryAfterMicros() > 0) {
-                json.writeNumberField("wait_ms", message.completion().retryAfterMicros() / 1_000);
+            json.writeStringField(MESSAGE_ID_FIELD, message.content().messageId());
+            json.writeStringField(RESULT_FIELD, message.completion().word());
+            if (retryAfterMicros > 0) {
+                json.writeNumberField(RETRY_AFTER_MILLIS_FIELD, retryAfterMicros / MICROS_PER_MILLI);
             }
             json.writeEndObject();
         } catch (IOException e) {
--- a/src/main/java/loftflow/listener/amqp/package-info.java
+++ b/src/main/java/loftflow/listener/amqp/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Ways in for messages that speak AMQP 0-9-1: a listener that programs publish to, and a consumer of a broker's queue.
- * Both tell the ends of messages where their clients asked for that.
+ * Inbound messages over AMQP 0-9-1: {@link loftflow.listener.amqp.AmqpListener}, to which programs publish, and
+ * {@link loftflow.listener.amqp.QueueConsumer}, which consumes a queue of a broker. Both reply with the completion of a
+ * message where its client requested that.
  *
  * <p>May use: {@code listener}, the engine, {@code amqp}, {@code deduplication}, the log, Jackson and Netty.
  */
