--- a/src/main/java/loftflow/engine/MessageAdmission.java
+++ b/src/main/java/loftflow/engine/MessageAdmission.java
@@ -65,16 +65,21 @@
             clientReply.rejected(RETRY_AFTER_MICROS);
             return null;
         }
-        nextSequenceNumber++;
-        messages.incrementOpenCount();
         message.awaitAnswer(clientReply);
-        messages.add(message);
         unanswered.add(message);
-        lifecycle.startOverdueTimer(message);
+        register(message);
         events.add(message.toAcceptedEvent());
         return message;
     }
 
+    /** Adds a message that the journal has recorded. */
+    private void register(Message message) {
+        nextSequenceNumber++;
+        messages.incrementOpenCount();
+        messages.add(message);
+        lifecycle.startOverdueTimer(message);
+    }
+
     /**
      * Answers a client that repeats a request, usually since its connection was closed. The repeat is accepted only
      * where the first request has been answered, so that it can't be withdrawn any more, and its message is open.
@@ -103,10 +108,7 @@
         if (!context.journal().recordAccepted(message)) {
             return null;
         }
-        nextSequenceNumber++;
-        messages.incrementOpenCount();
-        messages.add(message);
-        lifecycle.startOverdueTimer(message);
+        register(message);
         events.add(new MessageResumed(message.toAcceptedEvent(), pastAttempts));
         return message;
     }
--- a/src/main/java/loftflow/engine/MessageLifecycle.java
+++ b/src/main/java/loftflow/engine/MessageLifecycle.java
@@ -94,10 +94,7 @@
     private void notifyUndelivered(Message message, Message.Completion completion) {
         // A dead letter is retried from the store, so its client must not send it again: it is reported as failed.
         boolean isDeadLetter = context.deadLetterSink().accepts(message);
-        message.complete(isDeadLetter ? FAILED : completion);
-        message.cancelOverdueTimer();
-        messages.decrementOpenCount();
-        context.journal().recordCompletion(message);
+        decideCompletion(message, isDeadLetter ? FAILED : completion);
         notifyCompletion(message);
     }
 
@@ -118,11 +115,9 @@
             closeWithoutNotice(message);
             return;
         }
-        message.complete(new Message.Completion(
-                isDelivered ? Message.Completion.Kind.DELIVERED : Message.Completion.Kind.REJECTED, 0));
-        message.cancelOverdueTimer();
-        messages.decrementOpenCount();
-        context.journal().recordCompletion(message);
+        Message.Completion.Kind kind =
+                isDelivered ? Message.Completion.Kind.DELIVERED : Message.Completion.Kind.REJECTED;
+        decideCompletion(message, new Message.Completion(kind, 0));
         context.completionNotifier().notifyCompletion(message);
     }
 
@@ -138,11 +133,16 @@
 
     /** Ends a redriven message; the dead-letter sink reads the result from its attempts. */
     void endRedrive(Message message) {
+        decideCompletion(message, FAILED);
+        context.deadLetterSink().onRedriveEnded(message);
+    }
+
+    /** Decides and records a completion that has still to be acknowledged. */
+    private void decideCompletion(Message message, Message.Completion completion) {
+        message.complete(completion);
         message.cancelOverdueTimer();
         messages.decrementOpenCount();
-        message.complete(FAILED);
         context.journal().recordCompletion(message);
-        context.deadLetterSink().onRedriveEnded(message);
     }
 
     /** Implements {@link DeliveryEngine#cancelRedrive}. */
