--- a/src/main/java/loftflow/deduplication/DeduplicationWindow.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationWindow.java
@@ -41,7 +41,7 @@
     /** Retains an accepted id, from now on where it is retained already. */
     public void add(String id, long nowMicros) {
         evictExpired(nowMicros);
-        // A map keeps the position of a key that is put again, and the earliest id must stay first.
+        // A key that is put again would retain its position in the map, and the earliest id must stay first.
         acceptedAt.remove(id);
         acceptedAt.put(id, nowMicros);
     }
--- a/src/test/java/loftflow/completion/CompletionNoticeCodecTest.java
+++ b/src/test/java/loftflow/completion/CompletionNoticeCodecTest.java
@@ -4,6 +4,8 @@
 
 import loftflow.engine.Message;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** The protocol's form of completions (PROTOCOL, Notices). */
 class CompletionNoticeCodecTest {
@@ -14,27 +16,22 @@
         return message;
     }
 
-    @Test
-    void noticeHoldsMessageAndResult() {
-        assertEquals(
-                "{\"ref\":\"9b1f03aa5c7e2d41\",\"result\":\"dead\"}\n",
-                CompletionNoticeCodec.notice(completed(Message.Completion.Kind.FAILED, 0)));
-        assertEquals(
-                "{\"ref\":\"9b1f03aa5c7e2d41\",\"result\":\"bounced\"}\n",
-                CompletionNoticeCodec.notice(completed(Message.Completion.Kind.REJECTED, 0)));
-        assertEquals(
-                "{\"ref\":\"9b1f03aa5c7e2d41\",\"result\":\"done\"}\n",
-                CompletionNoticeCodec.notice(completed(Message.Completion.Kind.DELIVERED, 0)));
-    }
-
-    @Test
-    void onlyARejectionHoldsATimeToRetryAfter() {
-        assertEquals(
-                "{\"ref\":\"9b1f03aa5c7e2d41\",\"result\":\"bounced\",\"wait_ms\":500}\n",
-                CompletionNoticeCodec.notice(completed(Message.Completion.Kind.REJECTED, 500_999)));
+    /** Only a rejection holds a time to retry after. */
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "FAILED    | 0       | \"result\":\"dead\"",
+                "FAILED    | 500999 | \"result\":\"dead\"",
+                "REJECTED  | 0       | \"result\":\"bounced\"",
+                "REJECTED  | 500999 | \"result\":\"bounced\",\"wait_ms\":500",
+                "DELIVERED | 0       | \"result\":\"done\""
+            })
+    void noticeHoldsMessageAndResult(Message.Completion.Kind kind, long retryAfterMicros, String result) {
         assertEquals(
-                "{\"ref\":\"9b1f03aa5c7e2d41\",\"result\":\"dead\"}\n",
-                CompletionNoticeCodec.notice(completed(Message.Completion.Kind.FAILED, 500_999)));
+                "{\"ref\":\"9b1f03aa5c7e2d41\"," + result + "}\n",
+                CompletionNoticeCodec.notice(completed(kind, retryAfterMicros)));
     }
 
     @Test
--- a/src/test/java/loftflow/completion/HttpCompletionNotifierTest.java
+++ b/src/test/java/loftflow/completion/HttpCompletionNotifierTest.java
@@ -42,6 +42,12 @@
         return new InetSocketAddress("127.0.0.1", peer.port());
     }
 
+    /** A notifier that adds the id of each acknowledged message to a list. */
+    private HttpCompletionNotifier notifier(InetSocketAddress platform, List<String> acknowledged) {
+        return new HttpCompletionNotifier(
+                loop, platform, message -> acknowledged.add(message.content().messageId()), () -> {});
+    }
+
     @Test
     void failedAcknowledgementDoesNotStopLaterNotices() throws IOException {
         try (ScriptedPeer platform = ScriptedPeer.always(ScriptedPeer.status(204))) {
@@ -76,11 +82,7 @@
             return ScriptedPeer.status(204);
         })) {
             List<String> acknowledged = new CopyOnWriteArrayList<>();
-            HttpCompletionNotifier notifier = new HttpCompletionNotifier(
-                    loop,
-                    at(platform),
-                    message -> acknowledged.add(message.content().messageId()),
-                    () -> {});
+            HttpCompletionNotifier notifier = notifier(at(platform), acknowledged);
             loop.submit(() -> IntStream.range(0, 250).forEach(i -> notifier.notifyCompletion(completed(i))))
                     .sync();
             await(() -> acknowledged.size() == 250);
@@ -99,11 +101,7 @@
     void noticeIsAcknowledgedThoughEachLoopIterationExceedsItsTimeout() throws Exception {
         try (ScriptedPeer platform = ScriptedPeer.always(ScriptedPeer.status(204))) {
             List<String> acknowledged = new CopyOnWriteArrayList<>();
-            HttpCompletionNotifier notifier = new HttpCompletionNotifier(
-                    loop,
-                    at(platform),
-                    message -> acknowledged.add(message.content().messageId()),
-                    () -> {});
+            HttpCompletionNotifier notifier = notifier(at(platform), acknowledged);
             loop.submit(() -> {
                         notifier.notifyCompletion(completed(1));
                         endIterationsLate(acknowledged);
@@ -131,11 +129,8 @@
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         listener.setSoTimeout(10_000);
         List<String> acknowledged = new CopyOnWriteArrayList<>();
-        HttpCompletionNotifier notifier = new HttpCompletionNotifier(
-                loop,
-                new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()),
-                message -> acknowledged.add(message.content().messageId()),
-                () -> {});
+        InetSocketAddress address = new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort());
+        HttpCompletionNotifier notifier = notifier(address, acknowledged);
         loop.execute(notifier::start);
         try (Socket connection = listener.accept()) {
             listener.close();
--- a/src/test/java/loftflow/stored/StoredJournalTest.java
+++ b/src/test/java/loftflow/stored/StoredJournalTest.java
@@ -148,9 +148,9 @@
         return messages.stream().map(Message::number).toList();
     }
 
-    /** Number 3 is done; every other message comes back whole, in the order accepted. */
+    /** Number 3 is done; every other message is restored whole, in the order accepted. */
     @Test
-    void openMessagesOfAnEarlierBuildComeBackWhole() throws IOException {
+    void openMessagesOfAnEarlierBuildAreRestoredWhole() throws IOException {
         List<Message> expected;
         try (Journal journal = new Journal(folder.resolve("new"), DISK_BYTES)) {
             expected = record(journal);
