--- a/src/main/java/loftflow/admin/DeadLetterCommands.java
+++ b/src/main/java/loftflow/admin/DeadLetterCommands.java
@@ -20,8 +20,8 @@
 import loftflow.engine.Clock;
 
 /**
- * The operators' commands on dead letters: list, show, redrive, confirm, discard, pause. A confirmation, a redrive and a
- * discard are in the audit trail before they take effect.
+ * The operators' commands on dead letters: list, show, redrive, confirm, discard, pause. A confirmation, a redrive and
+ * a discard are in the audit trail before they take effect.
  */
 public final class DeadLetterCommands implements AdminServer.Commands {
     private static final int PAGE_SIZE = 500;
--- a/src/main/java/loftflow/deadletter/DeadLetterService.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterService.java
@@ -257,7 +257,9 @@
         decided.accept(decision);
     }
 
-    /** The store may not yet have recorded the end of a redrive, as after a restart: there is no second one beside it. */
+    /**
+     * The store may not yet have recorded the end of a redrive, as after a restart: there is no second one beside it.
+     */
     private RedrivePolicy.Decision decideUnlessRedriving(DeadLetter deadLetter, long nowMicros) {
         return redriving.containsKey(deadLetter.id())
                 ? new RedrivePolicy.SendLater(nowMicros + options.policy().pauseMicros(), "it is being sent again")
--- a/src/main/java/loftflow/deadletter/RedrivePolicy.java
+++ b/src/main/java/loftflow/deadletter/RedrivePolicy.java
@@ -15,8 +15,8 @@
  *
  * <ul>
  * <li>Idempotent classes: within their redrive window.
- * <li>Classes that are idempotent by key: as above where every attempt is proven not to be executed. Otherwise while the
- * key window is open, measured from the first possible execution less a margin for clocks, to endpoints of the same
+ * <li>Classes that are idempotent by key: as above where every attempt is proven not to be executed. Otherwise while
+ * the key window is open, measured from the first possible execution less a margin for clocks, to endpoints of the same
  * scope.
  * <li>Classes that are not idempotent: within their redrive window where every attempt is proven not to be executed.
  * <li>In all other cases: after an operator has confirmed that the destination did not process the message. A
@@ -71,8 +71,8 @@
      * @param redriveClass its class; null where the settings no longer have it
      * @param nowMicros wall-clock time
      * @param steadySinceMicros wall-clock time from which intervals can be measured: not before the start of the
-     *     process, nor before anything that an earlier process has left. The wall clock may have been set in between, so
-     *     a key window that began earlier can't be shown to be open
+     *     process, nor before anything that an earlier process has left. The wall clock may have been set in between,
+     *     so a key window that began earlier can't be shown to be open
      */
     public Decision decide(DeadLetter deadLetter, Shelved redriveClass, long nowMicros, long steadySinceMicros) {
         if (deadLetter.state() == DeadLetter.State.DELIVERED || deadLetter.ran() == ExecutionCertainty.EXECUTED) {
--- a/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
@@ -20,8 +20,8 @@
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * A dead-letter store in one SQLite file. Every call is one transaction; in write-ahead mode what is committed is durable
- * against the end of the process. Not thread-safe.
+ * A dead-letter store in one SQLite file. Every call is one transaction; in write-ahead mode what is committed is
+ * durable against the end of the process. Not thread-safe.
  */
 public final class SqliteDeadLetterStore implements DeadLetterStore {
     /** Name of the file in the state folder. */
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Opens the database of a folder, or creates it. A file that is damaged, or no database, is set aside, and a new one
-     * is created.
+     * Opens the database of a folder, or creates it. A file that is damaged, or no database, is set aside, and a new
+     * one is created.
      *
      * @param maxBytes size that the database never exceeds: a change that would make it larger fails as a whole
      * @throws ShelfException where it can't be opened or created, as on a full or read-only disk
--- a/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -19,10 +19,9 @@
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * Measurements of keeping, each a command: {@code store} (entries a second, lists over 100,000, memory), {@code cost}
- * (a relay with the store on against off, in turns), {@code cold} (a backlog of 10,000 for one destination of that
- * limit a second
- * that returns).
+ * Measurements of the dead-letter store, each a command: {@code store} (dead letters a second, lists over 100,000,
+ * memory), {@code cost} (a relay with the store on against off, in turns), {@code cold} (a backlog of 10,000 for one
+ * destination that returns with the given limit a second).
  */
 public final class DeadLetterBenchmark {
     private static final int LIVE = 900;
@@ -64,43 +63,43 @@
                 List.of(new DeadLetter.Attempt("elevator-1", "main", now - 1_000_000, AttemptOutcome.REJECTED)));
     }
 
-    private static void say(String form, Object... values) {
+    private static void print(String form, Object... values) {
         System.out.println(String.format(Locale.ROOT, form, values));
     }
 
     private static void store(Path folder) throws Exception {
         Path kept = folder.resolve("many");
         Files.createDirectories(kept);
-        try (DeadLetterStore shelf = SqliteDeadLetterStore.open(kept, 1 << 30)) {
+        try (DeadLetterStore store = SqliteDeadLetterStore.open(kept, 1 << 30)) {
             long start = System.nanoTime();
             for (int i = 0; i < 100_000; i++) {
-                shelf.put(entry(i, i % 500));
+                store.put(entry(i, i % 500));
             }
-            say("%.0f entries a second taken in, each a transaction", 100_000 / ((System.nanoTime() - start) / 1e9));
+            print("%.0f entries a second taken in, each a transaction", 100_000 / ((System.nanoTime() - start) / 1e9));
             for (DeadLetterStore.Filter filter : List.of(
                     DeadLetterStore.Filter.ALL,
                     new DeadLetterStore.Filter(DeadLetter.State.KEPT, 7, null, null, null, 0, 0),
                     new DeadLetterStore.Filter(
                             null, null, "settlement", "acme", ExecutionCertainty.NOT_EXECUTED, 0, 0))) {
                 start = System.nanoTime();
-                int found = shelf.list(filter, 0, 500, false).size();
-                say("%s: %d in %.0f ms", filter, found, (System.nanoTime() - start) / 1e6);
+                int found = store.list(filter, 0, 500, false).size();
+                print("%s: %d in %.0f ms", filter, found, (System.nanoTime() - start) / 1e6);
             }
             start = System.nanoTime();
-            int all = shelf.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)
+            int all = store.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)
                     .size();
-            say("all %d with their attempts in %.0f ms", all, (System.nanoTime() - start) / 1e6);
+            print("all %d with their attempts in %.0f ms", all, (System.nanoTime() - start) / 1e6);
             start = System.nanoTime();
-            int due = shelf.findDue(Long.MAX_VALUE - 1, 100, 64).size();
-            say(
+            int due = store.findDue(Long.MAX_VALUE - 1, 100, 64).size();
+            print(
                     "the %d most urgent of 500 destinations in %.1f ms; %s",
-                    due, (System.nanoTime() - start) / 1e6, shelf.size());
+                    due, (System.nanoTime() - start) / 1e6, store.size());
         }
         try (FakePartner partner = new FakePartner(1, 0)) {
             for (String name : List.of("few", "many")) {
                 ServedRelay relay = start(application(folder, name, true, partner, 1));
                 Thread.sleep(6_000);
-                say("resident with %s entries: %d kB", name.equals("many") ? "100,000" : "no", relay.residentKib());
+                print("resident with %s entries: %d kB", name.equals("many") ? "100,000" : "no", relay.residentKib());
                 relay.close();
             }
         }
@@ -182,7 +181,7 @@
                     }
                 }
             }
-            say(
+            print(
                     "off: %.0f messages a second, %.0f us CPU each; on: %.0f a second, %.0f us; ratio of rates %.3f, of CPU %.3f",
                     sums[0][0] / 20,
                     sums[0][1] * 1e6 / sums[0][0],
@@ -190,14 +189,14 @@
                     sums[1][1] * 1e6 / sums[1][0],
                     sums[1][0] / sums[0][0],
                     sums[1][1] / sums[1][0] / (sums[0][1] / sums[0][0]));
-            say(
+            print(
                     "resident: off %d kB, on %d kB",
                     relays.get(false).residentKib(), relays.get(true).residentKib());
             for (ServedRelay relay : relays.values()) {
                 relay.close();
             }
-            try (DeadLetterStore shelf = SqliteDeadLetterStore.reading(folder.resolve("on"))) {
-                say("kept meanwhile: %d", shelf.size().entries());
+            try (DeadLetterStore store = SqliteDeadLetterStore.reading(folder.resolve("on"))) {
+                print("kept meanwhile: %d", store.size().entries());
             }
         }
     }
@@ -210,7 +209,7 @@
                 }
             }
         } catch (IOException e) {
-            say("%s", e);
+            print("%s", e);
         }
     }
 
@@ -221,9 +220,9 @@
                 Path file = application(folder, name, true, partner, 5);
                 Files.createDirectories(folder.resolve(name));
                 if (backlog) {
-                    try (DeadLetterStore shelf = SqliteDeadLetterStore.open(folder.resolve(name), 1 << 30)) {
+                    try (DeadLetterStore store = SqliteDeadLetterStore.open(folder.resolve(name), 1 << 30)) {
                         for (int i = 0; i < 10_000; i++) {
-                            shelf.put(entry(2 * i, 7));
+                            store.put(entry(2 * i, 7));
                         }
                     }
                 }
@@ -267,7 +266,7 @@
                 .map(c -> (c.atNanos() - handed.get(c.id())) / 1e6)
                 .sorted()
                 .toList();
-        say(
+        print(
                 "%s: busiest second %d calls of %d allowed, %d resends, %d of %d live, p50 %.1f ms, p99 %.1f ms, %d twice,"
                         + " %d kB",
                 name,
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
@@ -41,198 +41,194 @@
 import loftflow.policy.api.Zone;
 
 /**
- * Seeded runs of the real engine, decision module, journal, desk and store in virtual time, with partners that fail in
- * every way, kills before and after any write, persons who give their word, and clocks that are set. What partners
- * posted is counted apart from anything that the relay believes.
+ * Randomized runs, each from a seed, of the real engine, decision module, journal, service and store in virtual time,
+ * with upstreams that fail in every way, crashes before and after any write, operators who confirm, and clocks that are
+ * set. What the destinations executed is counted apart from everything that the relay knows.
  *
- * <p>{@code Campaign RUNS [FIRST_SEED] [forgetful]} prints the count; {@code forgetful} takes the rule away that an
- * unknown outcome is no proof, and must find doubles.
+ * <p>{@code DeadLetterCampaign RUNS [FIRST_SEED] [forgetful]} prints the count; {@code forgetful} makes every unknown
+ * outcome a proof that nothing was executed, and must find duplicates.
  */
 public final class DeadLetterCampaign {
-    private static final long SECOND = 1_000_000;
-    private static final long WINDOW = 6 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long KEY_WINDOW_MICROS = 6 * SECOND_MICROS;
     private static final int MESSAGES = 14;
     private static final int DESTINATIONS = 3;
-    private static final long DISK = 3 << 20;
+    private static final long JOURNAL_BYTES = 3 << 20;
 
-    /** What came of some runs. */
+    /** Results of a number of runs. */
     record Count(
             int runs,
             int messages,
-            int doubles,
+            int duplicates,
             int lost,
-            int torn,
+            int inconsistent,
             int delivered,
-            int kept,
-            int refused,
+            int undelivered,
+            int rejected,
             int discarded,
-            int resends,
-            int kills,
-            int words) {
-        Count plus(Count o) {
+            int redrives,
+            int crashes,
+            int confirmations) {
+        Count plus(Count other) {
             return new Count(
-                    runs + o.runs,
-                    messages + o.messages,
-                    doubles + o.doubles,
-                    lost + o.lost,
-                    torn + o.torn,
-                    delivered + o.delivered,
-                    kept + o.kept,
-                    refused + o.refused,
-                    discarded + o.discarded,
-                    resends + o.resends,
-                    kills + o.kills,
-                    words + o.words);
+                    runs + other.runs,
+                    messages + other.messages,
+                    duplicates + other.duplicates,
+                    lost + other.lost,
+                    inconsistent + other.inconsistent,
+                    delivered + other.delivered,
+                    undelivered + other.undelivered,
+                    rejected + other.rejected,
+                    discarded + other.discarded,
+                    redrives + other.redrives,
+                    crashes + other.crashes,
+                    confirmations + other.confirmations);
         }
     }
 
-    /** The process dies here. */
-    private static final class Killed extends Error {
+    /** The process crashes here. */
+    private static final class CrashError extends Error {
         private static final long serialVersionUID = 1L;
     }
 
-    private record Due(long at, long order, Runnable task, int life) {}
+    private record ScheduledTask(long atMicros, long order, Runnable task, int process) {}
 
-    /** What partners know: what took effect, by message id, and what may yet. */
-    private static final class World {
-        private final Map<String, Integer> effects = new HashMap<>();
+    /** What the destinations executed, by message id, and what they may still execute. */
+    private static final class DestinationModel {
+        private final Map<String, Integer> executions = new HashMap<>();
         private final Map<String, List<long[]>> keys = new HashMap<>();
-        private final Map<String, Integer> pending = new HashMap<>();
-        private final List<String> postings = new ArrayList<>();
-        private final Map<String, String> types = new HashMap<>();
+        private final Map<String, Integer> pendingExecutions = new HashMap<>();
+        private final List<String> executionLog = new ArrayList<>();
+        private final Map<String, String> classes = new HashMap<>();
 
-        void post(String id, String type, String key, int building, long now) {
-            if (type.equals("keyed")) {
+        void execute(String id, String requestClass, String key, int zone, long now) {
+            if (requestClass.equals("keyed")) {
                 List<long[]> seen = keys.computeIfAbsent(key, k -> new ArrayList<>());
-                if (seen.stream().anyMatch(s -> s[1] == building && now - s[0] < WINDOW)) {
+                if (seen.stream().anyMatch(s -> s[1] == zone && now - s[0] < KEY_WINDOW_MICROS)) {
                     return;
                 }
-                seen.add(new long[] {now, building});
+                seen.add(new long[] {now, zone});
             }
-            effects.merge(id, 1, Integer::sum);
-            postings.add(id + " at " + now);
+            executions.merge(id, 1, Integer::sum);
+            executionLog.add(id + " at " + now);
         }
     }
 
     private final long seed;
     private final Random random;
     private final Path folder;
-    private final boolean forgetful;
-    private final World world = new World();
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-    private final Set<String> taken = new HashSet<>();
-    private final Set<String> refused = new HashSet<>();
-    private final Set<String> discarded = new HashSet<>();
-    private long now = 1_000_000 * SECOND;
-    private long skew;
+    private final boolean ignoresUnknownOutcomes;
+    private final DestinationModel destinations = new DestinationModel();
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::atMicros).thenComparingLong(ScheduledTask::order));
+    private final Set<String> acceptedIds = new HashSet<>();
+    private final Set<String> rejectedIds = new HashSet<>();
+    private final Set<String> discardedIds = new HashSet<>();
+    private long nowMicros = 1_000_000 * SECOND_MICROS;
+    private long clockSkewMicros;
     private long order;
-    /** 0 is the world's own, which no kill ends. */
-    private int life = 1;
-
-    private int untilKill;
-    private int kills;
-    private int words;
-    private int mostKills;
-    private boolean outage;
-    private boolean down;
-    /** When persons have gone home. */
-    private long ends = Long.MAX_VALUE;
+    /** Number of the current process; tasks of process 0 are those of the destinations, which no crash ends. */
+    private int process = 1;
+
+    private int writesUntilCrash;
+    private int crashes;
+    private int confirmations;
+    private int maxCrashes;
+    private boolean isOutage;
+    private boolean isDown;
+    /** When operators stop to act. */
+    private long operatorsEndMicros = Long.MAX_VALUE;
 
     private Journal journal;
-    private SqliteDeadLetterStore shelf;
+    private SqliteDeadLetterStore store;
     private DeliveryEngine engine;
-    private DeadLetterService desk;
-    private int resends;
+    private DeadLetterService service;
+    private int redrives;
 
-    private DeadLetterCampaign(long seed, Path folder, boolean forgetful) {
+    private DeadLetterCampaign(long seed, Path folder, boolean ignoresUnknownOutcomes) {
         this.seed = seed;
         random = new Random(seed);
         this.folder = folder;
-        this.forgetful = forgetful;
+        this.ignoresUnknownOutcomes = ignoresUnknownOutcomes;
     }
 
     /** One run. */
-    static Count run(long seed, boolean forgetful) throws IOException {
+    static Count run(long seed, boolean ignoresUnknownOutcomes) throws IOException {
         try (TemporaryFolder scratch = TemporaryFolder.named("campaign")) {
-            return new DeadLetterCampaign(seed, scratch.folder(), forgetful).play();
+            return new DeadLetterCampaign(seed, scratch.folder(), ignoresUnknownOutcomes).execute();
         }
     }
 
-    // ---- virtual time
-
-    private void at(long span, Runnable task, int whose) {
-        queue.add(new Due(now + Math.max(0, span), order++, task, whose));
+    private void schedule(long delayMicros, Runnable task, int owner) {
+        queue.add(new ScheduledTask(nowMicros + Math.max(0, delayMicros), order++, task, owner));
     }
 
-    /** A write that a kill may come before or after. */
+    /** A write; the process may crash before or after it. */
     private <T> T write(java.util.function.Supplier<T> write) {
-        boolean dies = --untilKill == 0;
-        if (dies && random.nextBoolean()) {
-            throw new Killed();
+        boolean crashes = --writesUntilCrash == 0;
+        if (crashes && random.nextBoolean()) {
+            throw new CrashError();
         }
         T result = write.get();
-        if (dies) {
-            throw new Killed();
+        if (crashes) {
+            throw new CrashError();
         }
         return result;
     }
 
-    private void drain(long end) {
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
-            Due due = queue.poll();
-            now = Math.max(now, due.at());
-            if (due.life() != 0 && due.life() != life) {
+    private void advance(long endMicros) {
+        while (!queue.isEmpty() && queue.peek().atMicros() <= endMicros) {
+            ScheduledTask due = queue.poll();
+            nowMicros = Math.max(nowMicros, due.atMicros());
+            if (due.process() != 0 && due.process() != process) {
                 continue;
             }
             try {
                 due.task().run();
-            } catch (Killed e) {
+            } catch (CrashError deadLetter) {
                 restart();
             }
         }
-        now = Math.max(now, end);
+        nowMicros = Math.max(nowMicros, endMicros);
     }
 
-    /** Partners go on with what they were sent before the kill, in their own time. */
-    private void passWithoutARelay(long end) {
-        down = true;
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
-            Due due = queue.poll();
-            if (due.life() == 0) {
-                now = Math.max(now, due.at());
+    /** Destinations continue with what they received before the crash. */
+    private void advanceWithoutRelay(long endMicros) {
+        isDown = true;
+        while (!queue.isEmpty() && queue.peek().atMicros() <= endMicros) {
+            ScheduledTask due = queue.poll();
+            if (due.process() == 0) {
+                nowMicros = Math.max(nowMicros, due.atMicros());
                 due.task().run();
             }
         }
-        now = end;
-        down = false;
+        nowMicros = endMicros;
+        isDown = false;
     }
 
     private void restart() {
-        kills++;
-        life++;
+        crashes++;
+        process++;
         try {
             journal.close();
-            shelf.close();
-        } catch (IOException e) {
-            throw new AssertionError(e);
+            store.close();
+        } catch (IOException deadLetter) {
+            throw new AssertionError(deadLetter);
         }
-        passWithoutARelay(now + random.nextInt(3_000_000));
+        advanceWithoutRelay(nowMicros + random.nextInt(3_000_000));
         while (true) {
             try {
                 start();
                 return;
-            } catch (Killed e) {
-                kills++;
-                life++;
-            } catch (IOException e) {
-                throw new AssertionError(e);
+            } catch (CrashError deadLetter) {
+                crashes++;
+                process++;
+            } catch (IOException deadLetter) {
+                throw new AssertionError(deadLetter);
             }
         }
     }
 
-    // ---- a relay
-
     private static PolicySettings settings(long seed) {
         return new PolicySettings(
                 seed,
@@ -241,14 +237,22 @@
                 "b0",
                 List.of(
                         new RequestClass(
-                                "safe", Idempotency.IDEMPOTENT, KeyScope.ALL, 0, SECOND, 4 * SECOND, 1, 0.1, false),
+                                "safe",
+                                Idempotency.IDEMPOTENT,
+                                KeyScope.ALL,
+                                0,
+                                SECOND_MICROS,
+                                4 * SECOND_MICROS,
+                                1,
+                                0.1,
+                                false),
                         new RequestClass(
                                 "keyed",
                                 Idempotency.IDEMPOTENT_BY_KEY,
                                 KeyScope.ZONE,
-                                WINDOW,
-                                SECOND,
-                                5 * SECOND,
+                                KEY_WINDOW_MICROS,
+                                SECOND_MICROS,
+                                5 * SECOND_MICROS,
                                 2,
                                 0.5,
                                 false),
@@ -257,16 +261,16 @@
                                 Idempotency.NON_IDEMPOTENT,
                                 KeyScope.ALL,
                                 0,
-                                SECOND,
-                                4 * SECOND,
+                                SECOND_MICROS,
+                                4 * SECOND_MICROS,
                                 5,
                                 0.3,
                                 false)),
                 List.of(),
                 List.of(new DestinationKind("k", false, 1)),
                 List.of(new Zone("b0", 0), new Zone("b1", 0)),
-                new RelayLimits(8, 200, 12, true, false, false, false, true, SECOND),
-                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 200, 12, true, false, false, false, true, SECOND_MICROS),
+                new ServiceRules(0, SECOND_MICROS / 2, 2.5, 2 * SECOND_MICROS, 0.2, 5 * SECOND_MICROS, 0, 0),
                 1,
                 false,
                 false,
@@ -275,63 +279,65 @@
     }
 
     private void start() throws IOException {
-        int mine = life;
-        untilKill = kills < mostKills ? 1 + random.nextInt(60) : Integer.MAX_VALUE;
+        int currentProcess = process;
+        writesUntilCrash = crashes < maxCrashes ? 1 + random.nextInt(60) : Integer.MAX_VALUE;
         PolicySettings settings = settings(random.nextLong());
-        Clock clock = () -> now + skew;
+        Clock clock = () -> nowMicros + clockSkewMicros;
         Timers timers = (micros, task) -> {
-            boolean[] off = new boolean[1];
-            at(
+            boolean[] isCancelled = new boolean[1];
+            schedule(
                     micros,
                     () -> {
-                        if (!off[0]) {
+                        if (!isCancelled[0]) {
                             task.run();
                         }
                     },
-                    mine);
-            return () -> off[0] = true;
+                    currentProcess);
+            return () -> isCancelled[0] = true;
         };
-        journal = new Journal(folder.resolve("journal"), DISK);
-        shelf = SqliteDeadLetterStore.open(folder, 1 << 30);
+        journal = new Journal(folder.resolve("journal"), JOURNAL_BYTES);
+        store = SqliteDeadLetterStore.open(folder, 1 << 30);
         engine = new DeliveryEngine(timers, clock, settings, 5_000, new KillableJournal(), DefaultDeliveryPolicy::new);
-        Map<String, RedrivePolicy.Shelved> shelves = new HashMap<>();
-        settings.classes().forEach(t -> shelves.put(t.name(), new RedrivePolicy.Shelved(t, 60 * SECOND)));
-        desk = new DeadLetterService(
+        Map<String, RedrivePolicy.Shelved> redriveClasses = new HashMap<>();
+        settings.classes()
+                .forEach(attempt ->
+                        redriveClasses.put(attempt.name(), new RedrivePolicy.Shelved(attempt, 60 * SECOND_MICROS)));
+        service = new DeadLetterService(
                 timers,
                 clock,
                 engine,
-                new Queue(mine),
+                new VirtualStoreQueue(currentProcess),
                 new DeadLetterService.Options(
-                        shelves,
-                        new RedrivePolicy(SECOND / 2, SECOND),
+                        redriveClasses,
+                        new RedrivePolicy(SECOND_MICROS / 2, SECOND_MICROS),
                         2,
                         1 << 30,
                         1 << 29,
                         1_000_000,
                         true,
-                        3_600 * SECOND));
-        engine.setDeadLetterSink(desk);
+                        3_600 * SECOND_MICROS));
+        engine.setDeadLetterSink(service);
         engine.attach(
-                new SimPartners(mine),
-                message -> at(
+                new FaultyUpstream(currentProcess),
+                message -> schedule(
                         random.nextInt(50_000),
                         () -> {
                             if (message.completion().isRejected()) {
-                                refused.add(message.content().messageId());
+                                rejectedIds.add(message.content().messageId());
                             }
                             engine.onCompletionAcknowledged(message);
                         },
-                        mine));
-        List<Endpoint> targets = new ArrayList<>();
+                        currentProcess));
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int d = 0; d < DESTINATIONS; d++) {
             for (int r = 0; r < 2; r++) {
-                targets.add(new Endpoint(
+                endpoints.add(new Endpoint(
                         new EndpointEntry("d" + d + "r" + r, d, "k", "b" + r, Availability.LISTED, 0), null));
             }
         }
-        engine.start(EndpointListKind.FULL, 1, targets);
-        desk.start();
-        persons(mine);
+        engine.start(EndpointListKind.FULL, 1, endpoints);
+        service.start();
+        scheduleOperator(currentProcess);
     }
 
     private final class KillableJournal implements WriteAheadLog {
@@ -347,7 +353,7 @@
 
         @Override
         public boolean recordAccepted(Message message) {
-            resends += message.deadLetterId() != 0 ? 1 : 0;
+            redrives += message.deadLetterId() != 0 ? 1 : 0;
             return write(() -> journal.recordAccepted(message));
         }
 
@@ -381,13 +387,13 @@
         }
     }
 
-    /** The store's thread: later, in order, and turned away at times. */
-    private final class Queue implements DeadLetterStoreQueue {
+    /** Runs store tasks later, in order, and rejects some. */
+    private final class VirtualStoreQueue implements DeadLetterStoreQueue {
         private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
-        private final int whose;
+        private final int process;
 
-        Queue(int whose) {
-            this.whose = whose;
+        VirtualStoreQueue(int owner) {
+            this.process = owner;
         }
 
         @Override
@@ -396,199 +402,208 @@
                 return false;
             }
             tasks.add(() -> {
-                T result = write(() -> task.apply(shelf));
-                at(random.nextInt(2_000), () -> then.accept(forgetful ? forget(result) : result), whose);
+                T result = write(() -> task.apply(store));
+                schedule(
+                        random.nextInt(2_000),
+                        () -> then.accept(ignoresUnknownOutcomes ? withoutUnknownOutcomes(result) : result),
+                        process);
             });
-            at(random.nextInt(3_000), () -> tasks.poll().run(), whose);
+            schedule(random.nextInt(3_000), () -> tasks.poll().run(), process);
             return true;
         }
     }
 
-    /** Takes the rule away that an unknown outcome is no proof. */
+    /** Makes every unknown outcome a proof that nothing was executed. */
     @SuppressWarnings("unchecked")
-    private static <T> T forget(T result) {
+    private static <T> T withoutUnknownOutcomes(T result) {
         if (result instanceof List<?> list && !list.isEmpty() && list.get(0) instanceof DeadLetter) {
-            return (T) list.stream().map(e -> forgotten((DeadLetter) e)).toList();
+            return (T) list.stream()
+                    .map(deadLetter -> withProvenOutcomes((DeadLetter) deadLetter))
+                    .toList();
         }
         return result;
     }
 
-    private static DeadLetter forgotten(DeadLetter e) {
+    private static DeadLetter withProvenOutcomes(DeadLetter deadLetter) {
         return new DeadLetter(
-                e.id(),
-                e.content(),
-                e.storedAtMicros(),
-                e.reason(),
-                e.clientReply(),
-                e.state(),
-                e.dueMicros(),
-                e.confirmation(),
-                e.redrives(),
-                e.tries().stream()
-                        .map(t -> new DeadLetter.Attempt(
-                                t.route(),
-                                t.zone(),
-                                t.sentAtMicros(),
-                                t.certainty() == ExecutionCertainty.MAYBE ? AttemptOutcome.NOT_SENT : t.outcome()))
+                deadLetter.id(),
+                deadLetter.content(),
+                deadLetter.storedAtMicros(),
+                deadLetter.reason(),
+                deadLetter.clientReply(),
+                deadLetter.state(),
+                deadLetter.dueMicros(),
+                deadLetter.confirmation(),
+                deadLetter.redrives(),
+                deadLetter.tries().stream()
+                        .map(attempt -> new DeadLetter.Attempt(
+                                attempt.route(),
+                                attempt.zone(),
+                                attempt.sentAtMicros(),
+                                attempt.certainty() == ExecutionCertainty.MAYBE
+                                        ? AttemptOutcome.NOT_SENT
+                                        : attempt.outcome()))
                         .toList());
     }
 
-    /** Partners that answer, refuse, reset before and after the last byte, fall silent and answer late. */
-    private final class SimPartners implements UpstreamClient {
-        private final int whose;
-        private final Set<Message.Attempt> out = new HashSet<>();
+    /** Endpoints that answer, reject, reset before and after the last byte, hang and answer late. */
+    private final class FaultyUpstream implements UpstreamClient {
+        private final int process;
+        private final Set<Message.Attempt> inFlight = new HashSet<>();
 
-        SimPartners(int whose) {
-            this.whose = whose;
+        FaultyUpstream(int owner) {
+            this.process = owner;
         }
 
         @Override
-        public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {}
+        public void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints) {}
 
         @Override
         public void send(String route, List<OutboundAttempt> outgoing) {
-            outgoing.forEach(o -> send(route, o));
+            outgoing.forEach(outgoingAttempt -> send(route, outgoingAttempt));
         }
 
-        private void end(Message.Attempt attempt, AttemptOutcome result, boolean over) {
-            if (out.remove(attempt)) {
-                engine.onAttemptCompleted(attempt, result, over, 0, LimitReport.NONE);
+        private void complete(Message.Attempt attempt, AttemptOutcome result, boolean isDelivered) {
+            if (inFlight.remove(attempt)) {
+                engine.onAttemptCompleted(attempt, result, isDelivered, 0, LimitReport.NONE);
             }
         }
 
-        private void send(String route, OutboundAttempt o) {
-            Message.Attempt attempt = o.attempt();
-            out.add(attempt);
-            Message.Content c = attempt.message().content();
-            int building = route.charAt(route.length() - 1) - '0';
+        private void send(String route, OutboundAttempt outgoingAttempt) {
+            Message.Attempt attempt = outgoingAttempt.attempt();
+            inFlight.add(attempt);
+            Message.Content content = attempt.message().content();
+            int zone = route.charAt(route.length() - 1) - '0';
             long delay = 10_000 + random.nextInt(150_000);
-            at(o.timeoutMicros(), () -> end(attempt, AttemptOutcome.TIMEOUT, false), whose);
-            int fate = random.nextInt(outage ? 10 : 20);
-            if (fate < 2) {
-                at(delay, () -> end(attempt, AttemptOutcome.CONNECT_FAILED, false), whose);
-            } else if (fate < 4) {
-                at(delay, () -> end(attempt, AttemptOutcome.REJECTED, false), whose);
-            } else if (fate < 5) {
-                at(delay, () -> end(attempt, AttemptOutcome.RESET, false), whose);
-            } else if (fate < 8) {
-                // It runs, at some time, and the connection breaks, or answers late, or never.
-                long runs = random.nextInt(6_000_000);
-                runs(c, building, runs);
-                if (fate == 5) {
-                    at(delay, () -> end(attempt, AttemptOutcome.RESET, false), whose);
-                } else if (fate == 6) {
-                    at(
-                            Math.max(runs + 10_000, o.timeoutMicros() + random.nextInt(9_000_000)),
+            schedule(outgoingAttempt.timeoutMicros(), () -> complete(attempt, AttemptOutcome.TIMEOUT, false), process);
+            int outcome = random.nextInt(isOutage ? 10 : 20);
+            if (outcome < 2) {
+                schedule(delay, () -> complete(attempt, AttemptOutcome.CONNECT_FAILED, false), process);
+            } else if (outcome < 4) {
+                schedule(delay, () -> complete(attempt, AttemptOutcome.REJECTED, false), process);
+            } else if (outcome < 5) {
+                schedule(delay, () -> complete(attempt, AttemptOutcome.RESET, false), process);
+            } else if (outcome < 8) {
+                // It is executed at some time; the connection breaks, or the answer is late or missing.
+                long executionDelayMicros = random.nextInt(6_000_000);
+                scheduleExecution(content, zone, executionDelayMicros);
+                if (outcome == 5) {
+                    schedule(delay, () -> complete(attempt, AttemptOutcome.RESET, false), process);
+                } else if (outcome == 6) {
+                    schedule(
+                            Math.max(
+                                    executionDelayMicros + 10_000,
+                                    outgoingAttempt.timeoutMicros() + random.nextInt(9_000_000)),
                             () -> {
-                                if (!out.contains(attempt)) {
+                                if (!inFlight.contains(attempt)) {
                                     engine.onLateDelivery(attempt);
                                 }
                             },
-                            whose);
+                            process);
                 }
-            } else if (fate < 9) {
+            } else if (outcome < 9) {
                 return;
             } else {
-                runs(c, building, delay);
-                at(delay + 1, () -> end(attempt, AttemptOutcome.OK, true), whose);
+                scheduleExecution(content, zone, delay);
+                schedule(delay + 1, () -> complete(attempt, AttemptOutcome.OK, true), process);
             }
         }
 
-        /** A keyed call begins, and is remembered, when its last byte has come; others run when they like. */
-        private void runs(Message.Content c, int building, long late) {
-            long after = c.requestClass().equals("keyed") ? 10_000 : late;
-            world.pending.merge(c.messageId(), 1, Integer::sum);
-            at(
+        /** A keyed call is executed, and its key stored, once its last byte has arrived; others at any time. */
+        private void scheduleExecution(Message.Content content, int zone, long executionDelayMicros) {
+            long after = content.requestClass().equals("keyed") ? 10_000 : executionDelayMicros;
+            destinations.pendingExecutions.merge(content.messageId(), 1, Integer::sum);
+            schedule(
                     after,
                     () -> {
-                        world.pending.merge(c.messageId(), -1, Integer::sum);
-                        world.post(c.messageId(), c.requestClass(), c.key(), building, now);
+                        destinations.pendingExecutions.merge(content.messageId(), -1, Integer::sum);
+                        destinations.execute(
+                                content.messageId(), content.requestClass(), content.key(), zone, nowMicros);
                     },
                     0);
         }
 
         @Override
         public void cancel(Message.Attempt attempt) {
-            end(attempt, AttemptOutcome.CANCELLED, false);
+            complete(attempt, AttemptOutcome.CANCELLED, false);
         }
 
         @Override
         public void probe(String route) {
-            throw new AssertionError("no probes here");
+            throw new AssertionError("probes are off");
         }
 
         @Override
         public void closeIdleConnections(String route) {}
     }
 
-    /** Persons look at what is kept, and speak truly of what the partner has posted. */
-    private void persons(int whose) {
-        at(
+    /** Operators look at dead letters, and confirm truthfully what the destination has not executed. */
+    private void scheduleOperator(int owner) {
+        schedule(
                 500_000 + random.nextInt(4_000_000),
                 () -> {
-                    if (now > ends) {
+                    if (nowMicros > operatorsEndMicros) {
                         return;
                     }
-                    List<DeadLetter> kept = shelf.list(
+                    List<DeadLetter> stored = store.list(
                             new DeadLetterStore.Filter(DeadLetter.State.KEPT, null, null, null, null, 0, 0),
                             0,
                             100,
                             true);
-                    if (!kept.isEmpty()) {
-                        DeadLetter entry = kept.get(random.nextInt(kept.size()));
+                    if (!stored.isEmpty()) {
+                        DeadLetter entry = stored.get(random.nextInt(stored.size()));
                         String id = entry.content().messageId();
-                        boolean posted = world.effects.containsKey(id) || world.pending.getOrDefault(id, 0) > 0;
-                        int what = random.nextInt(4);
-                        if (what == 0 && !posted) {
-                            DeadLetter.Confirmation word = new DeadLetter.Confirmation(
-                                    "clerk", "not in their books", entry.tries().size(), now + skew);
-                            words += write(() -> shelf.recordConfirmation(entry.id(), word, 0)) ? 1 : 0;
-                        } else if (what == 1 && random.nextInt(20) == 0) {
-                            if (write(() -> shelf.transition(
+                        boolean isExecuted = destinations.executions.containsKey(id)
+                                || destinations.pendingExecutions.getOrDefault(id, 0) > 0;
+                        int action = random.nextInt(4);
+                        if (action == 0 && !isExecuted) {
+                            DeadLetter.Confirmation confirmation = new DeadLetter.Confirmation(
+                                    "clerk", "not executed", entry.tries().size(), nowMicros + clockSkewMicros);
+                            confirmations += write(() -> store.recordConfirmation(entry.id(), confirmation, 0)) ? 1 : 0;
+                        } else if (action == 1 && random.nextInt(20) == 0) {
+                            if (write(() -> store.transition(
                                     entry.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, 0))) {
-                                discarded.add(id);
+                                discardedIds.add(id);
                             }
                         } else {
-                            // Two at once: only one of them may win.
-                            desk.redrive(forgetful ? forgotten(entry) : entry, v -> {});
-                            desk.redrive(forgetful ? forgotten(entry) : entry, v -> {});
+                            // Two at once: only one of them may be sent.
+                            service.redrive(ignoresUnknownOutcomes ? withProvenOutcomes(entry) : entry, v -> {});
+                            service.redrive(ignoresUnknownOutcomes ? withProvenOutcomes(entry) : entry, v -> {});
                         }
                     }
-                    persons(whose);
+                    scheduleOperator(owner);
                 },
-                whose);
+                owner);
     }
 
-    // ---- a run
-
-    private Count play() throws IOException {
-        mostKills = random.nextInt(7);
+    private Count execute() throws IOException {
+        maxCrashes = random.nextInt(7);
         start();
         for (int i = 0; i < MESSAGES; i++) {
             String type = List.of("safe", "keyed", "unsafe", "unsafe").get(random.nextInt(4));
             String id = "m" + i;
-            world.types.put(id, type);
+            destinations.classes.put(id, type);
             int destination = random.nextInt(DESTINATIONS);
-            at(random.nextInt(8_000_000), () -> handIn(id, type, destination), 0);
+            schedule(random.nextInt(8_000_000), () -> accept(id, type, destination), 0);
         }
-        at(random.nextInt(4_000_000), () -> outage = true, 0);
-        at(8_000_000 + random.nextInt(10_000_000), () -> outage = false, 0);
-        drain(now + 20 * SECOND);
+        schedule(random.nextInt(4_000_000), () -> isOutage = true, 0);
+        schedule(8_000_000 + random.nextInt(10_000_000), () -> isOutage = false, 0);
+        advance(nowMicros + 20 * SECOND_MICROS);
         if (engine.isIdle() && random.nextBoolean()) {
-            // The clock is set while the relay is down.
-            skew = (random.nextInt(61) - 30) * SECOND;
+            // The clock is set between two processes.
+            clockSkewMicros = (random.nextInt(61) - 30) * SECOND_MICROS;
             restart();
         }
-        ends = now + 80 * SECOND;
-        drain(now + 130 * SECOND);
+        operatorsEndMicros = nowMicros + 80 * SECOND_MICROS;
+        advance(nowMicros + 130 * SECOND_MICROS);
         Count count = count();
         journal.close();
-        shelf.close();
+        store.close();
         return count;
     }
 
-    private void handIn(String id, String type, int destination) {
-        if (down) {
+    private void accept(String id, String type, int destination) {
+        if (isDown) {
             return;
         }
         Message.Content content = new Message.Content(
@@ -596,13 +611,13 @@
                 type,
                 null,
                 type.equals("keyed") ? "key-" + id : null,
-                now + skew + 4 * SECOND,
+                nowMicros + clockSkewMicros + 4 * SECOND_MICROS,
                 destination,
                 new byte[10]);
-        engine.accept(content, now + skew, new Message.ClientReply() {
+        engine.accept(content, nowMicros + clockSkewMicros, new Message.ClientReply() {
             @Override
             public void accepted() {
-                taken.add(id);
+                acceptedIds.add(id);
             }
 
             @Override
@@ -615,51 +630,65 @@
 
     private Count count() {
         Map<String, DeadLetter> entries = new HashMap<>();
-        int torn = 0;
-        for (DeadLetter entry : shelf.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)) {
-            torn += entries.put(entry.content().messageId(), entry) != null ? 1 : 0;
+        int inconsistent = 0;
+        for (DeadLetter entry : store.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)) {
+            inconsistent += entries.put(entry.content().messageId(), entry) != null ? 1 : 0;
         }
-        Set<String> open = new HashSet<>();
-        journal.openMessages().forEach(m -> open.add(m.content().messageId()));
-        int doubles = 0;
+        Set<String> openIds = new HashSet<>();
+        journal.openMessages().forEach(m -> openIds.add(m.content().messageId()));
+        int duplicates = 0;
         int lost = 0;
         int delivered = 0;
-        int kept = 0;
-        int refusals = 0;
-        int gone = 0;
-        for (String id : taken) {
-            int effects = world.effects.getOrDefault(id, 0);
-            doubles += effects > 1 && !world.types.get(id).equals("safe") ? 1 : 0;
+        int undelivered = 0;
+        int rejected = 0;
+        int discarded = 0;
+        for (String id : acceptedIds) {
+            int executions = destinations.executions.getOrDefault(id, 0);
+            duplicates += executions > 1 && !destinations.classes.get(id).equals("safe") ? 1 : 0;
             DeadLetter entry = entries.get(id);
-            boolean isKept = entry != null
+            boolean isUndelivered = entry != null
                     && (entry.state() == DeadLetter.State.KEPT || entry.state() == DeadLetter.State.REDRIVING);
-            boolean isGone = entry != null && entry.state() == DeadLetter.State.DISCARDED;
-            boolean isRefused = refused.contains(id);
-            boolean isDelivered = effects > 0 && !isKept && !isGone && !isRefused;
-            if (!forgetful && (effects > 1 && !world.types.get(id).equals("safe") || open.contains(id))) {
-                System.out.println("seed " + seed + ": " + id + " " + world.types.get(id) + " effects " + effects
-                        + world.postings.stream()
-                                .filter(p -> p.startsWith(id + " "))
-                                .toList() + " open "
-                        + open.contains(id) + " " + entry + " " + (entry == null ? "" : entry.tries()));
+            boolean isDiscarded = entry != null && entry.state() == DeadLetter.State.DISCARDED;
+            boolean isRejected = rejectedIds.contains(id);
+            boolean isDelivered = executions > 0 && !isUndelivered && !isDiscarded && !isRejected;
+            if (!ignoresUnknownOutcomes
+                    && (executions > 1 && !destinations.classes.get(id).equals("safe") || openIds.contains(id))) {
+                System.out.println(
+                        "seed " + seed + ": " + id + " " + destinations.classes.get(id) + " effects " + executions
+                                + destinations.executionLog.stream()
+                                        .filter(p -> p.startsWith(id + " "))
+                                        .toList() + " open "
+                                + openIds.contains(id) + " " + entry + " " + (entry == null ? "" : entry.tries()));
             }
-            // Said to be delivered, and never posted, is lost too.
-            lost += !isDelivered && !isKept && !isGone && !isRefused && !open.contains(id) ? 1 : 0;
-            torn += isRefused && entry != null || open.contains(id) ? 1 : 0;
+            // Reported as delivered and never executed counts as lost too.
+            lost += !isDelivered && !isUndelivered && !isDiscarded && !isRejected && !openIds.contains(id) ? 1 : 0;
+            inconsistent += isRejected && entry != null || openIds.contains(id) ? 1 : 0;
             delivered += isDelivered ? 1 : 0;
-            kept += isKept ? 1 : 0;
-            refusals += isRefused ? 1 : 0;
-            gone += isGone ? 1 : 0;
+            undelivered += isUndelivered ? 1 : 0;
+            rejected += isRejected ? 1 : 0;
+            discarded += isDiscarded ? 1 : 0;
         }
-        return new Count(1, taken.size(), doubles, lost, torn, delivered, kept, refusals, gone, resends, kills, words);
+        return new Count(
+                1,
+                acceptedIds.size(),
+                duplicates,
+                lost,
+                inconsistent,
+                delivered,
+                undelivered,
+                rejected,
+                discarded,
+                redrives,
+                crashes,
+                confirmations);
     }
 
-    /** Runs so many, from a seed on. */
-    static Count runs(int runs, long firstSeed, boolean forgetful) throws IOException {
+    /** A number of runs with consecutive seeds. */
+    static Count runs(int runs, long firstSeed, boolean ignoresUnknownOutcomes) throws IOException {
         Count all = new Count(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
         for (int i = 0; i < runs; i++) {
-            Count one = run(firstSeed + i, forgetful);
-            if (!forgetful && one.doubles + one.lost + one.torn > 0) {
+            Count one = run(firstSeed + i, ignoresUnknownOutcomes);
+            if (!ignoresUnknownOutcomes && one.duplicates + one.lost + one.inconsistent > 0) {
                 System.out.println("seed " + (firstSeed + i) + ": " + one);
             }
             all = all.plus(one);
--- a/src/test/java/loftflow/deadletter/SqliteDeadLetterStoreTest.java
+++ b/src/test/java/loftflow/deadletter/store/SqliteDeadLetterStoreTest.java
@@ -1,4 +1,4 @@
-package loftflow.deadletter;
+package loftflow.deadletter.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,9 @@
 import java.sql.SQLException;
 import java.sql.Statement;
 import java.util.List;
-import loftflow.deadletter.store.SqliteDeadLetterStore;
+import loftflow.deadletter.DeadLetter;
+import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.ExecutionCertainty;
 import loftflow.engine.Message;
 import loftflow.policy.api.AttemptOutcome;
 import org.junit.jupiter.api.AfterEach;
