--- a/src/main/java/loftflow/completion/CompletionNoticeCodec.java
+++ b/src/main/java/loftflow/completion/CompletionNoticeCodec.java
@@ -7,6 +7,7 @@
 import java.io.UncheckedIOException;
 import java.util.concurrent.TimeUnit;
 import loftflow.engine.Message;
+import loftflow.protocol.CompletionProtocol;
 
 /**
  * The protocol's form of a completion: one JSON object a line. A notice to the platform says which message ended and
@@ -14,20 +15,6 @@
  * A message must have its completion.
  */
 final class CompletionNoticeCodec {
-    /** Where the platform receives notices, by POST. */
-    static final String NOTICE_PATH = "/status";
-
-    private static final String MESSAGE_ID = "ref";
-    private static final String REQUEST_CLASS = "class";
-    private static final String DESTINATION = "dest";
-    private static final String RESULT = "result";
-    private static final String RETRY_AFTER_MILLIS = "wait_ms";
-    private static final String ATTEMPTS = "attempts";
-
-    private static final String FAILED = "dead";
-    private static final String REJECTED = "bounced";
-    private static final String DELIVERED = "done";
-
     private static final JsonFactory JSON = new JsonFactory();
 
     private interface Fields {
@@ -48,10 +35,13 @@
     static String logLine(Message message) {
         return line(json -> {
             writeMessageId(json, message);
-            json.writeStringField(REQUEST_CLASS, message.content().requestClass());
-            json.writeNumberField(DESTINATION, message.content().destination());
+            json.writeStringField(
+                    CompletionProtocol.REQUEST_CLASS, message.content().requestClass());
+            json.writeNumberField(
+                    CompletionProtocol.DESTINATION, message.content().destination());
             writeCompletion(json, message.completion());
-            json.writeNumberField(ATTEMPTS, message.attempts().size());
+            json.writeNumberField(
+                    CompletionProtocol.ATTEMPTS, message.attempts().size());
         });
     }
 
@@ -68,21 +58,15 @@
     }
 
     private static void writeMessageId(JsonGenerator json, Message message) throws IOException {
-        json.writeStringField(MESSAGE_ID, message.content().messageId());
+        json.writeStringField(CompletionProtocol.MESSAGE_ID, message.content().messageId());
     }
 
     private static void writeCompletion(JsonGenerator json, Message.Completion completion) throws IOException {
-        json.writeStringField(RESULT, result(completion.kind()));
+        json.writeStringField(CompletionProtocol.RESULT, completion.result());
         if (completion.isRejected() && completion.retryAfterMicros() > 0) {
-            json.writeNumberField(RETRY_AFTER_MILLIS, TimeUnit.MICROSECONDS.toMillis(completion.retryAfterMicros()));
+            json.writeNumberField(
+                    CompletionProtocol.RETRY_AFTER_MILLIS,
+                    TimeUnit.MICROSECONDS.toMillis(completion.retryAfterMicros()));
         }
     }
-
-    private static String result(Message.Completion.Kind kind) {
-        return switch (kind) {
-            case FAILED -> FAILED;
-            case REJECTED -> REJECTED;
-            case DELIVERED -> DELIVERED;
-        };
-    }
 }
--- a/src/main/java/loftflow/completion/HttpCompletionNotifier.java
+++ b/src/main/java/loftflow/completion/HttpCompletionNotifier.java
@@ -13,6 +13,7 @@
 import loftflow.engine.CompletionNotifier;
 import loftflow.engine.Message;
 import loftflow.log.Log;
+import loftflow.protocol.CompletionProtocol;
 
 /**
  * Reports completions other than delivery to the platform, in batches and one request at a time, and retries each until
@@ -95,7 +96,7 @@
         }
         connection.request(
                 HttpMethod.POST,
-                CompletionNoticeCodec.NOTICE_PATH,
+                CompletionProtocol.NOTICE_PATH,
                 notices.toString(),
                 RESPONSE_TIMEOUT_MILLIS,
                 (status, body) -> onResponse(batch, status));
--- a/src/main/java/loftflow/discovery/EndpointListCodec.java
+++ b/src/main/java/loftflow/discovery/EndpointListCodec.java
@@ -14,6 +14,7 @@
 import loftflow.log.Log;
 import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointEntry;
+import loftflow.protocol.DiscoveryProtocol;
 
 /**
  * The protocol's form of endpoint lists (PROTOCOL, Discovery): the paths that request them, and their JSON.
@@ -23,35 +24,14 @@
  * that can't even be attributed to an endpoint removes none.
  */
 public final class EndpointListCodec {
-    /** The path of the full list. */
-    static final String LIST_PATH = "/api/targets";
-
-    private static final String AFTER_REVISION = "after";
-    private static final String WAIT_MILLIS = "wait_ms";
-
-    private static final String REVISION = "rev";
-    private static final String IS_FULL = "all";
-    private static final String ENDPOINTS = "targets";
-
-    private static final String ROUTE = "uid";
-    private static final String ADDRESS = "endpoint";
-    private static final String ZONE = "az";
-    private static final String KIND = "model";
-    private static final String DESTINATION = "pod_group";
-    private static final String STATE = "state";
-    private static final String RATE_PER_SECOND = "capacity_hint";
-
-    private static final String STATE_LISTED = "in_service";
-    private static final String STATE_DRAINING = "terminating";
-    private static final String STATE_REMOVED = "terminated";
-
     private static final JsonFactory JSON = new JsonFactory();
 
     private EndpointListCodec() {}
 
     /** The path that answers with what is newer than a revision, or after some time. */
     static String watchPath(long revision, long waitMillis) {
-        return LIST_PATH + "?" + AFTER_REVISION + "=" + revision + "&" + WAIT_MILLIS + "=" + waitMillis;
+        return DiscoveryProtocol.LIST_PATH + "?" + DiscoveryProtocol.AFTER_REVISION + "=" + revision + "&"
+                + DiscoveryProtocol.WAIT_MILLIS + "=" + waitMillis;
     }
 
     /**
@@ -60,7 +40,7 @@
      * @throws MalformedInputException where there is none
      */
     public static long revision(JsonFields list) {
-        return list.whole(REVISION);
+        return list.whole(DiscoveryProtocol.REVISION);
     }
 
     /**
@@ -88,7 +68,7 @@
                 throw new MalformedInputException("more than a list");
             }
             long revision = revision(list);
-            boolean isFull = list.flag(IS_FULL);
+            boolean isFull = list.flag(DiscoveryProtocol.IS_FULL);
             EntryReader reader = new EntryReader(source, known);
             List<Endpoint> endpoints = reader.read(list, isFull);
             return new EndpointList(revision, isFull, endpoints, reader.isComplete);
@@ -111,14 +91,14 @@
         }
 
         List<Endpoint> read(JsonFields list, boolean isFull) {
-            if (list.value(ENDPOINTS) == null) {
-                throw new MalformedInputException(source + ": " + ENDPOINTS + ": an array is needed");
+            if (list.value(DiscoveryProtocol.ENDPOINTS) == null) {
+                throw new MalformedInputException(source + ": " + DiscoveryProtocol.ENDPOINTS + ": an array is needed");
             }
             int position = 0;
-            for (Object entry : list.list(ENDPOINTS)) {
+            for (Object entry : list.list(DiscoveryProtocol.ENDPOINTS)) {
                 position++;
                 try {
-                    add(readEntry(JsonFields.ofObject(ENDPOINTS, entry)));
+                    add(readEntry(JsonFields.ofObject(DiscoveryProtocol.ENDPOINTS, entry)));
                 } catch (MalformedInputException | IllegalArgumentException | ArithmeticException e) {
                     skip(entry, position, e);
                 }
@@ -137,14 +117,14 @@
         private void skip(Object entry, int position, RuntimeException reason) {
             isComplete = false;
             Map<?, ?> fields = entry instanceof Map<?, ?> object ? object : Map.of();
-            Object route = fields.get(ROUTE);
+            Object route = fields.get(DiscoveryProtocol.ROUTE);
             Log.line("discovery: entry skipped source=" + source + " position=" + position
                     + (route == null ? "" : " route=" + route) + " error=" + reason.getMessage());
             Endpoint latest = route == null ? null : known.get(route);
             if (latest == null) {
                 hasUnattributed = true;
             } else {
-                add(withState(latest, fields.get(STATE)));
+                add(withState(latest, fields.get(DiscoveryProtocol.STATE)));
             }
         }
 
@@ -162,8 +142,8 @@
         EndpointEntry entry = endpoint.entry();
         Availability availability =
                 switch (String.valueOf(state)) {
-                    case STATE_DRAINING -> Availability.DRAINING;
-                    case STATE_REMOVED -> Availability.REMOVED;
+                    case DiscoveryProtocol.STATE_DRAINING -> Availability.DRAINING;
+                    case DiscoveryProtocol.STATE_REMOVED -> Availability.REMOVED;
                     default -> entry.availability();
                 };
         return new Endpoint(
@@ -178,22 +158,22 @@
     }
 
     private static Endpoint readEntry(JsonFields fields) {
-        Availability availability = availability(fields.text(STATE));
+        Availability availability = availability(fields.text(DiscoveryProtocol.STATE));
         EndpointEntry entry = new EndpointEntry(
-                fields.text(ROUTE),
-                Math.toIntExact(fields.whole(DESTINATION)),
-                fields.text(KIND),
-                fields.text(ZONE),
+                fields.text(DiscoveryProtocol.ROUTE),
+                Math.toIntExact(fields.whole(DiscoveryProtocol.DESTINATION)),
+                fields.text(DiscoveryProtocol.KIND),
+                fields.text(DiscoveryProtocol.ZONE),
                 availability,
-                fields.number(RATE_PER_SECOND, 0));
-        return new Endpoint(entry, Endpoint.address(fields.text(ADDRESS)));
+                fields.number(DiscoveryProtocol.RATE_PER_SECOND, 0));
+        return new Endpoint(entry, Endpoint.address(fields.text(DiscoveryProtocol.ADDRESS)));
     }
 
     private static Availability availability(String state) {
         return switch (state) {
-            case STATE_LISTED -> Availability.LISTED;
-            case STATE_DRAINING -> Availability.DRAINING;
-            case STATE_REMOVED -> Availability.REMOVED;
+            case DiscoveryProtocol.STATE_LISTED -> Availability.LISTED;
+            case DiscoveryProtocol.STATE_DRAINING -> Availability.DRAINING;
+            case DiscoveryProtocol.STATE_REMOVED -> Availability.REMOVED;
             default -> throw new MalformedInputException("unknown state " + state);
         };
     }
--- a/src/main/java/loftflow/discovery/EndpointWatcher.java
+++ b/src/main/java/loftflow/discovery/EndpointWatcher.java
@@ -13,6 +13,7 @@
 import loftflow.log.Log;
 import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointListKind;
+import loftflow.protocol.DiscoveryProtocol;
 
 /**
  * Requests discovery's full list of endpoints, then watches it for changes. The full list is requested again at regular
@@ -116,7 +117,7 @@
             isFullListRequested = false;
             connection.request(
                     HttpMethod.GET,
-                    EndpointListCodec.LIST_PATH,
+                    DiscoveryProtocol.LIST_PATH,
                     "",
                     PATIENCE_MS,
                     (status, body) -> onResponse(status, body, true));
--- a/src/main/java/loftflow/engine/Message.java
+++ b/src/main/java/loftflow/engine/Message.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import loftflow.policy.api.AttemptOutcome;
 import loftflow.policy.api.MessageAccepted;
+import loftflow.protocol.CompletionProtocol;
 
 /**
  * A message that a client sent, and the state of its delivery. Times are the {@link Clock}'s, in microseconds since the
@@ -91,11 +92,11 @@
         }
 
         /** The value of the protocol's {@code result} field. */
-        public String word() {
+        public String result() {
             return switch (kind) {
-                case FAILED -> "dead";
-                case REJECTED -> "bounced";
-                case DELIVERED -> "done";
+                case FAILED -> CompletionProtocol.RESULT_FAILED;
+                case REJECTED -> CompletionProtocol.RESULT_REJECTED;
+                case DELIVERED -> CompletionProtocol.RESULT_DELIVERED;
             };
         }
 
--- a/src/main/java/loftflow/listener/amqp/ReplyBody.java
+++ b/src/main/java/loftflow/listener/amqp/ReplyBody.java
@@ -8,6 +8,7 @@
 import loftflow.amqp.codec.Properties;
 import loftflow.amqp.codec.Property;
 import loftflow.engine.Message;
+import loftflow.protocol.CompletionProtocol;
 
 /** Encodes replies: the completion of a message, with the same names as in notices over HTTP and in files. */
 final class ReplyBody {
@@ -17,10 +18,6 @@
     /** Suffix of the message id, which makes the reply's id; a redelivered reply has the same id. */
     private static final String REPLY_ID_SUFFIX = ".end";
 
-    private static final String MESSAGE_ID_FIELD = "ref";
-    private static final String RESULT_FIELD = "result";
-    private static final String RETRY_AFTER_MILLIS_FIELD = "wait_ms";
-
     private static final JsonFactory JSON = new JsonFactory();
 
     private ReplyBody() {}
@@ -32,7 +29,7 @@
         return Properties.NONE
                 .with(Property.MESSAGE_ID, messageId + REPLY_ID_SUFFIX)
                 .with(Property.CORRELATION_ID, correlationId == null ? messageId : correlationId)
-                .with(Property.TYPE, message.completion().word())
+                .with(Property.TYPE, message.completion().result())
                 .with(Property.CONTENT_TYPE, CONTENT_TYPE)
                 .with(Property.DELIVERY_MODE, PERSISTENT_DELIVERY_MODE);
     }
@@ -43,10 +40,12 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
             json.writeStartObject();
-            json.writeStringField(MESSAGE_ID_FIELD, message.content().messageId());
-            json.writeStringField(RESULT_FIELD, message.completion().word());
+            json.writeStringField(
+                    CompletionProtocol.MESSAGE_ID, message.content().messageId());
+            json.writeStringField(
+                    CompletionProtocol.RESULT, message.completion().result());
             if (retryAfterMicros > 0) {
-                json.writeNumberField(RETRY_AFTER_MILLIS_FIELD, retryAfterMicros / MICROS_PER_MILLI);
+                json.writeNumberField(CompletionProtocol.RETRY_AFTER_MILLIS, retryAfterMicros / MICROS_PER_MILLI);
             }
             json.writeEndObject();
         } catch (IOException e) {
--- a/src/test/java/loftflow/ArchitectureTest.java
+++ b/src/test/java/loftflow/ArchitectureTest.java
@@ -90,7 +90,8 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "engine | loftflow.policy.api loftflow.engine loftflow.log",
+                "protocol | loftflow.protocol",
+                "engine | loftflow.policy.api loftflow.engine loftflow.log loftflow.protocol",
                 "listener | loftflow.listener",
                 "listener.connection | loftflow.engine loftflow.listener.connection loftflow.log",
                 "listener.request | loftflow.engine loftflow.listener.request loftflow.http",
@@ -98,15 +99,15 @@
                 "listener.http2 | loftflow.listener loftflow.engine loftflow.listener.http2.. loftflow.listener.connection "
                         + "loftflow.listener.request loftflow.http",
                 "listener.http2.flowcontrol | loftflow.listener.http2.flowcontrol",
-                "listener.amqp | loftflow.listener loftflow.listener.amqp loftflow.listener.connection loftflow.engine loftflow.amqp.. loftflow.deduplication "
+                "listener.amqp | loftflow.protocol loftflow.listener loftflow.listener.amqp loftflow.listener.connection loftflow.engine loftflow.amqp.. loftflow.deduplication "
                         + "loftflow.log",
                 "upstream.amqp | loftflow.policy.api loftflow.engine loftflow.upstream.amqp loftflow.amqp.codec loftflow.amqp.link "
                         + "loftflow.amqp.confirm loftflow.http loftflow.log",
                 "deduplication | loftflow.deduplication loftflow.recordfile loftflow.log",
                 "recordfile | loftflow.recordfile",
                 "upstream.http | loftflow.policy.api loftflow.json loftflow.engine loftflow.upstream.http loftflow.http loftflow.log",
-                "discovery | loftflow.policy.api loftflow.engine loftflow.discovery loftflow.http loftflow.json loftflow.log",
-                "completion | loftflow.engine loftflow.completion loftflow.discovery loftflow.recordfile loftflow.log",
+                "discovery | loftflow.protocol loftflow.policy.api loftflow.engine loftflow.discovery loftflow.http loftflow.json loftflow.log",
+                "completion | loftflow.protocol loftflow.engine loftflow.completion loftflow.discovery loftflow.recordfile loftflow.log",
                 "json | loftflow.json",
                 "policy | loftflow.policy loftflow.policy.api",
                 "policy.api | loftflow.policy.api",
--- a/src/test/java/loftflow/discovery/EndpointListCodecTest.java
+++ b/src/test/java/loftflow/discovery/EndpointListCodecTest.java
@@ -10,6 +10,7 @@
 import loftflow.json.MalformedInputException;
 import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointEntry;
+import loftflow.protocol.DiscoveryProtocol;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -31,7 +32,7 @@
 
     @Test
     void pathsRequestTheFullListOrWhatIsNewer() {
-        assertEquals("/api/targets", EndpointListCodec.LIST_PATH);
+        assertEquals("/api/targets", DiscoveryProtocol.LIST_PATH);
         assertEquals("/api/targets?after=41&wait_ms=1000", EndpointListCodec.watchPath(41, 1_000));
     }
 
--- a/src/test/java/loftflow/server/ShutdownTest.java
+++ b/src/test/java/loftflow/server/ShutdownTest.java
@@ -96,7 +96,7 @@
                 journal,
                 DefaultDeliveryPolicy::new);
         CompletionNotifier ends = message -> {
-            ended.add(message.content().messageId() + " " + message.completion().word());
+            ended.add(message.content().messageId() + " " + message.completion().result());
             loop.execute(() -> engine.onCompletionAcknowledged(message));
         };
         engine.attach(
