--- a/src/main/java/loftflow/settings/PlatformSettingsReader.java
+++ b/src/main/java/loftflow/settings/PlatformSettingsReader.java
@@ -14,11 +14,12 @@
 import loftflow.policy.api.ServiceRules;
 import loftflow.policy.api.Tenant;
 import loftflow.policy.api.Zone;
+import loftflow.protocol.PlatformSettingsProtocol;
 
 /**
  * Reads the settings object that the simulator's first message and a platform's configuration share, and maps its field
  * names
- * to the terms of {@code policy.api}. The only class that spells those names.
+ * to the terms of {@code policy.api}. The names stand in {@link PlatformSettingsProtocol}.
  */
 public final class PlatformSettingsReader {
     private PlatformSettingsReader() {}
@@ -31,88 +32,91 @@
      * @throws MalformedInputException where a member is missing or malformed
      */
     public static PolicySettings read(long seed, JsonFields params) {
-        JsonFields info = params.object("family-info");
+        JsonFields info = params.object(PlatformSettingsProtocol.DELIVERY_SETTINGS);
         return new PolicySettings(
                 seed,
-                (int) params.whole("me"),
-                (int) params.whole("fleet-size"),
-                params.text("zone"),
+                (int) params.whole(PlatformSettingsProtocol.RELAY_INDEX),
+                (int) params.whole(PlatformSettingsProtocol.FLEET_SIZE),
+                params.text(PlatformSettingsProtocol.ZONE),
                 classes(params),
                 tenants(params),
                 kinds(params, info),
                 zones(params, info),
-                limits(params.object("limits"), info),
-                rules(params.object("contract")),
-                params.number("over-share-worth", 1),
-                "by_half".equals(info.textOrNull("fades")),
-                "subscribe".equals(params.textOrNull("registry-mode")),
+                limits(params.object(PlatformSettingsProtocol.LIMITS), info),
+                rules(params.object(PlatformSettingsProtocol.SERVICE_RULES)),
+                params.number(PlatformSettingsProtocol.OVER_QUOTA_WEIGHT, 1),
+                PlatformSettingsProtocol.DECAY_BY_HALF.equals(info.textOrNull(PlatformSettingsProtocol.DECAY)),
+                PlatformSettingsProtocol.DISCOVERY_MODE_SUBSCRIBE.equals(
+                        params.textOrNull(PlatformSettingsProtocol.DISCOVERY_MODE)),
                 rateHint(params),
-                params.object("fees").number("cross-zone", 0));
+                params.object(PlatformSettingsProtocol.COSTS).number(PlatformSettingsProtocol.CROSS_ZONE_COST, 0));
     }
 
     private static RateHint rateHint(JsonFields params) {
-        String source = params.textOrNull("weight-source");
+        String source = params.textOrNull(PlatformSettingsProtocol.LISTED_RATE_SOURCE);
         return source == null
                 ? RateHint.NONE
                 : switch (source) {
-                    case "nominal" -> RateHint.NOMINAL;
-                    case "rough" -> RateHint.ROUGH;
+                    case PlatformSettingsProtocol.LISTED_RATE_NOMINAL -> RateHint.NOMINAL;
+                    case PlatformSettingsProtocol.LISTED_RATE_ROUGH -> RateHint.ROUGH;
                     default -> RateHint.NONE;
                 };
     }
 
     private static List<RequestClass> classes(JsonFields params) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Object json : params.list("classes")) {
-            JsonFields entry = JsonFields.ofObject("classes", json);
+        for (Object json : params.list(PlatformSettingsProtocol.CLASSES)) {
+            JsonFields entry = JsonFields.ofObject(PlatformSettingsProtocol.CLASSES, json);
             classes.add(new RequestClass(
-                    entry.text("name"),
-                    repeat(entry.text("repeat")),
+                    entry.text(PlatformSettingsProtocol.NAME),
+                    repeat(entry.text(PlatformSettingsProtocol.IDEMPOTENCY)),
                     scope(entry),
-                    entry.micros("dedup-window-s", 0),
-                    entry.micros("goal-time-s"),
-                    entry.micros("deadline-s"),
-                    entry.number("worth", 1),
-                    entry.number("late-worth", 0),
-                    entry.flag("fifo-by-key")));
+                    entry.micros(PlatformSettingsProtocol.KEY_WINDOW_SECONDS, 0),
+                    entry.micros(PlatformSettingsProtocol.LATENCY_OBJECTIVE_SECONDS),
+                    entry.micros(PlatformSettingsProtocol.DEADLINE_SECONDS),
+                    entry.number(PlatformSettingsProtocol.PRIORITY_WEIGHT, 1),
+                    entry.number(PlatformSettingsProtocol.LATE_WEIGHT, 0),
+                    entry.flag(PlatformSettingsProtocol.ORDERED)));
         }
         return classes;
     }
 
     private static Idempotency repeat(String word) {
         return switch (word) {
-            case "repeatable" -> Idempotency.IDEMPOTENT;
-            case "by_key" -> Idempotency.IDEMPOTENT_BY_KEY;
-            case "once" -> Idempotency.NON_IDEMPOTENT;
+            case PlatformSettingsProtocol.IDEMPOTENT -> Idempotency.IDEMPOTENT;
+            case PlatformSettingsProtocol.IDEMPOTENT_BY_KEY -> Idempotency.IDEMPOTENT_BY_KEY;
+            case PlatformSettingsProtocol.NON_IDEMPOTENT -> Idempotency.NON_IDEMPOTENT;
             default -> throw new MalformedInputException("classes: unknown repeat " + word);
         };
     }
 
     private static KeyScope scope(JsonFields entry) {
-        String word = entry.textOrNull("key-scope");
+        String word = entry.textOrNull(PlatformSettingsProtocol.KEY_SCOPE);
         return word == null
                 ? KeyScope.ALL
                 : switch (word) {
-                    case "all" -> KeyScope.ALL;
-                    case "zone" -> KeyScope.ZONE;
-                    case "cell" -> KeyScope.CELL;
+                    case PlatformSettingsProtocol.KEY_SCOPE_ALL -> KeyScope.ALL;
+                    case PlatformSettingsProtocol.KEY_SCOPE_ZONE -> KeyScope.ZONE;
+                    case PlatformSettingsProtocol.KEY_SCOPE_CELL -> KeyScope.CELL;
                     default -> throw new MalformedInputException("classes: unknown key-scope " + word);
                 };
     }
 
     private static List<Tenant> tenants(JsonFields params) {
         List<Tenant> tenants = new ArrayList<>();
-        for (Object json : params.list("accounts")) {
-            JsonFields entry = JsonFields.ofObject("accounts", json);
-            tenants.add(new Tenant(entry.text("name"), entry.number("quota-rps", 0)));
+        for (Object json : params.list(PlatformSettingsProtocol.TENANTS)) {
+            JsonFields entry = JsonFields.ofObject(PlatformSettingsProtocol.TENANTS, json);
+            tenants.add(new Tenant(
+                    entry.text(PlatformSettingsProtocol.NAME),
+                    entry.number(PlatformSettingsProtocol.QUOTA_PER_SECOND, 0)));
         }
         return tenants;
     }
 
     private static List<DestinationKind> kinds(JsonFields params, JsonFields info) {
-        List<?> names = params.list("kinds");
-        List<?> apart = info.list("routes-apart");
-        List<?> batches = info.list("batch-by-kind");
+        List<?> names = params.list(PlatformSettingsProtocol.KINDS);
+        List<?> apart = info.list(PlatformSettingsProtocol.INDEPENDENT_ROUTES);
+        List<?> batches = info.list(PlatformSettingsProtocol.MAX_BATCH_SIZES);
         List<DestinationKind> kinds = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             int batch = i < batches.size() && batches.get(i) instanceof Number n ? n.intValue() : 1;
@@ -123,8 +127,8 @@
     }
 
     private static List<Zone> zones(JsonFields params, JsonFields info) {
-        List<?> names = params.list("zones");
-        List<?> tolls = info.list("toll");
+        List<?> names = params.list(PlatformSettingsProtocol.ZONES);
+        List<?> tolls = info.list(PlatformSettingsProtocol.ZONE_COSTS);
         List<Zone> zones = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             double toll = i < tolls.size() && tolls.get(i) instanceof Number n ? n.doubleValue() : 0;
@@ -135,26 +139,26 @@
 
     private static RelayLimits limits(JsonFields limits, JsonFields info) {
         return new RelayLimits(
-                (int) info.whole("call-slots"),
-                (int) limits.whole("max-open"),
-                (int) limits.whole("send-cap"),
-                limits.flag("may-cancel"),
-                limits.flag("probes"),
-                limits.flag("peers"),
-                limits.flag("second-copies"),
-                limits.flag("retry-after"),
-                limits.micros("connect-timeout-s", 0));
+                (int) info.whole(PlatformSettingsProtocol.MAX_CONCURRENT_CALLS),
+                (int) limits.whole(PlatformSettingsProtocol.MAX_OPEN_MESSAGES),
+                (int) limits.whole(PlatformSettingsProtocol.MAX_ATTEMPTS),
+                limits.flag(PlatformSettingsProtocol.CANCELLATION),
+                limits.flag(PlatformSettingsProtocol.PROBES),
+                limits.flag(PlatformSettingsProtocol.PEER_MESSAGES),
+                limits.flag(PlatformSettingsProtocol.HEDGED_ATTEMPTS),
+                limits.flag(PlatformSettingsProtocol.RETRY_AFTER),
+                limits.micros(PlatformSettingsProtocol.CONNECT_TIMEOUT_SECONDS, 0));
     }
 
     private static ServiceRules rules(JsonFields contract) {
         return new ServiceRules(
-                contract.micros("answer-slack-s", 0),
-                contract.micros("drain-grace-s", 0),
-                contract.number("fall-multiple", 1),
-                contract.micros("fall-s", 0),
-                contract.number("cold-from", 0),
-                contract.micros("warm-up-s", 0),
-                contract.micros("must-ask-in-s", 0),
-                contract.micros("order-pause-s", 0));
+                contract.micros(PlatformSettingsProtocol.COMPLETION_SLACK_SECONDS, 0),
+                contract.micros(PlatformSettingsProtocol.DRAIN_GRACE_SECONDS, 0),
+                contract.number(PlatformSettingsProtocol.OVERLOAD_MULTIPLE, 1),
+                contract.micros(PlatformSettingsProtocol.OVERLOAD_WINDOW_SECONDS, 0),
+                contract.number(PlatformSettingsProtocol.COLD_CAPACITY_SHARE, 0),
+                contract.micros(PlatformSettingsProtocol.WARM_UP_SECONDS, 0),
+                contract.micros(PlatformSettingsProtocol.WATCH_RENEWAL_SECONDS, 0),
+                contract.micros(PlatformSettingsProtocol.ORDERING_PAUSE_SECONDS, 0));
     }
 }
--- a/src/main/java/loftflow/settings/package-info.java
+++ b/src/main/java/loftflow/settings/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The settings that the platform gives a relay, as the simulator's wire and the platform's configuration spell them.
  *
- * <p>May use: {@code policy.api} and {@code json}.
+ * <p>May use: {@code policy.api}, {@code protocol} and {@code json}.
  */
 package loftflow.settings;
--- a/src/test/java/loftflow/ArchitectureTest.java
+++ b/src/test/java/loftflow/ArchitectureTest.java
@@ -112,7 +112,7 @@
                 "policy | loftflow.policy loftflow.policy.api",
                 "policy.api | loftflow.policy.api",
                 "simulator | loftflow.policy loftflow.policy.api loftflow.json loftflow.settings loftflow.simulator",
-                "settings | loftflow.policy.api loftflow.json loftflow.settings",
+                "settings | loftflow.protocol loftflow.policy.api loftflow.json loftflow.settings",
                 "journal | loftflow.policy.api loftflow.engine loftflow.journal loftflow.recordfile loftflow.log",
                 "config | loftflow.policy.api loftflow.config loftflow.engine loftflow.discovery loftflow.json loftflow.settings",
                 "config.file | loftflow.config.file",
