--- /dev/null
+++ b/src/test/java/loftflow/deadletter/CampaignResult.java
@@ -0,0 +1,32 @@
+package loftflow.deadletter;
+
+/** Results of a number of runs. */
+record CampaignResult(
+        int runs,
+        int messages,
+        int duplicates,
+        int lost,
+        int inconsistent,
+        int delivered,
+        int undelivered,
+        int rejected,
+        int discarded,
+        int redrives,
+        int crashes,
+        int confirmations) {
+    CampaignResult plus(CampaignResult other) {
+        return new CampaignResult(
+                runs + other.runs,
+                messages + other.messages,
+                duplicates + other.duplicates,
+                lost + other.lost,
+                inconsistent + other.inconsistent,
+                delivered + other.delivered,
+                undelivered + other.undelivered,
+                rejected + other.rejected,
+                discarded + other.discarded,
+                redrives + other.redrives,
+                crashes + other.crashes,
+                confirmations + other.confirmations);
+    }
+}
--- a/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -24,7 +24,7 @@
  * destination that returns with the given limit a second).
  */
 public final class DeadLetterBenchmark {
-    private static final int LIVE = 900;
+    private static final int LIVE_MESSAGES = 900;
 
     private DeadLetterBenchmark() {}
 
@@ -33,15 +33,15 @@
         try (TemporaryFolder scratch = TemporaryFolder.named("measure")) {
             Path folder = scratch.folder();
             switch (args.length >= 1 ? args[0] : "") {
-                case "store" -> store(folder);
-                case "cost" -> cost(folder);
-                case "cold" -> cold(folder, Integer.parseInt(args[1]));
+                case "store" -> measureStore(folder);
+                case "cost" -> compareCost(folder);
+                case "cold" -> measureColdReturn(folder, Integer.parseInt(args[1]));
                 default -> System.out.println("store, cost or cold LIMIT");
             }
         }
     }
 
-    private static DeadLetter entry(int i, int destination) {
+    private static DeadLetter deadLetter(int i, int destination) {
         long now = System.currentTimeMillis() * 1000;
         return new DeadLetter(
                 0,
@@ -67,15 +67,17 @@
         System.out.println(String.format(Locale.ROOT, form, values));
     }
 
-    private static void store(Path folder) throws Exception {
-        Path kept = folder.resolve("many");
-        Files.createDirectories(kept);
-        try (DeadLetterStore store = SqliteDeadLetterStore.open(kept, 1 << 30)) {
+    private static void measureStore(Path folder) throws Exception {
+        Path manyFolder = folder.resolve("many");
+        Files.createDirectories(manyFolder);
+        try (DeadLetterStore store = SqliteDeadLetterStore.open(manyFolder, 1 << 30)) {
             long start = System.nanoTime();
             for (int i = 0; i < 100_000; i++) {
-                store.put(entry(i, i % 500));
+                store.put(deadLetter(i, i % 500));
             }
-            print("%.0f entries a second taken in, each a transaction", 100_000 / ((System.nanoTime() - start) / 1e9));
+            print(
+                    "%.0f dead letters a second stored, each in a transaction",
+                    100_000 / ((System.nanoTime() - start) / 1e9));
             for (DeadLetterStore.Filter filter : List.of(
                     DeadLetterStore.Filter.ALL,
                     new DeadLetterStore.Filter(DeadLetter.State.KEPT, 7, null, null, null, 0, 0),
@@ -105,7 +107,7 @@
         }
     }
 
-    private static Path application(Path folder, String name, boolean keep, FakePartner partner, double pace)
+    private static Path application(Path folder, String name, boolean isStoreOn, FakePartner partner, double pace)
             throws Exception {
         Path file = Files.writeString(
                 folder.resolve(name + ".toml"),
@@ -138,7 +140,7 @@
                 id = "elevator-1"
                 address = "%s"
                 """
-                        .formatted(name, folder.resolve(name), keep, pace, partner.address()));
+                        .formatted(name, folder.resolve(name), isStoreOn, pace, partner.address()));
         ConfigTool.Outcome outcome = ConfigTool.write(file, folder, true);
         if (outcome.after() == null) {
             throw new IOException(outcome.findings().toString());
@@ -150,24 +152,24 @@
         return ServedRelay.start(file, Path.of(file + ".log"), "-Xmx72m").awaitServing();
     }
 
-    private static void cost(Path folder) throws Exception {
+    private static void compareCost(Path folder) throws Exception {
         try (FakePartner partner = new FakePartner(1, 0)) {
             Map<Boolean, ServedRelay> relays = new HashMap<>();
-            Map<Boolean, Path> files = new HashMap<>();
-            for (boolean keep : new boolean[] {false, true}) {
-                files.put(keep, application(folder, keep ? "on" : "off", keep, partner, 1));
-                relays.put(keep, start(files.get(keep)));
+            Map<Boolean, Path> configFiles = new HashMap<>();
+            for (boolean isStoreOn : new boolean[] {false, true}) {
+                configFiles.put(isStoreOn, application(folder, isStoreOn ? "on" : "off", isStoreOn, partner, 1));
+                relays.put(isStoreOn, start(configFiles.get(isStoreOn)));
             }
             double[][] sums = new double[2][2];
             for (int round = 0; round < 9; round++) {
-                for (boolean keep : new boolean[] {round % 2 == 0, round % 2 != 0}) {
-                    double before = relays.get(keep).cpuSeconds();
-                    AtomicLong taken = new AtomicLong();
-                    long end = System.nanoTime() + 2_500_000_000L;
+                for (boolean isStoreOn : new boolean[] {round % 2 == 0, round % 2 != 0}) {
+                    double before = relays.get(isStoreOn).cpuSeconds();
+                    AtomicLong accepted = new AtomicLong();
+                    long endNanos = System.nanoTime() + 2_500_000_000L;
                     List<Thread> threads = new ArrayList<>();
                     for (int t = 0; t < 24; t++) {
-                        String prefix = round + "-" + keep + "-" + t + "-";
-                        Thread thread = new Thread(() -> push(relays.get(keep), prefix, end, taken));
+                        String prefix = round + "-" + isStoreOn + "-" + t + "-";
+                        Thread thread = new Thread(() -> sendUntil(relays.get(isStoreOn), prefix, endNanos, accepted));
                         threads.add(thread);
                         thread.start();
                     }
@@ -176,8 +178,8 @@
                     }
                     // The first round warms both up.
                     if (round > 0) {
-                        sums[keep ? 1 : 0][0] += taken.get();
-                        sums[keep ? 1 : 0][1] += relays.get(keep).cpuSeconds() - before;
+                        sums[isStoreOn ? 1 : 0][0] += accepted.get();
+                        sums[isStoreOn ? 1 : 0][1] += relays.get(isStoreOn).cpuSeconds() - before;
                     }
                 }
             }
@@ -196,16 +198,16 @@
                 relay.close();
             }
             try (DeadLetterStore store = SqliteDeadLetterStore.reading(folder.resolve("on"))) {
-                print("kept meanwhile: %d", store.size().entries());
+                print("stored meanwhile: %d", store.size().entries());
             }
         }
     }
 
-    private static void push(ServedRelay relay, String prefix, long end, AtomicLong taken) {
+    private static void sendUntil(ServedRelay relay, String prefix, long endNanos, AtomicLong accepted) {
         try (FakeClient client = relay.client()) {
-            for (int i = 0; System.nanoTime() < end; i++) {
+            for (int i = 0; System.nanoTime() < endNanos; i++) {
                 if (client.handIn(prefix + i, "settlement", null, null, 7, 5000, "x") == 202) {
-                    taken.incrementAndGet();
+                    accepted.incrementAndGet();
                 }
             }
         } catch (IOException e) {
@@ -213,22 +215,23 @@
         }
     }
 
-    private static void cold(Path folder, int limit) throws Exception {
-        for (boolean backlog : new boolean[] {false, true}) {
+    private static void measureColdReturn(Path folder, int limit) throws Exception {
+        for (boolean hasBacklog : new boolean[] {false, true}) {
             try (FakePartner partner = new FakePartner(40, limit)) {
-                String name = backlog ? "backlog" : "none";
+                String name = hasBacklog ? "backlog" : "none";
                 Path file = application(folder, name, true, partner, 5);
                 Files.createDirectories(folder.resolve(name));
-                if (backlog) {
+                if (hasBacklog) {
                     try (DeadLetterStore store = SqliteDeadLetterStore.open(folder.resolve(name), 1 << 30)) {
                         for (int i = 0; i < 10_000; i++) {
-                            store.put(entry(2 * i, 7));
+                            store.put(deadLetter(2 * i, 7));
                         }
                     }
                 }
                 partner.be(FakePartner.Mood.SHUT);
                 ServedRelay relay = start(file);
-                // Live traffic meets the outage in both runs, so that both partners return cold to the module.
+                // Live traffic fails in both runs, so that the decision module warms up both endpoints after their
+                // return.
                 try (FakeClient client = relay.client()) {
                     for (int i = 0; i < 40; i++) {
                         client.handIn("early" + i, "settlement", null, null, 7, 5000, "x");
@@ -237,49 +240,50 @@
                 }
                 partner.be(FakePartner.Mood.WELL);
                 Thread.sleep(20_000);
-                Map<String, Long> handed = new HashMap<>();
+                Map<String, Long> acceptedAtNanos = new HashMap<>();
                 try (FakeClient client = relay.client()) {
-                    for (int i = 0; i < LIVE; i++) {
-                        handed.put("live" + i, System.nanoTime());
+                    for (int i = 0; i < LIVE_MESSAGES; i++) {
+                        acceptedAtNanos.put("live" + i, System.nanoTime());
                         client.handIn("live" + i, "settlement", null, null, 7, 5000, "x");
                         Thread.sleep(70 + i * 37 % 60);
                     }
                 }
                 Thread.sleep(6_000);
-                report(name, limit, partner, handed, relay.residentKib());
+                report(name, limit, partner, acceptedAtNanos, relay.residentKib());
                 relay.close();
             }
         }
     }
 
-    private static void report(String name, int limit, FakePartner partner, Map<String, Long> handed, long rss) {
+    private static void report(
+            String name, int limit, FakePartner partner, Map<String, Long> acceptedAtNanos, long residentKib) {
         List<FakePartner.Posting> calls = partner.postings();
-        int most = 0;
+        int busiestSecond = 0;
         for (int from = 0, to = 0; to < calls.size(); to++) {
             while (calls.get(to).atNanos() - calls.get(from).atNanos() >= 1_000_000_000L) {
                 from++;
             }
-            most = Math.max(most, to - from + 1);
+            busiestSecond = Math.max(busiestSecond, to - from + 1);
         }
-        List<Double> spans = calls.stream()
-                .filter(c -> c.ran() && handed.containsKey(c.id()))
-                .map(c -> (c.atNanos() - handed.get(c.id())) / 1e6)
+        List<Double> latenciesMillis = calls.stream()
+                .filter(c -> c.ran() && acceptedAtNanos.containsKey(c.id()))
+                .map(c -> (c.atNanos() - acceptedAtNanos.get(c.id())) / 1e6)
                 .sorted()
                 .toList();
         print(
-                "%s: busiest second %d calls of %d allowed, %d resends, %d of %d live, p50 %.1f ms, p99 %.1f ms, %d twice,"
+                "%s: busiest second %d calls of %d allowed, %d redrives, %d of %d live, p50 %.1f ms, p99 %.1f ms, %d twice,"
                         + " %d kB",
                 name,
-                most,
+                busiestSecond,
                 limit,
                 partner.effects().keySet().stream()
                         .filter(i -> i.startsWith("m"))
                         .count(),
-                spans.size(),
-                LIVE,
-                spans.get(spans.size() / 2),
-                spans.get((int) (spans.size() * 0.99)),
+                latenciesMillis.size(),
+                LIVE_MESSAGES,
+                latenciesMillis.get(latenciesMillis.size() / 2),
+                latenciesMillis.get((int) (latenciesMillis.size() * 0.99)),
                 partner.effects().values().stream().filter(n -> n > 1).count(),
-                rss);
+                residentKib);
     }
 }
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
@@ -27,18 +27,10 @@
 import loftflow.policy.DefaultDeliveryPolicy;
 import loftflow.policy.api.AttemptOutcome;
 import loftflow.policy.api.Availability;
-import loftflow.policy.api.DestinationKind;
 import loftflow.policy.api.EndpointEntry;
 import loftflow.policy.api.EndpointListKind;
-import loftflow.policy.api.Idempotency;
-import loftflow.policy.api.KeyScope;
 import loftflow.policy.api.LimitReport;
 import loftflow.policy.api.PolicySettings;
-import loftflow.policy.api.RateHint;
-import loftflow.policy.api.RelayLimits;
-import loftflow.policy.api.RequestClass;
-import loftflow.policy.api.ServiceRules;
-import loftflow.policy.api.Zone;
 
 /**
  * Randomized runs, each from a seed, of the real engine, decision module, journal, service and store in virtual time,
@@ -50,42 +42,10 @@
  */
 public final class DeadLetterCampaign {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final long KEY_WINDOW_MICROS = 6 * SECOND_MICROS;
     private static final int MESSAGES = 14;
     private static final int DESTINATIONS = 3;
     private static final long JOURNAL_BYTES = 3 << 20;
 
-    /** Results of a number of runs. */
-    record Count(
-            int runs,
-            int messages,
-            int duplicates,
-            int lost,
-            int inconsistent,
-            int delivered,
-            int undelivered,
-            int rejected,
-            int discarded,
-            int redrives,
-            int crashes,
-            int confirmations) {
-        Count plus(Count other) {
-            return new Count(
-                    runs + other.runs,
-                    messages + other.messages,
-                    duplicates + other.duplicates,
-                    lost + other.lost,
-                    inconsistent + other.inconsistent,
-                    delivered + other.delivered,
-                    undelivered + other.undelivered,
-                    rejected + other.rejected,
-                    discarded + other.discarded,
-                    redrives + other.redrives,
-                    crashes + other.crashes,
-                    confirmations + other.confirmations);
-        }
-    }
-
     /** The process crashes here. */
     private static final class CrashError extends Error {
         private static final long serialVersionUID = 1L;
@@ -93,27 +53,6 @@
 
     private record ScheduledTask(long atMicros, long order, Runnable task, int process) {}
 
-    /** What the destinations executed, by message id, and what they may still execute. */
-    private static final class DestinationModel {
-        private final Map<String, Integer> executions = new HashMap<>();
-        private final Map<String, List<long[]>> keys = new HashMap<>();
-        private final Map<String, Integer> pendingExecutions = new HashMap<>();
-        private final List<String> executionLog = new ArrayList<>();
-        private final Map<String, String> classes = new HashMap<>();
-
-        void execute(String id, String requestClass, String key, int zone, long now) {
-            if (requestClass.equals("keyed")) {
-                List<long[]> seen = keys.computeIfAbsent(key, k -> new ArrayList<>());
-                if (seen.stream().anyMatch(s -> s[1] == zone && now - s[0] < KEY_WINDOW_MICROS)) {
-                    return;
-                }
-                seen.add(new long[] {now, zone});
-            }
-            executions.merge(id, 1, Integer::sum);
-            executionLog.add(id + " at " + now);
-        }
-    }
-
     private final long seed;
     private final Random random;
     private final Path folder;
@@ -153,7 +92,7 @@
     }
 
     /** One run. */
-    static Count run(long seed, boolean ignoresUnknownOutcomes) throws IOException {
+    static CampaignResult run(long seed, boolean ignoresUnknownOutcomes) throws IOException {
         try (TemporaryFolder scratch = TemporaryFolder.named("campaign")) {
             return new DeadLetterCampaign(seed, scratch.folder(), ignoresUnknownOutcomes).execute();
         }
@@ -229,59 +168,10 @@
         }
     }
 
-    private static PolicySettings settings(long seed) {
-        return new PolicySettings(
-                seed,
-                0,
-                1,
-                "b0",
-                List.of(
-                        new RequestClass(
-                                "safe",
-                                Idempotency.IDEMPOTENT,
-                                KeyScope.ALL,
-                                0,
-                                SECOND_MICROS,
-                                4 * SECOND_MICROS,
-                                1,
-                                0.1,
-                                false),
-                        new RequestClass(
-                                "keyed",
-                                Idempotency.IDEMPOTENT_BY_KEY,
-                                KeyScope.ZONE,
-                                KEY_WINDOW_MICROS,
-                                SECOND_MICROS,
-                                5 * SECOND_MICROS,
-                                2,
-                                0.5,
-                                false),
-                        new RequestClass(
-                                "unsafe",
-                                Idempotency.NON_IDEMPOTENT,
-                                KeyScope.ALL,
-                                0,
-                                SECOND_MICROS,
-                                4 * SECOND_MICROS,
-                                5,
-                                0.3,
-                                false)),
-                List.of(),
-                List.of(new DestinationKind("k", false, 1)),
-                List.of(new Zone("b0", 0), new Zone("b1", 0)),
-                new RelayLimits(8, 200, 12, true, false, false, false, true, SECOND_MICROS),
-                new ServiceRules(0, SECOND_MICROS / 2, 2.5, 2 * SECOND_MICROS, 0.2, 5 * SECOND_MICROS, 0, 0),
-                1,
-                false,
-                false,
-                RateHint.NONE,
-                0);
-    }
-
     private void start() throws IOException {
         int currentProcess = process;
         writesUntilCrash = crashes < maxCrashes ? 1 + random.nextInt(60) : Integer.MAX_VALUE;
-        PolicySettings settings = settings(random.nextLong());
+        PolicySettings settings = CampaignSettings.ofSeed(random.nextLong());
         Clock clock = () -> nowMicros + clockSkewMicros;
         Timers timers = (micros, task) -> {
             boolean[] isCancelled = new boolean[1];
@@ -576,7 +466,7 @@
                 owner);
     }
 
-    private Count execute() throws IOException {
+    private CampaignResult execute() throws IOException {
         maxCrashes = random.nextInt(7);
         start();
         for (int i = 0; i < MESSAGES; i++) {
@@ -596,7 +486,7 @@
         }
         operatorsEndMicros = nowMicros + 80 * SECOND_MICROS;
         advance(nowMicros + 130 * SECOND_MICROS);
-        Count count = count();
+        CampaignResult count = countResults();
         journal.close();
         store.close();
         return count;
@@ -628,7 +518,7 @@
         });
     }
 
-    private Count count() {
+    private CampaignResult countResults() {
         Map<String, DeadLetter> entries = new HashMap<>();
         int inconsistent = 0;
         for (DeadLetter entry : store.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)) {
@@ -668,7 +558,7 @@
             rejected += isRejected ? 1 : 0;
             discarded += isDiscarded ? 1 : 0;
         }
-        return new Count(
+        return new CampaignResult(
                 1,
                 acceptedIds.size(),
                 duplicates,
@@ -684,11 +574,11 @@
     }
 
     /** A number of runs with consecutive seeds. */
-    static Count runs(int runs, long firstSeed, boolean ignoresUnknownOutcomes) throws IOException {
-        Count all = new Count(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+    static CampaignResult runs(int runs, long firstSeed, boolean ignoresUnknownOutcomes) throws IOException {
+        CampaignResult all = new CampaignResult(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
         for (int i = 0; i < runs; i++) {
-            Count one = run(firstSeed + i, ignoresUnknownOutcomes);
-            if (!ignoresUnknownOutcomes && one.duplicates + one.lost + one.inconsistent > 0) {
+            CampaignResult one = run(firstSeed + i, ignoresUnknownOutcomes);
+            if (!ignoresUnknownOutcomes && one.duplicates() + one.lost() + one.inconsistent() > 0) {
                 System.out.println("seed " + (firstSeed + i) + ": " + one);
             }
             all = all.plus(one);
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaignTest.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaignTest.java
@@ -10,17 +10,17 @@
 class DeadLetterCampaignTest {
     @Test
     void nothingIsExecutedTwiceOrLostWhateverFails() throws IOException {
-        DeadLetterCampaign.Count count = DeadLetterCampaign.runs(25, 1, false);
-        assertEquals(0, count.duplicates(), count.toString());
-        assertEquals(0, count.lost(), count.toString());
-        assertEquals(0, count.inconsistent(), count.toString());
+        CampaignResult result = DeadLetterCampaign.runs(25, 1, false);
+        assertEquals(0, result.duplicates(), result.toString());
+        assertEquals(0, result.lost(), result.toString());
+        assertEquals(0, result.inconsistent(), result.toString());
         assertTrue(
-                count.crashes() > 50
-                        && count.redrives() > 100
-                        && count.confirmations() > 20
-                        && count.undelivered() > 20
-                        && count.delivered() > 100,
-                count.toString());
+                result.crashes() > 50
+                        && result.redrives() > 100
+                        && result.confirmations() > 20
+                        && result.undelivered() > 20
+                        && result.delivered() > 100,
+                result.toString());
     }
 
     /** Shows that the campaign can find duplicates. */
--- a/src/test/java/loftflow/deadletter/store/SqliteDeadLetterStoreTest.java
+++ b/src/test/java/loftflow/deadletter/store/SqliteDeadLetterStoreTest.java
@@ -213,7 +213,7 @@
 
     @Test
     void fileInPlaceOfTheFolderFailsWithOneLine() throws IOException {
-        Path file = Files.writeString(folder.resolve("taken"), "");
+        Path file = Files.writeString(folder.resolve("file"), "");
         String message = assertThrows(
                         DeadLetterStore.ShelfException.class, () -> SqliteDeadLetterStore.open(file, 1 << 30))
                 .getMessage();
--- a/src/test/java/loftflow/warmstart/TrustModelTest.java
+++ b/src/test/java/loftflow/warmstart/TrustModelTest.java
@@ -32,7 +32,7 @@
  */
 class TrustModelTest {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final int HISTORIES = 3_000;
+    private static final int SIMULATIONS = 3_000;
     private static final int STEPS = 60;
     private static final int ENDPOINTS = 8;
     private static final EndpointHistory.Rules OPTIONS = new EndpointHistory.Rules(
@@ -50,11 +50,11 @@
         List<SnapshotDelta> deltas = new ArrayList<>();
         long relayTimeErrorMicros;
         long revision = 1;
-        final Set<String> inService = new HashSet<>();
+        final Set<String> inServiceIds = new HashSet<>();
         final Map<String, Long> retryAfterUntilMicros = new HashMap<>();
         final Map<String, Long> evidenceAtMicros = new HashMap<>();
-        final Set<String> listed = new HashSet<>();
-        int waits;
+        final Set<String> listedIds = new HashSet<>();
+        int retryAfters;
         int starts;
         int removals;
         int reboots;
@@ -78,16 +78,16 @@
         void sendList(EndpointListKind kind) {
             List<ListedEndpoint> entries = new ArrayList<>();
             for (int i = 0; i < ENDPOINTS; i++) {
-                boolean wasIn = inService.contains("e" + i);
+                boolean wasIn = inServiceIds.contains("e" + i);
                 boolean isIn = random.nextInt(4) > 0;
                 if (kind == EndpointListKind.DELTA && random.nextInt(3) > 0) {
                     continue;
                 }
                 if (isIn) {
-                    inService.add("e" + i);
+                    inServiceIds.add("e" + i);
                     entries.add(listedEndpoint(i, Availability.LISTED));
                 } else {
-                    inService.remove("e" + i);
+                    inServiceIds.remove("e" + i);
                     removals += wasIn ? 1 : 0;
                     if (kind == EndpointListKind.DELTA) {
                         entries.add(
@@ -97,7 +97,7 @@
             }
             if (kind == EndpointListKind.FULL && entries.isEmpty()) {
                 // An empty list is in doubt and would change nothing at once.
-                inService.add("e0");
+                inServiceIds.add("e0");
                 entries.add(listedEndpoint(0, Availability.LISTED));
             }
             EndpointHistory.Heard update = history.heard(new ListUpdate(kind, ++revision, entries), relayTimeMicros());
@@ -109,33 +109,33 @@
             deltas.addAll(update.notes());
             if (update.passOn() != null) {
                 if (update.passOn().kind() == EndpointListKind.FULL) {
-                    listed.clear();
+                    listedIds.clear();
                 }
                 for (ListedEndpoint entry : update.passOn().entries()) {
                     if (entry.isInService()) {
-                        listed.add(entry.id());
+                        listedIds.add(entry.id());
                     } else {
-                        listed.remove(entry.id());
+                        listedIds.remove(entry.id());
                     }
                 }
             }
         }
 
-        void call() {
+        void completeCall() {
             String id = "e" + random.nextInt(ENDPOINTS);
-            if (!listed.contains(id)) {
+            if (!listedIds.contains(id)) {
                 return;
             }
-            AttemptOutcome result = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
-            long wait = result == AttemptOutcome.REJECTED ? random.nextLong(20 * SECOND_MICROS) : 0;
+            AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+            long waitMicros = outcome == AttemptOutcome.REJECTED ? random.nextLong(20 * SECOND_MICROS) : 0;
             PolicyEvent event = random.nextInt(4) == 0
-                    ? new ProbeCompleted(id, result, wait, SECOND_MICROS, LimitReport.NONE)
-                    : new AttemptCompleted(1, 0, id, result, false, wait, 2 * SECOND_MICROS, LimitReport.NONE);
-            if (wait > 0) {
-                waits++;
-                retryAfterUntilMicros.merge(id, realMicros + wait, Math::max);
+                    ? new ProbeCompleted(id, outcome, waitMicros, SECOND_MICROS, LimitReport.NONE)
+                    : new AttemptCompleted(1, 0, id, outcome, false, waitMicros, 2 * SECOND_MICROS, LimitReport.NONE);
+            if (waitMicros > 0) {
+                retryAfters++;
+                retryAfterUntilMicros.merge(id, realMicros + waitMicros, Math::max);
             }
-            if (result == AttemptOutcome.OK || result == AttemptOutcome.REJECTED || result == AttemptOutcome.ERROR) {
+            if (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.REJECTED || outcome == AttemptOutcome.ERROR) {
                 evidenceAtMicros.put(id, realMicros);
             }
             apply(history.saw(event, relayTimeMicros()));
@@ -145,7 +145,7 @@
             saved = history.picture(
                     clocks(),
                     relayTimeMicros(),
-                    listed.stream()
+                    listedIds.stream()
                             .map(id -> new RouteSnapshot(
                                     id,
                                     Math.max(0, retryAfterUntilMicros.getOrDefault(id, 0L) - realMicros),
@@ -176,17 +176,19 @@
             }
             boolean areDeltasLost = !deltas.isEmpty() && random.nextInt(5) == 0;
             List<SnapshotDelta> deltasOnDisk = areDeltasLost ? List.of(SnapshotDelta.summaryOf(deltas)) : deltas;
-            long time = DowntimeEstimate.goOn(saved.time(), saved.at(), clocks());
-            relayTimeErrorMicros = time - realMicros;
+            long relayTime = DowntimeEstimate.goOn(saved.time(), saved.at(), clocks());
+            relayTimeErrorMicros = relayTime - realMicros;
             history = new EndpointHistory(OPTIONS, "app#0");
-            EndpointHistory.Opening opening = history.open(saved, deltasOnDisk, true, null, clocks(), time);
-            listed.clear();
-            opening.list().forEach(l -> listed.add(l.id()));
+            EndpointHistory.Opening opening = history.open(saved, deltasOnDisk, true, null, clocks(), relayTime);
+            listedIds.clear();
+            opening.list().forEach(l -> listedIds.add(l.id()));
             if (areDeltasLost) {
                 // The relay knows only that deltas were lost: it must use no endpoint as listed.
-                inService.addAll(listed);
+                inServiceIds.addAll(listedIds);
             } else {
-                assertTrue(inService.containsAll(listed), "removed, and restored: " + listed + " of " + inService);
+                assertTrue(
+                        inServiceIds.containsAll(listedIds),
+                        "removed, and restored: " + listedIds + " of " + inServiceIds);
             }
             for (RouteRestored restored : opening.remembered()) {
                 check(restored, isReboot, areDeltasLost);
@@ -203,15 +205,15 @@
                     id + " waits " + remainingMicros + ", not " + restored.snapshot());
             // The relay applies the restored retry-after, even where it is longer than the original one.
             retryAfterUntilMicros.merge(id, realMicros + restored.snapshot().retryAfterRemainingMicros(), Math::max);
-            long age = realMicros - evidenceAtMicros.get(id);
+            long ageMicros = realMicros - evidenceAtMicros.get(id);
             if (restored.trust() == TrustLevel.AS_LISTED) {
                 assertFalse(isReboot || areDeltasLost, "as listed, in doubt");
                 assertTrue(
-                        age <= OPTIONS.trust().asListedMaxAgeMicros(),
-                        "as listed at an age of " + age / SECOND_MICROS + " s");
+                        ageMicros <= OPTIONS.trust().asListedMaxAgeMicros(),
+                        "as listed at an age of " + ageMicros / SECOND_MICROS + " s");
             }
             if (!isReboot
-                    && age
+                    && ageMicros
                             > TrustPolicy.LAST_RESORT_HALF_LIVES
                                     * OPTIONS.trust().halfLifeMicros()) {
                 assertEquals(TrustLevel.LAST_RESORT, restored.trust());
@@ -227,7 +229,7 @@
     @Test
     void randomHistoriesHoldTheInvariants() {
         int[] counts = new int[4];
-        IntStream.range(0, HISTORIES).forEach(seed -> {
+        IntStream.range(0, SIMULATIONS).forEach(seed -> {
             Simulation simulation = new Simulation(seed);
             for (int step = 0; step < STEPS; step++) {
                 simulation.realMicros += simulation.random.nextLong(2 * SECOND_MICROS);
@@ -236,17 +238,17 @@
                     case 1, 2 -> simulation.sendList(EndpointListKind.DELTA);
                     case 3 -> simulation.save();
                     case 4 -> simulation.restart();
-                    default -> simulation.call();
+                    default -> simulation.completeCall();
                 }
             }
             counts[0] += simulation.starts;
-            counts[1] += simulation.waits;
+            counts[1] += simulation.retryAfters;
             counts[2] += simulation.removals;
             counts[3] += simulation.reboots;
         });
         for (int count : counts) {
             assertTrue(
-                    count > HISTORIES / 2,
+                    count > SIMULATIONS / 2,
                     "the histories hold starts, waits, removals, boots: "
                             + List.of(counts[0], counts[1], counts[2], counts[3]));
         }
