--- a/src/main/java/loftflow/upstream/amqp/BrokerClient.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerClient.java
@@ -16,9 +16,9 @@
 import loftflow.policy.api.LimitReport;
 
 /**
- * Publishes attempts to brokers, over one connection for each route, and reports what their confirms prove. A connection
- * is opened when something is to be sent and there is none; back-off and probes are the delivery policy's decisions. For
- * use on the event loop only.
+ * Publishes attempts to brokers, over one connection for each route, and reports what their confirms prove. A
+ * connection is opened when something is to be sent and there is none; back-off and probes are the delivery policy's
+ * decisions. For use on the event loop only.
  */
 public final class BrokerClient implements UpstreamClient {
     private final EventLoop loop;
--- a/src/test/java/loftflow/listener/amqp/AmqpListenerTestBase.java
+++ b/src/test/java/loftflow/listener/amqp/AmqpListenerTestBase.java
@@ -20,25 +20,25 @@
 import loftflow.policy.api.RequestClass;
 import org.junit.jupiter.api.AfterEach;
 
-/** What tests of both ways in need: an event loop, an intake that the test answers for, and a memory. */
+/** What tests of both AMQP listeners share: an event loop, a message acceptor and a deduplicator. */
 abstract class AmqpListenerTestBase {
-    static final long SECOND = 1_000_000;
+    static final long SECOND_MICROS = 1_000_000;
     final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = (EventLoop) group.next();
-    final FakeMessageAcceptor intake = new FakeMessageAcceptor();
+    final FakeMessageAcceptor messageAcceptor = new FakeMessageAcceptor();
     final Clock clock = Clock.system();
-    final List<String> heard = new CopyOnWriteArrayList<>();
-    final List<String> otherwise = new CopyOnWriteArrayList<>();
-    final EventLoopLag pulse = new EventLoopLag(
+    final List<String> acknowledgedIds = new CopyOnWriteArrayList<>();
+    final List<String> fallbackIds = new CopyOnWriteArrayList<>();
+    final EventLoopLag eventLoopLag = new EventLoopLag(
             (micros, task) -> {
                 var timer = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
                 return () -> timer.cancel(false);
             },
             clock);
-    volatile boolean room = true;
+    volatile boolean hasDeduplicationRoom = true;
 
-    /** A memory that lasts as long as the test. */
-    final Deduplicator seen = new Deduplicator() {
+    /** A deduplicator in memory. */
+    final Deduplicator deduplicator = new Deduplicator() {
         private final Set<String> ids = new HashSet<>();
 
         @Override
@@ -48,7 +48,7 @@
 
         @Override
         public boolean hasRoom() {
-            return room;
+            return hasDeduplicationRoom;
         }
 
         @Override
@@ -74,13 +74,29 @@
                         ValueSource.of("property:expiration"))),
                 List.of(
                         new RequestClass(
-                                "unsafe", Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, SECOND, 8 * SECOND, 1, 0, false),
+                                "unsafe",
+                                Idempotency.NON_IDEMPOTENT,
+                                KeyScope.ALL,
+                                0,
+                                SECOND_MICROS,
+                                8 * SECOND_MICROS,
+                                1,
+                                0,
+                                false),
                         new RequestClass(
-                                "any", Idempotency.IDEMPOTENT, KeyScope.ALL, 0, SECOND, 8 * SECOND, 1, 0, false)));
+                                "any",
+                                Idempotency.IDEMPOTENT,
+                                KeyScope.ALL,
+                                0,
+                                SECOND_MICROS,
+                                8 * SECOND_MICROS,
+                                1,
+                                0,
+                                false)));
     }
 
-    /** A message whose end is to be told to a queue. */
-    static Message ended(String id, String queue, Message.Completion.Kind kind) {
+    /** A completed message with a reply queue. */
+    static Message completedMessage(String id, String queue, Message.Completion.Kind kind) {
         Message message = new Message(
                 1,
                 new Message.Content(
@@ -89,7 +105,7 @@
         return message;
     }
 
-    void on(Runnable task) {
+    void onLoop(Runnable task) {
         loop.submit(task).syncUninterruptibly();
     }
 }
--- a/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
+++ b/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Messages out of a broker's queue, with the stand-in broker failing as the tests want it. */
+/** Messages from the queue of a fake broker, which fails as the tests require. */
 @Timeout(60)
 class QueueConsumerTest extends AmqpListenerTestBase {
     private FakeBroker broker;
@@ -35,14 +35,15 @@
         consumer = consumer(5, false, QueueConsumer.Tells.ASKED, null);
     }
 
-    private QueueConsumer consumer(int prefetch, boolean auto, QueueConsumer.Tells tells, String replyQueue) {
+    private QueueConsumer consumer(
+            int prefetch, boolean isAutoAcknowledge, QueueConsumer.Tells tells, String replyQueue) {
         return new QueueConsumer(
                 loop,
-                intake,
+                messageAcceptor,
                 clock,
-                pulse,
+                eventLoopLag,
                 mapping(),
-                seen,
+                deduplicator,
                 new QueueConsumer.Options(
                         "front",
                         new AmqpClientConnection.Broker(
@@ -52,24 +53,24 @@
                                 null),
                         "in",
                         prefetch,
-                        auto,
+                        isAutoAcknowledge,
                         tells,
                         replyQueue,
-                        SECOND),
-                m -> heard.add(m.content().messageId()),
-                m -> otherwise.add(m.content().messageId()));
+                        SECOND_MICROS),
+                message -> acknowledgedIds.add(message.content().messageId()),
+                message -> fallbackIds.add(message.content().messageId()));
     }
 
     private void start() {
-        on(() -> {
-            pulse.start();
+        onLoop(() -> {
+            eventLoopLag.start();
             consumer.start();
         });
     }
 
     @AfterEach
     void end() {
-        on(consumer::stopListening);
+        onLoop(consumer::stopListening);
         broker.close();
     }
 
@@ -88,32 +89,32 @@
     }
 
     @Test
-    void acknowledgedOnceItIsTakenOnAndNotBefore() {
-        intake.acceptsAll = false;
+    void deliveryIsAcknowledgedOnceItsMessageIsAccepted() {
+        messageAcceptor.acceptsAll = false;
         put("a");
         start();
-        await(() -> intake.messageIds().equals(List.of("a")));
+        await(() -> messageAcceptor.messageIds().equals(List.of("a")));
         assertEquals(0, broker.acked("in"));
-        on(() -> intake.submissions.get(0).client().accepted());
+        onLoop(() -> messageAcceptor.submissions.get(0).client().accepted());
         await(() -> broker.acked("in") == 1);
-        assertTrue(seen.contains("a"));
+        assertTrue(deduplicator.contains("a"));
     }
 
     @Test
-    void refusedGoesBackAndFailedIsRejectedForGood() {
-        intake.acceptsAll = false;
+    void rejectedMessageIsRequeuedAndFailedOneIsNot() {
+        messageAcceptor.acceptsAll = false;
         put("a");
         start();
-        await(() -> intake.submissions.size() == 1);
-        on(() -> intake.submissions.get(0).client().rejected(SECOND));
-        await(() -> intake.submissions.size() == 2);
-        assertEquals(List.of("a", "a"), intake.messageIds());
-        on(() -> intake.submissions.get(1).client().failed());
+        await(() -> messageAcceptor.submissions.size() == 1);
+        onLoop(() -> messageAcceptor.submissions.get(0).client().rejected(SECOND_MICROS));
+        await(() -> messageAcceptor.submissions.size() == 2);
+        assertEquals(List.of("a", "a"), messageAcceptor.messageIds());
+        onLoop(() -> messageAcceptor.submissions.get(1).client().failed());
         await(() -> broker.deadLetters().equals(List.of("a")));
     }
 
     @Test
-    void whatCanNeverBeTakenIsRejectedForGood() {
+    void unacceptableMessageIsRejectedForGood() {
         put(properties("a").with(Property.TYPE, "unknown"));
         put(properties(null));
         put(properties("b").with(Property.HEADERS, Map.of("tenant", "stranger")));
@@ -121,37 +122,37 @@
         broker.put("in", "7", properties("d"), new byte[(64 << 10) + 1]);
         start();
         await(() -> broker.deadLetters().size() == 5);
-        assertEquals(0, intake.submissions.size());
+        assertEquals(0, messageAcceptor.submissions.size());
     }
 
     @Test
-    void brokerHandsOutNoMoreThanThePrefetch() {
-        intake.acceptsAll = false;
+    void prefetchLimitsUnacknowledgedDeliveries() {
+        messageAcceptor.acceptsAll = false;
         for (int i = 0; i < 20; i++) {
             put("m" + i);
         }
         start();
-        await(() -> intake.submissions.size() == 5);
-        on(() -> intake.submissions.get(0).client().accepted());
-        await(() -> intake.submissions.size() == 6);
+        await(() -> messageAcceptor.submissions.size() == 5);
+        onLoop(() -> messageAcceptor.submissions.get(0).client().accepted());
+        await(() -> messageAcceptor.submissions.size() == 6);
         assertEquals(19, broker.size("in"));
     }
 
-    /** The tag of a delivery on a connection that is gone would acknowledge another message on the next one. */
+    /** The tag of a delivery on a lost connection would acknowledge another message on the next one. */
     @Test
-    void lateAnswerAfterItsConnectionIsGoneAcknowledgesNothing() {
-        intake.acceptsAll = false;
+    void answerAfterTheConnectionIsLostAcknowledgesNothing() {
+        messageAcceptor.acceptsAll = false;
         put("a", "b");
         start();
-        await(() -> intake.submissions.size() == 2);
+        await(() -> messageAcceptor.submissions.size() == 2);
         broker.drop();
-        await(() -> intake.submissions.size() == 4);
-        assertEquals(java.util.Set.of("a", "b"), intake.withdrawn, "the broker hands them out again");
-        on(() -> {
-            intake.submissions.get(0).client().accepted();
-            intake.submissions.get(1).client().failed();
+        await(() -> messageAcceptor.submissions.size() == 4);
+        assertEquals(java.util.Set.of("a", "b"), messageAcceptor.withdrawn, "the broker redelivers them");
+        onLoop(() -> {
+            messageAcceptor.submissions.get(0).client().accepted();
+            messageAcceptor.submissions.get(1).client().failed();
         });
-        on(() -> {});
+        onLoop(() -> {});
         assertEquals(0, broker.acked("in"));
         assertEquals(2, broker.size("in"));
         assertEquals(List.of(), broker.deadLetters());
@@ -163,47 +164,47 @@
         broker.loseAcks(() -> lost.getAndIncrement() == 0);
         put("a");
         start();
-        // Taken on, and the first acknowledgement dies with the connection.
+        // The message is accepted, and the first ack is lost with the connection.
         await(() -> broker.acked("in") == 1);
         assertEquals(2, lost.get());
         assertTrue(broker.connections() >= 2);
         put("b");
-        await(() -> intake.messageIds().contains("b"));
-        assertEquals(List.of("a", "b"), intake.messageIds());
+        await(() -> messageAcceptor.messageIds().contains("b"));
+        assertEquals(List.of("a", "b"), messageAcceptor.messageIds());
     }
 
     @Test
-    void fullMemoryTakesNothingOnUntilThereIsRoom() {
-        room = false;
+    void fullDeduplicationWindowRequeuesUntilThereIsRoom() {
+        hasDeduplicationRoom = false;
         put("a");
         start();
         await(() -> broker.connections() > 0 && broker.size("in") == 1);
-        assertEquals(0, intake.submissions.size());
-        room = true;
+        assertEquals(0, messageAcceptor.submissions.size());
+        hasDeduplicationRoom = true;
         await(() -> broker.acked("in") == 1);
-        assertEquals(List.of("a"), intake.messageIds());
+        assertEquals(List.of("a"), messageAcceptor.messageIds());
     }
 
     @Test
-    void drainedConsumerTakesNothingNew() {
+    void drainedConsumerAcceptsNothingNew() {
         start();
         put("a");
         await(() -> broker.acked("in") == 1);
-        on(consumer::drain);
-        on(() -> {});
+        onLoop(consumer::drain);
+        onLoop(() -> {});
         put("b");
         assertTrue(consumer.isIdle());
-        on(consumer::stopListening);
+        onLoop(consumer::stopListening);
         await(() -> broker.connected() == 0);
-        assertEquals(List.of("a"), intake.messageIds());
+        assertEquals(List.of("a"), messageAcceptor.messageIds());
         assertEquals(1, broker.size("in"));
     }
 
     @Test
-    void endIsToldToItsQueueAndHeardOnceTheBrokerHasIt() {
+    void completionIsPublishedAndAcknowledgedByTheBroker() {
         start();
-        on(() -> consumer.tell(ended("a", "ends", Message.Completion.Kind.DELIVERED)));
-        await(() -> heard.equals(List.of("a")));
+        onLoop(() -> consumer.tell(completedMessage("a", "ends", Message.Completion.Kind.DELIVERED)));
+        await(() -> acknowledgedIds.equals(List.of("a")));
         var end = broker.ready("ends").get(0);
         assertEquals(
                 "a done a.end",
@@ -215,107 +216,109 @@
     }
 
     @Test
-    void endWhoseConfirmIsLostIsToldAgainUnderTheSameId() {
+    void completionWithALostConfirmIsPublishedAgainUnderItsId() {
         broker.be(Fate.DROP_AFTER);
         start();
-        on(() -> consumer.tell(ended("a", "ends", Message.Completion.Kind.FAILED)));
+        onLoop(() -> consumer.tell(completedMessage("a", "ends", Message.Completion.Kind.FAILED)));
         await(() -> broker.size("ends") == 1);
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), acknowledgedIds);
         broker.be(Fate.CONFIRM);
-        await(() -> heard.equals(List.of("a")));
+        await(() -> acknowledgedIds.equals(List.of("a")));
         assertTrue(broker.ready("ends").stream()
                 .allMatch(e -> e.getKey().text(Property.MESSAGE_ID).equals("a.end")));
     }
 
     @Test
-    void endsWaitWhileTheBrokerBlocksPublishers() {
+    void completionsWaitWhileTheBrokerBlocksPublishers() {
         start();
-        on(() -> consumer.tell(ended("a", "ends", Message.Completion.Kind.DELIVERED)));
-        await(() -> heard.equals(List.of("a")));
+        onLoop(() -> consumer.tell(completedMessage("a", "ends", Message.Completion.Kind.DELIVERED)));
+        await(() -> acknowledgedIds.equals(List.of("a")));
         broker.block(true);
-        // What the broker hands out behind its block is handled when that is known.
+        // A delivery that follows the block is handled after the block is known.
         put("m");
         await(() -> broker.acked("in") == 1);
-        on(() -> consumer.tell(ended("b", "ends", Message.Completion.Kind.DELIVERED)));
-        on(() -> {});
+        onLoop(() -> consumer.tell(completedMessage("b", "ends", Message.Completion.Kind.DELIVERED)));
+        onLoop(() -> {});
         assertEquals(1, broker.size("ends"));
         broker.block(false);
-        await(() -> heard.equals(List.of("a", "b")));
+        await(() -> acknowledgedIds.equals(List.of("a", "b")));
         assertEquals(0, broker.waitsBroken());
     }
 
     @Test
-    void endThatTheBrokerRefusesIsToldAgain() {
+    void completionWithANackIsPublishedAgain() {
         broker.be(Fate.NACK);
         start();
-        on(() -> consumer.tell(ended("a", "ends", Message.Completion.Kind.FAILED)));
+        onLoop(() -> consumer.tell(completedMessage("a", "ends", Message.Completion.Kind.FAILED)));
         await(() -> broker.postings().size() >= 2);
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), acknowledgedIds);
         broker.be(Fate.CONFIRM);
-        await(() -> heard.equals(List.of("a")));
+        await(() -> acknowledgedIds.equals(List.of("a")));
         assertEquals(1, broker.size("ends"));
     }
 
     @Test
-    void endWhoseQueueIsGoneGoesWhereOthersGo() {
+    void completionWithoutAReplyQueueGoesToTheFallback() {
         start();
-        on(() -> consumer.tell(ended("a", "nowhere", Message.Completion.Kind.REJECTED)));
-        await(() -> otherwise.equals(List.of("a")));
-        assertEquals(List.of(), heard);
+        onLoop(() -> consumer.tell(completedMessage("a", "nowhere", Message.Completion.Kind.REJECTED)));
+        await(() -> fallbackIds.equals(List.of("a")));
+        assertEquals(List.of(), acknowledgedIds);
     }
 
     @Test
-    void repliesAreAskedForByTheMessageOrAlwaysOrNever() {
+    void repliesAreSentOnRequestAlwaysOrNever() {
         start();
         put(properties("a").with(Property.REPLY_TO, "ends").with(Property.CORRELATION_ID, "c"));
         put("b");
-        await(() -> intake.submissions.size() == 2);
+        await(() -> messageAcceptor.submissions.size() == 2);
         assertEquals(
                 new Message.Reply("front", "ends", "c"),
-                intake.submissions.get(0).message().content().reply());
-        assertEquals(null, intake.submissions.get(1).message().content().reply());
-        on(consumer::stopListening);
+                messageAcceptor.submissions.get(0).message().content().reply());
+        assertEquals(
+                null, messageAcceptor.submissions.get(1).message().content().reply());
+        onLoop(consumer::stopListening);
         consumer = consumer(5, false, QueueConsumer.Tells.ALWAYS, "all-ends");
         start();
         put("c");
-        await(() -> intake.submissions.size() == 3);
+        await(() -> messageAcceptor.submissions.size() == 3);
         assertEquals(
                 "all-ends",
-                intake.submissions.get(2).message().content().reply().queue());
-        on(consumer::stopListening);
+                messageAcceptor.submissions.get(2).message().content().reply().queue());
+        onLoop(consumer::stopListening);
         consumer = consumer(5, false, QueueConsumer.Tells.NEVER, null);
         start();
         put(properties("d").with(Property.REPLY_TO, "ends"));
-        await(() -> intake.submissions.size() == 4);
-        assertEquals(null, intake.submissions.get(3).message().content().reply());
+        await(() -> messageAcceptor.submissions.size() == 4);
+        assertEquals(
+                null, messageAcceptor.submissions.get(3).message().content().reply());
     }
 
     @Test
-    void automaticAcknowledgementLosesWhatIsRefusedAndSaysSo() {
-        on(consumer::stopListening);
+    void automaticAcknowledgementLosesRejectedMessages() {
+        onLoop(consumer::stopListening);
         consumer = consumer(5, true, QueueConsumer.Tells.NEVER, null);
-        intake.acceptsAll = false;
+        messageAcceptor.acceptsAll = false;
         put(properties("a").with(Property.TYPE, "any"));
         start();
-        await(() -> intake.submissions.size() == 1);
-        assertEquals(0, broker.size("in"), "the broker has forgotten it");
-        on(() -> intake.submissions.get(0).client().failed());
-        on(() -> {});
+        await(() -> messageAcceptor.submissions.size() == 1);
+        assertEquals(0, broker.size("in"), "the broker does not hold it any more");
+        onLoop(() -> messageAcceptor.submissions.get(0).client().failed());
+        onLoop(() -> {});
         assertEquals(List.of(), broker.deadLetters());
-        assertEquals(1, broker.connected(), "nothing was said that the broker would mind");
+        assertEquals(1, broker.connected(), "the broker has no reason to close the connection");
     }
 
     @Test
-    void queueThatIsMissingOrDeletedIsConsumedOnceItIsThere() throws IOException {
+    void missingQueueIsConsumedOnceItExists() throws IOException {
         broker.remove("in");
         start();
         await(() -> broker.connections() >= 2);
         assertFalse(consumer.isAnswering());
         put("a");
-        await(() -> intake.messageIds().equals(List.of("a")));
+        await(() -> messageAcceptor.messageIds().equals(List.of("a")));
         broker.shut();
         broker.open(false);
         put("b");
-        await(() -> intake.messageIds().equals(List.of("a", "b")));
+        await(() -> messageAcceptor.messageIds().equals(List.of("a", "b")));
     }
 }
--- a/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
+++ b/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
@@ -44,22 +44,22 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The table of outcomes in docs/operators/amqp.md, row by row, against the stand-in broker. */
+/** The table of outcomes in docs/operators/amqp.md, row by row, with a fake broker. */
 @Timeout(60)
 class BrokerClientTest {
-    private static final long SECOND = 1_000_000;
-    private static final long CONNECT = SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long CONNECT_TIMEOUT_MICROS = SECOND_MICROS;
     private static final String ROUTE = "r0";
 
-    /** What became of an attempt. */
-    private record Ended(AttemptOutcome result, boolean over, long toldWait) {}
+    /** The outcome of an attempt or a probe. */
+    private record Completion(AttemptOutcome outcome, boolean isMessageCompleted, long retryAfterMicros) {}
 
     @TempDir
     Path folder;
 
-    private final Map<String, Ended> ended = new ConcurrentHashMap<>();
-    private final Set<String> late = ConcurrentHashMap.newKeySet();
-    private final List<Ended> probed = new java.util.concurrent.CopyOnWriteArrayList<>();
+    private final Map<String, Completion> completions = new ConcurrentHashMap<>();
+    private final Set<String> lateDeliveries = ConcurrentHashMap.newKeySet();
+    private final List<Completion> probeCompletions = new java.util.concurrent.CopyOnWriteArrayList<>();
     private MultiThreadIoEventLoopGroup group;
     private EventLoop loop;
     private FakeBroker broker;
@@ -88,7 +88,7 @@
         client = new BrokerClient(
                 loop,
                 Clock.system(),
-                CONNECT,
+                CONNECT_TIMEOUT_MICROS,
                 Map.of(ROUTE, new BrokerDestination(login, "orders", "k", tls, null)),
                 new UpstreamClient.ResultListener() {
                     @Override
@@ -98,10 +98,10 @@
                             boolean over,
                             long wait,
                             LimitReport report) {
-                        Ended before =
-                                ended.put(attempt.message().content().messageId(), new Ended(result, over, wait));
+                        Completion before = completions.put(
+                                attempt.message().content().messageId(), new Completion(result, over, wait));
                         if (before != null) {
-                            throw new AssertionError("it ended before as " + before);
+                            throw new AssertionError("it had an outcome before: " + before);
                         }
                     }
 
@@ -110,13 +110,13 @@
 
                     @Override
                     public void onLateDelivery(Message.Attempt attempt) {
-                        late.add(attempt.message().content().messageId());
+                        lateDeliveries.add(attempt.message().content().messageId());
                     }
 
                     @Override
                     public void onProbeCompleted(
                             String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
-                        probed.add(new Ended(result, false, wait));
+                        probeCompletions.add(new Completion(result, false, wait));
                     }
                 });
         list(Availability.LISTED, address);
@@ -131,44 +131,47 @@
     }
 
     @Test
-    void attemptThatMayNotLeaveAnyMoreEndsAsNotSent() throws Exception {
-        sendUntil(0, 9 * SECOND, 1, "late");
+    void attemptPastItsLatestArrivalEndsAsNotSent() throws Exception {
+        sendWithLatestArrival(0, 9 * SECOND_MICROS, 1, "late");
         send("next");
-        assertEquals(AttemptOutcome.OK, result("next"));
-        assertEquals(new Ended(AttemptOutcome.NOT_SENT, false, 0), outcome("late"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("next"));
+        assertEquals(new Completion(AttemptOutcome.NOT_SENT, false, 0), completionOf("late"));
         assertEquals(
                 List.of("next"),
                 broker.postings().stream().map(FakeBroker.Posting::id).toList());
     }
 
-    private void send(long timeout, int body, String... ids) {
-        sendUntil(Long.MAX_VALUE, timeout, body, ids);
+    private void send(long timeoutMicros, int bodyBytes, String... ids) {
+        sendWithLatestArrival(Long.MAX_VALUE, timeoutMicros, bodyBytes, ids);
     }
 
-    private void sendUntil(long latest, long timeout, int body, String... ids) {
+    private void sendWithLatestArrival(long latestArrivalMicros, long timeoutMicros, int bodyBytes, String... ids) {
         loop.execute(() -> {
             for (String id : ids) {
                 long now = Clock.system().micros();
                 Message message = new Message(
-                        1, new Message.Content(id, "unsafe", null, "key-" + id, now + 30 * SECOND, 7, new byte[body]));
+                        1,
+                        new Message.Content(
+                                id, "unsafe", null, "key-" + id, now + 30 * SECOND_MICROS, 7, new byte[bodyBytes]));
                 client.send(
                         ROUTE,
-                        List.of(new UpstreamClient.OutboundAttempt(message.addAttempt(ROUTE, now), timeout, latest)));
+                        List.of(new UpstreamClient.OutboundAttempt(
+                                message.addAttempt(ROUTE, now), timeoutMicros, latestArrivalMicros)));
             }
         });
     }
 
     private void send(String... ids) {
-        send(20 * SECOND, 10, ids);
+        send(20 * SECOND_MICROS, 10, ids);
     }
 
-    private Ended outcome(String id) {
-        await(() -> ended.containsKey(id));
-        return ended.get(id);
+    private Completion completionOf(String id) {
+        await(() -> completions.containsKey(id));
+        return completions.get(id);
     }
 
-    private AttemptOutcome result(String id) {
-        return outcome(id).result();
+    private AttemptOutcome outcomeOf(String id) {
+        return completionOf(id).outcome();
     }
 
     private void awaitPosted(String id) {
@@ -176,16 +179,15 @@
     }
 
     /**
-     * Sends anew, each time under another id, until the broker has one. Guards against a connection that the broker has
-     * let
-     * go of and the client is yet to: what meets it there has never run, and says so.
+     * Sends messages with new ids until the broker has one. An earlier one may meet a connection that the broker has
+     * closed and the client has not, and then ends as never run.
      */
     private String sendUntilPosted(String prefix) {
         int[] tries = new int[1];
         await(() -> {
             String id = prefix + tries[0]++;
             send(id);
-            await(() -> ended.containsKey(id) || isPosted(id));
+            await(() -> completions.containsKey(id) || isPosted(id));
             return isPosted(id);
         });
         return prefix + (tries[0] - 1);
@@ -196,9 +198,9 @@
     }
 
     @Test
-    void ackIsDeliveredAndThePublishCarriesWhatItShould() {
+    void ackMeansDeliveredAndThePublishHasItsProperties() {
         send("a");
-        assertEquals(new Ended(AttemptOutcome.OK, true, 0), outcome("a"));
+        assertEquals(new Completion(AttemptOutcome.OK, true, 0), completionOf("a"));
         FakeBroker.Posting posting = broker.postings().get(0);
         assertEquals("key-a", posting.key());
         assertEquals(2, posting.properties().number(Property.DELIVERY_MODE));
@@ -208,152 +210,153 @@
     }
 
     @Test
-    void bodiesOfNoBytesAndOfManyFramesArriveWhole() {
-        send(20 * SECOND, 0, "empty");
-        send(20 * SECOND, (64 << 10) + 1, "large");
-        assertEquals(AttemptOutcome.OK, result("empty"));
-        assertEquals(AttemptOutcome.OK, result("large"));
+    void emptyAndLargeBodiesArriveComplete() {
+        send(20 * SECOND_MICROS, 0, "empty");
+        send(20 * SECOND_MICROS, (64 << 10) + 1, "large");
+        assertEquals(AttemptOutcome.OK, outcomeOf("empty"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("large"));
         assertEquals(
                 List.of(0, (64 << 10) + 1),
                 broker.postings().stream().map(p -> p.body().length).toList());
     }
 
     @Test
-    void returnedNeverRan() {
+    void returnedPublishNeverRan() {
         broker.remove("q");
         send("a");
-        assertEquals(new Ended(AttemptOutcome.NOT_SENT, false, 0), outcome("a"));
+        assertEquals(new Completion(AttemptOutcome.NOT_SENT, false, 0), completionOf("a"));
         broker.bind("orders", "direct", "k", "q");
         send("b");
-        assertEquals(AttemptOutcome.OK, result("b"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("b"));
         assertEquals(1, broker.connections(), "the connection goes on");
     }
 
     @Test
-    void nackMayHaveRun() {
+    void nackedPublishMayHaveRun() {
         broker.be(Fate.NACK);
         send("a");
-        assertEquals(new Ended(AttemptOutcome.ERROR, false, 0), outcome("a"));
+        assertEquals(new Completion(AttemptOutcome.ERROR, false, 0), completionOf("a"));
     }
 
     @Test
-    void confirmForSeveralAndOutOfOrder() {
+    void multipleAndUnorderedConfirms() {
         broker.script(id ->
                 id.equals("a") ? Fate.CONFIRM_WITH_NEXT : id.equals("c") ? Fate.CONFIRM_AFTER_NEXT : Fate.CONFIRM);
         send("a", "b", "c", "d");
         for (String id : List.of("a", "b", "c", "d")) {
-            assertEquals(AttemptOutcome.OK, result(id), id);
+            assertEquals(AttemptOutcome.OK, outcomeOf(id), id);
         }
     }
 
     @Test
-    void channelThatClosesAheadOfTheConfirmLeavesAllUnknown() {
+    void channelClosedBeforeTheConfirmLeavesAllUnknown() {
         broker.script(id -> id.equals("b") ? Fate.CLOSE_CHANNEL : Fate.SILENT);
         send("a", "b", "c");
         for (String id : List.of("a", "b", "c")) {
-            assertEquals(new Ended(AttemptOutcome.RESET, false, 0), outcome(id), id);
+            assertEquals(new Completion(AttemptOutcome.RESET, false, 0), completionOf(id), id);
         }
     }
 
     @Test
-    void connectionThatClosesOrBreaksLeavesUnknown() {
+    void lostConnectionLeavesPublishesUnknown() {
         broker.be(Fate.CLOSE_CONNECTION);
         send("a");
-        assertEquals(AttemptOutcome.RESET, result("a"));
+        assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
         broker.be(Fate.DROP_BEFORE);
         await(() -> broker.connected() == 0);
         send("b");
-        assertEquals(AttemptOutcome.RESET, result("b"));
+        assertEquals(AttemptOutcome.RESET, outcomeOf("b"));
         broker.be(Fate.DROP_AFTER);
         send("c");
-        assertEquals(AttemptOutcome.RESET, result("c"));
+        assertEquals(AttemptOutcome.RESET, outcomeOf("c"));
     }
 
     @Test
-    void whatWasNotWrittenWholeNeverRan() {
+    void incompletelyWrittenPublishNeverRan() {
         send("first");
-        assertEquals(AttemptOutcome.OK, result("first"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("first"));
         broker.read(false);
         String[] ids = new String[400];
         for (int i = 0; i < ids.length; i++) {
             ids[i] = "m" + i;
         }
-        send(30 * SECOND, 64 << 10, ids);
-        // The broker reads nothing: the socket takes some of it, and the rest waits in this process.
+        send(30 * SECOND_MICROS, 64 << 10, ids);
+        // The broker reads nothing: the socket takes a part, and the rest stays in this process.
         loop.submit(() -> "passed").syncUninterruptibly();
         broker.drop();
-        await(() -> ended.size() == ids.length + 1);
+        await(() -> completions.size() == ids.length + 1);
         Set<String> never = new HashSet<>();
-        ended.forEach((id, e) -> {
-            if (e.result() == AttemptOutcome.NOT_SENT) {
+        completions.forEach((id, e) -> {
+            if (e.outcome() == AttemptOutcome.NOT_SENT) {
                 never.add(id);
             }
         });
         assertTrue(never.size() > 50 && never.size() < ids.length, "never: " + never.size());
-        ended.forEach((id, e) -> assertTrue(
-                e.result() == AttemptOutcome.NOT_SENT || e.result() == AttemptOutcome.RESET || id.equals("first"),
+        completions.forEach((id, e) -> assertTrue(
+                e.outcome() == AttemptOutcome.NOT_SENT || e.outcome() == AttemptOutcome.RESET || id.equals("first"),
                 id + " " + e));
         broker.postings().forEach(p -> assertFalse(never.contains(p.id()), p.id()));
     }
 
     @Test
-    void missingExchangeNeverRanAndTheOthersOnItsChannelAreUnknown() {
+    void publishToAMissingExchangeNeverRanAndOthersAreUnknown() {
         broker.script(id -> id.equals("b") ? Fate.NO_EXCHANGE : Fate.SILENT);
         send("a", "b");
-        assertEquals(AttemptOutcome.RESET, result("a"));
-        assertEquals(AttemptOutcome.NOT_SENT, result("b"));
+        assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
+        assertEquals(AttemptOutcome.NOT_SENT, outcomeOf("b"));
         sendUntilPosted("anew");
-        assertEquals(1, broker.effects().get("a"), "it had run, so that unknown was right");
+        assertEquals(1, broker.effects().get("a"), "it had run, so that unknown was correct");
     }
 
     @Test
-    void blockedBrokerIsAWaitAndNothingIsPublishedMeanwhile() {
+    void blockedBrokerMeansBackOffAndNoPublishes() {
         send("a");
-        assertEquals(AttemptOutcome.OK, result("a"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("a"));
         broker.block(true);
         await(() -> {
             loop.execute(() -> client.probe(ROUTE));
-            return probed.stream().anyMatch(p -> p.result() == AttemptOutcome.REJECTED && p.toldWait() > 0);
+            return probeCompletions.stream()
+                    .anyMatch(p -> p.outcome() == AttemptOutcome.REJECTED && p.retryAfterMicros() > 0);
         });
         send("b");
-        assertEquals(new Ended(AttemptOutcome.REJECTED, false, SECOND), outcome("b"));
+        assertEquals(new Completion(AttemptOutcome.REJECTED, false, SECOND_MICROS), completionOf("b"));
         broker.block(false);
         await(() -> {
             loop.execute(() -> client.probe(ROUTE));
-            return probed.get(probed.size() - 1).result() == AttemptOutcome.OK;
+            return probeCompletions.get(probeCompletions.size() - 1).outcome() == AttemptOutcome.OK;
         });
         send("c");
-        assertEquals(AttemptOutcome.OK, result("c"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("c"));
         assertEquals(0, broker.waitsBroken());
         assertEquals(Set.of("a", "c"), broker.effects().keySet());
     }
 
     @Test
-    void brokerThatBlocksAsSoonAsOneConnectsIsAWaitToo() {
+    void brokerBlockedAtConnectMeansBackOff() {
         broker.block(true);
         send("a");
-        assertEquals(AttemptOutcome.REJECTED, result("a"));
+        assertEquals(AttemptOutcome.REJECTED, outcomeOf("a"));
         assertEquals(0, broker.postings().size());
     }
 
     @Test
-    void flowThatIsStoppedIsAWaitToo() {
+    void stoppedFlowMeansBackOff() {
         send("a");
-        assertEquals(AttemptOutcome.OK, result("a"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("a"));
         broker.say(1, Method.of(MethodType.CHANNEL_FLOW, false));
         await(() -> {
             loop.execute(() -> client.probe(ROUTE));
-            return probed.stream().anyMatch(p -> p.result() == AttemptOutcome.REJECTED);
+            return probeCompletions.stream().anyMatch(p -> p.outcome() == AttemptOutcome.REJECTED);
         });
         send("b");
-        assertEquals(AttemptOutcome.REJECTED, result("b"));
+        assertEquals(AttemptOutcome.REJECTED, outcomeOf("b"));
         broker.say(1, Method.of(MethodType.CHANNEL_FLOW, true));
         await(() -> {
             loop.execute(() -> client.probe(ROUTE));
-            return probed.get(probed.size() - 1).result() == AttemptOutcome.OK;
+            return probeCompletions.get(probeCompletions.size() - 1).outcome() == AttemptOutcome.OK;
         });
         send("c");
-        assertEquals(AttemptOutcome.OK, result("c"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("c"));
     }
 
     @Test
@@ -362,7 +365,7 @@
         send("a");
         awaitPosted("a");
         broker.say(1, Method.of(MethodType.BASIC_ACK, 99L, false));
-        assertEquals(AttemptOutcome.RESET, result("a"));
+        assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
     }
 
     @Test
@@ -371,17 +374,17 @@
         send("a");
         awaitPosted("a");
         broker.say(2, Method.of(MethodType.BASIC_ACK, 1L, false));
-        assertEquals(AttemptOutcome.RESET, result("a"));
+        assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
     }
 
     @Test
-    void noConfirmInTimeIsTimedOutAndALateOneIsHeard() {
+    void missingConfirmTimesOutAndALateOneIsReported() {
         broker.lateBy(600);
         broker.be(Fate.CONFIRM_LATE);
         send(200_000, 10, "a");
-        assertEquals(AttemptOutcome.TIMEOUT, result("a"));
-        await(() -> late.contains("a"));
-        assertEquals(1, ended.size());
+        assertEquals(AttemptOutcome.TIMEOUT, outcomeOf("a"));
+        await(() -> lateDeliveries.contains("a"));
+        assertEquals(1, completions.size());
     }
 
     @Test
@@ -389,78 +392,79 @@
         broker.be(Fate.SILENT);
         Message message = new Message(
                 1,
-                new Message.Content("a", "unsafe", null, null, Clock.system().micros() + 9 * SECOND, 7, new byte[1]));
+                new Message.Content(
+                        "a", "unsafe", null, null, Clock.system().micros() + 9 * SECOND_MICROS, 7, new byte[1]));
         Message.Attempt attempt = message.addAttempt(ROUTE, Clock.system().micros());
         loop.submit(() -> client.send(
-                        ROUTE, List.of(new UpstreamClient.OutboundAttempt(attempt, 9 * SECOND, Long.MAX_VALUE))))
+                        ROUTE, List.of(new UpstreamClient.OutboundAttempt(attempt, 9 * SECOND_MICROS, Long.MAX_VALUE))))
                 .sync();
         awaitPosted("a");
         loop.submit(() -> client.cancel(attempt)).sync();
-        assertEquals(AttemptOutcome.CANCELLED, result("a"));
+        assertEquals(AttemptOutcome.CANCELLED, outcomeOf("a"));
     }
 
     @Test
-    void brokerThatIsNotThereOrLetsNobodyInOrNeverGreetsWasNotReached() throws Exception {
+    void unreachableOrRefusingBrokerMeansConnectFailed() throws Exception {
         broker.shut();
         send("a");
-        assertEquals(AttemptOutcome.CONNECT_FAILED, result("a"));
+        assertEquals(AttemptOutcome.CONNECT_FAILED, outcomeOf("a"));
         broker.open(false);
         client(login("wrong"), null, broker.address());
         send("b");
-        assertEquals(AttemptOutcome.CONNECT_FAILED, result("b"));
+        assertEquals(AttemptOutcome.CONNECT_FAILED, outcomeOf("b"));
         try (ServerSocket mute = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             client(login("guest"), null, "127.0.0.1:" + mute.getLocalPort());
             send("c");
-            assertEquals(AttemptOutcome.CONNECT_FAILED, result("c"));
+            assertEquals(AttemptOutcome.CONNECT_FAILED, outcomeOf("c"));
         }
     }
 
     @Test
-    void heartbeatThatIsLostWhileAConfirmIsOutLeavesItUnknown() {
+    void lostHeartbeatLeavesUnconfirmedPublishesUnknown() {
         broker.heartbeat(1);
         broker.be(Fate.SILENT);
         send("a");
         awaitPosted("a");
         broker.freeze(4_000);
-        assertEquals(AttemptOutcome.RESET, result("a"));
+        assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
     }
 
     @Test
-    void brokerThatComesBackWithAnEmptyMemory() throws Exception {
+    void brokerRestartedWithoutState() throws Exception {
         broker.be(Fate.SILENT);
         send("a");
         awaitPosted("a");
         broker.shut();
-        assertEquals(AttemptOutcome.RESET, result("a"));
+        assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
         broker.be(Fate.CONFIRM);
         broker.open(true);
         send("b");
-        assertEquals(AttemptOutcome.NOT_SENT, result("b"), "its exchange is gone");
+        assertEquals(AttemptOutcome.NOT_SENT, outcomeOf("b"), "its exchange is gone");
         broker.bind("orders", "direct", "k", "q");
-        assertEquals(AttemptOutcome.OK, result(sendUntilPosted("anew")));
+        assertEquals(AttemptOutcome.OK, outcomeOf(sendUntilPosted("anew")));
     }
 
     @Test
-    void drainingRouteGetsNothing() throws Exception {
+    void drainingRouteIsSentNothing() throws Exception {
         list(Availability.DRAINING, broker.address());
         send("a");
-        assertEquals(AttemptOutcome.NOT_SENT, result("a"));
+        assertEquals(AttemptOutcome.NOT_SENT, outcomeOf("a"));
         assertEquals(0, broker.connections());
     }
 
     @Test
-    void publishThatIsOutWhenItsRouteDrainsIsStillConfirmed() throws Exception {
+    void publishInFlightWhenItsRouteDrainsIsStillConfirmed() throws Exception {
         broker.lateBy(300);
         broker.be(Fate.CONFIRM_LATE);
         send("a");
         awaitPosted("a");
         list(Availability.DRAINING, broker.address());
-        assertEquals(AttemptOutcome.OK, result("a"));
+        assertEquals(AttemptOutcome.OK, outcomeOf("a"));
         await(() -> broker.connected() == 0);
     }
 
     @Test
-    void tlsWithACertificateThatIsTrustedAndOneThatIsNot() throws Exception {
+    void tlsWithATrustedAndAnUntrustedCertificate() throws Exception {
         Path store = folder.resolve("store.p12");
         assertEquals(
                 0,
@@ -510,10 +514,10 @@
                             .build(),
                     secure.address());
             send("a");
-            assertEquals(AttemptOutcome.OK, result("a"));
+            assertEquals(AttemptOutcome.OK, outcomeOf("a"));
             client(login("guest"), SslContextBuilder.forClient().build(), secure.address());
             send("b");
-            assertEquals(AttemptOutcome.CONNECT_FAILED, result("b"));
+            assertEquals(AttemptOutcome.CONNECT_FAILED, outcomeOf("b"));
             assertEquals(Set.of("a"), secure.effects().keySet());
         }
     }
