--- a/src/test/java/loftflow/stored/StoredData.java
+++ b/src/test/java/loftflow/stored/StoredData.java
@@ -9,8 +9,9 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * Files that an earlier build wrote, in {@code src/test/resources/stored}. Tests read copies of
- * them, as most stores repair or rewrite their files when they open them.
+ * Files that an earlier build wrote, in {@code src/test/resources/stored}. They are never written again: a file that
+ * tests can't read any more means that an upgrade would lose data. Tests read copies of them, as most stores repair or
+ * rewrite their files when they open them.
  */
 final class StoredData {
     private static final Path ROOT = Path.of("src/test/resources/stored");
