--- a/src/main/java/loftflow/http/ConnectionTimer.java
+++ b/src/main/java/loftflow/http/ConnectionTimer.java
@@ -4,78 +4,81 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one timer of a connection, which is started and stopped several times for each message and hardly ever fires.
- * Stopping
- * costs nothing, and starting again most often neither: what stands with the event loop is left standing, and looks,
- * when it is
- * due, whether something is really due by then.
+ * The one timer of a connection. It is started and stopped several times for each message and hardly ever fires, so
+ * stopping leaves the scheduled wake-up in place, and starting schedules a new one only where the wake-up would be too
+ * late. A wake-up before the due time schedules the next one. To be used on the connection's event loop.
  */
 public final class ConnectionTimer {
-    /** Runs a task after a span. */
+    /** Schedules a task on the event loop of the connection. */
     public interface Scheduler {
-        Future<?> after(long nanos, Runnable task);
+        /** Runs a task after a delay in nanoseconds. */
+        Future<?> after(long delayNanos, Runnable task);
     }
 
     private final Scheduler scheduler;
+    /** Null while the timer is stopped. */
     private Runnable task;
-    private long dueAt;
-    private Future<?> standing;
-    private long standsAt;
+    /** When the task is due, on {@link System#nanoTime}. */
+    private long dueAtNanos;
+    /** Null where no wake-up is scheduled. */
+    private Future<?> wakeUp;
+
+    private long wakeUpAtNanos;
 
     /** A timer that is stopped. */
     public ConnectionTimer(Scheduler scheduler) {
         this.scheduler = scheduler;
     }
 
-    /** Runs a task after a span, in place of what was to run. */
-    public void start(long span, TimeUnit unit, Runnable runs) {
-        long nanos = unit.toNanos(span);
-        task = runs;
-        dueAt = System.nanoTime() + nanos;
-        if (standing == null || standsAt - dueAt > 0) {
-            stand(nanos);
+    /** Runs a task once after a delay; replaces the task of an earlier start. */
+    public void start(long delay, TimeUnit unit, Runnable dueTask) {
+        long delayNanos = unit.toNanos(delay);
+        task = dueTask;
+        dueAtNanos = System.nanoTime() + delayNanos;
+        if (wakeUp == null || wakeUpAtNanos - dueAtNanos > 0) {
+            scheduleWakeUp(delayNanos);
         }
     }
 
-    private void stand(long nanos) {
-        if (standing != null) {
-            standing.cancel(false);
+    private void scheduleWakeUp(long delayNanos) {
+        if (wakeUp != null) {
+            wakeUp.cancel(false);
         }
-        standsAt = System.nanoTime() + nanos;
-        standing = scheduler.after(nanos, this::look);
+        wakeUpAtNanos = System.nanoTime() + delayNanos;
+        wakeUp = scheduler.after(delayNanos, this::onWakeUp);
     }
 
-    private void look() {
-        standing = null;
-        Runnable due = task;
-        if (due == null) {
+    private void onWakeUp() {
+        wakeUp = null;
+        Runnable dueTask = task;
+        if (dueTask == null) {
             return;
         }
-        long left = dueAt - System.nanoTime();
-        if (left > 0) {
-            stand(left);
+        long remainingNanos = dueAtNanos - System.nanoTime();
+        if (remainingNanos > 0) {
+            scheduleWakeUp(remainingNanos);
         } else {
             task = null;
-            due.run();
+            dueTask.run();
         }
     }
 
-    /** True where something is to run. */
+    /** True where a task is to run. */
     public boolean isRunning() {
         return task != null;
     }
 
-    /** Runs nothing, unless it is started again. */
+    /** Drops the task; the timer may be started again. */
     public void stop() {
         task = null;
     }
 
-    /** Stops for good: nothing of it stands any more that would hold its connection. */
+    /** Stops and cancels the wake-up, which would keep the connection reachable; at the end of the connection. */
     public void end() {
         task = null;
-        if (standing != null) {
-            standing.cancel(false);
-            standing = null;
+        if (wakeUp != null) {
+            wakeUp.cancel(false);
+            wakeUp = null;
         }
     }
 }
--- a/src/main/java/loftflow/http/Headers.java
+++ b/src/main/java/loftflow/http/Headers.java
@@ -1,24 +1,24 @@
 package loftflow.http;
 
-/** Names of headers that carry a message over HTTP/1.1, to a relay and from it (PROTOCOL). */
+/** Header names of the client protocol, by which clients send messages, and of the host protocol, to upstreams. */
 public final class Headers {
-    /** A message's id. */
+    /** Both protocols: the message id. */
     public static final String CALL_ID = "X-Call-Id";
-    /** The key by which a partner drops repeats. */
+    /** Both protocols: the idempotency key. */
     public static final String KEY = "Idempotency-Key";
-    /** Whole milliseconds that are left. */
+    /** Both protocols: the time left for delivery, in whole milliseconds. */
     public static final String BUDGET = "X-Budget-Ms";
-    /** A message's class. */
+    /** Client protocol: the request class. */
     public static final String CALL_CLASS = "X-Call-Class";
-    /** The tenant. */
+    /** Client protocol: the tenant. */
     public static final String CALLER = "X-Caller";
-    /** The destination, as {@code dest=7}. */
+    /** Client protocol: the destination, in the form {@code dest=7}. */
     public static final String CONSIGNEE = "X-Consignee";
-    /** What a partner tells of its limit. */
+    /** Host protocol, response: the upstream's rate limit and load. */
     public static final String LOAD_REPORT = "X-Load-Report";
-    /** Whole milliseconds for which a partner wants nothing more. */
+    /** Host protocol, response: Retry-After, in whole milliseconds. */
     public static final String COME_BACK = "X-Come-Back-Ms";
-    /** {@code 1} where the call was not sent, since all slots of this relay were taken. */
+    /** Host protocol, response: {@code 1} where the call was not sent, because this relay's call limit is used up. */
     public static final String LINE_BUSY = "X-Line-Busy";
 
     private Headers() {}
--- a/src/main/java/loftflow/http/UnreadBytes.java
+++ b/src/main/java/loftflow/http/UnreadBytes.java
@@ -3,17 +3,16 @@
 import io.netty.channel.Channel;
 import io.netty.channel.nio.AbstractNioChannel;
 
-/** Bytes that have come on a connection and that the pass of the loop has not read. */
+/** Bytes that have arrived on a connection since the current event-loop pass read its sockets. */
 public final class UnreadBytes {
     private UnreadBytes() {}
 
     /**
-     * Reads them, if any; on the connection's loop. Guards against a decision by what is known, such as to give up or
-     * to close,
-     * while what would change it has come since the pass looked at its sockets.
+     * Reads them, if any, so that a decision to time out or to close takes them into account. To be called on the
+     * connection's event loop; its handlers run before this returns.
      */
     public static void read(Channel connection) {
-        // Guards against a connection that is still coming up: to read from it ends it.
+        // Reading from a connection that is not established yet would close it.
         if (connection.isActive()) {
             ((AbstractNioChannel.NioUnsafe) connection.unsafe()).read();
         }
--- a/src/main/java/loftflow/http/package-info.java
+++ b/src/main/java/loftflow/http/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What all that speak HTTP/1.1 share: names, the timer of a connection, and what lies unread on one.
+ * What listeners and upstream clients share for HTTP: header names, the timer of a connection, and reading what has
+ * arrived on one.
  *
  * <p>May use: Netty.
  */
--- a/src/main/java/loftflow/json/JsonFields.java
+++ b/src/main/java/loftflow/json/JsonFields.java
@@ -8,39 +8,70 @@
 import java.util.List;
 import java.util.Map;
 
-/** Named access to a JSON object or to an array of values in a known order. */
+/**
+ * Typed access to a JSON object, by member name, or to a JSON array, by index from 0. Every method that takes a
+ * position, a {@link String} or an {@link Integer}, throws {@link MalformedInputException} where the value there is not
+ * of the expected type; the error names the position. A JSON null counts as absent.
+ */
 public final class JsonFields {
-    private final String where;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** The path to this object or array, for errors. */
+    private final String path;
+
     private final Map<?, ?> members;
     private final List<?> values;
 
-    private JsonFields(String where, Map<?, ?> members, List<?> values) {
-        this.where = where;
+    private JsonFields(String path, Map<?, ?> members, List<?> values) {
+        this.path = path;
         this.members = members;
         this.values = values;
     }
 
-    public static JsonFields ofObject(String where, Object json) {
+    /**
+     * Access to a JSON object.
+     *
+     * @param path what errors call it
+     * @param json a value as {@link #read} returns it
+     * @throws MalformedInputException where the value is not an object
+     */
+    public static JsonFields ofObject(String path, Object json) {
         if (json instanceof Map<?, ?> members) {
-            return new JsonFields(where, members, List.of());
+            return new JsonFields(path, members, List.of());
         }
-        throw new MalformedInputException(where + ": an object is needed");
+        throw new MalformedInputException(path + ": an object is needed");
     }
 
-    public static JsonFields ofArray(String where, Object json) {
+    /**
+     * Access to a JSON array.
+     *
+     * @param path what errors call it
+     * @param json a value as {@link #read} returns it
+     * @throws MalformedInputException where the value is not an array
+     */
+    public static JsonFields ofArray(String path, Object json) {
         if (json instanceof List<?> values) {
-            return new JsonFields(where, Map.of(), values);
+            return new JsonFields(path, Map.of(), values);
         }
-        throw new MalformedInputException(where + ": an array is needed");
+        throw new MalformedInputException(path + ": an array is needed");
     }
 
-    /** An array that begins with its own name. */
+    /**
+     * Access to an array whose first value is its name, which errors then call it.
+     *
+     * @throws MalformedInputException where the value is not an array that begins with a string
+     */
     public static JsonFields ofMessage(Object json) {
         JsonFields message = ofArray("message", json);
         return ofArray(message.text(0), json);
     }
 
-    /** Reads the value at the parser's current token into maps, lists, text, numbers and booleans. */
+    /**
+     * Reads the value that begins at the parser's current token, as a map, list, string, number, boolean or null.
+     *
+     * @throws MalformedInputException where the input ends too early
+     * @throws IOException where the input is not JSON or can't be read
+     */
     public static Object read(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
@@ -76,82 +107,93 @@
         return members;
     }
 
-    public Object value(Object at) {
-        if (at instanceof Integer index) {
+    /** The value at a position, of any type; null where it is absent. */
+    public Object value(Object position) {
+        if (position instanceof Integer index) {
             return index < values.size() ? values.get(index) : null;
         }
-        return members.get(at);
+        return members.get(position);
     }
 
-    public JsonFields object(Object at) {
-        return ofObject(where + "." + at, value(at));
+    /** The object at a position, which must be present. */
+    public JsonFields object(Object position) {
+        return ofObject(path + "." + position, value(position));
     }
 
-    public List<?> list(Object at) {
-        Object value = value(at);
+    /** The array at a position; empty where it is absent. */
+    public List<?> list(Object position) {
+        Object value = value(position);
         if (value == null) {
             return List.of();
         }
         if (value instanceof List<?> list) {
             return list;
         }
-        throw missing(at, "an array");
+        throw wrongType(position, "an array");
     }
 
-    public String text(Object at) {
-        if (value(at) instanceof String text) {
+    /** The string at a position, which must be present. */
+    public String text(Object position) {
+        if (value(position) instanceof String text) {
             return text;
         }
-        throw missing(at, "text");
+        throw wrongType(position, "text");
     }
 
-    public String textOrNull(Object at) {
-        return value(at) instanceof String text ? text : null;
+    /** The string at a position; null where it is absent or of another type. */
+    public String textOrNull(Object position) {
+        return value(position) instanceof String text ? text : null;
     }
 
-    public double number(Object at) {
-        if (value(at) instanceof Number number) {
+    /** The number at a position, which must be present. */
+    public double number(Object position) {
+        if (value(position) instanceof Number number) {
             return number.doubleValue();
         }
-        throw missing(at, "a number");
+        throw wrongType(position, "a number");
     }
 
-    public double number(Object at, double absent) {
-        return value(at) == null ? absent : number(at);
+    /** The number at a position, or a default where it is absent. */
+    public double number(Object position, double defaultValue) {
+        return value(position) == null ? defaultValue : number(position);
     }
 
-    public long whole(Object at) {
-        if (value(at) instanceof Number number) {
+    /** The number at a position, which must be present; a fraction is cut off. */
+    public long whole(Object position) {
+        if (value(position) instanceof Number number) {
             return number.longValue();
         }
-        throw missing(at, "a whole number");
+        throw wrongType(position, "a whole number");
     }
 
-    public long whole(Object at, long absent) {
-        return value(at) == null ? absent : whole(at);
+    /** The number at a position, without its fraction, or a default where it is absent. */
+    public long whole(Object position, long defaultValue) {
+        return value(position) == null ? defaultValue : whole(position);
     }
 
-    public boolean flag(Object at) {
-        Object value = value(at);
+    /** The boolean at a position; false where it is absent. */
+    public boolean flag(Object position) {
+        Object value = value(position);
         if (value == null) {
             return false;
         }
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw missing(at, "true or false");
+        throw wrongType(position, "true or false");
     }
 
-    /** Seconds on the wire as microseconds. */
-    public long micros(Object at) {
-        return Math.round(number(at) * 1e6);
+    /** The number of seconds at a position, which must be present, as microseconds. */
+    public long micros(Object position) {
+        return Math.round(number(position) * MICROS_PER_SECOND);
     }
 
-    public long micros(Object at, long absent) {
-        return value(at) == null ? absent : micros(at);
+    /** The number of seconds at a position, as microseconds, or a default in microseconds where it is absent. */
+    public long micros(Object position, long defaultMicros) {
+        return value(position) == null ? defaultMicros : micros(position);
     }
 
-    private MalformedInputException missing(Object at, String what) {
-        return new MalformedInputException(where + ": value " + at + " must be " + what);
+    private MalformedInputException wrongType(Object position, String expected) {
+        return new MalformedInputException(path + ": value " + position + " must be " + expected);
     }
 }
--- a/src/main/java/loftflow/json/MalformedInputException.java
+++ b/src/main/java/loftflow/json/MalformedInputException.java
@@ -1,6 +1,6 @@
 package loftflow.json;
 
-/** A line of the wire that cannot be read; the message says what is wrong and where. */
+/** Input that can't be read as what is expected; the message says what is wrong and where. */
 public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loftflow/json/package-info.java
+++ b/src/main/java/loftflow/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Named access to JSON that came from outside, with errors that say which member is wrong and why.
+ * Typed access to JSON from outside the program, with errors that say which member is wrong and why.
  *
  * <p>May use: Jackson; nothing of the relay.
  */
--- a/src/main/java/loftflow/log/Log.java
+++ b/src/main/java/loftflow/log/Log.java
@@ -1,33 +1,41 @@
 package loftflow.log;
 
-/** One plain line on standard error for staff, so many in a second at the most. */
+/**
+ * The operators' log: plain lines on standard error, at a bounded rate. A line has the form
+ * {@code component: event key=value key=value}. Thread-safe.
+ */
 public final class Log {
-    private static final int LONGEST = 300;
-    private static final int MOST_IN_A_SECOND = 20;
-    private static final long SECOND = 1_000_000_000;
+    private static final String PROGRAM_PREFIX = "loftflow: ";
+    private static final int MAX_LINE_LENGTH = 300;
+    private static final int MAX_LINES_PER_SECOND = 20;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-    private static long second = Long.MIN_VALUE;
-    private static int lines;
+    private static long currentSecond = Long.MIN_VALUE;
+    private static int linesInCurrentSecond;
 
     private Log() {}
 
-    /** Writes a line; what a peer sent is cut short and can't break out of its line. */
+    /**
+     * Writes a line, unless this second's lines are used up: the writer must not block on a reader that is slower than
+     * what peers cause to be logged. The text is truncated to {@value #MAX_LINE_LENGTH} characters, and control
+     * characters are replaced, so that text from a peer stays within its line.
+     */
     public static void line(String text) {
-        // Guards against a peer that makes the relay write more than its reader takes.
-        if (isAllowed(System.nanoTime() / SECOND)) {
-            String flat = text.length() > LONGEST ? text.substring(0, LONGEST) : text;
-            System.err.println("loftflow: " + flat.replaceAll("\\p{Cntrl}", "?"));
+        if (isAllowed(System.nanoTime() / NANOS_PER_SECOND)) {
+            String truncated = text.length() > MAX_LINE_LENGTH ? text.substring(0, MAX_LINE_LENGTH) : text;
+            System.err.println(PROGRAM_PREFIX + truncated.replaceAll("\\p{Cntrl}", "?"));
         }
     }
 
-    private static synchronized boolean isAllowed(long now) {
-        if (now != second) {
-            if (lines > MOST_IN_A_SECOND) {
-                System.err.println("loftflow: " + (lines - MOST_IN_A_SECOND) + " lines left out");
+    private static synchronized boolean isAllowed(long second) {
+        if (second != currentSecond) {
+            if (linesInCurrentSecond > MAX_LINES_PER_SECOND) {
+                int dropped = linesInCurrentSecond - MAX_LINES_PER_SECOND;
+                System.err.println(PROGRAM_PREFIX + "log: lines dropped count=" + dropped);
             }
-            second = now;
-            lines = 0;
+            currentSecond = second;
+            linesInCurrentSecond = 0;
         }
-        return ++lines <= MOST_IN_A_SECOND;
+        return ++linesInCurrentSecond <= MAX_LINES_PER_SECOND;
     }
 }
--- a/src/main/java/loftflow/log/package-info.java
+++ b/src/main/java/loftflow/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One plain line on standard error for staff.
+ * The operators' log on standard error.
  *
  * <p>May use: nothing of the program.
  */
--- a/src/test/java/loftflow/http/ConnectionTimerTest.java
+++ b/src/test/java/loftflow/http/ConnectionTimerTest.java
@@ -13,10 +13,10 @@
 @Timeout(30)
 class ConnectionTimerTest {
     /**
-     * However often it starts again, one task stands with the loop; the last one alone runs, and not before its time.
+     * However often the timer is restarted, one wake-up is scheduled; only the last task runs, and not before it is due.
      */
     @Test
-    void startingAgainCostsNothingAndOnlyTheLastTaskRuns() throws Exception {
+    void restartSchedulesNoNewWakeUpAndOnlyTheLastTaskRuns() throws Exception {
         DefaultEventLoop loop = new DefaultEventLoop();
         AtomicInteger scheduled = new AtomicInteger();
         AtomicInteger ran = new AtomicInteger();
@@ -40,8 +40,7 @@
         assertTrue(System.nanoTime() - start >= TimeUnit.MILLISECONDS.toNanos(60));
         assertEquals(100, ran.get());
         assertEquals(2, scheduled.get());
-        // A sooner task is not kept waiting for what stands; a stopped timer runs nothing; an ended one leaves nothing
-        // behind.
+        // An earlier task is not delayed by the scheduled wake-up; an ended timer runs nothing.
         loop.submit(() -> {
                     timer.start(10, TimeUnit.MINUTES, () -> ran.addAndGet(1_000));
                     timer.start(1, TimeUnit.MILLISECONDS, () -> ran.addAndGet(10));
--- a/src/test/java/loftflow/log/LogTest.java
+++ b/src/test/java/loftflow/log/LogTest.java
@@ -8,7 +8,7 @@
 
 class LogTest {
     @Test
-    void floodOfLinesIsCutShort() {
+    void rateOfLinesIsBounded() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         PrintStream before = System.err;
         System.setErr(new PrintStream(bytes, true));
