--- a/src/main/java/loftflow/config/package-info.java
+++ b/src/main/java/loftflow/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a relay is told at its start, checked where it enters.
+ * What a relay is configured with at its start, validated where it enters.
  *
- * <p>May use: the decision module, {@code Target} and the reading of lists; files, but no network.
+ * <p>May use: the decision module, {@code Endpoint} and the reading of lists; files, but no network.
  */
 package loftflow.config;
--- a/src/main/java/loftflow/server/AmqpModule.java
+++ b/src/main/java/loftflow/server/AmqpModule.java
@@ -1,19 +1,13 @@
 package loftflow.server;
 
 import io.netty.channel.EventLoop;
-import io.netty.handler.ssl.SslContext;
-import io.netty.handler.ssl.SslContextBuilder;
-import io.netty.handler.ssl.SslProvider;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import loftflow.amqp.link.AmqpClientConnection;
-import loftflow.amqp.link.AmqpServerConnection;
 import loftflow.amqp.mapping.MessageMapping;
-import loftflow.amqp.mapping.ValueSource;
 import loftflow.config.Config;
 import loftflow.deduplication.DeduplicationFile;
 import loftflow.deduplication.Deduplicator;
@@ -28,213 +22,167 @@
 import loftflow.listener.amqp.AmqpListener;
 import loftflow.listener.amqp.CompletionReplier;
 import loftflow.listener.amqp.QueueConsumer;
-import loftflow.log.Log;
 import loftflow.upstream.amqp.BrokerClient;
 import loftflow.upstream.amqp.BrokerDestination;
 
-/** All that is spoken of AMQP 0-9-1: brokers as partners, and the ways in. Not loaded where there is none of it. */
+/**
+ * Assembles AMQP 0-9-1: brokers as upstreams, listeners for AMQP clients, and consumers of queues. The class is not
+ * loaded where AMQP is off.
+ */
 final class AmqpModule {
-    private static final Config.MappingRule USUAL = new Config.MappingRule(
-            null,
-            "property:message-id",
-            "property:type",
-            null,
-            "header:Idempotency-Key",
-            "routing-key",
-            "property:expiration");
-
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Clock clock;
+    private final EventLoopLag eventLoopLag;
     private final DeliveryEngine engine;
     private final Config config;
-    private final CompletionNotifier others;
-    private final List<AmqpListener> servers = new ArrayList<>();
+    /** For completions that are not replied over AMQP. */
+    private final CompletionNotifier defaultNotifier;
+
+    private final List<AmqpListener> amqpListeners = new ArrayList<>();
     private final List<QueueConsumer> consumers = new ArrayList<>();
-    /** The fronts that tell ends, by the names that the journal knows them by. */
-    private final Map<String, CompletionReplier> replies = new HashMap<>();
+    /** By the name that a message's {@link Message.Reply#listener} refers to. */
+    private final Map<String, CompletionReplier> repliers = new HashMap<>();
 
+    /** Listeners and consumers that have not started. */
     AmqpModule(
-            EventLoop loop,
+            EventLoop eventLoop,
             Clock clock,
-            EventLoopLag pulse,
+            EventLoopLag eventLoopLag,
             DeliveryEngine engine,
             Config config,
             WriteAheadLog journal,
-            CompletionNotifier others)
+            CompletionNotifier defaultNotifier)
             throws IOException {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.clock = clock;
+        this.eventLoopLag = eventLoopLag;
         this.engine = engine;
         this.config = config;
-        this.others = others;
+        this.defaultNotifier = defaultNotifier;
         Config.Amqp amqp = config.amqp();
-        boolean takes = !amqp.fronts().isEmpty() || !amqp.queues().isEmpty();
-        Deduplicator seen = takes ? seen(journal) : Deduplicator.NOTHING;
-        MessageMapping mapping = new MessageMapping(
-                (amqp.mappings().isEmpty() ? List.of(USUAL) : amqp.mappings())
-                        .stream().map(AmqpModule::rule).toList(),
-                config.settings().classes());
-        for (Config.AmqpFront f : amqp.fronts()) {
-            AmqpListener server = new AmqpListener(
-                    engine,
-                    clock,
-                    pulse,
-                    mapping,
-                    seen,
-                    new AmqpListener.Options(
-                            f.name(),
-                            f.exchange(),
-                            f.user(),
-                            f.password(),
-                            amqp.connections(),
-                            new AmqpServerConnection.Offer("loftflow", f.channels(), f.frame(), f.heartbeat()),
-                            f.replyHold()),
-                    engine::onCompletionAcknowledged,
-                    this::otherwise);
-            servers.add(server);
-            replies.put(f.name(), server);
+        boolean hasSources = !amqp.listeners().isEmpty() || !amqp.queues().isEmpty();
+        Deduplicator deduplicator = hasSources ? openDeduplicator(journal) : Deduplicator.NOTHING;
+        MessageMapping mapping = AmqpOptions.mapping(amqp, config.settings().classes());
+        for (Config.AmqpFront listener : amqp.listeners()) {
+            addListener(listener, mapping, deduplicator);
         }
-        for (Config.AmqpQueue q : amqp.queues()) {
-            QueueConsumer consumer = new QueueConsumer(
-                    loop,
-                    engine,
-                    clock,
-                    pulse,
-                    mapping,
-                    seen,
-                    new QueueConsumer.Options(
-                            q.name(),
-                            new AmqpClientConnection.Broker(
-                                    q.address(),
-                                    login(q.login()),
-                                    tls(q.login()),
-                                    q.login().tlsName()),
-                            q.queue(),
-                            q.prefetch(),
-                            q.autoAcknowledge(),
-                            QueueConsumer.Tells.valueOf(q.ends().toUpperCase(Locale.ROOT)),
-                            q.replyQueue(),
-                            config.settings().limits().connectTimeoutMicros()),
-                    engine::onCompletionAcknowledged,
-                    this::otherwise);
-            consumers.add(consumer);
-            replies.put(q.name(), consumer);
+        for (Config.AmqpQueue queue : amqp.queues()) {
+            addConsumer(queue, mapping, deduplicator);
         }
     }
 
-    /** Guards against a kill between the journal's record of a message and the memory's of its id. */
-    private Deduplicator seen(WriteAheadLog journal) throws IOException {
-        DeduplicationFile seen = new DeduplicationFile(
-                config.state(), config.amqp().span(), config.amqp().entries(), clock::micros);
+    /**
+     * Opens the file of known message ids and adds the ids of the messages in the journal: a process that was killed
+     * may have written a message to the journal but not yet its id to the file.
+     */
+    private Deduplicator openDeduplicator(WriteAheadLog journal) throws IOException {
+        DeduplicationFile deduplicator = new DeduplicationFile(
+                config.stateDirectory(),
+                config.amqp().deduplicationWindowMicros(),
+                config.amqp().maxDeduplicationEntries(),
+                clock::micros);
         for (Message message : journal.openMessages()) {
-            if (!seen.contains(message.content().messageId())) {
-                seen.add(message.content().messageId());
+            String messageId = message.content().messageId();
+            if (!deduplicator.contains(messageId)) {
+                deduplicator.add(messageId);
             }
         }
-        return seen;
+        return deduplicator;
     }
 
-    private static MessageMapping.Rule rule(Config.MappingRule r) {
-        return new MessageMapping.Rule(
-                r.contentType(),
-                ValueSource.of(r.id()),
-                ValueSource.of(r.requestClass()),
-                sourceOrNull(r.tenant()),
-                sourceOrNull(r.key()),
-                ValueSource.of(r.destination()),
-                sourceOrNull(r.budget()));
+    private void addListener(Config.AmqpFront options, MessageMapping mapping, Deduplicator deduplicator) {
+        AmqpListener listener = new AmqpListener(
+                engine,
+                clock,
+                eventLoopLag,
+                mapping,
+                deduplicator,
+                AmqpOptions.listener(options, config.amqp().maxConnectionsPerListener()),
+                engine::onCompletionAcknowledged,
+                this::notifyWithoutReply);
+        amqpListeners.add(listener);
+        repliers.put(options.name(), listener);
     }
 
-    private static ValueSource sourceOrNull(String text) {
-        return text == null ? null : ValueSource.of(text);
+    private void addConsumer(Config.AmqpQueue options, MessageMapping mapping, Deduplicator deduplicator)
+            throws IOException {
+        QueueConsumer consumer = new QueueConsumer(
+                eventLoop,
+                engine,
+                clock,
+                eventLoopLag,
+                mapping,
+                deduplicator,
+                AmqpOptions.consumer(options, connectTimeoutMicros()),
+                engine::onCompletionAcknowledged,
+                this::notifyWithoutReply);
+        consumers.add(consumer);
+        repliers.put(options.name(), consumer);
     }
 
-    private static AmqpClientConnection.Login login(Config.Login login) {
-        return new AmqpClientConnection.Login(login.user(), login.password(), login.virtualHost(), login.heartbeat());
+    private long connectTimeoutMicros() {
+        return config.settings().limits().connectTimeoutMicros();
     }
 
-    private static SslContext tls(Config.Login login) throws IOException {
-        if (!login.tls()) {
-            return null;
-        }
-        SslContextBuilder builder = SslContextBuilder.forClient().sslProvider(SslProvider.JDK);
-        if (login.trust() != null) {
-            try {
-                builder.trustManager(login.trust().toFile());
-            } catch (IllegalArgumentException e) {
-                throw new IOException(login.trust() + " holds no certificates: " + e.getMessage(), e);
-            }
-        }
-        return builder.build();
-    }
-
-    /** Where ends go whose program can't be told: that a message is delivered is then told to nobody but a file. */
-    private void otherwise(Message message) {
-        if (message.completion().kind() == Message.Completion.Kind.DELIVERED && config.notices() != null) {
+    /**
+     * Notifies a completion whose reply can't be delivered. The platform is not notified of deliveries, so a delivery
+     * counts as acknowledged where completions go there; a file records it.
+     */
+    private void notifyWithoutReply(Message message) {
+        if (message.completion().kind() == Message.Completion.Kind.DELIVERED && config.completionAddress() != null) {
             engine.onCompletionAcknowledged(message);
         } else {
-            others.notifyCompletion(message);
+            defaultNotifier.notifyCompletion(message);
         }
     }
 
-    /** Partners that are brokers beside the others. */
-    UpstreamClient partners(UpstreamClient http) throws IOException {
+    /** A client for all upstreams: brokers over AMQP, all others by {@code httpClient}. */
+    UpstreamClient upstreamClient(UpstreamClient httpClient) throws IOException {
         Map<String, BrokerDestination> brokers = new HashMap<>();
         for (Map.Entry<String, Config.BrokerRoute> route :
-                config.amqp().routes().entrySet()) {
-            Config.BrokerRoute r = route.getValue();
-            brokers.put(
-                    route.getKey(),
-                    new BrokerDestination(
-                            login(r.login()),
-                            r.exchange(),
-                            r.routingKey(),
-                            tls(r.login()),
-                            r.login().tlsName()));
+                config.amqp().brokerRoutes().entrySet()) {
+            brokers.put(route.getKey(), AmqpOptions.destination(route.getValue()));
+        }
+        if (brokers.isEmpty()) {
+            return httpClient;
         }
-        return brokers.isEmpty()
-                ? http
-                : new RoutingUpstreamClient(
-                        http,
-                        new BrokerClient(
-                                loop, clock, config.settings().limits().connectTimeoutMicros(), brokers, engine));
+        return new RoutingUpstreamClient(
+                httpClient, new BrokerClient(eventLoop, clock, connectTimeoutMicros(), brokers, engine));
     }
 
-    /** Ends by replies where they were asked for, and as usual where not. */
-    CompletionNotifier ends() {
+    /** Replies over AMQP where a reply was requested, and notifies as usual where not. */
+    CompletionNotifier completionNotifier() {
         return message -> {
             Message.Reply reply = message.content().reply();
             if (reply == null) {
-                others.notifyCompletion(message);
-            } else if (replies.containsKey(reply.listener())) {
-                replies.get(reply.listener()).tell(message);
+                defaultNotifier.notifyCompletion(message);
+            } else if (repliers.containsKey(reply.listener())) {
+                repliers.get(reply.listener()).tell(message);
             } else {
-                // Guards against a front that a message came by and that is not there any more.
-                otherwise(message);
+                // The listener of a resumed message is no longer configured.
+                notifyWithoutReply(message);
             }
         };
     }
 
-    int listeners() {
-        return servers.size();
+    /** How many listeners share the connection limit; consumers open connections themselves. */
+    int listenerCount() {
+        return amqpListeners.size();
     }
 
-    List<Listener> fronts() {
-        List<Listener> fronts = new ArrayList<>(servers);
-        fronts.addAll(consumers);
-        return fronts;
+    /** Listeners and consumers. */
+    List<Listener> listeners() {
+        List<Listener> listeners = new ArrayList<>(amqpListeners);
+        listeners.addAll(consumers);
+        return listeners;
     }
 
-    /** Listens, and begins to consume. */
+    /** Listens and starts to consume; returns once every listener is bound. */
     void start() throws InterruptedException {
-        for (int i = 0; i < servers.size(); i++) {
-            Log.line("serving AMQP on "
-                    + servers.get(i)
-                            .listen(loop, config.amqp().fronts().get(i).listen())
-                            .sync()
-                            .channel()
-                            .localAddress());
+        for (int i = 0; i < amqpListeners.size(); i++) {
+            InetSocketAddress address = config.amqp().listeners().get(i).listenAddress();
+            ListenerAddress.awaitAndLog(amqpListeners.get(i).listen(eventLoop, address), "serving AMQP on");
         }
-        consumers.forEach(consumer -> loop.execute(consumer::start));
+        consumers.forEach(consumer -> eventLoop.execute(consumer::start));
     }
 }
--- a/src/main/java/loftflow/server/ConfigReloader.java
+++ b/src/main/java/loftflow/server/ConfigReloader.java
@@ -11,95 +11,102 @@
 import sun.misc.Signal;
 
 /**
- * Keeps the newest configuration in force: reads its file again at each SIGHUP, and where discovery is silent, away
- * from the event loop. A read that fails is tried again every {@value #AGAIN_MS} ms, {@value #MOST_TRIES} times.
+ * Reloads the configuration: at each SIGHUP, and when its file has changed while discovery is unresponsive. A reload
+ * that fails is retried, since the file may be in the middle of being written.
+ *
+ * <p>Files are read on a single thread of this class, off the event loop, so that an older file can't overtake a newer
+ * one. All state but the constants is confined to that thread.
  */
 final class ConfigReloader {
-    static final int AGAIN_MS = 100;
-    static final int MOST_TRIES = 100;
+    static final int RETRY_INTERVAL_MILLIS = 100;
+    static final int MAX_ATTEMPTS = 100;
 
     private final Config.Source source;
-    private final ScheduledExecutorService reader = Executors.newSingleThreadScheduledExecutor(work -> {
-        Thread thread = new Thread(work, "reload");
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread thread = new Thread(task, "reload");
         thread.setDaemon(true);
         return thread;
     });
-    private Consumer<Config> taker;
-    private byte[] inForce;
-    /** Only the newest of several signals goes on trying; read and written on the reader's thread. */
-    private long newest;
+    /** Null until {@link #start}. */
+    private Consumer<Config> listener;
+    /** The content of the file that the configuration in force was read from. */
+    private byte[] contentInForce;
+    /** How many signals there were; only the newest one's reload is retried. */
+    private long newestSignal;
 
     private ConfigReloader(Config.Source source) {
         this.source = source;
     }
 
-    /** Takes SIGHUP from now on; what came before {@link #start} is heeded then. */
+    /** Handles SIGHUP from now on; a signal before {@link #start} takes effect then. */
     static ConfigReloader onHangUp(Config.Source source) {
-        ConfigReloader reload = new ConfigReloader(source);
-        // Guards, by a single thread, against an older file that overtakes a newer one.
-        Signal.handle(new Signal("HUP"), signal -> reload.reader.execute(reload::hungUp));
-        return reload;
+        ConfigReloader reloader = new ConfigReloader(source);
+        Signal.handle(new Signal("HUP"), signal -> reloader.executor.execute(reloader::onSignal));
+        return reloader;
     }
 
     /**
-     * Tells of new configurations from now on, and at once where the file has been replaced since it was read.
+     * Reports new configurations from now on, and at once where the file was replaced since it was read.
      *
-     * @param first the configuration in force
-     * @param listener takes what replaces it, on a thread of this object's own
+     * @param configInForce the configuration that the relay started with
+     * @param configListener receives what replaces it, on this object's thread
      */
-    void start(Config first, Consumer<Config> listener) {
-        reader.execute(() -> {
-            inForce = first.source();
-            taker = listener;
-            if (newest > 0) {
-                // Guards against a signal that came while nothing could be taken yet, for a file that is half written.
-                read(newest, 1);
+    void start(Config configInForce, Consumer<Config> configListener) {
+        executor.execute(() -> {
+            contentInForce = configInForce.sourceBytes();
+            listener = configListener;
+            if (newestSignal > 0) {
+                // The signal came too early to be acted on; its file may still be incomplete, so it is retried.
+                reload(newestSignal, 1);
             } else {
-                compare();
+                reloadIfChanged();
             }
         });
     }
 
-    /** Guards against a signal that was lost, or whose file came late: reads the file and takes it if it is another. */
-    void discoveryIsSilent() {
-        reader.execute(this::compare);
+    /**
+     * Reloads the configuration if its file has changed. Called while discovery is unresponsive, which may be because
+     * its address has changed and the signal was lost or came before the file.
+     */
+    void compareWithFile() {
+        executor.execute(this::reloadIfChanged);
     }
 
-    void hungUp() {
-        newest++;
-        read(newest, 1);
+    /** Handles a SIGHUP. */
+    void onSignal() {
+        newestSignal++;
+        reload(newestSignal, 1);
     }
 
-    private void read(long signal, int tries) {
-        if (taker == null || signal != newest) {
+    private void reload(long signal, int attempt) {
+        if (listener == null || signal != newestSignal) {
             return;
         }
         try {
-            take(source.read());
+            apply(source.read());
         } catch (Config.BadConfigException | RuntimeException e) {
-            // Guards against a file that is just being written: it would leave the old one in force for good.
-            if (tries == 1 || tries == MOST_TRIES) {
-                Log.line("the old configuration stays in force, try " + tries + " of " + MOST_TRIES + ": "
-                        + e.getMessage());
+            if (attempt == 1 || attempt == MAX_ATTEMPTS) {
+                Log.line("config: reload failed, old configuration stays in force attempt=" + attempt + " maxAttempts="
+                        + MAX_ATTEMPTS + " error=" + e.getMessage());
             }
-            if (tries < MOST_TRIES) {
-                reader.schedule(() -> read(signal, tries + 1), AGAIN_MS, TimeUnit.MILLISECONDS);
+            if (attempt < MAX_ATTEMPTS) {
+                executor.schedule(() -> reload(signal, attempt + 1), RETRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
     }
 
-    private void compare() {
+    private void reloadIfChanged() {
         try {
-            if (taker != null && !Arrays.equals(source.bytes(), inForce)) {
-                take(source.read());
+            if (listener != null && !Arrays.equals(source.bytes(), contentInForce)) {
+                apply(source.read());
             }
         } catch (Config.BadConfigException | IOException | RuntimeException e) {
-            Log.line("discovery is silent and the configuration can't be compared: " + e.getMessage());
+            Log.line("config: comparison with file failed error=" + e.getMessage());
         }
     }
 
-    private void take(Config config) {
-        taker.accept(config);
-        inForce = config.source();
+    private void apply(Config config) {
+        listener.accept(config);
+        contentInForce = config.sourceBytes();
     }
 }
--- a/src/main/java/loftflow/server/DeadLetterModule.java
+++ b/src/main/java/loftflow/server/DeadLetterModule.java
@@ -17,49 +17,64 @@
 import loftflow.engine.Timers;
 import loftflow.policy.api.RequestClass;
 
-/** The keeping of what can't be delivered: store, desk and admin socket. Not loaded where it is off. */
+/** Assembles the dead-letter store, its service and the admin socket. The class is not loaded where they are off. */
 final class DeadLetterModule {
-    private final DeadLetterService desk;
-    private final DeadLetterExecutor thread;
-    private final AdminServer admin;
+    private final DeadLetterService service;
+    private final DeadLetterExecutor executor;
+    private final AdminServer adminServer;
 
-    DeadLetterModule(EventLoop loop, Timers timers, Clock clock, DeliveryEngine engine, Config config)
+    /** Opens the store, makes it the engine's dead-letter sink and listens on the admin socket. */
+    DeadLetterModule(EventLoop eventLoop, Timers timers, Clock clock, DeliveryEngine engine, Config config)
             throws IOException {
-        Config.Keeping k = config.keeping();
-        Map<String, RedrivePolicy.Shelved> shelves = new HashMap<>();
-        for (RequestClass type : config.settings().classes()) {
-            shelves.put(
-                    type.name(), new RedrivePolicy.Shelved(type, k.shelfLives().get(type.name())));
-        }
+        Config.Keeping options = config.deadLetters();
+        executor = openStore(config, eventLoop);
+        service = new DeadLetterService(timers, clock, engine, executor, serviceOptions(config, options));
+        engine.setDeadLetterSink(service);
+        adminServer =
+                new AdminServer(config.stateDirectory(), new DeadLetterCommands(service, executor, clock, eventLoop));
+    }
+
+    private static DeadLetterExecutor openStore(Config config, EventLoop eventLoop) throws IOException {
         try {
-            thread = new DeadLetterExecutor(SqliteDeadLetterStore.open(config.state(), k.limit()), loop);
+            return new DeadLetterExecutor(
+                    SqliteDeadLetterStore.open(
+                            config.stateDirectory(), config.deadLetters().limitBytes()),
+                    eventLoop);
         } catch (DeadLetterStore.ShelfException e) {
             throw new IOException(e.getMessage(), e);
         }
-        desk = new DeadLetterService(
-                timers,
-                clock,
-                engine,
-                thread,
-                new DeadLetterService.Options(
-                        shelves,
-                        new RedrivePolicy(k.clockMargin(), k.pause()),
-                        k.pace(),
-                        (long) (k.limit() * k.high()),
-                        (long) (k.limit() * k.low()),
-                        k.entries(),
-                        k.refuseWhenFull(),
-                        k.age()));
-        engine.setDeadLetterSink(desk);
-        admin = new AdminServer(config.state(), new DeadLetterCommands(desk, thread, clock, loop));
     }
 
+    private static DeadLetterService.Options serviceOptions(Config config, Config.Keeping options) {
+        return new DeadLetterService.Options(
+                retentionByClass(config),
+                new RedrivePolicy(options.clockMarginMicros(), options.redriveBackoffMicros()),
+                options.redrivesPerSecond(),
+                (long) (options.limitBytes() * options.highWatermark()),
+                (long) (options.limitBytes() * options.lowWatermark()),
+                options.maxEntries(),
+                options.rejectsWhenFull(),
+                options.maxClosedAgeMicros());
+    }
+
+    private static Map<String, RedrivePolicy.Shelved> retentionByClass(Config config) {
+        Map<String, Long> retentionMicros = config.deadLetters().retentionMicrosByClass();
+        Map<String, RedrivePolicy.Shelved> retentions = new HashMap<>();
+        for (RequestClass requestClass : config.settings().classes()) {
+            String name = requestClass.name();
+            retentions.put(name, new RedrivePolicy.Shelved(requestClass, retentionMicros.get(name)));
+        }
+        return retentions;
+    }
+
+    /** Starts redrives; on the event loop. */
     void start() {
-        desk.start();
+        service.start();
     }
 
+    /** Closes the admin socket and the store. */
     void close() {
-        admin.close();
-        thread.close();
+        adminServer.close();
+        executor.close();
     }
 }
--- a/src/main/java/loftflow/server/EventLoopTimers.java
+++ b/src/main/java/loftflow/server/EventLoopTimers.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.TimeUnit;
 import loftflow.engine.Timers;
 
-/** Timers of the one event loop. */
-record EventLoopTimers(EventLoop loop) implements Timers {
+/** Timers that run on a Netty event loop. */
+record EventLoopTimers(EventLoop eventLoop) implements Timers {
     @Override
-    public Timer schedule(long micros, Runnable task) {
-        Future<?> due = loop.schedule(task, micros, TimeUnit.MICROSECONDS);
-        return () -> due.cancel(false);
+    public Timer schedule(long delayMicros, Runnable task) {
+        Future<?> scheduled = eventLoop.schedule(task, delayMicros, TimeUnit.MICROSECONDS);
+        return () -> scheduled.cancel(false);
     }
 }
--- /dev/null
+++ b/src/main/java/loftflow/server/GracefulShutdown.java
@@ -0,0 +1,76 @@
+package loftflow.server;
+
+import io.netty.channel.EventLoop;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import loftflow.engine.DeliveryEngine;
+import loftflow.listener.Listener;
+
+/**
+ * What happens on SIGTERM. For a moment the relay serves as usual; then its listeners drain; then no attempt is started
+ * any more; the process ends once nothing is in flight, or at a deadline. Messages that are open at the end are in the
+ * journal, and the next process resumes them.
+ *
+ * <p>All times count from the signal. The process is killed 3.7 s after it at the earliest.
+ */
+final class GracefulShutdown {
+    /** Until then the relay serves as usual, since clients still open connections. */
+    private static final long DRAIN_AFTER_MILLIS = 500;
+    /** From then on no attempt is started; one takes about a second. */
+    private static final long QUIESCE_AFTER_MILLIS = 2200;
+    /** From then on only answers that clients wait for delay the end. */
+    private static final long DEADLINE_MILLIS = 3200;
+    /** Interval at which the relay looks whether it may end. */
+    private static final long CHECK_INTERVAL_MILLIS = 20;
+
+    private final EventLoop eventLoop;
+    private final DeliveryEngine engine;
+    private final List<Listener> listeners;
+    private final Runnable closeStores;
+    private final CountDownLatch finished = new CountDownLatch(1);
+    private long deadlineNanos;
+
+    /**
+     * A shutdown that has not begun.
+     *
+     * @param closeStores closes the stores that outlast the process; runs on the event loop after the listeners stop
+     */
+    GracefulShutdown(EventLoop eventLoop, DeliveryEngine engine, List<Listener> listeners, Runnable closeStores) {
+        this.eventLoop = eventLoop;
+        this.engine = engine;
+        this.listeners = listeners;
+        this.closeStores = closeStores;
+    }
+
+    /** Shuts the relay down; returns when the process may end. Not to be called on the event loop. */
+    void run() {
+        deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(DEADLINE_MILLIS);
+        eventLoop.schedule(engine::quiesce, QUIESCE_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(() -> listeners.forEach(Listener::drain), DRAIN_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::finishWhenIdle, DRAIN_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+        try {
+            finished.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private void finishWhenIdle() {
+        boolean isPastDeadline = System.nanoTime() - deadlineNanos >= 0;
+        // A request that arrived since the last pass read its sockets is still answered, if only as rejected.
+        listeners.forEach(Listener::takeIn);
+        if (isIdle() || isPastDeadline && listeners.stream().noneMatch(Listener::isAnswering)) {
+            listeners.forEach(Listener::stopListening);
+            closeStores.run();
+            finished.countDown();
+        } else {
+            eventLoop.schedule(this::finishWhenIdle, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private boolean isIdle() {
+        boolean isEngineIdle = engine.isIdle() || engine.isQuiescing() && engine.hasNothingInFlight();
+        return listeners.stream().allMatch(Listener::isIdle) && isEngineIdle;
+    }
+}
--- a/src/main/java/loftflow/server/Http2Module.java
+++ b/src/main/java/loftflow/server/Http2Module.java
@@ -1,6 +1,7 @@
 package loftflow.server;
 
 import io.netty.channel.EventLoop;
+import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,62 +15,78 @@
 import loftflow.listener.http2.flowcontrol.ConcurrentStreamLimit;
 import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 import loftflow.listener.request.MessageRequest;
-import loftflow.log.Log;
 import loftflow.policy.api.RequestClass;
 
-/** All that is spoken of HTTP/2. Not loaded where there is none of it. */
+/** Assembles the HTTP/2 listeners. The class is not loaded where HTTP/2 is off. */
 final class Http2Module {
-    /** What every connection is offered, however little the relay can bear. */
-    private static final int FLOOR = 2;
+    /** The concurrent-stream limit that every connection is given, however busy the relay is. */
+    private static final int MIN_STREAMS_PER_CONNECTION = 2;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Config config;
-    private final List<Http2Listener> servers = new ArrayList<>();
+    private final List<Http2Listener> listeners = new ArrayList<>();
 
-    /** Fronts that may hold so many connections each. */
+    /**
+     * Listeners that are not bound yet.
+     *
+     * @param maxConnections connection limit of each listener
+     */
     Http2Module(
-            EventLoop loop, Clock clock, EventLoopLag pulse, MessageAcceptor intake, Config config, int connections) {
-        this.loop = loop;
+            EventLoop eventLoop,
+            Clock clock,
+            EventLoopLag eventLoopLag,
+            MessageAcceptor acceptor,
+            Config config,
+            int maxConnections) {
+        this.eventLoop = eventLoop;
         this.config = config;
-        double worth = config.settings().classes().stream()
-                .mapToDouble(RequestClass::priorityWeight)
-                .sum();
-        Map<String, Double> shares = config.settings().classes().stream()
-                .collect(Collectors.toMap(RequestClass::name, c -> worth > 0 ? c.priorityWeight() / worth : 0));
-        for (Config.Http2Front f : config.http2().fronts()) {
-            servers.add(new Http2Listener(
-                    intake,
-                    clock,
-                    pulse,
-                    new Http2Listener.Options(
-                            connections,
-                            new ConcurrentStreamLimit.Bounds(
-                                    Math.min(FLOOR, f.streams()),
-                                    f.streams(),
-                                    config.http2().streams()),
-                            f.headerList(),
-                            f.window(),
-                            config.http2().buffer(),
-                            shares,
-                            f.resets(),
-                            new ConnectionExpiry.Spans(MessageRequest.READ_MS * 1000, f.idle(), f.age(), f.stall()),
-                            f.drain())));
+        Map<String, Double> bufferShares = bufferShareByClass(config.settings().classes());
+        for (Config.Http2Front listener : config.http2().listeners()) {
+            listeners.add(new Http2Listener(
+                    acceptor, clock, eventLoopLag, options(listener, config.http2(), maxConnections, bufferShares)));
         }
     }
 
-    List<Listener> fronts() {
-        return List.copyOf(servers);
+    /** The share of each class in the sum of priority weights; 0 for all where every weight is 0. */
+    private static Map<String, Double> bufferShareByClass(List<RequestClass> classes) {
+        double totalWeight =
+                classes.stream().mapToDouble(RequestClass::priorityWeight).sum();
+        return classes.stream()
+                .collect(Collectors.toMap(
+                        RequestClass::name,
+                        requestClass -> totalWeight > 0 ? requestClass.priorityWeight() / totalWeight : 0));
     }
 
-    /** Listens. */
+    private static Http2Listener.Options options(
+            Config.Http2Front listener, Config.Http2 http2, int maxConnections, Map<String, Double> bufferShares) {
+        return new Http2Listener.Options(
+                maxConnections,
+                new ConcurrentStreamLimit.Bounds(
+                        Math.min(MIN_STREAMS_PER_CONNECTION, listener.maxStreamsPerConnection()),
+                        listener.maxStreamsPerConnection(),
+                        http2.maxStreams()),
+                listener.maxHeaderListBytes(),
+                listener.receiveWindowBytes(),
+                http2.bodyBufferBytes(),
+                bufferShares,
+                listener.maxResetsPerSecond(),
+                new ConnectionExpiry.Spans(
+                        MessageRequest.READ_MS * 1000,
+                        listener.idleTimeoutMicros(),
+                        listener.maxConnectionAgeMicros(),
+                        listener.stallTimeoutMicros()),
+                listener.drainTimeoutMicros());
+    }
+
+    List<Listener> listeners() {
+        return List.copyOf(listeners);
+    }
+
+    /** Listens; returns once every listener is bound. */
     void start() throws InterruptedException {
-        for (int i = 0; i < servers.size(); i++) {
-            Log.line("serving HTTP/2 on "
-                    + servers.get(i)
-                            .listen(loop, config.http2().fronts().get(i).listen())
-                            .sync()
-                            .channel()
-                            .localAddress());
+        for (int i = 0; i < listeners.size(); i++) {
+            InetSocketAddress address = config.http2().listeners().get(i).listenAddress();
+            ListenerAddress.awaitAndLog(listeners.get(i).listen(eventLoop, address), "serving HTTP/2 on");
         }
     }
 }
--- a/src/main/java/loftflow/server/MillisecondIoHandler.java
+++ b/src/main/java/loftflow/server/MillisecondIoHandler.java
@@ -9,15 +9,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Netty's handler of sockets, which waits for the next timer in whole milliseconds, rounded up. A selector knows no
- * shorter
- * span: rounded to the nearest, as the handler does by itself, the last half millisecond before each timer is spent in
- * looking
- * again and again, and with a timer for each call that is most of the time. Timers fire up to a millisecond late
- * instead.
+ * Netty's NIO handler, except that it waits for the next timer in whole milliseconds, rounded up. A selector can't wait
+ * for less than a millisecond, and Netty's own handler rounds to the nearest one, so that it polls the selector in a
+ * busy loop for up to half a millisecond before each timer. With a timer for each call that is most of the time. The
+ * price is that timers fire up to a millisecond late.
  */
 final class MillisecondIoHandler implements IoHandler {
-    private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final IoHandler nio;
 
@@ -25,16 +23,17 @@
         this.nio = nio;
     }
 
-    /** Makes handlers for event loops. */
+    /** A factory for the handlers of event loops. */
     static IoHandlerFactory newFactory() {
         IoHandlerFactory nio = NioIoHandler.newFactory();
         return executor -> new MillisecondIoHandler(nio.newHandler(executor));
     }
 
-    /** Nanoseconds that a selector really waits for, where a timer is due in so many. */
-    static long wholeMillis(long nanos) {
-        // Guards against an overflow: without a timer the span is the longest there is.
-        return nanos <= 0 || nanos > Long.MAX_VALUE - MILLI ? nanos : (nanos + MILLI - 1) / MILLI * MILLI;
+    /** A delay in nanoseconds, rounded up to whole milliseconds. */
+    static long wholeMillis(long delayNanos) {
+        // Without a timer the delay is Long.MAX_VALUE, which would overflow.
+        boolean isRoundable = delayNanos > 0 && delayNanos <= Long.MAX_VALUE - NANOS_PER_MILLI;
+        return isRoundable ? (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI : delayNanos;
     }
 
     @Override
@@ -51,8 +50,8 @@
             }
 
             @Override
-            public long delayNanos(long now) {
-                return wholeMillis(context.delayNanos(now));
+            public long delayNanos(long nowNanos) {
+                return wholeMillis(context.delayNanos(nowNanos));
             }
 
             @Override
--- a/src/main/java/loftflow/server/RelayServer.java
+++ b/src/main/java/loftflow/server/RelayServer.java
@@ -2,9 +2,9 @@
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import loftflow.completion.CompletionLog;
 import loftflow.completion.HttpCompletionNotifier;
@@ -24,188 +24,212 @@
 import loftflow.policy.DefaultDeliveryPolicy;
 import loftflow.upstream.http.HttpUpstreamClient;
 
-/** The relay as a whole: puts its parts together, starts them and ends them. */
+/** The whole relay: assembles its parts, starts them, reloads addresses and shuts down. */
 final class RelayServer {
-    // After the signal to end; the kill comes no sooner than 3.7 s after it.
-    private static final long SERVE_ON_MS = 500; // new connections still come
-    private static final long BEGIN_NOTHING_MS = 2200; // calls take about a second
-    private static final long GIVE_UP_MS = 3200; // what is still open is left to the journal
-    private static final long LOOK_MS = 20;
+    /** Pause between requests to a discovery agent that fails, where it is on this machine. */
+    private static final long DISCOVERY_RETRY_MILLIS = 100;
+    /** The longest such pause where a whole fleet may share the agent. */
+    private static final long MAX_DISCOVERY_RETRY_MILLIS = 5000;
 
-    private static final long DISCOVERY_PAUSE_MS = 100; // its agent is on this machine
-    private static final long LONGEST_PAUSE_MS = 5000; // elsewhere, a whole fleet may ask
-
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Config config;
+    private final Runnable onDiscoveryUnresponsive;
+    /** Null where warm start is off. */
+    private final WarmStartModule warmStart;
+
+    private final Clock clock;
+    private final EventLoopLag eventLoopLag;
     private final DeliveryEngine engine;
-    private final EventLoopLag pulse;
-    /** Null where ends go to a file. */
-    private final HttpCompletionNotifier notices;
-    /** Null where the list of hosts is in the configuration. */
-    private final EndpointWatcher discovery;
-    /** Null where nothing is kept of what can't be delivered. */
-    private final DeadLetterModule keeping;
-    /** Null where nothing is remembered over a restart. */
-    private final WarmStartModule remembering;
-    /** Null where nothing is spoken of AMQP. */
+    /** Null where completions are written to a file. */
+    private final HttpCompletionNotifier httpCompletionNotifier;
+    /** Null where there is no dead-letter store. */
+    private final DeadLetterModule deadLetters;
+    /** Null where the full endpoint list is in the configuration. */
+    private final EndpointWatcher endpointWatcher;
+    /** Null where AMQP is off. */
     private final AmqpModule amqp;
-    /** Null where nothing is spoken of HTTP/2. */
+    /** Null where HTTP/2 is off. */
     private final Http2Module http2;
 
-    private final List<HttpListener> servers = new ArrayList<>();
-    private final List<Listener> fronts = new ArrayList<>();
-    private final CountDownLatch stopped = new CountDownLatch(1);
-    private long stopAt;
+    private final List<HttpListener> httpListeners = new ArrayList<>();
+    private final List<Listener> listeners = new ArrayList<>();
 
-    /** A relay that asks for its configuration to be compared with its file while discovery is silent. */
-    RelayServer(EventLoop loop, Config config, Runnable discoveryIsSilent) throws IOException {
-        this.loop = loop;
+    /**
+     * A relay that has not started; its files are open.
+     *
+     * @param onDiscoveryUnresponsive runs on the event loop when the discovery agent does not answer
+     */
+    RelayServer(EventLoop eventLoop, Config config, Runnable onDiscoveryUnresponsive) throws IOException {
+        this.eventLoop = eventLoop;
         this.config = config;
-        remembering = config.memory() == null ? null : new WarmStartModule(loop, config);
-        Clock clock = remembering == null ? Clock.system() : remembering.clock();
-        Timers timers = new EventLoopTimers(loop);
-        Journal journal = new Journal(config.state(), config.diskBytes());
+        this.onDiscoveryUnresponsive = onDiscoveryUnresponsive;
+        warmStart = config.warmStart() == null ? null : new WarmStartModule(eventLoop, config);
+        clock = warmStart == null ? Clock.system() : warmStart.clock();
+        Timers timers = new EventLoopTimers(eventLoop);
+        Journal journal = new Journal(config.stateDirectory(), config.diskBytes());
         engine = new DeliveryEngine(
-                timers, clock, config.settings(), config.period(), journal, DefaultDeliveryPolicy::new);
-        notices = config.notices() == null
-                ? null
-                : new HttpCompletionNotifier(
-                        loop, config.notices(), engine::onCompletionAcknowledged, discoveryIsSilent);
-        keeping = config.keeping() == null ? null : new DeadLetterModule(loop, timers, clock, engine, config);
-        long listenOn = config.keeping() == null ? 0 : config.keeping().listenOn();
-        UpstreamClient partners = new HttpUpstreamClient(
-                loop,
-                clock,
-                config.settings(),
-                new HttpUpstreamClient.Options(config.reports(), config.idleSpan(), config.hostConnections(), listenOn),
-                engine);
-        CompletionNotifier ends = notices != null
-                ? notices
-                : new CompletionLog(
-                        config.state(), config.diskBytes() / CompletionLog.DISK_PART, engine::onCompletionAcknowledged);
-        discovery = config.discovery() == null
+                timers, clock, config.settings(), config.roundPeriodMicros(), journal, DefaultDeliveryPolicy::new);
+        httpCompletionNotifier = config.completionAddress() == null ? null : createHttpCompletionNotifier();
+        deadLetters =
+                config.deadLetters() == null ? null : new DeadLetterModule(eventLoop, timers, clock, engine, config);
+        UpstreamClient httpUpstreams = createHttpUpstreamClient();
+        CompletionNotifier notifier = httpCompletionNotifier != null ? httpCompletionNotifier : createCompletionLog();
+        endpointWatcher = config.discoveryAddress() == null ? null : createEndpointWatcher();
+        eventLoopLag = new EventLoopLag(timers, clock);
+        amqp = config.amqp() == null
                 ? null
-                : new EndpointWatcher(
-                        loop,
-                        config.discovery(),
-                        remembering == null ? engine : remembering,
-                        discoveryIsSilent,
-                        remembering == null
-                                ? Backoff.steady(DISCOVERY_PAUSE_MS)
-                                : Backoff.growing(
-                                        DISCOVERY_PAUSE_MS,
-                                        LONGEST_PAUSE_MS,
-                                        config.settings().seed()));
-        pulse = new EventLoopLag(timers, clock);
-        amqp = config.amqp() == null ? null : new AmqpModule(loop, clock, pulse, engine, config, journal, ends);
-        engine.attach(amqp == null ? partners : amqp.partners(partners), amqp == null ? ends : amqp.ends());
-        // Guards against fronts that together hold more connections than there are.
-        int listeners = config.listen().size()
-                + (amqp == null ? 0 : amqp.listeners())
-                + (config.http2() == null ? 0 : config.http2().fronts().size());
-        int each = Math.max(1, config.clientConnections() / Math.max(1, listeners));
-        for (int i = 0; i < config.listen().size(); i++) {
-            servers.add(new HttpListener(engine, clock, pulse, each));
+                : new AmqpModule(eventLoop, clock, eventLoopLag, engine, config, journal, notifier);
+        engine.attach(
+                amqp == null ? httpUpstreams : amqp.upstreamClient(httpUpstreams),
+                amqp == null ? notifier : amqp.completionNotifier());
+        int maxConnections = maxConnectionsPerListener();
+        for (int i = 0; i < config.listenAddresses().size(); i++) {
+            httpListeners.add(new HttpListener(engine, clock, eventLoopLag, maxConnections));
         }
-        http2 = config.http2() == null ? null : new Http2Module(loop, clock, pulse, engine, config, each);
-        fronts.addAll(servers);
+        http2 = config.http2() == null
+                ? null
+                : new Http2Module(eventLoop, clock, eventLoopLag, engine, config, maxConnections);
+        collectListeners();
+    }
+
+    private HttpCompletionNotifier createHttpCompletionNotifier() {
+        return new HttpCompletionNotifier(
+                eventLoop, config.completionAddress(), engine::onCompletionAcknowledged, onDiscoveryUnresponsive);
+    }
+
+    private CompletionLog createCompletionLog() throws IOException {
+        return new CompletionLog(
+                config.stateDirectory(),
+                config.diskBytes() / CompletionLog.DISK_PART,
+                engine::onCompletionAcknowledged);
+    }
+
+    private HttpUpstreamClient createHttpUpstreamClient() {
+        long lateResponseWindowMicros =
+                config.deadLetters() == null ? 0 : config.deadLetters().lateResponseWindowMicros();
+        HttpUpstreamClient.Options options = new HttpUpstreamClient.Options(
+                config.isLoadReportEnabled(),
+                config.upstreamIdleTimeoutMicros(),
+                config.hostConnections(),
+                lateResponseWindowMicros);
+        return new HttpUpstreamClient(eventLoop, clock, config.settings(), options, engine);
+    }
+
+    private EndpointWatcher createEndpointWatcher() {
+        Backoff backoff = warmStart == null
+                ? Backoff.steady(DISCOVERY_RETRY_MILLIS)
+                : Backoff.growing(
+                        DISCOVERY_RETRY_MILLIS,
+                        MAX_DISCOVERY_RETRY_MILLIS,
+                        config.settings().seed());
+        return new EndpointWatcher(
+                eventLoop,
+                config.discoveryAddress(),
+                warmStart == null ? engine : warmStart,
+                onDiscoveryUnresponsive,
+                backoff);
+    }
+
+    /** The limit for each listener, by which all together stay within the limit for clients. */
+    private int maxConnectionsPerListener() {
+        int listenerCount = config.listenAddresses().size()
+                + (amqp == null ? 0 : amqp.listenerCount())
+                + (config.http2() == null ? 0 : config.http2().listeners().size());
+        return Math.max(1, config.maxClientConnections() / Math.max(1, listenerCount));
+    }
+
+    private void collectListeners() {
+        listeners.addAll(httpListeners);
         if (http2 != null) {
-            fronts.addAll(http2.fronts());
+            listeners.addAll(http2.listeners());
         }
         if (amqp != null) {
-            fronts.addAll(amqp.fronts());
+            listeners.addAll(amqp.listeners());
         }
     }
 
-    /** Resumes what the journal holds and serves. */
+    /** Resumes the messages in the journal, then listens; returns once every listener is bound. */
     void start() throws IOException {
         try {
-            loop.submit(() -> {
-                        pulse.start();
-                        if (notices != null) {
-                            notices.start();
-                        }
-                        if (remembering != null) {
-                            remembering.start(engine, discovery == null ? () -> {} : discovery::askForAll);
-                        } else {
-                            engine.start(config.knownKind(), config.knownVersion(), config.known());
-                        }
-                        if (discovery != null) {
-                            engine.holdUntilEndpointList(TimeUnit.MILLISECONDS.toMicros(EndpointWatcher.PATIENCE_MS));
-                        }
-                        if (keeping != null) {
-                            keeping.start();
-                        }
-                        if (discovery != null) {
-                            discovery.start();
-                        }
-                    })
-                    .sync();
-            for (int i = 0; i < servers.size(); i++) {
-                Log.line("serving on "
-                        + servers.get(i)
-                                .listen(loop, config.listen().get(i))
-                                .sync()
-                                .channel()
-                                .localAddress());
-            }
-            if (http2 != null) {
-                http2.start();
-            }
-            if (amqp != null) {
-                amqp.start();
-            }
+            eventLoop.submit(this::startParts).sync();
+            startListeners();
         } catch (InterruptedException e) {
             throw new IOException("interrupted while starting", e);
         }
     }
 
-    /** Takes over the addresses of discovery and for notices; everything else is read at the start alone. */
-    void reload(Config next) {
-        loop.execute(() -> {
-            if (discovery != null && next.discovery() != null) {
-                Log.line("discovery is at " + next.discovery());
-                discovery.moveTo(next.discovery());
-                if (remembering != null) {
-                    remembering.moved();
-                }
+    private void startParts() {
+        eventLoopLag.start();
+        if (httpCompletionNotifier != null) {
+            httpCompletionNotifier.start();
+        }
+        startEngine();
+        if (endpointWatcher != null) {
+            engine.holdUntilEndpointList(TimeUnit.MILLISECONDS.toMicros(EndpointWatcher.PATIENCE_MS));
+        }
+        if (deadLetters != null) {
+            deadLetters.start();
+        }
+        if (endpointWatcher != null) {
+            endpointWatcher.start();
+        }
+    }
+
+    private void startEngine() {
+        if (warmStart != null) {
+            warmStart.start(engine, endpointWatcher == null ? () -> {} : endpointWatcher::askForAll);
+        } else {
+            engine.start(config.knownListKind(), config.knownListVersion(), config.knownEndpoints());
+        }
+    }
+
+    private void startListeners() throws InterruptedException {
+        for (int i = 0; i < httpListeners.size(); i++) {
+            InetSocketAddress address = config.listenAddresses().get(i);
+            ListenerAddress.awaitAndLog(httpListeners.get(i).listen(eventLoop, address), "serving on");
+        }
+        if (http2 != null) {
+            http2.start();
+        }
+        if (amqp != null) {
+            amqp.start();
+        }
+    }
+
+    /**
+     * Applies the addresses of a new configuration, for discovery and for completions; everything else is applied by a
+     * restart only. May be called on any thread.
+     */
+    void reload(Config newConfig) {
+        eventLoop.execute(() -> {
+            if (endpointWatcher != null && newConfig.discoveryAddress() != null) {
+                moveDiscovery(newConfig.discoveryAddress());
             }
-            if (notices != null && next.notices() != null) {
-                notices.moveTo(next.notices());
+            if (httpCompletionNotifier != null && newConfig.completionAddress() != null) {
+                httpCompletionNotifier.moveTo(newConfig.completionAddress());
             }
         });
     }
 
-    /** Ends service without breaking a promise; returns when the process may end. */
-    void stop() {
-        stopAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GIVE_UP_MS);
-        loop.schedule(engine::quiesce, BEGIN_NOTHING_MS, TimeUnit.MILLISECONDS);
-        loop.schedule(() -> fronts.forEach(Listener::drain), SERVE_ON_MS, TimeUnit.MILLISECONDS);
-        loop.schedule(this::endWhenDone, SERVE_ON_MS, TimeUnit.MILLISECONDS);
-        try {
-            stopped.await();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+    private void moveDiscovery(InetSocketAddress address) {
+        Log.line("discovery: agent address configured address=" + address);
+        endpointWatcher.moveTo(address);
+        if (warmStart != null) {
+            warmStart.onDiscoveryMoved();
         }
     }
 
-    private void endWhenDone() {
-        boolean late = System.nanoTime() - stopAt >= 0;
-        // What the last pass has not read is answered still, if only as refused.
-        fronts.forEach(Listener::takeIn);
-        boolean done = engine.isIdle() || engine.isQuiescing() && engine.hasNothingInFlight();
-        boolean idle = fronts.stream().allMatch(Listener::isIdle);
-        if (idle && done || late && fronts.stream().noneMatch(Listener::isAnswering)) {
-            fronts.forEach(Listener::stopListening);
-            if (keeping != null) {
-                keeping.close();
-            }
-            if (remembering != null) {
-                remembering.close();
-            }
-            stopped.countDown();
-        } else {
-            loop.schedule(this::endWhenDone, LOOK_MS, TimeUnit.MILLISECONDS);
+    /** Shuts down as described by {@link GracefulShutdown}; returns when the process may end. */
+    void shutDown() {
+        new GracefulShutdown(eventLoop, engine, listeners, this::closeStores).run();
+    }
+
+    private void closeStores() {
+        if (deadLetters != null) {
+            deadLetters.close();
+        }
+        if (warmStart != null) {
+            warmStart.close();
         }
     }
 }
--- a/src/main/java/loftflow/server/RoutingUpstreamClient.java
+++ b/src/main/java/loftflow/server/RoutingUpstreamClient.java
@@ -8,46 +8,49 @@
 import loftflow.policy.api.EndpointListKind;
 import loftflow.upstream.amqp.BrokerClient;
 
-/** Partners of both kinds: each route goes to the client that speaks its protocol. */
+/** Passes each call to the client that speaks the protocol of its route: AMQP for brokers, else HTTP. */
 final class RoutingUpstreamClient implements UpstreamClient {
-    private final UpstreamClient http;
-    private final BrokerClient amqp;
+    private final UpstreamClient httpClient;
+    private final BrokerClient brokerClient;
 
-    RoutingUpstreamClient(UpstreamClient http, BrokerClient amqp) {
-        this.http = http;
-        this.amqp = amqp;
+    RoutingUpstreamClient(UpstreamClient httpClient, BrokerClient brokerClient) {
+        this.httpClient = httpClient;
+        this.brokerClient = brokerClient;
     }
 
-    private UpstreamClient of(String route) {
-        return amqp.has(route) ? amqp : http;
+    private UpstreamClient clientOf(String route) {
+        return brokerClient.has(route) ? brokerClient : httpClient;
     }
 
     @Override
-    public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {
+    public void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints) {
         List<Endpoint> brokers = new ArrayList<>();
-        List<Endpoint> hosts = new ArrayList<>();
-        targets.forEach(target -> (amqp.has(target.entry().route()) ? brokers : hosts).add(target));
-        amqp.onEndpointList(kind, brokers);
-        http.onEndpointList(kind, hosts);
+        List<Endpoint> httpEndpoints = new ArrayList<>();
+        for (Endpoint endpoint : endpoints) {
+            boolean isBroker = brokerClient.has(endpoint.entry().route());
+            (isBroker ? brokers : httpEndpoints).add(endpoint);
+        }
+        brokerClient.onEndpointList(kind, brokers);
+        httpClient.onEndpointList(kind, httpEndpoints);
     }
 
     @Override
-    public void send(String route, List<OutboundAttempt> outgoing) {
-        of(route).send(route, outgoing);
+    public void send(String route, List<OutboundAttempt> attempts) {
+        clientOf(route).send(route, attempts);
     }
 
     @Override
     public void cancel(Message.Attempt attempt) {
-        of(attempt.route()).cancel(attempt);
+        clientOf(attempt.route()).cancel(attempt);
     }
 
     @Override
     public void probe(String route) {
-        of(route).probe(route);
+        clientOf(route).probe(route);
     }
 
     @Override
     public void closeIdleConnections(String route) {
-        of(route).closeIdleConnections(route);
+        clientOf(route).closeIdleConnections(route);
     }
 }
--- a/src/main/java/loftflow/server/WarmStartModule.java
+++ b/src/main/java/loftflow/server/WarmStartModule.java
@@ -23,147 +23,193 @@
 import loftflow.warmstart.store.SnapshotWriter;
 import loftflow.warmstart.store.SystemClocks;
 
-/** What is remembered over a restart: stands between discovery and the engine. Not loaded where it is off. */
+/**
+ * Assembles the warm start: restores the endpoints from the snapshot of an earlier process, passes discovery's lists to
+ * the engine once they are reconciled with it, and saves new snapshots. The class is not loaded where warm start is
+ * off. All methods but the constructor are to be called on the event loop.
+ */
 final class WarmStartModule implements EndpointListListener {
-    private static final long LOOK_MS = 1_000;
-    private static final long SECOND = 1_000_000;
-    /** What changes all the time, such as rates, is saved so often; what discovery tells, each second. */
-    private static final long PAUSE = 30 * SECOND;
+    /** Interval at which the module looks for work that is due. */
+    private static final long POLL_INTERVAL_MILLIS = 1_000;
 
-    private final EventLoop loop;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    /** A difference to the wall clock beyond this is logged. */
+    private static final long MAX_UNREPORTED_CLOCK_DIFFERENCE_MICROS = MICROS_PER_SECOND;
+    /**
+     * Interval between snapshots where only routes' rates have changed. A change of the endpoint list is saved at the
+     * next poll.
+     */
+    private static final long SAVE_INTERVAL_MICROS = 30 * MICROS_PER_SECOND;
+
+    private final EventLoop eventLoop;
     private final Config config;
-    private final SnapshotWriter saver;
-    private final EndpointHistory book;
-    private final SnapshotWriter.Left left;
+    private final SnapshotWriter snapshotWriter;
+    private final EndpointHistory history;
+    /** What the earlier process saved. */
+    private final SnapshotWriter.Left saved;
+
     private final ClockReading startedAt;
+    /** True where the clocks can't show how long the relay was down. */
+    private final boolean isDowntimeUnknown;
+
     private final Clock clock;
     private DeliveryEngine engine;
-    private Runnable askForAll = () -> {};
-    private long askAt = EndpointListReconciler.NEVER;
-    private long savedAt = Long.MIN_VALUE / 2;
-    private boolean spansUnknown;
+    private Runnable requestFullList = () -> {};
+    private long fullListDueMicros = EndpointListReconciler.NEVER;
+    private long lastSaveMicros = Long.MIN_VALUE / 2;
 
-    WarmStartModule(EventLoop loop, Config config) throws IOException {
-        this.loop = loop;
+    WarmStartModule(EventLoop eventLoop, Config config) throws IOException {
+        this.eventLoop = eventLoop;
         this.config = config;
-        Config.Memory memory = config.memory();
-        saver = new SnapshotWriter(
-                new SnapshotWriter.Options(config.state(), memory.limit(), memory.rate(), memory.sync()), loop);
-        left = saver.load(memory.owner());
+        Config.Memory options = config.warmStart();
+        snapshotWriter = new SnapshotWriter(
+                new SnapshotWriter.Options(
+                        config.stateDirectory(),
+                        options.limitBytes(),
+                        options.writeBytesPerSecond(),
+                        options.isSyncedToDisk()),
+                eventLoop);
+        saved = snapshotWriter.load(options.owner());
         startedAt = SystemClocks.now();
-        long time = left.picture() == null
-                ? startedAt.wall()
-                : DowntimeEstimate.goOn(left.picture().time(), left.picture().at(), startedAt);
-        if (Math.abs(time - startedAt.wall()) > SECOND) {
-            Log.line("remembered: the wall clock is " + (startedAt.wall() - time) / SECOND
-                    + " s from the relay's own time, which goes on as it was");
+        long relayTimeMicros = relayTimeMicros(saved, startedAt);
+        logClockDifference(startedAt.wall() - relayTimeMicros);
+        clock = Clock.from(relayTimeMicros);
+        snapshotWriter.start(saved.picture(), startedAt, relayTimeMicros);
+        isDowntimeUnknown = saved.picture() != null
+                && DowntimeEstimate.between(saved.picture().at(), startedAt).doubtful();
+        history = new EndpointHistory(historyRules(config), options.owner());
+    }
+
+    /** The time of the relay's own clock at its start, in microseconds since the epoch. */
+    private static long relayTimeMicros(SnapshotWriter.Left saved, ClockReading now) {
+        return saved.picture() == null
+                ? now.wall()
+                : DowntimeEstimate.goOn(saved.picture().time(), saved.picture().at(), now);
+    }
+
+    private static void logClockDifference(long differenceMicros) {
+        if (Math.abs(differenceMicros) > MAX_UNREPORTED_CLOCK_DIFFERENCE_MICROS) {
+            Log.line("warmstart: wall clock differs from relay time seconds=" + differenceMicros / MICROS_PER_SECOND);
         }
-        clock = Clock.from(time);
-        saver.start(left.picture(), startedAt, time);
-        spansUnknown = left.picture() != null
-                && DowntimeEstimate.between(left.picture().at(), startedAt).doubtful();
-        book = new EndpointHistory(
-                new EndpointHistory.Rules(
-                        new TrustPolicy(memory.halfLife()),
-                        memory.settle(),
-                        memory.margin(),
-                        config.settings().rules().warmUpMicros(),
-                        config.discovery() == null),
-                memory.owner());
-    }
-
-    /** The relay's own time, which goes on over a restart. */
+    }
+
+    private static EndpointHistory.Rules historyRules(Config config) {
+        Config.Memory options = config.warmStart();
+        boolean isListFixed = config.discoveryAddress() == null;
+        return new EndpointHistory.Rules(
+                new TrustPolicy(options.trustHalfLifeMicros()),
+                options.listConfirmationMicros(),
+                options.waitMarginMicros(),
+                config.settings().rules().warmUpMicros(),
+                isListFixed);
+    }
+
+    /** The relay's own clock, which is continuous over a restart even where the wall clock is set. */
     Clock clock() {
         return clock;
     }
 
-    /** Starts the engine with what is remembered. */
-    void start(DeliveryEngine starts, Runnable asksForAll) {
-        engine = starts;
-        askForAll = asksForAll;
-        ListUpdate others =
-                config.known().isEmpty() ? null : told(config.knownKind(), config.knownVersion(), config.known());
+    /**
+     * Starts the engine with the restored endpoints.
+     *
+     * @param fullListRequest requests the full endpoint list from discovery
+     */
+    void start(DeliveryEngine startingEngine, Runnable fullListRequest) {
+        engine = startingEngine;
+        requestFullList = fullListRequest;
+        ListUpdate configuredList = config.knownEndpoints().isEmpty()
+                ? null
+                : listUpdate(config.knownListKind(), config.knownListVersion(), config.knownEndpoints());
         EndpointHistory.Opening opening =
-                book.open(left.picture(), left.notes(), left.whole(), others, startedAt, clock.micros());
+                history.open(saved.picture(), saved.notes(), saved.whole(), configuredList, startedAt, clock.micros());
         opening.log().forEach(Log::line);
-        if (spansUnknown) {
+        if (isDowntimeUnknown) {
             engine.treatKeyWindowsAsExpired();
         }
-        engine.setEventObserver(event -> take(book.saw(event, clock.micros())));
-        engine.start(config.knownKind(), opening.revision(), targets(opening.list()), opening.remembered());
-        look();
+        engine.setEventObserver(event -> apply(history.saw(event, clock.micros())));
+        engine.start(config.knownListKind(), opening.revision(), endpoints(opening.list()), opening.remembered());
+        poll();
     }
 
-    /** Another discovery tells from now on. */
-    void moved() {
-        book.moved();
+    /** The address of the discovery agent has changed. */
+    void onDiscoveryMoved() {
+        history.moved();
     }
 
     @Override
-    public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> targets) {
-        take(book.heard(told(kind, version, targets), clock.micros()));
-    }
-
-    private void take(EndpointHistory.Heard heard) {
-        heard.log().forEach(Log::line);
-        saver.note(heard.notes(), clock.micros());
-        askAt = Math.min(askAt, heard.askAt());
-        if (heard.passOn() != null) {
-            // Guards against a list in the midst of what the engine is just telling.
-            loop.execute(() -> {
-                ListUpdate told = heard.passOn();
-                engine.onEndpointList(told.kind(), told.revision(), targets(told.entries()));
-                engine.restoreRoutes(heard.remembered());
+    public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> endpoints) {
+        apply(history.heard(listUpdate(kind, version, endpoints), clock.micros()));
+    }
+
+    private void apply(EndpointHistory.Heard result) {
+        result.log().forEach(Log::line);
+        snapshotWriter.note(result.notes(), clock.micros());
+        fullListDueMicros = Math.min(fullListDueMicros, result.askAt());
+        if (result.passOn() != null) {
+            // This may be called by the engine while it processes an event, so the list is passed on afterwards.
+            eventLoop.execute(() -> {
+                ListUpdate update = result.passOn();
+                engine.onEndpointList(update.kind(), update.revision(), endpoints(update.entries()));
+                engine.restoreRoutes(result.remembered());
             });
         }
     }
 
-    private void look() {
-        long now = clock.micros();
-        saver.look(now);
-        if (book.nextDue() <= now) {
-            take(book.due(now));
+    private void poll() {
+        long nowMicros = clock.micros();
+        snapshotWriter.look(nowMicros);
+        if (history.nextDue() <= nowMicros) {
+            apply(history.due(nowMicros));
         }
-        if (askAt <= now) {
-            askAt = EndpointListReconciler.NEVER;
-            askForAll.run();
+        if (fullListDueMicros <= nowMicros) {
+            fullListDueMicros = EndpointListReconciler.NEVER;
+            requestFullList.run();
         }
-        if ((book.hasChanged() || saver.wantsPicture() || now - savedAt >= PAUSE) && saver.isFree(now)) {
-            save(now);
+        if (isSaveDue(nowMicros) && snapshotWriter.isFree(nowMicros)) {
+            save(nowMicros);
         }
-        loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    private boolean isSaveDue(long nowMicros) {
+        return history.hasChanged()
+                || snapshotWriter.wantsPicture()
+                || nowMicros - lastSaveMicros >= SAVE_INTERVAL_MICROS;
     }
 
-    private void save(long now) {
-        if (saver.save(book.picture(SystemClocks.now(), now, engine.routeSnapshots()), now, book::notSaved)) {
-            book.saving();
-            savedAt = now;
+    private void save(long nowMicros) {
+        if (snapshotWriter.save(
+                history.picture(SystemClocks.now(), nowMicros, engine.routeSnapshots()),
+                nowMicros,
+                history::notSaved)) {
+            history.saving();
+            lastSaveMicros = nowMicros;
         }
     }
 
-    /** Saves what is known at a planned end. */
+    /** Saves a last snapshot; at a graceful shutdown. */
     void close() {
         save(clock.micros());
-        saver.close();
+        snapshotWriter.close();
     }
 
-    private static ListUpdate told(EndpointListKind kind, long version, List<Endpoint> targets) {
+    private static ListUpdate listUpdate(EndpointListKind kind, long version, List<Endpoint> endpoints) {
         return new ListUpdate(
                 kind,
                 version,
-                targets.stream()
-                        .map(t -> new ListedEndpoint(t.entry(), text(t.address())))
+                endpoints.stream()
+                        .map(endpoint -> new ListedEndpoint(endpoint.entry(), addressText(endpoint.address())))
                         .toList());
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String addressText(InetSocketAddress address) {
         String host = address.getHostString();
         return (address.getAddress() instanceof Inet6Address ? "[" + host + "]" : host) + ":" + address.getPort();
     }
 
-    private static List<Endpoint> targets(List<ListedEndpoint> list) {
-        return list.stream()
-                .map(l -> new Endpoint(l.listed(), Endpoint.address(l.address())))
+    private static List<Endpoint> endpoints(List<ListedEndpoint> entries) {
+        return entries.stream()
+                .map(entry -> new Endpoint(entry.listed(), Endpoint.address(entry.address())))
                 .toList();
     }
 }
--- a/src/main/java/loftflow/server/package-info.java
+++ b/src/main/java/loftflow/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program: puts the rooms together, starts and ends them, and takes signals.
+ * The program: assembles the parts of a relay, starts them, shuts them down and handles signals.
  *
  * <p>May use: every other package; nothing uses this one.
  */
--- a/src/test/java/loftflow/config/BrokenAndValidFilesTest.java
+++ b/src/test/java/loftflow/config/BrokenAndValidFilesTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Files that each break one thing, with what is to be found and how to mend it in their first lines, and files that
- * break nothing.
+ * Files that each break one rule, whose first lines say what is to be found and how to correct it, and files that break
+ * none.
  */
 class BrokenAndValidFilesTest {
     private static final Path FILES = Path.of("src/test/resources/config");
@@ -50,7 +50,7 @@
 
     @ParameterizedTest
     @MethodSource("broken")
-    void brokenFileIsCaughtAndItsMendedTwinAccepted(Path file) throws Exception {
+    void brokenFileIsReportedAndItsCorrectionAccepted(Path file) throws Exception {
         Matcher head = head(file);
         List<Finding> errors =
                 ConfigTool.check(file).stream().filter(Finding::isError).toList();
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void thereAreFiftyOfEachAndTenBetweenSections() throws IOException {
+    void thereAreFiftyFilesOfEachKindAndTenAcrossSections() throws IOException {
         assertTrue(broken().size() >= 50 && valid().size() >= 50);
         int between = 0;
         for (Path file : broken()) {
--- a/src/test/java/loftflow/config/ConfigToolTest.java
+++ b/src/test/java/loftflow/config/ConfigToolTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The tool on files that are odd, on the machine that it runs on, and what it writes. */
+/** The configuration tool: unreadable files, checks against the machine it runs on, and the files that it writes. */
 class ConfigToolTest {
     private static final Path BASE = Path.of("src/test/resources/config/base.toml");
 
@@ -39,7 +39,7 @@
         return Files.write(folder.resolve("odd.toml"), bytes);
     }
 
-    private void unreadable(Path file, String why) {
+    private void assertUnreadable(Path file, String why) {
         assertTimeout(Duration.ofSeconds(10), () -> {
             String message = assertThrows(SourceFile.UnreadableException.class, () -> ConfigTool.check(file))
                     .getMessage();
@@ -73,49 +73,49 @@
 
     @Test
     void fileThatIsNotUtf8() throws IOException {
-        unreadable(file(new byte[] {'n', '=', '"', (byte) 0xff, (byte) 0xfe, '"'}), "is not UTF-8");
+        assertUnreadable(file(new byte[] {'n', '=', '"', (byte) 0xff, (byte) 0xfe, '"'}), "is not UTF-8");
     }
 
     @Test
     void fileWithAByteOrderMark() throws IOException {
-        unreadable(file(("\uFEFF" + base()).getBytes(StandardCharsets.UTF_8)), "begins with a byte-order mark");
+        assertUnreadable(file(("\uFEFF" + base()).getBytes(StandardCharsets.UTF_8)), "begins with a byte-order mark");
     }
 
     @Test
     void fileWithNulBytes() throws IOException {
-        unreadable(file("name = \"a\0b\"".getBytes(StandardCharsets.UTF_8)), "holds NUL bytes");
+        assertUnreadable(file("name = \"a\0b\"".getBytes(StandardCharsets.UTF_8)), "holds NUL bytes");
     }
 
     @Test
     void emptyFile() throws IOException {
-        unreadable(file(new byte[0]), "is empty");
-        unreadable(file("\n \n".getBytes(StandardCharsets.UTF_8)), "is empty");
+        assertUnreadable(file(new byte[0]), "is empty");
+        assertUnreadable(file("\n \n".getBytes(StandardCharsets.UTF_8)), "is empty");
     }
 
     @Test
     void fileOfTenMegabytes() throws IOException {
-        unreadable(file(("# " + "x".repeat(10 << 20)).getBytes(StandardCharsets.UTF_8)), "is larger than 1 MiB");
+        assertUnreadable(file(("# " + "x".repeat(10 << 20)).getBytes(StandardCharsets.UTF_8)), "is larger than 1 MiB");
     }
 
     @Test
     void folderInsteadOfAFile() {
-        unreadable(folder, "is a folder");
+        assertUnreadable(folder, "is a folder");
     }
 
     @Test
     void fileThatDoesNotExist() {
-        unreadable(folder.resolve("nosuch.toml"), "does not exist");
+        assertUnreadable(folder.resolve("nosuch.toml"), "does not exist");
     }
 
     @Test
     void pipeThatNobodyWrites() throws Exception {
         Path pipe = folder.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-        unreadable(pipe, "is no regular file");
+        assertUnreadable(pipe, "is no regular file");
     }
 
     @Test
-    void grammarThatIsBrokenEndsWithPlainLines() throws Exception {
+    void syntaxErrorIsReportedInPlainLines() throws Exception {
         for (String text : List.of(
                 "=",
                 "[",
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void deepNestingEndsWithPlainLines() throws Exception {
+    void deepNestingIsReportedInPlainLines() throws Exception {
         String text = "a = " + "[".repeat(2_000) + "]".repeat(2_000);
         assertTimeout(Duration.ofSeconds(20), () -> {
             try {
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void everyFindingComesAtOnce() throws IOException {
+    void allFindingsAreReportedAtOnce() throws IOException {
         List<Finding> findings = check(
                 base().replace("deadline = \"5s\"", "deadline = \"1s\"")
                         .replace("relays = 3", "relays = 1")
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void findingNamesPlaceKeyAndBothFigures() throws IOException {
+    void findingNamesLocationKeyAndBothValues() throws IOException {
         Finding finding = check(base().replace("wanted = \"1.5s\"", "wanted = \"7s\""), MachineInspector.UNKNOWN)
                 .get(0);
         assertEquals(
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void platformsFileIsCheckedInTheWordsOfServe() throws Exception {
+    void platformFileIsReportedWithTheSameErrorsAsByServe() throws Exception {
         String json = Files.readString(Path.of("deploy/training.json"));
         Path file = folder.resolve("config.json");
         Files.writeString(file, json);
@@ -299,7 +299,7 @@
     }
 
     @Test
-    void fileThatNobodyTouchedFollowsTheApplicationFile() throws Exception {
+    void unmodifiedFileIsRewrittenFromTheApplicationFile() throws Exception {
         write(false);
         Path changed = Files.writeString(folder.resolve("app.toml"), base().replace("\"18/s\"", "\"9/s\""));
         assertEquals(
@@ -316,7 +316,7 @@
     }
 
     @Test
-    void referenceOnFileIsTheSchemasOwn() throws IOException {
+    void referencePageMatchesTheSchema() throws IOException {
         assertEquals(
                 Schema.RELAY.reference(),
                 Files.readString(Path.of("docs/operators/settings.md")),
@@ -328,7 +328,7 @@
     }
 
     @Test
-    void slipOfThePenNamesTheNearestKey() {
+    void misspeltKeyIsReportedWithTheNearestKey() {
         assertEquals(Optional.of("class[].deadline"), Schema.RELAY.nearest("class[2].daedline", false));
         assertEquals(Optional.of("class[].deadline"), Schema.RELAY.nearest("class.deadlin", false));
         assertEquals(Optional.empty(), Schema.RELAY.nearest("zzzzzzzzzzzz", true));
--- a/src/test/java/loftflow/config/Http2FrontTest.java
+++ b/src/test/java/loftflow/config/Http2ListenerConfigTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fronts that speak HTTP/2: what is caught, what is derived, and what a written file holds. */
-class Http2FrontTest {
+/** Settings of HTTP/2 listeners: errors that are found, figures that are derived, and what a written file contains. */
+class Http2ListenerConfigTest {
     private static final String FRONT = "[[front]]\nprotocol = \"http2\"\nlisten = \"127.0.0.1:8081\"\n";
 
     @TempDir
@@ -59,7 +59,7 @@
                 "heartbeat = \"3s\" | front[2].heartbeat | is for AMQP",
                 "listen2 = \"x\" | front[2].listen2 | "
             })
-    void settingsOfAFront(String setting, String key, String reason) throws IOException {
+    void invalidListenerSettingIsReported(String setting, String key, String reason) throws IOException {
         List<Finding> errors =
                 findings(withFront(setting)).stream().filter(Finding::isError).toList();
         if (key == null) {
@@ -84,7 +84,7 @@
                         "clients.streams|50|front[2].streams|clients.streams = 50",
                 "buffer.messages|90|front[2].streams|buffer.messages = 90"
             })
-    void derivedFigureThatDoesNotFit(String figure, String value, String key, String reason) throws Exception {
+    void inconsistentDerivedFigureIsReported(String figure, String value, String key, String reason) throws Exception {
         Path application = Files.writeString(folder.resolve("app.toml"), withFront("streams = 100"));
         String written =
                 Files.readString(ConfigTool.write(application, folder, false).file());
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void httpFrontTakesNoneOfItsSettingsAndTwoListenersNeedTwoAddresses() throws IOException {
+    void httpListenerAcceptsNoHttp2SettingAndListenersNeedDifferentAddresses() throws IOException {
         String text = base().replace(
                         "listen = \"127.0.0.1:8080\"", "listen = \"127.0.0.1:8080\"\nstreams = 5\nidle = \"5s\"");
         assertEquals(
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void writtenFileTellsWhyAndAnOldOneWithoutTheFiguresIsRead() throws Exception {
+    void writtenFileExplainsItsFiguresAndOneWithoutThemIsRead() throws Exception {
         Path application = Files.writeString(folder.resolve("app.toml"), withFront(""));
         String written =
                 Files.readString(ConfigTool.write(application, folder, false).file());
--- a/src/test/java/loftflow/config/WrittenFilesPropertyTest.java
+++ b/src/test/java/loftflow/config/WrittenFilesPropertyTest.java
@@ -28,9 +28,9 @@
 /** Any application file that the tool accepts gives a relay file that checks clean and a relay that delivers. */
 class WrittenFilesPropertyTest {
     private static final AtomicInteger ACCEPTED = new AtomicInteger();
-    private static final AtomicInteger REFUSED = new AtomicInteger();
+    private static final AtomicInteger REJECTED = new AtomicInteger();
 
-    /** An application file drawn from a seed; some contradict themselves. */
+    /** A random application file for a seed; some are inconsistent. */
     private static String application(Random random, Path state, List<String> addresses) {
         StringBuilder text = new StringBuilder("format = 1\nname = \"app\"\n[machine]\nmemory = \""
                 + (80 + random.nextInt(400)) + "MiB\"\ndescriptors = " + (80 + random.nextInt(900)) + "\ndisk = \""
@@ -117,7 +117,7 @@
         String text = application(
                 new Random(seed), Path.of("/var/lib/loftflow"), List.of("127.0.0.1:9001", "127.0.0.1:9002"));
         if (!checked(text).isClean()) {
-            REFUSED.incrementAndGet();
+            REJECTED.incrementAndGet();
             return;
         }
         ACCEPTED.incrementAndGet();
@@ -132,14 +132,14 @@
         }
     }
 
-    /** Proves that the property above speaks of both sides. */
+    /** Shows that the property above has seen both accepted and rejected files. */
     @AfterContainer
-    static void bothKindsWereDrawn() {
-        assertTrue(ACCEPTED.get() > 100 && REFUSED.get() > 100, ACCEPTED + " accepted, " + REFUSED + " refused");
+    static void bothAcceptedAndRejectedFilesWereSeen() {
+        assertTrue(ACCEPTED.get() > 100 && REJECTED.get() > 100, ACCEPTED + " accepted, " + REJECTED + " refused");
     }
 
     @Property(tries = 5, seed = "43", shrinking = ShrinkingMode.OFF)
-    void acceptedFileGivesARelayThatDeliversOneOfEachClass(@ForAll @LongRange(min = 0, max = 1_000_000) long seed)
+    void acceptedFileGivesARelayThatDeliversEachClass(@ForAll @LongRange(min = 0, max = 1_000_000) long seed)
             throws Exception {
         try (TemporaryFolder scratch = TemporaryFolder.named("served");
                 FakePartner first = new FakePartner(5, 0);
@@ -170,7 +170,7 @@
                             .findFirst()
                             .orElseThrow();
                     ids.add(type.name());
-                    // As a client does, again while the relay refuses: one that is short of CPU at its start does.
+                    // A relay that is short of CPU at its start rejects messages; they are repeated, as by a client.
                     RelayProcess.await(() -> {
                         try {
                             return client.handIn(
--- a/src/test/java/loftflow/server/AcceptorTest.java
+++ b/src/test/java/loftflow/server/AcceptorTest.java
@@ -19,39 +19,39 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What clients and discovery may send, and what of it is taken on. */
+/** What clients and discovery may send, and what of it is accepted. */
 class AcceptorTest extends RelayTestBase {
-    /** What discovery's watch answers next; each news is told once. */
-    private final AtomicReference<String> news = new AtomicReference<>();
+    /** What discovery's watch answers next, once; null while there is nothing new. */
+    private final AtomicReference<String> nextUpdate = new AtomicReference<>();
 
-    private volatile String whole;
+    private volatile String fullList;
 
     @BeforeEach
     void prepare() throws IOException {
         prepare(new ScriptedPeer(this::discover), ScriptedPeer.always(status(200)));
-        whole = list(1, true, target("h1", 7, "one", "in_service", host.address()));
+        fullList = list(1, true, target("h1", 7, "one", "in_service", host.address()));
     }
 
     private String discover(ScriptedPeer.Request request) {
         if (request.line().startsWith("POST")) {
             return status(204);
         }
-        String told = news.getAndSet(null);
-        if (told != null) {
-            // Whoever asks for the whole list later is told no older one.
-            whole = told.contains("\"all\":true") ? told : whole;
-            return answer(200, told);
+        String update = nextUpdate.getAndSet(null);
+        if (update != null) {
+            // A later request for the full list is answered by the newest one.
+            fullList = update.contains("\"all\":true") ? update : fullList;
+            return answer(200, update);
         }
-        return request.line().contains("after=") ? ScriptedPeer.SILENCE : answer(200, whole);
+        return request.line().contains("after=") ? ScriptedPeer.SILENCE : answer(200, fullList);
     }
 
     @Test
-    void badRequestsAreNotTakenOn() throws IOException {
+    void badRequestsAreNotAccepted() throws IOException {
         relay.start();
         await(() -> discovery.requests.stream().anyMatch(r -> r.line().contains("after=1&")));
         String good = RelayProcess.message("x1", "keyed", 7, 1000, "hello");
-        assertEquals(400, relay.handIn("x2", "nosuch", 7));
-        assertEquals(400, relay.handIn("x3", "safe", 99));
+        assertEquals(400, relay.submit("x2", "nosuch", 7));
+        assertEquals(400, relay.submit("x3", "safe", 99));
         assertEquals(400, relay.exchange(good.replace("dest=7", "dest=")).status());
         assertEquals(
                 400, relay.exchange(good.replace("dest=7", "dest=99999999999")).status());
@@ -63,12 +63,12 @@
                 400,
                 relay.exchange(good.replace("Budget-Ms: 1000", "Budget-Ms: -1")).status());
         assertEquals(400, relay.exchange(good.replace("acme", "nobody")).status());
-        assertEquals(413, relay.handIn("x4", "safe", 7, 1000, "x".repeat((64 << 10) + 1)));
+        assertEquals(413, relay.submit("x4", "safe", 7, 1000, "x".repeat((64 << 10) + 1)));
         assertEquals(
                 404, relay.exchange("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n").status());
         assertEquals(405, relay.exchange("GET /api HTTP/1.1\r\nHost: x\r\n\r\n").status());
         assertEquals(400, relay.exchange("\u0001\u0002\u0003\r\n\r\n").status());
-        assertEquals(202, relay.handIn("x5", "safe", 7, 20_000, "x".repeat(64 << 10)));
+        assertEquals(202, relay.submit("x5", "safe", 7, 20_000, "x".repeat(64 << 10)));
         await(() -> !host.requests.isEmpty());
         assertEquals("x5", host.requests.get(0).id());
     }
@@ -90,23 +90,23 @@
     }
 
     @Test
-    void messageHandedInTwiceUnderOneIdIsTakenOnOnce() throws IOException {
+    void messageSentTwiceWithOneIdIsAcceptedOnce() throws IOException {
         host.answer(request -> ScriptedPeer.SILENCE);
         relay.start();
-        assertEquals(202, relay.handIn("same", "safe", 7));
+        assertEquals(202, relay.submit("same", "safe", 7));
         await(() -> host.requests.size() == 1);
-        assertEquals(202, relay.handIn("same", "safe", 7));
-        assertEquals(202, relay.handIn("other", "safe", 7));
+        assertEquals(202, relay.submit("same", "safe", 7));
+        assertEquals(202, relay.submit("other", "safe", 7));
         await(() -> host.requests.size() == 2);
         assertEquals("other", host.requests.get(1).id());
     }
 
     @Test
-    void withNoRoomInTheJournalTheMessageIsRefused() throws IOException {
+    void messageIsRejectedWhenTheJournalIsFull() throws IOException {
         host.answer(request -> ScriptedPeer.SILENCE);
-        relay.disk(0.1).start();
-        assertEquals(202, relay.handIn("r1", "safe", 7, 20_000, "x".repeat(20_000)));
-        assertEquals(503, relay.handIn("r2", "safe", 7, 20_000, "x".repeat(20_000)));
+        relay.withDiskMib(0.1).start();
+        assertEquals(202, relay.submit("r1", "safe", 7, 20_000, "x".repeat(20_000)));
+        assertEquals(503, relay.submit("r2", "safe", 7, 20_000, "x".repeat(20_000)));
     }
 
     @Test
@@ -114,7 +114,7 @@
         try (ScriptedPeer other = ScriptedPeer.always(status(200))) {
             relay.start();
             await(() -> discovery.requests.stream().anyMatch(r -> r.line().contains("after=1&")));
-            news.set(list(
+            nextUpdate.set(list(
                     2,
                     false,
                     target("h1", 7, "one", "terminating", host.address()),
@@ -122,21 +122,21 @@
                     target("h3", 9, "one", "in_service", other.address())));
             await(() -> discovery.requests.stream().anyMatch(r -> r.line().contains("after=2&")));
             for (int i = 0; i < 10; i++) {
-                assertEquals(202, relay.handIn("d" + i, "safe", 7));
+                assertEquals(202, relay.submit("d" + i, "safe", 7));
             }
             await(() -> other.count("POST /receive") == 10);
             assertEquals(0, host.count("POST"));
-            assertEquals(202, relay.handIn("new", "safe", 9), "a destination that is new in the list");
+            assertEquals(202, relay.submit("new", "safe", 9), "a destination that is new in the list");
         }
     }
 
     @Test
-    void nonsenseFromDiscoveryIsSurvived() throws IOException {
+    void malformedListsFromDiscoveryAreIgnored() throws IOException {
         relay.start();
         await(() -> discovery.requests.stream().anyMatch(r -> r.line().contains("after=1&")));
-        news.set("{\"rev\":[");
+        nextUpdate.set("{\"rev\":[");
         await(() -> relay.log().contains("an answer is passed over"));
-        news.set(list(
+        nextUpdate.set(list(
                 5,
                 true,
                 "{\"uid\":4}",
@@ -145,7 +145,7 @@
                 target("h1", 7, "one", "in_service", host.address()),
                 target("h9", 9, "one", "in_service", "nosuch.example:1")));
         await(() -> discovery.requests.stream().anyMatch(r -> r.line().contains("after=5&")));
-        assertEquals(202, relay.handIn("m1", "safe", 7));
+        assertEquals(202, relay.submit("m1", "safe", 7));
         await(() -> host.requests.size() == 1);
     }
 
--- a/src/test/java/loftflow/server/BadClientTest.java
+++ b/src/test/java/loftflow/server/BadClientTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send what can't be used, too much, or nothing at all. */
+/** Clients that send malformed requests, too much, or nothing at all. */
 class BadClientTest extends RelayTestBase {
     private final List<Socket> open = new ArrayList<>();
 
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void clientThatSaysNothingIsLetGo() throws IOException {
+    void clientThatSendsNothingIsDisconnected() throws IOException {
         relay.start();
         assertEquals(-1, read(connect()));
     }
@@ -58,7 +58,7 @@
         for (int i = 0; i < 400; i++) {
             connect();
         }
-        relay.goOn();
+        relay.resume();
         int most = 0;
         for (Socket socket : open) {
             most = Math.max(most, relay.openDescriptors());
@@ -69,18 +69,18 @@
 
     @Test
     void lackOfDescriptorsIsSurvived() throws IOException {
-        relay.descriptors(100).start();
+        relay.withDescriptorLimit(100).start();
         for (int i = 0; i < 200; i++) {
             connect();
         }
         await(() -> relay.log().contains("can't accept"));
         closeAll();
-        assertEquals(202, relay.handIn("after", "safe", 7));
+        assertEquals(202, relay.submit("after", "safe", 7));
         await(() -> host.requests.size() == 1);
     }
 
     @Test
-    void clientThatStopsHalfwayIsToldAndLetGo() throws IOException {
+    void clientThatStopsHalfwayIsAnsweredAndDisconnected() throws IOException {
         relay.start();
         for (String half : List.of(
                 "POST /api HT",
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void tooLargeBodyIsRefusedAtItsHeadAndReadOn() throws IOException {
+    void tooLargeBodyIsRejectedAtItsHeadAndReadToItsEnd() throws IOException {
         relay.start();
         String head = RelayProcess.message("l1", "safe", 7, 1000, "").replace("Length: 0", "Length: 60000000");
         assertEquals(413, RelayProcess.exchange(connect(), head).status());
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void requestWhoseLengthIsInDoubtIsRefused() throws IOException {
+    void requestWithAnAmbiguousLengthIsRejected() throws IOException {
         relay.start();
         String good = RelayProcess.message("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
         String length = "Content-Length: 30\r\n";
@@ -143,13 +143,13 @@
     }
 
     @Test
-    void idOfAnotherClientsOpenRequestIsNotTakenOn() throws IOException {
-        relay.period("1").start();
+    void idOfAnotherClientsOpenRequestIsNotAccepted() throws IOException {
+        relay.withRoundPeriod("1").start();
         Socket first = connect();
         first.getOutputStream()
                 .write(RelayProcess.message("same", "safe", 7, 20_000, "x").getBytes());
-        await(() -> !relay.journaled().isEmpty());
-        assertEquals(500, relay.handIn("same", "safe", 7));
+        await(() -> !relay.openJournalMessages().isEmpty());
+        assertEquals(500, relay.submit("same", "safe", 7));
         assertEquals(202, RelayProcess.exchange(first, "").status());
         await(() -> host.count("POST") == 1);
     }
@@ -170,12 +170,12 @@
     }
 
     @Test
-    void silentClientsAndHalfReadBodiesLeaveRoomForOthers() throws IOException {
+    void idleClientsAndIncompleteBodiesLeaveCapacityForOthers() throws IOException {
         relay.start();
         for (int i = 0; i < 300; i++) {
             connect();
         }
-        assertEquals(202, relay.handIn("r1", "safe", 7));
+        assertEquals(202, relay.submit("r1", "safe", 7));
         String half = RelayProcess.message("b", "safe", 7, 1000, "x".repeat(65_000));
         for (int i = 0; i < 300; i++) {
             try {
@@ -183,10 +183,10 @@
                         .getOutputStream()
                         .write(half.substring(0, half.length() - 1).getBytes());
             } catch (SocketException e) {
-                // The relay has no room for this one.
+                // The relay has closed this connection, since it is at its limit.
             }
         }
-        assertEquals(202, relay.handIn("r2", "safe", 7));
+        assertEquals(202, relay.submit("r2", "safe", 7));
         assertTrue(relay.isAlive());
     }
 }
--- a/src/test/java/loftflow/server/ConfigReloaderTest.java
+++ b/src/test/java/loftflow/server/ConfigReloaderTest.java
@@ -23,7 +23,7 @@
         prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
     }
 
-    /** Discovery with a list of its own, which takes every notice. */
+    /** Discovery with a list of its own, which acknowledges every completion. */
     private static ScriptedPeer discovery(String list) throws IOException {
         return new ScriptedPeer(request -> request.line().startsWith("POST")
                 ? status(204)
@@ -33,7 +33,7 @@
     @Test
     void hangUpMovesTheWatchAgainAndAgain() throws IOException {
         relay.start();
-        assertEquals(202, relay.handIn("m0", "safe", 7));
+        assertEquals(202, relay.submit("m0", "safe", 7));
         await(() -> host.count("POST") == 1);
         String same = target("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
         try (ScriptedPeer second = discovery(list(1, true, same));
@@ -41,43 +41,43 @@
                 ScriptedPeer third = discovery(list(0, true, target("h2", 7, "one", "in_service", other.address())))) {
             relay.moveDiscovery(second);
             await(() -> second.count("GET /api/targets?after=1&") > 0);
-            assertEquals(202, relay.handIn("m1", "safe", 7));
+            assertEquals(202, relay.submit("m1", "safe", 7));
             await(() -> host.count("POST") == 2);
-            assertEquals(1, host.connections.size(), "a host that stays where it is keeps its connections");
+            assertEquals(1, host.connections.size(), "an upstream whose address stays the same stays connected");
             relay.moveDiscovery(third);
             await(() -> third.count("GET /api/targets?after=0&") > 0);
             assertEquals("GET /api/targets HTTP/1.1", third.requests.get(0).line());
-            assertEquals(202, relay.handIn("m2", "safe", 7));
+            assertEquals(202, relay.submit("m2", "safe", 7));
             await(() -> other.count("POST") == 1);
         }
     }
 
     @Test
-    void noticeThatTheOldAddressLeftUnansweredGoesToTheNewOne() throws IOException, InterruptedException {
+    void completionThatTheOldAddressLeftUnansweredIsSentToTheNewOne() throws IOException, InterruptedException {
         discovery.answer(request -> ScriptedPeer.SILENCE);
         host.answer(request -> ScriptedPeer.CLOSE);
-        relay.start().handIn("u1", "unsafe", 7);
-        await(() -> relay.noticed("u1", "dead"));
+        relay.start().submit("u1", "unsafe", 7);
+        await(() -> relay.hasNotified("u1", "dead"));
         try (ScriptedPeer next = RelayProcess.quietDiscovery()) {
             relay.moveDiscovery(next);
-            await(() -> relay.noticed("u1", "dead"));
-            await(() -> relay.journaled().isEmpty());
+            await(() -> relay.hasNotified("u1", "dead"));
+            await(() -> relay.openJournalMessages().isEmpty());
             relay.terminate();
             assertTrue(relay.hasEnded());
         }
     }
 
     @Test
-    void configurationThatCannotBeReadLeavesTheOldOneInForce() throws IOException {
+    void unreadableConfigurationLeavesTheOldOneInForce() throws IOException {
         relay.start();
-        relay.spoilConfiguration("{");
-        await(() -> relay.log().contains("the old configuration stays in force"));
+        relay.corruptConfiguration("{");
+        await(() -> relay.log().contains("config: reload failed, old configuration stays in force"));
         host.answer(request -> ScriptedPeer.CLOSE);
-        assertEquals(202, relay.handIn("u2", "unsafe", 7));
-        await(() -> relay.noticed("u2", "dead"));
+        assertEquals(202, relay.submit("u2", "unsafe", 7));
+        await(() -> relay.hasNotified("u2", "dead"));
     }
 
-    /** The relay goes by this list's whole and later versions. */
+    /** Waits until the relay has the full list of this discovery and watches for later versions. */
     private static void awaitWatch(ScriptedPeer peer) {
         await(() -> peer.count("GET /api/targets?after=") > 0);
     }
@@ -88,11 +88,11 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "null", "{\"name\":\"n0\"}", "\u0000"})
-    void fileThatIsHalfWrittenAtTheSignalCountsOnceItIsWhole(String half) throws Exception {
+    void incompleteFileAtTheSignalIsRetriedUntilItIsComplete(String half) throws Exception {
         relay.start();
-        relay.spoilConfiguration(half);
-        await(() -> relay.log().contains("the old configuration stays in force"));
-        // Discovery is not silent here: nothing but the tries after the signal can find the whole file.
+        relay.corruptConfiguration(half);
+        await(() -> relay.log().contains("config: reload failed, old configuration stays in force"));
+        // Discovery answers here, so that only a retry after the signal can read the complete file.
         discovery.answer(request -> answer(200, list(2, false)));
         Thread.sleep(300);
         try (ScriptedPeer next = sameHost(4)) {
@@ -112,26 +112,27 @@
             relay.moveDiscovery(fourth);
             awaitWatch(fourth);
             long before = second.requests.size() + third.requests.size();
-            assertEquals(202, relay.handIn("s1", "safe", 7));
+            assertEquals(202, relay.submit("s1", "safe", 7));
             await(() -> host.count("POST") == 1);
-            assertEquals(before, second.requests.size() + third.requests.size(), "the older places are left");
+            assertEquals(
+                    before, second.requests.size() + third.requests.size(), "the older addresses are no longer used");
         }
     }
 
     @Test
-    void signalWhileTheCpuIsAwayCountsWhenItIsBack() throws IOException {
+    void signalToAStoppedProcessTakesEffectOnceItResumes() throws IOException {
         relay.start();
         relay.pause();
         try (ScriptedPeer next = sameHost(5)) {
             relay.moveDiscovery(next);
-            relay.hangUp();
-            relay.goOn();
+            relay.sendHangUp();
+            relay.resume();
             awaitWatch(next);
         }
     }
 
     @Test
-    void answerOfTheOldAgentAfterTheMoveIsNotHeeded() throws Exception {
+    void answerOfTheOldAgentAfterTheMoveIsIgnored() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
         try (ScriptedPeer wrong = ScriptedPeer.always(status(200));
                 ScriptedPeer next = sameHost(3)) {
@@ -150,21 +151,24 @@
             relay.moveDiscovery(next);
             awaitWatch(next);
             late.countDown();
-            assertEquals(202, relay.handIn("l1", "safe", 7));
+            assertEquals(202, relay.submit("l1", "safe", 7));
             await(() -> host.count("POST") == 1);
             assertEquals(0, wrong.requests.size());
-            assertEquals(0, next.count("GET /api/targets?after=90"), "versions of the old place mean nothing here");
+            assertEquals(
+                    0,
+                    next.count("GET /api/targets?after=90"),
+                    "the new agent is not queried by a version of the old one");
             before.close();
         }
     }
 
     @Test
-    void newPlaceThatRefusesAtFirstIsAskedAgain() throws Exception {
+    void newAddressThatRefusesAtFirstIsRetried() throws Exception {
         relay.start();
         ScriptedPeer closed = sameHost(6);
         closed.close();
         relay.moveDiscovery(closed);
-        await(() -> relay.log().contains("discovery is at /" + closed.address()));
+        await(() -> relay.log().contains("discovery: agent address configured address=/" + closed.address()));
         Thread.sleep(300);
         try (ScriptedPeer next = new ScriptedPeer(
                 closed.port(),
@@ -176,14 +180,14 @@
     }
 
     @Test
-    void fileThatIsReplacedWithNoSignalCountsWhereDiscoveryIsSilent() throws IOException {
+    void replacedFileIsReadWithoutASignalWhileDiscoveryIsUnresponsive() throws IOException {
         relay.start();
         try (ScriptedPeer next = sameHost(8)) {
             relay.replaceConfiguration(next);
             awaitWatch(next);
             host.answer(request -> ScriptedPeer.CLOSE);
-            assertEquals(202, relay.handIn("u3", "unsafe", 7));
-            await(() -> relay.noticed("u3", "dead"));
+            assertEquals(202, relay.submit("u3", "unsafe", 7));
+            await(() -> relay.hasNotified("u3", "dead"));
         }
     }
 }
--- a/src/test/java/loftflow/server/DeadLetterTest.java
+++ b/src/test/java/loftflow/server/DeadLetterTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What could not be delivered, with the real program, real sockets and a partner that records every posting. */
+/** Dead letters, with the real program, real sockets and an upstream that records every call. */
 @Order(1)
 class DeadLetterTest {
     @TempDir
@@ -37,7 +37,7 @@
 
     private FakePartner partner;
     private ServedRelay relay;
-    private int starts;
+    private int startCount;
 
     @BeforeEach
     void prepare() throws IOException {
@@ -56,7 +56,7 @@
         return folder.resolve("state");
     }
 
-    private Path written(String keeping) throws Exception {
+    private Path writeRelayFile(String deadLetterSettings) throws Exception {
         Path file = Files.writeString(
                 folder.resolve("app.toml"),
                 """
@@ -96,7 +96,7 @@
                 id = "elevator-1"
                 address = "%s"
                 """
-                        .formatted(state(), keeping, partner.address()));
+                        .formatted(state(), deadLetterSettings, partner.address()));
         ConfigTool.Outcome outcome = ConfigTool.write(file, folder, false);
         assertEquals(
                 ConfigTool.Written.NEW, outcome.written(), outcome.findings().toString());
@@ -104,7 +104,7 @@
     }
 
     private void start(Path file) throws Exception {
-        relay = ServedRelay.start(file, folder.resolve("log" + starts++), "-Xmx48m")
+        relay = ServedRelay.start(file, folder.resolve("log" + startCount++), "-Xmx48m")
                 .awaitServing();
     }
 
@@ -116,12 +116,12 @@
         }
     }
 
-    /** As a client does, again while the relay refuses: one that is short of CPU at its start does. */
-    private int handIn(String id, String type) throws IOException {
+    /** Sends a message; repeats it while the relay rejects it, as a relay does that is short of CPU at its start. */
+    private int submit(String id, String type) throws IOException {
         int[] status = new int[1];
         await(() -> {
             try {
-                status[0] = handInOnce(id, type);
+                status[0] = submitOnce(id, type);
                 return status[0] != 503;
             } catch (IOException e) {
                 throw new AssertionError(e);
@@ -130,20 +130,20 @@
         return status[0];
     }
 
-    private int handInOnce(String id, String type) throws IOException {
+    private int submitOnce(String id, String type) throws IOException {
         try (FakeClient client = relay.client()) {
             return client.handIn(id, type, null, "key-" + id, 7, 3000, "body of " + id);
         }
     }
 
-    private List<String> ask(String... members) {
+    private List<String> sendCommand(String... members) {
         Map<String, String> request = new LinkedHashMap<>();
         for (int i = 0; i < members.length; i += 2) {
             request.put(members[i], members[i + 1]);
         }
         List<String> lines = new ArrayList<>();
         try {
-            assertTrue(AdminClient.ask(state(), request, lines::add), "a relay listens");
+            assertTrue(AdminClient.ask(state(), request, lines::add), "a relay serves the admin socket");
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -151,27 +151,28 @@
     }
 
     private boolean lists(String... parts) {
-        return ask("command", "list").stream()
+        return sendCommand("command", "list").stream()
                 .anyMatch(line -> List.of(parts).stream().allMatch(line::contains));
     }
 
-    private String id(String ref) {
+    private String entryId(String ref) {
         Matcher id = Pattern.compile("\"id\":(\\d+),\"ref\":\"" + ref + "\"")
-                .matcher(String.join("\n", ask("command", "list")));
+                .matcher(String.join("\n", sendCommand("command", "list")));
         assertTrue(id.find(), ref);
         return id.group(1);
     }
 
     @Test
-    void settlementWithAnUnknownOutcomeIsKeptAndNotSentAgainByItself() throws Exception {
-        start(written(""));
+    void settlementWithUnknownOutcomeIsStoredAndNotRedrivenAutomatically() throws Exception {
+        start(writeRelayFile(""));
         partner.be(Mood.RESETS);
-        assertEquals(202, handIn("s1", "settlement"));
+        assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\"", "after a person's word"));
         partner.be(Mood.WELL);
-        assertEquals(202, handIn("s2", "settlement"));
+        assertEquals(202, submit("s2", "settlement"));
         await(() -> partner.effects().containsKey("s2"));
-        String refused = ask("command", "resend", "id", id("s1"), "by", "clerk").get(0);
+        String refused = sendCommand("command", "resend", "id", entryId("s1"), "by", "clerk")
+                .get(0);
         assertTrue(
                 refused.contains("after a person's word: an attempt may have run")
                         && refused.contains("\"done\":false"),
@@ -184,108 +185,113 @@
     }
 
     @Test
-    void lateAnswerAfterItWasStoredProvesItDelivered() throws Exception {
-        start(written(""));
+    void lateResponseAfterItWasStoredProvesItDelivered() throws Exception {
+        start(writeRelayFile(""));
         partner.lateBy(7_000);
-        assertEquals(202, handIn("s1", "settlement"));
+        assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\""));
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"delivered\"", "\"ran\":\"did\"", "a late answer"));
-        assertTrue(ask("command", "confirm", "id", id("s1"), "by", "clerk", "reason", "none")
+        assertTrue(sendCommand("command", "confirm", "id", entryId("s1"), "by", "clerk", "reason", "none")
                 .get(0)
                 .contains("proven to be delivered"));
         assertEquals(1, partner.effects().get("s1"));
     }
 
     @Test
-    void lateAnswerWhileAPersonsResendWaitsEndsIt() throws Exception {
-        start(written(""));
+    void lateResponseEndsAManualRedriveThatWaits() throws Exception {
+        start(writeRelayFile(""));
         partner.lateBy(9_000);
-        assertEquals(202, handIn("s1", "settlement"));
+        assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\""));
-        // The partner turns everything away, so that the resend is under way, with nothing run, when the proof comes.
+        // The upstream rejects everything, so that the redrive is open, with nothing executed, when the proof arrives.
         partner.be(Mood.SHUT);
-        ask("command", "confirm", "id", id("s1"), "by", "clerk", "reason", "says the partner");
+        sendCommand("command", "confirm", "id", entryId("s1"), "by", "clerk", "reason", "says the partner");
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"delivered\"", "a late answer"));
         partner.be(Mood.WELL);
-        assertEquals(202, handIn("s2", "settlement"));
+        assertEquals(202, submit("s2", "settlement"));
         await(() -> partner.effects().containsKey("s2"));
         assertEquals(1, partner.effects().get("s1"));
     }
 
     @Test
-    void whatNeverRanIsSentAgainOnceThePartnerIsBack() throws Exception {
-        start(written(""));
+    void messagesThatWereNotExecutedAreRedrivenOnceTheUpstreamRecovers() throws Exception {
+        start(writeRelayFile(""));
         partner.be(Mood.SHUT);
         for (int i = 0; i < 5; i++) {
-            assertEquals(202, handIn("s" + i, "settlement"));
+            assertEquals(202, submit("s" + i, "settlement"));
         }
-        await(() -> ask("command", "list").size() == 5);
+        await(() -> sendCommand("command", "list").size() == 5);
         await(() -> lists("\"ran\":\"never\"", "\"told\":\"failed\""));
         partner.be(Mood.WELL);
         await(() -> partner.effects().size() == 5);
-        await(() -> ask("command", "list", "state", "delivered").size() == 5);
+        await(() -> sendCommand("command", "list", "state", "delivered").size() == 5);
         assertTrue(
                 partner.effects().values().stream().allMatch(n -> n == 1),
                 partner.effects().toString());
     }
 
     @Test
-    void carOrderWhoseWindowIsOverNeedsAWord() throws Exception {
-        start(written("pause = \"3s\""));
+    void carOrderWhoseKeyWindowIsOverNeedsAConfirmation() throws Exception {
+        start(writeRelayFile("pause = \"3s\""));
         partner.be(Mood.RESETS);
-        assertEquals(202, handIn("c1", "car-order"));
+        assertEquals(202, submit("c1", "car-order"));
         await(() ->
                 lists("\"ref\":\"c1\"", "after a person's word: an attempt may have run, and its key window is over"));
         int before = partner.postings().size();
         partner.be(Mood.WELL);
-        String answer = ask("command", "resend", "id", id("c1"), "by", "clerk").get(0);
+        String answer = sendCommand("command", "resend", "id", entryId("c1"), "by", "clerk")
+                .get(0);
         assertTrue(answer.contains("\"done\":false"), answer);
         assertEquals(before, partner.postings().size());
-        ask("command", "confirm", "id", id("c1"), "by", "clerk", "reason", "not in their books");
+        sendCommand("command", "confirm", "id", entryId("c1"), "by", "clerk", "reason", "not in their books");
         await(() -> lists("\"ref\":\"c1\"", "\"state\":\"delivered\""));
         assertEquals(before + 1, partner.postings().size());
     }
 
     @Test
-    void wordsAndResendsAreAuditedAndTwoAtOnceAreOne() throws Exception {
-        start(written(""));
+    void confirmationsAndRedrivesAreAuditedAndConcurrentOnesAreMerged() throws Exception {
+        start(writeRelayFile(""));
         partner.be(Mood.RESETS);
-        assertEquals(202, handIn("s1", "settlement"));
+        assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"ran\":\"maybe\""));
         partner.be(Mood.WELL);
-        String id = id("s1");
-        ask("command", "confirm", "id", id, "by", "clerk", "reason", "not in their books");
-        ask("command", "resend", "id", id, "by", "clerk");
-        ask("command", "resend", "id", id, "by", "other");
+        String id = entryId("s1");
+        sendCommand("command", "confirm", "id", id, "by", "clerk", "reason", "not in their books");
+        sendCommand("command", "resend", "id", id, "by", "clerk");
+        sendCommand("command", "resend", "id", id, "by", "other");
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"delivered\""));
         assertEquals(
                 2,
                 partner.postings().stream().filter(p -> p.id().equals("s1")).count(),
                 "the first attempt and one resend");
-        String shown = ask("command", "show", "id", id).get(0);
+        String shown = sendCommand("command", "show", "id", id).get(0);
         assertTrue(shown.contains("clerk confirm not posted: not in their books"), shown);
-        assertFalse(shown.contains("\"body\""), "bodies are shown only when asked for");
-        assertTrue(ask("command", "show", "id", id, "body", "yes").get(0).contains("\"body\":\"Ym9keSBvZiBzMQ==\""));
-        assertTrue(ask("command", "discard", "id", id, "by", "clerk", "reason", "over")
+        assertFalse(shown.contains("\"body\""), "a body is shown only on request");
+        assertTrue(sendCommand("command", "show", "id", id, "body", "yes")
+                .get(0)
+                .contains("\"body\":\"Ym9keSBvZiBzMQ==\""));
+        assertTrue(sendCommand("command", "discard", "id", id, "by", "clerk", "reason", "over")
                 .get(0)
                 .contains("\"done\":false"));
-        assertTrue(ask("command", "confirm", "id", id, "by", "clerk").get(0).contains("--reason"));
-        assertTrue(ask("command", "nosuch").get(0).contains("unknown command"));
+        assertTrue(sendCommand("command", "confirm", "id", id, "by", "clerk")
+                .get(0)
+                .contains("--reason"));
+        assertTrue(sendCommand("command", "nosuch").get(0).contains("unknown command"));
     }
 
     @Test
-    void killsAtAnyMomentLoseAndDoubleNothing() throws Exception {
-        Path file = written("");
+    void killsAtAnyTimeLoseAndDuplicateNothing() throws Exception {
+        Path file = writeRelayFile("");
         Random random = new Random(7);
         Mood[] moods = {Mood.SHUT, Mood.RESETS, Mood.WELL, Mood.SHUT};
-        List<String> taken = new ArrayList<>();
+        List<String> accepted = new ArrayList<>();
         for (int round = 0; round < 4; round++) {
             partner.be(moods[round]);
             start(file);
             for (int i = 0; i < 6; i++) {
                 String id = "s" + round + "-" + i;
-                if (handIn(id, "settlement") == 202) {
-                    taken.add(id);
+                if (submit(id, "settlement") == 202) {
+                    accepted.add(id);
                 }
             }
             Thread.sleep(300 + random.nextInt(4_000));
@@ -293,30 +299,31 @@
         }
         partner.be(Mood.WELL);
         start(file);
-        await(() -> taken.stream()
+        await(() -> accepted.stream()
                 .allMatch(id -> partner.effects().containsKey(id)
                         || lists("\"ref\":\"" + id + "\"", "\"state\":\"kept\"", "\"ran\":\"maybe\"")));
         partner.effects().forEach((id, times) -> assertEquals(1, times, id));
-        assertTrue(taken.size() >= 20, "taken: " + taken.size());
+        assertTrue(accepted.size() >= 20, "accepted: " + accepted.size());
     }
 
     @Test
-    void stoppedRelaysFileIsReadByTheCommand() throws Exception {
-        start(written(""));
+    void commandReadsTheStoreOfAStoppedRelay() throws Exception {
+        start(writeRelayFile(""));
         partner.be(Mood.RESETS);
-        assertEquals(202, handIn("s1", "settlement"));
+        assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\""));
         relay.close();
-        assertEquals(0, command("list"));
+        assertEquals(0, runCommand("list"));
         assertTrue(Files.readString(folder.resolve("out")).contains("settlement"));
-        assertEquals(0, command("show", "1"));
-        assertEquals(0, command("stats"));
-        assertEquals(2, command("discard", "1", "--by", "clerk", "--reason", "x"), "no relay listens");
-        assertEquals(2, command("show", "99"));
-        assertEquals(2, command("resend", "--by", "clerk"), "nothing is meant");
+        assertEquals(0, runCommand("show", "1"));
+        assertEquals(0, runCommand("stats"));
+        assertEquals(
+                2, runCommand("discard", "1", "--by", "clerk", "--reason", "x"), "no relay serves the admin socket");
+        assertEquals(2, runCommand("show", "99"));
+        assertEquals(2, runCommand("resend", "--by", "clerk"), "no entry is selected");
     }
 
-    private int command(String... words) throws Exception {
+    private int runCommand(String... words) throws Exception {
         List<String> line = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin/java").toString(),
                 "-cp",
@@ -337,31 +344,31 @@
     }
 
     @Test
-    void fullStoreRefusesNewWorkAndSaysSo() throws Exception {
-        start(written("entries = 3"));
+    void fullStoreRejectsNewMessagesAndLogsIt() throws Exception {
+        start(writeRelayFile("entries = 3"));
         partner.be(Mood.RESETS);
         for (int i = 0; i < 3; i++) {
-            assertEquals(202, handIn("s" + i, "settlement"));
+            assertEquals(202, submit("s" + i, "settlement"));
         }
         await(() -> log().contains("the store is full"));
-        assertEquals(503, handInOnce("s9", "settlement"));
-        ask("command", "discard", "id", id("s0"), "by", "clerk", "reason", "posted by hand");
-        assertTrue(ask("command", "stats").get(0).contains("\"entries\":3"));
+        assertEquals(503, submitOnce("s9", "settlement"));
+        sendCommand("command", "discard", "id", entryId("s0"), "by", "clerk", "reason", "posted by hand");
+        assertTrue(sendCommand("command", "stats").get(0).contains("\"entries\":3"));
     }
 
     @Test
-    void damagedStoreIsSetAsideAndServiceGoesOn() throws Exception {
+    void damagedStoreIsSetAsideAndTheRelayServes() throws Exception {
         Files.createDirectories(state());
         Files.writeString(state().resolve("undeliverable.db"), "no database".repeat(1_000));
-        start(written(""));
+        start(writeRelayFile(""));
         assertTrue(log().contains("is damaged") && log().contains("set aside"), log());
-        assertEquals(202, handIn("s1", "settlement"));
+        assertEquals(202, submit("s1", "settlement"));
         await(() -> partner.effects().containsKey("s1"));
     }
 
     @Test
-    void storeThatCannotBeOpenedEndsTheStartWithAPlainLine() throws Exception {
-        Path file = written("");
+    void storeThatCannotBeOpenedFailsTheStartWithOneLine() throws Exception {
+        Path file = writeRelayFile("");
         Files.createDirectories(state().resolve("undeliverable.db"));
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
--- a/src/test/java/loftflow/server/DeliveryTest.java
+++ b/src/test/java/loftflow/server/DeliveryTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.api.Order;
 import org.junit.jupiter.api.Test;
 
-/** Calls to hosts: what is sent, what the answers mean, and what must not be sent. */
+/** Calls to upstreams: what is sent, what the responses mean, and what must not be sent. */
 @Order(1)
 class DeliveryTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
         prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
-        relay.knows("m1", 8, "many", host);
+        relay.withKnownEndpoint("m1", 8, "many", host);
     }
 
     @Test
-    void messageGoesOnUnchanged() throws IOException {
+    void messageIsForwardedUnchanged() throws IOException {
         String bytes = "\u0000\r\n\u00ff{}";
-        assertEquals(202, relay.start().handIn("abc1", "keyed", 7, 20_000, bytes));
+        assertEquals(202, relay.start().submit("abc1", "keyed", 7, 20_000, bytes));
         await(() -> host.requests.size() == 1);
         ScriptedPeer.Request call = host.requests.get(0);
         assertEquals("POST /receive HTTP/1.1", call.line());
@@ -39,16 +39,16 @@
     }
 
     /**
-     * A message that comes before the last answer has been read has a connection of its own, so that more than one may
-     * be tried.
+     * A message that is sent before the last response has been read opens a connection of its own, so that more than
+     * one message may be needed until a connection is reused.
      */
     @Test
-    void connectionIsUsedAgain() throws IOException {
+    void connectionIsReused() throws IOException {
         relay.start();
         int[] sent = new int[1];
         await(() -> {
             try {
-                assertEquals(202, relay.handIn("id" + sent[0]++, "safe", 7));
+                assertEquals(202, relay.submit("id" + sent[0]++, "safe", 7));
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -60,59 +60,59 @@
     @Test
     void unsafeMessageThatMayHaveRunIsNotSentAgain() throws IOException {
         host.answer(request -> ScriptedPeer.CLOSE);
-        assertEquals(202, relay.start().handIn("u1", "unsafe", 7));
-        await(() -> relay.noticed("u1", "dead"));
+        assertEquals(202, relay.start().submit("u1", "unsafe", 7));
+        await(() -> relay.hasNotified("u1", "dead"));
         assertEquals(1, host.count("POST /receive"));
-        assertFalse(relay.noticed("u1", "bounced"));
+        assertFalse(relay.hasNotified("u1", "bounced"));
     }
 
     @Test
     void unsafeMessageThatNeverRanIsSentAgain() throws IOException {
         host.answer(request -> host.count("POST /receive") == 1 ? status(503) : status(200));
-        assertEquals(202, relay.start().handIn("u2", "unsafe", 7));
+        assertEquals(202, relay.start().submit("u2", "unsafe", 7));
         await(() -> host.count("POST /receive") == 2);
         assertEquals("u2", host.requests.get(1).id());
     }
 
     @Test
     void connectionThatIsRefusedProvesThatNothingRan() throws IOException {
-        // Bound and not listened at: a port that was only given back could be another test's by now.
+        // The port is bound but nobody listens: a port that was only released could be in use by another test.
         try (Socket taken = new Socket()) {
             taken.bind(new InetSocketAddress("127.0.0.1", 0));
-            relay.knows("h9", 9, "one", "127.0.0.1:" + taken.getLocalPort());
-            assertEquals(202, relay.start().handIn("u3", "unsafe", 9, 1500, "x"));
-            await(() -> relay.noticed("u3", "bounced"));
+            relay.withKnownEndpoint("h9", 9, "one", "127.0.0.1:" + taken.getLocalPort());
+            assertEquals(202, relay.start().submit("u3", "unsafe", 9, 1500, "x"));
+            await(() -> relay.hasNotified("u3", "bounced"));
         }
     }
 
     @Test
     void callThatIsNotAnsweredEndsWithItsTime() throws IOException {
-        // A relay that has sent nothing yet may be slow to begin: what it has no time left for it rightly refuses.
-        relay.start().handIn("first", "safe", 7);
+        // A relay may be slow at its first send; it then rightly rejects a message with no time left.
+        relay.start().submit("first", "safe", 7);
         await(() -> host.requests.size() == 1);
         host.answer(request -> ScriptedPeer.SILENCE);
-        assertEquals(202, relay.handIn("u4", "unsafe", 7, 1500, "x"));
-        await(() -> relay.noticed("u4", "dead"));
+        assertEquals(202, relay.submit("u4", "unsafe", 7, 1500, "x"));
+        await(() -> relay.hasNotified("u4", "dead"));
         assertEquals(2, host.count("POST /receive"));
     }
 
     @Test
-    void messageThatIsOverAtTheHostNeedsNoNotice() throws IOException {
+    void messageThatIsOverAtTheUpstreamNeedsNoNotification() throws IOException {
         host.answer(request -> status(410));
-        relay.start().handIn("g1", "safe", 7);
+        relay.start().submit("g1", "safe", 7);
         await(() -> host.requests.size() == 1);
         host.answer(request -> ScriptedPeer.SILENCE);
-        relay.handIn("g2", "unsafe", 7, 1500, "x");
-        await(() -> relay.noticed("g2", "dead"));
-        assertFalse(relay.noticed("g1", "dead") || relay.noticed("g1", "bounced"));
+        relay.submit("g2", "unsafe", 7, 1500, "x");
+        await(() -> relay.hasNotified("g2", "dead"));
+        assertFalse(relay.hasNotified("g1", "dead") || relay.hasNotified("g1", "bounced"));
     }
 
     @Test
-    void toldWaitIsObeyed() throws IOException {
+    void retryAfterIsObeyed() throws IOException {
         host.answer(request -> host.requests.size() == 1 ? status(429, "X-Come-Back-Ms: 1200") : status(200));
-        relay.start().handIn("w1", "safe", 7);
+        relay.start().submit("w1", "safe", 7);
         await(() -> host.requests.size() == 1);
-        relay.handIn("w2", "safe", 7);
+        relay.submit("w2", "safe", 7);
         await(() -> host.requests.size() == 3);
         long gap = host.requests.get(1).at() - host.requests.get(0).at();
         assertTrue(gap >= TimeUnit.MILLISECONDS.toNanos(1200), "sent after ns: " + gap);
@@ -120,34 +120,34 @@
 
     @Test
     void messagesOfOneRoundTravelInOneCall() throws IOException {
-        // The destination refuses the first call, so that what comes meanwhile waits for its pace together.
+        // The upstream rejects the first call, so that later messages wait for its rate limit together.
         host.answer(request -> request.line().contains("many")
                 ? answer(200, "[{\"id\":\"b1\",\"state\":\"done\"},{\"id\":\"b2\",\"state\":\"failed\"}]")
                 : host.requests.size() == 1 ? status(503, "X-Come-Back-Ms: 500") : ScriptedPeer.SILENCE);
-        relay.start().handIn("b1", "unsafe", 8);
+        relay.start().submit("b1", "unsafe", 8);
         await(() -> host.requests.size() == 1);
-        relay.handIn("b2", "unsafe", 8);
-        await(() -> relay.noticed("b2", "dead"));
+        relay.submit("b2", "unsafe", 8);
+        await(() -> relay.hasNotified("b2", "dead"));
         ScriptedPeer.Request call = host.requests.get(1);
         assertEquals("POST /receive-many HTTP/1.1", call.line());
         assertTrue(call.body().contains("\"id\":\"b1\",\"key\":\"key-b1\",\"body\":\"aGVsbG8=\""), call.body());
-        assertFalse(relay.noticed("b1", "dead"));
+        assertFalse(relay.hasNotified("b1", "dead"));
     }
 
     @Test
-    void answerAfterTheTimeOfOneOfItsMessagesDeliversNone() throws IOException {
-        // The host answers as soon as the first message is over, and claims to have delivered both.
+    void responseAfterTheDeadlineOfOneOfItsMessagesDeliversNone() throws IOException {
+        // The upstream responds as soon as the first message has expired, and claims to have delivered both.
         host.answer(request -> {
             if (!request.line().contains("many")) {
                 return status(503, "X-Come-Back-Ms: 500");
             }
-            await(() -> relay.noticed("short", "dead"));
+            await(() -> relay.hasNotified("short", "dead"));
             return answer(200, "[{\"id\":\"short\",\"state\":\"done\"},{\"id\":\"long\",\"state\":\"done\"}]");
         });
-        relay.start().handIn("short", "unsafe", 8, 4000, "x");
+        relay.start().submit("short", "unsafe", 8, 4000, "x");
         await(() -> host.requests.size() == 1);
-        relay.handIn("long", "unsafe", 8);
-        await(() -> relay.noticed("long", "dead"));
+        relay.submit("long", "unsafe", 8);
+        await(() -> relay.hasNotified("long", "dead"));
         ScriptedPeer.Request call = host.requests.get(1);
         assertTrue(call.body().contains("\"id\":\"long\""), call.body());
         assertTrue(Integer.parseInt(call.headers().get("x-budget-ms")) <= 4000);
@@ -157,9 +157,9 @@
     void idleConnectionsAreNotTrustedAfterABreak() throws IOException {
         host.answer(request -> request.id().startsWith("slow") ? ScriptedPeer.SILENCE : status(200));
         relay.start();
-        relay.handIn("slow", "safe", 7);
+        relay.submit("slow", "safe", 7);
         await(() -> host.requests.size() == 1);
-        relay.handIn("quick", "safe", 7);
+        relay.submit("quick", "safe", 7);
         await(() -> host.requests.size() == 2);
         assertEquals(2, host.connections.size());
         host.answer(request -> status(200));
@@ -170,25 +170,24 @@
     }
 
     @Test
-    void answerThatMakesNoSenseIsSurvived() throws IOException {
+    void malformedResponseIsSurvived() throws IOException {
         host.answer(request -> "\u0001\u0002 nonsense\r\n\r\n");
-        relay.start().handIn("n1", "unsafe", 7);
-        await(() -> relay.noticed("n1", "dead"));
+        relay.start().submit("n1", "unsafe", 7);
+        await(() -> relay.hasNotified("n1", "dead"));
         host.answer(request -> status(200, "X-Load-Report: TEXT x0=?, =, x1=1e999"));
-        relay.handIn("n2", "safe", 7);
+        relay.submit("n2", "safe", 7);
         await(() -> host.requests.stream().anyMatch(r -> "n2".equals(r.id())));
         assertTrue(relay.isAlive());
     }
 
     /**
-     * Its request and its end both lie unread as the relay has the CPU again, and any round that was due by then is
-     * past due. What
-     * has lain there too long is refused, and its client comes again: that is not what is tested.
+     * When the relay has CPU again, both the request and the end of the client's connection are unread, and a round is
+     * overdue. A request that has waited too long is rejected, and the client repeats it: that is not what is tested.
      */
     @Test
-    void clientThatLeavesBeforeItsAnswerIsForgotten() throws IOException {
-        relay.period("0.1").start().handIn("first", "safe", 7);
-        await(() -> host.requests.size() == 1 && relay.journaled().isEmpty());
+    void messageOfAClientThatDisconnectsBeforeItsAnswerIsDropped() throws IOException {
+        relay.withRoundPeriod("0.1").start().submit("first", "safe", 7);
+        await(() -> host.requests.size() == 1 && relay.openJournalMessages().isEmpty());
         relay.pause();
         long paused = System.nanoTime();
         Socket socket = relay.connect();
@@ -198,26 +197,26 @@
         socket.close();
         far.awaitEnd();
         await(() -> System.nanoTime() - paused > TimeUnit.MILLISECONDS.toNanos(100));
-        relay.goOn();
+        relay.resume();
         int status;
         do {
-            status = relay.handIn("stayed", "safe", 7);
+            status = relay.submit("stayed", "safe", 7);
         } while (status == 503);
         assertEquals(202, status);
-        await(() -> host.requests.size() == 2 && relay.journaled().isEmpty());
+        await(() -> host.requests.size() == 2 && relay.openJournalMessages().isEmpty());
         assertEquals("stayed", host.requests.get(1).id());
     }
 
     @Test
-    void answerThatNeverEndsDeliversAndHoldsUpNothing() throws IOException {
+    void endlessResponseDeliversAndDelaysNothing() throws IOException {
         host.answer(request -> "HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n");
-        relay.start().handIn("e1", "unsafe", 7);
-        await(() -> host.requests.size() == 1 && relay.journaled().isEmpty());
+        relay.start().submit("e1", "unsafe", 7);
+        await(() -> host.requests.size() == 1 && relay.openJournalMessages().isEmpty());
         host.answer(request -> status(200));
-        relay.handIn("e2", "unsafe", 7);
-        await(() -> host.requests.size() == 2 && relay.journaled().isEmpty());
+        relay.submit("e2", "unsafe", 7);
+        await(() -> host.requests.size() == 2 && relay.openJournalMessages().isEmpty());
         assertEquals(2, host.connections.size());
-        assertFalse(relay.noticed("e1", "dead"));
+        assertFalse(relay.hasNotified("e1", "dead"));
     }
 
     @Test
@@ -237,7 +236,7 @@
     }
 
     @Test
-    void requestThatIsCutOffIsNotTakenOn() throws IOException {
+    void truncatedRequestIsNotAccepted() throws IOException {
         relay.start();
         Socket socket = relay.connect();
         socket.setSoLinger(true, 0);
@@ -246,7 +245,7 @@
                         .replace("Content-Length: 5", "Content-Length: 9")
                         .getBytes());
         socket.close();
-        assertEquals(202, relay.handIn("next", "safe", 7));
+        assertEquals(202, relay.submit("next", "safe", 7));
         await(() -> host.requests.size() == 1);
         assertEquals("next", host.requests.get(0).id());
     }
--- a/src/test/java/loftflow/server/EarlySignalTest.java
+++ b/src/test/java/loftflow/server/EarlySignalTest.java
@@ -7,16 +7,16 @@
 import loftflow.config.Config;
 import org.junit.jupiter.api.Test;
 
-/** A signal between the start of service and the moment from which a new configuration can be taken. */
+/** A SIGHUP before the relay can apply a new configuration. */
 class EarlySignalTest {
     @Test
-    void fileThatIsHalfWrittenAtASignalAheadOfTheStartIsReadAgain() {
+    void incompleteFileAtASignalBeforeTheStartIsRetried() {
         AtomicInteger reads = new AtomicInteger();
-        ConfigReloader reload = ConfigReloader.onHangUp(new Config.Source() {
+        ConfigReloader reloader = ConfigReloader.onHangUp(new Config.Source() {
             @Override
             public Config read() throws Config.BadConfigException {
                 reads.incrementAndGet();
-                throw new Config.BadConfigException("it is half written");
+                throw new Config.BadConfigException("the file is incomplete");
             }
 
             @Override
@@ -24,8 +24,8 @@
                 return new byte[] {2};
             }
         });
-        reload.hungUp();
-        reload.start(
+        reloader.onSignal();
+        reloader.start(
                 new Config(
                         List.of(),
                         null,
--- a/src/test/java/loftflow/server/FleetHarness.java
+++ b/src/test/java/loftflow/server/FleetHarness.java
@@ -22,40 +22,39 @@
 import loftflow.warmstart.store.SnapshotSamples;
 
 /**
- * A fleet of relays on loopback with its partners, discovery and a client beside each relay. Half of the relays are
- * killed
- * while discovery is down and start again; some endpoints have been removed meanwhile and their addresses are another
- * service's, hang or refuse; some partners were out, and return cold.
+ * A fleet of relays on loopback with upstreams, discovery and a client for each relay. Half of the relays are killed
+ * while discovery is down and start again. Meanwhile some endpoints are removed, and at their addresses another service
+ * answers, hangs or refuses connections; some upstreams were out, and return cold.
  */
 final class FleetHarness implements AutoCloseable {
-    static final double FALL_MULTIPLE = 2.5;
-    private static final long FALL_SPAN = TimeUnit.SECONDS.toNanos(2);
-    private static final double COLD_FROM = 0.15;
-    private static final long WARM_UP_MS = 10_000;
-    private static final long WANTED = TimeUnit.SECONDS.toNanos(2);
+    static final double MAX_LOAD_MULTIPLE = 2.5;
+    private static final long LOAD_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final double COLD_CAPACITY_SHARE = 0.15;
+    private static final long WARM_UP_MILLIS = 10_000;
+    private static final long LATENCY_OBJECTIVE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** What the relays that start again know. */
+    /** What the relays know when they start again. */
     enum Start {
-        /** What they remember, a second or two old. */
+        /** A snapshot that is one or two seconds old. */
         REMEMBERED,
-        /** What they remember, made two hours old. */
+        /** A snapshot that is made two hours old. */
         REMEMBERED_OLD,
-        /** Nothing is remembered, and discovery is up. */
+        /** No snapshot, and discovery is up. */
         DISCOVERY,
-        /** Nothing is remembered, and discovery is down. */
+        /** No snapshot, and discovery is down. */
         EMPTY
     }
 
     /**
      * What was measured.
      *
-     * @param readyMillis from the start of each process until it was ready; -1 for not before discovery was back
-     * @param inTime share of what clients had for the relays that started again, until discovery came back, that was
+     * @param readyMillis from the start of each process until it was ready; -1 where it was not before discovery returned
+     * @param inTime the share of the messages for relays that started again, sent until discovery returned, that was
      *     delivered within two seconds
-     * @param others the same for the relays that lived on
-     * @param toRemovedBefore messages from relays that started again that reached what is at removed addresses, before
+     * @param others the same for the relays that were not killed
+     * @param toRemovedBefore messages from relays that started again that reached the addresses of removed endpoints, before
      *     discovery returned
-     * @param toRemovedAfter messages from any relay that did so after it had told each
+     * @param toRemovedAfter messages from any relay that did so after discovery had notified each relay
      * @param highest the highest load in two seconds on any partner that returned cold, as a multiple of what it could
      *     do
      */
@@ -67,7 +66,7 @@
             long toRemovedAfter,
             double highest) {}
 
-    private record Handed(int relay, long at) {}
+    private record SentMessage(int relay, long sentAtNanos) {}
 
     private final Path folder;
     private final int relays;
@@ -77,23 +76,22 @@
     private final int limit;
     private final double rate;
     private final List<FakePartner> partners = new ArrayList<>();
-    private final List<ScriptedPeer> strangers = new ArrayList<>();
+    private final List<ScriptedPeer> reuseRemovedAddresses = new ArrayList<>();
     private final FakeDiscoveryAgent discovery = new FakeDiscoveryAgent();
     private final List<ServedRelay> served = new ArrayList<>();
     private final List<Path> files = new ArrayList<>();
-    private final Map<String, Handed> handed = new ConcurrentHashMap<>();
+    private final Map<String, SentMessage> sentMessages = new ConcurrentHashMap<>();
     private final List<Thread> clients = new ArrayList<>();
     private volatile boolean over;
     private long killedAt;
     private long returnedAt;
 
     /**
-     * A fleet that is not started yet. The first {@code removed} endpoints share their destinations with another one
-     * each;
-     * the last {@code cold} ones are alone in theirs.
+     * A fleet that is not started yet. Each of the first {@code removed} endpoints shares its destination with another
+     * endpoint; the last {@code cold} ones share theirs with none.
      *
-     * @param limit calls a second that each endpoint takes
-     * @param rate messages a second that each relay is handed
+     * @param limit calls a second that each endpoint accepts
+     * @param rate messages a second that each relay is sent
      */
     FleetHarness(Path folder, int relays, int endpoints, int removed, int cold, int limit, double rate)
             throws IOException {
@@ -129,7 +127,7 @@
         return entries;
     }
 
-    private Path written(int relay, boolean remembers) throws Exception {
+    private Path writeRelayFile(int relay, boolean remembers) throws Exception {
         StringBuilder text = new StringBuilder(
                 """
                 format = 1
@@ -173,11 +171,11 @@
         return outcome.file();
     }
 
-    /** Plays the whole: a fleet at work, half of it killed and started again, a gap, and discovery's return. */
-    Measured play(Start start, int learnMillis, int gapMillis, int afterMillis) throws Exception {
+    /** Runs the fleet, kills and restarts half of it, and lets discovery return after a gap. */
+    Measured run(Start start, int learnMillis, int gapMillis, int afterMillis) throws Exception {
         discovery.list(list(0));
         for (int relay = 0; relay < relays; relay++) {
-            files.add(written(relay, start == Start.REMEMBERED || start == Start.REMEMBERED_OLD));
+            files.add(writeRelayFile(relay, start == Start.REMEMBERED || start == Start.REMEMBERED_OLD));
             served.add(ServedRelay.start(files.get(relay), folder.resolve("log" + relay)));
         }
         for (int relay = 0; relay < relays; relay++) {
@@ -195,7 +193,7 @@
         for (int relay = 0; relay < half; relay++) {
             served.get(relay).close();
         }
-        strangers();
+        reuseRemovedAddresses();
         if (start == Start.REMEMBERED_OLD) {
             for (int relay = 0; relay < half; relay++) {
                 age(folder.resolve("state" + relay), relay, TimeUnit.HOURS.toMicros(2));
@@ -205,40 +203,39 @@
             discovery.list(list(removed));
         }
         long began = System.nanoTime();
-        List<Long> ready = startAgain(half, start);
+        List<Long> ready = restart(half, start);
         Thread.sleep(1_000);
         returnedAt = System.nanoTime();
-        partners.subList(endpoints - cold, endpoints).forEach(p -> p.returnCold(COLD_FROM, WARM_UP_MS));
+        partners.subList(endpoints - cold, endpoints).forEach(p -> p.returnCold(COLD_CAPACITY_SHARE, WARM_UP_MILLIS));
         Thread.sleep(Math.max(0, gapMillis - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began)));
         long returned = System.nanoTime();
-        long before = toStrangers(half);
+        long before = messagesToRemovedAddresses(half);
         if (start != Start.DISCOVERY) {
             discovery.list(list(removed));
             discovery.restart();
         }
-        // Each relay has been told once its watch waits for what comes after: the longest pause of its asking is five
-        // seconds.
+        // By then each relay has the list, since the longest pause between its requests is five seconds.
         Thread.sleep(7_000);
-        long told = toStrangers(relays);
+        long beforeUpdate = messagesToRemovedAddresses(relays);
         Thread.sleep(afterMillis);
         over = true;
         for (Thread client : clients) {
             client.join();
         }
-        // What was handed in last has its goal too.
-        Thread.sleep(TimeUnit.NANOSECONDS.toMillis(WANTED));
+        // The messages sent last have their latency objective too.
+        Thread.sleep(TimeUnit.NANOSECONDS.toMillis(LATENCY_OBJECTIVE_NANOS));
         return new Measured(
                 ready,
-                inTime(began, returned, half, true),
-                inTime(began, returned, half, false),
+                shareDeliveredInTime(began, returned, half, true),
+                shareDeliveredInTime(began, returned, half, false),
                 before,
-                toStrangers(relays) - told,
-                highest());
+                messagesToRemovedAddresses(relays) - beforeUpdate,
+                highestLoad());
     }
 
-    /** Messages from the first so many relays, since they last started, that reached what is at removed addresses. */
-    private long toStrangers(int from) {
-        return strangers.stream()
+    /** Messages of the first so many relays, since the kill, that reached the addresses of removed endpoints. */
+    private long messagesToRemovedAddresses(int from) {
+        return reuseRemovedAddresses.stream()
                 .flatMap(s -> s.requests.stream())
                 .filter(r -> r.id() != null
                         && r.at() >= killedAt
@@ -246,21 +243,21 @@
                 .count();
     }
 
-    /** Others take the addresses of what was removed: another service, one that hangs; the rest refuses. */
-    private void strangers() throws IOException {
+    /** Reuses the addresses of removed endpoints for another service and for one that hangs; the rest refuse. */
+    private void reuseRemovedAddresses() throws IOException {
         for (int i = 0; i < removed; i++) {
             int port = Integer.parseInt(partners.get(i).address().split(":")[1]);
             partners.get(i).close();
             if (i % 3 == 0) {
-                strangers.add(
+                reuseRemovedAddresses.add(
                         new ScriptedPeer(port, r -> ScriptedPeer.status(r.line().startsWith("POST ") ? 200 : 404)));
             } else if (i % 3 == 1) {
-                strangers.add(new ScriptedPeer(port, r -> ScriptedPeer.SILENCE));
+                reuseRemovedAddresses.add(new ScriptedPeer(port, r -> ScriptedPeer.SILENCE));
             }
         }
     }
 
-    /** Makes what a stopped relay remembers older, by every clock alike. */
+    /** Makes a stopped relay's snapshot older, by every clock alike. */
     private static void age(Path state, int relay, long by) throws IOException {
         SnapshotSamples.change(
                 state,
@@ -274,7 +271,7 @@
                         p.endpoints()));
     }
 
-    private List<Long> startAgain(int half, Start start) throws Exception {
+    private List<Long> restart(int half, Start start) throws Exception {
         long began = System.nanoTime();
         Map<Integer, Long> ready = new HashMap<>();
         for (int relay = 0; relay < half; relay++) {
@@ -305,7 +302,7 @@
         return all;
     }
 
-    /** Hands messages in to one relay at its rate, whatever becomes of them. */
+    /** Sends messages to one relay at a fixed rate, whatever becomes of them. */
     private void client(int relay) {
         ServedRelay to = served.get(relay);
         Thread thread = new Thread(() -> {
@@ -316,7 +313,7 @@
                     long due = start + i * pause;
                     TimeUnit.NANOSECONDS.sleep(due - System.nanoTime());
                     String id = relay + "-" + start + "-" + i;
-                    handed.put(id, new Handed(relay, due));
+                    sentMessages.put(id, new SentMessage(relay, due));
                     try {
                         client.handIn(
                                 id,
@@ -327,11 +324,11 @@
                                 8_000,
                                 "a");
                     } catch (IOException e) {
-                        // It is handed in, as far as this client knows; its relay may be gone.
+                        // The relay may have ended; the message counts as sent.
                     }
                 }
             } catch (IOException | InterruptedException e) {
-                // Its relay is gone, or the fleet is.
+                // The relay or the fleet has ended.
             }
         });
         thread.setDaemon(true);
@@ -339,27 +336,27 @@
         clients.add(thread);
     }
 
-    private double inTime(long from, long until, int half, boolean restarted) {
+    private double shareDeliveredInTime(long from, long until, int half, boolean restarted) {
         Map<String, Long> ran = new HashMap<>();
         for (FakePartner partner : partners) {
             partner.postings().stream()
                     .filter(FakePartner.Posting::ran)
                     .forEach(p -> ran.merge(p.id(), p.atNanos(), Math::min));
         }
-        List<Map.Entry<String, Handed>> all = handed.entrySet().stream()
-                .filter(h -> h.getValue().at() >= from
-                        && h.getValue().at() < until
+        List<Map.Entry<String, SentMessage>> all = sentMessages.entrySet().stream()
+                .filter(h -> h.getValue().sentAtNanos() >= from
+                        && h.getValue().sentAtNanos() < until
                         && h.getValue().relay() < half == restarted)
                 .toList();
         long good = all.stream()
                 .filter(h -> ran.containsKey(h.getKey())
-                        && ran.get(h.getKey()) - h.getValue().at() <= WANTED)
+                        && ran.get(h.getKey()) - h.getValue().sentAtNanos() <= LATENCY_OBJECTIVE_NANOS)
                 .count();
         return (double) good / Math.max(1, all.size());
     }
 
-    /** The highest load on a partner that returned cold, in any two seconds since, beside what it could take then. */
-    private double highest() {
+    /** The highest load on an upstream that returned cold, in any two seconds, as a multiple of its capacity then. */
+    private double highestLoad() {
         double highest = 0;
         for (FakePartner partner : partners.subList(endpoints - cold, endpoints)) {
             long[] calls = LongStream.concat(
@@ -370,11 +367,13 @@
                     .toArray();
             for (int first = 0; first < calls.length; first++) {
                 int count = 0;
-                while (first + count < calls.length && calls[first + count] < calls[first] + FALL_SPAN) {
+                while (first + count < calls.length && calls[first + count] < calls[first] + LOAD_WINDOW_NANOS) {
                     count++;
                 }
-                double able =
-                        (partner.able(calls[first]) + partner.able(calls[first] + FALL_SPAN)) / 2 * FALL_SPAN / 1e9;
+                double able = (partner.able(calls[first]) + partner.able(calls[first] + LOAD_WINDOW_NANOS))
+                        / 2
+                        * LOAD_WINDOW_NANOS
+                        / 1e9;
                 highest = Math.max(highest, count / able);
             }
         }
@@ -388,18 +387,18 @@
         for (FakePartner partner : partners) {
             partner.close();
         }
-        for (ScriptedPeer stranger : strangers) {
+        for (ScriptedPeer stranger : reuseRemovedAddresses) {
             stranger.close();
         }
         discovery.close();
     }
 
-    /** The fleet of the measurement: twelve relays, thirty endpoints, four removed and six cold; each start in turn. */
+    /** Measures twelve relays with thirty endpoints, four removed and six cold, for each kind of start. */
     public static void main(String[] args) throws Exception {
         for (Start start : args.length == 0 ? Start.values() : new Start[] {Start.valueOf(args[0])}) {
             try (TemporaryFolder scratch = TemporaryFolder.named("fleet");
                     FleetHarness rig = new FleetHarness(scratch.folder(), 12, 30, 4, 6, 20, 15)) {
-                System.out.println(start + " " + rig.play(start, 20_000, 25_000, 10_000));
+                System.out.println(start + " " + rig.run(start, 20_000, 25_000, 10_000));
             }
         }
     }
--- a/src/test/java/loftflow/server/KernelSocketState.java
+++ b/src/test/java/loftflow/server/KernelSocketState.java
@@ -12,9 +12,8 @@
 import java.util.stream.Stream;
 
 /**
- * What the system holds of the far side of a loopback connection: for tests that need to know that something has come
- * there and
- * is not read, where a span to wait for would only hope that it has.
+ * The kernel's state of the far side of a loopback connection, by which a test waits until something has arrived there
+ * and is unread, instead of sleeping for a time that may be too short.
  */
 public final class KernelSocketState {
     private static final String CLOSE_WAIT = "08";
@@ -32,17 +31,17 @@
         return new KernelSocketState(socket.getPort(), socket.getLocalPort());
     }
 
-    /** Waits until bytes lie unread. */
+    /** Waits until at least one byte has arrived and is unread. */
     public void awaitUnread() {
         awaitUnread(1);
     }
 
-    /** Waits until so many bytes lie unread. */
+    /** Waits until so many bytes have arrived and are unread. */
     public void awaitUnread(int bytes) {
         await(() -> unread() >= bytes);
     }
 
-    /** True where bytes lie unread. */
+    /** True where a byte has arrived and is unread. */
     public boolean holdsUnread() {
         return unread() > 0;
     }
@@ -51,17 +50,17 @@
         return row().map(row -> Long.parseLong(row[4].split(":")[1], 16)).orElse(0L);
     }
 
-    /** Waits until the end of what the near side sends has come. */
+    /** Waits until the near side's end of stream has arrived. */
     public void awaitEnd() {
         await(() -> row().filter(row -> row[3].equals(CLOSE_WAIT)).isPresent());
     }
 
-    /** Waits until a reset has come. */
+    /** Waits until a reset has arrived. */
     public void awaitReset() {
         await(() -> row().isEmpty());
     }
 
-    /** Number, local address, remote address, state, what is queued to send and to read, and more. */
+    /** The row of /proc/net/tcp: number, local address, remote address, state, queued bytes to send and to read, more. */
     private Optional<String[]> row() {
         return Stream.of("tcp", "tcp6")
                 .flatMap(name -> lines(Path.of("/proc/net", name)).stream())
--- a/src/test/java/loftflow/server/LateReadTest.java
+++ b/src/test/java/loftflow/server/LateReadTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait unread while the relay has no CPU: their time runs all the same. */
+/** Requests that wait unread while the relay has no CPU: the wait counts towards their time budget. */
 class LateReadTest extends RelayTestBase {
     private static final int BUDGET = 20_000;
 
@@ -27,8 +27,8 @@
         relay.start();
     }
 
-    /** Hands a message in that lies unread for a while, on a connection from before or from meanwhile. */
-    private RelayProcess.Answer handInUnread(boolean known, long leastMs) throws IOException, InterruptedException {
+    /** Sends a message that waits unread, on a connection that was opened before the relay was stopped or after. */
+    private RelayProcess.Answer submitUnread(boolean known, long leastMs) throws IOException, InterruptedException {
         String message = RelayProcess.message("id" + tries++, "unsafe", 7, BUDGET, "hello");
         Socket first = known ? relay.connect() : null;
         if (known) {
@@ -40,15 +40,15 @@
             long written = System.nanoTime();
             Thread.sleep(leastMs);
             waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - written);
-            relay.goOn();
+            relay.resume();
             return RelayProcess.exchange(socket, "");
         }
     }
 
     private void timeRunsUnread(boolean known) throws IOException, InterruptedException {
-        // On a busy machine a request may wait until it is too old; then the next one is looked at.
-        while (handInUnread(known, 150).status() != 202) {
-            assertTrue(tries < 20, "every request was refused");
+        // On a busy machine a request may wait until it is too old and is rejected; then the next one is tried.
+        while (submitUnread(known, 150).status() != 202) {
+            assertTrue(tries < 20, "every request was rejected");
         }
         await(() -> host.requests.size() == 1);
         int budget = Integer.parseInt(host.requests.get(0).headers().get("x-budget-ms"));
@@ -66,11 +66,11 @@
     }
 
     @Test
-    void requestThatIsOlderThanItsClientWaitsIsRefused() throws IOException, InterruptedException {
-        RelayProcess.Answer answer = handInUnread(true, 500);
+    void requestThatIsOlderThanItsClientWaitsIsRejected() throws IOException, InterruptedException {
+        RelayProcess.Answer answer = submitUnread(true, 500);
         assertEquals(503, answer.status());
         assertTrue(answer.head().toLowerCase(Locale.ROOT).contains("retry-after"), answer.head());
-        assertEquals(503, handInUnread(false, 500).status());
+        assertEquals(503, submitUnread(false, 500).status());
         assertEquals(0, host.requests.size());
     }
 }
--- a/src/test/java/loftflow/server/MalformedResponseTest.java
+++ b/src/test/java/loftflow/server/MalformedResponseTest.java
@@ -13,18 +13,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Answers of hosts that can't be read, don't end, or bring more than belongs to them. */
+/** Responses of upstreams that are malformed, do not end, or are followed by bytes that do not belong to them. */
 class MalformedResponseTest extends RelayTestBase {
     private static final String HUGE = "Content-Length: 3000000000\r\n\r\n" + "x".repeat(100_000);
 
     @BeforeEach
     void prepare() throws IOException {
         prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
-        relay.knows("m1", 8, "many", host);
+        relay.withKnownEndpoint("m1", 8, "many", host);
     }
 
     @Test
-    void spoiltAnswerProvesNothing() throws IOException {
+    void malformedResponseProvesNothing() throws IOException {
         List<String> spoilt = List.of(
                 "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n",
                 "HTTP/1.1 410 X\r\n" + HUGE,
@@ -39,12 +39,13 @@
             String id = "u" + i;
             String text = spoilt.get(i);
             host.answer(request -> text);
-            relay.handIn(id, "unsafe", 7);
-            await(() -> relay.noticed(id, "dead"));
+            relay.submit(id, "unsafe", 7);
+            await(() -> relay.hasNotified(id, "dead"));
             host.answer(request -> status(200));
             int sent = host.requests.size();
-            relay.handIn("s" + i, "safe", 7);
-            await(() -> host.requests.size() > sent && relay.journaled().isEmpty());
+            relay.submit("s" + i, "safe", 7);
+            await(() ->
+                    host.requests.size() > sent && relay.openJournalMessages().isEmpty());
         }
         assertEquals(2 * spoilt.size(), host.requests.size());
     }
@@ -63,45 +64,46 @@
             int sent = i + 1;
             String text = spoilt.get(i);
             host.answer(request -> text);
-            relay.handIn("u" + i, "unsafe", 7);
-            await(() -> host.requests.size() == sent && relay.journaled().isEmpty());
+            relay.submit("u" + i, "unsafe", 7);
+            await(() ->
+                    host.requests.size() == sent && relay.openJournalMessages().isEmpty());
         }
         assertEquals(0, discovery.count("POST"), "all were delivered");
     }
 
     @Test
-    void answerOfManyThatCannotBeReadToItsEndCountsForNone() throws IOException {
+    void batchResponseThatCannotBeReadToItsEndCountsForNone() throws IOException {
         host.answer(request -> request.line().contains("many")
                 ? answer(200, "[{\"id\":\"b1\",\"state\":\"busy\"},{\"id\":\"b2\",\"state\":\"busy\"},7]")
                 : host.requests.size() == 1 ? status(503, "X-Come-Back-Ms: 500") : ScriptedPeer.SILENCE);
-        relay.start().handIn("b1", "unsafe", 8);
+        relay.start().submit("b1", "unsafe", 8);
         await(() -> host.requests.size() == 1);
-        relay.handIn("b2", "unsafe", 8);
-        await(() -> relay.noticed("b1", "dead") && relay.noticed("b2", "dead"));
+        relay.submit("b2", "unsafe", 8);
+        await(() -> relay.hasNotified("b1", "dead") && relay.hasNotified("b2", "dead"));
         assertEquals(2, host.requests.size());
     }
 
     @Test
-    void answersAheadOfTheAnswerAreSkipped() throws IOException {
+    void informationalResponsesBeforeTheFinalOneAreSkipped() throws IOException {
         host.answer(request -> "HTTP/1.1 102 X\r\n\r\nHTTP/1.1 103 X\r\nLink: a\r\n\r\n"
                 + status(host.requests.size() == 1 ? 503 : 200));
-        relay.start().handIn("u1", "unsafe", 7);
-        await(() -> host.requests.size() == 2 && relay.journaled().isEmpty());
+        relay.start().submit("u1", "unsafe", 7);
+        await(() -> host.requests.size() == 2 && relay.openJournalMessages().isEmpty());
         assertEquals(1, host.connections.size());
-        assertFalse(relay.noticed("u1", "dead"));
+        assertFalse(relay.hasNotified("u1", "dead"));
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNotTakenForTheNextOne() throws IOException {
+    void bytesAfterAResponseAreNotTakenForTheNextOne() throws IOException {
         relay.start();
         for (String behind : List.of(status(200), "\u0001\u0002" + status(200), "noise\r\n\r\n" + status(200))) {
             host.answer(request -> status(200) + behind);
             long sent = host.count("POST");
-            relay.handIn("first" + sent, "unsafe", 7);
-            await(() -> host.count("POST") > sent && relay.journaled().isEmpty());
+            relay.submit("first" + sent, "unsafe", 7);
+            await(() -> host.count("POST") > sent && relay.openJournalMessages().isEmpty());
             host.answer(request -> request.line().startsWith("POST") ? ScriptedPeer.CLOSE : status(200));
-            relay.handIn("next" + sent, "unsafe", 7);
-            await(() -> relay.noticed("next" + sent, "dead"));
+            relay.submit("next" + sent, "unsafe", 7);
+            await(() -> relay.hasNotified("next" + sent, "dead"));
         }
         assertTrue(relay.isAlive());
     }
--- a/src/test/java/loftflow/server/MillisecondIoHandlerTest.java
+++ b/src/test/java/loftflow/server/MillisecondIoHandlerTest.java
@@ -24,11 +24,11 @@
         "1000001, 2000000",
         "9223372036854775807, 9223372036854775807"
     })
-    void spansAreRoundedUpToWholeMilliseconds(long nanos, long waited) {
+    void delaysAreRoundedUpToWholeMilliseconds(long nanos, long waited) {
         assertEquals(waited, MillisecondIoHandler.wholeMillis(nanos));
     }
 
-    /** A loop with a timer every 400 microseconds sleeps between them: Netty's own looks for the next all the time. */
+    /** A loop with a timer every 400 microseconds sleeps between them; with Netty's own handler it would be busy. */
     @Test
     void timersCloseToEachOtherDoNotKeepTheLoopBusy() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.newFactory());
--- a/src/test/java/loftflow/server/RelayFileTest.java
+++ b/src/test/java/loftflow/server/RelayFileTest.java
@@ -18,7 +18,7 @@
 import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.Test;
 
-/** A relay that runs by a relay file alone, and what it loads. */
+/** A relay that is configured by a relay file alone, and the classes that it loads. */
 class RelayFileTest extends RelayFileTestBase {
     private String log() throws IOException {
         return relays.get(relays.size() - 1).log();
@@ -29,7 +29,7 @@
     }
 
     private static int handIn(FakeClient client, String id, int destination) {
-        return handIn(client, id, destination, 6_000);
+        return submit(client, id, destination, 6_000);
     }
 
     private Path written(String discovery, String endpoint) throws Exception {
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void listInTheFileIsAllThereIsAndEndsGoToAFile() throws Exception {
+    void listInTheFileIsTheFullListAndCompletionsAreWrittenToAFile() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0)) {
             launch(written("", endpoint(partner)));
             try (FakeClient client = client()) {
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void takenMessageIsDeliveredAfterAKill() throws Exception {
+    void acceptedMessageIsDeliveredAfterAKill() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0)) {
             Path file = written("", endpoint(partner));
             partner.be(FakePartner.Mood.SHUT);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void discoveryTellsTheEndpointsThatTheFileLacks() throws Exception {
+    void discoveryAddsTheEndpointsThatTheFileLacks() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0);
                 FakeDiscoveryAgent discovery = new FakeDiscoveryAgent()) {
             discovery.list(List.of(
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void serveRefusesInTheWordsOfTheTool() throws Exception {
+    void serveReportsTheSameErrorsAsTheConfigTool() throws Exception {
         try (var files = Files.list(Path.of("src/test/resources/config/broken"))) {
             for (Path file : files.filter(f -> f.toString().matches(".*(idle-beyond|slots-below|span-huge).*toml"))
                     .toList()) {
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void servingLoadsNothingOfTheCommandLineNorServingThePlatformsWayTheParser() throws Exception {
+    void servingLoadsNoCommandLineAndNoTomlParserForThePlatform() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0)) {
             launch(written("", endpoint(partner)), "-Xlog:class+load");
             client().close();
--- a/src/test/java/loftflow/server/RelayFileTestBase.java
+++ b/src/test/java/loftflow/server/RelayFileTestBase.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts relays by relay files, and ends them with the test. */
+/** Starts relays from relay files, and ends them after each test. */
 abstract class RelayFileTestBase {
     @TempDir
     Path folder;
@@ -23,18 +23,15 @@
         relays.forEach(ServedRelay::close);
     }
 
-    /** Starts one; it may not serve yet. */
+    /** Starts a relay; it may not serve yet. */
     final ServedRelay launch(Path file, String... options) throws IOException {
         ServedRelay relay = ServedRelay.start(file, folder.resolve("log" + relays.size()), options);
         relays.add(relay);
         return relay;
     }
 
-    /**
-     * Hands a settlement in as a client does, again while the relay refuses: one that is short of CPU at its start
-     * does.
-     */
-    static int handIn(FakeClient client, String id, int destination, long budgetMillis) {
+    /** Sends a settlement; repeats it while the relay rejects it, as a relay does that is short of CPU at its start. */
+    static int submit(FakeClient client, String id, int destination, long budgetMillis) {
         int[] status = new int[1];
         await(() -> {
             try {
--- a/src/test/java/loftflow/server/RelayProcess.java
+++ b/src/test/java/loftflow/server/RelayProcess.java
@@ -18,31 +18,31 @@
 import loftflow.fake.ScriptedPeer;
 import loftflow.journal.Journal;
 
-/** The real program, started as a process of its own with stub peers round it. */
+/** The real program in a process of its own, with scripted peers as its upstreams and discovery. */
 public final class RelayProcess implements AutoCloseable {
     private static final Pattern SERVING = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
-    private static final int PATIENCE_S = 30;
+    private static final int TIMEOUT_SECONDS = 30;
 
     /** An answer of the relay: its status, or 0 where the connection ended without one. */
     record Answer(int status, String head) {}
 
     private final Path folder;
     private ScriptedPeer discovery;
-    private final List<String> targets = new ArrayList<>();
-    private double diskMb = 3;
-    private String period = "0.005";
-    private int descriptors = 1024;
-    private Path memory;
+    private final List<String> knownEndpoints = new ArrayList<>();
+    private double diskMib = 3;
+    private String roundPeriodSeconds = "0.005";
+    private int maxDescriptors = 1024;
+    private Path warmStartFile;
     private Process process;
     private Path log;
-    private int starts;
+    private int startCount;
 
     RelayProcess(Path folder, ScriptedPeer discovery) {
         this.folder = folder;
         this.discovery = discovery;
     }
 
-    /** An entry of discovery's list. Kind {@code one} takes one message a call, {@code many} takes four. */
+    /** An entry of discovery's list. Kind {@code one} accepts one message a call, {@code many} accepts four. */
     static String target(String uid, int destination, String kind, String state, String address) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address + "\",\"az\":\"a\",\"model\":\"" + kind
                 + "\",\"pod_group\":" + destination + ",\"state\":\"" + state
@@ -53,41 +53,41 @@
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
-    /** Discovery that tells no news and takes every notice. */
+    /** Discovery that never answers a request for its list and acknowledges every completion. */
     static ScriptedPeer quietDiscovery() throws IOException {
         return new ScriptedPeer(
                 request -> request.line().startsWith("POST /status") ? ScriptedPeer.status(204) : ScriptedPeer.SILENCE);
     }
 
-    RelayProcess knows(String uid, int destination, String kind, ScriptedPeer host) {
-        return knows(uid, destination, kind, host.address());
+    RelayProcess withKnownEndpoint(String uid, int destination, String kind, ScriptedPeer host) {
+        return withKnownEndpoint(uid, destination, kind, host.address());
     }
 
-    RelayProcess knows(String uid, int destination, String kind, String address) {
-        targets.add(target(uid, destination, kind, "in_service", address));
+    RelayProcess withKnownEndpoint(String uid, int destination, String kind, String address) {
+        knownEndpoints.add(target(uid, destination, kind, "in_service", address));
         return this;
     }
 
-    RelayProcess disk(double mb) {
-        diskMb = mb;
+    RelayProcess withDiskMib(double mib) {
+        diskMib = mib;
         return this;
     }
 
-    /** How long the relay gathers what comes in before it acts. */
-    RelayProcess period(String seconds) {
-        period = seconds;
+    /** Sets how long the relay collects events before a round. */
+    RelayProcess withRoundPeriod(String seconds) {
+        roundPeriodSeconds = seconds;
         return this;
     }
 
-    /** How many descriptors the system lets the relay have, whatever its configuration says. */
-    RelayProcess descriptors(int most) {
-        descriptors = most;
+    /** Sets the system's limit on the relay's file descriptors, whatever its configuration says. */
+    RelayProcess withDescriptorLimit(int max) {
+        maxDescriptors = max;
         return this;
     }
 
-    /** It remembers endpoints over a restart, as a file says. */
-    RelayProcess memory(Path file) {
-        memory = file;
+    /** Sets the file that configures a warm start. */
+    RelayProcess withWarmStartFile(Path file) {
+        warmStartFile = file;
         return this;
     }
 
@@ -96,54 +96,54 @@
         return Path.of("/proc/" + process.pid() + "/fd").toFile().list().length;
     }
 
-    Path state() {
+    Path stateDirectory() {
         return folder.resolve("state");
     }
 
-    private Path config() {
+    private Path configurationFile() {
         return folder.resolve("config.json");
     }
 
-    private void configure() throws IOException {
+    private void writeConfiguration() throws IOException {
         Files.writeString(
-                config(),
+                configurationFile(),
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
                         + discovery.address() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,"
-                        + "\"memory_mb\":192,\"sockets\":256,\"disk_mb\":" + diskMb + "},\"known\":"
-                        + list(1, true, targets.toArray(String[]::new)) + ",\"settings\":"
-                        + SETTINGS.replace("PERIOD", period) + "}");
+                        + "\"memory_mb\":192,\"sockets\":256,\"disk_mb\":" + diskMib + "},\"known\":"
+                        + list(1, true, knownEndpoints.toArray(String[]::new)) + ",\"settings\":"
+                        + SETTINGS.replace("PERIOD", roundPeriodSeconds) + "}");
     }
 
-    /** Discovery is at another place from now on; the relay hears of it by SIGHUP. */
+    /** Configures another address of discovery and sends SIGHUP. */
     void moveDiscovery(ScriptedPeer next) throws IOException {
         replaceConfiguration(next);
-        hangUp();
+        sendHangUp();
     }
 
-    /** The file says that discovery is at another place; the relay is not told. */
+    /** Configures another address of discovery and sends no signal. */
     void replaceConfiguration(ScriptedPeer next) throws IOException {
         discovery = next;
-        configure();
+        writeConfiguration();
     }
 
-    /** The configuration holds something else from now on; the relay hears of it by SIGHUP. */
-    void spoilConfiguration(String text) throws IOException {
-        Files.writeString(config(), text);
-        hangUp();
+    /** Replaces the content of the configuration and sends SIGHUP. */
+    void corruptConfiguration(String text) throws IOException {
+        Files.writeString(configurationFile(), text);
+        sendHangUp();
     }
 
-    void hangUp() throws IOException {
+    void sendHangUp() throws IOException {
         signal("HUP");
     }
 
-    /** Takes the CPU from the relay, as a host with too little of it does. */
+    /** Stops the process by SIGSTOP, as a host that is short of CPU does; returns once it is stopped. */
     void pause() throws IOException {
         signal("STOP");
         Path state = Path.of("/proc/" + process.pid() + "/stat");
         await(() -> read(state).contains(") T "));
     }
 
-    void goOn() throws IOException {
+    void resume() throws IOException {
         signal("CONT");
     }
 
@@ -152,12 +152,12 @@
     }
 
     RelayProcess start() throws IOException {
-        configure();
-        log = folder.resolve("log" + starts++);
+        writeConfiguration();
+        log = folder.resolve("log" + startCount++);
         ProcessBuilder builder = new ProcessBuilder(
                         "sh",
                         "-c",
-                        "ulimit -n " + descriptors + " && exec \"$0\" \"$@\"",
+                        "ulimit -n " + maxDescriptors + " && exec \"$0\" \"$@\"",
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-XX:TieredStopAtLevel=1",
                         "-Xmx24m",
@@ -168,11 +168,11 @@
                         "serve")
                 .redirectErrorStream(true)
                 .redirectOutput(log.toFile());
-        if (memory != null) {
-            builder.command().addAll(List.of("--memory", memory.toString()));
+        if (warmStartFile != null) {
+            builder.command().addAll(List.of("--memory", warmStartFile.toString()));
         }
-        builder.environment().put("EDGE_CONFIG", config().toString());
-        builder.environment().put("EDGE_STATE", state().toString());
+        builder.environment().put("EDGE_CONFIG", configurationFile().toString());
+        builder.environment().put("EDGE_STATE", stateDirectory().toString());
         process = builder.start();
         await(() -> SERVING.matcher(log()).find());
         return this;
@@ -222,7 +222,7 @@
     }
 
     boolean hasEnded() throws InterruptedException {
-        return process.waitFor(PATIENCE_S, TimeUnit.SECONDS);
+        return process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     Socket connect() throws IOException {
@@ -231,16 +231,16 @@
             throw new IOException("the relay does not serve: " + log());
         }
         Socket socket = new Socket(at.group(1), Integer.parseInt(at.group(2)));
-        socket.setSoTimeout(PATIENCE_S * 1000);
+        socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
         return socket;
     }
 
-    /** Hands a message in and returns the status of the answer. */
-    int handIn(String id, String type, int destination) throws IOException {
-        return handIn(id, type, destination, 20_000, "hello");
+    /** Sends a message and returns the status of the answer. */
+    int submit(String id, String type, int destination) throws IOException {
+        return submit(id, type, destination, 20_000, "hello");
     }
 
-    int handIn(String id, String type, int destination, int budgetMs, String body) throws IOException {
+    int submit(String id, String type, int destination, int budgetMs, String body) throws IOException {
         return exchange(message(id, type, destination, budgetMs, body)).status();
     }
 
@@ -271,9 +271,9 @@
         return new Answer(0, head.toString());
     }
 
-    /** What the running relay's journal holds open, read from a copy. */
-    List<Message> journaled() {
-        try (var files = Files.list(state())) {
+    /** The messages that are open in the running relay's journal, read from a copy. */
+    List<Message> openJournalMessages() {
+        try (var files = Files.list(stateDirectory())) {
             Path copy = Files.createDirectories(folder.resolve("copy"));
             for (Path file : files.toList()) {
                 Files.copy(file, copy.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
@@ -286,13 +286,13 @@
         }
     }
 
-    boolean noticed(String id, String result) {
+    boolean hasNotified(String id, String result) {
         return discovery.requests.stream()
                 .anyMatch(r -> r.line().startsWith("POST /status")
                         && r.body().contains("{\"ref\":\"" + id + "\",\"result\":\"" + result + "\""));
     }
 
-    /** Holds the thread that calls, most often a loop, for so many milliseconds, as for want of CPU. */
+    /** Blocks the calling thread, usually an event loop, for so many milliseconds, as a lack of CPU does. */
     public static void hold(long ms) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
         while (System.nanoTime() - end < 0) {
@@ -300,11 +300,12 @@
         }
     }
 
+    /** Waits until a condition holds; fails after {@value #TIMEOUT_SECONDS} s. */
     public static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("what was awaited did not come");
+                throw new AssertionError("the condition did not hold within " + TIMEOUT_SECONDS + " s");
             }
             try {
                 Thread.sleep(5);
--- a/src/test/java/loftflow/server/RelayTestBase.java
+++ b/src/test/java/loftflow/server/RelayTestBase.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A relay with one host and discovery round it, ended after each test. */
+/** A relay with one upstream and discovery, all of them closed after each test. */
 abstract class RelayTestBase {
     @TempDir
     Path folder;
@@ -15,11 +15,11 @@
     ScriptedPeer host;
     RelayProcess relay;
 
-    /** Prepares a relay, not started yet, that knows the host at destination 7. */
+    /** Creates a relay, not started yet, that knows the upstream as destination 7. */
     void prepare(ScriptedPeer discovery, ScriptedPeer host) {
         this.discovery = discovery;
         this.host = host;
-        relay = new RelayProcess(folder, discovery).knows("h1", 7, "one", host);
+        relay = new RelayProcess(folder, discovery).withKnownEndpoint("h1", 7, "one", host);
     }
 
     @AfterEach
--- a/src/test/java/loftflow/server/RestartTest.java
+++ b/src/test/java/loftflow/server/RestartTest.java
@@ -23,8 +23,8 @@
         prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(ScriptedPeer.SILENCE));
     }
 
-    private void killWith(String id, String type) throws IOException {
-        assertEquals(202, relay.start().handIn(id, type, 7));
+    private void killDuringAttempt(String id, String type) throws IOException {
+        assertEquals(202, relay.start().submit(id, type, 7));
         await(() -> host.requests.size() == 1);
         relay.kill();
         host.answer(request -> status(200));
@@ -32,20 +32,20 @@
     }
 
     @Test
-    void messageThatMayBeRepeatedIsResumed() throws IOException {
-        killWith("s1", "safe");
+    void idempotentMessageIsResumed() throws IOException {
+        killDuringAttempt("s1", "safe");
         await(() -> host.requests.size() == 2);
         assertEquals("s1", host.requests.get(1).id());
         assertEquals("hello", host.requests.get(1).body());
     }
 
     /**
-     * Its agent has been told meanwhile, which counts as told to the relay; the list that it starts with says
-     * otherwise.
+     * Discovery reported the drain while the relay was down, which counts as reported to the relay although the list
+     * that it starts with is older.
      */
     @Test
-    void hostThatWasDrainedWhileTheRelayWasDownGetsNothingMore() throws IOException {
-        assertEquals(202, relay.start().handIn("s1", "safe", 7));
+    void endpointDrainedWhileTheRelayWasDownIsSentNothing() throws IOException {
+        assertEquals(202, relay.start().submit("s1", "safe", 7));
         await(() -> host.requests.size() == 1);
         relay.kill();
         try (ScriptedPeer other = ScriptedPeer.always(status(200))) {
@@ -56,7 +56,7 @@
                 if (request.line().contains("after=")) {
                     return ScriptedPeer.SILENCE;
                 }
-                // A relay that goes by its list alone has sent long before this answer.
+                // A relay that used its old list would have sent long before this response.
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(100));
                 return ScriptedPeer.answer(
                         200,
@@ -75,22 +75,22 @@
 
     @Test
     void keyedMessageIsSentAgainWithinItsWindow() throws IOException {
-        killWith("k1", "keyed");
+        killDuringAttempt("k1", "keyed");
         await(() -> host.requests.size() == 2);
         assertEquals("key-k1", host.requests.get(1).headers().get("idempotency-key"));
     }
 
     /**
-     * A class in order: clients name the line in the path. One goes out at a time, also after a restart; other lines go
-     * on.
+     * An ordered class, whose clients name the ordering key in the path. One message of a key is sent at a time, also
+     * after a restart; other keys are not delayed.
      */
     @Test
-    void messagesOfOneLineKeepTheirOrderOverARestart() throws IOException {
+    void messagesOfOneKeyStayInOrderOverARestart() throws IOException {
         relay.start();
         for (String id : List.of("l1", "l2", "l3")) {
-            assertEquals(202, handInLine(id, "/api/line-a"));
+            assertEquals(202, submitOrdered(id, "/api/line-a"));
         }
-        assertEquals(202, handInLine("other", "/api/line-b"));
+        assertEquals(202, submitOrdered("other", "/api/line-b"));
         await(() -> host.requests.size() == 2);
         assertEquals(
                 List.of("l1", "other"),
@@ -100,34 +100,35 @@
                 request -> request.id().equals("l2") && host.count("POST") == 3 ? ScriptedPeer.SILENCE : status(200));
         relay.start();
         await(() -> host.count("POST") == 3);
-        assertEquals("l2", host.requests.get(2).id(), "the first of its line may have run, and is not sent again");
-        assertTrue(relay.noticed("l1", "dead") && relay.noticed("other", "dead"));
-        assertEquals(202, relay.handIn("s1", "safe", 7));
+        assertEquals(
+                "l2", host.requests.get(2).id(), "the first of its key may have been executed, and is not sent again");
+        assertTrue(relay.hasNotified("l1", "dead") && relay.hasNotified("other", "dead"));
+        assertEquals(202, relay.submit("s1", "safe", 7));
         await(() -> host.count("POST") == 4);
         assertEquals("s1", host.requests.get(3).id(), "the third waits for the second");
-        assertEquals(404, handInLine("x1", "/api/"));
-        assertEquals(400, handInLine("x2", "/api/" + "x".repeat(201)));
-        assertEquals(404, handInLine("x3", "/apis"));
+        assertEquals(404, submitOrdered("x1", "/api/"));
+        assertEquals(400, submitOrdered("x2", "/api/" + "x".repeat(201)));
+        assertEquals(404, submitOrdered("x3", "/apis"));
     }
 
-    /** The end of the first of a line is told, but not heard: the next one waits, also over a restart, until it is. */
+    /** While a completion is notified but not acknowledged, the next message of its key waits, also over a restart. */
     @Test
-    void nextOfALineWaitsUntilTheEndOfTheFirstIsHeard() throws IOException {
+    void nextMessageOfAKeyWaitsUntilTheCompletionOfTheFirstIsAcknowledged() throws IOException {
         discovery.answer(request -> ScriptedPeer.SILENCE);
         relay.start();
-        assertEquals(202, handInLine("l1", "/api/line-a"));
+        assertEquals(202, submitOrdered("l1", "/api/line-a"));
         await(() -> host.requests.size() == 1);
         host.answer(request -> status(200));
-        assertEquals(202, handInLine("l2", "/api/line-a"));
+        assertEquals(202, submitOrdered("l2", "/api/line-a"));
         host.connections.get(0).close();
-        await(() -> relay.noticed("l1", "dead"));
-        assertEquals(202, relay.handIn("s1", "safe", 7));
-        await(() -> host.count("POST") == 2 && relay.journaled().size() == 2);
+        await(() -> relay.hasNotified("l1", "dead"));
+        assertEquals(202, relay.submit("s1", "safe", 7));
+        await(() -> host.count("POST") == 2 && relay.openJournalMessages().size() == 2);
         relay.kill();
         discovery.requests.clear();
         relay.start();
-        await(() -> relay.noticed("l1", "dead"));
-        assertEquals(202, relay.handIn("s2", "safe", 7));
+        await(() -> relay.hasNotified("l1", "dead"));
+        assertEquals(202, relay.submit("s2", "safe", 7));
         await(() -> host.count("POST") == 3);
         assertEquals(
                 List.of("l1", "s1", "s2"),
@@ -137,7 +138,7 @@
         assertEquals("l2", host.requests.get(3).id());
     }
 
-    private int handInLine(String id, String path) throws IOException {
+    private int submitOrdered(String id, String path) throws IOException {
         return relay.exchange(RelayProcess.message(id, "ordered", 7, 20_000, "hello")
                         .replace("POST /api ", "POST " + path + " ")
                         .replace("Idempotency-Key: key-" + id + "\r\n", ""))
@@ -145,18 +146,18 @@
     }
 
     @Test
-    void unsafeMessageWhoseAttemptIsUnknownIsNeitherSentNorRefused() throws IOException {
-        killWith("u1", "unsafe");
-        await(() -> relay.noticed("u1", "dead"));
+    void nonIdempotentMessageWithUnknownOutcomeIsNeitherSentNorRejected() throws IOException {
+        killDuringAttempt("u1", "unsafe");
+        await(() -> relay.hasNotified("u1", "dead"));
         assertEquals(1, host.count("POST /receive"));
-        assertFalse(relay.noticed("u1", "bounced"));
+        assertFalse(relay.hasNotified("u1", "bounced"));
     }
 
     @Test
-    void unsafeMessageThatNeverRanIsResumed() throws IOException {
+    void nonIdempotentMessageThatWasNotExecutedIsResumed() throws IOException {
         host.answer(request -> status(503, "X-Come-Back-Ms: 60000"));
-        assertEquals(202, relay.start().handIn("u2", "unsafe", 7));
-        await(() -> relay.journaled().stream()
+        assertEquals(202, relay.start().submit("u2", "unsafe", 7));
+        await(() -> relay.openJournalMessages().stream()
                 .flatMap(m -> m.attempts().stream())
                 .anyMatch(a -> a.outcome() == AttemptOutcome.REJECTED));
         relay.kill();
@@ -167,61 +168,61 @@
     }
 
     @Test
-    void deliveredMessageIsOver() throws IOException {
+    void deliveredMessageIsNotResumed() throws IOException {
         host.answer(request -> status(200));
-        relay.start().handIn("d1", "unsafe", 7);
-        await(() -> host.requests.size() == 1 && relay.journaled().isEmpty());
+        relay.start().submit("d1", "unsafe", 7);
+        await(() -> host.requests.size() == 1 && relay.openJournalMessages().isEmpty());
         host.answer(request -> ScriptedPeer.SILENCE);
-        relay.handIn("d2", "safe", 7);
+        relay.submit("d2", "safe", 7);
         await(() -> host.requests.size() == 2);
         relay.kill();
         host.answer(request -> status(200));
         relay.start();
         await(() -> host.requests.size() == 3);
         assertEquals("d2", host.requests.get(2).id());
-        assertFalse(relay.noticed("d1", "dead"));
+        assertFalse(relay.hasNotified("d1", "dead"));
     }
 
-    private boolean isTaken(String id, int budgetMs) {
+    private boolean isAccepted(String id, int budgetMs) {
         try {
-            return relay.handIn(id, "safe", 7, budgetMs, "x") == 202;
+            return relay.submit(id, "safe", 7, budgetMs, "x") == 202;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
     @Test
-    void timeSpentDownCounts() throws IOException {
+    void downtimeCountsTowardsTheDeadline() throws IOException {
         relay.start();
-        // As a client does, again while the relay refuses: one that is short of CPU at its start does.
-        await(() -> isTaken("t1", 400));
+        // A relay that is short of CPU at its start rejects messages; they are repeated, as by a client.
+        await(() -> isAccepted("t1", 400));
         relay.kill();
         relay.start();
-        await(() -> relay.noticed("t1", "bounced") || relay.noticed("t1", "dead"));
+        await(() -> relay.hasNotified("t1", "bounced") || relay.hasNotified("t1", "dead"));
     }
 
     @Test
-    void destinationThatTheOldListLacksIsRefusedUntilDiscoveryHasToldItsList() throws IOException {
-        assertEquals(503, relay.start().handIn("x1", "safe", 99));
+    void destinationThatTheCachedListLacksIsRejectedUntilDiscoveryAnswers() throws IOException {
+        assertEquals(503, relay.start().submit("x1", "safe", 99));
         assertEquals(0, host.requests.size());
     }
 
     @Test
-    void noticeThatWasNotHeardIsSentAgain() throws IOException {
+    void unacknowledgedCompletionIsSentAgain() throws IOException {
         discovery.answer(request -> ScriptedPeer.SILENCE);
         host.answer(request -> ScriptedPeer.CLOSE);
-        relay.start().handIn("n1", "unsafe", 7);
-        await(() -> relay.noticed("n1", "dead"));
+        relay.start().submit("n1", "unsafe", 7);
+        await(() -> relay.hasNotified("n1", "dead"));
         relay.kill();
         discovery.requests.clear();
         discovery.answer(request -> request.line().startsWith("POST") ? status(204) : ScriptedPeer.SILENCE);
         relay.start();
-        await(() -> relay.noticed("n1", "dead"));
+        await(() -> relay.hasNotified("n1", "dead"));
         assertEquals(1, host.requests.size());
     }
 
     @Test
-    void plannedEndAnswersWhatComesAndLeavesTheRestToTheJournal() throws IOException, InterruptedException {
+    void gracefulShutdownAnswersRequestsAndLeavesTheRestInTheJournal() throws IOException, InterruptedException {
         relay.start();
         try (Socket idle = relay.connect();
                 Socket busy = relay.connect()) {
@@ -231,10 +232,10 @@
             busy.getOutputStream()
                     .write(message.substring(0, message.length() - 2).getBytes());
             relay.terminate();
-            // A second one, and a new configuration, change nothing of what was promised after the first.
+            // A second SIGTERM and a reload do not disturb the shutdown.
             relay.terminate();
-            relay.hangUp();
-            assertEquals(202, relay.handIn("p2", "safe", 7), "new connections are served");
+            relay.sendHangUp();
+            assertEquals(202, relay.submit("p2", "safe", 7), "new connections are served");
             assertEquals(-1, idle.getInputStream().read(), "the idle connection closes");
             RelayProcess.Answer answer = RelayProcess.exchange(busy, message.substring(message.length() - 2));
             assertEquals(202, answer.status(), "a request that was begun is answered");
