--- a/src/test/java/loftflow/server/ShutdownTest.java
+++ b/src/test/java/loftflow/server/ShutdownTest.java
@@ -49,8 +49,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A planned end, and the start after it, where they cross what clients send; the loop is held so that the bad order
- * comes every time.
+ * Race conditions between a graceful shutdown, or the start after it, and what clients send. The event loop is blocked
+ * where needed, so that the critical order of events occurs every time.
  */
 @Timeout(60)
 class ShutdownTest {
@@ -63,7 +63,7 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    /** It stands: a message that the loop's first pass is slow to read, as it loads classes, is not late. */
+    /** A fixed time: a message that the first pass reads late, because classes are loaded, does not count as late. */
     private final Clock clock = () -> 1_000_000 * SECOND;
 
     private final List<String> log = new CopyOnWriteArrayList<>();
@@ -77,14 +77,14 @@
     @BeforeEach
     void start() throws Exception {
         host = ScriptedPeer.always(ScriptedPeer.status(200));
-        boot();
+        assemble();
         loop.submit(this::resume).sync();
-        // The first round is over, as its timer is due earlier: what a test does falls into one of its own.
+        // The first round is over, as its timer is due earlier: what a test does falls into a round of its own.
         loop.schedule(() -> {}, 2 * PERIOD_MS, TimeUnit.MILLISECONDS).sync();
     }
 
-    /** Makes a relay's parts, as at the start of a process. */
-    private void boot() throws IOException, InterruptedException {
+    /** Assembles a relay, as at the start of a process. */
+    private void assemble() throws IOException, InterruptedException {
         EventLoopTimers timers = new EventLoopTimers(loop);
         journal = new Journal(folder, 3 << 20);
         PolicySettings settings = settings();
@@ -95,23 +95,23 @@
                 TimeUnit.MILLISECONDS.toMicros(PERIOD_MS),
                 journal,
                 DefaultDeliveryPolicy::new);
-        CompletionNotifier ends = message -> {
+        CompletionNotifier notifier = message -> {
             ended.add(message.content().messageId() + " " + message.completion().word());
             loop.execute(() -> engine.onCompletionAcknowledged(message));
         };
         engine.attach(
                 new HttpUpstreamClient(
                         loop, clock, settings, new HttpUpstreamClient.Options(false, 10 * SECOND, 8, 0), engine),
-                ends);
+                notifier);
         engine.setLogger(log::add);
-        EventLoopLag pulse = new EventLoopLag(timers, clock);
-        server = new HttpListener(engine, clock, pulse, CONNECTIONS);
+        EventLoopLag eventLoopLag = new EventLoopLag(timers, clock);
+        server = new HttpListener(engine, clock, eventLoopLag, CONNECTIONS);
         port = ((InetSocketAddress) server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                         .sync()
                         .channel()
                         .localAddress())
                 .getPort();
-        loop.submit(pulse::start).sync();
+        loop.submit(eventLoopLag::start).sync();
     }
 
     private void resume() {
@@ -150,14 +150,14 @@
         journal.close();
     }
 
-    /** The process ends; what it held is in its folder. */
-    private void die() throws Exception {
+    /** Ends the relay as by a kill; its files stay. */
+    private void kill() throws Exception {
         loop.submit(() -> server.stopListening()).sync();
         journal.close();
     }
 
-    /** Asked on the loop, whose the journal is. */
-    private boolean nothingIsOpen() {
+    /** Queries the journal on the event loop, to which it is confined. */
+    private boolean isJournalEmpty() {
         try {
             return loop.submit(() -> journal.openMessages().isEmpty()).get();
         } catch (InterruptedException | ExecutionException e) {
@@ -175,7 +175,7 @@
         }
     }
 
-    /** A connection that the loop has, and that stands idle from its first answer on. */
+    /** A connection that the relay has accepted and that is idle after its first answer. */
     private Socket connectAndUse() throws IOException {
         Socket socket = connect();
         assertEquals(
@@ -206,13 +206,12 @@
     }
 
     /**
-     * At the drain a request lies unread on a kept connection, on one that has said nothing yet, or on one that only
-     * the kernel has
-     * accepted: each gets its answer, and hears that its connection closes.
+     * At the drain a request is unread on a reused connection, on one without an earlier request, or on one that only
+     * the kernel has accepted: each is answered, and the answer says that its connection closes.
      */
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, false"})
-    void requestThatLiesUnreadAtTheDrainIsAnswered(boolean connected, boolean used) throws Exception {
+    void unreadRequestAtTheDrainIsAnswered(boolean connected, boolean used) throws Exception {
         Socket[] client = {connected ? connect() : null};
         if (used) {
             assertEquals(
@@ -221,7 +220,7 @@
                             .status());
         } else if (connected) {
             try (Socket other = connect()) {
-                // Accepted after it: the loop has the other one too.
+                // This connection is accepted after the first one, which the relay then has accepted too.
                 assertEquals(
                         200,
                         RelayProcess.exchange(other, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -242,13 +241,12 @@
     }
 
     /**
-     * A full house lets go of the connection that has stood longest, silent or kept, but for one whose request lies
-     * unread as the
-     * new one is accepted: the next in line goes.
+     * At the connection limit the relay closes the connection that has been idle longest, unless a request is unread on
+     * it when the new connection is accepted: then it closes the next one.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void requestThatLiesUnreadInAFullHouseIsAnswered(boolean used) throws Exception {
+    void unreadRequestAtTheConnectionLimitIsAnswered(boolean used) throws Exception {
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < CONNECTIONS; i++) {
             clients.add(used ? connectAndUse() : connect());
@@ -272,9 +270,9 @@
         clients.forEach(ShutdownTest::close);
     }
 
-    /** Clients that have their last answer and never close take no room from others. */
+    /** Connections of clients that have their last answer and do not close do not count towards the limit. */
     @Test
-    void connectionsThatHaveTheirLastAnswerMakeRoom() throws Exception {
+    void connectionsThatHaveTheirLastAnswerDoNotCountTowardsTheLimit() throws Exception {
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < CONNECTIONS; i++) {
             clients.add(connect());
@@ -285,9 +283,9 @@
         clients.forEach(ShutdownTest::close);
     }
 
-    /** Before the process ends, what has come in its last pass keeps it: it is not done. */
+    /** A request that arrives in the last pass before the end is read, and the relay is then not idle. */
     @Test
-    void requestThatLiesUnreadAtTheEndKeepsTheRelayFromEnding() throws Exception {
+    void unreadRequestAtTheEndDelaysTheEnd() throws Exception {
         loop.submit(server::drain).sync();
         Socket[] client = new Socket[1];
         boolean idle = loop.submit(() -> {
@@ -302,57 +300,56 @@
         client[0].close();
     }
 
-    /** On the loop: the message of a client is read and recorded, and its 202 is not written. */
-    private void takeOn(Socket client) {
+    /** Reads and records the message of a client, whose 202 is not written yet; on the event loop. */
+    private void readAndRecord(Socket client) {
         write(client, message("m1"));
         server.takeIn();
         assertEquals(1, journal.openMessages().size(), "recorded");
     }
 
     /**
-     * Between a message's record and its 202 its client leaves, and the round is due in the same pass: nothing goes
-     * out. Handed in
-     * once more under its id, it is taken on, and one call goes out.
+     * The client disconnects between its message's record and its 202, and the round is due in the same pass: nothing is
+     * sent. When the message is sent again with the same id, it is accepted, and one call is sent.
      */
     @Test
-    void messageWhoseClientLeavesBeforeItsAnswerIsNotSentAndMayComeAgain() throws Exception {
+    void messageWhoseClientDisconnectsBeforeItsAnswerIsNotSentAndMayBeRepeated() throws Exception {
         try (Socket first = connectAndUse();
                 Socket second = connectAndUse()) {
             loop.submit(() -> {
-                        takeOn(first);
+                        readAndRecord(first);
                         KernelSocketState relay = KernelSocketState.beyond(first);
                         close(first);
                         relay.awaitEnd();
                         RelayProcess.hold(20);
                     })
                     .sync();
-            await(() -> nothingIsOpen());
+            await(() -> isJournalEmpty());
             assertEquals(0, host.requests.size());
             assertEquals(
                     202,
                     RelayProcess.exchange(second, message("m1").replace("X-Caller", "X-Again: again\r\nX-Caller"))
                             .status());
-            await(() -> host.count("POST /receive") == 1 && nothingIsOpen());
+            await(() -> host.count("POST /receive") == 1 && isJournalEmpty());
         }
         assertEquals(List.of(), ended);
     }
 
     /**
-     * Its client resets the connection right before its 202 is written, when no pass reads any more: nothing goes out
-     * for it.
+     * The client resets the connection right before its 202 is written, when no pass reads any more: the message is not
+     * sent.
      */
     @Test
     void messageWhoseAnswerCannotBeWrittenIsNotSent() throws Exception {
         try (Socket first = connectAndUse();
                 Socket second = connectAndUse()) {
             loop.submit(() -> {
-                        takeOn(first);
-                        // Due before the round, and run with it, without a look at the sockets between them.
+                        readAndRecord(first);
+                        // Due before the round and run in the same pass, so that no socket is read between them.
                         loop.schedule(() -> reset(first), 0, TimeUnit.MILLISECONDS);
                         RelayProcess.hold(20);
                     })
                     .sync();
-            await(() -> nothingIsOpen());
+            await(() -> isJournalEmpty());
             assertEquals(202, RelayProcess.exchange(second, message("m2")).status());
             await(() -> host.requests.stream().anyMatch(r -> "m2".equals(r.id())));
         }
@@ -374,11 +371,10 @@
     }
 
     /**
-     * It comes again while the first is open, when it is delivered, and when it has failed: one call, and no word but
-     * the first one's.
+     * A message is repeated while the first one is open: one call is sent, and one completion is notified.
      */
     @Test
-    void messageThatComesAgainWhileTheFirstIsOpenIsTakenOnce() throws Exception {
+    void repeatedMessageIsAcceptedOnceWhileTheFirstIsOpen() throws Exception {
         host.answer(request -> ScriptedPeer.SILENCE);
         try (Socket client = connect()) {
             assertEquals(202, RelayProcess.exchange(client, message("m1")).status());
@@ -391,22 +387,22 @@
         assertEquals(1, host.count("POST /receive"));
     }
 
-    /** After the freeze nobody tries a message before the restart: its client goes elsewhere. */
+    /** A quiescing relay would not attempt a message before its restart, so it rejects it. */
     @Test
-    void messageAfterTheFreezeIsRefused() throws Exception {
+    void messageIsRejectedWhileQuiescing() throws Exception {
         loop.submit(engine::quiesce).sync();
         try (Socket client = connect()) {
             assertEquals(503, RelayProcess.exchange(client, message("m1")).status());
         }
-        assertTrue(nothingIsOpen());
+        assertTrue(isJournalEmpty());
     }
 
     /**
-     * Taken in before the freeze, in a round after it: it has its 202, waits in the journal and goes out after the
-     * restart, once.
+     * A message is read before the relay quiesces and its round runs after: it is accepted, waits in the journal and is
+     * sent once, after the restart.
      */
     @Test
-    void messageInTheRoundOfTheFreezeIsTriedAfterTheRestart() throws Exception {
+    void messageInTheRoundOfTheQuiesceIsSentAfterTheRestart() throws Exception {
         try (Socket client = connectAndUse()) {
             loop.submit(() -> {
                         write(client, message("m1"));
@@ -417,27 +413,27 @@
             assertEquals(202, RelayProcess.exchange(client, "").status());
         }
         assertEquals(0, host.requests.size());
-        die();
-        // Killed again before its first round, then started once more.
-        boot();
+        kill();
+        // The relay is killed again before its first round, then started once more.
+        assemble();
         loop.submit(() -> {
                     resume();
                     engine.quiesce();
                 })
                 .sync();
-        die();
-        boot();
+        kill();
+        assemble();
         loop.submit(this::resume).sync();
-        await(() -> nothingIsOpen());
+        await(() -> isJournalEmpty());
         assertEquals(1, host.count("POST /receive"));
         assertTrue(log.contains("engine: messages resumed count=1 untried=1"), log.toString());
         assertEquals(List.of(), ended);
     }
 
-    /** The settings have lost a class: its message ends with a word, and what was resumed with it goes on. */
+    /** A class is no longer in the settings: its messages end, and messages resumed with them are delivered. */
     @Test
-    void messageOfAClassThatIsGoneTakesNothingWithIt() throws Exception {
-        die();
+    void messageOfARemovedClassDoesNotAffectOthers() throws Exception {
+        kill();
         try (Journal before = new Journal(folder, 3 << 20)) {
             for (String type : List.of("gone", "unsafe")) {
                 assertTrue(before.recordAccepted(new Message(
@@ -450,9 +446,9 @@
                     new Message.Content("m-tried", "gone", null, null, clock.micros() + 20 * SECOND, 7, new byte[0]));
             assertTrue(before.recordAccepted(tried) && before.recordAttempt(tried.addAttempt("h1", clock.micros())));
         }
-        boot();
+        assemble();
         loop.submit(this::resume).sync();
-        await(() -> nothingIsOpen());
+        await(() -> isJournalEmpty());
         assertEquals(
                 List.of("m-unsafe"),
                 host.requests.stream().map(ScriptedPeer.Request::id).toList());
--- a/src/test/java/loftflow/server/WarmStartOffTest.java
+++ b/src/test/java/loftflow/server/WarmStartOffTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The platform's way to start, with a file that says what is remembered. */
+/** The platform's way to start, with and without a warm-start file. */
 class WarmStartOffTest extends RelayTestBase {
     private static final Path MEMORY = Path.of("deploy/memory.json");
 
@@ -26,16 +26,16 @@
     Path elsewhere;
 
     @Test
-    void relayOfThePlatformRemembersOverAKillAndChecksBeforeItsFirstMessage() throws IOException {
+    void platformRelayRestoresEndpointsAfterAKillAndProbesBeforeItsFirstMessage() throws IOException {
         prepare(quietDiscovery(), ScriptedPeer.always(status(200)));
-        assertEquals(202, relay.memory(MEMORY).start().handIn("a", "safe", 7));
+        assertEquals(202, relay.withWarmStartFile(MEMORY).start().submit("a", "safe", 7));
         await(() -> host.count("POST ") == 1);
-        await(() -> relay.state().toFile().list((d, name) -> name.endsWith(".picture")).length > 0);
+        await(() -> relay.stateDirectory().toFile().list((d, name) -> name.endsWith(".picture")).length > 0);
         relay.kill();
         int before = host.requests.size();
         relay.start();
         assertTrue(relay.log().contains("remembered 1 endpoints of revision 1"), relay.log());
-        assertEquals(202, relay.handIn("b", "unsafe", 7));
+        assertEquals(202, relay.submit("b", "unsafe", 7));
         await(() -> host.count("POST ") == 2);
         assertTrue(
                 host.requests.get(before).line().startsWith("GET /-/"),
@@ -53,7 +53,7 @@
                 "[] | an object is needed",
                 "{ | can't be read"
             })
-    void fileThatMakesNoSenseIsRefusedWithTheReason(String text, String reason) throws IOException {
+    void invalidFileIsRejectedWithTheReason(String text, String reason) throws IOException {
         Path file = Files.writeString(elsewhere.resolve("memory.json"), text);
         prepare(quietDiscovery(), ScriptedPeer.always(status(200)));
         Config.BadConfigException e = assertThrows(Config.BadConfigException.class, () -> Config.ofPlatform(
--- a/src/test/java/loftflow/server/WarmStartRestartTest.java
+++ b/src/test/java/loftflow/server/WarmStartRestartTest.java
@@ -63,8 +63,8 @@
                 id, destination, "railways", "main", state, partners.get(id).address());
     }
 
-    /** A relay file whose memory keeps what it is told. */
-    private Path written(String agent, String... memory) throws Exception {
+    /** Writes a relay file with warm start on. */
+    private Path writeRelayFile(String agent, String... warmStartSettings) throws Exception {
         String text =
                 """
                 format = 1
@@ -101,7 +101,7 @@
                 sync = false
                 %s
                 """
-                        .formatted(state, agent, String.join("\n", memory));
+                        .formatted(state, agent, String.join("\n", warmStartSettings));
         Path file = Files.writeString(folder.resolve("app.toml"), text);
         ConfigTool.Outcome outcome = ConfigTool.write(file, folder, true);
         assertTrue(
@@ -118,32 +118,32 @@
         return launch(file).awaitServing();
     }
 
-    private static void handIn(ServedRelay relay, String id, int destination) throws IOException {
+    private static void submit(ServedRelay relay, String id, int destination) throws IOException {
         try (FakeClient client = relay.client()) {
-            assertEquals(202, handIn(client, id, destination, 9_000));
+            assertEquals(202, submit(client, id, destination, 9_000));
         }
     }
 
-    private boolean hasPicture(int endpoints) {
+    private boolean hasSnapshot(int endpoints) {
         try {
-            Snapshot picture = SnapshotSamples.of(state);
-            return picture != null && picture.endpoints().size() == endpoints;
+            Snapshot snapshot = SnapshotSamples.of(state);
+            return snapshot != null && snapshot.endpoints().size() == endpoints;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private boolean isNoted(String note) {
+    private boolean hasDelta(String delta) {
         try {
-            return SnapshotSamples.notes(state).contains(note);
+            return SnapshotSamples.notes(state).contains(delta);
         } catch (IOException e) {
             return false;
         }
     }
 
-    private boolean isStruck(String id) {
+    private boolean isExcluded(String id) {
         try {
-            return isNoted("STRUCK " + id)
+            return hasDelta("STRUCK " + id)
                     || SnapshotSamples.of(state).endpoints().stream()
                             .anyMatch(k -> k.id().equals(id) && k.state() == KnownEndpoint.State.STRUCK);
         } catch (IOException e) {
@@ -151,12 +151,12 @@
         }
     }
 
-    /** Starts a relay, lets it learn a list and kills it; discovery is gone afterwards. */
-    private Path learnt(int endpoints, List<String> list, String... memory) throws Exception {
+    /** Starts a relay, waits until it has saved a list, and ends the relay and discovery. */
+    private Path saveList(int endpoints, List<String> list, String... warmStartSettings) throws Exception {
         discovery.list(list);
-        Path file = written(discovery.address(), memory);
+        Path file = writeRelayFile(discovery.address(), warmStartSettings);
         ServedRelay relay = start(file);
-        await(() -> hasPicture(endpoints));
+        await(() -> hasSnapshot(endpoints));
         relay.close();
         discovery.close();
         return file;
@@ -177,31 +177,31 @@
     @Test
     void relayStartsAndDeliversWithoutDiscovery() throws Exception {
         FakePartner partner = partner("iron-1");
-        Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
+        Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
         ServedRelay relay = start(file);
         try (FakeClient client = relay.client()) {
             assertTrue(client.isReady(), "as soon as it serves");
         }
-        handIn(relay, "s1", 7);
+        submit(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
         assertTrue(relay.log().contains("remembered 1 endpoints of revision 1"), relay.log());
     }
 
     @Test
-    void relayThatRemembersNothingStartsWithoutAList() throws Exception {
+    void relayWithNoSnapshotStartsWithoutAList() throws Exception {
         discovery.close();
-        ServedRelay relay = start(written(discovery.address()));
+        ServedRelay relay = start(writeRelayFile(discovery.address()));
         try (FakeClient client = relay.client()) {
             assertFalse(client.isReady());
         }
     }
 
-    /** The half-life is so short that the list is old: a thirteenth of it goes by while the process starts. */
+    /** The half-life is so short that the list is stale by the time the process has started. */
     @Test
     void anotherServiceAtARemovedEndpointsAddressGetsNoMessage() throws Exception {
         FakePartner gone = partner("iron-1");
         FakePartner partner = partner("iron-2");
-        Path file = learnt(
+        Path file = saveList(
                 2,
                 List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")),
                 "half-life = \"2s\"",
@@ -212,20 +212,20 @@
                 new ScriptedPeer(port, r -> ScriptedPeer.status(r.line().startsWith("POST ") ? 200 : 404))) {
             ServedRelay relay = start(file);
             for (int i = 0; i < 4; i++) {
-                handIn(relay, "s" + i, 7);
+                submit(relay, "s" + i, 7);
             }
             await(() -> partner.effects().size() == 4);
-            assertEquals(0, other.count("POST "), "a message went to another service");
+            assertEquals(0, other.count("POST "), "a message was sent to another service");
             assertTrue(other.count("GET ") == 0 || relay.log().contains("answers as something else"), relay.log());
         }
     }
 
     @Test
-    void addressThatHangsAndOneThatRefusesAreStruckOutAndTheRestServes() throws Exception {
+    void hangingAndRefusingAddressesAreExcludedAndTheOthersServe() throws Exception {
         FakePartner hung = partner("iron-1");
         FakePartner refused = partner("iron-2");
         FakePartner partner = partner("iron-3");
-        Path file = learnt(
+        Path file = saveList(
                 3,
                 List.of(
                         entry("iron-1", 7, "in_service"),
@@ -238,44 +238,44 @@
         refused.close();
         try (ScriptedPeer silent = new ScriptedPeer(port, r -> ScriptedPeer.SILENCE)) {
             ServedRelay relay = start(file);
-            handIn(relay, "s1", 7);
-            handIn(relay, "s2", 8);
-            handIn(relay, "s3", 9);
+            submit(relay, "s1", 7);
+            submit(relay, "s2", 8);
+            submit(relay, "s3", 9);
             await(() -> ran(partner, "s3"));
-            await(() -> isStruck("iron-1") && isStruck("iron-2"));
+            await(() -> isExcluded("iron-1") && isExcluded("iron-2"));
             assertEquals(0, silent.count("POST "));
             relay.close();
             ServedRelay again = start(file);
-            assertTrue(again.log().contains("2 never"), "out over a restart too: " + again.log());
+            assertTrue(again.log().contains("2 never"), "excluded after a restart too: " + again.log());
         }
     }
 
     @Test
-    void drainToldJustBeforeTheCrashHolds() throws Exception {
+    void drainReceivedJustBeforeTheCrashStaysInForce() throws Exception {
         FakePartner drained = partner("iron-1");
         FakePartner partner = partner("iron-2");
         discovery.list(List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")));
-        Path file = written(discovery.address());
+        Path file = writeRelayFile(discovery.address());
         ServedRelay first = start(file);
-        await(() -> hasPicture(2));
+        await(() -> hasSnapshot(2));
         discovery.list(List.of(entry("iron-1", 7, "terminating"), entry("iron-2", 7, "in_service")));
-        await(() -> isNoted("GONE iron-1") || hasPicture(1));
+        await(() -> hasDelta("GONE iron-1") || hasSnapshot(1));
         first.close();
         discovery.close();
         ServedRelay relay = start(file);
         for (int i = 0; i < 6; i++) {
-            handIn(relay, "s" + i, 7);
+            submit(relay, "s" + i, 7);
         }
         await(() -> partner.effects().size() == 6);
         assertEquals(List.of(), drained.postings());
     }
 
     @Test
-    void discoveryThatReturnsEndsWhatItLeavesOut() throws Exception {
+    void endpointsMissingFromReturningDiscoveryAreRemoved() throws Exception {
         FakePartner removed = partner("iron-1");
         FakePartner partner = partner("iron-2");
-        Path file = learnt(2, List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")));
-        // At the address that the relay knows.
+        Path file = saveList(2, List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")));
+        // Discovery returns at the address that the relay has configured.
         int port = Integer.parseInt(discovery.address().split(":")[1]);
         ServedRelay relay = start(file);
         String list = "{\"rev\":9,\"all\":true,\"targets\":[" + entry("iron-2", 7, "in_service") + "]}";
@@ -287,66 +287,66 @@
             await(() -> back.count("GET /api/targets?after=9") > 0);
             int before = removed.postings().size();
             for (int i = 0; i < 12; i++) {
-                handIn(relay, "s" + i, 7);
+                submit(relay, "s" + i, 7);
             }
             await(() -> partner.effects().size() == 12);
-            assertEquals(before, removed.postings().size(), "calls to an endpoint that is gone");
+            assertEquals(before, removed.postings().size(), "calls to a removed endpoint");
         }
     }
 
-    /** An endpoint that is struck out is news of that endpoint alone: what else there is discovery still has to say. */
+    /** Excluding an endpoint changes a cached list, which still does not say what other endpoints there are. */
     @Test
-    void destinationThatIsNotRememberedIsRefusedAndNotFailedUntilDiscoverySpeaks() throws Exception {
+    void unknownDestinationIsRejectedAndNotFailedUntilDiscoveryAnswers() throws Exception {
         FakePartner refused = partner("iron-1");
-        Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")), "half-life = \"2s\"", "settle = \"1s\"");
+        Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")), "half-life = \"2s\"", "settle = \"1s\"");
         refused.close();
         ServedRelay relay = start(file);
-        handIn(relay, "s1", 7);
-        await(() -> isStruck("iron-1"));
+        submit(relay, "s1", 7);
+        await(() -> isExcluded("iron-1"));
         try (FakeClient client = relay.client()) {
             assertEquals(503, client.handIn("s2", "settlement", null, null, 8, 9000, "a"));
         }
     }
 
     @Test
-    void emptyListIsDoubtedThenBelieved() throws Exception {
+    void emptyListIsAppliedOnlyOnceConfirmed() throws Exception {
         FakePartner partner = partner("iron-1");
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
-        ServedRelay relay = start(written(discovery.address(), "settle = \"3s\""));
-        handIn(relay, "s1", 7);
+        ServedRelay relay = start(writeRelayFile(discovery.address(), "settle = \"3s\""));
+        submit(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
         discovery.list(List.of());
         await(() -> logs(relay, "discovery's list is in doubt"));
-        handIn(relay, "s2", 7);
+        submit(relay, "s2", 7);
         await(() -> ran(partner, "s2"));
         await(() -> logs(relay, "discovery has told the like for long enough"));
-        await(() -> isNoted("GONE iron-1") || hasPicture(0));
+        await(() -> hasDelta("GONE iron-1") || hasSnapshot(0));
     }
 
     @Test
-    void waitThatAPartnerToldHoldsOverAKill() throws Exception {
+    void retryAfterOfAnUpstreamHoldsOverAKill() throws Exception {
         AtomicReference<Boolean> full = new AtomicReference<>(true);
         try (ScriptedPeer busy = new ScriptedPeer(
                 r -> full.get() ? ScriptedPeer.status(429, "X-Come-Back-Ms: 5000") : ScriptedPeer.status(200))) {
             discovery.list(
                     List.of(FakeDiscoveryAgent.entry("iron-1", 7, "railways", "main", "in_service", busy.address())));
-            Path file = written(discovery.address());
+            Path file = writeRelayFile(discovery.address());
             ServedRelay first = start(file);
-            await(() -> hasPicture(1));
-            handIn(first, "s1", 7);
+            await(() -> hasSnapshot(1));
+            submit(first, "s1", 7);
             await(() -> busy.count("POST ") == 1);
-            await(() -> isNoted("WAIT iron-1") || standsToWait());
+            await(() -> hasDelta("WAIT iron-1") || hasRetryAfter());
             first.close();
             discovery.close();
             full.set(false);
             start(file);
             await(() -> busy.requests.size() == 2);
-            long span = busy.requests.get(1).at() - busy.requests.get(0).at();
-            assertTrue(span >= 5_000_000_000L, "asked again after " + span / 1_000_000 + " ms");
+            long waitedNanos = busy.requests.get(1).at() - busy.requests.get(0).at();
+            assertTrue(waitedNanos >= 5_000_000_000L, "called again after " + waitedNanos / 1_000_000 + " ms");
         }
     }
 
-    private boolean standsToWait() {
+    private boolean hasRetryAfter() {
         try {
             return SnapshotSamples.of(state).endpoints().stream()
                     .anyMatch(k -> k.standing() != null && k.standing().retryAfterRemainingMicros() > 0);
@@ -358,7 +358,7 @@
     @Test
     void listThatIsWeeksOldIsUsedWhereNothingElseIsLeft() throws Exception {
         FakePartner partner = partner("iron-1");
-        Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
+        Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
         long weeks = 21L * 24 * 3600 * 1_000_000;
         SnapshotSamples.change(
                 state,
@@ -373,33 +373,36 @@
                                 .toList()));
         ServedRelay relay = start(file);
         assertTrue(relay.log().contains("1 if nothing else is left"), relay.log());
-        handIn(relay, "s1", 7);
+        submit(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
-        assertEquals(1, partner.checks().size(), "a check went first");
+        assertEquals(1, partner.checks().size(), "a health check was sent first");
     }
 
     @Test
-    void tenKillsInARowLoseNothingAndBelieveNoMore() throws Exception {
+    void tenKillsInARowLoseNothingAndDoNotRaiseTrust() throws Exception {
         FakePartner partner = partner("iron-1");
-        Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
+        Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
         long listedAt = SnapshotSamples.of(state).endpoints().get(0).listedAt();
         for (int i = 0; i < 10; i++) {
             ServedRelay relay = start(file);
             assertTrue(relay.log().contains("remembered 1 endpoints"), relay.log());
             relay.close();
         }
-        assertEquals(listedAt, SnapshotSamples.of(state).endpoints().get(0).listedAt(), "no start is evidence");
+        assertEquals(
+                listedAt,
+                SnapshotSamples.of(state).endpoints().get(0).listedAt(),
+                "a start proves nothing about an endpoint");
         ServedRelay relay = start(file);
-        handIn(relay, "s1", 7);
+        submit(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
     }
 
-    /** Discovery answers nothing of use: the relay is ready at once, and goes on asking. */
+    /** Discovery answers nothing usable: the relay is ready at once, and repeats its requests. */
     @ParameterizedTest
     @ValueSource(strings = {"500", "garbage", "half", "byte by byte", "silent"})
-    void discoveryOfNoUseHoldsNothingUp(String how) throws Exception {
+    void unusableDiscoveryDelaysNothing(String how) throws Exception {
         FakePartner partner = partner("iron-1");
-        Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
+        Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
         int port = Integer.parseInt(discovery.address().split(":")[1]);
         String list = ScriptedPeer.answer(
                 200, "{\"rev\":9,\"all\":true,\"targets\":[" + entry("iron-1", 7, "in_service") + "]}");
@@ -412,30 +415,30 @@
                             case "half" -> list.substring(0, list.length() - 9);
                             default -> ScriptedPeer.SILENCE;
                         })) {
-            List<Long> asked = new ArrayList<>();
+            List<Long> requestTimes = new ArrayList<>();
             if (listener != null) {
-                drip(listener, list, asked);
+                drip(listener, list, requestTimes);
             }
             ServedRelay relay = start(file);
-            handIn(relay, "s1", 7);
+            submit(relay, "s1", 7);
             await(() -> ran(partner, "s1"));
-            await(() -> count(bad, asked) >= 3);
+            await(() -> count(bad, requestTimes) >= 3);
         }
     }
 
-    private static long count(ScriptedPeer peer, List<Long> asked) {
-        synchronized (asked) {
-            return peer != null ? peer.count("GET /api/targets") : asked.size();
+    private static long count(ScriptedPeer peer, List<Long> requestTimes) {
+        synchronized (requestTimes) {
+            return peer != null ? peer.count("GET /api/targets") : requestTimes.size();
         }
     }
 
-    private static void drip(ServerSocket listener, String answer, List<Long> asked) {
+    private static void drip(ServerSocket listener, String answer, List<Long> requestTimes) {
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
                     var socket = listener.accept();
-                    synchronized (asked) {
-                        asked.add(System.nanoTime());
+                    synchronized (requestTimes) {
+                        requestTimes.add(System.nanoTime());
                     }
                     Thread each = new Thread(() -> {
                         try (socket) {
@@ -444,14 +447,14 @@
                                 Thread.sleep(20);
                             }
                         } catch (IOException | InterruptedException e) {
-                            // The relay has given it up.
+                            // The relay has closed the connection.
                         }
                     });
                     each.setDaemon(true);
                     each.start();
                 }
             } catch (IOException e) {
-                // The test is over.
+                // The test has ended.
             }
         });
         thread.setDaemon(true);
@@ -459,9 +462,9 @@
     }
 
     @Test
-    void tornPictureAndAnotherRelaysAreSetAsideAndTheStartGoesOn() throws Exception {
+    void tornAndForeignSnapshotsAreSetAsideAndTheRelayStarts() throws Exception {
         partner("iron-1");
-        Path file = learnt(1, List.of(entry("iron-1", 7, "in_service")));
+        Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
         SnapshotSamples.tear(state);
         ServedRelay torn = start(file);
         assertTrue(torn.log().contains("is set aside as"), torn.log());
@@ -474,26 +477,26 @@
     }
 
     @Test
-    void diskThatTakesNoPictureStopsNothing() throws Exception {
+    void unwritableSnapshotStopsNothing() throws Exception {
         FakePartner partner = partner("iron-1");
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
-        // Where a picture is to be written stands something that can't be written to.
+        // A directory at the path of the new snapshot makes writing it fail.
         Files.createDirectories(state.resolve("remembered.new").resolve("full"));
-        ServedRelay relay = start(written(discovery.address()));
-        handIn(relay, "s1", 7);
+        ServedRelay relay = start(writeRelayFile(discovery.address()));
+        submit(relay, "s1", 7);
         await(() -> ran(partner, "s1"));
         await(() -> logs(relay, "can't be saved, the picture before stands"));
-        handIn(relay, "s2", 7);
+        submit(relay, "s2", 7);
         await(() -> ran(partner, "s2"));
     }
 
-    /** A relay with a keyed message whose one attempt has run and has no answer. */
+    /** A relay with a keyed message whose one attempt was executed but not answered. */
     private ServedRelay startWithAnAttemptThatMayHaveRun() throws Exception {
         FakePartner partner = partner("iron-1");
         partner.be(FakePartner.Mood.SILENT);
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
-        ServedRelay first = start(written(discovery.address()));
-        await(() -> hasPicture(1));
+        ServedRelay first = start(writeRelayFile(discovery.address()));
+        await(() -> hasSnapshot(1));
         try (FakeClient client = first.client()) {
             await(() -> {
                 try {
@@ -507,9 +510,9 @@
         return first;
     }
 
-    /** Over a boot after which the wall clock stands two hours back, no key window can be told to be open. */
+    /** After a reboot with the wall clock two hours back, no key window can be shown to be open. */
     @Test
-    void keyedMessageWhoseWindowNoClockTellsIsNotSentAgain() throws Exception {
+    void keyedMessageIsNotSentAgainWhereClocksCannotShowItsWindow() throws Exception {
         ServedRelay first = startWithAnAttemptThatMayHaveRun();
         FakePartner partner = partners.get("iron-1");
         first.close();
@@ -524,12 +527,12 @@
                         p.revision(),
                         p.endpoints()));
         ServedRelay relay = start(relayFile());
-        assertTrue(relay.log().contains("the wall clock is -7"), relay.log());
+        assertTrue(relay.log().contains("warmstart: wall clock differs from relay time seconds=-7"), relay.log());
         await(() -> discovery.notices().stream().anyMatch(n -> n.ref().equals("k1")));
-        assertEquals(1, partner.effects().get("k1"), "it may have run, and the window may be over");
+        assertEquals(1, partner.effects().get("k1"), "it may have been executed, and the window may be over");
     }
 
-    /** The same where nothing was set: the repeat goes out, as its key window is open. */
+    /** With no change of the clock the message is sent again, as its key window is open. */
     @Test
     void keyedMessageIsSentAgainWithinItsWindow() throws Exception {
         ServedRelay first = startWithAnAttemptThatMayHaveRun();
