--- a/src/test/java/loftflow/stored/StoredConfigTest.java
+++ b/src/test/java/loftflow/stored/StoredConfigTest.java
@@ -75,16 +75,16 @@
                 config.settings().classes());
         assertEquals(
                 List.of(endpoint("plains-1", "127.0.0.1:9004"), endpoint("plains-broker", "127.0.0.1:5671")),
-                config.known());
+                config.knownEndpoints());
         assertEquals(197_607_424, config.diskBytes());
-        assertEquals(Path.of("/var/lib/loftflow/amqp-desk"), config.state());
+        assertEquals(Path.of("/var/lib/loftflow/amqp-desk"), config.stateDirectory());
         assertEquals(
                 new Config.Memory("amqp-desk#0", 1 << 20, 8_192, 600_000_000, 120_000_000, 50_000, false),
-                config.memory());
+                config.warmStart());
         Config.Login login = new Config.Login("relay", "guest", "/orders", 2, true, null, "broker.grain.example");
         assertEquals(
                 new Config.BrokerRoute(login, "car-orders", "elevator.plains"),
-                config.amqp().routes().get("plains-broker"));
+                config.amqp().brokerRoutes().get("plains-broker"));
         assertEquals(
                 List.of(new Config.AmqpQueue(
                         "orders-in",
