--- a/src/main/java/loftflow/cli/ExperimentCommand.java
+++ b/src/main/java/loftflow/cli/ExperimentCommand.java
@@ -14,11 +14,22 @@
 import java.util.concurrent.Callable;
 import java.util.function.Consumer;
 import loftflow.config.file.SourceFile;
+import loftflow.experiment.CapacityTrials;
 import loftflow.experiment.ComparisonReport;
 import loftflow.experiment.ExperimentRunner;
+import loftflow.experiment.ExperimentSide;
+import loftflow.experiment.FigureComparison;
+import loftflow.experiment.LoopbackResult;
 import loftflow.experiment.RegressionCases;
+import loftflow.experiment.RunResult;
+import loftflow.experiment.ScenarioFiles;
+import loftflow.experiment.ServiceTarget;
+import loftflow.experiment.SideComparison;
+import loftflow.experiment.SideRunner;
+import loftflow.experiment.SideRunners;
 import loftflow.experiment.design.CapacitySearch;
 import loftflow.experiment.design.PairedComparison;
+import loftflow.experiment.evaluation.ClassReport;
 import loftflow.experiment.evaluation.FleetCostReport;
 import loftflow.experiment.evaluation.ProgressSnapshot;
 import loftflow.experiment.evaluation.RuleChecker;
@@ -99,23 +110,24 @@
         }
     }
 
-    static ScenarioReader.Read read(CommandSpec spec, String name) throws IOException, SourceFile.UnreadableException {
-        ScenarioReader.Read read = ExperimentRunner.NAMED.contains(name)
-                ? ExperimentRunner.read(name, ExperimentRunner.named(name))
-                : ExperimentRunner.read(name, SourceFile.text(Path.of(name)));
+    static ScenarioReader.ReadResult read(CommandSpec spec, String name)
+            throws IOException, SourceFile.UnreadableException {
+        ScenarioReader.ReadResult read = ScenarioFiles.BUILT_IN.contains(name)
+                ? ScenarioFiles.read(name, ScenarioFiles.builtInText(name))
+                : ScenarioFiles.read(name, SourceFile.text(Path.of(name)));
         read.findings().forEach(finding -> spec.commandLine().getErr().println(finding));
         return read;
     }
 
-    static void print(PrintWriter out, ExperimentRunner.Played played) {
-        ServiceReport.Report s = played.service();
+    static void print(PrintWriter out, RunResult played) {
+        ServiceReport s = played.service();
         out.println(String.format(
                 Locale.ROOT,
                 "%s, seed %d: service %.4f (whole %.4f, worst 10 s %.4f, worst class %.4f, worst tenant" + " %.4f)",
                 played.scenario().name(),
                 played.seed(),
-                s.figure(),
-                s.whole(),
+                s.score(),
+                s.overall(),
                 s.worstWindow(),
                 s.worstClass(),
                 s.worstTenant()));
@@ -131,19 +143,19 @@
                 "p50 ms",
                 "p99 ms",
                 "attempts"));
-        for (ServiceReport.OfClass c : s.classes()) {
+        for (ClassReport c : s.classes()) {
             out.println(String.format(
                     Locale.ROOT,
                     "  %-16s %8d %9d %8d %7d %8.4f %9.0f %9.0f %8.2f",
                     c.name(),
-                    c.asked(),
+                    c.submitted(),
                     c.delivered(),
-                    c.refused(),
+                    c.rejected(),
                     c.failed(),
-                    c.service(),
-                    c.p50(),
-                    c.p99(),
-                    c.attempts()));
+                    c.score(),
+                    c.p50Millis(),
+                    c.p99Millis(),
+                    c.attemptsPerMessage()));
         }
         out.println(String.format(
                 Locale.ROOT, "  highest load of an endpoint in a second: %.2f times what it could do", s.peakLoad()));
@@ -153,49 +165,49 @@
         } else {
             out.println("  rules broken: " + played.rules().counts());
             played.rules()
-                    .first()
-                    .forEach(b -> out.println(
-                            "    " + b.rule() + " at " + b.at() + " us, message " + b.ask() + ": " + b.what()));
+                    .firstBreaches()
+                    .forEach(b -> out.println("    " + b.rule() + " at " + b.atMicros() + " us, message " + b.message()
+                            + ": " + b.detail()));
         }
     }
 
     private static void print(PrintWriter out, FleetCostReport costs, RunHistory history) {
         out.println("  all relays together, and for a thousand messages:");
-        for (CallCounts.Of what : CallCounts.Of.values()) {
+        for (CallCounts.Metric what : CallCounts.Metric.values()) {
             long total = costs.counts().total(what);
             if (total > 0) {
-                CallCounts.Most relay = costs.counts().mostOfRelays(what);
-                CallCounts.Most endpoint = costs.counts().mostOfEndpoints(what);
+                CallCounts.Maximum relay = costs.counts().busiestRelay(what);
+                CallCounts.Maximum endpoint = costs.counts().busiestEndpoint(what);
                 out.println(String.format(
                         Locale.ROOT,
                         "    %-12s %9d %9.1f%s%s",
-                        what.name().toLowerCase(Locale.ROOT),
+                        what.code(),
                         total,
                         costs.perThousand(total),
-                        relay.count() == 0 ? "" : "  most by relay " + relay.who() + ": " + relay.count(),
-                        endpoint.count() == 0 ? "" : "  most at e" + endpoint.who() + ": " + endpoint.count()));
+                        relay.count() == 0 ? "" : "  most by relay " + relay.index() + ": " + relay.count(),
+                        endpoint.count() == 0 ? "" : "  most at e" + endpoint.index() + ": " + endpoint.count()));
             }
         }
         out.println(String.format(
                 Locale.ROOT,
                 "    refused without an attempt %d, cut off without an answer %d",
-                costs.untried(),
-                costs.cut()));
+                costs.rejectedWithoutAttempt(),
+                costs.connectionsLost()));
         out.println(String.format(
                 Locale.ROOT,
                 "    ends told in time %d, up to 100 ms late %d, up to 300 ms %d, later %d%s",
-                costs.inTime(),
-                costs.within100(),
-                costs.within300(),
-                costs.later(),
-                costs.latest() == 0
+                costs.completedInTime(),
+                costs.lateWithin100Millis(),
+                costs.lateWithin300Millis(),
+                costs.lateBeyond300Millis(),
+                costs.maxLatenessMicros() == 0
                         ? ""
                         : String.format(
                                 Locale.ROOT,
                                 "; the latest %.0f ms: message %d of relay %d",
-                                costs.latest() / 1_000.0,
-                                costs.latestAsk(),
-                                history.asks().get(costs.latestAsk()).relay())));
+                                costs.maxLatenessMicros() / 1_000.0,
+                                costs.latestMessage(),
+                                history.messages().get(costs.latestMessage()).relay())));
     }
 
     @Command(
@@ -208,16 +220,16 @@
 
         @Override
         public Integer call() throws IOException {
-            for (String name : ExperimentRunner.NAMED) {
+            for (String name : ScenarioFiles.BUILT_IN) {
                 spec.commandLine()
                         .getOut()
                         .println(String.format(
                                 Locale.ROOT,
                                 "%-22s %s",
                                 name,
-                                ExperimentRunner.read(name, ExperimentRunner.named(name))
+                                ScenarioFiles.read(name, ScenarioFiles.builtInText(name))
                                         .scenario()
-                                        .text()));
+                                        .description()));
             }
             return CLEAN;
         }
@@ -284,11 +296,11 @@
             if (scenario == null) {
                 return FOUND;
             }
-            List<ExperimentRunner.Played> all = new ArrayList<>();
+            List<RunResult> all = new ArrayList<>();
             boolean clean = true;
             for (int i = 0; i < seeds; i++) {
-                ExperimentRunner.Played played = real == null
-                        ? ExperimentRunner.play(scenario, seed + i)
+                RunResult played = real == null
+                        ? ExperimentRunner.run(scenario, seed + i)
                         : real(out(), scenario, seed + i, null, real.resolve("seed" + (seed + i)));
                 print(out(), played);
                 if (follow != null) {
@@ -309,8 +321,8 @@
             return clean ? CLEAN : FOUND;
         }
 
-        private void follow(ExperimentRunner.Played played, int number) {
-            List<MessageHistory> asks = played.history().asks();
+        private void follow(RunResult played, int number) {
+            List<MessageHistory> asks = played.history().messages();
             if (number < 0 || number >= asks.size()) {
                 throw wrong("--follow takes a message from 0 to " + (asks.size() - 1) + " of seed " + played.seed());
             }
@@ -319,29 +331,32 @@
                     Locale.ROOT,
                     "  message %d, %s for partner %d: handed in at %d us to relay %d, %d times, due at %d us",
                     number,
-                    played.scenario().classes().get(ask.type()).name(),
+                    played.scenario().classes().get(ask.classIndex()).name(),
                     ask.partner(),
-                    ask.at(),
+                    ask.submittedAtMicros(),
                     ask.relay(),
-                    ask.tries(),
-                    ask.due()));
-            ask.postings().forEach(p -> out().println(String.format(
+                    ask.submissions(),
+                    ask.deadlineMicros()));
+            ask.calls().forEach(p -> out().println(String.format(
                     Locale.ROOT,
                     "    %d us: relay %d sends it to e%d, there at %d us," + " %s, %s",
-                    p.sent(),
+                    p.sentAtMicros(),
                     p.relay(),
                     p.endpoint(),
-                    p.came(),
-                    p.ran() ? "it runs" : "it does not run",
-                    p.answer())));
+                    p.arrivedAtMicros(),
+                    p.executed() ? "it runs" : "it does not run",
+                    p.response().code())));
             out().println("    "
-                    + (ask.endedAt() < 0 ? "no end was told" : "an end was told at " + ask.endedAt() + " us")
-                    + "; last told " + ask.told() + (ask.doneAt() < 0 ? "" : "; done at " + ask.doneAt() + " us"));
+                    + (ask.completedAtMicros() < 0
+                            ? "no end was told"
+                            : "an end was told at " + ask.completedAtMicros() + " us")
+                    + "; last told " + ask.clientOutcome().code()
+                    + (ask.deliveredAtMicros() < 0 ? "" : "; done at " + ask.deliveredAtMicros() + " us"));
         }
     }
 
     /** Writes a run's page where one is wanted. */
-    static void writePage(Path page, ExperimentRunner.Played played) throws IOException {
+    static void writePage(Path page, RunResult played) throws IOException {
         if (page != null) {
             Files.writeString(
                     page,
@@ -350,22 +365,23 @@
     }
 
     /** Plays by whole relays, shown while it goes on, and says whether the machine kept up. */
-    static ExperimentRunner.Played real(
-            PrintWriter out, Scenario scenario, long seed, TraceArrivals replayed, Path folder) throws IOException {
-        ExperimentRunner.Real real;
+    static RunResult real(PrintWriter out, Scenario scenario, long seed, TraceArrivals replayed, Path folder)
+            throws IOException {
+        LoopbackResult real;
         try (Showing showing = new Showing(out, scenario.name() + ", seed " + seed)) {
-            real = ExperimentRunner.real(scenario, seed, replayed, LoopbackRun.Fleet.OWN, folder, showing);
+            real = ExperimentRunner.runOnLoopback(
+                    scenario, seed, replayed, LoopbackRun.RelayProgram.OWN, folder, showing);
         }
         LoopbackRun.Outcome o = real.outcome();
         out.println(String.format(
                 Locale.ROOT,
                 "messages left late by %.1f ms at p50, %.1f at p99, %.1f at the most%s; %.0f us of CPU" + " a message",
-                o.lateness().p50() / 1e3,
-                o.lateness().p99() / 1e3,
-                o.lateness().most() / 1e3,
+                o.lateness().p50Micros() / 1e3,
+                o.lateness().p99Micros() / 1e3,
+                o.lateness().maxMicros() / 1e3,
                 o.isValid() ? "" : ": INVALID, this machine did not keep up",
-                o.cpu()));
-        return real.played();
+                o.cpuMicrosPerMessage()));
+        return real.result();
     }
 
     /** A screen where there is a terminal, and a line every ten seconds where there is none, or it has been left. */
@@ -396,11 +412,11 @@
                     out.println(String.format(
                             Locale.ROOT,
                             "%4.0f s: service so far %.4f, asked %d, delivered %d, refused %d, failed" + " %d, open %d",
-                            s.at() / 1e6,
-                            s.service(),
-                            s.asked(),
+                            s.atMicros() / 1e6,
+                            s.score(),
+                            s.submitted(),
                             s.delivered(),
-                            s.refused(),
+                            s.rejected(),
                             s.failed(),
                             s.open()));
                     out.flush();
@@ -420,10 +436,10 @@
         }
     }
 
-    private static void writeJson(Path file, List<ExperimentRunner.Played> all) throws IOException {
+    private static void writeJson(Path file, List<RunResult> all) throws IOException {
         try (JsonGenerator json = JSON.createGenerator(Files.newBufferedWriter(file))) {
             json.setRootValueSeparator(null);
-            for (ExperimentRunner.Played played : all) {
+            for (RunResult played : all) {
                 json.writeStartObject();
                 json.writeStringField("scenario", played.scenario().name());
                 json.writeNumberField("seed", played.seed());
@@ -436,7 +452,7 @@
         }
     }
 
-    private static void writeCsv(Path file, List<ExperimentRunner.Played> all) throws IOException {
+    private static void writeCsv(Path file, List<RunResult> all) throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add("scenario,seed," + String.join(",", all.get(0).figures().keySet()));
         all.forEach(p -> lines.add(p.scenario().name() + "," + p.seed() + ","
@@ -475,20 +491,21 @@
                 description = "A page with each figure's pairs, effect and interval.")
         private Path page;
 
-        int judge(String name, List<ExperimentRunner.Side> sides) throws IOException {
+        int judge(String name, List<ExperimentSide> sides) throws IOException {
             List<Long> numbers = new ArrayList<>();
             for (long seed = 1; seed <= seeds; seed++) {
                 numbers.add(seed);
             }
             boolean worse = false;
             try (ResultsFolder results = ResultsFolder.open(folder)) {
-                if (results.cut() > 0) {
-                    out().println(results.cut() + " bytes of a run that was cut off were dropped: it is made again");
+                if (results.truncatedBytes() > 0) {
+                    out().println(results.truncatedBytes()
+                            + " bytes of a run that was cut off were dropped: it is made again");
                 }
-                ExperimentRunner.Player player =
-                        real ? ExperimentRunner.relays(core, folder.resolve("relays")) : ExperimentRunner.emulator();
+                SideRunner player =
+                        real ? SideRunners.loopback(core, folder.resolve("relays")) : SideRunners.emulator();
                 String kept = real ? name + " by whole relays on core " + core : name;
-                Map<String, List<ExperimentRunner.Compared>> all = ExperimentRunner.compare(
+                Map<String, List<FigureComparison>> all = SideComparison.compare(
                         results, kept, sides, numbers, player, result -> out().println(String.format(
                                 Locale.ROOT,
                                 "  %s, seed %d: service %.4f",
@@ -499,10 +516,10 @@
                     Files.writeString(
                             page, ComparisonReport.of(name, sides.get(0).name(), all));
                 }
-                for (Map.Entry<String, List<ExperimentRunner.Compared>> side : all.entrySet()) {
+                for (Map.Entry<String, List<FigureComparison>> side : all.entrySet()) {
                     out().println(side.getKey() + " beside " + sides.get(0).name() + ":");
-                    for (ExperimentRunner.Compared c : side.getValue()) {
-                        PairedComparison v = c.verdict();
+                    for (FigureComparison c : side.getValue()) {
+                        PairedComparison v = c.comparison();
                         out().println(String.format(
                                 Locale.ROOT,
                                 "  %-14s %.5g, %.5g beside it: %+.5f [%+.5f, %+.5f] p %.3f, %d pairs:" + " %s",
@@ -510,12 +527,12 @@
                                 c.secondMean(),
                                 c.firstMean(),
                                 v.effect(),
-                                v.low(),
-                                v.high(),
-                                v.p(),
+                                v.lowerBound(),
+                                v.upperBound(),
+                                v.pValue(),
                                 v.pairs(),
-                                v.word()));
-                        worse |= c.figure().equals("service") && v.word() == PairedComparison.Word.WORSE;
+                                v.verdict()));
+                        worse |= c.figure().equals("service") && v.verdict() == PairedComparison.Verdict.WORSE;
                     }
                 }
             }
@@ -554,9 +571,7 @@
                     ? FOUND
                     : judge(
                             first.name() + " | " + second.name() + " | " + other,
-                            List.of(
-                                    new ExperimentRunner.Side("A", first, null),
-                                    new ExperimentRunner.Side("B", second, build)));
+                            List.of(new ExperimentSide("A", first, null), new ExperimentSide("B", second, build)));
         }
     }
 
@@ -592,7 +607,7 @@
             judge(
                     scenario.name() + " by " + factor,
                     values.stream()
-                            .map(v -> new ExperimentRunner.Side(factor + "=" + v, with(scenario, v), null))
+                            .map(v -> new ExperimentSide(factor + "=" + v, with(scenario, v), null))
                             .toList());
             return CLEAN;
         }
@@ -601,13 +616,18 @@
             Scenario.Fleet f = s.fleet();
             int whole = (int) Math.max(1, Math.round(value));
             return switch (factor) {
-                case load -> s.withSpan(s.span(), value);
-                case slots -> s.withFleet(
-                        new Scenario.Fleet(f.relays(), f.skew(), whole, f.messages(), f.round(), f.restart()));
-                case messages -> s.withFleet(
-                        new Scenario.Fleet(f.relays(), f.skew(), f.slots(), whole, f.round(), f.restart()));
-                case relays -> s.withFleet(
-                        new Scenario.Fleet(whole, f.skew(), f.slots(), f.messages(), f.round(), f.restart()));
+                case load -> s.withDurationAndLoad(s.durationMicros(), value);
+                case slots -> s.withFleet(new Scenario.Fleet(
+                        f.relays(), f.trafficSkew(), whole, f.bufferedMessages(), f.roundMicros(), f.restartMicros()));
+                case messages -> s.withFleet(new Scenario.Fleet(
+                        f.relays(), f.trafficSkew(), f.concurrentCalls(), whole, f.roundMicros(), f.restartMicros()));
+                case relays -> s.withFleet(new Scenario.Fleet(
+                        whole,
+                        f.trafficSkew(),
+                        f.concurrentCalls(),
+                        f.bufferedMessages(),
+                        f.roundMicros(),
+                        f.restartMicros()));
             };
         }
     }
@@ -655,7 +675,7 @@
             if (!(within > 0)) {
                 throw wrong("--within takes a share above 0");
             }
-            ExperimentRunner.Wanted wanted = new ExperimentRunner.Wanted(service, p99);
+            ServiceTarget wanted = new ServiceTarget(service, p99);
             Consumer<String> progress = line -> {
                 out().println("  " + line);
                 out().flush();
@@ -664,19 +684,19 @@
                 say(
                         "relays",
                         scenario,
-                        ExperimentRunner.capacity(within, ExperimentRunner.emulated(scenario, wanted, progress)));
+                        CapacityTrials.search(within, CapacityTrials.emulator(scenario, wanted, progress)));
                 return CLEAN;
             }
             for (boolean bare : new boolean[] {true, false}) {
                 say(
                         bare ? "a bare proxy" : "relays",
                         scenario,
-                        ExperimentRunner.capacity(
+                        CapacityTrials.search(
                                 within,
-                                ExperimentRunner.played(
+                                CapacityTrials.loopback(
                                         scenario,
                                         wanted,
-                                        new LoopbackRun.Fleet(new ServedRelay.Program(null, core), bare),
+                                        new LoopbackRun.RelayProgram(new ServedRelay.Program(null, core), bare),
                                         real,
                                         progress)));
             }
@@ -685,17 +705,17 @@
 
         private void say(String who, Scenario scenario, CapacitySearch found) {
             double rate = scenario.classes().stream()
-                            .mapToDouble(Scenario.MessageClass::rate)
+                            .mapToDouble(Scenario.MessageClass::ratePerSecond)
                             .sum()
-                    * scenario.load();
+                    * scenario.loadFactor();
             out().println(String.format(
                     Locale.ROOT,
                     "%s: highest load that held: %.3f (%.1f messages a second); lowest that did not:"
                             + " %.3f; %d runs",
                     who,
-                    found.answer(),
-                    found.answer() * rate,
-                    found.beyond(),
+                    found.highestPassingLoad(),
+                    found.highestPassingLoad() * rate,
+                    found.lowestFailingLoad(),
                     found.runs()));
         }
     }
@@ -729,7 +749,7 @@
                 return FOUND;
             }
             try {
-                Scenario small = ExperimentRunner.minimize(scenario, seed, rule, ExperimentRunner.OWN, runs);
+                Scenario small = ExperimentRunner.minimize(scenario, seed, rule, ExperimentRunner.OWN_COMPONENTS, runs);
                 Path to = RegressionCases.save(cases, small, seed, rule);
                 out().println(to + ": " + small.failures().size() + " of "
                         + scenario.failures().size() + " failures, "
@@ -762,9 +782,8 @@
             int broken = 0;
             List<RegressionCases.Case> cases = RegressionCases.in(folder);
             for (RegressionCases.Case one : cases) {
-                Map<RuleChecker.Rule, Integer> found = ExperimentRunner.play(one.scenario(), one.seed())
-                        .rules()
-                        .counts();
+                Map<RuleChecker.Rule, Integer> found =
+                        ExperimentRunner.run(one.scenario(), one.seed()).rules().counts();
                 broken += found.isEmpty() ? 0 : 1;
                 out.println(
                         one.file().getFileName() + ": " + (found.isEmpty() ? "no rule was broken" : "breaks " + found));
--- a/src/main/java/loftflow/cli/ExperimentScreen.java
+++ b/src/main/java/loftflow/cli/ExperimentScreen.java
@@ -45,23 +45,18 @@
         screen.doResizeIfNecessary();
         screen.clear();
         TextGraphics text = screen.newTextGraphics();
-        line(text, 0, TextColor.ANSI.DEFAULT, "%s   %5.1f s   q: leave the screen", title, s.at() / 1e6);
-        line(
-                text,
-                1,
-                s.service() < 0.9 ? TextColor.ANSI.RED : TextColor.ANSI.GREEN,
-                "service so far %.4f",
-                s.service());
+        line(text, 0, TextColor.ANSI.DEFAULT, "%s   %5.1f s   q: leave the screen", title, s.atMicros() / 1e6);
+        line(text, 1, s.score() < 0.9 ? TextColor.ANSI.RED : TextColor.ANSI.GREEN, "service so far %.4f", s.score());
         line(
                 text,
                 2,
                 TextColor.ANSI.DEFAULT,
                 "asked %d (%d/s)  delivered %d (%d/s)  refused %d  failed %d  open %d",
-                s.asked(),
-                s.asking(),
+                s.submitted(),
+                s.submittedPerSecond(),
                 s.delivered(),
-                s.delivering(),
-                s.refused(),
+                s.deliveredPerSecond(),
+                s.rejected(),
                 s.failed(),
                 s.open());
         line(
@@ -77,8 +72,8 @@
                 "load, full at 2.5 times");
         int rows = screen.getTerminalSize().getRows() - HEAD;
         for (int i = 0; i < Math.min(rows, s.endpoints().size()); i++) {
-            ProgressSnapshot.OfEndpoint e = s.endpoints().get(i);
-            boolean well = e.meets() == FaultSchedule.Meets.CALLS;
+            ProgressSnapshot.EndpointProgress e = s.endpoints().get(i);
+            boolean well = e.servingState() == FaultSchedule.ServingState.SERVING;
             int bar = (int) Math.min(BAR, Math.round(e.load() / FULL * BAR));
             line(
                     text,
@@ -87,10 +82,10 @@
                     "%-6s %-14.14s %-10.10s %7d %8.1f  %s",
                     e.name(),
                     e.partner(),
-                    e.building(),
-                    e.calls(),
-                    e.able(),
-                    well ? "#".repeat(bar) : e.meets().name().toLowerCase(Locale.ROOT));
+                    e.zone(),
+                    e.callsPerSecond(),
+                    e.capacityPerSecond(),
+                    well ? "#".repeat(bar) : e.servingState().code());
         }
         screen.refresh();
     }
--- a/src/main/java/loftflow/cli/ReplayCommand.java
+++ b/src/main/java/loftflow/cli/ReplayCommand.java
@@ -11,6 +11,7 @@
 import loftflow.config.plan.Declaration;
 import loftflow.config.tool.RelayFile;
 import loftflow.experiment.ExperimentRunner;
+import loftflow.experiment.RunResult;
 import loftflow.experiment.design.SampleStatistics;
 import loftflow.experiment.scenario.Scenario;
 import loftflow.experiment.scenario.TraceArrivals;
@@ -111,12 +112,13 @@
                 out.println("nothing is left to replay");
                 return ExperimentCommand.FOUND;
             }
-            Scenario lasting = replayed.lasting(read);
-            out.println(String.format(Locale.ROOT, "%d messages in %.1f s", replayed.size(), replayed.last() / 1e6));
+            Scenario lasting = replayed.withTraceDuration(read);
+            out.println(String.format(
+                    Locale.ROOT, "%d messages in %.1f s", replayed.size(), replayed.lastAtMicros() / 1e6));
             List<Double> services = new ArrayList<>();
             boolean clean = tally.rowsRejected() == 0;
             for (int run = 1; run <= runs; run++) {
-                ExperimentRunner.Played played = real == null
+                RunResult played = real == null
                         ? ExperimentRunner.replay(lasting, seed, replayed)
                         : ExperimentCommand.real(
                                 out, lasting, seed, replayed, runs == 1 ? real : real.resolve("run" + run));
@@ -124,7 +126,7 @@
                 if (run == runs) {
                     ExperimentCommand.writePage(page, played);
                 }
-                services.add(played.service().figure());
+                services.add(played.service().score());
                 clean &= played.rules().isClean();
             }
             if (runs > 1) {
@@ -134,11 +136,11 @@
                         "service in %d runs: mean %.4f [%.4f, %.4f], from %.4f to %.4f: %.2f%% apart",
                         s.runs(),
                         s.mean(),
-                        s.low(),
-                        s.high(),
-                        s.least(),
-                        s.most(),
-                        s.range() * 100));
+                        s.lowerBound(),
+                        s.upperBound(),
+                        s.min(),
+                        s.max(),
+                        s.relativeRange() * 100));
             }
             return clean ? ExperimentCommand.CLEAN : ExperimentCommand.FOUND;
         } catch (ArrivalSorter.LateException | ColumnMapping.NoSuchColumnException e) {
@@ -163,13 +165,13 @@
                     c.lateWorth(),
                     c.peakRate(),
                     c.to());
-            if (scenario.groups().stream().noneMatch(g -> g.weight() > 0 && type.goesTo(g.kind()))) {
+            if (scenario.groups().stream().noneMatch(g -> g.trafficWeight() > 0 && type.goesTo(g.kind()))) {
                 throw new IllegalArgumentException("class " + c.name() + " of " + declared.name() + " goes to "
                         + String.join(", ", c.to()) + ": " + scenario.name() + " has no partners of that kind");
             }
             classes.add(type);
         }
-        return scenario.withPrograms(
+        return scenario.withTraffic(
                 classes,
                 declared.tenants().stream()
                         .map(t -> new Scenario.Tenant(t.name(), t.rate(), t.rate()))
@@ -182,13 +184,13 @@
                 s.classes().stream()
                         .map(c -> new TraceMapping.Type(
                                 c.name(),
-                                c.rate(),
-                                c.repeat() == Idempotency.IDEMPOTENT_BY_KEY,
+                                c.ratePerSecond(),
+                                c.idempotency() == Idempotency.IDEMPOTENT_BY_KEY,
                                 1,
                                 1,
-                                c.deadline(),
+                                c.deadlineMicros(),
                                 layout.partners().stream()
-                                        .filter(p -> c.goesTo(p.group().kind()) && p.weight() > 0)
+                                        .filter(p -> c.goesTo(p.group().kind()) && p.trafficWeight() > 0)
                                         .map(Scenario.Partner::number)
                                         .toList()))
                         .toList(),
--- a/src/main/java/loftflow/experiment/PolicyLoader.java
+++ b/src/main/java/loftflow/experiment/PolicyLoader.java
@@ -16,25 +16,25 @@
 import loftflow.policy.api.DeliveryPolicy;
 import loftflow.policy.api.PolicySettings;
 
-/** The decision module of another build of this program, to be played beside this one's. */
+/** Loads the decision module of another build of this program, to compare it with this one's. */
 final class PolicyLoader {
-    private static final String PACKAGE = "loftflow";
+    private static final String ROOT_PACKAGE = "loftflow";
 
     private PolicyLoader() {}
 
-    /** Finds the module's own classes in the other build first; what it speaks in is this one's. */
-    private static final class Loader extends URLClassLoader {
-        Loader(URL from) {
-            super(new URL[] {from}, DefaultDeliveryPolicy.class.getClassLoader());
+    /** Loads the classes of the decision module from the other build, and those of its interface from this program. */
+    private static final class PolicyClassLoader extends URLClassLoader {
+        PolicyClassLoader(URL build) {
+            super(new URL[] {build}, DefaultDeliveryPolicy.class.getClassLoader());
         }
 
-        private static boolean isOfTheModule(String name) {
+        private static boolean isPolicyClass(String name) {
             return name.matches("loftflow\\.policy\\.[A-Z].*");
         }
 
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-            if (!isOfTheModule(name)) {
+            if (!isPolicyClass(name)) {
                 return super.loadClass(name, resolve);
             }
             synchronized (getClassLoadingLock(name)) {
@@ -45,21 +45,21 @@
     }
 
     /**
-     * The module in a jar or a folder of classes.
+     * The decision module in a jar or a folder of classes.
      *
-     * @throws IOException where there is none, or it is none for this program
+     * @throws IOException if there is none, or it does not fit this program's interface
      */
     static Function<PolicySettings, DeliveryPolicy> at(Path build) throws IOException {
         if (!Files.exists(build)) {
             throw new IOException(build + ": does not exist");
         }
-        Loader loader = new Loader(build.toUri().toURL());
+        PolicyClassLoader loader = new PolicyClassLoader(build.toUri().toURL());
         try {
-            Constructor<?> made =
+            Constructor<?> constructor =
                     loader.loadClass(DefaultDeliveryPolicy.class.getName()).getConstructor(PolicySettings.class);
             return settings -> {
                 try {
-                    return (DeliveryPolicy) made.newInstance(settings);
+                    return (DeliveryPolicy) constructor.newInstance(settings);
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(build + ": its module can't be made: " + e.getCause(), e);
                 }
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Where this program's own classes are. */
+    /** The jar or folder of this program's own classes. */
     static Path own() {
         try {
             return Path.of(DefaultDeliveryPolicy.class
@@ -82,13 +82,13 @@
         }
     }
 
-    /** Takes the code of every class of a build into a digest: whichever of them has changed, it is another program. */
+    /** Adds the code of every class of a build to a digest, so that a change of any class changes the digest. */
     static void digest(Path build, MessageDigest digest) throws IOException {
         if (Files.isDirectory(build)) {
-            digestFolder(build.resolve(PACKAGE), digest);
+            digestFolder(build.resolve(ROOT_PACKAGE), digest);
         } else {
             try (FileSystem jar = FileSystems.newFileSystem(build)) {
-                digestFolder(jar.getPath(PACKAGE), digest);
+                digestFolder(jar.getPath(ROOT_PACKAGE), digest);
             }
         }
     }
--- a/src/main/java/loftflow/experiment/RegressionCases.java
+++ b/src/main/java/loftflow/experiment/RegressionCases.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
@@ -17,30 +17,28 @@
 import loftflow.experiment.scenario.ScenarioWriter;
 
 /**
- * A folder of small scenarios that have each broken a rule once, and are played again by every later build. A file's
- * name says
- * which rule and by which seed: {@code overrun-7-quiet-day.toml}.
+ * A folder of minimized scenarios that have each violated a rule once, and that every later build is run against. The
+ * name of a file states the rule and the seed: {@code overrun-7-quiet-day.toml}.
  */
 public final class RegressionCases {
-    private static final Pattern NAME = Pattern.compile("([a-z]+)-(\\d{1,18})-.+\\.toml");
+    private static final Pattern FILE_NAME = Pattern.compile("([a-z]+)-(\\d{1,18})-.+\\.toml");
 
-    /** One of them. */
+    /** One case. */
     public record Case(Path file, Scenario scenario, long seed, RuleChecker.Rule rule) {}
 
     private RegressionCases() {}
 
-    /** Keeps a scenario that breaks a rule by a seed; one of the same name is replaced. */
+    /** Stores a scenario that violates a rule by a seed, in place of one of the same name. */
     public static Path save(Path folder, Scenario scenario, long seed, RuleChecker.Rule rule) throws IOException {
-        Path file = Files.createDirectories(folder)
-                .resolve(rule.name().toLowerCase(Locale.ROOT) + "-" + seed + "-" + scenario.name() + ".toml");
+        String name = rule.code() + "-" + seed + "-" + scenario.name() + ".toml";
+        Path file = Files.createDirectories(folder).resolve(name);
         return Files.writeString(file, ScenarioWriter.of(scenario));
     }
 
     /**
      * All cases of a folder, by name.
      *
-     * @throws IOException where a file is no case, with what is wrong: a case that is passed over would be taken for
-     * one that holds
+     * @throws IOException if a file is no valid case, as a case that is skipped would pass for one without violations
      */
     public static List<Case> in(Path folder) throws IOException, SourceFile.UnreadableException {
         if (!Files.isDirectory(folder)) {
@@ -52,27 +50,25 @@
         }
         List<Case> cases = new ArrayList<>();
         for (Path file : files) {
-            Matcher name = NAME.matcher(file.getFileName().toString());
-            if (!name.matches()
-                    || Stream.of(RuleChecker.Rule.values())
-                            .noneMatch(r -> r.name().toLowerCase(Locale.ROOT).equals(name.group(1)))) {
-                throw new IOException(
-                        file + ": a case's name is RULE-SEED-NAME.toml, such as overrun-7-quiet-day.toml");
-            }
-            ScenarioReader.Read read = ExperimentRunner.read(file.toString(), SourceFile.text(file));
-            if (read.scenario() == null) {
-                throw new IOException(read.findings().stream()
-                        .filter(Finding::isError)
-                        .findFirst()
-                        .orElseThrow()
-                        .toString());
-            }
-            cases.add(new Case(
-                    file,
-                    read.scenario(),
-                    Long.parseLong(name.group(2)),
-                    RuleChecker.Rule.valueOf(name.group(1).toUpperCase(Locale.ROOT))));
+            cases.add(read(file));
         }
         return cases;
     }
+
+    private static Case read(Path file) throws IOException, SourceFile.UnreadableException {
+        Matcher name = FILE_NAME.matcher(file.getFileName().toString());
+        Optional<RuleChecker.Rule> rule = name.matches() ? RuleChecker.Rule.ofCode(name.group(1)) : Optional.empty();
+        if (rule.isEmpty()) {
+            throw new IOException(file + ": a case's name is RULE-SEED-NAME.toml, such as overrun-7-quiet-day.toml");
+        }
+        ScenarioReader.ReadResult result = ScenarioFiles.read(file.toString(), SourceFile.text(file));
+        if (result.scenario() == null) {
+            throw new IOException(result.findings().stream()
+                    .filter(Finding::isError)
+                    .findFirst()
+                    .orElseThrow()
+                    .toString());
+        }
+        return new Case(file, result.scenario(), Long.parseLong(name.group(2)), rule.get());
+    }
 }
--- a/src/main/java/loftflow/experiment/design/CapacitySearch.java
+++ b/src/main/java/loftflow/experiment/design/CapacitySearch.java
@@ -1,142 +1,143 @@
 package loftflow.experiment.design;
 
+import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * The search for the highest load that still holds what was asked for. It first doubles or halves until the answer lies
- * between
- * two loads, then cuts that span, on a scale of ratios. Since a run near the edge holds by chance, a load is decided by
- * a
- * majority, and one that is far from the edge by fewer runs than one near it. A load that fails below one that held
- * shows that
- * the noise is larger than the step: both are asked again before the search goes on.
+ * The search for the highest load that still meets a target. It doubles or halves the load until the answer lies
+ * between two loads, and then bisects that interval on a logarithmic scale. Since runs near the edge pass by chance, a
+ * load is decided by a majority of runs, of which loads far from the edge need fewer. If a load fails below one that
+ * passed, the noise is larger than the step, and both are run again before the search goes on.
  */
 public final class CapacitySearch {
-    /** Runs that agree decide a load; or the majority of so many. */
-    private static final int AGREE = 2;
+    /** A load is decided once this many more runs agree than disagree, or by the majority of the maximum of runs. */
+    private static final int DECISIVE_LEAD = 2;
 
-    private static final int MOST_RUNS = 5;
-    private static final double DOUBLE = 2;
+    private static final int MAX_RUNS_PER_LOAD = 5;
+    private static final double STEP_FACTOR = 2;
 
-    /** What runs at a load have said. */
+    /** The results of the runs at one load. */
     private static final class Votes {
-        private int held;
+        private int passed;
         private int failed;
-        private int needed = AGREE;
+        private int requiredRuns = DECISIVE_LEAD;
 
         boolean isDecided() {
-            return held + failed >= needed
-                    && held != failed
-                    && (Math.abs(held - failed) >= AGREE || held + failed >= MOST_RUNS);
+            int runs = passed + failed;
+            return runs >= requiredRuns
+                    && passed != failed
+                    && (Math.abs(passed - failed) >= DECISIVE_LEAD || runs >= MAX_RUNS_PER_LOAD);
+        }
+
+        boolean hasPassed() {
+            return passed > failed;
         }
     }
 
     private final double tolerance;
-    private final double least;
-    private final double most;
-    private final TreeMap<Double, Votes> loads = new TreeMap<>();
-    private double next;
+    private final double minLoad;
+    private final double maxLoad;
+    private final TreeMap<Double, Votes> votesByLoad = new TreeMap<>();
+    private double nextLoad;
     private int runs;
 
     /**
-     * A search.
+     * Starts a search.
      *
-     * @param first the load to begin at
-     * @param tolerance the share by which the answer may be off, above 0
-     * @param least and {@code most}: the bounds of the search
+     * @param firstLoad the load to begin with
+     * @param tolerance the relative error of the answer, above 0
+     * @param minLoad lower bound of the search
+     * @param maxLoad upper bound of the search
      */
-    public CapacitySearch(double first, double tolerance, double least, double most) {
-        if (!(tolerance > 0) || !(least > 0) || !(most > least) || !(first >= least && first <= most)) {
+    public CapacitySearch(double firstLoad, double tolerance, double minLoad, double maxLoad) {
+        boolean validBounds = minLoad > 0 && maxLoad > minLoad && firstLoad >= minLoad && firstLoad <= maxLoad;
+        if (!(tolerance > 0) || !validBounds) {
             throw new IllegalArgumentException(
-                    "no search from " + first + " between " + least + " and " + most + " to " + tolerance);
+                    "no search from " + firstLoad + " between " + minLoad + " and " + maxLoad + " to " + tolerance);
         }
         this.tolerance = tolerance;
-        this.least = least;
-        this.most = most;
-        next = first;
+        this.minLoad = minLoad;
+        this.maxLoad = maxLoad;
+        nextLoad = firstLoad;
     }
 
     /** The load to run next. */
-    public double next() {
-        return next;
+    public double nextLoad() {
+        return nextLoad;
     }
 
-    /** A run at {@link #next} has held what was asked for, or not. */
-    public void ran(boolean held) {
-        Votes votes = loads.computeIfAbsent(next, l -> new Votes());
+    /** Records whether a run at {@link #nextLoad} has met the target. */
+    public void recordRun(boolean passed) {
+        Votes votes = votesByLoad.computeIfAbsent(nextLoad, load -> new Votes());
         runs++;
-        if (held) {
-            votes.held++;
+        if (passed) {
+            votes.passed++;
         } else {
             votes.failed++;
         }
         if (votes.isDecided()) {
-            next = choose();
-        }
-    }
-
-    private boolean holds(Votes votes) {
-        return votes.held > votes.failed;
-    }
-
-    /** The highest load below which none failed, and the lowest that failed above it. */
-    private double held() {
-        double held = 0;
-        for (var load : loads.entrySet()) {
-            if (!load.getValue().isDecided() || !holds(load.getValue())) {
-                break;
-            }
-            held = load.getKey();
+            nextLoad = chooseNextLoad();
         }
-        return held;
-    }
-
-    private double failed() {
-        return loads.entrySet().stream()
-                .filter(l -> l.getValue().isDecided() && !holds(l.getValue()))
-                .mapToDouble(l -> l.getKey())
-                .min()
-                .orElse(Double.POSITIVE_INFINITY);
     }
 
-    private double choose() {
-        double failed = failed();
-        Double above = loads.lastEntry().getKey();
-        if (failed < above && holds(loads.get(above)) && loads.get(failed).needed < MOST_RUNS) {
-            // Guards against an edge that noise has made: a load held above one that failed.
-            loads.get(failed).needed = MOST_RUNS;
-            loads.get(above).needed = MOST_RUNS;
-            return failed;
+    private double chooseNextLoad() {
+        double failing = lowestFailingLoad();
+        double highest = votesByLoad.lastKey();
+        if (failing < highest && isContradiction(failing, highest)) {
+            votesByLoad.get(failing).requiredRuns = MAX_RUNS_PER_LOAD;
+            votesByLoad.get(highest).requiredRuns = MAX_RUNS_PER_LOAD;
+            return failing;
         }
-        for (var load : loads.entrySet()) {
-            if (!load.getValue().isDecided()) {
-                return load.getKey();
+        for (Map.Entry<Double, Votes> entry : votesByLoad.entrySet()) {
+            if (!entry.getValue().isDecided()) {
+                return entry.getKey();
             }
         }
-        double held = held();
-        if (held == 0) {
-            return Math.max(least, failed / DOUBLE);
+        double passing = highestPassingLoad();
+        if (passing == 0) {
+            return Math.max(minLoad, failing / STEP_FACTOR);
         }
-        return failed == Double.POSITIVE_INFINITY ? Math.min(most, held * DOUBLE) : Math.sqrt(held * failed);
+        return failing == Double.POSITIVE_INFINITY
+                ? Math.min(maxLoad, passing * STEP_FACTOR)
+                : Math.sqrt(passing * failing);
+    }
+
+    /** True if a load has passed above one that failed, and the failure was not confirmed by more runs yet. */
+    private boolean isContradiction(double failing, double highest) {
+        return votesByLoad.get(highest).hasPassed() && votesByLoad.get(failing).requiredRuns < MAX_RUNS_PER_LOAD;
     }
 
-    /** True where the answer is known to the tolerance, or lies beyond a bound. */
+    /** True if the answer is known to the tolerance, or lies beyond a bound. */
     public boolean isDone() {
-        double held = held();
-        double failed = failed();
-        return held >= most || failed <= least || held > 0 && failed / held <= 1 + tolerance;
+        double passing = highestPassingLoad();
+        double failing = lowestFailingLoad();
+        return passing >= maxLoad || failing <= minLoad || passing > 0 && failing / passing <= 1 + tolerance;
     }
 
-    /** The highest load that held; 0 where not even the least did. */
-    public double answer() {
-        return held();
+    /** The highest load that passed with none failing below it; 0 where there is none. */
+    public double highestPassingLoad() {
+        double passing = 0;
+        for (Map.Entry<Double, Votes> entry : votesByLoad.entrySet()) {
+            Votes votes = entry.getValue();
+            if (!votes.isDecided() || !votes.hasPassed()) {
+                break;
+            }
+            passing = entry.getKey();
+        }
+        return passing;
     }
 
     /** The lowest load that failed; infinite where none did. */
-    public double beyond() {
-        return failed();
+    public double lowestFailingLoad() {
+        return votesByLoad.entrySet().stream()
+                .filter(entry ->
+                        entry.getValue().isDecided() && !entry.getValue().hasPassed())
+                .mapToDouble(Map.Entry::getKey)
+                .min()
+                .orElse(Double.POSITIVE_INFINITY);
     }
 
+    /** Number of runs so far. */
     public int runs() {
         return runs;
     }
--- a/src/main/java/loftflow/experiment/design/PairedComparison.java
+++ b/src/main/java/loftflow/experiment/design/PairedComparison.java
@@ -7,43 +7,43 @@
 import org.apache.commons.statistics.inference.WilcoxonSignedRankTest;
 
 /**
- * What paired runs say of a difference between two sides. The interval is a bootstrap's over the pairs; whether there
- * is a
- * difference at all is for an exact test (Wilcoxon's signed ranks), since an interval of few pairs is too narrow and
- * would find
- * differences between a program and itself.
+ * The difference between two sides in paired runs. The interval is a bootstrap interval over the pairs. Significance is
+ * decided by the exact Wilcoxon signed-rank test, since the bootstrap interval of few pairs is too narrow and would
+ * report differences between a program and itself.
  *
- * @param pairs how many there were
- * @param effect the mean difference, the second side less the first
- * @param low and {@code high}: the 95% interval of it
- * @param p how often pairs with no difference would lie as far from 0
+ * @param pairs number of pairs
+ * @param effect mean difference, second side minus first side
+ * @param lowerBound lower bound of the 95% interval of the mean difference
+ * @param upperBound upper bound of it
+ * @param pValue probability of a difference at least as large if the sides were equal
  */
-public record PairedComparison(Word word, int pairs, double effect, double low, double high, double p) {
-    /** What is to be said. */
-    public enum Word {
+public record PairedComparison(
+        Verdict verdict, int pairs, double effect, double lowerBound, double upperBound, double pValue) {
+    /** The conclusion. */
+    public enum Verdict {
         BETTER,
         WORSE,
         NO_DIFFERENCE_SHOWN,
         TOO_FEW_RUNS;
 
-        /** As it is said. */
+        /** The text in reports. */
         @Override
         public String toString() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
     }
 
-    /** With fewer pairs no course of them could be told from chance. */
-    public static final int LEAST_PAIRS = 6;
+    /** With fewer pairs the test cannot reach significance, whatever the differences. */
+    public static final int MIN_PAIRS = 6;
 
-    private static final double LEVEL = 0.05;
+    private static final double SIGNIFICANCE_LEVEL = 0.05;
 
     /**
-     * Judges pairs.
+     * Compares pairs.
      *
      * @param before the first side's figures, seed by seed
      * @param after the second side's, in the same order
-     * @param higherIsBetter whether the figure is one to be raised
+     * @param higherIsBetter whether higher figures are better
      */
     public static PairedComparison of(List<Double> before, List<Double> after, boolean higherIsBetter) {
         if (before.size() != after.size()) {
@@ -51,34 +51,40 @@
                     before.size() + " figures beside " + after.size() + ": they are no pairs");
         }
         if (before.isEmpty()) {
-            return new PairedComparison(Word.TOO_FEW_RUNS, 0, 0, 0, 0, 1);
+            return new PairedComparison(Verdict.TOO_FEW_RUNS, 0, 0, 0, 0, 1);
         }
         List<Double> differences = IntStream.range(0, before.size())
                 .mapToObj(i -> after.get(i) - before.get(i))
                 .toList();
-        SampleStatistics spread = SampleStatistics.of(differences);
-        double p = differences.stream().allMatch(d -> d == 0)
-                ? 1
-                : WilcoxonSignedRankTest.withDefaults()
-                        .with(AlternativeHypothesis.TWO_SIDED)
-                        .test(differences.stream().mapToDouble(d -> d).toArray())
-                        .getPValue();
+        SampleStatistics statistics = SampleStatistics.of(differences);
+        double pValue = pValue(differences);
         return new PairedComparison(
-                word(differences.size(), spread.mean(), p, higherIsBetter),
+                verdict(differences.size(), statistics.mean(), pValue, higherIsBetter),
                 differences.size(),
-                spread.mean(),
-                spread.low(),
-                spread.high(),
-                p);
+                statistics.mean(),
+                statistics.lowerBound(),
+                statistics.upperBound(),
+                pValue);
     }
 
-    private static Word word(int pairs, double effect, double p, boolean higherIsBetter) {
-        if (pairs < LEAST_PAIRS) {
-            return Word.TOO_FEW_RUNS;
+    /** The two-sided p-value of the signed-rank test; 1 where all differences are 0, for which it is undefined. */
+    private static double pValue(List<Double> differences) {
+        if (differences.stream().allMatch(difference -> difference == 0)) {
+            return 1;
         }
-        if (p >= LEVEL) {
-            return Word.NO_DIFFERENCE_SHOWN;
+        return WilcoxonSignedRankTest.withDefaults()
+                .with(AlternativeHypothesis.TWO_SIDED)
+                .test(differences.stream().mapToDouble(difference -> difference).toArray())
+                .getPValue();
+    }
+
+    private static Verdict verdict(int pairs, double effect, double pValue, boolean higherIsBetter) {
+        if (pairs < MIN_PAIRS) {
+            return Verdict.TOO_FEW_RUNS;
+        }
+        if (pValue >= SIGNIFICANCE_LEVEL) {
+            return Verdict.NO_DIFFERENCE_SHOWN;
         }
-        return effect > 0 == higherIsBetter ? Word.BETTER : Word.WORSE;
+        return effect > 0 == higherIsBetter ? Verdict.BETTER : Verdict.WORSE;
     }
 }
--- a/src/main/java/loftflow/experiment/design/RunOrder.java
+++ b/src/main/java/loftflow/experiment/design/RunOrder.java
@@ -8,14 +8,12 @@
 import org.apache.commons.rng.sampling.ListSampler;
 
 /**
- * In which order the sides of an experiment are run. Each seed is a block in which every side runs once, so that sides
- * are
- * compared on the same seed. Where a machine grows warmer or busier meanwhile, no side may always come first: over each
- * pair of
- * blocks every two sides follow each other as often in one order as in the other.
+ * The order in which the sides of an experiment are run. Each seed is a block in which every side runs once, so that
+ * sides are compared on the same seed. The second block of each pair reverses the order of the first, so that a drift
+ * of the machine, such as its temperature, affects all sides alike.
  */
 public final class RunOrder {
-    /** One run. */
+    /** One run of a side by a seed. */
     public record Run(int side, long seed) {}
 
     private RunOrder() {}
@@ -23,30 +21,30 @@
     /**
      * All runs, in order.
      *
-     * @param by the seed of the order itself: the same experiment resumes in the same order
+     * @param orderSeed seed of the order itself: an experiment that is resumed continues in the same order
      */
-    public static List<Run> of(int sides, List<Long> seeds, long by) {
-        List<Integer> first = new ArrayList<>();
+    public static List<Run> of(int sides, List<Long> seeds, long orderSeed) {
+        List<Integer> block = new ArrayList<>();
         for (int i = 0; i < sides; i++) {
-            first.add(i);
+            block.add(i);
         }
-        var random = RandomStreams.of(by, "order", sides);
+        var random = RandomStreams.of(orderSeed, "order", sides);
         List<Run> runs = new ArrayList<>();
-        for (int block = 0; block < seeds.size(); block++) {
-            if (block % 2 == 0) {
-                ListSampler.shuffle(random, first);
+        for (int i = 0; i < seeds.size(); i++) {
+            if (i % 2 == 0) {
+                ListSampler.shuffle(random, block);
             } else {
-                Collections.reverse(first);
+                Collections.reverse(block);
             }
-            for (int side : first) {
-                runs.add(new Run(side, seeds.get(block)));
+            for (int side : block) {
+                runs.add(new Run(side, seeds.get(i)));
             }
         }
         return runs;
     }
 
-    /** What is left to run, once so much is finished. */
-    public static List<Run> left(List<Run> all, Set<Run> finished) {
+    /** The runs that are not finished yet, in order. */
+    public static List<Run> remaining(List<Run> all, Set<Run> finished) {
         return all.stream().filter(run -> !finished.contains(run)).toList();
     }
 }
--- a/src/main/java/loftflow/experiment/design/SampleStatistics.java
+++ b/src/main/java/loftflow/experiment/design/SampleStatistics.java
@@ -6,36 +6,39 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * What like runs came to: their mean, the least and the most of them, and the 95% interval of the mean, a bootstrap's.
+ * Statistics of repeated runs.
  *
- * @param runs how many there were
+ * @param runs number of values
+ * @param lowerBound lower bound of the 95% bootstrap interval of the mean
+ * @param upperBound upper bound of it
  */
-public record SampleStatistics(int runs, double mean, double least, double most, double low, double high) {
-    private static final double LEVEL = 0.05;
-    private static final int DRAWS = 4_000;
+public record SampleStatistics(int runs, double mean, double min, double max, double lowerBound, double upperBound) {
+    private static final double SIGNIFICANCE_LEVEL = 0.05;
+    private static final int RESAMPLES = 4_000;
 
-    /** The spread of some values, at least one. */
+    /** The statistics of some values, at least one. */
     public static SampleStatistics of(List<Double> values) {
-        double[] all = values.stream().mapToDouble(v -> v).toArray();
-        double[] means = means(all);
+        double[] sample = values.stream().mapToDouble(value -> value).toArray();
+        double[] means = resampledMeans(sample);
+        int lower = (int) (RESAMPLES * SIGNIFICANCE_LEVEL / 2);
         return new SampleStatistics(
-                all.length,
-                Arrays.stream(all).average().orElseThrow(),
-                Arrays.stream(all).min().orElseThrow(),
-                Arrays.stream(all).max().orElseThrow(),
-                means[(int) (DRAWS * LEVEL / 2)],
-                means[DRAWS - 1 - (int) (DRAWS * LEVEL / 2)]);
+                sample.length,
+                Arrays.stream(sample).average().orElseThrow(),
+                Arrays.stream(sample).min().orElseThrow(),
+                Arrays.stream(sample).max().orElseThrow(),
+                means[lower],
+                means[RESAMPLES - 1 - lower]);
     }
 
-    /** How far apart the least and the most are, beside the mean. */
-    public double range() {
-        return mean == 0 ? 0 : (most - least) / Math.abs(mean);
+    /** The distance between minimum and maximum, relative to the mean. */
+    public double relativeRange() {
+        return mean == 0 ? 0 : (max - min) / Math.abs(mean);
     }
 
-    /** Means of values drawn anew from those there are, in order. */
-    private static double[] means(double[] values) {
+    /** The means of bootstrap resamples, in ascending order. */
+    private static double[] resampledMeans(double[] values) {
         UniformRandomProvider random = RandomStreams.of(values.length, "bootstrap", 0);
-        double[] means = new double[DRAWS];
+        double[] means = new double[RESAMPLES];
         Arrays.setAll(means, i -> {
             double sum = 0;
             for (int k = 0; k < values.length; k++) {
--- a/src/main/java/loftflow/experiment/design/ScenarioMinimizer.java
+++ b/src/main/java/loftflow/experiment/design/ScenarioMinimizer.java
@@ -8,120 +8,139 @@
 import loftflow.experiment.scenario.Scenario;
 
 /**
- * Makes a scenario smaller as long as it still shows what it showed: parts are left out by delta debugging (Zeller's
- * ddmin),
- * then relays, the span and the load are cut. It ends with a scenario of which no single part can be left out.
+ * Makes a scenario smaller as long as it reproduces a finding: parts are removed by delta debugging (Zeller's ddmin),
+ * then relays, duration and load are halved, until no single part can be removed.
  */
 public final class ScenarioMinimizer {
-    private static final long SECOND = 1_000_000;
-    private static final double LEAST_LOAD = 0.05;
+    private static final long MIN_DURATION_MICROS = 1_000_000;
+    private static final double MIN_LOAD = 0.05;
 
-    private final Predicate<Scenario> shows;
-    private final int most;
-    private int tried;
+    private final Predicate<Scenario> reproduces;
+    private final int maxRuns;
+    private int runs;
 
     /**
-     * A shrinking.
+     * Creates a minimizer.
      *
-     * @param shows runs a scenario and tells whether it still shows what matters; the same scenario must give the same
-     *     answer
-     * @param most runs at the most
+     * @param reproduces runs a scenario and returns whether it reproduces the finding; must be deterministic
+     * @param maxRuns maximum number of runs
      */
-    public ScenarioMinimizer(Predicate<Scenario> shows, int most) {
-        this.shows = shows;
-        this.most = most;
+    public ScenarioMinimizer(Predicate<Scenario> reproduces, int maxRuns) {
+        this.reproduces = reproduces;
+        this.maxRuns = maxRuns;
     }
 
-    /** Runs made so far. */
-    public int tried() {
-        return tried;
+    /** Number of runs so far. */
+    public int runs() {
+        return runs;
     }
 
     /**
-     * The smallest that was found.
+     * The smallest scenario found.
      *
-     * @throws IllegalArgumentException where the scenario does not show it to begin with
+     * @throws IllegalArgumentException if the given scenario does not reproduce the finding
      */
-    public Scenario of(Scenario scenario) {
-        if (!holds(scenario)) {
+    public Scenario minimize(Scenario scenario) {
+        if (!reproducesIn(scenario)) {
             throw new IllegalArgumentException("the scenario does not show it: there is nothing to make smaller");
         }
         Scenario best = scenario;
-        for (Scenario before = null; before != best && tried < most; ) {
-            before = best;
-            best = parts(best, Scenario::failures, Scenario::withFailures, 0);
-            best = parts(best, Scenario::classes, Scenario::withClasses, 1);
-            best = parts(best, Scenario::groups, Scenario::withGroups, 1);
-            best = halved(best, ScenarioMinimizer::halfTheRelays, s -> s.fleet().relays() >= 1);
-            best = halved(best, s -> s.withSpan(s.span() / 2, s.load()), s -> s.span() >= SECOND);
-            best = halved(best, s -> s.withSpan(s.span(), s.load() / 2), s -> s.load() >= LEAST_LOAD);
+        Scenario previous = null;
+        while (previous != best && runs < maxRuns) {
+            previous = best;
+            best = removeParts(best, Scenario::failures, Scenario::withFailures, 0);
+            best = removeParts(best, Scenario::classes, Scenario::withClasses, 1);
+            best = removeParts(best, Scenario::groups, Scenario::withGroups, 1);
+            best = halve(
+                    best, ScenarioMinimizer::withHalfTheRelays, s -> s.fleet().relays() >= 1);
+            best = halve(
+                    best,
+                    s -> s.withDurationAndLoad(s.durationMicros() / 2, s.loadFactor()),
+                    s -> s.durationMicros() >= MIN_DURATION_MICROS);
+            best = halve(
+                    best,
+                    s -> s.withDurationAndLoad(s.durationMicros(), s.loadFactor() / 2),
+                    s -> s.loadFactor() >= MIN_LOAD);
         }
         return best;
     }
 
-    private boolean holds(Scenario scenario) {
-        tried++;
-        return shows.test(scenario);
+    private boolean reproducesIn(Scenario scenario) {
+        runs++;
+        return reproduces.test(scenario);
     }
 
-    private interface With<T> {
+    private interface PartReplacement<T> {
         Scenario apply(Scenario scenario, List<T> parts);
     }
 
-    /** Delta debugging over one kind of part. */
-    private <T> Scenario parts(Scenario scenario, Function<Scenario, List<T>> of, With<T> with, int least) {
+    /** Delta debugging over one kind of part, of which a minimum number is needed. */
+    private <T> Scenario removeParts(
+            Scenario scenario, Function<Scenario, List<T>> getParts, PartReplacement<T> replacement, int minParts) {
         Scenario best = scenario;
-        List<T> parts = of.apply(best);
-        int pieces = 2;
-        while (parts.size() > least && tried < most) {
-            int size = Math.max(1, (parts.size() + pieces - 1) / pieces);
-            List<T> smaller = null;
-            for (int from = 0; from < parts.size() && smaller == null && tried < most; from += size) {
-                List<T> rest = new ArrayList<>(parts.subList(0, from));
-                rest.addAll(parts.subList(Math.min(parts.size(), from + size), parts.size()));
-                if (rest.size() >= least && isSound(with.apply(best, rest)) && holds(with.apply(best, rest))) {
-                    smaller = rest;
-                }
-            }
-            if (smaller != null) {
-                parts = smaller;
-                best = with.apply(best, parts);
-                pieces = Math.max(2, pieces - 1);
-            } else if (size == 1) {
+        List<T> parts = getParts.apply(best);
+        int chunks = 2;
+        while (parts.size() > minParts && runs < maxRuns) {
+            int chunkSize = Math.max(1, (parts.size() + chunks - 1) / chunks);
+            List<T> reduced = removeOneChunk(best, parts, replacement, minParts, chunkSize);
+            if (reduced != null) {
+                parts = reduced;
+                best = replacement.apply(best, parts);
+                chunks = Math.max(2, chunks - 1);
+            } else if (chunkSize == 1) {
                 break;
             } else {
-                pieces = Math.min(parts.size(), pieces * 2);
+                chunks = Math.min(parts.size(), chunks * 2);
             }
         }
         return best;
     }
 
-    /** Guards against a scenario that is none: a class that nobody takes, or a failure of a group that is gone. */
-    private static boolean isSound(Scenario s) {
-        return s.classes().stream()
-                        .allMatch(c -> s.groups().stream().anyMatch(g -> g.weight() > 0 && c.goesTo(g.kind())))
-                && s.classes().stream().anyMatch(c -> c.rate() > 0)
-                && s.failures().stream()
-                        .allMatch(f -> (f.group() == null
-                                        || s.groups().stream()
-                                                .anyMatch(g -> g.name().equals(f.group())))
-                                && f.at() < s.span());
+    /** The parts without the first chunk that is not needed to reproduce the finding; null where all are needed. */
+    private <T> List<T> removeOneChunk(
+            Scenario scenario, List<T> parts, PartReplacement<T> replacement, int minParts, int chunkSize) {
+        for (int from = 0; from < parts.size() && runs < maxRuns; from += chunkSize) {
+            List<T> rest = new ArrayList<>(parts.subList(0, from));
+            rest.addAll(parts.subList(Math.min(parts.size(), from + chunkSize), parts.size()));
+            if (rest.size() >= minParts) {
+                Scenario candidate = replacement.apply(scenario, rest);
+                if (isConsistent(candidate) && reproducesIn(candidate)) {
+                    return rest;
+                }
+            }
+        }
+        return null;
+    }
+
+    /** False if a class has no partner to go to, nothing arrives, or a failure has no group or begins after the end. */
+    private static boolean isConsistent(Scenario scenario) {
+        boolean classesHavePartners = scenario.classes().stream()
+                .allMatch(c -> scenario.groups().stream().anyMatch(g -> g.trafficWeight() > 0 && c.goesTo(g.kind())));
+        boolean hasTraffic = scenario.classes().stream().anyMatch(c -> c.ratePerSecond() > 0);
+        return classesHavePartners
+                && hasTraffic
+                && scenario.failures().stream().allMatch(failure -> isConsistent(scenario, failure));
+    }
+
+    private static boolean isConsistent(Scenario scenario, Scenario.Failure failure) {
+        boolean hasGroup = failure.group() == null
+                || scenario.groups().stream().anyMatch(g -> g.name().equals(failure.group()));
+        return hasGroup && failure.startMicros() < scenario.durationMicros();
     }
 
-    /** Halves something as long as enough is left of it and the scenario still shows what matters. */
-    private Scenario halved(Scenario scenario, UnaryOperator<Scenario> half, Predicate<Scenario> isEnough) {
+    /** Halves something as long as the result is large enough and still reproduces the finding. */
+    private Scenario halve(Scenario scenario, UnaryOperator<Scenario> half, Predicate<Scenario> isLargeEnough) {
         Scenario best = scenario;
         Scenario next = half.apply(best);
-        while (isEnough.test(next) && tried < most && isSound(next) && holds(next)) {
+        while (isLargeEnough.test(next) && runs < maxRuns && isConsistent(next) && reproducesIn(next)) {
             best = next;
             next = half.apply(best);
         }
         return best;
     }
 
-    private static Scenario halfTheRelays(Scenario s) {
-        Scenario.Fleet f = s.fleet();
-        return s.withFleet(
-                new Scenario.Fleet(f.relays() / 2, f.skew(), f.slots(), f.messages(), f.round(), f.restart()));
+    private static Scenario withHalfTheRelays(Scenario scenario) {
+        Scenario.Fleet fleet = scenario.fleet();
+        return scenario.withFleet(fleet.withRelays(fleet.relays() / 2));
     }
 }
--- a/src/main/java/loftflow/experiment/design/package-info.java
+++ b/src/main/java/loftflow/experiment/design/package-info.java
@@ -1,7 +1,6 @@
 /**
- * What to run next and what the runs say: a balanced order, a verdict on two sides, the search for a capacity, the
- * shrinking
- * of a scenario. Decisions alone: whoever runs things asks, runs, and tells.
+ * The statistics of experiments: a balanced order of runs, the comparison of two sides, the search for a capacity, and
+ * the minimization of scenarios. Decisions only; callers run things and report the results.
  *
  * <p>May use: {@code experiment.scenario}. No I/O, clock or thread.
  */
--- a/src/main/java/loftflow/experiment/emulator/EmulatedEndpoint.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatedEndpoint.java
@@ -2,15 +2,14 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
 import java.util.PriorityQueue;
-import java.util.Set;
 import loftflow.experiment.history.CallCounts;
 import loftflow.experiment.history.MessageHistory;
 import loftflow.experiment.history.RunHistory;
 import loftflow.experiment.scenario.FaultSchedule;
 import loftflow.experiment.scenario.RandomStreams;
+import loftflow.experiment.scenario.RuleLimits;
 import loftflow.experiment.scenario.Scenario;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ContinuousSampler;
@@ -18,272 +17,232 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * What an endpoint does with calls: servers that work for a drawn time, a queue before them, a limit, failures, and a
- * cold
- * return on which it falls over where it gets too much.
+ * Model of an endpoint: servers with a random service time, a bounded queue before them, a rate limit, scheduled
+ * faults, and reduced capacity after an outage, under which it collapses if it is overloaded. Times passed to it must
+ * not decrease. Not thread-safe.
  */
 public final class EmulatedEndpoint {
-    private static final long SECOND = 1_000_000;
-    private static final long CLOSES = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    /** Delay of a rejection or an error response. */
+    private static final long IMMEDIATE_RESPONSE_MICROS = 1_000;
+    /** An endpoint that fails a larger share of its calls is in an outage. */
+    private static final double OUTAGE_ERROR_SHARE = 0.5;
 
     /**
-     * What becomes of a call.
+     * The result of a call or probe.
      *
-     * @param ran it runs, or has run by the time of an answer
-     * @param answerAt when the answer leaves; -1 where none does
+     * @param executed whether it takes effect, at the latest when the response is sent
+     * @param respondAtMicros when the response is sent; -1 where there is none
      */
-    public record Met(MessageHistory.Answer answer, boolean ran, long answerAt) {}
-
-    /**
-     * A limit that one partner's endpoints share, or that one has for itself: calls that were taken in the last second.
-     */
-    public static final class Limit {
-        private final ArrayDeque<Long> taken = new ArrayDeque<>();
-        private final double whole;
-        private final boolean refusalsCount;
-        /** What it is just now, where it has been lowered. */
-        private double rate;
-
-        /** So many calls a second, 0 for any; of which those that are refused may take their part. */
-        public Limit(double rate, boolean refusalsCount) {
-            whole = rate;
-            this.rate = rate;
-            this.refusalsCount = refusalsCount;
-        }
-
-        /** Whether it takes a call while it stands at a part of what it is. */
-        boolean takes(long now, double part) {
-            rate = whole * part;
-            while (!taken.isEmpty() && now - taken.peek() >= SECOND) {
-                taken.poll();
-            }
-            boolean takes = whole == 0 || taken.size() < Math.max(1, rate);
-            if (takes || refusalsCount) {
-                taken.add(now);
-            }
-            return takes;
-        }
-
-        /** The share of it that is left. */
-        public double left() {
-            return Math.max(0, 1 - taken.size() / Math.max(1, rate));
-        }
-
-        /** Calls a second that it takes just now. */
-        public double rate() {
-            return rate;
-        }
-    }
-
-    private record Came(long at, boolean knew) {}
-
-    /** Where more of its calls than that fail, an endpoint is out. */
-    private static final double MOST = 0.5;
+    public record CallResult(MessageHistory.Response response, boolean executed, long respondAtMicros) {}
 
     private final Scenario.Endpoint endpoint;
-    private final Scenario.Group group;
-    private final Scenario.Rules rules;
+    private final Scenario.PartnerGroup group;
     private final FaultSchedule faults;
-    private final Limit limit;
+    private final EmulatedRateLimit limit;
     private final RunHistory history;
     private final UniformRandomProvider random;
-    private final ContinuousSampler work;
-    /** When each server is free, and when the calls that wait begin. */
-    private final PriorityQueue<Long> free = new PriorityQueue<>();
-
-    private final ArrayDeque<Long> begin = new ArrayDeque<>();
-    /** How much longer a server is taken than a call lasts, so that the endpoint does what it is said to. */
-    private final double rest;
-
-    private final ArrayDeque<Came> lately = new ArrayDeque<>();
-    /** Relays that have been told of a call or check that failed, or was refused, in the last outage. */
-    private final Set<Integer> knowing = new HashSet<>();
-    /** Relays that wait for an answer which does not come. */
-    private final Set<Integer> unanswered = new HashSet<>();
+    private final ContinuousSampler serviceTime;
+    private final CollapseDetector collapseDetector;
+    /** When each server becomes free. */
+    private final PriorityQueue<Long> serverFreeAtMicros = new PriorityQueue<>();
+    /** When each queued call is started. */
+    private final ArrayDeque<Long> queuedStartsMicros = new ArrayDeque<>();
+    /**
+     * Server occupancy of a call as a multiple of its service time: the number of servers is rounded up, and the
+     * occupancy makes up for that so that the capacity is met exactly.
+     */
+    private final double occupancyFactor;
 
-    private boolean out;
-    private int knowingLately;
-    private boolean fallen;
-    private long bucket;
-    private int calls;
+    private long currentSecond;
+    private int callsInSecond;
 
     private EmulatedEndpoint(
             Scenario.Endpoint endpoint,
-            Scenario.Group group,
-            Scenario.Rules rules,
+            Scenario.PartnerGroup group,
+            RuleLimits limits,
             FaultSchedule faults,
-            Limit limit,
+            EmulatedRateLimit limit,
             RunHistory history,
             UniformRandomProvider random) {
         this.endpoint = endpoint;
         this.group = group;
-        this.rules = rules;
         this.faults = faults;
         this.limit = limit;
         this.history = history;
         this.random = random;
-        double response = Math.max(1, group.response());
-        double busy = group.capacity() * response / SECOND;
-        int servers = (int) Math.max(1, Math.ceil(busy));
-        rest = servers / busy;
+        collapseDetector = new CollapseDetector(endpoint.number(), group.capacityPerSecond(), limits, history);
+        double responseMicros = Math.max(1, group.responseMicros());
+        double busyServers = group.capacityPerSecond() * responseMicros / MICROS_PER_SECOND;
+        int servers = (int) Math.max(1, Math.ceil(busyServers));
+        occupancyFactor = servers / busyServers;
         for (int i = 0; i < servers; i++) {
-            free.add(0L);
+            serverFreeAtMicros.add(0L);
         }
-        double sigma = group.spread();
-        work = sigma == 0
-                ? () -> response
+        serviceTime = serviceTime(responseMicros, group.responseSigma(), random);
+    }
+
+    /** A log-normal distribution with the given mean; constant where sigma is 0. */
+    private static ContinuousSampler serviceTime(double meanMicros, double sigma, UniformRandomProvider random) {
+        return sigma == 0
+                ? () -> meanMicros
                 : LogNormalSampler.of(
-                        ZigguratSampler.NormalizedGaussian.of(random), Math.log(response) - sigma * sigma / 2, sigma);
+                        ZigguratSampler.NormalizedGaussian.of(random), Math.log(meanMicros) - sigma * sigma / 2, sigma);
     }
 
+    /** The endpoint's place in the scenario. */
     public Scenario.Endpoint endpoint() {
         return endpoint;
     }
 
-    public Scenario.Group group() {
+    /** The group of the partner that the endpoint belongs to. */
+    public Scenario.PartnerGroup group() {
         return group;
     }
 
-    public Limit limit() {
+    /** The rate limit, shared with the partner's other endpoints unless its routes are independent. */
+    public EmulatedRateLimit limit() {
         return limit;
     }
 
-    /** All endpoints of a layout, by number; those of a partner share its limit where routes are not apart. */
-    public static List<EmulatedEndpoint> all(
-            Scenario.Layout layout, Scenario.Rules rules, FaultSchedule faults, RunHistory history, long seed) {
+    /** Creates all endpoints of a layout, by number. */
+    public static List<EmulatedEndpoint> createAll(
+            Scenario.Layout layout, RuleLimits limits, FaultSchedule faults, RunHistory history, long seed) {
         List<EmulatedEndpoint> all = new ArrayList<>();
         for (Scenario.Partner partner : layout.partners()) {
-            Scenario.Group group = partner.group();
-            Limit shared = new Limit(group.limit(), group.refusalsCount());
-            for (Scenario.Endpoint e : partner.endpoints()) {
+            Scenario.PartnerGroup group = partner.group();
+            EmulatedRateLimit shared = rateLimit(group);
+            for (Scenario.Endpoint endpoint : partner.endpoints()) {
                 all.add(new EmulatedEndpoint(
-                        e,
+                        endpoint,
                         group,
-                        rules,
+                        limits,
                         faults,
-                        group.routesApart() ? new Limit(group.limit(), group.refusalsCount()) : shared,
+                        group.independentRoutes() ? rateLimit(group) : shared,
                         history,
-                        RandomStreams.of(seed, "endpoint", e.number())));
+                        RandomStreams.of(seed, "endpoint", endpoint.number())));
             }
         }
         return all;
     }
 
-    /** The wait that an answer tells, in microseconds; 0 for none. */
-    public long toldWait(Met met) {
-        return met.answer() == MessageHistory.Answer.FULL ? group.toldWait() : 0;
+    private static EmulatedRateLimit rateLimit(Scenario.PartnerGroup group) {
+        return new EmulatedRateLimit(group.limitPerSecond(), group.countsRejections());
     }
 
-    /** A call of a relay has come; times may not go back. */
-    public Met meet(int relay, long now) {
-        return meet(relay, now, CallCounts.Of.CALLS);
+    /** The {@code Retry-After} sent with a result, in microseconds; 0 for none. */
+    public long retryAfterMicros(CallResult result) {
+        return result.response() == MessageHistory.Response.REJECTED ? group.retryAfterMicros() : 0;
     }
 
-    /** A check has come, of a relay or of {@link CallCounts#NONE}. */
-    public Met check(int relay, long now) {
-        return meet(relay, now, CallCounts.Of.CHECKS);
+    /** Processes a call from a relay. */
+    public CallResult receiveCall(int relay, long nowMicros) {
+        return receive(relay, nowMicros, CallCounts.Metric.CALLS);
     }
 
-    private Met meet(int relay, long now, CallCounts.Of what) {
-        FaultSchedule.State state = faults.state(endpoint.number(), now);
-        count(now, state);
-        if (state.meets() == FaultSchedule.Meets.CALLS && state.able() < 1) {
-            watchFall(relay, now, state.able());
-        }
-        Met met = met(now, state);
-        history.costs().count(what, relay, endpoint.number());
-        CallCounts.Of wrong =
-                switch (met.answer()) {
-                    case FULL -> CallCounts.Of.REFUSED;
-                    case UNREACHED -> CallCounts.Of.UNREACHED;
-                    case NONE -> CallCounts.Of.UNANSWERED;
-                    case DONE, FAULT -> null;
+    /** Processes a health probe from a relay; the relay may be {@link CallCounts#NONE}. */
+    public CallResult receiveProbe(int relay, long nowMicros) {
+        return receive(relay, nowMicros, CallCounts.Metric.PROBES);
+    }
+
+    private CallResult receive(int relay, long nowMicros, CallCounts.Metric metric) {
+        FaultSchedule.EndpointCondition condition = faults.conditionAt(endpoint.number(), nowMicros);
+        countLoad(nowMicros, condition);
+        boolean serving = condition.servingState() == FaultSchedule.ServingState.SERVING;
+        if (serving && condition.capacityShare() < 1) {
+            collapseDetector.onCallWhileCold(relay, nowMicros, condition.capacityShare());
+        }
+        CallResult result = process(nowMicros, condition);
+        countResult(relay, metric, result.response());
+        boolean outage = collapseDetector.hasCollapsed() || !serving || condition.errorShare() > OUTAGE_ERROR_SHARE;
+        collapseDetector.onResult(relay, result, outage);
+        return result;
+    }
+
+    private void countResult(int relay, CallCounts.Metric metric, MessageHistory.Response response) {
+        history.callCounts().count(metric, relay, endpoint.number());
+        CallCounts.Metric failure =
+                switch (response) {
+                    case REJECTED -> CallCounts.Metric.REJECTED;
+                    case CONNECT_FAILED -> CallCounts.Metric.CONNECT_FAILED;
+                    case NO_RESPONSE -> CallCounts.Metric.NO_RESPONSE;
+                    case DELIVERED, ERROR -> null;
                 };
-        if (wrong != null) {
-            history.costs().count(wrong, relay, endpoint.number());
-        }
-        boolean outage = fallen || state.meets() != FaultSchedule.Meets.CALLS || state.failing() > MOST;
-        if (outage && !out) {
-            knowing.clear();
-            unanswered.clear();
-        }
-        out = outage;
-        if (outage && met.answer() != MessageHistory.Answer.DONE) {
-            (met.answerAt() < 0 ? unanswered : knowing).add(relay);
+        if (failure != null) {
+            history.callCounts().count(failure, relay, endpoint.number());
         }
-        return met;
     }
 
-    /** A relay has stopped waiting for a call or check: where no answer was to come, it knows by now. */
-    public void givenUpBy(int relay) {
-        if (unanswered.remove(relay)) {
-            knowing.add(relay);
-        }
+    /** A relay has stopped waiting for the response to a call or probe. */
+    public void onAbandonedBy(int relay) {
+        collapseDetector.onAbandonedBy(relay);
     }
 
-    private Met met(long now, FaultSchedule.State state) {
-        if (fallen || state.meets() == FaultSchedule.Meets.DOWN || state.meets() == FaultSchedule.Meets.GONE) {
-            return new Met(MessageHistory.Answer.UNREACHED, false, now);
-        }
-        if (state.meets() == FaultSchedule.Meets.SILENT) {
-            return new Met(MessageHistory.Answer.NONE, true, -1);
+    private CallResult process(long nowMicros, FaultSchedule.EndpointCondition condition) {
+        FaultSchedule.ServingState state = condition.servingState();
+        if (collapseDetector.hasCollapsed() || isUnreachable(state)) {
+            return new CallResult(MessageHistory.Response.CONNECT_FAILED, false, nowMicros);
         }
-        if (state.meets() == FaultSchedule.Meets.SHUT || !limit.takes(now, state.limited()) || isFull(now)) {
-            return new Met(MessageHistory.Answer.FULL, false, now + CLOSES);
+        if (state == FaultSchedule.ServingState.UNRESPONSIVE) {
+            return new CallResult(MessageHistory.Response.NO_RESPONSE, true, -1);
         }
-        if (random.nextDouble() < state.failing()) {
-            return new Met(MessageHistory.Answer.FAULT, random.nextBoolean(), now + CLOSES);
+        if (state == FaultSchedule.ServingState.REJECTING
+                || !limit.tryAcquire(nowMicros, condition.limitShare())
+                || isQueueFull(nowMicros)) {
+            return new CallResult(MessageHistory.Response.REJECTED, false, nowMicros + IMMEDIATE_RESPONSE_MICROS);
         }
-        long lasts = (long) Math.max(1, work.sample() * state.slower() / state.able());
-        long starts = Math.max(now, free.poll());
-        free.add(starts + (long) (lasts * rest));
-        begin.add(starts);
-        long done = starts + lasts;
-        // Guards against an answer from an endpoint that went down meanwhile: what it had begun may have run.
-        FaultSchedule.Meets then = faults.state(endpoint.number(), done).meets();
-        if (then == FaultSchedule.Meets.SILENT) {
-            return new Met(MessageHistory.Answer.NONE, true, -1);
+        if (random.nextDouble() < condition.errorShare()) {
+            return new CallResult(
+                    MessageHistory.Response.ERROR, random.nextBoolean(), nowMicros + IMMEDIATE_RESPONSE_MICROS);
         }
-        boolean lost = then == FaultSchedule.Meets.DOWN || then == FaultSchedule.Meets.GONE;
-        return lost ? new Met(MessageHistory.Answer.NONE, true, done) : new Met(MessageHistory.Answer.DONE, true, done);
+        return responseAt(enqueue(nowMicros, condition));
     }
 
-    private boolean isFull(long now) {
-        while (!begin.isEmpty() && begin.peek() <= now) {
-            begin.poll();
-        }
-        return begin.size() >= group.queue() && free.peek() > now;
+    private static boolean isUnreachable(FaultSchedule.ServingState state) {
+        return state == FaultSchedule.ServingState.DOWN || state == FaultSchedule.ServingState.REMOVED;
     }
 
-    private void count(long now, FaultSchedule.State state) {
-        if (now / SECOND != bucket) {
-            if (calls > 0) {
-                history.loaded(new RunHistory.Load(
-                        endpoint.number(), bucket * SECOND, calls, group.capacity() * state.able()));
-            }
-            bucket = now / SECOND;
-            calls = 0;
+    /** Assigns the call to the next free server and returns when it is finished. */
+    private long enqueue(long nowMicros, FaultSchedule.EndpointCondition condition) {
+        long durationMicros =
+                (long) Math.max(1, serviceTime.sample() * condition.slowdownFactor() / condition.capacityShare());
+        long startMicros = Math.max(nowMicros, serverFreeAtMicros.poll());
+        serverFreeAtMicros.add(startMicros + (long) (durationMicros * occupancyFactor));
+        queuedStartsMicros.add(startMicros);
+        return startMicros + durationMicros;
+    }
+
+    /** The result of a call that finishes at a time; an endpoint that has failed by then sends no response. */
+    private CallResult responseAt(long finishedMicros) {
+        FaultSchedule.ServingState state =
+                faults.conditionAt(endpoint.number(), finishedMicros).servingState();
+        if (state == FaultSchedule.ServingState.UNRESPONSIVE) {
+            return new CallResult(MessageHistory.Response.NO_RESPONSE, true, -1);
         }
-        calls++;
+        return isUnreachable(state)
+                ? new CallResult(MessageHistory.Response.NO_RESPONSE, true, finishedMicros)
+                : new CallResult(MessageHistory.Response.DELIVERED, true, finishedMicros);
     }
 
-    /** Cold, it falls over where it gets too many times what it can do. */
-    private void watchFall(int relay, long now, double able) {
-        boolean knew = knowing.contains(relay);
-        lately.add(new Came(now, knew));
-        knowingLately += knew ? 1 : 0;
-        while (now - lately.peek().at() > rules.fallSpan()) {
-            knowingLately -= lately.poll().knew() ? 1 : 0;
+    private boolean isQueueFull(long nowMicros) {
+        while (!queuedStartsMicros.isEmpty() && queuedStartsMicros.peek() <= nowMicros) {
+            queuedStartsMicros.poll();
         }
-        double most = rules.fallMultiple() * group.capacity() * able * rules.fallSpan() / SECOND;
-        if (!fallen && lately.size() > Math.max(2, most)) {
-            fallen = true;
-            history.fell(new RunHistory.Fall(
-                    endpoint.number(),
-                    now,
-                    lately.size(),
-                    group.capacity() * able,
-                    (double) knowingLately / lately.size()));
+        return queuedStartsMicros.size() >= group.queueLength() && serverFreeAtMicros.peek() > nowMicros;
+    }
+
+    private void countLoad(long nowMicros, FaultSchedule.EndpointCondition condition) {
+        if (nowMicros / MICROS_PER_SECOND != currentSecond) {
+            if (callsInSecond > 0) {
+                history.addEndpointLoad(new RunHistory.EndpointLoad(
+                        endpoint.number(),
+                        currentSecond * MICROS_PER_SECOND,
+                        callsInSecond,
+                        group.capacityPerSecond() * condition.capacityShare()));
+            }
+            currentSecond = nowMicros / MICROS_PER_SECOND;
+            callsInSecond = 0;
         }
+        callsInSecond++;
     }
 }
--- a/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
@@ -14,104 +14,114 @@
 import loftflow.policy.api.LimitReport;
 import loftflow.policy.api.PolicySettings;
 
-/** One relay: an engine with its decision module, which dies and comes back with what its journal holds. */
+/** One relay: an engine with its decision module, which crashes and restarts with the contents of its journal. */
 final class EmulatedRelay {
-    /** What a relay needs of the world. */
-    interface World {
-        /** Carries a call to an endpoint. */
-        void carry(Life from, String route, List<Message.Attempt> attempts);
+    /** Part of the engine's log line for an exception of the decision module. */
+    private static final String ROUND_FAILED = "round failed";
 
-        /** Carries a check to an endpoint. */
-        void check(Life from, String route);
+    /** The relay's surroundings. */
+    interface Environment {
+        /** Sends attempts to an endpoint. */
+        void sendCalls(Process from, String route, List<Message.Attempt> attempts);
 
-        /** An answer is no longer waited for. */
-        void givenUp(Life from, String route);
+        /** Sends a health probe to an endpoint. */
+        void sendProbe(Process from, String route);
 
-        /** An end is told. */
-        void told(Message message);
+        /** The relay has stopped waiting for a response of an endpoint. */
+        void onAbandoned(Process from, String route);
 
-        /** What discovery tells a relay that starts. */
-        List<Endpoint> list(int relay);
+        /** The relay reports the completion of a message. */
+        void onCompletion(Message message);
+
+        /** The endpoint list for a relay that starts. */
+        List<Endpoint> endpointList(int relay);
     }
 
     private final int number;
     private final VirtualTime time;
     private final PolicySettings settings;
-    private final long round;
-    private final RelayComponents program;
-    private final World world;
+    private final long roundMicros;
+    private final RelayComponents components;
+    private final Environment environment;
     private final InMemoryJournal journal = new InMemoryJournal();
-    private Life life;
+    /** Null while the relay is down. */
+    private Process process;
 
     EmulatedRelay(
-            int number, VirtualTime time, PolicySettings settings, long round, RelayComponents program, World world) {
+            int number,
+            VirtualTime time,
+            PolicySettings settings,
+            long roundMicros,
+            RelayComponents components,
+            Environment environment) {
         this.number = number;
         this.time = time;
         this.settings = settings;
-        this.round = round;
-        this.program = program;
-        this.world = world;
+        this.roundMicros = roundMicros;
+        this.components = components;
+        this.environment = environment;
     }
 
     int number() {
         return number;
     }
 
-    /** True where it runs. */
     boolean isUp() {
-        return life != null;
+        return process != null;
     }
 
-    /** Starts with what was recorded. */
+    /** Starts a new process, which recovers the messages in the journal. */
     void start() {
-        life = new Life();
-        life.engine.start(EndpointListKind.FULL, 1, world.list(number));
+        process = new Process();
+        process.engine.start(EndpointListKind.FULL, 1, environment.endpointList(number));
     }
 
-    /** Ends at once. What is on the wire goes on. */
-    void die() {
-        life.over = true;
-        life = null;
+    /** Terminates the process at once. Calls that were sent continue. */
+    void crash() {
+        process.terminated = true;
+        process = null;
     }
 
-    void handIn(Message.Content content, Message.ClientReply client) {
-        life.engine.accept(content, time.micros(), client);
+    void submit(Message.Content content, Message.ClientReply client) {
+        process.engine.accept(content, time.micros(), client);
     }
 
-    /** It hears of a change of the list. */
-    void hears(List<Endpoint> changes, long version) {
-        if (life != null) {
-            life.engine.onEndpointList(EndpointListKind.DELTA, version, changes);
+    /** Applies a change of the endpoint list; without effect while the relay is down. */
+    void onEndpointChanges(List<Endpoint> changes, long version) {
+        if (process != null) {
+            process.engine.onEndpointList(EndpointListKind.DELTA, version, changes);
         }
     }
 
-    /** One process: what belongs to it ends with it. */
-    final class Life implements UpstreamClient, CompletionNotifier {
+    /** One process of the relay; its timers and attempts end with it. */
+    final class Process implements UpstreamClient, CompletionNotifier {
         private final DeliveryEngine engine = new DeliveryEngine(
-                this::later,
-                program.clock().apply(time),
+                this::schedule,
+                components.clock().apply(time),
                 settings,
-                round,
-                program.journal().apply(journal),
-                program.module());
-        /** Attempts that are out, each with the timer that ends it. */
-        private final Map<Message.Attempt, Timers.Timer> out = new HashMap<>();
-
-        private boolean over;
-
-        Life() {
-            // Guards against an error of the module that would pass for bad service.
-            engine.setLogger(line -> {
-                if (line.startsWith("a round failed")) {
-                    throw new IllegalStateException("relay " + number + " at " + time.micros() + " us: " + line);
-                }
-            });
+                roundMicros,
+                components.journal().apply(journal),
+                components.policy());
+        /** The timeout of each attempt in flight. */
+        private final Map<Message.Attempt, Timers.Timer> attemptTimers = new HashMap<>();
+
+        private boolean terminated;
+
+        Process() {
+            engine.setLogger(this::failOnPolicyError);
             engine.attach(this, this);
         }
 
-        private Timers.Timer later(long micros, Runnable task) {
-            return time.schedule(micros, () -> {
-                if (!over) {
+        /** Aborts the run on an exception of the decision module, which would otherwise only show as poor service. */
+        private void failOnPolicyError(String line) {
+            if (line.contains(ROUND_FAILED)) {
+                throw new IllegalStateException("relay " + number + " at " + time.micros() + " us: " + line);
+            }
+        }
+
+        private Timers.Timer schedule(long delayMicros, Runnable task) {
+            return time.schedule(delayMicros, () -> {
+                if (!terminated) {
                     task.run();
                 }
             });
@@ -121,52 +131,50 @@
             return number;
         }
 
-        /**
-         * Whether anything is still sent to what drains is left to the module: the model's calls wait for no
-         * connection.
-         */
+        /** Does nothing: emulated calls wait for no connection, so there is nothing to withdraw from an endpoint. */
         @Override
         public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {}
 
         @Override
         public void send(String route, List<OutboundAttempt> outgoing) {
-            for (OutboundAttempt one : outgoing) {
-                out.put(
-                        one.attempt(),
-                        later(
-                                one.timeoutMicros(),
-                                () -> end(one.attempt(), AttemptOutcome.TIMEOUT, 0, LimitReport.NONE)));
+            for (OutboundAttempt outbound : outgoing) {
+                Message.Attempt attempt = outbound.attempt();
+                Runnable onTimeout = () -> completeAttempt(attempt, AttemptOutcome.TIMEOUT, 0, LimitReport.NONE);
+                attemptTimers.put(attempt, schedule(outbound.timeoutMicros(), onTimeout));
             }
-            world.carry(
+            environment.sendCalls(
                     this, route, outgoing.stream().map(OutboundAttempt::attempt).toList());
         }
 
-        /** An answer has come, or is known to be lost; without effect where the attempt is over. */
-        void end(Message.Attempt attempt, AttemptOutcome result, long wait, LimitReport report) {
-            Timers.Timer timer = over ? null : out.remove(attempt);
+        /** Reports the outcome of an attempt to the engine; without effect if it has ended already. */
+        void completeAttempt(
+                Message.Attempt attempt, AttemptOutcome outcome, long retryAfterMicros, LimitReport report) {
+            Timers.Timer timer = terminated ? null : attemptTimers.remove(attempt);
             if (timer != null) {
                 timer.cancel();
-                if (result == AttemptOutcome.TIMEOUT || result == AttemptOutcome.CANCELLED) {
-                    world.givenUp(this, attempt.route());
+                if (outcome == AttemptOutcome.TIMEOUT || outcome == AttemptOutcome.CANCELLED) {
+                    environment.onAbandoned(this, attempt.route());
                 }
-                engine.onAttemptCompleted(attempt, result, result == AttemptOutcome.OK, wait, report);
+                engine.onAttemptCompleted(attempt, outcome, outcome == AttemptOutcome.OK, retryAfterMicros, report);
             }
         }
 
-        void probed(String route, AttemptOutcome result, long wait, long took, LimitReport report) {
-            if (!over) {
-                engine.onProbeCompleted(route, result, wait, took, report);
+        /** Reports the outcome of a health probe to the engine. */
+        void completeProbe(
+                String route, AttemptOutcome outcome, long retryAfterMicros, long elapsedMicros, LimitReport report) {
+            if (!terminated) {
+                engine.onProbeCompleted(route, outcome, retryAfterMicros, elapsedMicros, report);
             }
         }
 
         @Override
         public void cancel(Message.Attempt attempt) {
-            end(attempt, AttemptOutcome.CANCELLED, 0, LimitReport.NONE);
+            completeAttempt(attempt, AttemptOutcome.CANCELLED, 0, LimitReport.NONE);
         }
 
         @Override
         public void probe(String route) {
-            world.check(this, route);
+            environment.sendProbe(this, route);
         }
 
         @Override
@@ -174,7 +182,7 @@
 
         @Override
         public void notifyCompletion(Message message) {
-            world.told(message);
+            environment.onCompletion(message);
             engine.onCompletionAcknowledged(message);
         }
     }
--- a/src/main/java/loftflow/experiment/emulator/IdempotencyKeys.java
+++ b/src/main/java/loftflow/experiment/emulator/IdempotencyKeys.java
@@ -5,23 +5,29 @@
 import loftflow.experiment.scenario.Scenario;
 import loftflow.policy.api.Idempotency;
 
-/** What partners know of the keys of messages that have run there, each for its class's window. */
+/** The idempotency keys that partners remember, each for the key window of its message class. */
 public final class IdempotencyKeys {
-    private record Where(int ask, int partner, String building) {}
+    /** The scope of a key: one zone of a partner, or the whole partner with an empty zone. */
+    private record KeyScope(int message, int partner, String zone) {}
 
-    private final Map<Where, Long> ran = new HashMap<>();
+    private final Map<KeyScope, Long> executedAtMicros = new HashMap<>();
 
-    /** True where a message that an endpoint runs now takes effect there: it has no key, or its key is new. */
-    public boolean takesEffect(int ask, int partner, Scenario.MessageClass type, Scenario.Endpoint endpoint, long now) {
-        if (type.repeat() != Idempotency.IDEMPOTENT_BY_KEY) {
+    /**
+     * Returns whether a message that an endpoint executes now takes effect: it has no key, or its key is unknown there.
+     *
+     * @param message number of the message, which stands for its key
+     */
+    public boolean takesEffect(
+            int message, int partner, Scenario.MessageClass messageClass, Scenario.Endpoint endpoint, long nowMicros) {
+        if (messageClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY) {
             return true;
         }
-        Where where = new Where(ask, partner, type.keysByBuilding() ? endpoint.building() : "");
-        Long before = ran.get(where);
-        if (before != null && now - before < type.keyWindow()) {
+        KeyScope scope = new KeyScope(message, partner, messageClass.keysByZone() ? endpoint.zone() : "");
+        Long previousMicros = executedAtMicros.get(scope);
+        if (previousMicros != null && nowMicros - previousMicros < messageClass.keyWindowMicros()) {
             return false;
         }
-        ran.put(where, now);
+        executedAtMicros.put(scope, nowMicros);
         return true;
     }
 }
--- a/src/main/java/loftflow/experiment/emulator/InMemoryJournal.java
+++ b/src/main/java/loftflow/experiment/emulator/InMemoryJournal.java
@@ -9,85 +9,88 @@
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * What a relay has recorded. It outlasts the relay, and gives back messages of its own, so that no more than that does.
+ * A write-ahead log in memory that outlives the relay's process. Recovery returns new message objects built from the
+ * records, so that nothing that was not recorded survives a crash.
  */
 final class InMemoryJournal implements WriteAheadLog {
-    private record Tried(String route, long sentAt) {}
+    private record RecordedAttempt(String route, long sentAtMicros) {}
 
-    private static final class Kept {
+    private static final class MessageRecord {
         private final Message.Content content;
-        private final List<Tried> attempts = new ArrayList<>(2);
-        private final List<AttemptOutcome> results = new ArrayList<>(2);
-        private Message.Completion end;
+        private final List<RecordedAttempt> attempts = new ArrayList<>(2);
+        private final List<AttemptOutcome> outcomes = new ArrayList<>(2);
+        private Message.Completion completion;
 
-        Kept(Message.Content content) {
+        MessageRecord(Message.Content content) {
             this.content = content;
         }
 
-        /** Guards against an attempt that was never recorded, as its time was up: it has a result alone. */
-        void upTo(int count) {
+        /** Fills in attempts that ended without being recorded because the deadline had passed. */
+        void padTo(int count) {
             while (attempts.size() < count) {
-                attempts.add(new Tried("", 0));
-                results.add(AttemptOutcome.NOT_SENT);
+                attempts.add(new RecordedAttempt("", 0));
+                outcomes.add(AttemptOutcome.NOT_SENT);
             }
         }
+
+        Message toMessage(long number) {
+            Message message = new Message(number, content);
+            for (int i = 0; i < attempts.size(); i++) {
+                RecordedAttempt attempt = attempts.get(i);
+                message.addAttempt(attempt.route(), attempt.sentAtMicros()).outcome(outcomes.get(i));
+            }
+            message.complete(completion);
+            return message;
+        }
     }
 
-    private final Map<Long, Kept> kept = new LinkedHashMap<>();
-    private long next;
+    private final Map<Long, MessageRecord> records = new LinkedHashMap<>();
+    private long nextSequenceNumber;
 
     @Override
     public long nextSequenceNumber() {
-        return next;
+        return nextSequenceNumber;
     }
 
     @Override
     public List<Message> openMessages() {
         List<Message> open = new ArrayList<>();
-        kept.forEach((number, k) -> {
-            Message message = new Message(number, k.content);
-            for (int i = 0; i < k.attempts.size(); i++) {
-                message.addAttempt(k.attempts.get(i).route(), k.attempts.get(i).sentAt())
-                        .outcome(k.results.get(i));
-            }
-            message.complete(k.end);
-            open.add(message);
-        });
+        records.forEach((number, record) -> open.add(record.toMessage(number)));
         return open;
     }
 
     @Override
     public boolean recordAccepted(Message message) {
-        kept.put(message.number(), new Kept(message.content()));
-        next = message.number() + 1;
+        records.put(message.number(), new MessageRecord(message.content()));
+        nextSequenceNumber = message.number() + 1;
         return true;
     }
 
     @Override
     public boolean recordAttempt(Message.Attempt attempt) {
-        Kept k = kept.get(attempt.message().number());
-        k.upTo(attempt.number());
-        k.attempts.add(new Tried(attempt.route(), attempt.sentAtMicros()));
-        k.results.add(null);
+        MessageRecord record = records.get(attempt.message().number());
+        record.padTo(attempt.number());
+        record.attempts.add(new RecordedAttempt(attempt.route(), attempt.sentAtMicros()));
+        record.outcomes.add(null);
         return true;
     }
 
     @Override
     public void recordOutcome(Message.Attempt attempt) {
-        Kept k = kept.get(attempt.message().number());
-        if (k != null) {
-            k.upTo(attempt.number() + 1);
-            k.results.set(attempt.number(), attempt.outcome());
+        MessageRecord record = records.get(attempt.message().number());
+        if (record != null) {
+            record.padTo(attempt.number() + 1);
+            record.outcomes.set(attempt.number(), attempt.outcome());
         }
     }
 
     @Override
     public void recordCompletion(Message message) {
-        kept.get(message.number()).end = message.completion();
+        records.get(message.number()).completion = message.completion();
     }
 
     @Override
     public void recordDone(Message message) {
-        kept.remove(message.number());
+        records.remove(message.number());
     }
 }
--- a/src/main/java/loftflow/experiment/emulator/RelayComponents.java
+++ b/src/main/java/loftflow/experiment/emulator/RelayComponents.java
@@ -8,18 +8,18 @@
 import loftflow.policy.api.PolicySettings;
 
 /**
- * What each relay of a run is made of.
+ * The parts that each emulated relay is assembled from; tests replace one to inject a fault.
  *
- * @param module makes its decision module
- * @param journal what stands before its journal, for each of its lives
- * @param clock what its clock makes of the true time
+ * @param policy creates the decision module
+ * @param journal wraps the journal, anew for each process of the relay
+ * @param clock wraps the virtual clock
  */
 public record RelayComponents(
-        Function<PolicySettings, DeliveryPolicy> module,
+        Function<PolicySettings, DeliveryPolicy> policy,
         UnaryOperator<WriteAheadLog> journal,
         UnaryOperator<Clock> clock) {
-    /** A module with a journal and a clock that are as they should be. */
-    public static RelayComponents of(Function<PolicySettings, DeliveryPolicy> module) {
-        return new RelayComponents(module, UnaryOperator.identity(), UnaryOperator.identity());
+    /** A decision module with an unmodified journal and clock. */
+    public static RelayComponents of(Function<PolicySettings, DeliveryPolicy> policy) {
+        return new RelayComponents(policy, UnaryOperator.identity(), UnaryOperator.identity());
     }
 }
--- a/src/main/java/loftflow/experiment/emulator/VirtualTime.java
+++ b/src/main/java/loftflow/experiment/emulator/VirtualTime.java
@@ -5,68 +5,72 @@
 import loftflow.engine.Timers;
 
 /**
- * Time that passes from one thing to happen to the next. What is due at one time happens in the order it was asked for.
+ * A virtual clock with an event queue: time advances from one event to the next. Events that are due at the same time
+ * run in the order in which they were scheduled. Not thread-safe.
  */
 final class VirtualTime implements Clock, Timers {
-    private static final class Due implements Timer, Comparable<Due> {
-        private final long at;
-        private final long order;
+    private static final class Event implements Timer, Comparable<Event> {
+        private final long dueMicros;
+        private final long sequenceNumber;
         private Runnable task;
 
-        Due(long at, long order, Runnable task) {
-            this.at = at;
-            this.order = order;
+        Event(long dueMicros, long sequenceNumber, Runnable task) {
+            this.dueMicros = dueMicros;
+            this.sequenceNumber = sequenceNumber;
             this.task = task;
         }
 
+        /** Releases the task at once; the event itself stays queued until it is due. */
         @Override
         public void cancel() {
-            // Lets go of what the task holds: it stays in the queue until its time.
             task = null;
         }
 
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+        public int compareTo(Event other) {
+            return dueMicros != other.dueMicros
+                    ? Long.compare(dueMicros, other.dueMicros)
+                    : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
-    private long now;
-    private long order;
-    private long happened;
+    private final PriorityQueue<Event> queue = new PriorityQueue<>();
+    private long nowMicros;
+    private long nextSequenceNumber;
+    private long executedEvents;
 
     @Override
     public long micros() {
-        return now;
+        return nowMicros;
     }
 
     @Override
-    public Timer schedule(long micros, Runnable task) {
-        return at(now + Math.max(0, micros), task);
+    public Timer schedule(long delayMicros, Runnable task) {
+        return scheduleAt(nowMicros + Math.max(0, delayMicros), task);
     }
 
-    Timer at(long time, Runnable task) {
-        Due due = new Due(Math.max(now, time), order++, task);
-        queue.add(due);
-        return due;
+    /** Schedules a task at a time, or now if that has passed. */
+    Timer scheduleAt(long timeMicros, Runnable task) {
+        Event event = new Event(Math.max(nowMicros, timeMicros), nextSequenceNumber++, task);
+        queue.add(event);
+        return event;
     }
 
-    /** Lets everything happen that is due until a time, and then it is that time. */
-    void run(long until) {
-        for (Due due = queue.peek(); due != null && due.at <= until; due = queue.peek()) {
+    /** Runs every event that is due until a time, and advances the clock to that time. */
+    void runUntil(long untilMicros) {
+        for (Event event = queue.peek(); event != null && event.dueMicros <= untilMicros; event = queue.peek()) {
             queue.remove();
-            if (due.task != null) {
-                now = due.at;
-                happened++;
-                due.task.run();
+            if (event.task != null) {
+                nowMicros = event.dueMicros;
+                executedEvents++;
+                event.task.run();
             }
         }
-        now = until;
+        nowMicros = untilMicros;
     }
 
-    /** How much has happened. */
-    long happened() {
-        return happened;
+    /** Number of events run so far, without cancelled ones. */
+    long executedEvents() {
+        return executedEvents;
     }
 }
--- a/src/main/java/loftflow/experiment/evaluation/ProgressSnapshot.java
+++ b/src/main/java/loftflow/experiment/evaluation/ProgressSnapshot.java
@@ -11,33 +11,41 @@
 import loftflow.experiment.scenario.Scenario;
 
 /**
- * How a run stands while it goes on: what a screen shows.
+ * The state of a run in progress, for display.
  *
- * @param at microseconds from the beginning
- * @param service worth delivered over worth of all that is settled, from 0 to 1
- * @param open messages that are taken on and neither delivered nor ended
- * @param asking messages handed in in the last second, and {@code delivering} those delivered
- * @param endpoints by how much they were asked of in the last whole second, the busiest for what it can do first
+ * @param atMicros time since the start of the run
+ * @param score value delivered divided by the value of all settled messages, from 0 to 1
+ * @param open messages that are accepted and neither delivered nor completed otherwise
+ * @param submittedPerSecond messages submitted in the last second
+ * @param deliveredPerSecond messages delivered in the last second
+ * @param endpoints by serving state, the worst first, then by their load in the last whole second, the highest first
  */
 public record ProgressSnapshot(
-        long at,
-        double service,
-        long asked,
+        long atMicros,
+        double score,
+        long submitted,
         long delivered,
-        long refused,
+        long rejected,
         long failed,
         long open,
-        long asking,
-        long delivering,
-        List<OfEndpoint> endpoints) {
-    private static final long SECOND = 1_000_000;
+        long submittedPerSecond,
+        long deliveredPerSecond,
+        List<EndpointProgress> endpoints) {
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** One endpoint: calls in the last whole second, what it could do then, and how it meets calls. */
-    public record OfEndpoint(
-            String name, String partner, String building, long calls, double able, FaultSchedule.Meets meets) {
-        /** Calls beside what it can do. */
+    /** One endpoint: calls in the last whole second, its capacity now, and how it responds to calls. */
+    public record EndpointProgress(
+            String name,
+            String partner,
+            String zone,
+            long callsPerSecond,
+            double capacityPerSecond,
+            FaultSchedule.ServingState servingState) {
+        private static final double MIN_CAPACITY_PER_SECOND = 0.01;
+
+        /** Calls as a multiple of the capacity. */
         public double load() {
-            return calls / Math.max(0.01, able);
+            return callsPerSecond / Math.max(MIN_CAPACITY_PER_SECOND, capacityPerSecond);
         }
     }
 
@@ -45,59 +53,101 @@
         endpoints = List.copyOf(endpoints);
     }
 
-    /** Takes one, on the thread that writes the history. */
+    /** Takes a snapshot; to be called on the thread that writes the history. */
     public static ProgressSnapshot of(
-            Scenario scenario, Scenario.Layout layout, FaultSchedule faults, RunHistory history, long now) {
-        double worth = 0;
-        double got = 0;
-        long[] counts = new long[6];
-        Map<Integer, Long> calls = new HashMap<>();
-        long from = Math.max(0, now / SECOND - 1) * SECOND;
-        for (MessageHistory ask : history.asks()) {
-            Scenario.MessageClass type = scenario.classes().get(ask.type());
-            boolean delivered = ask.isDelivered();
-            boolean refused = ask.told() == MessageHistory.Told.REFUSED;
-            boolean failed = ask.told() == MessageHistory.Told.FAILED;
-            counts[0] += delivered ? 1 : 0;
-            counts[1] += refused ? 1 : 0;
-            counts[2] += failed ? 1 : 0;
-            counts[3] += ask.told() == MessageHistory.Told.TAKEN && !delivered ? 1 : 0;
-            counts[4] += now - ask.at() < SECOND ? 1 : 0;
-            counts[5] += delivered && now - ask.doneAt() < SECOND ? 1 : 0;
-            if (delivered || refused || failed) {
-                worth += type.worth();
-                got += delivered ? type.worth() * ServiceReport.left(type, ask.doneAt() - ask.at()) : 0;
-            }
-            for (MessageHistory.Posting posting : ask.postings()) {
-                if (posting.came() >= from && posting.came() < from + SECOND) {
-                    calls.merge(posting.endpoint(), 1L, Long::sum);
-                }
+            Scenario scenario, Scenario.Layout layout, FaultSchedule faults, RunHistory history, long nowMicros) {
+        Totals totals = new Totals(scenario, nowMicros);
+        history.messages().forEach(totals::add);
+        return new ProgressSnapshot(
+                nowMicros,
+                totals.settledValue.share(),
+                history.messages().size(),
+                totals.delivered,
+                totals.rejected,
+                totals.failed,
+                totals.open,
+                totals.submittedLately,
+                totals.deliveredLately,
+                endpoints(layout, faults, totals.callsByEndpoint, nowMicros));
+    }
+
+    private static List<EndpointProgress> endpoints(
+            Scenario.Layout layout, FaultSchedule faults, Map<Integer, Long> callsByEndpoint, long nowMicros) {
+        List<EndpointProgress> endpoints = new ArrayList<>();
+        for (Scenario.Endpoint endpoint : layout.endpoints()) {
+            Scenario.PartnerGroup group =
+                    layout.partners().get(endpoint.partner()).group();
+            FaultSchedule.EndpointCondition condition = faults.conditionAt(endpoint.number(), nowMicros);
+            endpoints.add(new EndpointProgress(
+                    endpoint.route(),
+                    group.name(),
+                    endpoint.zone(),
+                    callsByEndpoint.getOrDefault(endpoint.number(), 0L),
+                    group.capacityPerSecond() * condition.capacityShare() / condition.slowdownFactor(),
+                    condition.servingState()));
+        }
+        endpoints.sort(Comparator.comparing(EndpointProgress::servingState)
+                .thenComparing(
+                        Comparator.comparingDouble(EndpointProgress::load).reversed()));
+        return endpoints;
+    }
+
+    /** Running totals over the messages of a history. */
+    private static final class Totals {
+        private final Scenario scenario;
+        private final long nowMicros;
+        /** Start of the last whole second. */
+        private final long secondFromMicros;
+
+        private final DeliveredValue settledValue = new DeliveredValue();
+        private final Map<Integer, Long> callsByEndpoint = new HashMap<>();
+        private long delivered;
+        private long rejected;
+        private long failed;
+        private long open;
+        private long submittedLately;
+        private long deliveredLately;
+
+        Totals(Scenario scenario, long nowMicros) {
+            this.scenario = scenario;
+            this.nowMicros = nowMicros;
+            secondFromMicros = Math.max(0, nowMicros / MICROS_PER_SECOND - 1) * MICROS_PER_SECOND;
+        }
+
+        void add(MessageHistory message) {
+            boolean isDelivered = message.isDelivered();
+            MessageHistory.ClientOutcome outcome = message.clientOutcome();
+            boolean isRejected = outcome == MessageHistory.ClientOutcome.REJECTED;
+            boolean isFailed = outcome == MessageHistory.ClientOutcome.FAILED;
+            delivered += isDelivered ? 1 : 0;
+            rejected += isRejected ? 1 : 0;
+            failed += isFailed ? 1 : 0;
+            open += outcome == MessageHistory.ClientOutcome.ACCEPTED && !isDelivered ? 1 : 0;
+            submittedLately += isWithinLastSecond(message.submittedAtMicros()) ? 1 : 0;
+            deliveredLately += isDelivered && isWithinLastSecond(message.deliveredAtMicros()) ? 1 : 0;
+            if (isDelivered || isRejected || isFailed) {
+                addValue(message, isDelivered);
             }
+            message.calls().forEach(this::addCall);
         }
-        List<OfEndpoint> endpoints = new ArrayList<>();
-        for (Scenario.Endpoint e : layout.endpoints()) {
-            Scenario.Group group = layout.partners().get(e.partner()).group();
-            FaultSchedule.State state = faults.state(e.number(), now);
-            endpoints.add(new OfEndpoint(
-                    e.route(),
-                    group.name(),
-                    e.building(),
-                    calls.getOrDefault(e.number(), 0L),
-                    group.capacity() * state.able() / state.slower(),
-                    state.meets()));
+
+        private boolean isWithinLastSecond(long timeMicros) {
+            return nowMicros - timeMicros < MICROS_PER_SECOND;
+        }
+
+        private void addValue(MessageHistory message, boolean isDelivered) {
+            Scenario.MessageClass messageClass = scenario.classes().get(message.classIndex());
+            double weight = messageClass.priorityWeight();
+            long elapsedMicros = message.deliveredAtMicros() - message.submittedAtMicros();
+            double remaining = isDelivered ? ServiceEvaluator.remainingValue(messageClass, elapsedMicros) : 0;
+            settledValue.add(weight, isDelivered ? weight * remaining : 0);
+        }
+
+        private void addCall(MessageHistory.Call call) {
+            long arrivedAtMicros = call.arrivedAtMicros();
+            if (arrivedAtMicros >= secondFromMicros && arrivedAtMicros < secondFromMicros + MICROS_PER_SECOND) {
+                callsByEndpoint.merge(call.endpoint(), 1L, Long::sum);
+            }
         }
-        endpoints.sort(Comparator.comparing(OfEndpoint::meets)
-                .thenComparing(Comparator.comparingDouble(OfEndpoint::load).reversed()));
-        return new ProgressSnapshot(
-                now,
-                worth == 0 ? 1 : got / worth,
-                history.asks().size(),
-                counts[0],
-                counts[1],
-                counts[2],
-                counts[3],
-                counts[4],
-                counts[5],
-                endpoints);
     }
 }
--- a/src/main/java/loftflow/experiment/evaluation/RuleChecker.java
+++ b/src/main/java/loftflow/experiment/evaluation/RuleChecker.java
@@ -5,177 +5,225 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Predicate;
+import java.util.stream.Stream;
 import loftflow.experiment.history.MessageHistory;
 import loftflow.experiment.history.RunHistory;
+import loftflow.experiment.scenario.RuleLimits;
 import loftflow.experiment.scenario.Scenario;
 import loftflow.policy.api.Idempotency;
 
-/**
- * The rules (BRIEF), judged from what partners recorded and what clients were told, never from what a relay says of
- * itself.
- */
+/** Checks the delivery rules (BRIEF) against the history of a run, without using anything that a relay reports. */
 public final class RuleChecker {
-    /** What a rule forbids. */
+    /** A rule by what violates it. The constants are values of a command line option, and printed in reports. */
     public enum Rule {
-        /** A message that was taken on, or handed in, was never answered. */
-        MISSING,
-        /** An end that was told later than the deadline and the slack. */
-        LATE,
-        /** A message that may take effect once took effect twice. */
-        TWICE,
-        /** A message that may take effect once was sent again with no proof that it had not run. */
-        UNPROVEN,
-        /** Something was sent to an endpoint after the grace from when the relay heard that it drains. */
-        DRAINED,
-        /** A returning endpoint fell, by relays that had seen it fail. */
-        OVERRUN,
-        /** Something was sent within a wait that the relay had been told. */
-        WAIT
+        /** No completion was reported for a message that was submitted or accepted. */
+        MISSING("missing"),
+        /** A completion was reported later than the deadline and its slack. */
+        LATE("late"),
+        /** A message that must not be executed more than once took effect twice. */
+        TWICE("twice"),
+        /** A non-idempotent message was sent again without proof that it had not been executed. */
+        UNPROVEN("unproven"),
+        /** A call was sent to a draining endpoint after the grace period that follows the drain notice. */
+        DRAINED("drained"),
+        /** A recovering endpoint collapsed under calls from relays that had observed its outage. */
+        OVERRUN("overrun"),
+        /** A call was sent before a received {@code Retry-After} had passed. */
+        WAIT("wait");
+
+        private final String code;
+
+        Rule(String code) {
+            this.code = code;
+        }
+
+        /** The name in the names of regression case files. */
+        public String code() {
+            return code;
+        }
+
+        /** The rule with a name in the names of regression case files; empty where there is none. */
+        public static Optional<Rule> ofCode(String code) {
+            return Stream.of(values()).filter(rule -> rule.code.equals(code)).findFirst();
+        }
     }
 
-    /** A breach, with enough to find it again. */
-    public record Breach(Rule rule, int ask, long at, String what) {}
+    /** A relay and the scope of a drain notice or {@code Retry-After}. */
+    private record RelayScope(int relay, int scope) {}
 
-    /** One relay at what one wait or drain is for. */
-    private record Pair(int relay, int there) {}
+    /** A collapse counts as a violation from this share of calls of relays that had observed the outage. */
+    private static final double MIN_INFORMED_SHARE = 2.0 / 3;
 
-    private static final double KNOWING = 2.0 / 3;
-    private static final int SHOWN = 20;
+    private static final int MAX_REPORTED_BREACHES = 20;
+    private static final int NO_MESSAGE = -1;
 
     private final Scenario scenario;
     private final Scenario.Layout layout;
-    private final Scenario.Rules rules;
+    private final RuleLimits limits;
     private final RunHistory history;
-    private final Map<Integer, List<RunHistory.Away>> aways = new HashMap<>();
+    private final Map<Integer, List<RunHistory.RelayDowntime>> downtimesByRelay = new HashMap<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<RuleBreach> firstBreaches = new ArrayList<>();
 
-    private RuleChecker(Scenario scenario, Scenario.Rules rules, RunHistory history) {
+    private RuleChecker(Scenario scenario, RuleLimits limits, RunHistory history) {
         this.scenario = scenario;
-        this.rules = rules;
+        this.limits = limits;
         this.history = history;
         layout = scenario.layout();
-        history.aways().forEach(a -> aways.computeIfAbsent(a.relay(), r -> new ArrayList<>())
-                .add(a));
-    }
-
-    /**
-     * What was found.
-     *
-     * @param counts of each rule that was broken
-     * @param first the first breaches
-     */
-    public record Found(Map<Rule, Integer> counts, List<Breach> first) {
-        public boolean isClean() {
-            return counts.isEmpty();
+        for (RunHistory.RelayDowntime downtime : history.downtimes()) {
+            downtimesByRelay
+                    .computeIfAbsent(downtime.relay(), relay -> new ArrayList<>())
+                    .add(downtime);
         }
     }
 
-    /** Judges a run that is over. */
-    public static Found of(Scenario scenario, Scenario.Rules rules, RunHistory history) {
-        RuleChecker judge = new RuleChecker(scenario, rules, history);
-        for (int i = 0; i < history.asks().size(); i++) {
-            judge.answered(i, history.asks().get(i));
-            judge.effects(i, history.asks().get(i));
-        }
-        judge.drains();
-        judge.waits();
-        history.falls().stream()
-                .filter(f -> f.knowing() >= KNOWING)
-                .forEach(f -> judge.found(
-                        Rule.OVERRUN,
-                        -1,
-                        f.at(),
-                        "e" + f.endpoint() + " got " + f.load() + " calls while it could do " + Math.round(f.able())
-                                + " a second"));
-        return new Found(judge.counts, judge.breaches);
+    /** Checks a run that is over. */
+    public static RuleReport check(Scenario scenario, RuleLimits limits, RunHistory history) {
+        RuleChecker checker = new RuleChecker(scenario, limits, history);
+        for (int i = 0; i < history.messages().size(); i++) {
+            checker.checkCompletion(i, history.messages().get(i));
+            checker.checkEffects(i, history.messages().get(i));
+        }
+        checker.checkDrains();
+        checker.checkRetryAfters();
+        checker.checkCollapses();
+        return new RuleReport(checker.counts, checker.firstBreaches);
     }
 
-    private void found(Rule rule, int ask, long at, String what) {
+    private void addBreach(Rule rule, int message, long atMicros, String detail) {
         counts.merge(rule, 1, Integer::sum);
-        if (breaches.size() < SHOWN) {
-            breaches.add(new Breach(rule, ask, at, what));
+        if (firstBreaches.size() < MAX_REPORTED_BREACHES) {
+            firstBreaches.add(new RuleBreach(rule, message, atMicros, detail));
         }
     }
 
-    private void answered(int number, MessageHistory ask) {
-        boolean done = ask.doneAt() >= 0 && ask.doneAt() <= ask.due();
-        if (ask.told() == MessageHistory.Told.NOTHING || ask.told() == MessageHistory.Told.TAKEN && !done) {
-            found(Rule.MISSING, number, ask.due(), "told " + ask.told());
+    private void checkCompletion(int number, MessageHistory message) {
+        MessageHistory.ClientOutcome outcome = message.clientOutcome();
+        boolean deliveredInTime =
+                message.deliveredAtMicros() >= 0 && message.deliveredAtMicros() <= message.deadlineMicros();
+        boolean isOpen = outcome == MessageHistory.ClientOutcome.ACCEPTED && !deliveredInTime;
+        if (outcome == MessageHistory.ClientOutcome.PENDING || isOpen) {
+            addBreach(Rule.MISSING, number, message.deadlineMicros(), "told " + outcome.code());
         }
-        if (ask.endedAt() > latest(ask)) {
-            found(Rule.LATE, number, ask.endedAt(), "due at " + ask.due());
+        if (message.completedAtMicros() > latestCompletionMicros(message)) {
+            addBreach(Rule.LATE, number, message.completedAtMicros(), "due at " + message.deadlineMicros());
         }
     }
 
-    /** A relay that is away as the time is up tells the end when it is back. */
-    private long latest(MessageHistory ask) {
-        return aways.getOrDefault(ask.relay(), List.of()).stream()
-                        .filter(a -> a.from() <= ask.due() + rules.endSlack() && a.to() > ask.due())
-                        .mapToLong(RunHistory.Away::to)
-                        .reduce(ask.due(), Math::max)
-                + rules.endSlack();
+    /** A relay that is down at the deadline reports the completion when it has restarted. */
+    private long latestCompletionMicros(MessageHistory message) {
+        long deadlineMicros = message.deadlineMicros();
+        return downtimesByRelay.getOrDefault(message.relay(), List.of()).stream()
+                        .filter(downtime -> downtime.fromMicros() <= deadlineMicros + limits.completionSlackMicros()
+                                && downtime.untilMicros() > deadlineMicros)
+                        .mapToLong(RunHistory.RelayDowntime::untilMicros)
+                        .reduce(deadlineMicros, Math::max)
+                + limits.completionSlackMicros();
     }
 
-    private void effects(int number, MessageHistory ask) {
-        Idempotency repeat = scenario.classes().get(ask.type()).repeat();
-        if (repeat == Idempotency.IDEMPOTENT) {
+    private void checkEffects(int number, MessageHistory message) {
+        Idempotency idempotency = scenario.classes().get(message.classIndex()).idempotency();
+        if (idempotency == Idempotency.IDEMPOTENT) {
             return;
         }
-        long ran = ask.postings().stream().filter(MessageHistory.Posting::ran).count();
-        if (ran > 1) {
-            found(Rule.TWICE, number, ask.at(), ran + " effects");
-        }
-        for (MessageHistory.Posting first :
-                repeat == Idempotency.NON_IDEMPOTENT ? ask.postings() : List.<MessageHistory.Posting>of()) {
-            boolean never =
-                    first.answer() == MessageHistory.Answer.FULL || first.answer() == MessageHistory.Answer.UNREACHED;
-            for (MessageHistory.Posting second : ask.postings()) {
-                if (second != first
-                        && second.sent() >= first.sent()
-                        && !(never && second.sent() > first.came())
-                        && (second.sent() > first.sent() || second.came() > first.came())) {
-                    found(Rule.UNPROVEN, number, second.sent(), "after a call with the answer " + first.answer());
+        long effects =
+                message.calls().stream().filter(MessageHistory.Call::executed).count();
+        if (effects > 1) {
+            addBreach(Rule.TWICE, number, message.submittedAtMicros(), effects + " effects");
+        }
+        if (idempotency == Idempotency.NON_IDEMPOTENT) {
+            checkRepeats(number, message);
+        }
+    }
+
+    private void checkRepeats(int number, MessageHistory message) {
+        for (MessageHistory.Call first : message.calls()) {
+            for (MessageHistory.Call second : message.calls()) {
+                if (second != first && isUnprovenRepeat(first, second)) {
+                    addBreach(
+                            Rule.UNPROVEN,
+                            number,
+                            second.sentAtMicros(),
+                            "after a call with the answer " + first.response().code());
                 }
             }
         }
     }
 
-    private void drains() {
-        Map<Pair, Long> from = new HashMap<>();
-        history.drains()
-                .forEach(d -> from.merge(new Pair(d.relay(), d.endpoint()), d.at() + rules.drainGrace(), Math::min));
-        if (!from.isEmpty()) {
-            eachPosting(
-                    Rule.DRAINED, p -> p.sent() > from.getOrDefault(new Pair(p.relay(), p.endpoint()), Long.MAX_VALUE));
+    private static boolean isUnprovenRepeat(MessageHistory.Call first, MessageHistory.Call second) {
+        boolean provenNotExecuted = first.response() == MessageHistory.Response.REJECTED
+                || first.response() == MessageHistory.Response.CONNECT_FAILED;
+        boolean sentAfterProof = provenNotExecuted && second.sentAtMicros() > first.arrivedAtMicros();
+        boolean isLater = second.sentAtMicros() > first.sentAtMicros()
+                || second.sentAtMicros() == first.sentAtMicros() && second.arrivedAtMicros() > first.arrivedAtMicros();
+        return isLater && !sentAfterProof;
+    }
+
+    private void checkDrains() {
+        Map<RelayScope, Long> forbiddenFromMicros = new HashMap<>();
+        for (RunHistory.DrainNotice notice : history.drainNotices()) {
+            forbiddenFromMicros.merge(
+                    new RelayScope(notice.relay(), notice.endpoint()),
+                    notice.receivedAtMicros() + limits.drainGraceMicros(),
+                    Math::min);
+        }
+        if (!forbiddenFromMicros.isEmpty()) {
+            checkCalls(
+                    Rule.DRAINED,
+                    call -> call.sentAtMicros()
+                            > forbiddenFromMicros.getOrDefault(
+                                    new RelayScope(call.relay(), call.endpoint()), Long.MAX_VALUE));
         }
     }
 
-    private void waits() {
-        Map<Pair, List<RunHistory.Wait>> told = new HashMap<>();
-        history.waits()
-                .forEach(w -> told.computeIfAbsent(new Pair(w.relay(), scope(w.endpoint())), p -> new ArrayList<>())
-                        .add(w));
-        if (!told.isEmpty()) {
-            eachPosting(Rule.WAIT, p -> told.getOrDefault(new Pair(p.relay(), scope(p.endpoint())), List.of()).stream()
-                    .anyMatch(w -> p.sent() > w.heard() && p.sent() < w.until()));
+    private void checkRetryAfters() {
+        Map<RelayScope, List<RunHistory.RetryAfter>> retryAfters = new HashMap<>();
+        for (RunHistory.RetryAfter retryAfter : history.retryAfters()) {
+            retryAfters
+                    .computeIfAbsent(
+                            new RelayScope(retryAfter.relay(), retryAfterScope(retryAfter.endpoint())),
+                            scope -> new ArrayList<>())
+                    .add(retryAfter);
+        }
+        if (!retryAfters.isEmpty()) {
+            checkCalls(Rule.WAIT, call -> {
+                RelayScope scope = new RelayScope(call.relay(), retryAfterScope(call.endpoint()));
+                return retryAfters.getOrDefault(scope, List.of()).stream()
+                        .anyMatch(retryAfter -> call.sentAtMicros() > retryAfter.receivedAtMicros()
+                                && call.sentAtMicros() < retryAfter.untilMicros());
+            });
         }
     }
 
-    /** What a wait is for: the partner, or the one endpoint where routes are apart. */
-    private int scope(int endpoint) {
+    /** A {@code Retry-After} binds for the whole partner, or for one endpoint where routes are independent. */
+    private int retryAfterScope(int endpoint) {
         int partner = layout.endpoints().get(endpoint).partner();
-        return layout.partners().get(partner).group().routesApart() ? endpoint : -1 - partner;
+        boolean independent = layout.partners().get(partner).group().independentRoutes();
+        return independent ? endpoint : -1 - partner;
     }
 
-    private void eachPosting(Rule rule, Predicate<MessageHistory.Posting> forbidden) {
-        for (int i = 0; i < history.asks().size(); i++) {
-            for (MessageHistory.Posting posting : history.asks().get(i).postings()) {
-                if (forbidden.test(posting)) {
-                    found(rule, i, posting.sent(), "relay " + posting.relay() + " to e" + posting.endpoint());
+    private void checkCalls(Rule rule, Predicate<MessageHistory.Call> isForbidden) {
+        for (int i = 0; i < history.messages().size(); i++) {
+            for (MessageHistory.Call call : history.messages().get(i).calls()) {
+                if (isForbidden.test(call)) {
+                    addBreach(rule, i, call.sentAtMicros(), "relay " + call.relay() + " to e" + call.endpoint());
                 }
             }
         }
     }
+
+    private void checkCollapses() {
+        for (RunHistory.EndpointCollapse collapse : history.collapses()) {
+            if (collapse.informedShare() >= MIN_INFORMED_SHARE) {
+                addBreach(
+                        Rule.OVERRUN,
+                        NO_MESSAGE,
+                        collapse.atMicros(),
+                        "e" + collapse.endpoint() + " got " + collapse.callsInWindow() + " calls while it could do "
+                                + Math.round(collapse.capacityPerSecond()) + " a second");
+            }
+        }
+    }
 }
--- a/src/main/java/loftflow/experiment/evaluation/package-info.java
+++ b/src/main/java/loftflow/experiment/evaluation/package-info.java
@@ -1,7 +1,6 @@
 /**
- * What a history is worth: service as the users define it, latency, each partner's load, and the rules, judged from
- * what
- * partners recorded and what clients were told.
+ * Evaluation of a run's history: service as the users define it, latency, cost for partners, and violations of the
+ * delivery rules. Only what endpoints recorded and clients were notified of counts.
  *
  * <p>May use: {@code experiment.scenario}, {@code experiment.history}, {@code policy.api}. No I/O, clock or thread.
  */
--- a/src/main/java/loftflow/experiment/history/CallCounts.java
+++ b/src/main/java/loftflow/experiment/history/CallCounts.java
@@ -5,68 +5,79 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a fleet's relays cost its partners, counted by relay and by endpoint as it happens. */
+/** Counters of the load that a fleet puts on its partners, by relay and by endpoint. Not thread-safe. */
 public final class CallCounts {
-    /** What is counted. */
-    public enum Of {
-        /** Calls that came to an endpoint. */
-        CALLS,
-        /** Checks that came to one. */
-        CHECKS,
-        /** Calls and checks that it refused as full. */
-        REFUSED,
-        /** Calls and checks that found nobody. */
-        UNREACHED,
-        /** Calls and checks that got no answer. */
-        UNANSWERED,
-        /** Connections that it took; none in the emulator, whose calls need none. */
-        CONNECTIONS,
-        /** Lists, whole ones and changes, that a relay was told. */
-        LISTS
+    /** A counted event. */
+    public enum Metric {
+        /** Calls received by an endpoint. */
+        CALLS("calls"),
+        /** Health probes received by an endpoint. */
+        PROBES("checks"),
+        /** Calls and probes rejected because the endpoint was at capacity. */
+        REJECTED("refused"),
+        /** Calls and probes whose connection could not be established. */
+        CONNECT_FAILED("unreached"),
+        /** Calls and probes without a response. */
+        NO_RESPONSE("unanswered"),
+        /** Connections accepted by an endpoint; always 0 in the emulator, which has no connections. */
+        CONNECTIONS("connections"),
+        /** Endpoint lists, full ones and deltas, received by a relay. */
+        ENDPOINT_LISTS("lists");
+
+        private final String code;
+
+        Metric(String code) {
+            this.code = code;
+        }
+
+        /** The name in printed reports. */
+        public String code() {
+            return code;
+        }
     }
 
-    /** A relay that nobody knows, as a check does not say whose it is; and no endpoint. */
+    /** Index of an unknown relay, such as the sender of a probe, or of no endpoint. */
     public static final int NONE = -1;
 
-    /** Who had the most of something, and how much; the first one where several had as much. */
-    public record Most(int who, long count) {}
+    /** The relay or endpoint with the highest count; the lowest index where several share it. */
+    public record Maximum(int index, long count) {}
 
-    private final Map<Of, Map<Integer, Long>> byRelay = new EnumMap<>(Of.class);
-    private final Map<Of, Map<Integer, Long>> byEndpoint = new EnumMap<>(Of.class);
-    private final Map<Of, Long> totals = new EnumMap<>(Of.class);
+    private final Map<Metric, Map<Integer, Long>> byRelay = new EnumMap<>(Metric.class);
+    private final Map<Metric, Map<Integer, Long>> byEndpoint = new EnumMap<>(Metric.class);
+    private final Map<Metric, Long> totals = new EnumMap<>(Metric.class);
 
-    /** One more, of a relay at an endpoint; either may be {@link #NONE}. */
-    public void count(Of what, int relay, int endpoint) {
-        totals.merge(what, 1L, Long::sum);
-        add(byRelay, what, relay);
-        add(byEndpoint, what, endpoint);
+    /** Adds one event of a relay at an endpoint; either index may be {@link #NONE}. */
+    public void count(Metric metric, int relay, int endpoint) {
+        totals.merge(metric, 1L, Long::sum);
+        increment(byRelay, metric, relay);
+        increment(byEndpoint, metric, endpoint);
     }
 
-    private static void add(Map<Of, Map<Integer, Long>> counts, Of what, int who) {
-        if (who != NONE) {
-            counts.computeIfAbsent(what, w -> new HashMap<>()).merge(who, 1L, Long::sum);
+    private static void increment(Map<Metric, Map<Integer, Long>> counts, Metric metric, int index) {
+        if (index != NONE) {
+            counts.computeIfAbsent(metric, m -> new HashMap<>()).merge(index, 1L, Long::sum);
         }
     }
 
-    /** Of all relays together. */
-    public long total(Of what) {
-        return totals.getOrDefault(what, 0L);
+    /** The sum over all relays. */
+    public long total(Metric metric) {
+        return totals.getOrDefault(metric, 0L);
     }
 
-    /** The relay with the most; {@link #NONE} with 0 where there was none. */
-    public Most mostOfRelays(Of what) {
-        return most(byRelay, what);
+    /** The relay with the highest count; {@link #NONE} with 0 where there is none. */
+    public Maximum busiestRelay(Metric metric) {
+        return maximum(byRelay, metric);
     }
 
-    /** The endpoint with the most. */
-    public Most mostOfEndpoints(Of what) {
-        return most(byEndpoint, what);
+    /** The endpoint with the highest count; {@link #NONE} with 0 where there is none. */
+    public Maximum busiestEndpoint(Metric metric) {
+        return maximum(byEndpoint, metric);
     }
 
-    private static Most most(Map<Of, Map<Integer, Long>> counts, Of what) {
-        return counts.getOrDefault(what, Map.of()).entrySet().stream()
-                .map(e -> new Most(e.getKey(), e.getValue()))
-                .max(Comparator.comparingLong(Most::count).thenComparing(Most::who, Comparator.reverseOrder()))
-                .orElse(new Most(NONE, 0));
+    private static Maximum maximum(Map<Metric, Map<Integer, Long>> counts, Metric metric) {
+        return counts.getOrDefault(metric, Map.of()).entrySet().stream()
+                .map(entry -> new Maximum(entry.getKey(), entry.getValue()))
+                .max(Comparator.comparingLong(Maximum::count).thenComparing(Maximum::index, Comparator.reverseOrder()))
+                .orElse(new Maximum(NONE, 0));
     }
 }
--- a/src/main/java/loftflow/experiment/history/MessageHistory.java
+++ b/src/main/java/loftflow/experiment/history/MessageHistory.java
@@ -4,69 +4,108 @@
 import java.util.List;
 
 /**
- * Something that a client wants delivered, with all that became of it: its first try and the repeats after refusals.
- * Times
- * are in microseconds from the beginning of the run; -1 for never.
+ * One message of a client with everything that happened to it: the first submission, resubmissions after rejections,
+ * and the calls that carried it. Times are in microseconds since the start of the run; -1 means never.
  */
 public final class MessageHistory {
-    /** What a client was told; {@code CUT} where its connection broke before an answer, so that it knows nothing. */
-    public enum Told {
-        NOTHING,
-        TAKEN,
-        REFUSED,
-        FAILED,
-        CUT
+    private static final long NEVER = -1;
+
+    /** The last outcome of a submission that its client knows of. */
+    public enum ClientOutcome {
+        /** No response yet. */
+        PENDING("NOTHING"),
+        /** The relay has accepted the message. */
+        ACCEPTED("TAKEN"),
+        /** The relay has rejected the message, at submission or in a completion notice. */
+        REJECTED("REFUSED"),
+        /** Delivery has failed. */
+        FAILED("FAILED"),
+        /** The client's connection broke before a response: the message may or may not have been accepted. */
+        CONNECTION_LOST("CUT");
+
+        private final String code;
+
+        ClientOutcome(String code) {
+            this.code = code;
+        }
+
+        /** The name in printed reports. */
+        public String code() {
+            return code;
+        }
     }
 
-    /** How a partner answered a posting; {@code NONE} where no answer was sent, or it was lost. */
-    public enum Answer {
-        NONE,
-        DONE,
-        FAULT,
-        FULL,
-        UNREACHED
+    /** The response of an endpoint to a call. */
+    public enum Response {
+        /** No response was sent, or it was lost. */
+        NO_RESPONSE("NONE"),
+        /** The message was delivered. */
+        DELIVERED("DONE"),
+        /** The call failed; the message may have been executed. */
+        ERROR("FAULT"),
+        /** The endpoint was at capacity and executed nothing. */
+        REJECTED("FULL"),
+        /** No connection could be established. */
+        CONNECT_FAILED("UNREACHED");
+
+        private final String code;
+
+        Response(String code) {
+            this.code = code;
+        }
+
+        /** The name in printed reports. */
+        public String code() {
+            return code;
+        }
     }
 
     /**
-     * A call that carried it.
+     * A call that carried the message.
      *
-     * @param sent by the relay
-     * @param came at the endpoint; -1 where it never did
-     * @param ran whether it was run there, whatever was answered; a repeat that was dropped by its key has not run
+     * @param sentAtMicros when the relay sent it
+     * @param arrivedAtMicros when it reached the endpoint; -1 where it never did
+     * @param executed whether the message took effect there, whatever the response; false for a repeat that was dropped
+     *     by its idempotency key
      */
-    public record Posting(int relay, int endpoint, long sent, long came, boolean ran, Answer answer) {}
+    public record Call(
+            int relay, int endpoint, long sentAtMicros, long arrivedAtMicros, boolean executed, Response response) {}
 
-    private final int type;
+    private final int classIndex;
     private final int tenant;
     private final int partner;
     private final int relay;
-    private final long at;
-    private final long due;
-    private final List<Posting> postings = new ArrayList<>(2);
-    private int tries;
-    private long lastTry;
-    private long end = -1;
-    private Told told = Told.NOTHING;
-    private long done = -1;
+    private final long submittedAtMicros;
+    private final long deadlineMicros;
+    private final List<Call> calls = new ArrayList<>(2);
+    private int submissions;
+    private long lastSubmittedAtMicros;
+    private long completedAtMicros = NEVER;
+    private ClientOutcome clientOutcome = ClientOutcome.PENDING;
+    private long deliveredAtMicros = NEVER;
 
     /**
-     * One that is handed in for the first time.
+     * Creates the history of a message that has not been submitted yet.
      *
-     * @param type the number of its class, and so on
-     * @param tenant -1 for none
-     * @param due when its time is up
+     * @param classIndex index of its message class in the scenario
+     * @param tenant index of its tenant; -1 for none
+     * @param partner number of the partner that it is for
+     * @param relay number of the relay that it is submitted to
+     * @param submittedAtMicros time of the first submission
+     * @param deadlineMicros deadline of the first submission
      */
-    public MessageHistory(int type, int tenant, int partner, int relay, long at, long due) {
-        this.type = type;
+    public MessageHistory(
+            int classIndex, int tenant, int partner, int relay, long submittedAtMicros, long deadlineMicros) {
+        this.classIndex = classIndex;
         this.tenant = tenant;
         this.partner = partner;
         this.relay = relay;
-        this.at = at;
-        this.due = due;
+        this.submittedAtMicros = submittedAtMicros;
+        this.deadlineMicros = deadlineMicros;
     }
 
-    public int type() {
-        return type;
+    public int classIndex() {
+        return classIndex;
     }
 
     public int tenant() {
@@ -81,78 +120,82 @@
         return relay;
     }
 
-    /** When it was handed in first. */
-    public long at() {
-        return at;
+    /** Time of the first submission. */
+    public long submittedAtMicros() {
+        return submittedAtMicros;
     }
 
-    /** When the time of its last try is up. */
-    public long due() {
-        return due + (tries > 1 ? lastTry - at : 0);
+    /** Deadline of the last submission. */
+    public long deadlineMicros() {
+        return deadlineMicros + (submissions > 1 ? lastSubmittedAtMicros - submittedAtMicros : 0);
     }
 
-    /** It is handed in, for the first time or again. */
-    public void tried(long now) {
-        tries++;
-        lastTry = now;
-        told = Told.NOTHING;
-        end = -1;
+    /** Records a submission, the first one or a repeated one. */
+    public void recordSubmission(long nowMicros) {
+        submissions++;
+        lastSubmittedAtMicros = nowMicros;
+        clientOutcome = ClientOutcome.PENDING;
+        completedAtMicros = NEVER;
     }
 
-    /** How often it was handed in. */
-    public int tries() {
-        return tries;
+    /** Number of submissions so far. */
+    public int submissions() {
+        return submissions;
     }
 
-    /** Its client was told that it is taken on. */
-    public void taken() {
-        told = Told.TAKEN;
+    /** Records that the client was notified of acceptance. */
+    public void recordAccepted() {
+        clientOutcome = ClientOutcome.ACCEPTED;
     }
 
-    /** It was told as refused or failed, to its client or later. */
-    public void ended(long now, Told how) {
-        end = now;
-        told = how;
+    /** Records that the client was notified of a rejection or failure. */
+    public void recordCompletion(long nowMicros, ClientOutcome outcome) {
+        completedAtMicros = nowMicros;
+        clientOutcome = outcome;
     }
 
-    /** The connection to its client broke before an answer. */
-    public void cut() {
-        told = Told.CUT;
+    /** Records that the client's connection broke before a response. */
+    public void recordConnectionLost() {
+        clientOutcome = ClientOutcome.CONNECTION_LOST;
     }
 
-    /** When the end of its last try was told; -1 where none was. */
-    public long endedAt() {
-        return end;
+    /** When the completion of the last submission was reported; -1 where none was. */
+    public long completedAtMicros() {
+        return completedAtMicros;
     }
 
-    /** The last that was told of it. */
-    public Told told() {
-        return told;
+    /** The last outcome that the client was notified of. */
+    public ClientOutcome clientOutcome() {
+        return clientOutcome;
     }
 
-    public void posted(Posting posting) {
-        postings.add(posting);
+    /** Adds a call that has come to its end. */
+    public void recordCall(Call call) {
+        calls.add(call);
     }
 
-    /** Every call that carried it, in the order in which they came to their end. */
-    public List<Posting> postings() {
-        return postings;
+    /** Every call that carried the message, in the order in which the calls ended. */
+    public List<Call> calls() {
+        return calls;
     }
 
-    /** A partner has answered that it is done. */
-    public void answeredDone(long now) {
-        if (done < 0) {
-            done = now;
+    /** Records that an endpoint has confirmed delivery; only the first confirmation counts. */
+    public void recordDelivery(long nowMicros) {
+        if (deliveredAtMicros < 0) {
+            deliveredAtMicros = nowMicros;
         }
     }
 
-    /** When the first such answer was sent; -1 where none was. */
-    public long doneAt() {
-        return done;
+    /** When the first confirmation of delivery was sent; -1 where none was. */
+    public long deliveredAtMicros() {
+        return deliveredAtMicros;
     }
 
-    /** True where it counts as delivered: a partner said so in time, and its client was told nothing else. */
+    /** True if delivery was confirmed before the deadline and the client was not notified of anything else. */
     public boolean isDelivered() {
-        return done >= 0 && told != Told.REFUSED && told != Told.FAILED && done <= due();
+        return deliveredAtMicros >= 0
+                && clientOutcome != ClientOutcome.REJECTED
+                && clientOutcome != ClientOutcome.FAILED
+                && deliveredAtMicros <= deadlineMicros();
     }
 }
--- a/src/main/java/loftflow/experiment/history/RunHistory.java
+++ b/src/main/java/loftflow/experiment/history/RunHistory.java
@@ -3,83 +3,94 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Everything that happened in one run. */
+/** Everything that happened in one run, in the order in which it was recorded. Not thread-safe. */
 public final class RunHistory {
-    /** A wait that an endpoint told a relay with a refusal; it binds from when the relay heard of it. */
-    public record Wait(int relay, int endpoint, long heard, long until) {}
+    /** A {@code Retry-After} that an endpoint sent with a rejection; it binds the relay from its receipt on. */
+    public record RetryAfter(int relay, int endpoint, long receivedAtMicros, long untilMicros) {}
 
-    /** A relay heard that an endpoint drains or is gone. */
-    public record DrainTold(int relay, int endpoint, long at) {}
+    /** The notification of a relay that an endpoint is draining or removed. */
+    public record DrainNotice(int relay, int endpoint, long receivedAtMicros) {}
 
     /**
-     * An endpoint fell over while it was cold, by what relays sent that had seen it fail (BRIEF, rule 4), or by others.
+     * The collapse of a recovering endpoint under too many calls (BRIEF, rule 4).
+     *
+     * @param callsInWindow calls received in the observed window
+     * @param capacityPerSecond calls that it could process at that time
+     * @param informedShare share of the calls from relays that had seen the outage
      */
-    public record Fall(int endpoint, long at, double load, double able, double knowing) {}
-
-    /** A relay did not run. */
-    public record Away(int relay, long from, long to) {}
-
-    /** What an endpoint got, and could do, in a span of time. */
-    public record Load(int endpoint, long from, int calls, double able) {}
-
-    private final List<MessageHistory> asks = new ArrayList<>();
-    private final List<Wait> waits = new ArrayList<>();
-    private final List<DrainTold> drains = new ArrayList<>();
-    private final List<Fall> falls = new ArrayList<>();
-    private final List<Away> aways = new ArrayList<>();
-    private final List<Load> loads = new ArrayList<>();
-    private final CallCounts costs = new CallCounts();
-
-    public void asked(MessageHistory ask) {
-        asks.add(ask);
+    public record EndpointCollapse(
+            int endpoint, long atMicros, double callsInWindow, double capacityPerSecond, double informedShare) {}
+
+    /** An interval in which a relay was not running. */
+    public record RelayDowntime(int relay, long fromMicros, long untilMicros) {}
+
+    /** The calls that an endpoint received in one second, with its capacity at that time. */
+    public record EndpointLoad(int endpoint, long fromMicros, int calls, double capacityPerSecond) {}
+
+    private final List<MessageHistory> messages = new ArrayList<>();
+    private final List<RetryAfter> retryAfters = new ArrayList<>();
+    private final List<DrainNotice> drainNotices = new ArrayList<>();
+    private final List<EndpointCollapse> collapses = new ArrayList<>();
+    private final List<RelayDowntime> downtimes = new ArrayList<>();
+    private final List<EndpointLoad> endpointLoads = new ArrayList<>();
+    private final CallCounts callCounts = new CallCounts();
+
+    /** Adds a message; its position in {@link #messages} is its number. */
+    public void addMessage(MessageHistory message) {
+        messages.add(message);
     }
 
-    public void waited(Wait wait) {
-        waits.add(wait);
+    /** Adds a {@code Retry-After} that a relay has received. */
+    public void addRetryAfter(RetryAfter retryAfter) {
+        retryAfters.add(retryAfter);
     }
 
-    public void drained(DrainTold drain) {
-        drains.add(drain);
+    /** Adds a drain notice that a relay has received. */
+    public void addDrainNotice(DrainNotice notice) {
+        drainNotices.add(notice);
     }
 
-    public void fell(Fall fall) {
-        falls.add(fall);
+    /** Adds the collapse of an endpoint. */
+    public void addCollapse(EndpointCollapse collapse) {
+        collapses.add(collapse);
     }
 
-    public void away(Away away) {
-        aways.add(away);
+    /** Adds an interval in which a relay was down. */
+    public void addDowntime(RelayDowntime downtime) {
+        downtimes.add(downtime);
     }
 
-    public void loaded(Load load) {
-        loads.add(load);
+    /** Adds the load of an endpoint in one second. */
+    public void addEndpointLoad(EndpointLoad load) {
+        endpointLoads.add(load);
     }
 
-    /** What the run cost, to be counted on. */
-    public CallCounts costs() {
-        return costs;
+    /** The run's counters, which callers increment. */
+    public CallCounts callCounts() {
+        return callCounts;
     }
 
-    public List<MessageHistory> asks() {
-        return asks;
+    public List<MessageHistory> messages() {
+        return messages;
     }
 
-    public List<Wait> waits() {
-        return waits;
+    public List<RetryAfter> retryAfters() {
+        return retryAfters;
     }
 
-    public List<DrainTold> drains() {
-        return drains;
+    public List<DrainNotice> drainNotices() {
+        return drainNotices;
     }
 
-    public List<Fall> falls() {
-        return falls;
+    public List<EndpointCollapse> collapses() {
+        return collapses;
     }
 
-    public List<Away> aways() {
-        return aways;
+    public List<RelayDowntime> downtimes() {
+        return downtimes;
     }
 
-    public List<Load> loads() {
-        return loads;
+    public List<EndpointLoad> endpointLoads() {
+        return endpointLoads;
     }
 }
--- a/src/main/java/loftflow/experiment/history/package-info.java
+++ b/src/main/java/loftflow/experiment/history/package-info.java
@@ -1,7 +1,6 @@
 /**
- * What happened in a run, as clients and partners saw it: what was asked, what was posted where, what took effect, what
- * ends
- * were told. Both drivers write it; service and rules are judged from it alone.
+ * The record of one run as clients and endpoints observed it: messages submitted, calls made, effects, completions,
+ * and faults. The emulator and the loopback driver both write it; service figures and rule checks read nothing else.
  *
  * <p>May use: nothing of ours. No I/O, clock or thread.
  */
--- a/src/main/java/loftflow/experiment/loopback/BaselineProxy.java
+++ b/src/main/java/loftflow/experiment/loopback/BaselineProxy.java
@@ -23,80 +23,66 @@
 import loftflow.http.Headers;
 
 /**
- * What a relay would be that decides nothing and keeps nothing: it sends each message to its destination's next
- * endpoint and gives
- * the endpoint's answer, 202 for 200 and 503 for the rest. One event loop and Netty's own codecs, as a relay has them;
- * what a
- * relay takes beside it is the price of journal, decisions and rules.
+ * A proxy without decisions or storage, as a baseline for the cost of a relay: it forwards each message to the next
+ * endpoint of its destination and maps the response, 200 to 202 and everything else to 503. Like a relay it uses one
+ * event loop and Netty's own codecs.
  */
 public final class BaselineProxy {
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Map<String, List<LoopbackHttp.Pool>> destinations = new HashMap<>();
-    private int turn;
+    private final Map<String, List<LoopbackHttp.ConnectionPool>> destinations = new HashMap<>();
+    private int nextEndpoint;
 
     private BaselineProxy() {}
 
-    /** Serves on a free loopback port until it is ended; arguments are {@code DESTINATION=HOST:PORT}. */
+    /** Serves on a free loopback port until it is killed; arguments are {@code DESTINATION=HOST:PORT}. */
     public static void main(String[] arguments) {
         BaselineProxy proxy = new BaselineProxy();
         for (String argument : arguments) {
             String[] parts = argument.split("[=:]");
             proxy.destinations
                     .computeIfAbsent("dest=" + parts[0], d -> new ArrayList<>())
-                    .add(new LoopbackHttp.Pool(
+                    .add(new LoopbackHttp.ConnectionPool(
                             proxy.loop, new InetSocketAddress(parts[1], Integer.parseInt(parts[2]))));
         }
-        Channel listener = LoopbackHttp.listen(proxy.loop, 0, () -> proxy.new Requests())
+        Channel listener = LoopbackHttp.listen(proxy.loop, 0, () -> proxy.new MessageHandler())
                 .syncUninterruptibly()
                 .channel();
         System.out.println("serving on " + listener.localAddress());
     }
 
-    /** A client's connection; it sends one message at a time. */
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Receives the messages of one connection, on which a client sends one at a time. */
+    private final class MessageHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             Channel client = ctx.channel();
-            List<LoopbackHttp.Pool> endpoints =
+            List<LoopbackHttp.ConnectionPool> endpoints =
                     destinations.get(request.headers().get(Headers.CONSIGNEE, ""));
             if (endpoints == null) {
-                answer(client, HttpResponseStatus.NOT_FOUND);
+                respond(client, HttpResponseStatus.NOT_FOUND);
                 return;
             }
-            FullHttpRequest call = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1,
-                    HttpMethod.POST,
-                    "/receive",
-                    request.content().retain());
-            call.headers()
-                    .set(HttpHeaderNames.HOST, "endpoint")
-                    .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-            for (String name : List.of(Headers.CALL_ID, Headers.CALL_CLASS, Headers.BUDGET, Headers.KEY)) {
-                String value = request.headers().get(name);
-                if (value != null) {
-                    call.headers().set(name, value);
-                }
-            }
-            endpoints.get(Math.floorMod(turn++, endpoints.size())).send(call, new LoopbackHttp.Reply() {
-                @Override
-                public void answered(FullHttpResponse response) {
-                    answer(
-                            client,
-                            response.status().code() == HttpResponseStatus.OK.code()
-                                    ? HttpResponseStatus.ACCEPTED
-                                    : HttpResponseStatus.SERVICE_UNAVAILABLE);
-                }
+            endpoints
+                    .get(Math.floorMod(nextEndpoint++, endpoints.size()))
+                    .send(forwarded(request), new LoopbackHttp.ResponseListener() {
+                        @Override
+                        public void onResponse(FullHttpResponse response) {
+                            respond(
+                                    client,
+                                    response.status().code() == HttpResponseStatus.OK.code()
+                                            ? HttpResponseStatus.ACCEPTED
+                                            : HttpResponseStatus.SERVICE_UNAVAILABLE);
+                        }
 
-                @Override
-                public void unreached() {
-                    answer(client, HttpResponseStatus.SERVICE_UNAVAILABLE);
-                }
+                        @Override
+                        public void onConnectFailed() {
+                            respond(client, HttpResponseStatus.SERVICE_UNAVAILABLE);
+                        }
 
-                @Override
-                public void cut() {
-                    answer(client, HttpResponseStatus.SERVICE_UNAVAILABLE);
-                }
-            });
+                        @Override
+                        public void onConnectionLost() {
+                            respond(client, HttpResponseStatus.SERVICE_UNAVAILABLE);
+                        }
+                    });
         }
 
         @Override
@@ -105,7 +91,26 @@
         }
     }
 
-    private static void answer(Channel client, HttpResponseStatus status) {
+    /** The request to an endpoint, with the same body and the headers that endpoints use. */
+    private static FullHttpRequest forwarded(FullHttpRequest request) {
+        FullHttpRequest call = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                HttpMethod.POST,
+                "/receive",
+                request.content().retain());
+        call.headers()
+                .set(HttpHeaderNames.HOST, "endpoint")
+                .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
+        for (String name : List.of(Headers.CALL_ID, Headers.CALL_CLASS, Headers.BUDGET, Headers.KEY)) {
+            String value = request.headers().get(name);
+            if (value != null) {
+                call.headers().set(name, value);
+            }
+        }
+        return call;
+    }
+
+    private static void respond(Channel client, HttpResponseStatus status) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
         client.writeAndFlush(response);
--- a/src/main/java/loftflow/experiment/loopback/CompletionServer.java
+++ b/src/main/java/loftflow/experiment/loopback/CompletionServer.java
@@ -14,16 +14,22 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** Where relays tell ends (PROTOCOL, Notices): each is heard at once, with its time. */
+/** Receives completion notices of relays (PROTOCOL, Notices) and forwards rejections and failures to the clients. */
 final class CompletionServer {
     private static final JsonFactory JSON = new JsonFactory();
+    private static final String REFERENCE_FIELD = "ref";
+    private static final String RESULT_FIELD = "result";
+    private static final String RETRY_AFTER_FIELD = "wait_ms";
+    private static final String DELIVERED = "done";
+    private static final String REJECTED = "bounced";
+    private static final long MICROS_PER_MILLI = 1_000;
 
-    private final LoadGenerator programs;
+    private final LoadGenerator loadGenerator;
     private final int port;
 
-    CompletionServer(RunContext world, LoadGenerator programs) {
-        this.programs = programs;
-        Channel listener = LoopbackHttp.listen(world.loop(), 0, Hears::new)
+    CompletionServer(RunContext context, LoadGenerator loadGenerator) {
+        this.loadGenerator = loadGenerator;
+        Channel listener = LoopbackHttp.listen(context.loop(), 0, NoticeHandler::new)
                 .syncUninterruptibly()
                 .channel();
         port = ((InetSocketAddress) listener.localAddress()).getPort();
@@ -33,29 +39,10 @@
         return "127.0.0.1:" + port;
     }
 
-    private final class Hears extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class NoticeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) throws IOException {
-            String ref = null;
-            String result = null;
-            long wait = 0;
-            try (JsonParser json = JSON.createParser(ByteBufUtil.getBytes(request.content()))) {
-                for (JsonToken token = json.nextToken(); token != null; token = json.nextToken()) {
-                    if (token == JsonToken.FIELD_NAME) {
-                        switch (json.currentName()) {
-                            case "ref" -> ref = json.nextTextValue();
-                            case "result" -> result = json.nextTextValue();
-                            case "wait_ms" -> wait = json.nextLongValue(0);
-                            default -> {}
-                        }
-                    } else if (token == JsonToken.END_OBJECT) {
-                        if (!"done".equals(result)) {
-                            programs.told(ref, "bounced".equals(result), wait * 1_000);
-                        }
-                        wait = 0;
-                    }
-                }
-            }
+            readNotices(ByteBufUtil.getBytes(request.content()));
             ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.NO_CONTENT));
         }
 
@@ -64,4 +51,28 @@
             ctx.close();
         }
     }
+
+    private void readNotices(byte[] body) throws IOException {
+        String reference = null;
+        String result = null;
+        long retryAfterMillis = 0;
+        try (JsonParser json = JSON.createParser(body)) {
+            for (JsonToken token = json.nextToken(); token != null; token = json.nextToken()) {
+                if (token == JsonToken.FIELD_NAME) {
+                    switch (json.currentName()) {
+                        case REFERENCE_FIELD -> reference = json.nextTextValue();
+                        case RESULT_FIELD -> result = json.nextTextValue();
+                        case RETRY_AFTER_FIELD -> retryAfterMillis = json.nextLongValue(0);
+                        default -> {}
+                    }
+                } else if (token == JsonToken.END_OBJECT) {
+                    if (!DELIVERED.equals(result)) {
+                        loadGenerator.onCompletion(
+                                reference, REJECTED.equals(result), retryAfterMillis * MICROS_PER_MILLI);
+                    }
+                    retryAfterMillis = 0;
+                }
+            }
+        }
+    }
 }
--- a/src/main/java/loftflow/experiment/loopback/EndpointServer.java
+++ b/src/main/java/loftflow/experiment/loopback/EndpointServer.java
@@ -33,80 +33,82 @@
 import loftflow.http.Headers;
 
 /**
- * An endpoint on a loopback port (PROTOCOL, Relays to hosts): what it answers, and when, is the emulator's word; this
- * class
- * carries it to a socket.
+ * An endpoint on a loopback port (PROTOCOL, Relays to hosts). The emulated endpoint decides the response and its time;
+ * this class translates it to HTTP. To be used on the run's event loop only.
  */
 final class EndpointServer {
     private static final JsonFactory JSON = new JsonFactory();
-    /** Whose call on a connection has no answer to come. */
-    private static final AttributeKey<Integer> SILENT_FOR = AttributeKey.valueOf("lab.silent-for");
+    private static final String PROBE_PATH_PREFIX = "/-/";
+    private static final String SINGLE_CALL_PATH = "/receive";
+    /** The relay whose call on a connection will get no response. */
+    private static final AttributeKey<Integer> UNANSWERED_RELAY = AttributeKey.valueOf("lab.silent-for");
 
-    private final RunContext world;
-    private final EmulatedEndpoint model;
+    private final RunContext context;
+    private final EmulatedEndpoint endpoint;
     private final Scenario.Layout layout;
-    private final Set<Channel> open = new HashSet<>();
+    private final Set<Channel> openConnections = new HashSet<>();
     private Channel listener;
     private int port;
 
-    EndpointServer(RunContext world, EmulatedEndpoint model, Scenario.Layout layout) {
-        this.world = world;
-        this.model = model;
+    EndpointServer(RunContext context, EmulatedEndpoint endpoint, Scenario.Layout layout) {
+        this.context = context;
+        this.endpoint = endpoint;
         this.layout = layout;
-        port = ((InetSocketAddress) up().syncUninterruptibly().channel().localAddress()).getPort();
+        Channel bound = startListening().syncUninterruptibly().channel();
+        port = ((InetSocketAddress) bound.localAddress()).getPort();
     }
 
     String address() {
         return "127.0.0.1:" + port;
     }
 
-    /** Takes connections, at the same port as ever. */
-    ChannelFuture up() {
+    /** Accepts connections, on the same port after every restart. */
+    ChannelFuture startListening() {
         if (listener != null && listener.isOpen()) {
             return listener.newSucceededFuture();
         }
-        ChannelFuture bound = LoopbackHttp.listen(world.loop(), port, Calls::new);
+        ChannelFuture bound = LoopbackHttp.listen(context.loop(), port, CallHandler::new);
         listener = bound.channel();
         return bound;
     }
 
-    /** Refuses connections, and ends those there are. */
-    void down() {
+    /** Refuses new connections and closes the open ones. */
+    void stopListening() {
         listener.close();
-        List.copyOf(open).forEach(Channel::close);
+        List.copyOf(openConnections).forEach(Channel::close);
     }
 
-    /** Takes calls; a relay sends one at a time on a connection. */
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private int number() {
+        return endpoint.endpoint().number();
+    }
+
+    /** Receives the calls of one connection, on which a relay sends one at a time. */
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            open.add(ctx.channel());
-            world.history()
-                    .costs()
-                    .count(
-                            CallCounts.Of.CONNECTIONS,
-                            CallCounts.NONE,
-                            model.endpoint().number());
+            openConnections.add(ctx.channel());
+            context.history().callCounts().count(CallCounts.Metric.CONNECTIONS, CallCounts.NONE, number());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            open.remove(ctx.channel());
-            Integer relay = ctx.channel().attr(SILENT_FOR).getAndSet(null);
+            openConnections.remove(ctx.channel());
+            Integer relay = ctx.channel().attr(UNANSWERED_RELAY).getAndSet(null);
             if (relay != null) {
-                model.givenUpBy(relay);
+                endpoint.onAbandonedBy(relay);
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) throws IOException {
             String path = request.uri();
-            if (path.startsWith("/-/")) {
-                answer(ctx, model.check(CallCounts.NONE, world.now()), CallCounts.NONE, 0, List.of(), false);
-            } else if (path.equals("/receive")) {
-                call(ctx, List.of(request.headers().get(Headers.CALL_ID, "")), false);
+            if (path.startsWith(PROBE_PATH_PREFIX)) {
+                EmulatedEndpoint.CallResult result = endpoint.receiveProbe(CallCounts.NONE, context.nowMicros());
+                scheduleResponse(ctx, new PendingCall(CallCounts.NONE, 0, List.of(), false), result);
+            } else if (path.equals(SINGLE_CALL_PATH)) {
+                receiveCall(ctx, List.of(request.headers().get(Headers.CALL_ID, "")), false);
             } else {
-                call(ctx, ids(ByteBufUtil.getBytes(request.content())), true);
+                receiveCall(ctx, readIds(ByteBufUtil.getBytes(request.content())), true);
             }
         }
 
@@ -116,7 +118,10 @@
         }
     }
 
-    private static List<String> ids(byte[] body) throws IOException {
+    /** A call or probe that has been received. */
+    private record PendingCall(int relay, long latencyMicros, List<String> ids, boolean isBatch) {}
+
+    private static List<String> readIds(byte[] body) throws IOException {
         List<String> ids = new ArrayList<>();
         try (JsonParser json = JSON.createParser(body)) {
             while (json.nextToken() != null) {
@@ -129,102 +134,86 @@
         return ids;
     }
 
-    private void call(ChannelHandlerContext ctx, List<String> ids, boolean several) {
-        MessageHistory first = world.ask(ids.get(0));
+    private void receiveCall(ChannelHandlerContext ctx, List<String> ids, boolean isBatch) {
+        MessageHistory first = context.message(ids.get(0));
         if (first == null) {
             respond(ctx, HttpResponseStatus.BAD_REQUEST, "", 0);
             return;
         }
         int relay = first.relay();
-        long way = world.scenario().way(relay, model.endpoint(), layout);
-        long sent = world.now();
-        world.loop()
-                .schedule(
-                        () -> {
-                            EmulatedEndpoint.Met met = model.meet(relay, world.now());
-                            for (String id : ids) {
-                                boolean ran = met.ran() && world.takesEffect(id, model.endpoint());
-                                world.ask(id)
-                                        .posted(new MessageHistory.Posting(
-                                                relay,
-                                                model.endpoint().number(),
-                                                sent,
-                                                world.now(),
-                                                ran,
-                                                met.answer()));
-                            }
-                            answer(ctx, met, relay, way, ids, several);
-                        },
-                        way,
-                        TimeUnit.MICROSECONDS);
+        long latencyMicros = context.scenario().oneWayLatencyMicros(relay, endpoint.endpoint(), layout);
+        PendingCall call = new PendingCall(relay, latencyMicros, ids, isBatch);
+        long sentAtMicros = context.nowMicros();
+        context.loop().schedule(() -> process(ctx, call, sentAtMicros), latencyMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void answer(
-            ChannelHandlerContext ctx,
-            EmulatedEndpoint.Met met,
-            int relay,
-            long way,
-            List<String> ids,
-            boolean several) {
-        if (met.answerAt() < 0) {
-            ctx.channel().attr(SILENT_FOR).set(relay);
+    private void process(ChannelHandlerContext ctx, PendingCall call, long sentAtMicros) {
+        EmulatedEndpoint.CallResult result = endpoint.receiveCall(call.relay(), context.nowMicros());
+        for (String id : call.ids()) {
+            boolean executed = result.executed() && context.takesEffect(id, endpoint.endpoint());
+            context.message(id)
+                    .recordCall(new MessageHistory.Call(
+                            call.relay(), number(), sentAtMicros, context.nowMicros(), executed, result.response()));
+        }
+        scheduleResponse(ctx, call, result);
+    }
+
+    private void scheduleResponse(ChannelHandlerContext ctx, PendingCall call, EmulatedEndpoint.CallResult result) {
+        if (result.respondAtMicros() < 0) {
+            ctx.channel().attr(UNANSWERED_RELAY).set(call.relay());
             return;
         }
-        long wait = model.toldWait(met);
-        world.loop()
-                .schedule(
-                        () -> {
-                            switch (met.answer()) {
-                                case DONE -> {
-                                    ids.forEach(id -> world.ask(id).answeredDone(world.now() - way));
-                                    respond(
-                                            ctx,
-                                            HttpResponseStatus.OK,
-                                            several
-                                                    ? ids.stream()
-                                                            .map(id -> "{\"id\":\"" + id + "\",\"state\":\"done\"}")
-                                                            .collect(Collectors.joining(",", "[", "]"))
-                                                    : "",
-                                            0);
-                                }
-                                case FAULT -> respond(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", 0);
-                                case FULL -> {
-                                    if (wait > 0) {
-                                        world.waits(relay, model.endpoint().number(), wait);
-                                    }
-                                    respond(
-                                            ctx,
-                                            wait > 0
-                                                    ? HttpResponseStatus.TOO_MANY_REQUESTS
-                                                    : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                                            "",
-                                            wait);
-                                }
-                                case UNREACHED -> down();
-                                case NONE -> ctx.close();
-                            }
-                        },
-                        met.answerAt() + way - world.now(),
-                        TimeUnit.MICROSECONDS);
+        long delayMicros = result.respondAtMicros() + call.latencyMicros() - context.nowMicros();
+        context.loop().schedule(() -> sendResponse(ctx, call, result), delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body, long wait) {
+    private void sendResponse(ChannelHandlerContext ctx, PendingCall call, EmulatedEndpoint.CallResult result) {
+        switch (result.response()) {
+            case DELIVERED -> {
+                long sentAtMicros = context.nowMicros() - call.latencyMicros();
+                call.ids().forEach(id -> context.message(id).recordDelivery(sentAtMicros));
+                respond(ctx, HttpResponseStatus.OK, call.isBatch() ? batchBody(call.ids()) : "", 0);
+            }
+            case ERROR -> respond(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", 0);
+            case REJECTED -> reject(ctx, call.relay(), endpoint.retryAfterMicros(result));
+            case CONNECT_FAILED -> stopListening();
+            case NO_RESPONSE -> ctx.close();
+        }
+    }
+
+    private static String batchBody(List<String> ids) {
+        return ids.stream()
+                .map(id -> "{\"id\":\"" + id + "\",\"state\":\"done\"}")
+                .collect(Collectors.joining(",", "[", "]"));
+    }
+
+    private void reject(ChannelHandlerContext ctx, int relay, long retryAfterMicros) {
+        if (retryAfterMicros > 0) {
+            context.recordRetryAfter(relay, number(), retryAfterMicros);
+            respond(ctx, HttpResponseStatus.TOO_MANY_REQUESTS, "", retryAfterMicros);
+        } else {
+            respond(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", 0);
+        }
+    }
+
+    private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body, long retryAfterMicros) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length());
-        if (wait > 0) {
-            response.headers().set(Headers.COME_BACK, wait / 1_000);
+        if (retryAfterMicros > 0) {
+            response.headers().set(Headers.COME_BACK, TimeUnit.MICROSECONDS.toMillis(retryAfterMicros));
         }
-        if (model.group().told()) {
-            response.headers()
-                    .set(
-                            Headers.LOAD_REPORT,
-                            String.format(
-                                    Locale.ROOT,
-                                    "x0=%.3f, x1=%.3f",
-                                    model.limit().left(),
-                                    model.limit().rate()));
+        if (endpoint.group().reportsLimit()) {
+            response.headers().set(Headers.LOAD_REPORT, limitReport());
         }
         ctx.writeAndFlush(response);
     }
+
+    private String limitReport() {
+        return String.format(
+                Locale.ROOT,
+                "x0=%.3f, x1=%.3f",
+                endpoint.limit().remainingShare(),
+                endpoint.limit().ratePerSecond());
+    }
 }
