--- a/src/main/java/loftflow/experiment/loopback/LoadGenerator.java
+++ b/src/main/java/loftflow/experiment/loopback/LoadGenerator.java
@@ -6,6 +6,7 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -17,156 +18,163 @@
 import loftflow.policy.api.Idempotency;
 
 /**
- * The programs before a fleet: each message on a connection that waits for nothing else, handed in again as scenarios
- * say.
+ * The clients of a fleet: submits each message on a connection without another request in flight, and resubmits
+ * rejected messages as the scenario says. To be used on the run's event loop only.
  */
 final class LoadGenerator {
     private static final byte[] BODY = "lab".getBytes(StandardCharsets.US_ASCII);
-    private static final int ACCEPTED = 202;
-    private static final int REFUSED = 503;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private final RunContext world;
-    /** Connections to each relay; null while it takes no messages. */
-    private final LoopbackHttp.Pool[] relays;
+    private final RunContext context;
+    private final Scenario scenario;
+    /** Connections to each relay; null while it accepts no messages. */
+    private final LoopbackHttp.ConnectionPool[] connectionsByRelay;
 
     private int unsettled;
 
-    LoadGenerator(RunContext world) {
-        this.world = world;
-        relays = new LoopbackHttp.Pool[world.scenario().fleet().relays()];
+    LoadGenerator(RunContext context) {
+        this.context = context;
+        scenario = context.scenario();
+        connectionsByRelay = new LoopbackHttp.ConnectionPool[scenario.fleet().relays()];
     }
 
-    /** A relay takes messages at an address from now on; null while it takes none. */
-    void at(int relay, InetSocketAddress address) {
-        relays[relay] = address == null ? null : new LoopbackHttp.Pool(world.loop(), address);
+    /** Sets the address at which a relay accepts messages from now on; null while it accepts none. */
+    void setRelayAddress(int relay, InetSocketAddress address) {
+        connectionsByRelay[relay] = address == null ? null : new LoopbackHttp.ConnectionPool(context.loop(), address);
     }
 
-    /** A message is due. Its times count from then, however late it leaves. */
-    void arrive(Arrival arrival) {
-        Scenario.MessageClass type = world.scenario().classes().get(arrival.type());
-        MessageHistory ask = new MessageHistory(
-                arrival.type(),
+    /** Submits a message that is due. Its times count from then on, however late it is sent. */
+    void submit(Arrival arrival) {
+        Scenario.MessageClass messageClass = scenario.classes().get(arrival.classIndex());
+        MessageHistory message = new MessageHistory(
+                arrival.classIndex(),
                 arrival.tenant(),
                 arrival.partner(),
                 arrival.relay(),
-                arrival.at(),
-                arrival.at() + type.deadline());
-        world.history().asked(ask);
-        handIn(world.history().asks().size() - 1, ask);
+                arrival.atMicros(),
+                arrival.atMicros() + messageClass.deadlineMicros());
+        context.history().addMessage(message);
+        send(context.history().messages().size() - 1, message);
     }
 
-    /** Messages of which something is still to come from their programs' side. */
+    /** Number of submissions that wait for a response or are scheduled. */
     int unsettled() {
         return unsettled;
     }
 
-    private void handIn(int number, MessageHistory ask) {
+    private void send(int number, MessageHistory message) {
         unsettled++;
-        Scenario.MessageClass type = world.scenario().classes().get(ask.type());
-        ask.tried(ask.tries() == 0 ? ask.at() : world.now());
-        String id = number + "-" + ask.tries();
-        world.named(id, number);
-        LoopbackHttp.Pool relay = relays[ask.relay()];
-        if (relay == null) {
-            refused(number, ask, 0);
+        message.recordSubmission(message.submissions() == 0 ? message.submittedAtMicros() : context.nowMicros());
+        String id = number + "-" + message.submissions();
+        context.registerId(id, number);
+        LoopbackHttp.ConnectionPool connections = connectionsByRelay[message.relay()];
+        if (connections == null) {
+            onRejected(number, message, 0);
             return;
         }
+        connections.send(request(id, number, message), new Submission(number, message));
+    }
+
+    private FullHttpRequest request(String id, int number, MessageHistory message) {
+        Scenario.MessageClass messageClass = scenario.classes().get(message.classIndex());
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api", Unpooled.wrappedBuffer(BODY));
         request.headers()
                 .set(HttpHeaderNames.HOST, "relay")
                 .set(Headers.CALL_ID, id)
-                .set(Headers.CALL_CLASS, type.name())
-                .set(Headers.BUDGET, type.deadline() / 1_000)
-                .set(Headers.CONSIGNEE, "dest=" + ask.partner())
+                .set(Headers.CALL_CLASS, messageClass.name())
+                .set(Headers.BUDGET, TimeUnit.MICROSECONDS.toMillis(messageClass.deadlineMicros()))
+                .set(Headers.CONSIGNEE, "dest=" + message.partner())
                 .set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
-        if (ask.tenant() >= 0) {
+        if (message.tenant() >= 0) {
             request.headers()
                     .set(
                             Headers.CALLER,
-                            world.scenario().tenants().get(ask.tenant()).name());
+                            scenario.tenants().get(message.tenant()).name());
         }
-        if (type.repeat() == Idempotency.IDEMPOTENT_BY_KEY) {
+        if (messageClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
             request.headers().set(Headers.KEY, "k" + number);
         }
-        relay.send(request, new Handing(number, ask));
+        return request;
     }
 
-    private void refused(int number, MessageHistory ask, long retryIn) {
+    private void onRejected(int number, MessageHistory message, long retryAfterMicros) {
         unsettled--;
-        ask.ended(world.now(), MessageHistory.Told.REFUSED);
-        again(number, ask, Math.max(world.scenario().clients().pause(), retryIn));
+        message.recordCompletion(context.nowMicros(), MessageHistory.ClientOutcome.REJECTED);
+        scheduleResubmission(number, message, retryAfterMicros);
     }
 
-    private void again(int number, MessageHistory ask, long pause) {
-        if (ask.tries() <= world.scenario().clients().repeats()) {
+    private void scheduleResubmission(int number, MessageHistory message, long retryAfterMicros) {
+        if (message.submissions() <= scenario.clients().maxResubmissions()) {
             unsettled++;
-            world.loop()
+            long delayMicros = Math.max(scenario.clients().resubmitDelayMicros(), retryAfterMicros);
+            context.loop()
                     .schedule(
                             () -> {
                                 unsettled--;
-                                handIn(number, ask);
+                                send(number, message);
                             },
-                            pause,
+                            delayMicros,
                             TimeUnit.MICROSECONDS);
         }
     }
 
-    /** An end is told by notice. */
-    void told(String id, boolean refused, long retryIn) {
-        MessageHistory ask = world.ask(id);
-        // A notice may be told once more, and one of an earlier try says nothing of the last.
-        if (ask == null
-                || !id.endsWith("-" + ask.tries())
-                || ask.told() == MessageHistory.Told.REFUSED
-                || ask.told() == MessageHistory.Told.FAILED) {
+    /** Processes a completion notice; repeated notices, and those of earlier submissions, have no effect. */
+    void onCompletion(String id, boolean rejected, long retryAfterMicros) {
+        MessageHistory message = context.message(id);
+        if (message == null || !id.endsWith("-" + message.submissions()) || isCompleted(message)) {
             return;
         }
-        ask.ended(world.now(), refused ? MessageHistory.Told.REFUSED : MessageHistory.Told.FAILED);
-        if (refused) {
-            again(
-                    Integer.parseInt(id.substring(0, id.indexOf('-'))),
-                    ask,
-                    Math.max(world.scenario().clients().pause(), retryIn));
+        message.recordCompletion(
+                context.nowMicros(),
+                rejected ? MessageHistory.ClientOutcome.REJECTED : MessageHistory.ClientOutcome.FAILED);
+        if (rejected) {
+            int number = Integer.parseInt(id.substring(0, id.indexOf('-')));
+            scheduleResubmission(number, message, retryAfterMicros);
         }
     }
 
-    /** One try of a message. */
-    private final class Handing implements LoopbackHttp.Reply {
+    private static boolean isCompleted(MessageHistory message) {
+        return message.clientOutcome() == MessageHistory.ClientOutcome.REJECTED
+                || message.clientOutcome() == MessageHistory.ClientOutcome.FAILED;
+    }
+
+    /** Records the response to one submission of a message. */
+    private final class Submission implements LoopbackHttp.ResponseListener {
         private final int number;
-        private final MessageHistory ask;
+        private final MessageHistory message;
 
-        Handing(int number, MessageHistory ask) {
+        Submission(int number, MessageHistory message) {
             this.number = number;
-            this.ask = ask;
+            this.message = message;
         }
 
         @Override
-        public void answered(FullHttpResponse response) {
+        public void onResponse(FullHttpResponse response) {
             int status = response.status().code();
-            if (status == ACCEPTED) {
+            if (status == HttpResponseStatus.ACCEPTED.code()) {
                 unsettled--;
-                ask.taken();
-            } else if (status == REFUSED) {
-                String retry = response.headers().get(HttpHeaderNames.RETRY_AFTER, "0");
-                refused(number, ask, (long) (Double.parseDouble(retry) * 1e6));
+                message.recordAccepted();
+            } else if (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()) {
+                String retryAfterSeconds = response.headers().get(HttpHeaderNames.RETRY_AFTER, "0");
+                onRejected(number, message, (long) (Double.parseDouble(retryAfterSeconds) * MICROS_PER_SECOND));
             } else {
                 unsettled--;
-                ask.ended(world.now(), MessageHistory.Told.FAILED);
+                message.recordCompletion(context.nowMicros(), MessageHistory.ClientOutcome.FAILED);
             }
         }
 
         @Override
-        public void unreached() {
-            refused(number, ask, 0);
+        public void onConnectFailed() {
+            onRejected(number, message, 0);
         }
 
         @Override
-        public void cut() {
+        public void onConnectionLost() {
             unsettled--;
-            ask.cut();
-            if (world.scenario().classes().get(ask.type()).repeat() == Idempotency.IDEMPOTENT) {
-                again(number, ask, world.scenario().clients().pause());
+            message.recordConnectionLost();
+            if (scenario.classes().get(message.classIndex()).idempotency() == Idempotency.IDEMPOTENT) {
+                scheduleResubmission(number, message, 0);
             }
         }
     }
--- a/src/main/java/loftflow/experiment/loopback/LoopbackHttp.java
+++ b/src/main/java/loftflow/experiment/loopback/LoopbackHttp.java
@@ -22,13 +22,13 @@
 import java.util.ArrayDeque;
 import java.util.function.Supplier;
 
-/** HTTP/1.1 on loopback by Netty's own codecs, as all around a relay speak it: whole requests, whole answers. */
+/** HTTP/1.1 on loopback with Netty's own codecs, with requests and responses as a whole. */
 final class LoopbackHttp {
-    private static final int LARGEST = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     private LoopbackHttp() {}
 
-    /** Listens on a port, 0 for a free one; each connection's requests go to a handler of its own. */
+    /** Listens on a port, 0 for a free one; each connection gets a handler of its own. */
     static ChannelFuture listen(EventLoopGroup loop, int port, Supplier<ChannelHandler> handlers) {
         return new ServerBootstrap()
                 .group(loop)
@@ -37,71 +37,83 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST), handlers.get());
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        handlers.get());
                     }
                 })
                 .bind(new InetSocketAddress("127.0.0.1", port));
     }
 
-    /** What becomes of a request; one of them happens, once. */
-    interface Reply {
-        void answered(FullHttpResponse response);
+    /** Receives the result of a request: exactly one method is called, once. */
+    interface ResponseListener {
+        void onResponse(FullHttpResponse response);
 
-        /** No connection was to be had: the request never left. */
-        void unreached();
+        /** No connection could be established: the request was not sent. */
+        void onConnectFailed();
 
-        /** The connection ended before an answer. */
-        void cut();
+        /** The connection was closed before a response. */
+        void onConnectionLost();
     }
 
-    /** Connections to one address, each with at most one request on it; there are as many as are needed at once. */
-    static final class Pool {
+    /** Connections to one address, each with at most one request in flight; their number is not limited. */
+    static final class ConnectionPool {
         private final EventLoopGroup loop;
         private final InetSocketAddress address;
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
-        Pool(EventLoopGroup loop, InetSocketAddress address) {
+        ConnectionPool(EventLoopGroup loop, InetSocketAddress address) {
             this.loop = loop;
             this.address = address;
         }
 
-        /** Sends a request, which is released whatever becomes of it. */
-        void send(FullHttpRequest request, Reply reply) {
-            Connection rested = idle.poll();
-            if (rested != null) {
-                rested.send(request, reply);
+        /** Sends a request, which is released in any case. */
+        void send(FullHttpRequest request, ResponseListener listener) {
+            Connection pooled = idle.poll();
+            if (pooled != null) {
+                pooled.send(request, listener);
                 return;
             }
             Connection connection = new Connection(this);
-            new Bootstrap()
+            connect(connection).addListener(connected -> {
+                if (connected.isSuccess()) {
+                    connection.send(request, listener);
+                } else {
+                    request.release();
+                    listener.onConnectFailed();
+                }
+            });
+        }
+
+        private ChannelFuture connect(Connection connection) {
+            return new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel ch) {
-                            ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LARGEST), connection);
+                        protected void initChannel(Channel channel) {
+                            channel.pipeline()
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(MAX_BODY_BYTES),
+                                            connection);
                         }
                     })
-                    .connect(address)
-                    .addListener(connected -> {
-                        if (connected.isSuccess()) {
-                            connection.send(request, reply);
-                        } else {
-                            request.release();
-                            reply.unreached();
-                        }
-                    });
+                    .connect(address);
         }
     }
 
     private static final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Pool pool;
+        private final ConnectionPool pool;
         private Channel channel;
-        private Reply reply;
+        /** Null while no request is in flight. */
+        private ResponseListener listener;
 
-        Connection(Pool pool) {
+        Connection(ConnectionPool pool) {
             this.pool = pool;
         }
 
@@ -110,33 +122,37 @@
             channel = ctx.channel();
         }
 
-        void send(FullHttpRequest request, Reply awaited) {
-            reply = awaited;
+        void send(FullHttpRequest request, ResponseListener responseListener) {
+            listener = responseListener;
             channel.writeAndFlush(request);
         }
 
+        private ResponseListener takeListener() {
+            ResponseListener taken = listener;
+            listener = null;
+            return taken;
+        }
+
+        /** Ignores a response without a request. */
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Reply awaited = reply;
-            reply = null;
+            ResponseListener waiting = takeListener();
             if (HttpUtil.isKeepAlive(response)) {
                 pool.idle.addFirst(this);
             } else {
                 ctx.close();
             }
-            // Guards against an answer that nobody asked for.
-            if (awaited != null) {
-                awaited.answered(response);
+            if (waiting != null) {
+                waiting.onResponse(response);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             pool.idle.remove(this);
-            Reply awaited = reply;
-            reply = null;
-            if (awaited != null) {
-                awaited.cut();
+            ResponseListener waiting = takeListener();
+            if (waiting != null) {
+                waiting.onConnectionLost();
             }
         }
 
--- a/src/main/java/loftflow/experiment/loopback/LoopbackRun.java
+++ b/src/main/java/loftflow/experiment/loopback/LoopbackRun.java
@@ -4,17 +4,11 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.Iterator;
 import java.util.List;
-import java.util.Set;
-import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.CopyOnWriteArrayList;
-import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
@@ -24,376 +18,209 @@
 import loftflow.experiment.history.RunHistory;
 import loftflow.experiment.scenario.Arrival;
 import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.RuleLimits;
 import loftflow.experiment.scenario.Scenario;
-import loftflow.fake.FakeDiscoveryAgent;
 import loftflow.fake.ServedRelay;
 
 /**
- * One run of a scenario by whole relays. Threads beside the relays' own processes: one for all sockets and the history,
- * one
- * that lets messages go at their times, one that starts and kills relays and changes discovery's list.
+ * One run of a scenario by relay processes on loopback, in real time. One event loop serves all sockets and owns the
+ * history, one thread submits messages at their times, and a pool of threads carries out faults.
  */
 public final class LoopbackRun implements AutoCloseable {
-    /** Several relays may start at once. */
-    private static final int STAGE_THREADS = 8;
+    private static final long POLL_INTERVAL_MILLIS = 50;
+    /** CPU time is measured after this part of the duration, when the relays' code is compiled. */
+    private static final int WARM_UP_DIVISOR = 4;
 
-    private static final long LOOK_MS = 50;
-    private static final long READY_S = 30;
-    /** What a relay uses for a message is counted once this part of the span is over. */
-    private static final int WARM = 4;
-
-    private static final double MICROS = 1e6;
-    private static final List<String> OPTIONS = List.of("-Xms48m", "-Xmx128m", "-XX:MaxDirectMemorySize=32m");
-    /** Everything is ready before the first message is due. */
-    private static final long AHEAD_MS = 500;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** The first message is due this long after everything is ready. */
+    private static final long START_DELAY_MILLIS = 500;
 
     /**
-     * What came of it.
+     * The result of a run.
      *
-     * @param lateness by how much messages left late
-     * @param cpu microseconds of all relays for a message, from the time on when a quarter of the span is over, by when
-     *     a relay
-     *     has compiled what it uses; with what restarts take
+     * @param lateness by how much messages were sent late
+     * @param cpuMicrosPerMessage CPU time of all relays per message, measured after the first quarter of the duration
+     *     and including restarts
      */
-    public record Outcome(RunHistory history, Lateness lateness, double cpu) {
-        /** Beyond this lateness of one message in a hundred the run says more of this machine than of a relay. */
-        public static final long MOST_LATE = 50_000;
+    public record Outcome(RunHistory history, Lateness lateness, double cpuMicrosPerMessage) {
+        /** A run with a higher p99 lateness measures this machine rather than the relays. */
+        public static final long MAX_P99_LATENESS_MICROS = 50_000;
 
-        /** True where messages left when they were due. */
+        /** True if messages were sent when they were due. */
         public boolean isValid() {
-            return lateness.p99() <= MOST_LATE;
+            return lateness.p99Micros() <= MAX_P99_LATENESS_MICROS;
         }
     }
 
     /**
-     * What runs as each relay of a fleet.
+     * The program that runs as each relay of a fleet.
      *
-     * @param bare whether a {@link BaselineProxy} stands in each relay's place
+     * @param baseline whether a {@link BaselineProxy} runs in place of each relay
      */
-    public record Fleet(ServedRelay.Program program, boolean bare) {
+    public record RelayProgram(ServedRelay.Program program, boolean baseline) {
         /** Relays of this program, on any core. */
-        public static final Fleet OWN = new Fleet(ServedRelay.Program.OWN, false);
-    }
-
-    /** A relay that nobody killed has ended. */
-    public static final class EndedException extends IOException {
-        private static final long serialVersionUID = 1;
-
-        EndedException(String message) {
-            super(message);
-        }
+        public static final RelayProgram OWN = new RelayProgram(ServedRelay.Program.OWN, false);
     }
 
-    /** By how many microseconds messages left late: half of them, one in a hundred, and the latest. */
-    public record Lateness(long p50, long p99, long most) {}
+    /** By how many microseconds messages were sent late: median, 99th percentile and maximum. */
+    public record Lateness(long p50Micros, long p99Micros, long maxMicros) {}
 
     private final Scenario scenario;
     private final Scenario.Layout layout;
     private final FaultSchedule faults;
-    private final Fleet fleet;
-    private final Path folder;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final ScheduledExecutorService stage = new ScheduledThreadPoolExecutor(STAGE_THREADS);
-    private final FakeDiscoveryAgent discovery = new FakeDiscoveryAgent();
     private final List<EndpointServer> endpoints = new ArrayList<>();
-    private final List<String> states = new ArrayList<>();
-    private final List<ServedRelay> relays = new CopyOnWriteArrayList<>();
-    /** What starts each relay: its main class and what follows. */
-    private final List<List<String>> commands = new ArrayList<>();
-    /** Relays that are dead, or not yet back. */
-    private final Set<Integer> away = ConcurrentHashMap.newKeySet();
-
-    private final RunContext world;
-    private final LoadGenerator programs;
-    private final CompletionServer notices;
+    private final RunContext context;
+    private final LoadGenerator loadGenerator;
+    private final DiscoveryList discovery;
+    private final RelayFleet relays;
+    private final FaultInjector faultInjector;
     private final long startNanos;
-    /** What those used that have died. */
-    private double cpuOfTheDead;
-
-    private Exception broken;
 
     /**
-     * Starts everything a run needs, the relays too.
+     * Starts everything that a run needs, including the relays.
      *
-     * @param fleet what runs as each relay of the fleet
+     * @param program what runs as each relay of the fleet
      * @param folder for the relays' files, journals and logs
      */
-    public LoopbackRun(Scenario scenario, Scenario.Rules rules, long seed, Fleet fleet, Path folder)
+    public LoopbackRun(Scenario scenario, RuleLimits limits, long seed, RelayProgram program, Path folder)
             throws IOException, InterruptedException {
         this.scenario = scenario;
-        this.fleet = fleet;
-        this.folder = folder;
         layout = scenario.layout();
         faults = FaultSchedule.of(scenario, layout, seed);
-        // The time that starting takes is not known: the clock of the run begins when it is over.
         RunClock clock = new RunClock();
-        world = new RunContext(scenario, loop, clock);
-        programs = new LoadGenerator(world);
+        context = new RunContext(scenario, loop, clock);
+        loadGenerator = new LoadGenerator(context);
+        discovery = new DiscoveryList(layout, endpoints);
+        relays = new RelayFleet(program, folder, loop, loadGenerator);
+        faultInjector = new FaultInjector(context, faults, relays, endpoints, discovery);
         try {
-            notices = new CompletionServer(world, programs);
-            for (EmulatedEndpoint model : EmulatedEndpoint.all(layout, rules, faults, world.history(), seed)) {
-                endpoints.add(new EndpointServer(world, model, layout));
-                states.add("in_service");
-            }
-            tell();
-            for (int i = 0; i < scenario.fleet().relays(); i++) {
-                commands.add(
-                        fleet.bare()
-                                ? proxy()
-                                : ServedRelay.serving(RelayFileWriter.write(
-                                        scenario, layout, i, discovery.address(), notices.address(), folder)));
-                relays.add(start(i));
+            CompletionServer completionServer = new CompletionServer(context, loadGenerator);
+            for (EmulatedEndpoint endpoint :
+                    EmulatedEndpoint.createAll(layout, limits, faults, context.history(), seed)) {
+                endpoints.add(new EndpointServer(context, endpoint, layout));
             }
-            for (int i = 0; i < relays.size(); i++) {
-                serves(i);
+            discovery.publish();
+            for (int relay = 0; relay < scenario.fleet().relays(); relay++) {
+                relays.add(
+                        program.baseline() ? proxyCommand() : relayCommand(relay, completionServer.address(), folder));
             }
-            startNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AHEAD_MS);
-            clock.begin(startNanos);
+            relays.awaitServing();
+            startNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_DELAY_MILLIS);
+            clock.start(startNanos);
         } catch (IOException | InterruptedException | RuntimeException e) {
             close();
             throw e;
         }
     }
 
-    private ServedRelay start(int relay) throws IOException {
-        return ServedRelay.start(fleet.program(), OPTIONS, commands.get(relay), folder.resolve("log" + relay));
+    private List<String> relayCommand(int relay, String completionAddress, Path folder) throws IOException {
+        return ServedRelay.serving(
+                RelayFileWriter.write(scenario, layout, relay, discovery.agentAddress(), completionAddress, folder));
     }
 
-    private List<String> proxy() {
+    private List<String> proxyCommand() {
         List<String> command = new ArrayList<>(List.of(BaselineProxy.class.getName()));
-        layout.endpoints()
-                .forEach(e -> command.add(
-                        e.partner() + "=" + endpoints.get(e.number()).address()));
-        return command;
-    }
-
-    private void serves(int relay) throws IOException, InterruptedException {
-        ServedRelay served = relays.get(relay).awaitServing();
-        // A bare proxy is ready when it serves.
-        if (!fleet.bare()) {
-            awaitReady(relay, served);
-        }
-        InetSocketAddress address = new InetSocketAddress(served.host(), served.port());
-        loop.submit(() -> programs.at(relay, address)).syncUninterruptibly();
-    }
-
-    private static void awaitReady(int relay, ServedRelay served) throws IOException, InterruptedException {
-        try (var client = served.client()) {
-            for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_S); !client.isReady(); ) {
-                if (System.nanoTime() > end) {
-                    throw new IOException("relay " + relay + " does not get ready: "
-                            + served.log().strip());
-                }
-                TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-            }
+        for (Scenario.Endpoint endpoint : layout.endpoints()) {
+            command.add(
+                    endpoint.partner() + "=" + endpoints.get(endpoint.number()).address());
         }
-    }
-
-    private synchronized void tell() {
-        List<String> entries = new ArrayList<>();
-        for (Scenario.Endpoint e : layout.endpoints()) {
-            entries.add(FakeDiscoveryAgent.entry(
-                    e.route(),
-                    e.partner(),
-                    layout.partners().get(e.partner()).group().kind(),
-                    e.building(),
-                    states.get(e.number()),
-                    endpoints.get(e.number()).address()));
-        }
-        discovery.list(entries);
+        return command;
     }
 
     /**
-     * Plays messages until nothing more is to come of any.
+     * Submits messages, and returns when all of them have settled.
      *
-     * @param beforeEach is told what is due next; a test stalls there
-     * @param progress is shown once a second how the run stands
-     * @throws EndedException where a relay has ended that nobody killed
-     * @throws IOException where a relay did not come back, or discovery did not
+     * @param beforeEach receives the next due time in microseconds; a test may block there
+     * @param progress receives a snapshot once a second
+     * @throws RelayExitedException if a relay has exited that was not killed
+     * @throws IOException if a relay or discovery did not restart
      */
     public Outcome play(Iterator<Arrival> arrivals, LongConsumer beforeEach, Consumer<ProgressSnapshot> progress)
             throws IOException, InterruptedException {
-        schedule();
-        OpenLoopSchedule pace = new OpenLoopSchedule(
-                arrivals, startNanos, arrival -> loop.execute(() -> programs.arrive(arrival)), beforeEach);
-        Thread thread = new Thread(pace, "lab-pace");
-        thread.start();
-        long end = scenario.span() + scenario.patience();
-        long shown = System.nanoTime();
-        long counted = -1;
-        double cpuBefore = 0;
-        // A relay that is to come back may yet owe something, and its absence is recorded only then.
+        faultInjector.start(startNanos);
+        OpenLoopSchedule schedule = new OpenLoopSchedule(
+                arrivals, startNanos, arrival -> loop.execute(() -> loadGenerator.submit(arrival)), beforeEach);
+        Thread sender = new Thread(schedule, "lab-pace");
+        sender.start();
+        CpuMeasurement cpu = new CpuMeasurement();
         try {
-            while (thread.isAlive() || (!away.isEmpty() || !isSettled()) && world.now() < end) {
-                TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-                if (System.nanoTime() >= shown + TimeUnit.SECONDS.toNanos(1)) {
-                    shown = System.nanoTime();
-                    progress.accept(loop.submit(
-                                    () -> ProgressSnapshot.of(scenario, layout, faults, world.history(), world.now()))
-                            .syncUninterruptibly()
-                            .getNow());
-                }
-                if (counted < 0 && world.now() >= scenario.span() / WARM) {
-                    counted = world.now();
-                    cpuBefore = cpuSeconds();
-                }
-                checkStage();
-            }
+            awaitSettled(sender, cpu, progress);
         } finally {
-            // Guards against messages that go on leaving for a run that has broken off.
-            thread.interrupt();
-            thread.join();
+            // Stops the sender of a run that has failed.
+            sender.interrupt();
+            sender.join();
         }
-        checkStage();
-        double cpu = cpuSeconds() - cpuBefore;
-        long from = counted;
-        RunHistory history = loop.submit(() -> {
-                    endpoints.forEach(EndpointServer::down);
-                    return world.history();
-                })
-                .syncUninterruptibly()
-                .getNow();
-        return new Outcome(
-                history,
-                pace.lateness(),
-                cpu
-                        * MICROS
-                        / Math.max(
-                                1,
-                                history.asks().stream()
-                                        .filter(a -> a.at() >= from)
-                                        .count()));
+        faultInjector.throwIfFailed();
+        double cpuMicros = cpu.elapsedMicros();
+        RunHistory history = onLoop(() -> {
+            endpoints.forEach(EndpointServer::stopListening);
+            return context.history();
+        });
+        return new Outcome(history, schedule.lateness(), cpuMicros / cpu.measuredMessages(history));
     }
 
-    private synchronized double cpuSeconds() throws IOException {
-        double cpu = cpuOfTheDead;
-        for (int number = 0; number < relays.size(); number++) {
-            if (relays.get(number).process().isAlive()) {
-                cpu += relays.get(number).cpuSeconds();
-            } else if (!away.contains(number)) {
-                throw new EndedException("relay " + number + " has ended by itself: "
-                        + relays.get(number).log().strip());
+    /** Waits for the sender, for relays that are down, since their messages are open, and for all messages. */
+    private void awaitSettled(Thread sender, CpuMeasurement cpu, Consumer<ProgressSnapshot> progress)
+            throws IOException, InterruptedException {
+        long endMicros = scenario.durationMicros() + scenario.settleMicros();
+        long shownNanos = System.nanoTime();
+        while (sender.isAlive() || (relays.hasRelaysDown() || !isSettled()) && context.nowMicros() < endMicros) {
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
+            if (System.nanoTime() >= shownNanos + TimeUnit.SECONDS.toNanos(1)) {
+                shownNanos = System.nanoTime();
+                progress.accept(onLoop(
+                        () -> ProgressSnapshot.of(scenario, layout, faults, context.history(), context.nowMicros())));
             }
+            cpu.startIfWarm();
+            faultInjector.throwIfFailed();
         }
-        return cpu;
     }
 
-    private synchronized void checkStage() throws IOException {
-        if (broken != null) {
-            throw new IOException("the run broke off: " + broken.getMessage(), broken);
-        }
+    private boolean isSettled() {
+        return onLoop(() -> loadGenerator.unsettled() == 0
+                && context.history().messages().stream()
+                        .allMatch(message -> message.clientOutcome() != MessageHistory.ClientOutcome.ACCEPTED
+                                || message.deliveredAtMicros() >= 0));
     }
 
-    private boolean isSettled() {
-        return loop.submit(() -> programs.unsettled() == 0
-                        && world.history().asks().stream()
-                                .allMatch(a -> a.told() != MessageHistory.Told.TAKEN || a.doneAt() >= 0))
-                .syncUninterruptibly()
-                .getNow();
+    private <T> T onLoop(Callable<T> task) {
+        return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    // ---- what goes wrong
+    /** Measures the CPU time of the relays after the warm-up. To be used by one thread. */
+    private final class CpuMeasurement {
+        private static final long NOT_STARTED = -1;
 
-    private void schedule() {
-        Set<Long> restarts = new HashSet<>();
-        for (FaultSchedule.Strike strike : faults.strikes()) {
-            if (strike.failure().kind() == Scenario.Kind.DISCOVERY) {
-                at(strike.from(), discovery::stop);
-                if (faults.told(strike.to()) == strike.to() && restarts.add(strike.to())) {
-                    at(strike.to(), discovery::restart);
-                }
-            } else if (strike.failure().kind() == Scenario.Kind.DOWN) {
-                for (int e = 0; e < endpoints.size(); e++) {
-                    EndpointServer endpoint = endpoints.get(e);
-                    if (faults.state(e, strike.from()).meets() == FaultSchedule.Meets.DOWN) {
-                        at(strike.from(), () -> loop.submit(endpoint::down).sync());
-                        if (faults.state(e, strike.to()).meets() != FaultSchedule.Meets.DOWN) {
-                            at(strike.to(), () -> loop.submit(endpoint::up)
-                                    .sync()
-                                    .getNow()
-                                    .sync());
-                        }
-                    }
-                }
+        private long startedAtMicros = NOT_STARTED;
+        private double cpuSecondsAtStart;
+
+        void startIfWarm() throws IOException {
+            if (startedAtMicros == NOT_STARTED && context.nowMicros() >= scenario.durationMicros() / WARM_UP_DIVISOR) {
+                startedAtMicros = context.nowMicros();
+                cpuSecondsAtStart = relays.cpuSeconds();
             }
         }
-        for (FaultSchedule.Drain drain : faults.drains()) {
-            at(drain.from(), () -> drains(drain.endpoint(), "terminating"));
-            at(drain.gone(), () -> {
-                drains(drain.endpoint(), "terminated");
-                loop.submit(endpoints.get(drain.endpoint())::down).sync();
-            });
-        }
-        for (FaultSchedule.Death death : faults.deaths()) {
-            at(death.at(), () -> dies(death));
-        }
-    }
 
-    /** One that is away already does not die once more. */
-    private void dies(FaultSchedule.Death death) throws IOException, InterruptedException {
-        int number = death.relay();
-        if (!away.add(number)) {
-            return;
+        double elapsedMicros() throws IOException {
+            return (relays.cpuSeconds() - cpuSecondsAtStart) * MICROS_PER_SECOND;
         }
-        ServedRelay relay = relays.get(number);
-        loop.submit(() -> programs.at(number, null)).sync();
-        died(relay.cpuSeconds());
-        relay.close();
-        at(death.back(), () -> {
-            relays.set(number, start(number));
-            serves(number);
-            long back = world.now();
-            loop.submit(() -> world.history().away(new RunHistory.Away(number, death.at(), back)))
-                    .sync();
-            away.remove(number);
-        });
-    }
 
-    private void drains(int endpoint, String state) throws InterruptedException {
-        synchronized (this) {
-            states.set(endpoint, state);
+        /** Messages submitted since the start of the measurement, at least 1. */
+        long measuredMessages(RunHistory history) {
+            return Math.max(
+                    1,
+                    history.messages().stream()
+                            .filter(message -> message.submittedAtMicros() >= startedAtMicros)
+                            .count());
         }
-        tell();
-        loop.submit(() -> {
-                    for (int relay = 0; relay < relays.size(); relay++) {
-                        world.drains(relay, endpoint);
-                    }
-                })
-                .sync();
-    }
-
-    private synchronized void died(double cpuSeconds) {
-        cpuOfTheDead += cpuSeconds;
-    }
-
-    private interface Step {
-        void run() throws IOException, InterruptedException;
-    }
-
-    private void at(long micros, Step step) {
-        stage.schedule(
-                () -> {
-                    try {
-                        step.run();
-                    } catch (IOException | RuntimeException e) {
-                        breaks(e);
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                },
-                startNanos + TimeUnit.MICROSECONDS.toNanos(micros) - System.nanoTime(),
-                TimeUnit.NANOSECONDS);
-    }
-
-    private synchronized void breaks(Exception e) {
-        broken = broken == null ? e : broken;
     }
 
     @Override
     public void close() throws IOException {
-        stage.shutdownNow();
-        relays.forEach(ServedRelay::close);
+        faultInjector.close();
+        relays.close();
         discovery.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
--- a/src/main/java/loftflow/experiment/loopback/OpenLoopSchedule.java
+++ b/src/main/java/loftflow/experiment/loopback/OpenLoopSchedule.java
@@ -9,56 +9,69 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * An open loop: each message is due at its own time, whatever became of those before. How late each leaves is counted,
- * so that a
- * machine that can't keep up shows as that; and what a message takes is counted from when it was due, never from when
- * it left.
+ * An open-loop schedule: each message is due at its own time, whatever became of the earlier ones. The lateness of
+ * each send is recorded, so that a machine that cannot keep up is detected; latencies count from the due time.
  */
 final class OpenLoopSchedule implements Runnable {
-    private static final long LONGEST = 3_600_000_000L;
+    private static final long MAX_LATENESS_MICROS = 3_600_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    /** The last part of a wait is spent spinning, as a parked thread may wake up late. */
     private static final long SPIN_NANOS = 50_000;
 
     private final Iterator<Arrival> arrivals;
     private final long startNanos;
-    private final Consumer<Arrival> out;
+    private final Consumer<Arrival> sink;
     private final LongConsumer beforeEach;
-    private final Histogram lateness = new Histogram(LONGEST, 3);
+    private final Histogram latenessMicros = new Histogram(MAX_LATENESS_MICROS, SIGNIFICANT_DIGITS);
 
     /**
-     * A pace.
+     * Creates a schedule.
      *
-     * @param startNanos the system's time of what is due at 0
-     * @param beforeEach is told what is due next, in microseconds; a test stalls there
+     * @param startNanos the time of {@link System#nanoTime} for messages that are due at 0
+     * @param sink receives each message when it is due
+     * @param beforeEach receives the next due time in microseconds; a test may block there
      */
-    OpenLoopSchedule(Iterator<Arrival> arrivals, long startNanos, Consumer<Arrival> out, LongConsumer beforeEach) {
+    OpenLoopSchedule(Iterator<Arrival> arrivals, long startNanos, Consumer<Arrival> sink, LongConsumer beforeEach) {
         this.arrivals = arrivals;
         this.startNanos = startNanos;
-        this.out = out;
+        this.sink = sink;
         this.beforeEach = beforeEach;
     }
 
+    /** Runs until all messages are sent, or the thread is interrupted. */
     @Override
     public void run() {
         while (arrivals.hasNext()) {
             Arrival arrival = arrivals.next();
-            beforeEach.accept(arrival.at());
-            long due = startNanos + TimeUnit.MICROSECONDS.toNanos(arrival.at());
-            for (long left = due - System.nanoTime(); left > 0; left = due - System.nanoTime()) {
-                if (Thread.currentThread().isInterrupted()) {
-                    return;
-                }
-                if (left > SPIN_NANOS) {
-                    LockSupport.parkNanos(left - SPIN_NANOS);
-                }
+            beforeEach.accept(arrival.atMicros());
+            long dueNanos = startNanos + TimeUnit.MICROSECONDS.toNanos(arrival.atMicros());
+            if (!awaitTime(dueNanos)) {
+                return;
             }
-            lateness.recordValue(Math.min(LONGEST, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - due)));
-            out.accept(arrival);
+            long lateMicros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueNanos);
+            latenessMicros.recordValue(Math.min(MAX_LATENESS_MICROS, lateMicros));
+            sink.accept(arrival);
         }
     }
 
-    /** How late messages left; to be read once it has ended. */
+    /** Waits for a time; false if the thread is interrupted before. */
+    private static boolean awaitTime(long timeNanos) {
+        for (long left = timeNanos - System.nanoTime(); left > 0; left = timeNanos - System.nanoTime()) {
+            if (Thread.currentThread().isInterrupted()) {
+                return false;
+            }
+            if (left > SPIN_NANOS) {
+                LockSupport.parkNanos(left - SPIN_NANOS);
+            }
+        }
+        return true;
+    }
+
+    /** The lateness of the messages; to be read after the end of {@link #run}. */
     LoopbackRun.Lateness lateness() {
         return new LoopbackRun.Lateness(
-                lateness.getValueAtPercentile(50), lateness.getValueAtPercentile(99), lateness.getMaxValue());
+                latenessMicros.getValueAtPercentile(50),
+                latenessMicros.getValueAtPercentile(99),
+                latenessMicros.getMaxValue());
     }
 }
--- a/src/main/java/loftflow/experiment/loopback/RunClock.java
+++ b/src/main/java/loftflow/experiment/loopback/RunClock.java
@@ -1,17 +1,19 @@
 package loftflow.experiment.loopback;
 
-/** The time of a run, which begins when all that takes part is ready; it is 0 until then. */
+/** The clock of a run, which starts when all parts of the run are ready and reads 0 until then. Thread-safe. */
 final class RunClock {
+    private static final long NANOS_PER_MICRO = 1_000;
+
     private volatile long startNanos;
-    private volatile boolean begun;
+    private volatile boolean started;
 
-    void begin(long at) {
-        startNanos = at;
-        begun = true;
+    void start(long atNanos) {
+        startNanos = atNanos;
+        started = true;
     }
 
-    /** Microseconds from the beginning. */
+    /** Microseconds since the start. */
     long micros() {
-        return begun ? Math.max(0, (System.nanoTime() - startNanos) / 1_000) : 0;
+        return started ? Math.max(0, (System.nanoTime() - startNanos) / NANOS_PER_MICRO) : 0;
     }
 }
--- a/src/main/java/loftflow/experiment/loopback/RunContext.java
+++ b/src/main/java/loftflow/experiment/loopback/RunContext.java
@@ -8,17 +8,17 @@
 import loftflow.experiment.history.RunHistory;
 import loftflow.experiment.scenario.Scenario;
 
-/** What programs and partners of one run know in common. Everything happens on one event loop. */
+/** The state that clients and endpoints of one run share. To be used on the event loop only. */
 final class RunContext {
-    /** What left before a word was heard may come after it: so much is granted. */
-    private static final long ON_THE_WAY = 100_000;
+    /** Calls that are in flight while a notice arrives are tolerated for this long. */
+    private static final long IN_FLIGHT_GRACE_MICROS = 100_000;
 
     private final Scenario scenario;
     private final EventLoop loop;
     private final RunClock clock;
     private final RunHistory history = new RunHistory();
     private final IdempotencyKeys keys = new IdempotencyKeys();
-    private final Map<String, Integer> numbers = new HashMap<>();
+    private final Map<String, Integer> messageNumbers = new HashMap<>();
 
     RunContext(Scenario scenario, EventLoop loop, RunClock clock) {
         this.scenario = scenario;
@@ -38,34 +38,42 @@
         return history;
     }
 
-    /** Microseconds from the beginning of the run. */
-    long now() {
+    /** Microseconds since the start of the run. */
+    long nowMicros() {
         return clock.micros();
     }
 
-    /** A try of a message goes out under an id. */
-    void named(String id, int number) {
-        numbers.put(id, number);
+    /** Registers the id under which a message is submitted. */
+    void registerId(String id, int number) {
+        messageNumbers.put(id, number);
     }
 
-    /** The message of an id; null where nobody handed it in. */
-    MessageHistory ask(String id) {
-        Integer number = numbers.get(id);
-        return number == null ? null : history.asks().get(number);
+    /** The message with an id; null where there is none. */
+    MessageHistory message(String id) {
+        Integer number = messageNumbers.get(id);
+        return number == null ? null : history.messages().get(number);
     }
 
-    /** Whether a message that an endpoint runs takes effect there, as its key is new. */
+    /** Returns whether a message that an endpoint executes takes effect there, as its idempotency key is new. */
     boolean takesEffect(String id, Scenario.Endpoint endpoint) {
-        MessageHistory ask = ask(id);
+        MessageHistory message = message(id);
         return keys.takesEffect(
-                numbers.get(id), ask.partner(), scenario.classes().get(ask.type()), endpoint, now());
+                messageNumbers.get(id),
+                message.partner(),
+                scenario.classes().get(message.classIndex()),
+                endpoint,
+                nowMicros());
     }
 
-    void waits(int relay, int endpoint, long wait) {
-        history.waited(new RunHistory.Wait(relay, endpoint, now() + ON_THE_WAY, now() + wait));
+    /** Records a {@code Retry-After} that is sent to a relay now. */
+    void recordRetryAfter(int relay, int endpoint, long retryAfterMicros) {
+        long nowMicros = nowMicros();
+        history.addRetryAfter(new RunHistory.RetryAfter(
+                relay, endpoint, nowMicros + IN_FLIGHT_GRACE_MICROS, nowMicros + retryAfterMicros));
     }
 
-    void drains(int relay, int endpoint) {
-        history.drained(new RunHistory.DrainTold(relay, endpoint, now() + ON_THE_WAY));
+    /** Records that a relay is notified now that an endpoint is draining or removed. */
+    void recordDrainNotice(int relay, int endpoint) {
+        history.addDrainNotice(new RunHistory.DrainNotice(relay, endpoint, nowMicros() + IN_FLIGHT_GRACE_MICROS));
     }
 }
--- a/src/main/java/loftflow/experiment/loopback/package-info.java
+++ b/src/main/java/loftflow/experiment/loopback/package-info.java
@@ -1,7 +1,6 @@
 /**
- * The second driver: whole relays as processes on loopback, with partners on sockets that answer as the emulator's do
- * and an open
- * loop of programs before them. It writes the same history as the emulator.
+ * The loopback driver: relays as processes of their own, endpoints on sockets that respond as the emulated ones do, and
+ * an open-loop load generator. It writes the same history as the emulator.
  *
  * <p>May use: {@code experiment.scenario}, {@code experiment.history}, {@code experiment.emulator},
  * {@code experiment.evaluation}, {@code config.tool}, {@code config.file},
--- a/src/main/java/loftflow/experiment/results/ResultsFolder.java
+++ b/src/main/java/loftflow/experiment/results/ResultsFolder.java
@@ -22,20 +22,23 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * Finished runs, in a file that is only ever added to. A run counts once its record is whole on the disk; a record that
- * a kill
- * has torn is cut off at the next start, and that run is made again. One process at a time: a second one is refused.
+ * The finished runs of experiments in an append-only file. A run counts once its record is complete on the disk; a torn
+ * record at the end is truncated when the folder is opened, and that run is repeated. One process may open the folder
+ * at a time.
  */
 public final class ResultsFolder implements AutoCloseable {
-    private static final String FILE = "results.log";
-    private static final String LOCK = "lock";
+    private static final String FILE_NAME = "results.log";
+    private static final String LOCK_NAME = "lock";
+    /** Distinguishes the names of figures from the other fields of a record. */
+    private static final String FIGURE_PREFIX = "=";
+
     private static final JsonFactory JSON = new JsonFactory();
 
     /**
      * A finished run.
      *
-     * @param side the name of what was run
-     * @param figures by name; any that is not finite is kept as text that says so
+     * @param side name of the side that was run
+     * @param figures by name; figures that are not finite are stored as text
      */
     public record Result(String experiment, String side, long seed, Map<String, Double> figures) {
         public Result {
@@ -46,33 +49,34 @@
     private final FileChannel lock;
     private final FileChannel file;
     private final List<Result> results = new ArrayList<>();
-    private final long cut;
-    private long end;
+    private final long truncatedBytes;
+    private long endOffset;
 
     private ResultsFolder(FileChannel lock, FileChannel file) throws IOException {
         this.lock = lock;
         this.file = file;
-        ByteBuffer all = RecordFile.all(file);
-        int whole = 0;
-        for (byte[] record = RecordFile.next(all); record != null; record = RecordFile.next(all)) {
+        ByteBuffer content = RecordFile.all(file);
+        int wholeBytes = 0;
+        for (byte[] record = RecordFile.next(content); record != null; record = RecordFile.next(content)) {
             results.add(read(record));
-            whole = all.position();
+            wholeBytes = content.position();
         }
-        cut = file.size() - whole;
-        if (cut > 0) {
-            file.truncate(whole);
+        truncatedBytes = file.size() - wholeBytes;
+        if (truncatedBytes > 0) {
+            file.truncate(wholeBytes);
         }
-        end = whole;
+        endOffset = wholeBytes;
     }
 
     /**
-     * Opens a folder, which is made where there is none.
+     * Opens a folder, which is created if it does not exist.
      *
-     * @throws IOException also where another process has it open
+     * @throws IOException also if another process has it open
      */
     public static ResultsFolder open(Path folder) throws IOException {
         Files.createDirectories(folder);
-        FileChannel lock = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel lock =
+                FileChannel.open(folder.resolve(LOCK_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             FileLock held = lock.tryLock();
             if (held == null) {
@@ -81,7 +85,7 @@
             return new ResultsFolder(
                     lock,
                     FileChannel.open(
-                            folder.resolve(FILE),
+                            folder.resolve(FILE_NAME),
                             StandardOpenOption.CREATE,
                             StandardOpenOption.READ,
                             StandardOpenOption.WRITE));
@@ -94,26 +98,26 @@
         }
     }
 
-    /** Bytes of a torn record that were cut off when the folder was opened. */
-    public long cut() {
-        return cut;
+    /** Bytes of a torn record that were truncated when the folder was opened; 0 for none. */
+    public long truncatedBytes() {
+        return truncatedBytes;
     }
 
-    /** Every finished run, in the order in which they finished. */
+    /** Every finished run, in the order of completion. */
     public List<Result> results() {
         return List.copyOf(results);
     }
 
-    /** Keeps a finished run; it is on the disk when this returns. */
+    /** Stores a finished run; it is on the disk when this returns. */
     public void add(Result result) throws IOException {
         byte[] text = write(result).getBytes(StandardCharsets.UTF_8);
         byte[] record = RecordFile.seal(ByteBuffer.allocate(RecordFile.HEAD + text.length)
                 .position(RecordFile.HEAD)
                 .put(text)
                 .array());
-        RecordFile.append(file, record, end);
+        RecordFile.append(file, record, endOffset);
         file.force(false);
-        end += record.length;
+        endOffset += record.length;
         results.add(result);
     }
 
@@ -125,7 +129,7 @@
             json.writeStringField("side", result.side());
             json.writeNumberField("seed", result.seed());
             for (Map.Entry<String, Double> figure : new TreeMap<>(result.figures()).entrySet()) {
-                json.writeStringField("=" + figure.getKey(), Double.toString(figure.getValue()));
+                json.writeStringField(FIGURE_PREFIX + figure.getKey(), Double.toString(figure.getValue()));
             }
             json.writeEndObject();
         }
@@ -146,7 +150,7 @@
                     case "experiment" -> experiment = json.getText();
                     case "side" -> side = json.getText();
                     case "seed" -> seed = json.getLongValue();
-                    default -> figures.put(name.substring(1), Double.valueOf(json.getText()));
+                    default -> figures.put(name.substring(FIGURE_PREFIX.length()), Double.valueOf(json.getText()));
                 }
             }
         }
--- a/src/main/java/loftflow/experiment/results/package-info.java
+++ b/src/main/java/loftflow/experiment/results/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The folder that an experiment's results are kept in, over kills and restarts, and the pages made of them.
+ * The results of an experiment: a folder of finished runs that survives crashes and restarts, and HTML reports.
  *
  * <p>May use: {@code recordfile}, {@code experiment.evaluation}, {@code experiment.history},
  * {@code experiment.scenario}, Jackson. No thread.
--- a/src/main/java/loftflow/experiment/scenario/Arrival.java
+++ b/src/main/java/loftflow/experiment/scenario/Arrival.java
@@ -1,9 +1,12 @@
 package loftflow.experiment.scenario;
 
 /**
- * A message that a program hands in.
+ * A message that a client submits.
  *
- * @param at microseconds from the beginning
- * @param type the number of its class, and so on; {@code tenant} is -1 where there is none
+ * @param atMicros time since the start of the run
+ * @param classIndex index of its message class in the scenario
+ * @param tenant index of its tenant; -1 for none
+ * @param partner number of the partner that it is for
+ * @param relay number of the relay that it is submitted to
  */
-public record Arrival(long at, int type, int tenant, int partner, int relay) {}
+public record Arrival(long atMicros, int classIndex, int tenant, int partner, int relay) {}
--- a/src/main/java/loftflow/experiment/scenario/ArrivalGenerator.java
+++ b/src/main/java/loftflow/experiment/scenario/ArrivalGenerator.java
@@ -11,130 +11,138 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Messages as a scenario's rates ask for them, in the order of time: each comes by itself, or in a clump for one
- * partner. What
- * relays do has no effect on them (an open loop).
+ * Generates messages at a scenario's rates, in the order of time: a Poisson process of single messages and of bursts
+ * for one partner. The load is open-loop: nothing that relays do affects it.
  */
 public final class ArrivalGenerator implements Iterator<Arrival> {
-    private static final double SECOND = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    /** Draws of what a message is, and of where it comes in. */
-    private static final class Picks {
-        private final DiscreteSampler types;
+    /** Draws the class, tenant, partner and relay of a message. */
+    private static final class MessageSampler {
+        private final DiscreteSampler classes;
         private final DiscreteSampler tenants;
         private final DiscreteSampler relays;
-        /** Partners that each class goes to, by weight. */
-        private final List<int[]> reached = new ArrayList<>();
+        /** For each class the numbers of the partners that its messages may be for. */
+        private final List<int[]> partnerNumbers = new ArrayList<>();
 
         private final List<DiscreteSampler> partners = new ArrayList<>();
 
-        Picks(Scenario scenario, Scenario.Layout layout, UniformRandomProvider random) {
-            types = AliasMethodDiscreteSampler.of(
-                    random,
-                    scenario.classes().stream()
-                            .mapToDouble(Scenario.MessageClass::rate)
-                            .toArray());
-            tenants = scenario.tenants().isEmpty()
-                    ? () -> -1
-                    : AliasMethodDiscreteSampler.of(
-                            random,
-                            scenario.tenants().stream()
-                                    .mapToDouble(Scenario.Tenant::share)
-                                    .toArray());
-            relays = AliasMethodDiscreteSampler.of(
+        MessageSampler(Scenario scenario, Scenario.Layout layout, UniformRandomProvider random) {
+            double[] classRates = scenario.classes().stream()
+                    .mapToDouble(Scenario.MessageClass::ratePerSecond)
+                    .toArray();
+            double[] tenantShares = scenario.tenants().stream()
+                    .mapToDouble(Scenario.Tenant::trafficShare)
+                    .toArray();
+            Scenario.Fleet fleet = scenario.fleet();
+            classes = AliasMethodDiscreteSampler.of(random, classRates);
+            tenants = tenantShares.length == 0 ? () -> -1 : AliasMethodDiscreteSampler.of(random, tenantShares);
+            relays =
+                    AliasMethodDiscreteSampler.of(random, Scenario.trafficWeights(fleet.relays(), fleet.trafficSkew()));
+            scenario.classes().forEach(messageClass -> addPartners(messageClass, layout, random));
+        }
+
+        private void addPartners(
+                Scenario.MessageClass messageClass, Scenario.Layout layout, UniformRandomProvider random) {
+            List<Scenario.Partner> candidates = layout.partners().stream()
+                    .filter(partner -> messageClass.goesTo(partner.group().kind()) && partner.trafficWeight() > 0)
+                    .toList();
+            partnerNumbers.add(
+                    candidates.stream().mapToInt(Scenario.Partner::number).toArray());
+            partners.add(AliasMethodDiscreteSampler.of(
                     random,
-                    Scenario.weights(scenario.fleet().relays(), scenario.fleet().skew()));
-            for (Scenario.MessageClass type : scenario.classes()) {
-                List<Scenario.Partner> to = layout.partners().stream()
-                        .filter(p -> type.goesTo(p.group().kind()) && p.weight() > 0)
-                        .toList();
-                reached.add(to.stream().mapToInt(Scenario.Partner::number).toArray());
-                partners.add(AliasMethodDiscreteSampler.of(
-                        random,
-                        to.stream().mapToDouble(Scenario.Partner::weight).toArray()));
-            }
+                    candidates.stream()
+                            .mapToDouble(Scenario.Partner::trafficWeight)
+                            .toArray()));
         }
 
-        Arrival draw(long at) {
-            int type = types.sample();
+        Arrival draw(long atMicros) {
+            int classIndex = classes.sample();
             return new Arrival(
-                    at,
-                    type,
+                    atMicros,
+                    classIndex,
                     tenants.sample(),
-                    reached.get(type)[partners.get(type).sample()],
+                    partnerNumbers.get(classIndex)[partners.get(classIndex).sample()],
                     relays.sample());
         }
     }
 
     private final Scenario scenario;
     private final UniformRandomProvider random;
-    private final ContinuousSampler gap;
-    private final Picks picks;
-    /** Of a stream of its own, so that what comes later does not hang on what waits at the beginning. */
-    private final Picks backlog;
+    private final ContinuousSampler interarrival;
+    private final MessageSampler sampler;
+    /** Has a random stream of its own, so that the size of the backlog does not change later messages. */
+    private final MessageSampler backlogSampler;
 
-    private final double clumps;
-    private int waiting;
-    /** Where it stands on the scale of full rates, and the microsecond that this is. */
-    private double full;
+    private final double burstProbability;
+    private int backlogRemaining;
+    /** The time at which the same number of messages would have arrived without a ramp. */
+    private double fullRateMicros;
 
-    private double at;
+    private double atMicros;
+    /** Null at the end. */
     private Arrival next;
-    private int left;
 
-    /** The messages of one seed. */
+    private int burstRemaining;
+
+    /** Generates the messages of one seed. */
     public ArrivalGenerator(Scenario scenario, Scenario.Layout layout, long seed) {
         this.scenario = scenario;
         random = RandomStreams.of(seed, "arrivals", 0);
-        double rate = scenario.classes().stream()
-                        .mapToDouble(Scenario.MessageClass::rate)
-                        .sum()
-                * scenario.load();
         Scenario.Clients clients = scenario.clients();
-        double alone = 1 - clients.clumped();
-        double together = clients.clumped() / clients.clump();
-        // A beginning is one message or a clump: the rate of beginnings keeps the rate of messages.
-        clumps = together / (alone + together);
-        gap = ZigguratSampler.Exponential.of(random, SECOND / (rate * (alone + together)));
-        picks = new Picks(scenario, layout, random);
-        backlog = new Picks(scenario, layout, RandomStreams.of(seed, "backlog", 0));
-        waiting = clients.backlog();
-        begin();
+        // A burst counts as one event: the rate of events is reduced so that the rate of messages stays as configured.
+        double singlesPerMessage = 1 - clients.burstShare();
+        double burstsPerMessage = clients.burstShare() / clients.burstSize();
+        double eventsPerMessage = singlesPerMessage + burstsPerMessage;
+        burstProbability = burstsPerMessage / eventsPerMessage;
+        interarrival = ZigguratSampler.Exponential.of(
+                random, MICROS_PER_SECOND / (scenario.ratePerSecond() * eventsPerMessage));
+        sampler = new MessageSampler(scenario, layout, random);
+        backlogSampler = new MessageSampler(scenario, layout, RandomStreams.of(seed, "backlog", 0));
+        backlogRemaining = clients.backlog();
+        advance();
     }
 
-    private void begin() {
-        full += gap.sample();
-        double ramp = scenario.clients().ramp();
-        at = full < ramp / 2 ? Math.sqrt(2 * ramp * full) : full + ramp / 2;
-        if (at >= scenario.span()) {
+    private void advance() {
+        fullRateMicros += interarrival.sample();
+        double rampMicros = scenario.clients().rampMicros();
+        atMicros = fullRateMicros < rampMicros / 2
+                ? Math.sqrt(2 * rampMicros * fullRateMicros)
+                : fullRateMicros + rampMicros / 2;
+        if (atMicros >= scenario.durationMicros()) {
             next = null;
             return;
         }
-        next = picks.draw((long) at);
-        left = random.nextDouble() < clumps ? scenario.clients().clump() - 1 : 0;
+        next = sampler.draw((long) atMicros);
+        boolean isBurst = random.nextDouble() < burstProbability;
+        burstRemaining = isBurst ? scenario.clients().burstSize() - 1 : 0;
     }
 
     @Override
     public boolean hasNext() {
-        return waiting > 0 || next != null;
+        return backlogRemaining > 0 || next != null;
     }
 
     @Override
     public Arrival next() {
-        if (waiting > 0) {
-            waiting--;
-            return backlog.draw(0);
+        if (backlogRemaining > 0) {
+            backlogRemaining--;
+            return backlogSampler.draw(0);
         }
         if (next == null) {
             throw new NoSuchElementException();
         }
         Arrival arrival = next;
-        if (left > 0) {
-            left--;
+        if (burstRemaining > 0) {
+            burstRemaining--;
             next = new Arrival(
-                    arrival.at(), arrival.type(), arrival.tenant(), arrival.partner(), picks.relays.sample());
+                    arrival.atMicros(),
+                    arrival.classIndex(),
+                    arrival.tenant(),
+                    arrival.partner(),
+                    sampler.relays.sample());
         } else {
-            begin();
+            advance();
         }
         return arrival;
     }
--- a/src/main/java/loftflow/experiment/scenario/FaultSchedule.java
+++ b/src/main/java/loftflow/experiment/scenario/FaultSchedule.java
@@ -9,244 +9,280 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * When what is struck: a scenario's failures for one seed, and from them the state of every endpoint at a time. Both
- * drivers
- * ask the same object, so that they play the same failures.
+ * When faults affect what: the failures of a scenario drawn for one seed, and from them the condition of every endpoint
+ * at any time. The emulator and the loopback driver use the same schedule and so run the same faults.
  */
 public final class FaultSchedule {
-    private static final double HOUR = 3_600e6;
-    /** A schedule that never ends would not be one. */
-    private static final int MOST_BEGINNINGS = 10_000;
+    private static final double MICROS_PER_HOUR = 3_600e6;
+    /** Bounds the occurrences of one recurring failure. */
+    private static final int MAX_OCCURRENCES = 10_000;
+    /** A rolling restart takes this many steps. */
+    private static final int ROLLING_RESTART_STEPS = 10;
 
-    /** Relays are restarted in so many steps. */
-    private static final int STEPS = 10;
+    /** How an endpoint responds to calls, the worst first. */
+    public enum ServingState {
+        /** It has been removed from the endpoint list. */
+        REMOVED("gone"),
+        /** It refuses connections. */
+        DOWN("down"),
+        /** It accepts calls and never responds. */
+        UNRESPONSIVE("silent"),
+        /** It rejects every call. */
+        REJECTING("shut"),
+        /** It processes calls. */
+        SERVING("calls");
 
-    /** How an endpoint meets calls, the worst first. */
-    public enum Meets {
-        GONE,
-        DOWN,
-        SILENT,
-        SHUT,
-        CALLS
+        private final String code;
+
+        ServingState(String code) {
+            this.code = code;
+        }
+
+        /** The name on screens. */
+        public String code() {
+            return code;
+        }
     }
 
     /**
-     * The state of an endpoint.
+     * The condition of an endpoint.
      *
-     * @param failing share of the calls that fail
-     * @param slower how many times as long a call takes
-     * @param limited the part of its limit that it takes
-     * @param able share of its capacity that it has; below 1 where it has come back cold
+     * @param errorShare share of the calls that fail
+     * @param slowdownFactor by which calls take longer
+     * @param capacityShare share of its capacity that is available; below 1 while it warms up after an outage
+     * @param limitShare share of its rate limit that is in effect
      */
-    public record State(Meets meets, double failing, double slower, double able, double limited) {
-        /** Nothing is wrong. */
-        public static final State WELL = new State(Meets.CALLS, 0, 1, 1, 1);
+    public record EndpointCondition(
+            ServingState servingState,
+            double errorShare,
+            double slowdownFactor,
+            double capacityShare,
+            double limitShare) {
+        /** An endpoint without faults. */
+        public static final EndpointCondition HEALTHY = new EndpointCondition(ServingState.SERVING, 0, 1, 1, 1);
     }
 
-    /** A failure that runs from a time to before another one. */
-    public record Strike(Scenario.Failure failure, long from, long to) {
-        boolean covers(long at) {
-            return at >= from && at < to;
+    /** One occurrence of a failure, up to but excluding its end. */
+    public record FaultWindow(Scenario.Failure failure, long fromMicros, long untilMicros) {
+        boolean covers(long timeMicros) {
+            return timeMicros >= fromMicros && timeMicros < untilMicros;
         }
     }
 
-    /** A relay's death. */
-    public record Death(int relay, long at, long back) {}
+    /** The crash of a relay, and when it has restarted. */
+    public record RelayCrash(int relay, long atMicros, long restartedAtMicros) {}
 
-    /** A change of the list: an endpoint drains, or is gone. */
-    public record Drain(int endpoint, long from, long gone) {}
+    /** An endpoint that is listed as draining from one time on and removed at another. */
+    public record EndpointDrain(int endpoint, long fromMicros, long removedAtMicros) {}
 
-    private final List<List<Strike>> ofEndpoint = new ArrayList<>();
-    private final List<Scenario.Group> groups = new ArrayList<>();
-    private final List<Death> deaths = new ArrayList<>();
-    private final List<Drain> drains = new ArrayList<>();
-    private final List<Strike> discovery = new ArrayList<>();
-    private final List<Strike> all = new ArrayList<>();
+    private final Scenario scenario;
+    private final Scenario.Layout layout;
+    private final List<List<FaultWindow>> windowsByEndpoint = new ArrayList<>();
+    private final List<Scenario.PartnerGroup> groupByEndpoint = new ArrayList<>();
+    private final List<RelayCrash> relayCrashes = new ArrayList<>();
+    private final List<EndpointDrain> endpointDrains = new ArrayList<>();
+    private final List<FaultWindow> discoveryOutages = new ArrayList<>();
+    private final List<FaultWindow> faultWindows = new ArrayList<>();
 
-    private FaultSchedule(Scenario.Layout layout) {
-        layout.endpoints().forEach(e -> {
-            ofEndpoint.add(new ArrayList<>());
-            groups.add(layout.partners().get(e.partner()).group());
+    private FaultSchedule(Scenario scenario, Scenario.Layout layout) {
+        this.scenario = scenario;
+        this.layout = layout;
+        layout.endpoints().forEach(endpoint -> {
+            windowsByEndpoint.add(new ArrayList<>());
+            groupByEndpoint.add(layout.partners().get(endpoint.partner()).group());
         });
     }
 
-    /** Draws what a scenario leaves open. */
+    /** Draws the schedule of a seed. */
     public static FaultSchedule of(Scenario scenario, Scenario.Layout layout, long seed) {
-        FaultSchedule faults = new FaultSchedule(layout);
+        FaultSchedule faults = new FaultSchedule(scenario, layout);
         for (int i = 0; i < scenario.failures().size(); i++) {
             Scenario.Failure failure = scenario.failures().get(i);
             UniformRandomProvider random = RandomStreams.of(seed, "failure", i);
-            for (long at : beginnings(failure, scenario.span(), random)) {
-                faults.strike(failure, at, scenario, layout, random);
+            for (long startMicros : occurrences(failure, scenario.durationMicros(), random)) {
+                faults.addFault(failure, startMicros, random);
             }
         }
-        faults.deaths.sort(Comparator.comparingLong(Death::at).thenComparingInt(Death::relay));
-        faults.drains.sort(Comparator.comparingLong(Drain::from).thenComparingInt(Drain::endpoint));
-        faults.all.sort(Comparator.comparingLong(Strike::from));
+        faults.relayCrashes.sort(Comparator.comparingLong(RelayCrash::atMicros).thenComparingInt(RelayCrash::relay));
+        faults.endpointDrains.sort(
+                Comparator.comparingLong(EndpointDrain::fromMicros).thenComparingInt(EndpointDrain::endpoint));
+        faults.faultWindows.sort(Comparator.comparingLong(FaultWindow::fromMicros));
         return faults;
     }
 
-    private static List<Long> beginnings(Scenario.Failure failure, long span, UniformRandomProvider random) {
-        if (failure.hazard() <= 0) {
-            return List.of(failure.at());
+    private static List<Long> occurrences(
+            Scenario.Failure failure, long runDurationMicros, UniformRandomProvider random) {
+        if (failure.occurrencesPerHour() <= 0) {
+            return List.of(failure.startMicros());
         }
-        List<Long> beginnings = new ArrayList<>();
-        var gap = ZigguratSampler.Exponential.of(random, HOUR / failure.hazard());
-        double at = failure.at();
-        while (beginnings.size() < MOST_BEGINNINGS) {
-            at += gap.sample();
-            if (at >= span) {
+        List<Long> occurrences = new ArrayList<>();
+        var interval = ZigguratSampler.Exponential.of(random, MICROS_PER_HOUR / failure.occurrencesPerHour());
+        double startMicros = failure.startMicros();
+        while (occurrences.size() < MAX_OCCURRENCES) {
+            startMicros += interval.sample();
+            if (startMicros >= runDurationMicros) {
                 break;
             }
-            beginnings.add((long) at);
+            occurrences.add((long) startMicros);
         }
-        return beginnings;
+        return occurrences;
     }
 
-    private void strike(
-            Scenario.Failure failure,
-            long at,
-            Scenario scenario,
-            Scenario.Layout layout,
-            UniformRandomProvider random) {
-        Strike strike = new Strike(failure, at, at + failure.lasts());
-        all.add(strike);
+    private void addFault(Scenario.Failure failure, long startMicros, UniformRandomProvider random) {
+        FaultWindow window = new FaultWindow(failure, startMicros, startMicros + failure.durationMicros());
+        faultWindows.add(window);
         switch (failure.kind()) {
-            case RELAYS_DIE -> some(scenario.fleet().relays(), failure.share(), random)
-                    .forEach(relay -> deaths.add(
-                            new Death(relay, at, at + scenario.fleet().restart())));
-            case RELAYS_ROLL -> {
-                List<Integer> rolled = some(scenario.fleet().relays(), failure.share(), random);
-                ListSampler.shuffle(random, rolled);
-                for (int i = 0; i < rolled.size(); i++) {
-                    long step = at + failure.lasts() * (STEPS * i / rolled.size()) / STEPS;
-                    deaths.add(new Death(
-                            rolled.get(i), step, step + scenario.fleet().restart()));
-                }
-            }
-            case DISCOVERY -> discovery.add(strike);
-            default -> {
-                for (Scenario.Endpoint e : struck(failure, layout, random)) {
-                    ofEndpoint.get(e.number()).add(strike);
-                    if (failure.kind() == Scenario.Kind.DRAIN) {
-                        drains.add(new Drain(e.number(), at, strike.to()));
-                    }
-                }
+            case RELAY_CRASH -> drawRelays(failure, random).forEach(relay -> addCrash(relay, startMicros));
+            case ROLLING_RESTART -> addRollingRestart(failure, startMicros, random);
+            case DISCOVERY_OUTAGE -> discoveryOutages.add(window);
+            default -> addEndpointFault(window, random);
+        }
+    }
+
+    private List<Integer> drawRelays(Scenario.Failure failure, UniformRandomProvider random) {
+        return drawShare(scenario.fleet().relays(), failure.affectedShare(), random);
+    }
+
+    private void addCrash(int relay, long atMicros) {
+        relayCrashes.add(
+                new RelayCrash(relay, atMicros, atMicros + scenario.fleet().restartMicros()));
+    }
+
+    private void addRollingRestart(Scenario.Failure failure, long startMicros, UniformRandomProvider random) {
+        List<Integer> relays = drawRelays(failure, random);
+        ListSampler.shuffle(random, relays);
+        for (int i = 0; i < relays.size(); i++) {
+            int step = ROLLING_RESTART_STEPS * i / relays.size();
+            addCrash(relays.get(i), startMicros + failure.durationMicros() * step / ROLLING_RESTART_STEPS);
+        }
+    }
+
+    private void addEndpointFault(FaultWindow window, UniformRandomProvider random) {
+        for (Scenario.Endpoint endpoint : drawEndpoints(window.failure(), random)) {
+            windowsByEndpoint.get(endpoint.number()).add(window);
+            if (window.failure().kind() == FailureKind.DRAIN) {
+                endpointDrains.add(new EndpointDrain(endpoint.number(), window.fromMicros(), window.untilMicros()));
             }
         }
     }
 
-    /** Whole partners are struck; where routes are apart, single endpoints. */
-    private static List<Scenario.Endpoint> struck(
-            Scenario.Failure failure, Scenario.Layout layout, UniformRandomProvider random) {
+    /** Draws whole partners, or single endpoints where routes are independent. */
+    private List<Scenario.Endpoint> drawEndpoints(Scenario.Failure failure, UniformRandomProvider random) {
         List<List<Scenario.Endpoint>> units = new ArrayList<>();
         for (Scenario.Partner partner : layout.partners()) {
             if (failure.group() != null
                     && !failure.group().equals(partner.group().name())) {
                 continue;
             }
-            List<Scenario.Endpoint> there = partner.endpoints().stream()
-                    .filter(e ->
-                            failure.building() == null || failure.building().equals(e.building()))
+            List<Scenario.Endpoint> candidates = partner.endpoints().stream()
+                    .filter(endpoint -> failure.zone() == null || failure.zone().equals(endpoint.zone()))
                     .toList();
-            if (partner.group().routesApart()) {
-                there.forEach(e -> units.add(List.of(e)));
-            } else if (!there.isEmpty()) {
-                units.add(there);
+            if (partner.group().independentRoutes()) {
+                candidates.forEach(endpoint -> units.add(List.of(endpoint)));
+            } else if (!candidates.isEmpty()) {
+                units.add(candidates);
             }
         }
-        return some(units.size(), failure.share(), random).stream()
+        return drawShare(units.size(), failure.affectedShare(), random).stream()
                 .flatMap(i -> units.get(i).stream())
                 .toList();
     }
 
-    /** A share of so many, at least one where the share is above 0 and there is one. */
-    private static List<Integer> some(int count, double share, UniformRandomProvider random) {
+    /** Draws a share of the numbers below a count, in order; at least one if the share is above 0 and there is one. */
+    private static List<Integer> drawShare(int count, double share, UniformRandomProvider random) {
         List<Integer> numbers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             numbers.add(i);
         }
         ListSampler.shuffle(random, numbers);
-        int taken = share <= 0 || count == 0 ? 0 : Math.max(1, (int) Math.round(count * share));
-        List<Integer> chosen = new ArrayList<>(numbers.subList(0, taken));
+        int drawn = share <= 0 || count == 0 ? 0 : Math.max(1, (int) Math.round(count * share));
+        List<Integer> chosen = new ArrayList<>(numbers.subList(0, drawn));
         Collections.sort(chosen);
         return chosen;
     }
 
-    /** The state of an endpoint at a time. */
-    public State state(int endpoint, long at) {
-        List<Strike> strikes = ofEndpoint.get(endpoint);
-        if (strikes.isEmpty()) {
-            return State.WELL;
+    /** The condition of an endpoint at a time. */
+    public EndpointCondition conditionAt(int endpoint, long timeMicros) {
+        List<FaultWindow> windows = windowsByEndpoint.get(endpoint);
+        if (windows.isEmpty()) {
+            return EndpointCondition.HEALTHY;
         }
-        Meets meets = Meets.CALLS;
-        double working = 1;
-        double slower = 1;
-        double limited = 1;
-        long returned = Long.MIN_VALUE;
-        for (Strike strike : strikes) {
-            Scenario.Kind kind = strike.failure().kind();
-            if (strike.covers(at)) {
-                switch (kind) {
-                    case DOWN -> meets = worse(meets, Meets.DOWN);
-                    case SILENT -> meets = worse(meets, Meets.SILENT);
-                    case SHUT -> meets = worse(meets, Meets.SHUT);
-                    case ERRORS -> working *= 1 - strike.failure().part();
-                    case LIMITS -> limited *= strike.failure().part();
-                    case SLOW -> slower *= strike.failure().factor();
-                    case LEAK -> slower *= Math.pow(
-                            strike.failure().factor(), (double) (at - strike.from()) / (strike.to() - strike.from()));
+        ServingState servingState = ServingState.SERVING;
+        double successShare = 1;
+        double slowdownFactor = 1;
+        double limitShare = 1;
+        long returnedAtMicros = Long.MIN_VALUE;
+        for (FaultWindow window : windows) {
+            Scenario.Failure failure = window.failure();
+            if (window.covers(timeMicros)) {
+                switch (failure.kind()) {
+                    case DOWN -> servingState = worse(servingState, ServingState.DOWN);
+                    case UNRESPONSIVE -> servingState = worse(servingState, ServingState.UNRESPONSIVE);
+                    case REJECTING -> servingState = worse(servingState, ServingState.REJECTING);
+                    case ERRORS -> successShare *= 1 - failure.fraction();
+                    case REDUCED_LIMIT -> limitShare *= failure.fraction();
+                    case SLOW -> slowdownFactor *= failure.slowdownFactor();
+                    case GRADUAL_SLOWDOWN -> slowdownFactor *= gradualSlowdown(window, timeMicros);
                     default -> {}
                 }
-            } else if (at >= strike.to()) {
-                if (kind == Scenario.Kind.DRAIN) {
-                    meets = Meets.GONE;
-                } else if (kind.returnsCold()) {
-                    returned = Math.max(returned, strike.to());
+            } else if (timeMicros >= window.untilMicros()) {
+                if (failure.kind() == FailureKind.DRAIN) {
+                    servingState = ServingState.REMOVED;
+                } else if (failure.kind().returnsCold()) {
+                    returnedAtMicros = Math.max(returnedAtMicros, window.untilMicros());
                 }
             }
         }
-        return new State(meets, 1 - working, slower, able(groups.get(endpoint), returned, at), limited);
+        double capacityShare = capacityShare(groupByEndpoint.get(endpoint), returnedAtMicros, timeMicros);
+        return new EndpointCondition(servingState, 1 - successShare, slowdownFactor, capacityShare, limitShare);
+    }
+
+    private static double gradualSlowdown(FaultWindow window, long timeMicros) {
+        return Math.pow(
+                window.failure().slowdownFactor(),
+                (double) (timeMicros - window.fromMicros()) / (window.untilMicros() - window.fromMicros()));
     }
 
-    private static Meets worse(Meets a, Meets b) {
+    private static ServingState worse(ServingState a, ServingState b) {
         return a.compareTo(b) < 0 ? a : b;
     }
 
-    private static double able(Scenario.Group group, long returned, long at) {
-        if (returned == Long.MIN_VALUE || at >= returned + group.warmUp()) {
+    private static double capacityShare(Scenario.PartnerGroup group, long returnedAtMicros, long timeMicros) {
+        if (returnedAtMicros == Long.MIN_VALUE || timeMicros >= returnedAtMicros + group.warmUpMicros()) {
             return 1;
         }
-        return group.coldFrom() + (1 - group.coldFrom()) * (at - returned) / group.warmUp();
+        return group.coldCapacityShare()
+                + (1 - group.coldCapacityShare()) * (timeMicros - returnedAtMicros) / group.warmUpMicros();
     }
 
-    /** Relays' deaths in the order of time. */
-    public List<Death> deaths() {
-        return Collections.unmodifiableList(deaths);
+    /** The crashes of relays in the order of time. */
+    public List<RelayCrash> relayCrashes() {
+        return Collections.unmodifiableList(relayCrashes);
     }
 
-    /** Changes of the list in the order of time. */
-    public List<Drain> drains() {
-        return Collections.unmodifiableList(drains);
+    /** The drains of endpoints in the order of time. */
+    public List<EndpointDrain> endpointDrains() {
+        return Collections.unmodifiableList(endpointDrains);
     }
 
-    /** Everything that strikes, in the order of time. */
-    public List<Strike> strikes() {
-        return Collections.unmodifiableList(all);
+    /** Every occurrence of a failure in the order of time. */
+    public List<FaultWindow> faultWindows() {
+        return Collections.unmodifiableList(faultWindows);
     }
 
-    /** When discovery, asked at a time, tells: then, or when it is back. */
-    public long told(long at) {
-        long tells = at;
-        for (boolean moved = true; moved; ) {
+    /** The first time from a given one on at which discovery is available. */
+    public long discoveryAvailableFrom(long timeMicros) {
+        long availableMicros = timeMicros;
+        boolean moved = true;
+        while (moved) {
             moved = false;
-            for (Strike strike : discovery) {
-                if (strike.covers(tells)) {
-                    tells = strike.to();
+            for (FaultWindow outage : discoveryOutages) {
+                if (outage.covers(availableMicros)) {
+                    availableMicros = outage.untilMicros();
                     moved = true;
                 }
             }
         }
-        return tells;
+        return availableMicros;
     }
 }
--- a/src/main/java/loftflow/experiment/scenario/ScenarioReader.java
+++ b/src/main/java/loftflow/experiment/scenario/ScenarioReader.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 import loftflow.config.file.Finding;
 import loftflow.config.file.Node;
@@ -11,25 +10,30 @@
 import loftflow.config.schema.TableReader;
 import loftflow.policy.api.Idempotency;
 
-/** Reads a scenario and finds what contradicts itself in it. */
+/** Reads a scenario file and reports contradictions in it. */
 public final class ScenarioReader {
-    /** A relay may not be asked to hold more than its machine could: messages at all relays together. */
-    private static final double MOST_MESSAGES = 50e6;
+    /** Messages that a run may have in all. */
+    private static final double MAX_MESSAGES = 50e6;
 
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MILLION = 1e6;
+    /** A busier fraction of one server than this is plausible; a smaller one is reported. */
+    private static final double MIN_PLAUSIBLE_SERVERS = 0.01;
+
+    private static final String DEFAULT_ZONE = "main";
 
     /**
-     * What was read.
+     * The result of reading a file.
      *
      * @param scenario null where there is an error
      * @param findings in the order of the file
      */
-    public record Read(Scenario scenario, List<Finding> findings) {}
+    public record ReadResult(Scenario scenario, List<Finding> findings) {}
 
     private final TableReader top;
     private final List<Finding> findings;
-    private final Set<String> groups = new HashSet<>();
-    private final Set<String> buildings = new HashSet<>();
+    private final Set<String> groupNames = new HashSet<>();
+    private final Set<String> zones = new HashSet<>();
 
     private ScenarioReader(TableReader top, List<Finding> findings) {
         this.top = top;
@@ -39,11 +43,12 @@
     /**
      * Reads a file.
      *
-     * @param node what the parser made of it
-     * @param grammar what the parser found wrong
+     * @param file its name, for findings
+     * @param node the parsed file
+     * @param syntaxFindings the findings of the parser
      */
-    public static Read read(String file, Node node, List<Finding> grammar) {
-        List<Finding> findings = new ArrayList<>(grammar);
+    public static ReadResult read(String file, Node node, List<Finding> syntaxFindings) {
+        List<Finding> findings = new ArrayList<>(syntaxFindings);
         Scenario scenario = null;
         if (findings.isEmpty()) {
             TableReader top = TableReader.read(ScenarioSchema.SCENARIO, file, node, false, findings);
@@ -52,258 +57,243 @@
             }
         }
         findings.sort(Finding.IN_ORDER);
-        return new Read(findings.stream().anyMatch(Finding::isError) ? null : scenario, List.copyOf(findings));
+        boolean hasError = findings.stream().anyMatch(Finding::isError);
+        return new ReadResult(hasError ? null : scenario, List.copyOf(findings));
     }
 
     private Scenario scenario() {
-        TableReader fleet = top.table("fleet");
-        TableReader clients = top.table("clients");
-        TableReader network = top.table("network");
-        List<Scenario.Group> all = top.tables("group").stream().map(this::group).toList();
-        List<Scenario.MessageClass> classes =
-                top.tables("class").stream().map(c -> messageClass(c, all)).toList();
+        List<Scenario.PartnerGroup> groups =
+                top.tables("group").stream().map(this::group).toList();
+        List<Scenario.MessageClass> classes = top.tables("class").stream()
+                .map(table -> messageClass(table, groups))
+                .toList();
         List<Scenario.Tenant> tenants = top.tables("tenant").stream()
-                .map(t -> new Scenario.Tenant(t.text("name"), t.number("share"), t.number("rate")))
+                .map(table -> new Scenario.Tenant(table.text("name"), table.number("share"), table.number("rate")))
+                .toList();
+        List<Scenario.Failure> failures = top.tables("failure").stream()
+                .map(table -> new FailureReader(top, table, groups, zones, findings).read())
                 .toList();
         Scenario scenario = new Scenario(
                 top.text("name"),
                 top.has("text") ? top.text("text") : "",
                 top.whole("span"),
                 top.number("load"),
-                new Scenario.Fleet(
-                        (int) fleet.whole("relays"),
-                        fleet.number("skew"),
-                        (int) fleet.whole("slots"),
-                        (int) fleet.whole("messages"),
-                        fleet.whole("round"),
-                        fleet.whole("restart")),
-                new Scenario.Clients(
-                        (int) clients.whole("repeats"),
-                        clients.whole("pause"),
-                        clients.number("clumped"),
-                        (int) clients.whole("clump"),
-                        clients.whole("ramp"),
-                        (int) clients.whole("backlog")),
-                new Scenario.Network(network.whole("inside"), network.whole("across")),
+                fleet(top.table("fleet")),
+                clients(top.table("clients")),
+                network(top.table("network")),
                 classes,
                 tenants,
-                all,
-                top.tables("failure").stream().map(f -> failure(f, all)).toList());
-        check(scenario);
+                groups,
+                failures);
+        checkCompleteness(scenario);
+        checkLoad(scenario);
+        checkNames();
+        checkTenantShares(scenario);
+        checkKinds(scenario);
         return scenario;
     }
 
-    private Scenario.Group group(TableReader g) {
-        if (!groups.add(g.text("name"))) {
-            findings.add(g.at("name").error("a group of this name stands above"));
+    private static Scenario.Fleet fleet(TableReader table) {
+        return new Scenario.Fleet(
+                (int) table.whole("relays"),
+                table.number("skew"),
+                (int) table.whole("slots"),
+                (int) table.whole("messages"),
+                table.whole("round"),
+                table.whole("restart"));
+    }
+
+    private static Scenario.Clients clients(TableReader table) {
+        return new Scenario.Clients(
+                (int) table.whole("repeats"),
+                table.whole("pause"),
+                table.number("clumped"),
+                (int) table.whole("clump"),
+                table.whole("ramp"),
+                (int) table.whole("backlog"));
+    }
+
+    private static Scenario.Network network(TableReader table) {
+        return new Scenario.Network(table.whole("inside"), table.whole("across"));
+    }
+
+    private Scenario.PartnerGroup group(TableReader table) {
+        if (!groupNames.add(table.text("name"))) {
+            findings.add(table.at("name").error("a group of this name stands above"));
         }
-        List<String> own = g.names("buildings") == null ? List.of("main") : g.names("buildings");
-        if (own.isEmpty()) {
-            findings.add(g.at("buildings").error("names no building: leave it out for main"));
-            own = List.of("main");
+        List<String> groupZones = groupZones(table);
+        zones.addAll(groupZones);
+        checkCapacity(table);
+        checkLimit(table);
+        long endpoints = table.whole("partners") * table.whole("endpoints");
+        if (groupZones.size() > endpoints) {
+            findings.add(table.at("buildings")
+                    .error("names " + groupZones.size() + " buildings for " + endpoints
+                            + " endpoints: nothing would stand in " + groupZones.get(groupZones.size() - 1)));
         }
-        buildings.addAll(own);
-        double servers = g.number("capacity") * g.whole("response") / MICROS;
-        if (g.number("limit") > 0 && g.whole("response") > 0 && servers < 0.01) {
-            findings.add(
-                    g.at("capacity")
-                            .warning(
-                                    "such an endpoint is busy for " + Math.round(servers * 1000)
-                                            + " thousandths of a call at full load: its capacity or its response is a slip of the pen"));
+        return new Scenario.PartnerGroup(
+                table.text("name"),
+                table.text("kind"),
+                (int) table.whole("partners"),
+                (int) table.whole("endpoints"),
+                groupZones,
+                table.number("weight"),
+                table.number("skew"),
+                table.number("capacity"),
+                table.number("limit"),
+                table.flag("told"),
+                table.flag("refusals-count"),
+                table.whole("response"),
+                table.number("spread"),
+                (int) table.whole("queue"),
+                table.whole("wait"),
+                (int) table.whole("batch"),
+                table.flag("routes-apart"),
+                table.number("cold-from"),
+                table.whole("warm-up"));
+    }
+
+    private List<String> groupZones(TableReader table) {
+        List<String> named = table.names("buildings") == null ? List.of(DEFAULT_ZONE) : table.names("buildings");
+        if (named.isEmpty()) {
+            findings.add(table.at("buildings").error("names no building: leave it out for main"));
+            return List.of(DEFAULT_ZONE);
         }
-        double able = g.number("capacity") * (g.flag("routes-apart") ? 1 : g.whole("endpoints"));
-        if (g.number("limit") > able) {
-            findings.add(g.at("limit")
-                    .warning("a limit of " + Units.ofRate(g.number("limit")) + " never binds: "
-                            + (g.flag("routes-apart") ? "an endpoint" : "a partner") + " can do "
-                            + Units.ofRate(able)));
+        return named;
+    }
+
+    private void checkCapacity(TableReader table) {
+        double busyServers = table.number("capacity") * table.whole("response") / MICROS_PER_SECOND;
+        if (table.number("limit") > 0 && table.whole("response") > 0 && busyServers < MIN_PLAUSIBLE_SERVERS) {
+            findings.add(table.at("capacity")
+                    .warning("such an endpoint is busy for " + Math.round(busyServers * 1000)
+                            + " thousandths of a call at full load: its capacity or its response is a slip of"
+                            + " the pen"));
         }
-        if (g.flag("told") && g.number("limit") == 0) {
-            findings.add(g.at("told").error("there is no limit to tell: set limit"));
+    }
+
+    private void checkLimit(TableReader table) {
+        boolean independentRoutes = table.flag("routes-apart");
+        double capacity = table.number("capacity") * (independentRoutes ? 1 : table.whole("endpoints"));
+        double limit = table.number("limit");
+        if (limit > capacity) {
+            findings.add(table.at("limit")
+                    .warning("a limit of " + Units.ofRate(limit) + " never binds: "
+                            + (independentRoutes ? "an endpoint" : "a partner") + " can do "
+                            + Units.ofRate(capacity)));
         }
-        if (g.flag("refusals-count") && g.number("limit") == 0) {
-            findings.add(g.at("refusals-count").error("there is no limit to use up: set limit"));
+        if (table.flag("told") && limit == 0) {
+            findings.add(table.at("told").error("there is no limit to tell: set limit"));
         }
-        if (own.size() > g.whole("partners") * g.whole("endpoints")) {
-            findings.add(g.at("buildings")
-                    .error("names " + own.size() + " buildings for " + g.whole("partners") * g.whole("endpoints")
-                            + " endpoints: nothing would stand in " + own.get(own.size() - 1)));
+        if (table.flag("refusals-count") && limit == 0) {
+            findings.add(table.at("refusals-count").error("there is no limit to use up: set limit"));
         }
-        return new Scenario.Group(
-                g.text("name"),
-                g.text("kind"),
-                (int) g.whole("partners"),
-                (int) g.whole("endpoints"),
-                own,
-                g.number("weight"),
-                g.number("skew"),
-                g.number("capacity"),
-                g.number("limit"),
-                g.flag("told"),
-                g.flag("refusals-count"),
-                g.whole("response"),
-                g.number("spread"),
-                (int) g.whole("queue"),
-                g.whole("wait"),
-                (int) g.whole("batch"),
-                g.flag("routes-apart"),
-                g.number("cold-from"),
-                g.whole("warm-up"));
     }
 
-    private Scenario.MessageClass messageClass(TableReader c, List<Scenario.Group> all) {
-        Idempotency repeat = Idempotency.ofSettingName(c.text("repeat"));
-        if (c.whole("deadline") <= c.whole("wanted")) {
-            findings.add(c.at("deadline")
-                    .error(Units.ofSpan(c.whole("deadline")) + " is no longer than wanted = "
-                            + Units.ofSpan(c.whole("wanted")) + ": a message would be given up before it is late"));
+    private Scenario.MessageClass messageClass(TableReader table, List<Scenario.PartnerGroup> groups) {
+        Idempotency idempotency = Idempotency.ofSettingName(table.text("repeat"));
+        if (table.whole("deadline") <= table.whole("wanted")) {
+            findings.add(table.at("deadline")
+                    .error(Units.ofSpan(table.whole("deadline")) + " is no longer than wanted = "
+                            + Units.ofSpan(table.whole("wanted")) + ": a message would be given up before it is late"));
         }
-        if (repeat == Idempotency.IDEMPOTENT_BY_KEY && !c.has("key-window")) {
-            findings.add(c.at("key-window")
+        if (idempotency == Idempotency.IDEMPOTENT_BY_KEY && !table.has("key-window")) {
+            findings.add(table.at("key-window")
                     .error("is missing: a class by key needs the span for which partners drop a key"));
         }
-        List<Scenario.Group> reached = all.stream()
-                .filter(g -> c.names("to") == null || c.names("to").contains(g.kind()))
-                .toList();
-        if (reached.stream().mapToDouble(Scenario.Group::weight).sum() <= 0) {
-            findings.add(c.at("to").error("no group with a weight above 0 is of a kind that this class goes to"));
-        }
-        reached.stream()
-                .filter(g -> g.response() > c.whole("deadline"))
-                .findFirst()
-                .ifPresent(g -> findings.add(c.at("deadline")
-                        .error(Units.ofSpan(c.whole("deadline")) + " is shorter than group " + g.name()
-                                + "'s response of " + Units.ofSpan(g.response())
-                                + ": no partner of it could deliver in time")));
+        checkDestinations(table, groups);
         return new Scenario.MessageClass(
-                c.text("name"),
-                repeat,
-                c.whole("key-window"),
-                c.text("key-scope").equals("building"),
-                c.whole("wanted"),
-                c.whole("deadline"),
-                c.number("worth"),
-                c.number("late-worth"),
-                c.number("rate"),
-                c.names("to"));
+                table.text("name"),
+                idempotency,
+                table.whole("key-window"),
+                table.text("key-scope").equals("building"),
+                table.whole("wanted"),
+                table.whole("deadline"),
+                table.number("worth"),
+                table.number("late-worth"),
+                table.number("rate"),
+                table.names("to"));
     }
 
-    private Scenario.Failure failure(TableReader f, List<Scenario.Group> all) {
-        Scenario.Kind kind = named(Scenario.Kind.class, f.text("kind"));
-        if (f.has("group") && !groups.contains(f.text("group"))) {
-            findings.add(f.at("group").error("there is no group " + f.text("group")));
-        }
-        if (f.has("building") && !buildings.contains(f.text("building"))) {
-            findings.add(f.at("building").error("no endpoint stands in " + f.text("building")));
-        }
-        if (!kind.isOfEndpoints() && (f.has("group") || f.has("building"))) {
-            findings.add(f.at(f.has("group") ? "group" : "building")
-                    .error("says nothing of " + f.text("kind") + ", which strikes no endpoints"));
-        }
-        if (f.has("factor") && kind != Scenario.Kind.SLOW && kind != Scenario.Kind.LEAK) {
-            findings.add(f.at("factor").error("is for slow and leak alone"));
-        }
-        if (f.has("part") && !kind.hasPart()) {
-            findings.add(f.at("part").error("is for errors and limits alone"));
-        }
-        if (kind == Scenario.Kind.LIMITS && !f.has("part")) {
-            findings.add(f.at("part").error("is missing: limits needs the part that is left of them"));
-        }
-        if (kind == Scenario.Kind.LIMITS
-                && all.stream()
-                        .noneMatch(g ->
-                                g.limit() > 0 && (!f.has("group") || g.name().equals(f.text("group"))))) {
-            findings.add(f.at("kind")
-                    .error(
-                            f.has("group")
-                                    ? "group " + f.text("group") + " has no limit to lower"
-                                    : "no group has a limit to lower"));
-        }
-        long restart = top.table("fleet").whole("restart");
-        if ((kind == Scenario.Kind.RELAYS_DIE || kind == Scenario.Kind.RELAYS_ROLL) && restart >= top.whole("span")) {
-            findings.add(f.at("kind")
-                    .error("relays that end are back after " + Units.ofSpan(restart) + " (fleet.restart), when nothing"
-                            + " is handed in any more (span = " + Units.ofSpan(top.whole("span")) + ")"));
-        }
-        if (kind == Scenario.Kind.RELAYS_ROLL && f.whole("at") + f.whole("lasts") > top.whole("span")) {
-            findings.add(f.at("lasts")
-                    .error("ends at " + Units.ofSpan(f.whole("at") + f.whole("lasts")) + ", when nothing is handed in"
-                            + " any more (span = " + Units.ofSpan(top.whole("span"))
-                            + "): the last tenths would be restarted for nobody"));
-        }
-        if (f.whole("at") >= top.whole("span")) {
-            findings.add(f.at("at")
-                    .error("begins at " + Units.ofSpan(f.whole("at")) + ", when nothing is handed in any more"
-                            + " (span = " + Units.ofSpan(top.whole("span")) + ")"));
+    private void checkDestinations(TableReader table, List<Scenario.PartnerGroup> groups) {
+        List<String> kinds = table.names("to");
+        List<Scenario.PartnerGroup> destinations = groups.stream()
+                .filter(group -> kinds == null || kinds.contains(group.kind()))
+                .toList();
+        double weight = destinations.stream()
+                .mapToDouble(Scenario.PartnerGroup::trafficWeight)
+                .sum();
+        if (weight <= 0) {
+            findings.add(table.at("to").error("no group with a weight above 0 is of a kind that this class goes to"));
         }
-        return new Scenario.Failure(
-                kind,
-                f.whole("at"),
-                f.whole("lasts"),
-                f.number("hazard"),
-                f.number("share"),
-                f.text("group"),
-                f.text("building"),
-                f.number("factor"),
-                f.number("part"));
-    }
-
-    /** The value that {@link ScenarioWriter#word} writes so. */
-    private static <E extends Enum<E>> E named(Class<E> type, String word) {
-        return Enum.valueOf(type, word.toUpperCase(Locale.ROOT).replace('-', '_'));
+        destinations.stream()
+                .filter(group -> group.responseMicros() > table.whole("deadline"))
+                .findFirst()
+                .ifPresent(group -> findings.add(table.at("deadline")
+                        .error(Units.ofSpan(table.whole("deadline")) + " is shorter than group " + group.name()
+                                + "'s response of " + Units.ofSpan(group.responseMicros())
+                                + ": no partner of it could deliver in time")));
     }
 
-    private void check(Scenario scenario) {
+    private void checkCompleteness(Scenario scenario) {
         if (scenario.groups().isEmpty()) {
             findings.add(top.place().error("a [[group]] of partners is needed"));
         }
         if (scenario.classes().isEmpty()) {
             findings.add(top.place().error("a [[class]] of messages is needed"));
         }
-        double asked = scenario.classes().stream()
-                        .mapToDouble(Scenario.MessageClass::rate)
-                        .sum()
-                * scenario.load();
-        if (asked <= 0 && !scenario.classes().isEmpty()) {
+    }
+
+    private void checkLoad(Scenario scenario) {
+        double ratePerSecond = scenario.ratePerSecond();
+        if (ratePerSecond <= 0 && !scenario.classes().isEmpty()) {
             findings.add(top.place().error("the classes' rates are all 0: nothing would happen"));
         }
-        double messages = asked * scenario.span() / MICROS + scenario.clients().backlog();
-        if (messages > MOST_MESSAGES) {
+        double messages = ratePerSecond * scenario.durationMicros() / MICROS_PER_SECOND
+                + scenario.clients().backlog();
+        if (messages > MAX_MESSAGES) {
             findings.add(top.at("span")
-                    .error(Math.round(messages / MICROS) + " million messages in all: no run of more than "
-                            + Math.round(MOST_MESSAGES / MICROS) + " million is played"));
+                    .error(Math.round(messages / MILLION) + " million messages in all: no run of more than "
+                            + Math.round(MAX_MESSAGES / MILLION) + " million is played"));
         }
+    }
+
+    private void checkNames() {
+        checkUnique("class", "a class of this name stands above");
+        checkUnique("tenant", "a tenant of this name stands above");
+    }
+
+    private void checkUnique(String key, String reason) {
         Set<String> names = new HashSet<>();
-        top.tables("class").stream()
-                .filter(c -> !names.add("class " + c.text("name")))
-                .forEach(c -> findings.add(c.at("name").error("a class of this name stands above")));
-        top.tables("tenant").stream()
-                .filter(t -> !names.add("tenant " + t.text("name")))
-                .forEach(t -> findings.add(t.at("name").error("a tenant of this name stands above")));
-        if (!scenario.tenants().isEmpty()
-                && scenario.tenants().stream()
-                                .mapToDouble(Scenario.Tenant::share)
-                                .sum()
-                        <= 0) {
+        top.tables(key).stream()
+                .filter(table -> !names.add(table.text("name")))
+                .forEach(table -> findings.add(table.at("name").error(reason)));
+    }
+
+    private void checkTenantShares(Scenario scenario) {
+        double shares = scenario.tenants().stream()
+                .mapToDouble(Scenario.Tenant::trafficShare)
+                .sum();
+        if (!scenario.tenants().isEmpty() && shares <= 0) {
             findings.add(top.place().error("the tenants' shares are all 0"));
         }
-        sameKind(scenario);
     }
 
-    /** A kind is told to relays once: groups of one kind must agree on what is told of it. */
-    private void sameKind(Scenario scenario) {
+    /** Relays know one batch size and one scope of limits for each kind, so groups of one kind must agree on them. */
+    private void checkKinds(Scenario scenario) {
         for (int i = 0; i < scenario.groups().size(); i++) {
-            Scenario.Group g = scenario.groups().get(i);
-            int at = i;
+            Scenario.PartnerGroup group = scenario.groups().get(i);
+            TableReader table = top.tables("group").get(i);
             scenario.groups().subList(0, i).stream()
-                    .filter(o ->
-                            o.kind().equals(g.kind()) && (o.batch() != g.batch() || o.routesApart() != g.routesApart()))
+                    .filter(other -> other.kind().equals(group.kind()) && !hasSameKindSettings(other, group))
                     .findFirst()
-                    .ifPresent(o -> findings.add(top.tables("group")
-                            .get(at)
-                            .at("kind")
-                            .error("group " + o.name() + " has another batch or routes-apart for kind " + g.kind()
-                                    + ": a kind has one of each")));
+                    .ifPresent(other -> findings.add(table.at("kind")
+                            .error("group " + other.name() + " has another batch or routes-apart for kind "
+                                    + group.kind() + ": a kind has one of each")));
         }
     }
+
+    private static boolean hasSameKindSettings(Scenario.PartnerGroup a, Scenario.PartnerGroup b) {
+        return a.maxBatchSize() == b.maxBatchSize() && a.independentRoutes() == b.independentRoutes();
+    }
 }
--- a/src/main/java/loftflow/experiment/scenario/ScenarioWriter.java
+++ b/src/main/java/loftflow/experiment/scenario/ScenarioWriter.java
@@ -1,125 +1,137 @@
 package loftflow.experiment.scenario;
 
 import java.util.List;
-import java.util.Locale;
 import java.util.stream.Collectors;
 import loftflow.config.file.Units;
 
-/** Writes a scenario as the file that {@link ScenarioReader} reads the same scenario from. */
+/** Writes a scenario as a file from which {@link ScenarioReader} reads an equal scenario. */
 public final class ScenarioWriter {
     private final StringBuilder text = new StringBuilder();
 
     private ScenarioWriter() {}
 
-    /** The file's text. */
-    public static String of(Scenario s) {
-        ScenarioWriter t = new ScenarioWriter();
-        t.plain("format", "1");
-        t.quoted("name", s.name());
-        t.quoted("text", s.text());
-        t.span("span", s.span());
-        t.number("load", s.load());
-        t.table("[fleet]");
-        t.plain("relays", "" + s.fleet().relays());
-        t.number("skew", s.fleet().skew());
-        t.plain("slots", "" + s.fleet().slots());
-        t.plain("messages", "" + s.fleet().messages());
-        t.span("round", s.fleet().round());
-        t.span("restart", s.fleet().restart());
-        t.table("[clients]");
-        t.plain("repeats", "" + s.clients().repeats());
-        t.span("pause", s.clients().pause());
-        t.number("clumped", s.clients().clumped());
-        t.plain("clump", "" + s.clients().clump());
-        t.span("ramp", s.clients().ramp());
-        t.plain("backlog", "" + s.clients().backlog());
-        t.table("[network]");
-        t.span("inside", s.network().inside());
-        t.span("across", s.network().across());
-        s.classes().forEach(t::messageClass);
-        for (Scenario.Tenant tenant : s.tenants()) {
-            t.table("[[tenant]]");
-            t.quoted("name", tenant.name());
-            t.number("share", tenant.share());
-            t.rate("rate", tenant.rate());
-        }
-        s.groups().forEach(t::group);
-        s.failures().forEach(t::failure);
-        return t.text.toString();
+    /** The text of the file. */
+    public static String of(Scenario scenario) {
+        ScenarioWriter writer = new ScenarioWriter();
+        writer.top(scenario);
+        writer.fleet(scenario.fleet());
+        writer.clients(scenario.clients());
+        writer.network(scenario.network());
+        scenario.classes().forEach(writer::messageClass);
+        scenario.tenants().forEach(writer::tenant);
+        scenario.groups().forEach(writer::group);
+        scenario.failures().forEach(writer::failure);
+        return writer.text.toString();
+    }
+
+    private void top(Scenario scenario) {
+        plain("format", "1");
+        quoted("name", scenario.name());
+        quoted("text", scenario.description());
+        duration("span", scenario.durationMicros());
+        number("load", scenario.loadFactor());
+    }
+
+    private void fleet(Scenario.Fleet fleet) {
+        table("[fleet]");
+        plain("relays", fleet.relays());
+        number("skew", fleet.trafficSkew());
+        plain("slots", fleet.concurrentCalls());
+        plain("messages", fleet.bufferedMessages());
+        duration("round", fleet.roundMicros());
+        duration("restart", fleet.restartMicros());
+    }
+
+    private void clients(Scenario.Clients clients) {
+        table("[clients]");
+        plain("repeats", clients.maxResubmissions());
+        duration("pause", clients.resubmitDelayMicros());
+        number("clumped", clients.burstShare());
+        plain("clump", clients.burstSize());
+        duration("ramp", clients.rampMicros());
+        plain("backlog", clients.backlog());
     }
 
-    private void messageClass(Scenario.MessageClass c) {
+    private void network(Scenario.Network network) {
+        table("[network]");
+        duration("inside", network.sameZoneMicros());
+        duration("across", network.crossZoneMicros());
+    }
+
+    private void messageClass(Scenario.MessageClass messageClass) {
         table("[[class]]");
-        quoted("name", c.name());
-        quoted("repeat", c.repeat().settingName());
-        if (c.keyWindow() > 0) {
-            span("key-window", c.keyWindow());
+        quoted("name", messageClass.name());
+        quoted("repeat", messageClass.idempotency().settingName());
+        if (messageClass.keyWindowMicros() > 0) {
+            duration("key-window", messageClass.keyWindowMicros());
         }
-        quoted("key-scope", c.keysByBuilding() ? "building" : "all");
-        span("wanted", c.wanted());
-        span("deadline", c.deadline());
-        number("worth", c.worth());
-        number("late-worth", c.lateWorth());
-        rate("rate", c.rate());
-        if (c.to() != null) {
-            names("to", c.to());
+        quoted("key-scope", messageClass.keysByZone() ? "building" : "all");
+        duration("wanted", messageClass.latencyObjectiveMicros());
+        duration("deadline", messageClass.deadlineMicros());
+        number("worth", messageClass.priorityWeight());
+        number("late-worth", messageClass.lateWeight());
+        rate("rate", messageClass.ratePerSecond());
+        if (messageClass.destinationKinds() != null) {
+            names("to", messageClass.destinationKinds());
         }
     }
 
-    private void group(Scenario.Group g) {
+    private void tenant(Scenario.Tenant tenant) {
+        table("[[tenant]]");
+        quoted("name", tenant.name());
+        number("share", tenant.trafficShare());
+        rate("rate", tenant.quotaPerSecond());
+    }
+
+    private void group(Scenario.PartnerGroup group) {
         table("[[group]]");
-        quoted("name", g.name());
-        quoted("kind", g.kind());
-        plain("partners", "" + g.partners());
-        plain("endpoints", "" + g.endpoints());
-        names("buildings", g.buildings());
-        number("weight", g.weight());
-        number("skew", g.skew());
-        rate("capacity", g.capacity());
-        rate("limit", g.limit());
-        plain("told", "" + g.told());
-        plain("refusals-count", "" + g.refusalsCount());
-        span("response", g.response());
-        number("spread", g.spread());
-        plain("queue", "" + g.queue());
-        span("wait", g.toldWait());
-        plain("batch", "" + g.batch());
-        plain("routes-apart", "" + g.routesApart());
-        number("cold-from", g.coldFrom());
-        span("warm-up", g.warmUp());
-    }
-
-    private void failure(Scenario.Failure f) {
+        quoted("name", group.name());
+        quoted("kind", group.kind());
+        plain("partners", group.partners());
+        plain("endpoints", group.endpoints());
+        names("buildings", group.zones());
+        number("weight", group.trafficWeight());
+        number("skew", group.trafficSkew());
+        rate("capacity", group.capacityPerSecond());
+        rate("limit", group.limitPerSecond());
+        plain("told", group.reportsLimit());
+        plain("refusals-count", group.countsRejections());
+        duration("response", group.responseMicros());
+        number("spread", group.responseSigma());
+        plain("queue", group.queueLength());
+        duration("wait", group.retryAfterMicros());
+        plain("batch", group.maxBatchSize());
+        plain("routes-apart", group.independentRoutes());
+        number("cold-from", group.coldCapacityShare());
+        duration("warm-up", group.warmUpMicros());
+    }
+
+    private void failure(Scenario.Failure failure) {
         table("[[failure]]");
-        quoted("kind", word(f.kind()));
-        span("at", f.at());
-        span("lasts", f.lasts());
-        number("hazard", f.hazard());
-        number("share", f.share());
-        if (f.group() != null) {
-            quoted("group", f.group());
+        quoted("kind", failure.kind().code());
+        duration("at", failure.startMicros());
+        duration("lasts", failure.durationMicros());
+        number("hazard", failure.occurrencesPerHour());
+        number("share", failure.affectedShare());
+        if (failure.group() != null) {
+            quoted("group", failure.group());
         }
-        if (f.building() != null) {
-            quoted("building", f.building());
+        if (failure.zone() != null) {
+            quoted("building", failure.zone());
         }
-        if (f.kind() == Scenario.Kind.SLOW || f.kind() == Scenario.Kind.LEAK) {
-            number("factor", f.factor());
+        if (failure.kind().hasSlowdownFactor()) {
+            number("factor", failure.slowdownFactor());
         }
-        if (f.kind().hasPart()) {
-            number("part", f.part());
+        if (failure.kind().hasFraction()) {
+            number("part", failure.fraction());
         }
     }
 
-    /** How a file writes one of a few words. */
-    public static String word(Enum<?> word) {
-        return word.name().toLowerCase(Locale.ROOT).replace('_', '-');
-    }
-
     private void table(String head) {
         text.append('\n').append(head).append('\n');
     }
 
-    private void plain(String key, String value) {
+    private void plain(String key, Object value) {
         text.append(key).append(" = ").append(value).append('\n');
     }
 
@@ -127,12 +139,12 @@
         plain(key, "\"" + value.replace("\\", "\\\\").replace("\"", "\\\"") + "\"");
     }
 
-    private void span(String key, long micros) {
+    private void duration(String key, long micros) {
         quoted(key, Units.ofSpan(micros));
     }
 
-    private void rate(String key, double rate) {
-        quoted(key, Units.ofRate(rate));
+    private void rate(String key, double ratePerSecond) {
+        quoted(key, Units.ofRate(ratePerSecond));
     }
 
     private void number(String key, double value) {
@@ -140,6 +152,6 @@
     }
 
     private void names(String key, List<String> names) {
-        plain(key, names.stream().map(n -> "\"" + n + "\"").collect(Collectors.joining(", ", "[", "]")));
+        plain(key, names.stream().map(name -> "\"" + name + "\"").collect(Collectors.joining(", ", "[", "]")));
     }
 }
--- a/src/main/java/loftflow/experiment/scenario/TraceArrivals.java
+++ b/src/main/java/loftflow/experiment/scenario/TraceArrivals.java
@@ -9,49 +9,49 @@
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 
 /**
- * Messages that a trace is mapped to, in place of what a scenario's rates ask for: the trace says when, and of which
- * class,
- * tenant and partner; the scenario's fleet says at which relay. What is of one tenant and one partner comes in at one
- * relay, as
- * one program's traffic does.
+ * Messages of a trace in place of those that a scenario's rates generate. The trace determines times, classes, tenants
+ * and partners; the relay is drawn once for each tenant and partner, as the traffic of one client arrives at one relay.
  */
 public final class TraceArrivals {
-    /** Guards against a trace that no machine holds at once. */
-    public static final int MOST = 20_000_000;
+    /** Messages that fit into the memory of one process. */
+    public static final int MAX_MESSAGES = 20_000_000;
+
+    private static final int NO_TENANT = -1;
 
     private record Flow(int tenant, int partner) {}
 
-    private final Map<String, Integer> types = new HashMap<>();
-    private final Map<String, Integer> tenants = new HashMap<>();
+    private final Map<String, Integer> classIndices = new HashMap<>();
+    private final Map<String, Integer> tenantIndices = new HashMap<>();
     private final DiscreteSampler relays;
-    private final Map<Flow, Integer> homes = new HashMap<>();
+    private final Map<Flow, Integer> relayByFlow = new HashMap<>();
     private final List<Arrival> arrivals = new ArrayList<>();
 
-    /** An empty replay at a scenario's fleet. */
+    /** Creates an empty replay for a scenario's fleet. */
     public TraceArrivals(Scenario scenario, long seed) {
-        scenario.classes().forEach(c -> types.put(c.name(), types.size()));
-        scenario.tenants().forEach(t -> tenants.put(t.name(), tenants.size()));
+        scenario.classes().forEach(c -> classIndices.put(c.name(), classIndices.size()));
+        scenario.tenants().forEach(t -> tenantIndices.put(t.name(), tenantIndices.size()));
+        Scenario.Fleet fleet = scenario.fleet();
         relays = AliasMethodDiscreteSampler.of(
-                RandomStreams.of(seed, "homes", 0),
-                Scenario.weights(scenario.fleet().relays(), scenario.fleet().skew()));
+                RandomStreams.of(seed, "homes", 0), Scenario.trafficWeights(fleet.relays(), fleet.trafficSkew()));
     }
 
     /**
-     * One more message, no earlier than the one before.
+     * Adds a message, which must not be earlier than the one before.
      *
      * @param tenant null where there is none
-     * @throws IllegalArgumentException where there are too many
+     * @throws IllegalArgumentException where there are more than {@link #MAX_MESSAGES}
      */
-    public void add(long at, String type, String tenant, int partner) {
-        if (arrivals.size() >= MOST) {
-            throw new IllegalArgumentException("more than " + MOST + " messages: cut the trace with --from and --to");
+    public void add(long atMicros, String className, String tenant, int partner) {
+        if (arrivals.size() >= MAX_MESSAGES) {
+            throw new IllegalArgumentException(
+                    "more than " + MAX_MESSAGES + " messages: cut the trace with --from and --to");
         }
-        int of = tenant == null ? -1 : tenants.get(tenant);
-        arrivals.add(new Arrival(
-                at, types.get(type), of, partner, homes.computeIfAbsent(new Flow(of, partner), f -> relays.sample())));
+        int tenantIndex = tenant == null ? NO_TENANT : tenantIndices.get(tenant);
+        int relay = relayByFlow.computeIfAbsent(new Flow(tenantIndex, partner), flow -> relays.sample());
+        arrivals.add(new Arrival(atMicros, classIndices.get(className), tenantIndex, partner, relay));
     }
 
-    /** The messages, from the first on. */
+    /** The messages in the order of time. */
     public Iterator<Arrival> iterator() {
         return arrivals.iterator();
     }
@@ -60,18 +60,17 @@
         return arrivals.size();
     }
 
-    /** The time of the last one; 0 where there is none. */
-    public long last() {
-        return arrivals.isEmpty() ? 0 : arrivals.get(arrivals.size() - 1).at();
+    /** The time of the last message; 0 where there is none. */
+    public long lastAtMicros() {
+        return arrivals.isEmpty() ? 0 : arrivals.get(arrivals.size() - 1).atMicros();
     }
 
-    /**
-     * A scenario as long as the replay, so that nothing of its figures speaks of time in which nothing was handed in.
-     */
-    public Scenario lasting(Scenario scenario) {
-        long span = last() + 1;
-        return scenario.withSpan(span, scenario.load())
-                .withFailures(
-                        scenario.failures().stream().filter(f -> f.at() < span).toList());
+    /** A scenario with the duration of the replay, so that its figures include no time without load. */
+    public Scenario withTraceDuration(Scenario scenario) {
+        long durationMicros = lastAtMicros() + 1;
+        return scenario.withDurationAndLoad(durationMicros, scenario.loadFactor())
+                .withFailures(scenario.failures().stream()
+                        .filter(failure -> failure.startMicros() < durationMicros)
+                        .toList());
     }
 }
--- a/src/main/java/loftflow/experiment/scenario/package-info.java
+++ b/src/main/java/loftflow/experiment/scenario/package-info.java
@@ -1,9 +1,8 @@
 /**
- * What an experiment plays: programs, partners, the fleet between them and what goes wrong, and the file that says so.
- * {@code Faults} decides from it which state everything is in at a time.
+ * What an experiment runs: clients, partners, the fleet of relays and the faults, with the file format that describes
+ * them. {@code FaultSchedule} derives from a scenario the condition of every endpoint at any time.
  *
  * <p>May use: {@code config.schema} and {@code config.file} for the file; {@code policy.api} for the module's settings.
- * No I/O,
- * clock or thread.
+ * No I/O, clock or thread.
  */
 package loftflow.experiment.scenario;
--- a/src/test/java/loftflow/cli/CommandsTest.java
+++ b/src/test/java/loftflow/cli/CommandsTest.java
@@ -13,7 +13,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import loftflow.experiment.ExperimentRunner;
+import loftflow.experiment.ScenarioFiles;
 import loftflow.json.JsonFields;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -110,7 +110,7 @@
         assertTrue(page.contains("<svg") && page.endsWith("</html>\n") && !page.contains("http"), "a page by itself");
         Path small = Files.writeString(
                 folder.resolve("small.toml"),
-                ExperimentRunner.named("quiet-day")
+                ScenarioFiles.builtInText("quiet-day")
                         .replace("slots = 24", "slots = 2")
                         .replace("span = \"60s\"", "span = \"20s\""));
         assertEquals(
--- a/src/test/java/loftflow/cli/ExperimentScreenTest.java
+++ b/src/test/java/loftflow/cli/ExperimentScreenTest.java
@@ -19,12 +19,14 @@
     @Test
     void screenShowsHowARunStandsAtTwentyFourLinesAndIsLeftByAKey() throws IOException {
         DefaultVirtualTerminal terminal = new DefaultVirtualTerminal(new TerminalSize(80, 24));
-        List<ProgressSnapshot.OfEndpoint> endpoints = new ArrayList<>(List.of(
-                new ProgressSnapshot.OfEndpoint("e7", "railways", "annex", 0, 14, FaultSchedule.Meets.DOWN),
-                new ProgressSnapshot.OfEndpoint("e1", "elevators", "main", 35, 14, FaultSchedule.Meets.CALLS)));
+        List<ProgressSnapshot.EndpointProgress> endpoints = new ArrayList<>(List.of(
+                new ProgressSnapshot.EndpointProgress(
+                        "e7", "railways", "annex", 0, 14, FaultSchedule.ServingState.DOWN),
+                new ProgressSnapshot.EndpointProgress(
+                        "e1", "elevators", "main", 35, 14, FaultSchedule.ServingState.SERVING)));
         for (int i = 0; i < 5_000; i++) {
-            endpoints.add(new ProgressSnapshot.OfEndpoint(
-                    "e" + (100 + i), "short-lines", "yard", 1, 10, FaultSchedule.Meets.CALLS));
+            endpoints.add(new ProgressSnapshot.EndpointProgress(
+                    "e" + (100 + i), "short-lines", "yard", 1, 10, FaultSchedule.ServingState.SERVING));
         }
         ExperimentScreen screen = new ExperimentScreen(terminal, "harvest");
         screen.show(new ProgressSnapshot(12_300_000, 0.8123, 500, 400, 60, 10, 30, 44, 40, endpoints));
--- a/src/test/java/loftflow/experiment/ExperimentTest.java
+++ b/src/test/java/loftflow/experiment/ExperimentTest.java
@@ -54,11 +54,13 @@
                 after.add(before.get(k) + shift + noise.sample());
             }
             PairedComparison verdict = PairedComparison.of(before, after, true);
-            found += verdict.word() == PairedComparison.Word.BETTER || verdict.word() == PairedComparison.Word.WORSE
+            found += verdict.verdict() == PairedComparison.Verdict.BETTER
+                            || verdict.verdict() == PairedComparison.Verdict.WORSE
                     ? 1
                     : 0;
-            covered += verdict.low() <= shift && shift <= verdict.high() ? 1 : 0;
-            assertTrue(pairs >= PairedComparison.LEAST_PAIRS == (verdict.word() != PairedComparison.Word.TOO_FEW_RUNS));
+            covered += verdict.lowerBound() <= shift && shift <= verdict.upperBound() ? 1 : 0;
+            assertTrue(pairs >= PairedComparison.MIN_PAIRS
+                    == (verdict.verdict() != PairedComparison.Verdict.TOO_FEW_RUNS));
         }
         assertTrue(found / 400.0 >= least && found / 400.0 <= most, found + " of 400");
         assertTrue(pairs < 12 || covered / 400.0 > 0.88, "the interval holds the truth in " + covered + " of 400");
@@ -69,20 +71,25 @@
         List<Double> low = List.of(1.0, 2.0, 3.0, 4.0, 5.0, 6.0, 7.0);
         List<Double> high = List.of(2.0, 3.1, 4.0, 5.2, 6.0, 7.0, 8.3);
         assertEquals(
-                PairedComparison.Word.BETTER,
-                PairedComparison.of(low, high, true).word());
+                PairedComparison.Verdict.BETTER,
+                PairedComparison.of(low, high, true).verdict());
         assertEquals(
-                PairedComparison.Word.WORSE,
-                PairedComparison.of(low, high, false).word());
+                PairedComparison.Verdict.WORSE,
+                PairedComparison.of(low, high, false).verdict());
         assertEquals(
-                PairedComparison.Word.NO_DIFFERENCE_SHOWN,
-                PairedComparison.of(low, low, true).word());
+                PairedComparison.Verdict.NO_DIFFERENCE_SHOWN,
+                PairedComparison.of(low, low, true).verdict());
         assertThrows(IllegalArgumentException.class, () -> PairedComparison.of(low, List.of(1.0), true));
         SampleStatistics spread = SampleStatistics.of(low);
         assertEquals(
-                List.of(4.0, 1.0, 7.0, 1.5), List.of(spread.mean(), spread.least(), spread.most(), spread.range()));
+                List.of(4.0, 1.0, 7.0, 1.5),
+                List.of(spread.mean(), spread.min(), spread.max(), spread.relativeRange()));
         assertTrue(
-                spread.low() > 1.5 && spread.low() < 4 && spread.high() > 4 && spread.high() < 6.5, spread.toString());
+                spread.lowerBound() > 1.5
+                        && spread.lowerBound() < 4
+                        && spread.upperBound() > 4
+                        && spread.upperBound() < 6.5,
+                spread.toString());
     }
 
     @Test
@@ -115,21 +122,23 @@
             CapacitySearch search = new CapacitySearch(1, 0.05, 0.01, 100);
             while (!search.isDone()) {
                 assertTrue(search.runs() < 200, "it ends");
-                search.ran(search.next() * (1 + noise * drawn.sample()) <= edge);
+                search.recordRun(search.nextLoad() * (1 + noise * drawn.sample()) <= edge);
             }
             runs += search.runs();
             double truth = Math.max(0, Math.min(100, edge));
-            worst = Math.max(worst, edge < 0.01 ? search.answer() : Math.abs(search.answer() / truth - 1));
+            worst = Math.max(
+                    worst,
+                    edge < 0.01 ? search.highestPassingLoad() : Math.abs(search.highestPassingLoad() / truth - 1));
         }
         assertTrue(worst <= 0.05 + 3.5 * noise, "off by " + worst);
         assertTrue(runs / 100 < 45, runs / 100 + " runs each");
     }
 
-    private static List<ExperimentRunner.Side> same(String a, String b) throws IOException {
-        Scenario scenario = ExperimentRunner.read("s", ExperimentRunner.named("one-slow-building"))
+    private static List<ExperimentSide> same(String a, String b) throws IOException {
+        Scenario scenario = ScenarioFiles.read("s", ScenarioFiles.builtInText("one-slow-building"))
                 .scenario()
-                .withSpan(25_000_000, 1);
-        return List.of(new ExperimentRunner.Side(a, scenario, null), new ExperimentRunner.Side(b, scenario, null));
+                .withDurationAndLoad(25_000_000, 1);
+        return List.of(new ExperimentSide(a, scenario, null), new ExperimentSide(b, scenario, null));
     }
 
     /**
@@ -139,10 +148,9 @@
     void experimentThatIsCutOffAnywhereGoesOnWithoutRepeatingWhatIsFinished() throws IOException {
         List<Long> seeds = List.of(1L, 2L, 3L);
         List<ResultsFolder.Result> made = new ArrayList<>();
-        Map<String, List<ExperimentRunner.Compared>> whole;
+        Map<String, List<FigureComparison>> whole;
         try (ResultsFolder results = ResultsFolder.open(folder)) {
-            whole = ExperimentRunner.compare(
-                    results, "x", same("A", "B"), seeds, ExperimentRunner.emulator(), made::add);
+            whole = SideComparison.compare(results, "x", same("A", "B"), seeds, SideRunners.emulator(), made::add);
             assertThrows(IOException.class, () -> ResultsFolder.open(folder), "two at once");
         }
         assertEquals(6, made.size());
@@ -157,23 +165,23 @@
                 assertEquals(made.subList(0, kept), results.results());
                 assertEquals(
                         whole,
-                        ExperimentRunner.compare(
-                                results, "x", same("A", "B"), seeds, ExperimentRunner.emulator(), remade::add));
+                        SideComparison.compare(
+                                results, "x", same("A", "B"), seeds, SideRunners.emulator(), remade::add));
                 assertEquals(made.subList(kept, 6), remade);
             }
         }
         try (ResultsFolder results = ResultsFolder.open(folder)) {
             List<ResultsFolder.Result> other = new ArrayList<>();
-            List<ExperimentRunner.Side> sides = same("A", "B");
-            ExperimentRunner.compare(
+            List<ExperimentSide> sides = same("A", "B");
+            SideComparison.compare(
                     results,
                     "x",
                     List.of(
                             sides.get(0),
-                            new ExperimentRunner.Side(
-                                    "B", sides.get(1).scenario().withSpan(25_000_000, 1.1), null)),
+                            new ExperimentSide(
+                                    "B", sides.get(1).scenario().withDurationAndLoad(25_000_000, 1.1), null)),
                     seeds,
-                    ExperimentRunner.emulator(),
+                    SideRunners.emulator(),
                     other::add);
             assertEquals(3, other.size(), "a side that has changed is run anew, the other one is not");
         }
@@ -185,19 +193,17 @@
         Scenario scenario = same("A", "B").get(0).scenario();
         Path own = Path.of("target/classes");
         try (ResultsFolder results = ResultsFolder.open(folder)) {
-            Map<String, List<ExperimentRunner.Compared>> verdicts = ExperimentRunner.compare(
+            Map<String, List<FigureComparison>> verdicts = SideComparison.compare(
                     results,
                     "x",
-                    List.of(
-                            new ExperimentRunner.Side("A", scenario, null),
-                            new ExperimentRunner.Side("B", scenario, own)),
+                    List.of(new ExperimentSide("A", scenario, null), new ExperimentSide("B", scenario, own)),
                     LongStream.range(0, 7).boxed().toList(),
-                    ExperimentRunner.emulator(),
+                    SideRunners.emulator(),
                     result -> {});
             assertTrue(
                     verdicts.get("B").stream()
-                            .allMatch(c -> c.verdict().word() == PairedComparison.Word.NO_DIFFERENCE_SHOWN
-                                    && c.verdict().effect() == 0),
+                            .allMatch(c -> c.comparison().verdict() == PairedComparison.Verdict.NO_DIFFERENCE_SHOWN
+                                    && c.comparison().effect() == 0),
                     verdicts.toString());
             // Any class of it that is another makes it another program, also one that the module's main class does not
             // show.
@@ -216,12 +222,12 @@
             assertEquals(1, remade(results, scenario, build));
             assertThrows(
                     IOException.class,
-                    () -> ExperimentRunner.compare(
+                    () -> SideComparison.compare(
                             results,
                             "x",
-                            List.of(new ExperimentRunner.Side("A", scenario, folder)),
+                            List.of(new ExperimentSide("A", scenario, folder)),
                             List.of(1L),
-                            ExperimentRunner.emulator(),
+                            SideRunners.emulator(),
                             result -> {}));
         }
     }
@@ -229,14 +235,12 @@
     /** How many runs a build's side takes that are not there. */
     private static int remade(ResultsFolder results, Scenario scenario, Path build) throws IOException {
         List<ResultsFolder.Result> made = new ArrayList<>();
-        ExperimentRunner.compare(
+        SideComparison.compare(
                 results,
                 "x",
-                List.of(
-                        new ExperimentRunner.Side("A", scenario, null),
-                        new ExperimentRunner.Side("B", scenario, build)),
+                List.of(new ExperimentSide("A", scenario, null), new ExperimentSide("B", scenario, build)),
                 List.of(0L),
-                ExperimentRunner.emulator(),
+                SideRunners.emulator(),
                 made::add);
         return made.size();
     }
@@ -244,10 +248,11 @@
     /** Its first burst is refused: 0.64 of its worth was delivered when each refusal of it cut the pace again. */
     @Test
     void youngRelayWithABacklogFindsItsPace() throws IOException {
-        Scenario scenario = ExperimentRunner.read("young-burst", ExperimentRunner.named("young-burst"))
+        Scenario scenario = ScenarioFiles.read("young-burst", ScenarioFiles.builtInText("young-burst"))
                 .scenario();
-        ExperimentRunner.Played played = ExperimentRunner.play(scenario, 1);
-        assertTrue(played.service().whole() > 0.8, "service " + played.service().whole());
+        RunResult played = ExperimentRunner.run(scenario, 1);
+        assertTrue(
+                played.service().overall() > 0.8, "service " + played.service().overall());
         assertTrue(played.rules().isClean());
         assertTrue(played.service().peakLoad() < 1, "load " + played.service().peakLoad());
     }
--- a/src/test/java/loftflow/experiment/FleetCostReportTest.java
+++ b/src/test/java/loftflow/experiment/FleetCostReportTest.java
@@ -18,8 +18,8 @@
 
     private static MessageHistory asked(RunHistory history, int relay) {
         MessageHistory ask = new MessageHistory(0, -1, 0, relay, 0, 1_000 * MS);
-        ask.tried(0);
-        history.asked(ask);
+        ask.recordSubmission(0);
+        history.addMessage(ask);
         return ask;
     }
 
@@ -28,68 +28,73 @@
         RunHistory history = new RunHistory();
         long[] late = {-500, 0, 1, 100, 101, 300, 301, 340};
         for (long ms : late) {
-            asked(history, 3).ended((1_000 + ms) * MS, MessageHistory.Told.FAILED);
+            asked(history, 3).recordCompletion((1_000 + ms) * MS, MessageHistory.ClientOutcome.FAILED);
         }
-        asked(history, 3).taken();
+        asked(history, 3).recordAccepted();
         FleetCostReport costs = FleetCostReport.of(history);
         assertEquals(
-                List.of(2L, 2L, 2L, 2L), List.of(costs.inTime(), costs.within100(), costs.within300(), costs.later()));
-        assertEquals(340 * MS, costs.latest());
-        assertEquals(7, costs.latestAsk());
-        assertEquals(9, costs.asked());
+                List.of(2L, 2L, 2L, 2L),
+                List.of(
+                        costs.completedInTime(),
+                        costs.lateWithin100Millis(),
+                        costs.lateWithin300Millis(),
+                        costs.lateBeyond300Millis()));
+        assertEquals(340 * MS, costs.maxLatenessMicros());
+        assertEquals(7, costs.latestMessage());
+        assertEquals(9, costs.submitted());
     }
 
     @Test
     void refusedWithoutAnAttemptAndCutOffAreToldApart() {
         RunHistory history = new RunHistory();
-        asked(history, 0).ended(5, MessageHistory.Told.REFUSED);
+        asked(history, 0).recordCompletion(5, MessageHistory.ClientOutcome.REJECTED);
         MessageHistory sent = asked(history, 0);
-        sent.posted(new MessageHistory.Posting(0, 4, 1, 2, false, MessageHistory.Answer.FULL));
-        sent.ended(5, MessageHistory.Told.REFUSED);
-        asked(history, 1).cut();
+        sent.recordCall(new MessageHistory.Call(0, 4, 1, 2, false, MessageHistory.Response.REJECTED));
+        sent.recordCompletion(5, MessageHistory.ClientOutcome.REJECTED);
+        asked(history, 1).recordConnectionLost();
         MessageHistory again = asked(history, 1);
-        again.cut();
-        again.tried(10);
-        again.taken();
+        again.recordConnectionLost();
+        again.recordSubmission(10);
+        again.recordAccepted();
         FleetCostReport costs = FleetCostReport.of(history);
-        assertEquals(1, costs.untried());
-        assertEquals(1, costs.cut());
+        assertEquals(1, costs.rejectedWithoutAttempt());
+        assertEquals(1, costs.connectionsLost());
     }
 
     @Test
     void whoHasTheMostIsNamedAndNobodyWhereThereIsNone() {
         CallCounts costs = new CallCounts();
-        costs.count(CallCounts.Of.CHECKS, 7, 2);
-        costs.count(CallCounts.Of.CHECKS, 7, 3);
-        costs.count(CallCounts.Of.CHECKS, CallCounts.NONE, 3);
-        assertEquals(3, costs.total(CallCounts.Of.CHECKS));
-        assertEquals(new CallCounts.Most(7, 2), costs.mostOfRelays(CallCounts.Of.CHECKS));
-        assertEquals(new CallCounts.Most(3, 2), costs.mostOfEndpoints(CallCounts.Of.CHECKS));
-        assertEquals(new CallCounts.Most(CallCounts.NONE, 0), costs.mostOfRelays(CallCounts.Of.REFUSED));
+        costs.count(CallCounts.Metric.PROBES, 7, 2);
+        costs.count(CallCounts.Metric.PROBES, 7, 3);
+        costs.count(CallCounts.Metric.PROBES, CallCounts.NONE, 3);
+        assertEquals(3, costs.total(CallCounts.Metric.PROBES));
+        assertEquals(new CallCounts.Maximum(7, 2), costs.busiestRelay(CallCounts.Metric.PROBES));
+        assertEquals(new CallCounts.Maximum(3, 2), costs.busiestEndpoint(CallCounts.Metric.PROBES));
+        assertEquals(new CallCounts.Maximum(CallCounts.NONE, 0), costs.busiestRelay(CallCounts.Metric.REJECTED));
     }
 
     /** The counts of a run are those of its history: each posting is a call, and each of them by its answer. */
     @Test
     void costsOfARunAddUpToItsPostings() throws IOException {
-        Scenario scenario = ExperimentRunner.read(
-                        "s", ExperimentRunner.named("half-the-fleet-dies").replace("batch = 5", "batch = 1"))
+        Scenario scenario = ScenarioFiles.read(
+                        "s", ScenarioFiles.builtInText("half-the-fleet-dies").replace("batch = 5", "batch = 1"))
                 .scenario();
-        ExperimentRunner.Played played = ExperimentRunner.play(scenario, 1);
+        RunResult played = ExperimentRunner.run(scenario, 1);
         CallCounts costs = played.costs().counts();
-        List<MessageHistory.Posting> postings = played.history().asks().stream()
-                .flatMap(a -> a.postings().stream())
+        List<MessageHistory.Call> postings = played.history().messages().stream()
+                .flatMap(a -> a.calls().stream())
                 .toList();
-        assertEquals(postings.size(), costs.total(CallCounts.Of.CALLS));
+        assertEquals(postings.size(), costs.total(CallCounts.Metric.CALLS));
         long refused = postings.stream()
-                .filter(p -> p.answer() == MessageHistory.Answer.FULL)
+                .filter(p -> p.response() == MessageHistory.Response.REJECTED)
                 .count();
-        long all = costs.total(CallCounts.Of.REFUSED);
-        assertTrue(all >= refused && all <= refused + costs.total(CallCounts.Of.CHECKS), all + " of " + refused);
-        assertEquals(9, costs.total(CallCounts.Of.LISTS), "six relays, three of them twice");
+        long all = costs.total(CallCounts.Metric.REJECTED);
+        assertTrue(all >= refused && all <= refused + costs.total(CallCounts.Metric.PROBES), all + " of " + refused);
+        assertEquals(9, costs.total(CallCounts.Metric.ENDPOINT_LISTS), "six relays, three of them twice");
         assertEquals(
                 1_000.0
-                        * costs.total(CallCounts.Of.CALLS)
-                        / played.history().asks().size(),
-                played.costs().perThousand(costs.total(CallCounts.Of.CALLS)));
+                        * costs.total(CallCounts.Metric.CALLS)
+                        / played.history().messages().size(),
+                played.costs().perThousand(costs.total(CallCounts.Metric.CALLS)));
     }
 }
--- a/src/test/java/loftflow/experiment/LoopbackRunTest.java
+++ b/src/test/java/loftflow/experiment/LoopbackRunTest.java
@@ -19,6 +19,7 @@
 import loftflow.experiment.results.ResultsFolder;
 import loftflow.experiment.scenario.ArrivalGenerator;
 import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.RuleLimits;
 import loftflow.experiment.scenario.Scenario;
 import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.Test;
@@ -32,12 +33,12 @@
     Path folder;
 
     private static Scenario scenario(String failures) throws IOException {
-        String text = ExperimentRunner.named("quiet-day")
+        String text = ScenarioFiles.builtInText("quiet-day")
                 .replace("span = \"60s\"", "span = \"6s\"")
                 .replace("relays = 3", "relays = 2")
                 .replace("deadline = \"28s\"", "deadline = \"8s\"")
                 .replace("deadline = \"20s\"", "deadline = \"8s\"");
-        return ExperimentRunner.read("real", text + failures).scenario();
+        return ScenarioFiles.read("real", text + failures).scenario();
     }
 
     /**
@@ -71,23 +72,24 @@
                 building = "yard"
                 """);
         List<ProgressSnapshot> shown = new ArrayList<>();
-        ExperimentRunner.Real real =
-                ExperimentRunner.real(scenario, 1, null, LoopbackRun.Fleet.OWN, folder, shown::add);
+        LoopbackResult real =
+                ExperimentRunner.runOnLoopback(scenario, 1, null, LoopbackRun.RelayProgram.OWN, folder, shown::add);
         assertEquals(
                 Map.of(),
-                real.played().rules().counts(),
-                real.played().rules().first().toString());
-        assertEquals(1, real.played().history().aways().size(), "the relay died and came back");
+                real.result().rules().counts(),
+                real.result().rules().firstBreaches().toString());
+        assertEquals(1, real.result().history().downtimes().size(), "the relay died and came back");
         assertTrue(
-                real.played().service().asked() > 150,
-                "asked " + real.played().service().asked());
+                real.result().service().submitted() > 150,
+                "asked " + real.result().service().submitted());
         assertTrue(
-                real.played().service().delivered() > real.played().service().asked() / 2,
-                real.played().service().toString());
-        assertTrue(real.outcome().cpu() > 0);
+                real.result().service().delivered() > real.result().service().submitted() / 2,
+                real.result().service().toString());
+        assertTrue(real.outcome().cpuMicrosPerMessage() > 0);
         assertTrue(
                 shown.stream()
-                        .anyMatch(s -> s.endpoints().get(0).meets() == FaultSchedule.Meets.DOWN && s.delivered() > 0),
+                        .anyMatch(s -> s.endpoints().get(0).servingState() == FaultSchedule.ServingState.DOWN
+                                && s.delivered() > 0),
                 "what is down stands first: " + shown);
     }
 
@@ -97,9 +99,9 @@
      */
     @Test
     void oneDestinationWithNearlyAllAndPartnersThatStopReadingLeaveNothingOpen() throws Exception {
-        Scenario scenario = ExperimentRunner.read(
+        Scenario scenario = ScenarioFiles.read(
                         "real",
-                        ExperimentRunner.named("quiet-day")
+                        ScenarioFiles.builtInText("quiet-day")
                                         .replace("span = \"60s\"", "span = \"5s\"\nload = 0.2")
                                         .replace("relays = 3", "relays = 1")
                                         .replace("deadline = \"28s\"", "deadline = \"4s\"")
@@ -111,47 +113,48 @@
                                                 "endpoints = 2\nbuildings = [\"main\", \"annex\"]")
                                 + "[[failure]]\nkind = \"silent\"\nat = \"2s\"\nlasts = \"2s\"\ngroup = \"elevators\"\n")
                 .scenario();
-        ExperimentRunner.Real real = ExperimentRunner.real(scenario, 1, null, LoopbackRun.Fleet.OWN, folder, s -> {});
+        LoopbackResult real =
+                ExperimentRunner.runOnLoopback(scenario, 1, null, LoopbackRun.RelayProgram.OWN, folder, s -> {});
         assertEquals(
                 Map.of(),
-                real.played().rules().counts(),
-                real.played().rules().first().toString());
+                real.result().rules().counts(),
+                real.result().rules().firstBreaches().toString());
         int hot = scenario.layout().partners().stream()
                 .filter(p -> p.group().kind().equals("elevators"))
                 .findFirst()
                 .orElseThrow()
                 .number();
-        long there = real.played().history().asks().stream()
+        long there = real.result().history().messages().stream()
                 .filter(a -> a.partner() == hot)
                 .count();
         assertTrue(
-                there > 0.5 * real.played().history().asks().size(),
-                there + " of " + real.played().history().asks().size());
+                there > 0.5 * real.result().history().messages().size(),
+                there + " of " + real.result().history().messages().size());
         assertTrue(
-                real.played().history().asks().stream().anyMatch(a -> a.partner() == hot && !a.isDelivered()),
+                real.result().history().messages().stream().anyMatch(a -> a.partner() == hot && !a.isDelivered()),
                 "silence shows");
-        assertTrue(real.played().service().delivered() > 0);
+        assertTrue(real.result().service().delivered() > 0);
     }
 
     /** Both sides of an experiment as whole relays, each with its own classes; and a bare proxy in a relay's place. */
     @Test
     void wholeRelaysAreComparedAndSoIsABareProxy() throws Exception {
-        Scenario scenario = ExperimentRunner.read(
+        Scenario scenario = ScenarioFiles.read(
                         "s",
-                        ExperimentRunner.named("full-core")
+                        ScenarioFiles.builtInText("full-core")
                                 .replace("span = \"14s\"", "span = \"2s\"\nload = 0.05")
                                 .replace("ramp = \"4s\"", "ramp = \"0s\""))
                 .scenario();
         try (ResultsFolder results = ResultsFolder.open(folder.resolve("results"))) {
             List<ResultsFolder.Result> made = new ArrayList<>();
-            var verdicts = ExperimentRunner.compare(
+            var verdicts = SideComparison.compare(
                     results,
                     "x",
                     List.of(
-                            new ExperimentRunner.Side("A", scenario, null),
-                            new ExperimentRunner.Side("B", scenario, Path.of("target/classes"))),
+                            new ExperimentSide("A", scenario, null),
+                            new ExperimentSide("B", scenario, Path.of("target/classes"))),
                     List.of(1L),
-                    ExperimentRunner.relays(-1, folder.resolve("relays")),
+                    SideRunners.loopback(-1, folder.resolve("relays")),
                     made::add);
             assertTrue(
                     made.stream()
@@ -164,22 +167,22 @@
             Files.write(empty.resolve("Main.class"), new byte[] {1});
             assertThrows(
                     IOException.class,
-                    () -> ExperimentRunner.compare(
+                    () -> SideComparison.compare(
                             results,
                             "x",
-                            List.of(new ExperimentRunner.Side("A", scenario, folder.resolve("empty"))),
+                            List.of(new ExperimentSide("A", scenario, folder.resolve("empty"))),
                             List.of(1L),
-                            ExperimentRunner.relays(-1, folder.resolve("relays")),
+                            SideRunners.loopback(-1, folder.resolve("relays")),
                             made::add));
         }
         List<String> said = new ArrayList<>();
-        boolean held = ExperimentRunner.played(
+        boolean held = CapacityTrials.loopback(
                         scenario,
-                        new ExperimentRunner.Wanted(0.9, 2_000),
-                        new LoopbackRun.Fleet(new ServedRelay.Program(null, 0), true),
+                        new ServiceTarget(0.9, 2_000),
+                        new LoopbackRun.RelayProgram(new ServedRelay.Program(null, 0), true),
                         folder.resolve("relays"),
                         said::add)
-                .holds(1, 1);
+                .passes(1, 1);
         assertTrue(held, said.toString());
     }
 
@@ -206,7 +209,8 @@
                 lasts = "500ms"
                 """);
         boolean[] stalled = new boolean[1];
-        try (LoopbackRun run = new LoopbackRun(scenario, Scenario.Rules.USUAL, 1, LoopbackRun.Fleet.OWN, folder)) {
+        try (LoopbackRun run =
+                new LoopbackRun(scenario, RuleLimits.STANDARD, 1, LoopbackRun.RelayProgram.OWN, folder)) {
             LoopbackRun.Outcome outcome = run.play(
                     new ArrivalGenerator(scenario, scenario.layout(), 1),
                     at -> {
@@ -220,18 +224,23 @@
                         }
                     },
                     history -> {});
-            assertTrue(outcome.lateness().most() >= 500_000, outcome.lateness().most() + " us");
+            assertTrue(
+                    outcome.lateness().maxMicros() >= 500_000,
+                    outcome.lateness().maxMicros() + " us");
             assertFalse(outcome.isValid());
-            long hit = outcome.history().asks().stream()
-                    .filter(a -> a.at() > 2_000_000 && a.at() < 2_300_000 && a.doneAt() - a.at() > 500_000)
+            long hit = outcome.history().messages().stream()
+                    .filter(a -> a.submittedAtMicros() > 2_000_000
+                            && a.submittedAtMicros() < 2_300_000
+                            && a.deliveredAtMicros() - a.submittedAtMicros() > 500_000)
                     .count();
             assertTrue(hit > 0, "what was due in the stall took so much longer");
             assertEquals(
                     Map.of(),
-                    RuleChecker.of(scenario, Scenario.Rules.USUAL, outcome.history())
+                    RuleChecker.check(scenario, RuleLimits.STANDARD, outcome.history())
                             .counts());
-            assertEquals(2, outcome.history().aways().size(), "one that is away does not die once more");
-            assertTrue(outcome.history().asks().stream().allMatch(a -> a.told() != MessageHistory.Told.NOTHING));
+            assertEquals(2, outcome.history().downtimes().size(), "one that is away does not die once more");
+            assertTrue(outcome.history().messages().stream()
+                    .allMatch(a -> a.clientOutcome() != MessageHistory.ClientOutcome.PENDING));
         }
     }
 }
--- a/src/test/java/loftflow/experiment/RuleCheckerTest.java
+++ b/src/test/java/loftflow/experiment/RuleCheckerTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.lang.reflect.Proxy;
 import java.nio.file.Path;
 import java.util.EnumSet;
 import java.util.List;
@@ -12,6 +11,7 @@
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
+import loftflow.engine.Message;
 import loftflow.engine.WriteAheadLog;
 import loftflow.experiment.emulator.RelayComponents;
 import loftflow.experiment.evaluation.RuleChecker.Rule;
@@ -36,6 +36,44 @@
 class RuleCheckerTest {
     private static final long SECOND = 1_000_000;
 
+    /** A journal that records everything and recovers nothing. */
+    private record ForgetfulJournal(WriteAheadLog journal) implements WriteAheadLog {
+        @Override
+        public long nextSequenceNumber() {
+            return journal.nextSequenceNumber();
+        }
+
+        @Override
+        public List<Message> openMessages() {
+            return List.of();
+        }
+
+        @Override
+        public boolean recordAccepted(Message message) {
+            return journal.recordAccepted(message);
+        }
+
+        @Override
+        public boolean recordAttempt(Message.Attempt attempt) {
+            return journal.recordAttempt(attempt);
+        }
+
+        @Override
+        public void recordOutcome(Message.Attempt attempt) {
+            journal.recordOutcome(attempt);
+        }
+
+        @Override
+        public void recordCompletion(Message message) {
+            journal.recordCompletion(message);
+        }
+
+        @Override
+        public void recordDone(Message message) {
+            journal.recordDone(message);
+        }
+    }
+
     /** A relay with one fault, and a scenario in which it matters. */
     enum Bad {
         /** Takes what may have run for what has not: sends again, and twice takes effect. */
@@ -74,7 +112,7 @@
         /** Comes back with nothing of what it had recorded. */
         FORGETFUL(
                 Rule.MISSING,
-                new RelayComponents(DefaultDeliveryPolicy::new, Bad::forgetting, UnaryOperator.identity()),
+                new RelayComponents(DefaultDeliveryPolicy::new, ForgetfulJournal::new, UnaryOperator.identity()),
                 "kind = \"shut\"\nat = \"5s\"\nlasts = \"20s\"\n[[failure]]\nkind = \"relays-die\"\nat = \"15s\""),
         /** Has a clock that is a second behind. */
         SLOW(
@@ -106,18 +144,10 @@
                     o.id(), o.attempt(), o.route(), result, o.closed(), wait, o.elapsedMicros(), o.limitReport());
         }
 
-        private static WriteAheadLog forgetting(WriteAheadLog journal) {
-            return (WriteAheadLog) Proxy.newProxyInstance(
-                    Bad.class.getClassLoader(),
-                    new Class<?>[] {WriteAheadLog.class},
-                    (proxy, method, given) ->
-                            method.getName().equals("open") ? List.of() : method.invoke(journal, given));
-        }
-
         /** The same fault in one of a hundred scenarios' fleets. */
         Scenario atAHundred() throws IOException {
-            String text = ExperimentRunner.named("hundred-roll");
-            return ExperimentRunner.read(
+            String text = ScenarioFiles.builtInText("hundred-roll");
+            return ScenarioFiles.read(
                             "bad",
                             text.substring(0, text.indexOf("[[failure]]"))
                                             .replace("span = \"45s\"", "span = \"30s\"")
@@ -127,7 +157,7 @@
         }
 
         Scenario scenario() throws IOException {
-            String text = ExperimentRunner.named("quiet-day")
+            String text = ScenarioFiles.builtInText("quiet-day")
                             .replace("span = \"60s\"", "span = \"30s\"")
                             .replace(
                                     "response = \"290ms\"",
@@ -136,7 +166,7 @@
                                     "response = \"250ms\"",
                                     "response = \"250ms\"\nwait = \"1500ms\"\ncold-from = 0.05\nwarm-up = \"20s\"")
                     + "\n[[failure]]\n" + failure;
-            return ExperimentRunner.read("bad", text).scenario();
+            return ScenarioFiles.read("bad", text).scenario();
         }
     }
 
@@ -144,9 +174,9 @@
     @EnumSource(Bad.class)
     void badRelayIsFoundAndASoundOneIsNot(Bad bad) throws IOException {
         Map<Rule, Integer> found =
-                ExperimentRunner.play(bad.scenario(), 1, bad.program).rules().counts();
+                ExperimentRunner.run(bad.scenario(), 1, bad.program).rules().counts();
         assertTrue(found.containsKey(bad.rule), bad + " breaks " + bad.rule + ", found " + found);
-        assertEquals(Map.of(), ExperimentRunner.play(bad.scenario(), 1).rules().counts());
+        assertEquals(Map.of(), ExperimentRunner.run(bad.scenario(), 1).rules().counts());
     }
 
     /**
@@ -157,10 +187,10 @@
     @EnumSource(Bad.class)
     void badRelaysOfALargeFleetAreFoundAndSoundOnesAreNot(Bad bad) throws IOException {
         Map<Rule, Integer> found =
-                ExperimentRunner.play(bad.atAHundred(), 1, bad.program).rules().counts();
+                ExperimentRunner.run(bad.atAHundred(), 1, bad.program).rules().counts();
         assertTrue(found.containsKey(bad.rule), bad + " breaks " + bad.rule + ", found " + found);
         Map<Rule, Integer> sound =
-                ExperimentRunner.play(bad.atAHundred(), 1).rules().counts();
+                ExperimentRunner.run(bad.atAHundred(), 1).rules().counts();
         assertTrue(sound.getOrDefault(bad.rule, 0) * 10 < found.get(bad.rule), "bad " + found + ", sound " + sound);
     }
 
@@ -168,13 +198,13 @@
     @ParameterizedTest
     @CsvSource({"hundred-herd, 1, 0.92", "hundred-roll, 1, 0.93", "hundred-outage, 3, 0.7"})
     void hundredRelaysKeepTheRules(String name, long seed, double service) throws IOException {
-        ExperimentRunner.Played played = ExperimentRunner.play(
-                ExperimentRunner.read(name, ExperimentRunner.named(name)).scenario(), seed);
+        RunResult played = ExperimentRunner.run(
+                ScenarioFiles.read(name, ScenarioFiles.builtInText(name)).scenario(), seed);
         assertEquals(Map.of(), played.rules().counts());
         assertTrue(
-                played.service().figure() > service,
-                "service " + played.service().figure());
-        assertEquals(0, played.costs().later(), "ends later than 300 ms");
+                played.service().score() > service,
+                "service " + played.service().score());
+        assertEquals(0, played.costs().lateBeyond300Millis(), "ends later than 300 ms");
     }
 
     /**
@@ -191,14 +221,14 @@
         for (RegressionCases.Case one : cases) {
             assertEquals(
                     Map.of(),
-                    ExperimentRunner.play(one.scenario(), one.seed()).rules().counts(),
+                    ExperimentRunner.run(one.scenario(), one.seed()).rules().counts(),
                     one.file().toString());
             Bad bad = Stream.of(Bad.values())
                     .filter(b -> b.rule == one.rule())
                     .findFirst()
                     .orElseThrow();
             assertTrue(
-                    ExperimentRunner.play(one.scenario(), one.seed(), bad.program)
+                    ExperimentRunner.run(one.scenario(), one.seed(), bad.program)
                             .rules()
                             .counts()
                             .containsKey(one.rule()),
@@ -209,21 +239,21 @@
     /** The whole of what a run says hangs on scenario, seed and program alone. */
     @Test
     void sameSeedGivesTheSameHistoryToTheByteAndAnotherDoesNot() throws IOException {
-        Scenario scenario = ExperimentRunner.read("s", ExperimentRunner.named("half-the-fleet-dies"))
+        Scenario scenario = ScenarioFiles.read("s", ScenarioFiles.builtInText("half-the-fleet-dies"))
                 .scenario();
         assertEquals(text(scenario, 5), text(scenario, 5));
         assertTrue(!text(scenario, 5).equals(text(scenario, 6)));
     }
 
     private static String text(Scenario scenario, long seed) {
-        ExperimentRunner.Played played = ExperimentRunner.play(scenario, seed);
+        RunResult played = ExperimentRunner.run(scenario, seed);
         StringBuilder text = new StringBuilder().append(played.service()).append(played.events());
-        played.history().asks().forEach(a -> text.append(a.at())
-                .append(a.told())
-                .append(a.endedAt())
-                .append(a.doneAt())
-                .append(a.postings()));
-        return text.append(played.history().loads()).toString();
+        played.history().messages().forEach(a -> text.append(a.submittedAtMicros())
+                .append(a.clientOutcome())
+                .append(a.completedAtMicros())
+                .append(a.deliveredAtMicros())
+                .append(a.calls()));
+        return text.append(played.history().endpointLoads()).toString();
     }
 
     /** Writes the kept cases anew: the folder that they go to. */
@@ -241,7 +271,7 @@
     @Test
     void scenarioThatBreaksARuleIsMadeSmall() throws IOException {
         Scenario large =
-                ExperimentRunner.read("s", ExperimentRunner.named("brown-out")).scenario();
+                ScenarioFiles.read("s", ScenarioFiles.builtInText("brown-out")).scenario();
         Scenario small = ExperimentRunner.minimize(large, 1, Rule.UNPROVEN, Bad.TRUSTING.program, 200);
         assertTrue(
                 small.failures().size() <= 1
@@ -250,7 +280,7 @@
                         && small.fleet().relays() == 1,
                 small.toString());
         assertEquals("settlement", small.classes().get(0).name());
-        assertTrue(ExperimentRunner.play(small, 1, Bad.TRUSTING.program)
+        assertTrue(ExperimentRunner.run(small, 1, Bad.TRUSTING.program)
                 .rules()
                 .counts()
                 .containsKey(Rule.UNPROVEN));
--- a/src/test/java/loftflow/experiment/ScenarioFileTest.java
+++ b/src/test/java/loftflow/experiment/ScenarioFileTest.java
@@ -64,12 +64,12 @@
                 "#end | [[failure] | * | "
             })
     void contradictionIsFound(String old, String changed, String key, String why) throws IOException {
-        String text = ExperimentRunner.named("quiet-day") + "\n#end\n";
+        String text = ScenarioFiles.builtInText("quiet-day") + "\n#end\n";
         assertTrue(text.contains(old.replace("\\n", "\n")), old);
         String broken = text.replaceFirst(
                 Pattern.quote(old.replace("\\n", "\n")),
                 Matcher.quoteReplacement(changed == null ? "" : changed.replace("\\n", "\n")));
-        ScenarioReader.Read read = ExperimentRunner.read("broken", broken);
+        ScenarioReader.ReadResult read = ScenarioFiles.read("broken", broken);
         assertEquals(null, read.scenario());
         assertTrue(
                 read.findings().stream()
@@ -83,17 +83,16 @@
     /** What stands in the repository is sound, and a scenario that is written reads the same. */
     @Test
     void namedScenariosAreSoundAndReadAsTheyAreWritten() throws IOException {
-        for (String name : ExperimentRunner.NAMED) {
-            ScenarioReader.Read read = ExperimentRunner.read(name, ExperimentRunner.named(name));
+        for (String name : ScenarioFiles.BUILT_IN) {
+            ScenarioReader.ReadResult read = ScenarioFiles.read(name, ScenarioFiles.builtInText(name));
             assertEquals(List.of(), read.findings());
             assertEquals(name, read.scenario().name());
             assertEquals(
                     read.scenario(),
-                    ExperimentRunner.read(name, ScenarioWriter.of(read.scenario()))
-                            .scenario());
+                    ScenarioFiles.read(name, ScenarioWriter.of(read.scenario())).scenario());
         }
         try (var files = Files.list(Path.of("src/main/resources/scenarios"))) {
-            assertEquals(ExperimentRunner.NAMED.size(), files.count());
+            assertEquals(ScenarioFiles.BUILT_IN.size(), files.count());
         }
         assertEquals(
                 ScenarioSchema.SCENARIO.reference(),
@@ -102,7 +101,7 @@
     }
 
     private static Scenario with(String failure) throws IOException {
-        return ExperimentRunner.read("s", ExperimentRunner.named("quiet-day") + "\n[[failure]]\n" + failure)
+        return ScenarioFiles.read("s", ScenarioFiles.builtInText("quiet-day") + "\n[[failure]]\n" + failure)
                 .scenario();
     }
 
@@ -113,14 +112,15 @@
             value = {
                 // Failure; endpoints that it strikes; the state at 9 s, at 15 s, and at 25 s with what is able then.
                 "kind = \"down\"\\nat = \"10s\"\\nlasts = \"10s\"\\ngroup = \"railways\" | 9 | DOWN | 0.575 | 1",
-                "kind = \"shut\"\\nat = \"10s\"\\nlasts = \"10s\"\\nbuilding = \"annex\" | 11 | SHUT | 0.575 | 1",
-                "kind = \"silent\"\\nat = \"10s\"\\nlasts = \"10s\"\\ngroup = \"elevators\"\\nshare = 0.5 | 5 | SILENT | 0.575 | 1",
-                "kind = \"slow\"\\nat = \"10s\"\\nlasts = \"10s\"\\nfactor = 4 | 29 | CALLS | 1 | 4",
-                "kind = \"leak\"\\nat = \"10s\"\\nlasts = \"10s\"\\nfactor = 4 | 29 | CALLS | 1 | 2",
-                "kind = \"drain\"\\nat = \"10s\"\\nlasts = \"10s\"\\ngroup = \"short-lines\"\\nshare = 0.4 | 4 | CALLS | 1 | 1"
+                "kind = \"shut\"\\nat = \"10s\"\\nlasts = \"10s\"\\nbuilding = \"annex\" | 11 | REJECTING | 0.575 | 1",
+                "kind = \"silent\"\\nat = \"10s\"\\nlasts = \"10s\"\\ngroup = \"elevators\"\\nshare = 0.5 | 5 | UNRESPONSIVE | 0.575 | 1",
+                "kind = \"slow\"\\nat = \"10s\"\\nlasts = \"10s\"\\nfactor = 4 | 29 | SERVING | 1 | 4",
+                "kind = \"leak\"\\nat = \"10s\"\\nlasts = \"10s\"\\nfactor = 4 | 29 | SERVING | 1 | 2",
+                "kind = \"drain\"\\nat = \"10s\"\\nlasts = \"10s\"\\ngroup = \"short-lines\"\\nshare = 0.4 | 4 | SERVING | 1 | 1"
             })
     void failureStrikesWhatItSaysAndWhileItLasts(
-            String failure, int struck, FaultSchedule.Meets meets, double able, double slower) throws IOException {
+            String failure, int struck, FaultSchedule.ServingState meets, double able, double slower)
+            throws IOException {
         Scenario scenario = with(failure.replace("\\n", "\n"));
         Scenario.Layout layout = scenario.layout();
         FaultSchedule faults = FaultSchedule.of(scenario, layout, 3);
@@ -128,18 +128,18 @@
         List<Integer> hit = layout.endpoints().stream()
                 .map(Scenario.Endpoint::number)
                 .filter(e -> drains
-                        ? faults.drains().stream().anyMatch(d -> d.endpoint() == e)
-                        : !faults.state(e, 15 * SECOND).equals(FaultSchedule.State.WELL))
+                        ? faults.endpointDrains().stream().anyMatch(d -> d.endpoint() == e)
+                        : !faults.conditionAt(e, 15 * SECOND).equals(FaultSchedule.EndpointCondition.HEALTHY))
                 .toList();
         assertEquals(struck, hit.size(), hit.toString());
         for (int e : hit) {
-            assertEquals(FaultSchedule.State.WELL, faults.state(e, 9 * SECOND));
-            assertEquals(meets, faults.state(e, 15 * SECOND).meets());
-            assertEquals(slower, faults.state(e, 15 * SECOND).slower(), 1e-9);
-            assertEquals(able, faults.state(e, 25 * SECOND).able(), 1e-9);
+            assertEquals(FaultSchedule.EndpointCondition.HEALTHY, faults.conditionAt(e, 9 * SECOND));
+            assertEquals(meets, faults.conditionAt(e, 15 * SECOND).servingState());
+            assertEquals(slower, faults.conditionAt(e, 15 * SECOND).slowdownFactor(), 1e-9);
+            assertEquals(able, faults.conditionAt(e, 25 * SECOND).capacityShare(), 1e-9);
             assertEquals(
-                    drains ? FaultSchedule.Meets.GONE : FaultSchedule.Meets.CALLS,
-                    faults.state(e, 25 * SECOND).meets());
+                    drains ? FaultSchedule.ServingState.REMOVED : FaultSchedule.ServingState.SERVING,
+                    faults.conditionAt(e, 25 * SECOND).servingState());
         }
     }
 
@@ -150,25 +150,31 @@
         assertEquals(
                 List.of(1.0, 0.25, 1.0),
                 List.of(
-                        faults.state(0, 9 * SECOND).limited(),
-                        faults.state(0, 15 * SECOND).limited(),
-                        faults.state(0, 20 * SECOND).limited()));
-        assertEquals(1, faults.state(9, 15 * SECOND).limited(), "an elevator's");
-        assertEquals(1, faults.state(0, 25 * SECOND).able(), "nobody comes back cold");
-        Scenario roll = ExperimentRunner.read(
+                        faults.conditionAt(0, 9 * SECOND).limitShare(),
+                        faults.conditionAt(0, 15 * SECOND).limitShare(),
+                        faults.conditionAt(0, 20 * SECOND).limitShare()));
+        assertEquals(1, faults.conditionAt(9, 15 * SECOND).limitShare(), "an elevator's");
+        assertEquals(1, faults.conditionAt(0, 25 * SECOND).capacityShare(), "nobody comes back cold");
+        Scenario roll = ScenarioFiles.read(
                         "s",
-                        ExperimentRunner.named("quiet-day").replace("relays = 3", "relays = 25")
+                        ScenarioFiles.builtInText("quiet-day").replace("relays = 3", "relays = 25")
                                 + "\n[[failure]]\nkind = \"relays-roll\"\nat = \"10s\"\nlasts = \"20s\"")
                 .scenario();
-        List<FaultSchedule.Death> deaths =
-                FaultSchedule.of(roll, roll.layout(), 1).deaths();
+        List<FaultSchedule.RelayCrash> deaths =
+                FaultSchedule.of(roll, roll.layout(), 1).relayCrashes();
         assertEquals(
-                25, deaths.stream().map(FaultSchedule.Death::relay).distinct().count());
-        assertEquals(10, deaths.stream().map(FaultSchedule.Death::at).distinct().count());
+                25,
+                deaths.stream().map(FaultSchedule.RelayCrash::relay).distinct().count());
+        assertEquals(
+                10,
+                deaths.stream()
+                        .map(FaultSchedule.RelayCrash::atMicros)
+                        .distinct()
+                        .count());
         assertEquals(
                 List.of(10 * SECOND, 28 * SECOND),
-                List.of(deaths.get(0).at(), deaths.get(24).at()));
-        assertTrue(deaths.stream().allMatch(d -> d.back() == d.at() + 3 * SECOND));
+                List.of(deaths.get(0).atMicros(), deaths.get(24).atMicros()));
+        assertTrue(deaths.stream().allMatch(d -> d.restartedAtMicros() == d.atMicros() + 3 * SECOND));
     }
 
     @Test
@@ -177,17 +183,20 @@
         double strikes = 0;
         for (long seed = 0; seed < 200; seed++) {
             strikes += FaultSchedule.of(scenario, scenario.layout(), seed)
-                    .strikes()
+                    .faultWindows()
                     .size();
         }
         assertEquals(10, strikes / 200, 0.7, "ten a minute");
         Scenario dies = with("kind = \"relays-die\"\nat = \"5s\"\nshare = 0.5");
-        assertEquals(2, FaultSchedule.of(dies, dies.layout(), 1).deaths().size(), "half of three, rounded");
+        assertEquals(2, FaultSchedule.of(dies, dies.layout(), 1).relayCrashes().size(), "half of three, rounded");
         FaultSchedule silent =
                 FaultSchedule.of(with("kind = \"discovery\"\nat = \"5s\"\nlasts = \"4s\""), scenario.layout(), 1);
         assertEquals(
                 List.of(4 * SECOND, 9 * SECOND, 9 * SECOND),
-                List.of(silent.told(4 * SECOND), silent.told(6 * SECOND), silent.told(9 * SECOND)));
+                List.of(
+                        silent.discoveryAvailableFrom(4 * SECOND),
+                        silent.discoveryAvailableFrom(6 * SECOND),
+                        silent.discoveryAvailableFrom(9 * SECOND)));
     }
 
     /** Rates, shares and clumps are kept, whatever the clumps are. */
@@ -195,7 +204,7 @@
     @CsvSource({"0, 8", "0.3, 8", "1, 50"})
     void arrivalsKeepTheirRates(double clumped, int clump) throws IOException {
         Scenario quiet =
-                ExperimentRunner.read("s", ExperimentRunner.named("quiet-day")).scenario();
+                ScenarioFiles.read("s", ScenarioFiles.builtInText("quiet-day")).scenario();
         Scenario scenario = new Scenario(
                 "s",
                 "",
@@ -214,11 +223,11 @@
         long last = 0;
         while (arrivals.hasNext()) {
             Arrival arrival = arrivals.next();
-            assertTrue(arrival.at() >= last);
-            last = arrival.at();
+            assertTrue(arrival.atMicros() >= last);
+            last = arrival.atMicros();
             count++;
-            orders += arrival.type() == 1 ? 1 : 0;
-            assertTrue(arrival.type() != 2 || arrival.partner() < 3, "settlements go to railways alone");
+            orders += arrival.classIndex() == 1 ? 1 : 0;
+            assertTrue(arrival.classIndex() != 2 || arrival.partner() < 3, "settlements go to railways alone");
         }
         assertEquals(44, count / 2_000.0, clump == 50 ? 4 : 1);
         assertEquals(0.32, (double) orders / count, clump == 50 ? 0.05 : 0.02);
@@ -227,14 +236,14 @@
     /** What waits at the beginning comes first, and leaves what comes later as it is. */
     @Test
     void backlogComesAtOnceAndChangesNothingElse() throws IOException {
-        String text = ExperimentRunner.named("quiet-day");
-        Scenario quiet = ExperimentRunner.read("s", text).scenario();
-        Scenario young = ExperimentRunner.read("s", text.replace("[clients]\n", "[clients]\nbacklog = 40\n"))
+        String text = ScenarioFiles.builtInText("quiet-day");
+        Scenario quiet = ScenarioFiles.read("s", text).scenario();
+        Scenario young = ScenarioFiles.read("s", text.replace("[clients]\n", "[clients]\nbacklog = 40\n"))
                 .scenario();
         ArrivalGenerator usual = new ArrivalGenerator(quiet, quiet.layout(), 1);
         ArrivalGenerator arrivals = new ArrivalGenerator(young, young.layout(), 1);
         for (int i = 0; i < 40; i++) {
-            assertEquals(0, arrivals.next().at());
+            assertEquals(0, arrivals.next().atMicros());
         }
         while (usual.hasNext()) {
             assertEquals(usual.next(), arrivals.next());
--- a/src/test/java/loftflow/experiment/emulator/LimitTest.java
+++ b/src/test/java/loftflow/experiment/emulator/EmulatedRateLimitTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a partner's limit takes, and tells. */
-class LimitTest {
+class EmulatedRateLimitTest {
     private static final long SECOND = 1_000_000;
 
     /** Calls at even distances for ten seconds; those served in the last five. */
@@ -23,13 +23,13 @@
     })
     void limitTakesItsCallsOrNoneWhereRefusedOnesCount(
             int rate, boolean refusalsCount, double part, int served, double left) {
-        EmulatedEndpoint.Limit limit = new EmulatedEndpoint.Limit(10, refusalsCount);
+        EmulatedRateLimit limit = new EmulatedRateLimit(10, refusalsCount);
         int taken = 0;
         for (int i = 0; i < 10 * rate; i++) {
-            taken += limit.takes(i * SECOND / rate, part) && i >= 5 * rate ? 1 : 0;
+            taken += limit.tryAcquire(i * SECOND / rate, part) && i >= 5 * rate ? 1 : 0;
         }
         assertEquals(served, taken / 5);
-        assertEquals(left, limit.left(), 1e-9);
-        assertEquals(10 * part, limit.rate());
+        assertEquals(left, limit.remainingShare(), 1e-9);
+        assertEquals(10 * part, limit.ratePerSecond());
     }
 }
--- a/src/test/java/loftflow/experiment/loopback/OpenLoopScheduleTest.java
+++ b/src/test/java/loftflow/experiment/loopback/OpenLoopScheduleTest.java
@@ -34,8 +34,8 @@
                 sent.stream().map(Arrival::partner).toList());
         long least = (takes - apart) * (count - count / 50);
         assertTrue(
-                pace.lateness().p99() >= least * 9 / 10
-                        && pace.lateness().most() >= pace.lateness().p99(),
+                pace.lateness().p99Micros() >= least * 9 / 10
+                        && pace.lateness().maxMicros() >= pace.lateness().p99Micros(),
                 pace.lateness() + ", at least " + least);
         assertTrue(!new LoopbackRun.Outcome(null, pace.lateness(), 0).isValid());
     }
