--- a/src/main/java/loftflow/config/plan/Declaration.java
+++ b/src/main/java/loftflow/config/plan/Declaration.java
@@ -437,4 +437,9 @@
     public List<Endpoint> endpoints() {
         return partners.stream().flatMap(p -> p.endpoints().stream()).toList();
     }
+
+    /** The names of all kinds, including those with partners that only discovery knows. */
+    List<String> kindNames() {
+        return kinds.stream().map(Kind::name).toList();
+    }
 }
--- /dev/null
+++ b/src/main/java/loftflow/config/plan/PartnerChecks.java
@@ -0,0 +1,110 @@
+package loftflow.config.plan;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Collectors;
+import loftflow.config.file.Finding;
+import loftflow.config.file.Units;
+import loftflow.config.plan.Declaration.MessageClass;
+import loftflow.config.plan.Declaration.Partner;
+
+/** Checks partners and kinds, and whether rate limits suffice for the declared traffic. */
+final class PartnerChecks extends ConsistencyCheck {
+    /** Size of a call up to which messages are batched. */
+    private static final long MAX_BATCH_BYTES = 64 << 10;
+
+    PartnerChecks(Declaration declared, DerivedSettings derived, List<Finding> findings) {
+        super(declared, derived, findings);
+    }
+
+    @Override
+    void run() {
+        checkPartners();
+        checkKinds();
+        checkRates();
+    }
+
+    private void checkPartners() {
+        boolean discovered = declared.discovery().agent() != null;
+        for (Partner partner : declared.partners()) {
+            if (partner.endpoints().isEmpty() && !discovered) {
+                error(
+                        partner.at(),
+                        "endpoint",
+                        "none, and there is no discovery.agent to tell one; add a" + " [[partner.endpoint]]");
+            }
+            if (declared.classes().stream().noneMatch(c -> c.goesTo(partner))) {
+                warn(partner.at(), "kind", "no class goes to kind " + partner.kind());
+            }
+            if (partner.at().has("limit") && partner.limit() <= 0) {
+                error(partner.at(), "limit", "0/s means that the partner takes nothing; leave it out if it is unknown");
+            }
+        }
+    }
+
+    private void checkKinds() {
+        for (Declaration.Kind kind : declared.kinds()) {
+            if (derived.idle() > kind.idle()) {
+                derivedError(
+                        "calls.idle",
+                        duration(derived.idle()) + " is longer than kind " + kind.name() + " keeps idle"
+                                + " connections (" + duration(kind.idle())
+                                + "): calls on them would end as resets; lower it");
+            }
+            long largest = declared.classes().stream()
+                    .filter(c -> c.to() == null || c.to().contains(kind.name()))
+                    .mapToLong(MessageClass::body)
+                    .max()
+                    .orElse(0);
+            if (kind.batch() > 1 && largest * 4 / 3 > MAX_BATCH_BYTES) {
+                warn(
+                        kind.at(),
+                        "batch",
+                        kind.batch() + " messages of " + Units.ofSize(largest) + " don't fit into one"
+                                + " call of 64KiB, so that each travels alone");
+            }
+        }
+    }
+
+    /**
+     * Compares declared rates with partners' rate limits: for every set of kinds that some class is restricted to, the
+     * classes that can go nowhere else with the limits of the partners in the set.
+     */
+    private void checkRates() {
+        Set<Set<String>> kindSets = new LinkedHashSet<>();
+        Set<String> all = new LinkedHashSet<>(declared.kindNames());
+        for (MessageClass messageClass : declared.classes()) {
+            kindSets.add(messageClass.to() == null ? all : new LinkedHashSet<>(messageClass.to()));
+        }
+        for (Set<String> kinds : kindSets) {
+            List<Partner> partners = declared.partners().stream()
+                    .filter(p -> kinds.contains(p.kind()))
+                    .toList();
+            List<MessageClass> bound = declared.classes().stream()
+                    .filter(c -> kinds.containsAll(c.to() == null ? all : c.to()))
+                    .toList();
+            if (partners.isEmpty() || partners.stream().anyMatch(p -> p.limit() <= 0)) {
+                continue;
+            }
+            double limit = partners.stream()
+                    .mapToDouble(p -> p.limit() * maxBatchSize(p))
+                    .sum();
+            double rate = bound.stream().mapToDouble(MessageClass::peakRate).sum();
+            if (rate > limit) {
+                error(
+                        bound.get(0).at(),
+                        "peak-rate",
+                        "at their peak, "
+                                + bound.stream().map(MessageClass::name).collect(Collectors.joining(", ")) + " bring "
+                                + Units.ofRate(rate) + " together, and the"
+                                + " partners that they go to take " + Units.ofRate(limit)
+                                + "; lower the rate or raise a limit");
+            }
+        }
+    }
+
+    private int maxBatchSize(Partner partner) {
+        return declared.kindOf(partner).batch();
+    }
+}
--- a/src/main/java/loftflow/config/schema/TableReader.java
+++ b/src/main/java/loftflow/config/schema/TableReader.java
@@ -17,8 +17,8 @@
 public final class TableReader {
     private static final String NAME = "[A-Za-z0-9][A-Za-z0-9._-]{0,99}";
     private static final String SOURCE = "header:[^\\p{Cntrl}]{1,200}|fixed:[^\\p{Cntrl}]{1,200}|routing-key|exchange|"
-            + "property:(content-type|content-encoding|delivery-mode|priority|correlation-id|reply-to|expiration|message-id|"
-            + "timestamp|type|user-id|app-id|cluster-id)";
+            + "property:(content-type|content-encoding|delivery-mode|priority|correlation-id|reply-to|expiration|"
+            + "message-id|timestamp|type|user-id|app-id|cluster-id)";
 
     private final Catalog catalog;
     private final String file;
--- a/src/main/java/loftflow/config/tool/ConfigTool.java
+++ b/src/main/java/loftflow/config/tool/ConfigTool.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import loftflow.config.file.Finding;
 import loftflow.config.file.SourceFile;
+import loftflow.config.plan.DerivedSettingsWriter;
 import loftflow.config.plan.Planner;
 
 /** What {@code loftflow config} does with files. */
@@ -79,7 +80,12 @@
             replace(file, text);
         }
         return new Outcome(
-                written, file, checked.findings(), before, text, Planner.startLine(plan.figures(), file.toString()));
+                written,
+                file,
+                checked.findings(),
+                before,
+                text,
+                DerivedSettingsWriter.startLine(plan.figures(), file.toString()));
     }
 
     /**
--- a/src/main/java/loftflow/config/tool/RelayFileText.java
+++ b/src/main/java/loftflow/config/tool/RelayFileText.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import loftflow.config.file.Node;
+import loftflow.config.plan.DerivedSettingsWriter;
 import loftflow.config.plan.Planner;
 import loftflow.config.schema.Schema;
 import loftflow.config.schema.Setting;
@@ -27,7 +28,7 @@
                 .append(
                         "# Written by loftflow config write. Change the application file and write again, or change this\n"
                                 + "# file: the next write then shows the difference and wants --force.\n# Start line:\n#   ")
-                .append(Planner.startLine(plan.figures(), fileName))
+                .append(DerivedSettingsWriter.startLine(plan.figures(), fileName))
                 .append("\n\n");
         text.table("", "", application);
         text.derived(plan);
@@ -103,7 +104,7 @@
     }
 
     private void derived(Planner.Plan plan) {
-        Map<String, String> values = Planner.values(plan.figures());
+        Map<String, String> values = DerivedSettingsWriter.values(plan.figures());
         String section = "";
         for (Map.Entry<String, String> value : values.entrySet()) {
             Setting setting = Schema.RELAY.of(value.getKey()).orElseThrow();
