--- a/src/main/java/loftflow/cli/Commands.java
+++ b/src/main/java/loftflow/cli/Commands.java
@@ -101,7 +101,8 @@
             mixinStandardHelpOptions = true,
             description = {
                 "Serves until a signal ends it.",
-                "Without options by the platform's variables (EDGE_CONFIG, EDGE_STATE); with --config by a relay file alone.",
+                "Without options by the platform's variables (EDGE_CONFIG, EDGE_STATE); with --config by a relay file"
+                        + " alone.",
                 "With --memory by the platform's variables, remembering endpoints over a restart as the file says."
             })
     static final class ServeHelp implements Callable<Integer> {
@@ -221,8 +222,8 @@
             mixinStandardHelpOptions = true,
             description = {
                 "Checks application files, relay files and a platform's JSON, with no relay started.",
-                "Exits with 0 where no error was found (warnings don't count unless --strict), 1 where one was, 2 where a file"
-                        + " can't be read."
+                "Exits with 0 where no error was found (warnings don't count unless --strict), 1 where one was, 2 where"
+                        + " a file can't be read."
             })
     static final class Check implements Callable<Integer> {
         /** How findings are printed. */
--- a/src/main/java/loftflow/cli/DeadLetterCommand.java
+++ b/src/main/java/loftflow/cli/DeadLetterCommand.java
@@ -276,7 +276,8 @@
             name = "resend",
             mixinStandardHelpOptions = true,
             description = {
-                "Makes entries due now, one by its number or all that are meant; each goes out at its destination's pace.",
+                "Makes entries due now, one by its number or all that are meant; each goes out at its destination's"
+                        + " pace.",
                 "One that may have run and needs a person's word is left as it is, and said so."
             })
     static final class Resend extends Asking {
@@ -318,7 +319,8 @@
             name = "confirm",
             mixinStandardHelpOptions = true,
             description = {
-                "Records, with name and reason, that the partner did not post the message, so that it may be sent again.",
+                "Records, with name and reason, that the partner did not post the message, so that it may be sent"
+                        + " again.",
                 "It speaks of the attempts made until now, not of later ones."
             })
     static final class Confirm extends Asking {
--- a/src/main/java/loftflow/cli/DemoCommand.java
+++ b/src/main/java/loftflow/cli/DemoCommand.java
@@ -27,11 +27,77 @@
         name = "demo",
         mixinStandardHelpOptions = true,
         description = {
-            "Writes a relay file, starts the relay with two partners and a client on loopback, and tells what became of each"
-                    + " class.",
+            "Writes a relay file, starts the relay with two partners and a client on loopback, and tells what became"
+                    + " of each class.",
             "One partner has a limit, the other fails for a while. Leaves nothing behind."
         })
 final class DemoCommand implements Callable<Integer> {
+    /** The application file, with state folder, address of the platform, limit, and addresses of the partners. */
+    private static final String APPLICATION =
+            """
+            format = 1
+            name = "demo"
+
+            [machine]
+            memory = "192MiB"
+            descriptors = 256
+            disk = "16MiB"
+            folder = "%s"
+
+            [[front]]
+            listen = "127.0.0.1:0"
+
+            [discovery]
+            notices = "%s"
+
+            [[class]]
+            name = "status-update"
+            repeat = "repeatable"
+            wanted = "1.5s"
+            deadline = "5s"
+            late-worth = 0.1
+            peak-rate = "7/s"
+
+            [[class]]
+            name = "car-order"
+            repeat = "by-key"
+            key-window = "7.5s"
+            wanted = "2s"
+            deadline = "8s"
+            worth = 2
+            late-worth = 0.5
+            peak-rate = "7/s"
+
+            [[class]]
+            name = "settlement"
+            repeat = "once"
+            wanted = "3s"
+            deadline = "8s"
+            worth = 5
+            late-worth = 0.3
+            peak-rate = "7/s"
+            to = ["railways"]
+
+            [[partner]]
+            name = "iron-line"
+            number = 1
+            kind = "railways"
+            limit = "%d/s"
+            response = "40ms"
+            [[partner.endpoint]]
+            id = "iron-1"
+            address = "%s"
+
+            [[partner]]
+            name = "prairie-elevator"
+            number = 2
+            kind = "elevators"
+            response = "60ms"
+            [[partner.endpoint]]
+            id = "prairie-1"
+            address = "%s"
+            """;
+
     private static final int LIMIT = 20;
     private static final int RATE = 20;
     private static final long PATIENCE_S = 20;
@@ -200,70 +266,8 @@
 
     private static String application(
             Path folder, FakePartner limited, FakePartner failing, FakeDiscoveryAgent platform) {
-        return """
-                format = 1
-                name = "demo"
-
-                [machine]
-                memory = "192MiB"
-                descriptors = 256
-                disk = "16MiB"
-                folder = "%s"
-
-                [[front]]
-                listen = "127.0.0.1:0"
-
-                [discovery]
-                notices = "%s"
-
-                [[class]]
-                name = "status-update"
-                repeat = "repeatable"
-                wanted = "1.5s"
-                deadline = "5s"
-                late-worth = 0.1
-                peak-rate = "7/s"
-
-                [[class]]
-                name = "car-order"
-                repeat = "by-key"
-                key-window = "7.5s"
-                wanted = "2s"
-                deadline = "8s"
-                worth = 2
-                late-worth = 0.5
-                peak-rate = "7/s"
-
-                [[class]]
-                name = "settlement"
-                repeat = "once"
-                wanted = "3s"
-                deadline = "8s"
-                worth = 5
-                late-worth = 0.3
-                peak-rate = "7/s"
-                to = ["railways"]
-
-                [[partner]]
-                name = "iron-line"
-                number = 1
-                kind = "railways"
-                limit = "%d/s"
-                response = "40ms"
-                [[partner.endpoint]]
-                id = "iron-1"
-                address = "%s"
-
-                [[partner]]
-                name = "prairie-elevator"
-                number = 2
-                kind = "elevators"
-                response = "60ms"
-                [[partner.endpoint]]
-                id = "prairie-1"
-                address = "%s"
-                """
-                .formatted(folder.resolve("state"), platform.address(), LIMIT, limited.address(), failing.address());
+        return APPLICATION.formatted(
+                folder.resolve("state"), platform.address(), LIMIT, limited.address(), failing.address());
     }
 
     private static void delete(Path folder) {
--- a/src/main/java/loftflow/cli/ReplayCommand.java
+++ b/src/main/java/loftflow/cli/ReplayCommand.java
@@ -33,9 +33,9 @@
         name = "replay",
         mixinStandardHelpOptions = true,
         description = {
-            "Replays a trace against a scenario: the trace says when"
-                    + " messages come and how they hang together, the scenario says to whom they go and what goes wrong.",
-            "Exit code 1 where" + " a row is rejected or a rule was broken, 2 where a file can't be read."
+            "Replays a trace against a scenario: the trace says when messages come and how they hang together,"
+                    + " the scenario says to whom they go and what goes wrong.",
+            "Exit code 1 where a row is rejected or a rule was broken, 2 where a file can't be read."
         })
 final class ReplayCommand implements Callable<Integer> {
     @Mixin
@@ -94,7 +94,7 @@
         if (runs < 1) {
             throw new CommandLine.ParameterException(spec.commandLine(), "--runs takes 1 or more");
         }
-        Scenario read = ExperimentCommand.read(spec, scenario).scenario();
+        Scenario read = ScenarioCommand.read(spec, scenario).scenario();
         if (read == null) {
             return ExperimentCommand.FOUND;
         }
@@ -120,11 +120,11 @@
             for (int run = 1; run <= runs; run++) {
                 RunResult played = real == null
                         ? ExperimentRunner.replay(lasting, seed, replayed)
-                        : ExperimentCommand.real(
+                        : LoopbackRunner.run(
                                 out, lasting, seed, replayed, runs == 1 ? real : real.resolve("run" + run));
-                ExperimentCommand.print(out, played);
+                new RunPrinter(out).print(played);
                 if (run == runs) {
-                    ExperimentCommand.writePage(page, played);
+                    RunFiles.writePage(page, played);
                 }
                 services.add(played.service().score());
                 clean &= played.rules().isClean();
