--- a/src/main/java/loftflow/config/tool/RelayFile.java
+++ b/src/main/java/loftflow/config/tool/RelayFile.java
@@ -113,51 +113,10 @@
     }
 
     private static Config.Amqp amqp(Declaration declared, DerivedSettings figures) throws Config.BadConfigException {
-        Map<String, Config.Login> logins = new HashMap<>();
-        for (Declaration.Broker b : declared.amqp().brokers()) {
-            logins.put(
-                    b.name(),
-                    new Config.Login(
-                            b.user(),
-                            b.passwordFile() == null ? USUAL_PASSWORD : password(b.passwordFile()),
-                            b.virtualHost(),
-                            seconds(b.heartbeat()),
-                            b.tls(),
-                            b.trustFile() == null ? null : Path.of(b.trustFile()),
-                            b.tlsName()));
-        }
-        Map<String, Config.BrokerRoute> routes = new HashMap<>();
-        for (Declaration.Endpoint e : declared.endpoints()) {
-            if (e.broker() != null) {
-                routes.put(e.id(), new Config.BrokerRoute(logins.get(e.broker()), e.exchange(), e.routingKey()));
-            }
-        }
-        List<Config.AmqpFront> fronts = new ArrayList<>();
-        for (Declaration.Front f : declared.fronts()) {
-            if (f.amqp()) {
-                fronts.add(new Config.AmqpFront(
-                        f.name(),
-                        Endpoint.address(f.listen()),
-                        f.exchange(),
-                        f.user(),
-                        f.passwordFile() == null ? null : password(f.passwordFile()),
-                        seconds(f.heartbeat()),
-                        f.channels(),
-                        (int) f.frame(),
-                        f.replyHold()));
-            }
-        }
-        List<Config.AmqpQueue> queues = declared.amqp().queues().stream()
-                .map(q -> new Config.AmqpQueue(
-                        q.name(),
-                        Endpoint.address(q.address()),
-                        logins.get(q.broker()),
-                        q.queue(),
-                        q.prefetch(),
-                        q.autoAcknowledge(),
-                        q.ends(),
-                        q.replyQueue()))
-                .toList();
+        Map<String, Config.Login> logins = logins(declared);
+        Map<String, Config.BrokerRoute> routes = brokerRoutes(declared, logins);
+        List<Config.AmqpFront> fronts = amqpListeners(declared);
+        List<Config.AmqpQueue> queues = queues(declared, logins);
         if (routes.isEmpty() && fronts.isEmpty() && queues.isEmpty()) {
             return null;
         }
@@ -165,21 +124,87 @@
                 routes,
                 fronts,
                 queues,
-                declared.amqp().mappings().stream()
-                        .map(m -> new Config.MappingRule(
-                                m.contentType(),
-                                m.id(),
-                                m.requestClass(),
-                                m.tenant(),
-                                m.key(),
-                                m.destination(),
-                                m.budget()))
-                        .toList(),
+                mappings(declared),
                 figures.clients() / Math.max(1, declared.fronts().size()),
                 declared.amqp().duplicates().span(),
                 declared.amqp().duplicates().entries());
     }
 
+    private static Map<String, Config.Login> logins(Declaration declared) throws Config.BadConfigException {
+        Map<String, Config.Login> logins = new HashMap<>();
+        for (Declaration.Broker broker : declared.amqp().brokers()) {
+            logins.put(
+                    broker.name(),
+                    new Config.Login(
+                            broker.user(),
+                            broker.passwordFile() == null ? USUAL_PASSWORD : password(broker.passwordFile()),
+                            broker.virtualHost(),
+                            seconds(broker.heartbeat()),
+                            broker.tls(),
+                            broker.trustFile() == null ? null : Path.of(broker.trustFile()),
+                            broker.tlsName()));
+        }
+        return logins;
+    }
+
+    private static Map<String, Config.BrokerRoute> brokerRoutes(
+            Declaration declared, Map<String, Config.Login> logins) {
+        Map<String, Config.BrokerRoute> routes = new HashMap<>();
+        for (Declaration.Endpoint endpoint : declared.endpoints()) {
+            if (endpoint.broker() != null) {
+                Config.Login login = logins.get(endpoint.broker());
+                routes.put(endpoint.id(), new Config.BrokerRoute(login, endpoint.exchange(), endpoint.routingKey()));
+            }
+        }
+        return routes;
+    }
+
+    private static List<Config.AmqpFront> amqpListeners(Declaration declared) throws Config.BadConfigException {
+        List<Config.AmqpFront> listeners = new ArrayList<>();
+        for (Declaration.Front front : declared.fronts()) {
+            if (front.amqp()) {
+                listeners.add(new Config.AmqpFront(
+                        front.name(),
+                        Endpoint.address(front.listen()),
+                        front.exchange(),
+                        front.user(),
+                        front.passwordFile() == null ? null : password(front.passwordFile()),
+                        seconds(front.heartbeat()),
+                        front.channels(),
+                        (int) front.frame(),
+                        front.replyHold()));
+            }
+        }
+        return listeners;
+    }
+
+    private static List<Config.AmqpQueue> queues(Declaration declared, Map<String, Config.Login> logins) {
+        return declared.amqp().queues().stream()
+                .map(queue -> new Config.AmqpQueue(
+                        queue.name(),
+                        Endpoint.address(queue.address()),
+                        logins.get(queue.broker()),
+                        queue.queue(),
+                        queue.prefetch(),
+                        queue.autoAcknowledge(),
+                        queue.ends(),
+                        queue.replyQueue()))
+                .toList();
+    }
+
+    private static List<Config.MappingRule> mappings(Declaration declared) {
+        return declared.amqp().mappings().stream()
+                .map(mapping -> new Config.MappingRule(
+                        mapping.contentType(),
+                        mapping.id(),
+                        mapping.requestClass(),
+                        mapping.tenant(),
+                        mapping.key(),
+                        mapping.destination(),
+                        mapping.budget()))
+                .toList();
+    }
+
     private static Config.Http2 http2(Declaration declared, DerivedSettings figures) {
         List<Config.Http2Front> fronts = declared.http2().stream()
                 .map(f -> new Config.Http2Front(
