--- a/src/test/java/loftflow/stored/StoredConfigTest.java
+++ b/src/test/java/loftflow/stored/StoredConfigTest.java
@@ -10,8 +10,8 @@
 import loftflow.config.tool.ConfigTool;
 import loftflow.config.tool.RelayFile;
 import loftflow.engine.Endpoint;
-import loftflow.experiment.ExperimentRunner;
-import loftflow.experiment.scenario.Scenario;
+import loftflow.experiment.ScenarioFiles;
+import loftflow.experiment.scenario.FailureKind;
 import loftflow.experiment.scenario.ScenarioReader;
 import loftflow.experiment.scenario.ScenarioWriter;
 import loftflow.policy.api.Availability;
@@ -113,7 +113,7 @@
     @ValueSource(strings = {"all-failures", "hundred-herd"})
     void scenarioOfTheEarlierBuildIsReadAndWrittenAsItWas(String name) throws Exception {
         String text = Files.readString(StoredData.original("scenarios/" + name + ".toml"));
-        ScenarioReader.Read read = ExperimentRunner.read(name, text);
+        ScenarioReader.ReadResult read = ScenarioFiles.read(name, text);
         assertEquals(List.of(), read.findings());
         assertEquals(name, read.scenario().name());
         assertEquals(text, ScenarioWriter.of(read.scenario()));
@@ -123,7 +123,7 @@
     void scenarioOfTheEarlierBuildHoldsEveryKindOfFailureAndOfClass() throws Exception {
         String text = Files.readString(StoredData.original("scenarios/all-failures.toml"));
         String read =
-                ScenarioWriter.of(ExperimentRunner.read("all-failures", text).scenario());
+                ScenarioWriter.of(ScenarioFiles.read("all-failures", text).scenario());
         assertEquals(
                 List.of("repeat = \"repeatable\"", "repeat = \"by-key\"", "repeat = \"once\""),
                 read.lines().filter(line -> line.startsWith("repeat = ")).toList());
@@ -131,7 +131,7 @@
                 .lines()
                 .filter(line -> line.startsWith("kind = "))
                 .toList();
-        assertEquals(Scenario.Kind.values().length, failures.size());
+        assertEquals(FailureKind.values().length, failures.size());
         assertEquals(failures.size(), failures.stream().distinct().count());
     }
 }
--- a/src/test/java/loftflow/stored/StoredResultsTest.java
+++ b/src/test/java/loftflow/stored/StoredResultsTest.java
@@ -30,7 +30,7 @@
     void resultsOfTheEarlierBuildAreRead() throws IOException {
         try (ResultsFolder results = ResultsFolder.open(StoredData.copy("results", folder))) {
             assertEquals(RESULTS, results.results());
-            assertEquals(0, results.cut());
+            assertEquals(0, results.truncatedBytes());
         }
     }
 
@@ -53,7 +53,7 @@
         StoredData.tear(copy.resolve(NAME), 1);
         try (ResultsFolder results = ResultsFolder.open(copy)) {
             assertEquals(RESULTS.subList(0, 2), results.results());
-            assertEquals(57, results.cut());
+            assertEquals(57, results.truncatedBytes());
         }
         assertEquals(198, Files.size(copy.resolve(NAME)));
     }
