--- a/src/main/java/loftflow/listener/amqp/QueueConsumer.java
+++ b/src/main/java/loftflow/listener/amqp/QueueConsumer.java
@@ -31,14 +31,35 @@
  * broker. For use on the event loop only.
  */
 public final class QueueConsumer implements Listener, CompletionReplier, AmqpClientConnection.Owner {
-    /** For which messages completions are published; the names are values of a setting. */
+    /** For which messages completions are published. */
     public enum Tells {
         /** For messages with a reply queue. */
-        ASKED,
+        ASKED("asked"),
         /** Also for messages without one, to the reply queue of the settings. */
-        ALWAYS,
+        ALWAYS("always"),
         /** For none. */
-        NEVER
+        NEVER("never");
+
+        private final String setting;
+
+        Tells(String setting) {
+            this.setting = setting;
+        }
+
+        /**
+         * The constant for the value of a setting, in lower case.
+         *
+         * @throws IllegalArgumentException where the value is unknown
+         */
+        public static Tells ofSetting(String value) {
+            for (Tells tells : values()) {
+                if (tells.setting.equals(value)) {
+                    return tells;
+                }
+            }
+            throw new IllegalArgumentException(
+                    "unknown reply mode \"" + value + "\"; allowed are asked, always and never");
+        }
     }
 
     /**
--- a/src/main/java/loftflow/listener/http2/ClientSession.java
+++ b/src/main/java/loftflow/listener/http2/ClientSession.java
@@ -29,7 +29,7 @@
     /** The payload of the PING behind the first GOAWAY: "goodbye" in ASCII. */
     private static final long GO_AWAY_PING_PAYLOAD = 0x676f6f64627965L;
 
-    /** The stream of a request that asked for the upgrade to HTTP/2. */
+    /** The id of the stream that an upgrade from HTTP/1.1 begins with. */
     private static final int UPGRADE_STREAM_ID = 1;
 
     // Debug data of GOAWAY, which clients may log.
@@ -122,7 +122,7 @@
         super.userEventTriggered(ctx, event);
     }
 
-    /** Handles the request that asked for the upgrade, which is complete (RFC 7540, section 3.2). */
+    /** Handles the request with the upgrade, which is complete (RFC 7540, section 3.2). */
     private void onUpgrade(FullHttpRequest request) throws Http2Exception {
         request.headers().set(HttpConversionUtil.ExtensionHeaderNames.SCHEME.text(), "http");
         Http2Headers head = HttpConversionUtil.toHttp2Headers(request, true);
--- a/src/test/java/loftflow/listener/amqp/AmqpListenerTest.java
+++ b/src/test/java/loftflow/listener/amqp/AmqpListenerTest.java
@@ -173,15 +173,15 @@
 
     @Test
     void onlyTheConfiguredUserIsAdmitted() throws Exception {
-        AmqpListener guarded = listener("desk", SECOND_MICROS);
+        AmqpListener guarded = listener("operator", SECOND_MICROS);
         port = ((InetSocketAddress) guarded.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                         .sync()
                         .channel()
                         .localAddress())
                 .getPort();
-        assertThrows(IOException.class, () -> factory("desk", "guess").newConnection());
+        assertThrows(IOException.class, () -> factory("operator", "guess").newConnection());
         assertThrows(IOException.class, () -> factory("other", "secret").newConnection());
-        factory("desk", "secret").newConnection().close();
+        factory("operator", "secret").newConnection().close();
         onLoop(guarded::stopListening);
     }
 
--- a/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
+++ b/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
@@ -3,6 +3,7 @@
 import static loftflow.server.RelayProcess.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -321,4 +322,12 @@
         put("b");
         await(() -> messageAcceptor.messageIds().equals(List.of("a", "b")));
     }
+
+    @Test
+    void replyModeIsFoundByItsSetting() {
+        assertEquals(QueueConsumer.Tells.ASKED, QueueConsumer.Tells.ofSetting("asked"));
+        assertEquals(QueueConsumer.Tells.ALWAYS, QueueConsumer.Tells.ofSetting("always"));
+        assertEquals(QueueConsumer.Tells.NEVER, QueueConsumer.Tells.ofSetting("never"));
+        assertThrows(IllegalArgumentException.class, () -> QueueConsumer.Tells.ofSetting("ASKED"));
+    }
 }
--- a/src/test/java/loftflow/listener/http2/FramesTest.java
+++ b/src/test/java/loftflow/listener/http2/FramesTest.java
@@ -87,33 +87,28 @@
                                     new io.netty.handler.codec.http2.DefaultHttp2Headers(false).add("checksum", "1")));
                     return id;
                 }),
-                answered("the largest body, with its length", 202, c -> large(c, true, 4)),
-                answered("the largest body, without", 202, c -> large(c, false, 4)),
+                answered("the largest body, of known length", 202, c -> large(c, true, 4)),
+                answered("the largest body, of unknown length", 202, c -> large(c, false, 4)),
                 answered(
-                        "a body longer than any, told",
+                        "a body above the limit, of known length",
                         413,
                         c -> c.head(RawClient.message("m").add("content-length", "65537"), false)),
-                answered("a body longer than any, untold", 413, c -> {
+                answered("a body above the limit, of unknown length", 413, c -> {
                     int id = part(c, RawClient.message("m"), 4, false);
                     c.await(() -> c.windows.get(id) > 65_536 - 4_096);
                     c.data(id, new byte[1], false);
                     return id;
                 }),
                 // RFC 9113, section 6.9.1, allows either kind of error; Netty ends the connection with INTERNAL_ERROR.
-                ends("more than its window", 2, c -> {
+                ends("a body above its window", 2, c -> {
                     int id = c.head(RawClient.message("m"), false);
                     c.data(id, new byte[8 << 10], false);
                     return id;
                 }),
-                new Case(
-                        "a head on a stream that is closed",
-                        c -> closed(c, RawClient.HEADERS),
-                        202,
-                        STREAM_CLOSED,
-                        NONE),
-                new Case("DATA on a stream that is closed", c -> closed(c, RawClient.DATA), 202, STREAM_CLOSED, NONE),
+                new Case("HEADERS on a closed stream", c -> closed(c, RawClient.HEADERS), 202, STREAM_CLOSED, NONE),
+                new Case("DATA on a closed stream", c -> closed(c, RawClient.DATA), 202, STREAM_CLOSED, NONE),
                 answered(
-                        "no class that is known",
+                        "an unknown class",
                         400,
                         c -> c.send(RawClient.message("m").add("x-caller", "nobody"), "x")),
                 answered(
@@ -132,21 +127,21 @@
                 answered("another path", 404, c -> c.head(get("POST", "/other"), true)),
                 answered("another method", 405, c -> c.head(get("PUT", "/api"), true)),
                 answered("whether it is ready", 200, c -> c.head(get("GET", "/-/ready"), true)),
-                answered("a request that stops halfway", 408, c -> {
+                answered("an incomplete request", 408, c -> {
                     int id = c.head(RawClient.message("m").add("content-length", "3"), false);
                     c.data(id, new byte[] {'a'}, false);
                     return id;
                 }),
                 answered(
-                        "a list of headers that is too large",
+                        "a header list above the limit",
                         431,
                         c -> c.head(RawClient.message("m").add("x", "a".repeat(17_000)), true)),
-                reset("more than the length that was told", PROTOCOL_ERROR, c -> {
+                reset("more than the length in the head", PROTOCOL_ERROR, c -> {
                     int id = c.head(RawClient.message("m").add("content-length", "3"), false);
                     c.data(id, new byte[4], true);
                     return id;
                 }),
-                reset("less than the length that was told", PROTOCOL_ERROR, c -> {
+                reset("less than the length in the head", PROTOCOL_ERROR, c -> {
                     int id = c.head(RawClient.message("m").add("content-length", "3"), false);
                     c.data(id, new byte[2], true);
                     return id;
@@ -162,7 +157,7 @@
                         PROTOCOL_ERROR,
                         c -> c.head(RawClient.message("m").add(":method", "GET"), true)),
                 reset(
-                        "a pseudo header that there is none of",
+                        "an unknown pseudo header",
                         PROTOCOL_ERROR,
                         c -> c.head(RawClient.message("m").add(":status", "200"), true)),
                 reset(
@@ -173,7 +168,7 @@
                         "a header of HTTP/1.1's connections",
                         PROTOCOL_ERROR,
                         c -> c.head(RawClient.message("m").add("connection", "close"), true)),
-                reset("a second head that is no trailer", PROTOCOL_ERROR, c -> {
+                reset("a second head that is not a trailer", PROTOCOL_ERROR, c -> {
                     int id = c.head(RawClient.message("m"), false);
                     c.frame(RawClient.HEADERS, RawClient.END_HEADERS, id, c.encodeHeaders(id, RawClient.message("m")));
                     return id;
@@ -182,7 +177,7 @@
                     c.frame(RawClient.HEADERS, 5, 2, c.encodeHeaders(2, RawClient.message("m")));
                     return 2;
                 }),
-                ends("DATA on a stream that never was", PROTOCOL_ERROR, c -> {
+                ends("DATA on an idle stream", PROTOCOL_ERROR, c -> {
                     c.data(5, new byte[1], true);
                     return 5;
                 }),
@@ -196,23 +191,23 @@
                     c.data(id, new byte[(16 << 10) + 1], false);
                     return id;
                 }),
-                ends("a block of headers that nobody can read", 9, c -> {
+                ends("a malformed header block", 9, c -> {
                     c.frame(RawClient.HEADERS, 5, 1, new byte[] {
                         (byte) 0xff, (byte) 0xff, (byte) 0xff, (byte) 0xff, (byte) 0xff, 0x7f
                     });
                     return 1;
                 }),
-                ends("a block of headers that does not end", ENHANCE_YOUR_CALM, c -> {
+                ends("an endless header block", ENHANCE_YOUR_CALM, c -> {
                     c.frame(RawClient.HEADERS, 0, 1, c.encodeHeaders(1, RawClient.message("m")));
                     c.flood(2_000, RawClient.bytes(RawClient.CONTINUATION, 0, 1, new byte[0]));
                     return 1;
                 }),
-                ends("another block within one", PROTOCOL_ERROR, c -> {
+                ends("a header block within another", PROTOCOL_ERROR, c -> {
                     c.frame(RawClient.HEADERS, 0, 1, c.encodeHeaders(1, RawClient.message("m")));
                     c.frame(RawClient.HEADERS, 5, 3, c.encodeHeaders(3, RawClient.message("m")));
                     return 1;
                 }),
-                ends("a window beyond all bounds", 3, c -> {
+                ends("a window overflow", 3, c -> {
                     c.frame(RawClient.WINDOW_UPDATE, 0, 0, RawClient.number(Integer.MAX_VALUE));
                     return 0;
                 }),
@@ -222,11 +217,11 @@
                 }));
     }
 
-    private static int large(RawClient c, boolean told, int pieces) throws IOException {
+    private static int large(RawClient c, boolean hasLength, int pieces) throws IOException {
         Http2Headers head = RawClient.message("m");
         return part(
                 c,
-                told ? head.add("content-length", Integer.toString(pieces * LARGE_CHUNK.length)) : head,
+                hasLength ? head.add("content-length", Integer.toString(pieces * LARGE_CHUNK.length)) : head,
                 pieces,
                 true);
     }
@@ -332,10 +327,10 @@
                         true),
                 new Flood("priorities", RawClient.bytes(RawClient.PRIORITY, 0, 1, new byte[] {0, 0, 0, 3, 1}), true),
                 new Flood(
-                        "windows of a byte",
+                        "window updates of a byte",
                         RawClient.bytes(RawClient.WINDOW_UPDATE, 0, 0, RawClient.number(1)),
                         false),
-                new Flood("frames that nobody knows", RawClient.bytes(0x42, 0, 0, new byte[3]), false));
+                new Flood("unknown frames", RawClient.bytes(0x42, 0, 0, new byte[3]), false));
     }
 
     @ParameterizedTest
--- a/src/test/java/loftflow/listener/http2/Http2Benchmark.java
+++ b/src/test/java/loftflow/listener/http2/Http2Benchmark.java
@@ -20,14 +20,12 @@
 import loftflow.fake.TemporaryFolder;
 
 /**
- * Measurements of HTTP/2 beside HTTP/1.1, each a command: {@code load CORE} (messages a second, CPU of one, p99 at 70%,
- * the
- * relay on one core, by turns), {@code memory} (of idle connections and open streams), {@code slow CORE} (fast clients
- * beside
- * ten that don't read), {@code standing} (a relay for clients of others, until it is ended).
+ * Measurements of HTTP/2 and HTTP/1.1, each a command: {@code load CORE} (messages per second, CPU time of each, p99 at
+ * 70 % load, with the relay on one core), {@code memory} (of idle connections and open streams), {@code slow CORE} (fast
+ * clients beside ten unresponsive ones), {@code standing} (a relay for external clients, until it is stopped).
  */
 public final class Http2Benchmark {
-    /** So many connections with so many requests out on each; HTTP/1.1 has one. */
+    /** The number of connections and of concurrent requests on each; HTTP/1.1 has one. */
     private record Shape(boolean http2, int connections, int streams) {
         @Override
         public String toString() {
@@ -35,10 +33,12 @@
         }
     }
 
-    /** What a load has come to; spans in milliseconds from when a request was due, sorted. */
-    private record Outcome(long taken, long refused, List<Double> spans) {
+    /** The result of a load; sorted latencies in milliseconds from when a request was due. */
+    private record Outcome(long accepted, long rejected, List<Double> latencies) {
         double at(double share) {
-            return spans.isEmpty() ? 0 : spans.get((int) Math.min(spans.size() - 1, spans.size() * share));
+            return latencies.isEmpty()
+                    ? 0
+                    : latencies.get((int) Math.min(latencies.size() - 1, latencies.size() * share));
         }
     }
 
@@ -49,7 +49,7 @@
 
     private Http2Benchmark() {}
 
-    /** Runs one of them. */
+    /** Runs one command. */
     public static void main(String[] args) throws Exception {
         try (TemporaryFolder scratch = TemporaryFolder.named("measure")) {
             Path folder = scratch.folder();
@@ -131,12 +131,13 @@
     // ---- load
 
     /**
-     * Hands messages in for a while: as fast as answers come, or so many a second, each counted from when it was due.
+     * Sends messages for a time: as fast as responses arrive, or at a rate, where each latency counts from when the
+     * message was due.
      */
     private static Outcome run(ServedRelay relay, Shape shape, double seconds, double rate) throws Exception {
-        AtomicLong taken = new AtomicLong();
-        AtomicLong refused = new AtomicLong();
-        ConcurrentLinkedQueue<Double> spans = new ConcurrentLinkedQueue<>();
+        AtomicLong accepted = new AtomicLong();
+        AtomicLong rejected = new AtomicLong();
+        ConcurrentLinkedQueue<Double> latencies = new ConcurrentLinkedQueue<>();
         AtomicLong next = new AtomicLong();
         long start = System.nanoTime();
         long end = start + (long) (seconds * 1e9);
@@ -145,9 +146,9 @@
             Thread thread = new Thread(() -> {
                 try {
                     if (shape.http2()) {
-                        http2(relay, shape, start, end, rate, next, taken, refused, spans);
+                        http2(relay, shape, start, end, rate, next, accepted, rejected, latencies);
                     } else {
-                        http1(relay, start, end, rate, next, taken, refused, spans);
+                        http1(relay, start, end, rate, next, accepted, rejected, latencies);
                     }
                 } catch (IOException | InterruptedException e) {
                     say("%s", e);
@@ -159,7 +160,8 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        return new Outcome(taken.get(), refused.get(), spans.stream().sorted().toList());
+        return new Outcome(
+                accepted.get(), rejected.get(), latencies.stream().sorted().toList());
     }
 
     private static long due(long start, double rate, AtomicLong next) throws InterruptedException {
@@ -177,17 +179,17 @@
             long end,
             double rate,
             AtomicLong next,
-            AtomicLong taken,
-            AtomicLong refused,
-            ConcurrentLinkedQueue<Double> spans)
+            AtomicLong accepted,
+            AtomicLong rejected,
+            ConcurrentLinkedQueue<Double> latencies)
             throws IOException, InterruptedException {
         try (FakeClient client = relay.client()) {
             while (System.nanoTime() < end) {
                 long due = due(start, rate, next);
                 boolean ok =
                         client.handIn("m" + IDS.getAndIncrement(), "settlement", null, null, 7, 2_000, BODY) == 202;
-                (ok ? taken : refused).incrementAndGet();
-                spans.add((System.nanoTime() - due) / 1e6);
+                (ok ? accepted : rejected).incrementAndGet();
+                latencies.add((System.nanoTime() - due) / 1e6);
             }
         }
     }
@@ -199,63 +201,63 @@
             long end,
             double rate,
             AtomicLong next,
-            AtomicLong taken,
-            AtomicLong refused,
-            ConcurrentLinkedQueue<Double> spans)
+            AtomicLong accepted,
+            AtomicLong rejected,
+            ConcurrentLinkedQueue<Double> latencies)
             throws IOException, InterruptedException {
         try (RawClient client = RawClient.open("127.0.0.1", relay.http2Port())) {
             client.await(() -> !client.streamLimits.isEmpty());
-            Semaphore room = new Semaphore(shape.streams());
-            Map<Integer, Long> out = new ConcurrentHashMap<>();
+            Semaphore permits = new Semaphore(shape.streams());
+            Map<Integer, Long> inFlight = new ConcurrentHashMap<>();
             Thread reader = new Thread(() -> {
                 try {
                     client.await(() -> {
                         client.resets.keySet().forEach(id -> {
                             client.resets.remove(id);
-                            heard(out.remove(id), false, taken, refused, spans, room);
+                            onResponse(inFlight.remove(id), false, accepted, rejected, latencies, permits);
                         });
                         client.statuses.forEach((id, status) -> {
                             client.statuses.remove(id);
                             client.answers.remove(id);
-                            heard(out.remove(id), status == 202, taken, refused, spans, room);
+                            onResponse(inFlight.remove(id), status == 202, accepted, rejected, latencies, permits);
                         });
                         return false;
                     });
                 } catch (IOException e) {
-                    // It was closed at the end.
+                    // The client was closed at the end.
                 }
             });
             reader.start();
             while (System.nanoTime() < end) {
                 long due = due(start, rate, next);
-                if (!room.tryAcquire(5, TimeUnit.SECONDS)) {
-                    throw new IOException("no answer came for 5 s; " + out.size() + " are out, told "
+                if (!permits.tryAcquire(5, TimeUnit.SECONDS)) {
+                    throw new IOException("no response within 5 s; in flight: " + inFlight.size() + ", GOAWAY: "
                             + client.goAways.stream()
                                     .map(g -> g[0] + "/" + g[1])
                                     .toList() + ", ended " + client.hasEnded);
                 }
-                while (out.size() >= client.streamLimits.get(client.streamLimits.size() - 1)) {
+                while (inFlight.size() >= client.streamLimits.get(client.streamLimits.size() - 1)) {
                     Thread.sleep(0, 100_000);
                 }
-                // Told before it is sent, as its answer may be quicker.
-                out.put(client.nextStream(), due);
+                // Stored before it is sent, as its response may be faster.
+                inFlight.put(client.nextStream(), due);
                 client.send(RawClient.message("m" + IDS.getAndIncrement(), "settlement", null, 7, 2_000), BODY);
             }
-            room.tryAcquire(shape.streams(), 5, TimeUnit.SECONDS);
+            permits.tryAcquire(shape.streams(), 5, TimeUnit.SECONDS);
         }
     }
 
-    private static void heard(
+    private static void onResponse(
             Long due,
             boolean ok,
-            AtomicLong taken,
-            AtomicLong refused,
-            ConcurrentLinkedQueue<Double> spans,
-            Semaphore room) {
+            AtomicLong accepted,
+            AtomicLong rejected,
+            ConcurrentLinkedQueue<Double> latencies,
+            Semaphore permits) {
         if (due != null) {
-            (ok ? taken : refused).incrementAndGet();
-            spans.add((System.nanoTime() - due) / 1e6);
-            room.release();
+            (ok ? accepted : rejected).incrementAndGet();
+            latencies.add((System.nanoTime() - due) / 1e6);
+            permits.release();
         }
     }
 
@@ -279,8 +281,8 @@
                     double before = relay.cpuSeconds();
                     Outcome fast = run(relay, shape, SECONDS, 0);
                     Thread.sleep(1_000);
-                    double each = (relay.cpuSeconds() - before) * 1e6 / fast.taken();
-                    double capacity = fast.taken() / SECONDS;
+                    double each = (relay.cpuSeconds() - before) * 1e6 / fast.accepted();
+                    double capacity = fast.accepted() / SECONDS;
                     Thread.sleep(1_000);
                     Outcome paced = run(relay, shape, SECONDS, capacity * 0.7);
                     say(
@@ -288,12 +290,12 @@
                                     + " refused",
                             shape,
                             capacity,
-                            fast.refused(),
+                            fast.rejected(),
                             each,
                             paced.at(0.5),
                             paced.at(0.99),
-                            paced.refused(),
-                            paced.taken() + paced.refused());
+                            paced.rejected(),
+                            paced.accepted() + paced.rejected());
                 }
             }
         }
@@ -320,7 +322,7 @@
             Thread.sleep(1_000);
             long heap = collect(relay);
             say("1,000 idle connections: %d KiB resident more, heap in use %d KiB", relay.residentKib() - before, heap);
-            // Open, and half read: they stay for 2.5 s.
+            // Open and partly received: they stay for 2.5 s.
             for (int c = 0; c < 10; c++) {
                 for (int i = 0; i < 1_000; i++) {
                     idle.get(c).head(RawClient.message("h" + c + "-" + i).add("content-length", "10"), false);
@@ -336,7 +338,7 @@
         }
     }
 
-    /** Asks the virtual machine to collect, by the JDK's own tool, and returns what is in use then, in KiB. */
+    /** Requests a garbage collection with the JDK's own tool, and returns the heap in use after it, in KiB. */
     private static long collect(ServedRelay relay) throws Exception {
         for (String what : List.of("GC.run", "GC.heap_info")) {
             Process tool = new ProcessBuilder(
@@ -361,11 +363,11 @@
         return 0;
     }
 
-    // ---- beside slow ones
+    // ---- beside unresponsive clients
 
     /**
-     * Ten others beside fast clients: none, at 20 a second and reading, at 20 a second and deaf, and flooding with
-     * nonsense.
+     * Fast clients beside ten others: none, at 20 messages a second and reading, at 20 a second and not reading, and
+     * flooding with invalid requests.
      */
     private static void slow(Path folder, String core) throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
@@ -391,8 +393,8 @@
                     say(
                             "beside 10 %s: %d of %d taken of fast ones at 1,500 a second, p50 %.1f ms, p99 %.1f ms; ended %d",
                             kind,
-                            paced.taken(),
-                            paced.taken() + paced.refused(),
+                            paced.accepted(),
+                            paced.accepted() + paced.rejected(),
                             paced.at(0.5),
                             paced.at(0.99),
                             ended.get());
--- a/src/test/java/loftflow/listener/http2/Http2TestBase.java
+++ b/src/test/java/loftflow/listener/http2/Http2TestBase.java
@@ -47,7 +47,7 @@
                 100, 400, 1 << 20, new ConnectionExpiry.Spans(SECOND_MICROS, 60 * SECOND_MICROS, 0, SECOND_MICROS));
     }
 
-    static Http2Listener.Options options(int streams, int total, long pool, ConnectionExpiry.Spans spans) {
+    static Http2Listener.Options options(int streams, int total, long pool, ConnectionExpiry.Spans limits) {
         return new Http2Listener.Options(
                 20,
                 new ConcurrentStreamLimit.Bounds(2, streams, total),
@@ -56,7 +56,7 @@
                 pool,
                 Map.of("settlement", 0.8, "car-order", 0.2),
                 100,
-                spans,
+                limits,
                 SECOND_MICROS);
     }
 
