--- a/src/main/java/loftflow/upstream/http/UpstreamCall.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamCall.java
@@ -2,14 +2,9 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -207,9 +202,11 @@
     /** Builds the request, with the time that is left as its timeout. */
     FullHttpRequest createRequest() {
         if (isProbe()) {
-            return createRequest(HttpMethod.GET, probePath, new byte[0]);
+            return RequestFactory.createProbe(owner.authority(), probePath);
         }
-        FullHttpRequest request = isBatch ? createBatchRequest() : createSingleRequest();
+        FullHttpRequest request = isBatch
+                ? RequestFactory.createBatch(owner.authority(), pendingAttempts.keySet())
+                : createSingleRequest();
         long latestTimeoutMicros = pendingAttempts.values().stream()
                 .mapToLong(PendingAttempt::timeoutAtMicros)
                 .max()
@@ -219,32 +216,9 @@
         return request;
     }
 
-    private FullHttpRequest createBatchRequest() {
-        byte[] body = BatchCodec.encode(pendingAttempts.keySet());
-        FullHttpRequest request = createRequest(HttpMethod.POST, HostProtocol.BATCH_PATH, body);
-        request.headers().set(HttpHeaderNames.CONTENT_TYPE, HostProtocol.BATCH_CONTENT_TYPE);
-        return request;
-    }
-
     private FullHttpRequest createSingleRequest() {
-        Message.Content content =
-                pendingAttempts.keySet().iterator().next().message().content();
-        FullHttpRequest request = createRequest(HttpMethod.POST, HostProtocol.SINGLE_PATH, content.body());
-        request.headers().set(HostProtocol.MESSAGE_ID_HEADER, content.messageId());
-        if (content.key() != null) {
-            request.headers().set(HostProtocol.IDEMPOTENCY_KEY_HEADER, content.key());
-        }
-        return request;
-    }
-
-    private FullHttpRequest createRequest(HttpMethod method, String path, byte[] content) {
-        FullHttpRequest request =
-                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(content));
-        request.headers().set(HttpHeaderNames.HOST, owner.authority());
-        if (method == HttpMethod.POST) {
-            HttpUtil.setContentLength(request, content.length);
-        }
-        return request;
+        Message.Attempt attempt = pendingAttempts.keySet().iterator().next();
+        return RequestFactory.createSingle(owner.authority(), attempt.message().content());
     }
 
     /**
--- a/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
+++ b/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
@@ -21,17 +21,10 @@
 import loftflow.fake.ScriptedPeer;
 import loftflow.policy.api.AttemptOutcome;
 import loftflow.policy.api.Availability;
-import loftflow.policy.api.DestinationKind;
 import loftflow.policy.api.EndpointEntry;
 import loftflow.policy.api.EndpointListKind;
-import loftflow.policy.api.Idempotency;
-import loftflow.policy.api.KeyScope;
 import loftflow.policy.api.LimitReport;
 import loftflow.policy.api.PolicySettings;
-import loftflow.policy.api.RateHint;
-import loftflow.policy.api.RelayLimits;
-import loftflow.policy.api.RequestClass;
-import loftflow.policy.api.ServiceRules;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -52,31 +45,7 @@
 
     @BeforeEach
     void start() throws IOException {
-        PolicySettings settings = new PolicySettings(
-                3,
-                0,
-                1,
-                "b0",
-                List.of(new RequestClass(
-                        "unsafe",
-                        Idempotency.NON_IDEMPOTENT,
-                        KeyScope.ALL,
-                        0,
-                        SECOND_MICROS,
-                        30 * SECOND_MICROS,
-                        5,
-                        0.3,
-                        false)),
-                List.of(),
-                List.of(new DestinationKind("k", false, 1)),
-                List.of(),
-                new RelayLimits(8, 200, 12, true, true, false, false, true, 5 * SECOND_MICROS),
-                new ServiceRules(0, SECOND_MICROS / 2, 2.5, 2 * SECOND_MICROS, 0.2, 5 * SECOND_MICROS, 0, 0),
-                1,
-                false,
-                false,
-                RateHint.NONE,
-                0);
+        PolicySettings settings = UpstreamSettings.withMaxBatchSize(1);
         client = new HttpUpstreamClient(
                 loop,
                 clock,
--- a/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
+++ b/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
@@ -31,17 +31,9 @@
 import loftflow.fake.ScriptedPeer;
 import loftflow.policy.api.AttemptOutcome;
 import loftflow.policy.api.Availability;
-import loftflow.policy.api.DestinationKind;
 import loftflow.policy.api.EndpointEntry;
 import loftflow.policy.api.EndpointListKind;
-import loftflow.policy.api.Idempotency;
-import loftflow.policy.api.KeyScope;
 import loftflow.policy.api.LimitReport;
-import loftflow.policy.api.PolicySettings;
-import loftflow.policy.api.RateHint;
-import loftflow.policy.api.RelayLimits;
-import loftflow.policy.api.RequestClass;
-import loftflow.policy.api.ServiceRules;
 import loftflow.server.KernelSocketState;
 import loftflow.server.RelayProcess;
 import org.junit.jupiter.api.AfterEach;
@@ -77,41 +69,13 @@
         client = new HttpUpstreamClient(
                 loop,
                 clock,
-                settings(),
+                UpstreamSettings.withMaxBatchSize(4),
                 new HttpUpstreamClient.Options(false, 2 * SECOND_MICROS, 4, 0),
                 this,
                 RaceConditionsTest::smallSocket);
         list(host.address());
     }
 
-    private static PolicySettings settings() {
-        return new PolicySettings(
-                3,
-                0,
-                1,
-                "b0",
-                List.of(new RequestClass(
-                        "unsafe",
-                        Idempotency.NON_IDEMPOTENT,
-                        KeyScope.ALL,
-                        0,
-                        SECOND_MICROS,
-                        30 * SECOND_MICROS,
-                        5,
-                        0.3,
-                        false)),
-                List.of(),
-                List.of(new DestinationKind("k", false, 4)),
-                List.of(),
-                new RelayLimits(8, 200, 12, true, true, false, false, true, 5 * SECOND_MICROS),
-                new ServiceRules(0, SECOND_MICROS / 2, 2.5, 2 * SECOND_MICROS, 0.2, 5 * SECOND_MICROS, 0, 0),
-                1,
-                false,
-                false,
-                RateHint.NONE,
-                0);
-    }
-
     /** A socket with a small send buffer, so that a write stays incomplete while the peer does not read. */
     private static Channel smallSocket() {
         NioSocketChannel channel = new NioSocketChannel();
