--- a/src/main/java/loftflow/warmstart/EndpointHistory.java
+++ b/src/main/java/loftflow/warmstart/EndpointHistory.java
@@ -135,9 +135,7 @@
             for (KnownEndpoint endpoint : List.copyOf(endpoints.values())) {
                 EndpointTrust trust = trustOf(endpoint, snapshot, downtime, hasAllDeltas);
                 summary.count(trust);
-                endpoints.put(
-                        endpoint.id(),
-                        endpoint.withEvidenceNoLaterThan(rules.trust().latestEvidenceMicros(trust, nowMicros)));
+                capEvidence(endpoint, trust, nowMicros);
                 if (trust != EndpointTrust.NEVER) {
                     list.add(new ListedEndpoint(endpoint.listed(), endpoint.address()));
                     restoredRoutes.add(restore(endpoint, trust, snapshot.time(), downtime, nowMicros));
@@ -197,6 +195,12 @@
                 : rules.trust().trustOf(endpoint, snapshot.time(), downtime, hasAllDeltas);
     }
 
+    /** Lowers the evidence to the trust of this start, so that the next one trusts the endpoint no more. */
+    private void capEvidence(KnownEndpoint endpoint, EndpointTrust trust, long nowMicros) {
+        long latestMicros = rules.trust().latestEvidenceMicros(trust, nowMicros);
+        endpoints.put(endpoint.id(), endpoint.withEvidenceNoLaterThan(latestMicros));
+    }
+
     private RouteRestored restore(
             KnownEndpoint endpoint,
             EndpointTrust trust,
