--- a/src/test/java/loftflow/deadletter/StoredCodesTest.java
+++ b/src/test/java/loftflow/deadletter/StoredCodesTest.java
@@ -5,21 +5,38 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /** The codes in the database and the admin protocol, which must not change. */
 class StoredCodesTest {
+    private static Stream<Arguments> stateCodes() {
+        return Stream.of(
+                Arguments.of(DeadLetter.State.KEPT, "KEPT"),
+                Arguments.of(DeadLetter.State.REDRIVING, "RESENDING"),
+                Arguments.of(DeadLetter.State.DELIVERED, "DELIVERED"),
+                Arguments.of(DeadLetter.State.DISCARDED, "DISCARDED"));
+    }
+
     @ParameterizedTest
-    @CsvSource({"KEPT, KEPT", "REDRIVING, RESENDING", "DELIVERED, DELIVERED", "DISCARDED, DISCARDED"})
+    @MethodSource("stateCodes")
     void stateCodesArePinned(DeadLetter.State state, String code) {
         assertEquals(code, state.code());
         assertEquals(state, DeadLetter.State.ofCode(code));
     }
 
+    private static Stream<Arguments> certaintyCodes() {
+        return Stream.of(
+                Arguments.of(ExecutionCertainty.NOT_EXECUTED, "NEVER"),
+                Arguments.of(ExecutionCertainty.MAYBE, "MAYBE"),
+                Arguments.of(ExecutionCertainty.EXECUTED, "DID"));
+    }
+
     @ParameterizedTest
-    @CsvSource({"NOT_EXECUTED, NEVER", "MAYBE, MAYBE", "EXECUTED, DID"})
+    @MethodSource("certaintyCodes")
     void certaintyCodesArePinned(ExecutionCertainty certainty, String code) {
         assertEquals(code, certainty.code());
         assertEquals(certainty, ExecutionCertainty.ofCode(code));
--- a/src/test/java/loftflow/warmstart/store/StoredCodesTest.java
+++ b/src/test/java/loftflow/warmstart/store/StoredCodesTest.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.stream.Stream;
 import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointEntry;
 import loftflow.policy.api.RouteSnapshot;
@@ -15,26 +16,51 @@
 import loftflow.warmstart.SnapshotDelta;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /** The numbers and bytes of warm start files, which must not change: files of earlier versions are read. */
 class StoredCodesTest {
+    private static Stream<Arguments> availabilityCodes() {
+        return Stream.of(
+                Arguments.of(Availability.LISTED, (byte) 0),
+                Arguments.of(Availability.DRAINING, (byte) 1),
+                Arguments.of(Availability.REMOVED, (byte) 2));
+    }
+
     @ParameterizedTest
-    @CsvSource({"LISTED, 0", "DRAINING, 1", "REMOVED, 2"})
+    @MethodSource("availabilityCodes")
     void availabilityCodesArePinned(Availability availability, byte code) throws IOException {
         assertEquals(code, StoredCodes.of(availability));
         assertEquals(availability, StoredCodes.availability(code));
     }
 
+    private static Stream<Arguments> stateCodes() {
+        return Stream.of(
+                Arguments.of(KnownEndpoint.State.LISTED, (byte) 0),
+                Arguments.of(KnownEndpoint.State.OUT_OF_SERVICE, (byte) 1),
+                Arguments.of(KnownEndpoint.State.STRUCK, (byte) 2));
+    }
+
     @ParameterizedTest
-    @CsvSource({"LISTED, 0", "OUT_OF_SERVICE, 1", "STRUCK, 2"})
+    @MethodSource("stateCodes")
     void stateCodesArePinned(KnownEndpoint.State state, byte code) throws IOException {
         assertEquals(code, StoredCodes.of(state));
         assertEquals(state, StoredCodes.state(code));
     }
 
+    private static Stream<Arguments> deltaKindCodes() {
+        return Stream.of(
+                Arguments.of(SnapshotDelta.Kind.OUT_OF_SERVICE, (byte) 0),
+                Arguments.of(SnapshotDelta.Kind.EJECTED, (byte) 1),
+                Arguments.of(SnapshotDelta.Kind.RETRY_AFTER, (byte) 2),
+                Arguments.of(SnapshotDelta.Kind.FAILED, (byte) 3),
+                Arguments.of(SnapshotDelta.Kind.RECOVERED, (byte) 4),
+                Arguments.of(SnapshotDelta.Kind.DELTAS_LOST, (byte) 5));
+    }
+
     @ParameterizedTest
-    @CsvSource({"OUT_OF_SERVICE, 0", "EJECTED, 1", "RETRY_AFTER, 2", "FAILED, 3", "RECOVERED, 4", "DELTAS_LOST, 5"})
+    @MethodSource("deltaKindCodes")
     void deltaKindCodesArePinned(SnapshotDelta.Kind kind, byte code) throws IOException {
         assertEquals(code, StoredCodes.of(kind));
         assertEquals(kind, StoredCodes.kind(code));
