--- a/src/main/java/loftflow/server/AmqpOptions.java
+++ b/src/main/java/loftflow/server/AmqpOptions.java
@@ -75,7 +75,7 @@
                 queue.queue(),
                 queue.prefetch(),
                 queue.autoAcknowledge(),
-                QueueConsumer.Tells.valueOf(queue.completionReplies().toUpperCase(Locale.ROOT)),
+                QueueConsumer.Tells.ofSetting(queue.completionReplies()),
                 queue.replyQueue(),
                 connectTimeoutMicros);
     }
