--- a/src/main/java/loftflow/admin/AdminClient.java
+++ b/src/main/java/loftflow/admin/AdminClient.java
@@ -22,11 +22,11 @@
      * @return false where no relay listens there
      * @throws IOException where the connection breaks
      */
-    public static boolean ask(Path folder, Map<String, String> request, Consumer<String> responseLines)
+    public static boolean request(Path folder, Map<String, String> request, Consumer<String> responseLines)
             throws IOException {
         SocketChannel channel;
         try {
-            channel = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve(AdminServer.NAME)));
+            channel = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve(AdminServer.SOCKET_NAME)));
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/loftflow/admin/AdminServer.java
+++ b/src/main/java/loftflow/admin/AdminServer.java
@@ -26,7 +26,7 @@
 /** Serves the admin socket, one request at a time, on a thread of its own. */
 public final class AdminServer implements AutoCloseable {
     /** Name of the socket in the state folder. */
-    public static final String NAME = "admin.sock";
+    public static final String SOCKET_NAME = "admin.sock";
 
     private static final int MAX_REQUEST_CHARACTERS = 64 << 10;
 
@@ -49,7 +49,7 @@
     /** Starts to listen in a folder. Only the user of the relay can connect. */
     public AdminServer(Path folder, Commands commands) throws IOException {
         this.commands = commands;
-        file = folder.resolve(NAME);
+        file = folder.resolve(SOCKET_NAME);
         // Removes the socket of a process that was killed; binding would fail otherwise.
         Files.deleteIfExists(file);
         listener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
--- a/src/main/java/loftflow/admin/DeadLetterCommands.java
+++ b/src/main/java/loftflow/admin/DeadLetterCommands.java
@@ -95,16 +95,16 @@
     }
 
     /** Runs an action for each selected dead letter, in pages: a large store is not read into memory as a whole. */
-    private void forEach(DeadLetterFilterReader selection, Action action) throws InterruptedException {
+    private void forEach(DeadLetterSelection selection, Action action) throws InterruptedException {
         // A single dead letter is the first from its id on, if the filter selects it at all.
         boolean isSingle = selection.id() != 0;
         long fromId = selection.id();
-        long remaining = isSingle ? Math.min(1, selection.most()) : selection.most();
+        long remaining = isSingle ? Math.min(1, selection.maxEntries()) : selection.maxEntries();
         while (remaining > 0) {
             long pageStart = fromId;
             int pageSize = (int) Math.min(PAGE_SIZE, remaining);
             List<DeadLetter> page =
-                    inStore(store -> store.list(selection.filter(), pageStart, pageSize, selection.bodies()));
+                    inStore(store -> store.list(selection.filter(), pageStart, pageSize, selection.withBodies()));
             for (DeadLetter deadLetter : page) {
                 if (!isSingle || deadLetter.id() == selection.id()) {
                     action.accept(deadLetter);
@@ -116,7 +116,7 @@
     }
 
     private DeadLetter find(Map<String, String> request) throws InterruptedException {
-        long id = DeadLetterFilterReader.id(request);
+        long id = DeadLetterSelection.id(request);
         Optional<DeadLetter> deadLetter = inStore(store -> store.get(id));
         return deadLetter.orElseThrow(() -> new IllegalArgumentException("there is no entry " + id));
     }
@@ -139,18 +139,18 @@
     }
 
     private void list(Map<String, String> request, Consumer<String> out) throws InterruptedException {
-        DeadLetterFilterReader selection = DeadLetterFilterReader.of(request);
+        DeadLetterSelection selection = DeadLetterSelection.of(request);
         forEach(
                 selection,
-                deadLetter -> out.accept(
-                        JsonLines.entry(deadLetter, selection.bodies(), describe(decide(deadLetter)), List.of())));
+                deadLetter -> out.accept(JsonLines.deadLetter(
+                        deadLetter, selection.withBodies(), describe(decide(deadLetter)), List.of())));
     }
 
     private void show(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         DeadLetter deadLetter = find(request);
-        List<String> audits = inStore(store -> store.audits(deadLetter.id()));
+        List<String> audits = inStore(store -> store.auditTrail(deadLetter.id()));
         boolean withBody = request.containsKey(AdminProtocol.BODY);
-        out.accept(JsonLines.entry(deadLetter, withBody, describe(decide(deadLetter)), audits));
+        out.accept(JsonLines.deadLetter(deadLetter, withBody, describe(decide(deadLetter)), audits));
     }
 
     private String stats() throws InterruptedException {
@@ -199,8 +199,8 @@
         operator(request);
         boolean isDryRun = request.containsKey(AdminProtocol.DRY_RUN);
         boolean isCancel = request.containsKey(AdminProtocol.CANCEL);
-        forEach(DeadLetterFilterReader.of(request), deadLetter -> {
-            if (deadLetter.state() != DeadLetter.State.KEPT) {
+        forEach(DeadLetterSelection.of(request), deadLetter -> {
+            if (deadLetter.state() != DeadLetter.State.STORED) {
                 return;
             }
             RedrivePolicy.Decision decision = decide(deadLetter);
@@ -223,15 +223,15 @@
     private boolean setDue(long id, boolean isCancel, Map<String, String> request) throws InterruptedException {
         audit(request, isCancel ? AUDIT_CANCEL : AUDIT_REDRIVE, id);
         long dueMicros = isCancel ? DeadLetter.NEVER_DUE : clock.micros();
-        return inStore(store -> store.transition(id, DeadLetter.State.KEPT, DeadLetter.State.KEPT, dueMicros));
+        return inStore(store -> store.transition(id, DeadLetter.State.STORED, DeadLetter.State.STORED, dueMicros));
     }
 
     private void confirm(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         String operator = operator(request);
         String reason = operatorReason(request);
         DeadLetter deadLetter = find(request);
-        boolean isExecuted = deadLetter.ran() == ExecutionCertainty.EXECUTED;
-        if (isExecuted || deadLetter.state() != DeadLetter.State.KEPT) {
+        boolean isExecuted = deadLetter.certainty() == ExecutionCertainty.EXECUTED;
+        if (isExecuted || deadLetter.state() != DeadLetter.State.STORED) {
             String state = isExecuted
                     ? "proven to be delivered"
                     : AdminProtocol.nameOf(deadLetter.state().code());
@@ -239,8 +239,8 @@
         }
         audit(request, AUDIT_CONFIRM, deadLetter.id());
         long nowMicros = clock.micros();
-        DeadLetter.Confirmation confirmation =
-                new DeadLetter.Confirmation(operator, reason, deadLetter.tries().size(), nowMicros);
+        DeadLetter.Confirmation confirmation = new DeadLetter.Confirmation(
+                operator, reason, deadLetter.attempts().size(), nowMicros);
         boolean isDone = inStore(store -> store.recordConfirmation(deadLetter.id(), confirmation, nowMicros));
         out.accept(done(deadLetter.id(), isDone));
     }
@@ -251,7 +251,7 @@
         DeadLetter deadLetter = find(request);
         audit(request, AUDIT_DISCARD, deadLetter.id());
         boolean isDone = inStore(store -> store.transition(
-                deadLetter.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, DeadLetter.NEVER_DUE));
+                deadLetter.id(), DeadLetter.State.STORED, DeadLetter.State.DISCARDED, DeadLetter.NEVER_DUE));
         out.accept(done(deadLetter.id(), isDone));
     }
 
--- a/src/main/java/loftflow/admin/DeadLetterFilterReader.java
+++ b/src/main/java/loftflow/admin/DeadLetterSelection.java
@@ -15,10 +15,10 @@
  * The dead letters that a request selects.
  *
  * @param id the id of a single one; 0 for any
- * @param most how many at most
- * @param bodies whether their bodies are requested too
+ * @param maxEntries how many at most
+ * @param withBodies whether their bodies are requested too
  */
-public record DeadLetterFilterReader(DeadLetterStore.Filter filter, long id, long most, boolean bodies) {
+public record DeadLetterSelection(DeadLetterStore.Filter filter, long id, long maxEntries, boolean withBodies) {
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
@@ -26,7 +26,7 @@
      *
      * @throws IllegalArgumentException where a member is invalid; the message names it
      */
-    public static DeadLetterFilterReader of(Map<String, String> request) {
+    public static DeadLetterSelection of(Map<String, String> request) {
         DeadLetterStore.Filter filter = new DeadLetterStore.Filter(
                 code(request, AdminProtocol.STATE, DeadLetter.State.values(), DeadLetter.State::code),
                 request.containsKey(AdminProtocol.DESTINATION)
@@ -37,7 +37,7 @@
                 code(request, AdminProtocol.CERTAINTY, ExecutionCertainty.values(), ExecutionCertainty::code),
                 timeMicros(request, AdminProtocol.SINCE),
                 timeMicros(request, AdminProtocol.UNTIL));
-        return new DeadLetterFilterReader(
+        return new DeadLetterSelection(
                 filter,
                 request.containsKey(AdminProtocol.ID) ? id(request) : 0,
                 request.containsKey(AdminProtocol.MAX_ENTRIES)
--- a/src/main/java/loftflow/admin/JsonLines.java
+++ b/src/main/java/loftflow/admin/JsonLines.java
@@ -54,7 +54,7 @@
      * @param decision the redrive decision; null leaves it out
      * @param audits lines of its audit trail; left out where there are none
      */
-    public static String entry(DeadLetter deadLetter, boolean withBody, String decision, List<String> audits) {
+    public static String deadLetter(DeadLetter deadLetter, boolean withBody, String decision, List<String> audits) {
         return line(json -> {
             json.writeNumberField(AdminProtocol.ID, deadLetter.id());
             writeContent(json, deadLetter);
@@ -67,7 +67,7 @@
                 json.writeStringField(AdminProtocol.CONFIRMATION, confirmation.by() + ": " + confirmation.reason());
             }
             json.writeArrayFieldStart(AdminProtocol.ATTEMPTS);
-            for (DeadLetter.Attempt attempt : deadLetter.tries()) {
+            for (DeadLetter.Attempt attempt : deadLetter.attempts()) {
                 writeAttempt(json, attempt);
             }
             json.writeEndArray();
@@ -93,7 +93,8 @@
         json.writeStringField(
                 AdminProtocol.STATE, AdminProtocol.nameOf(deadLetter.state().code()));
         json.writeStringField(
-                AdminProtocol.CERTAINTY, AdminProtocol.nameOf(deadLetter.ran().code()));
+                AdminProtocol.CERTAINTY,
+                AdminProtocol.nameOf(deadLetter.certainty().code()));
         json.writeStringField(AdminProtocol.REASON, deadLetter.reason());
         json.writeStringField(AdminProtocol.CLIENT_REPLY, deadLetter.clientReply());
         json.writeNumberField(AdminProtocol.REDRIVES, deadLetter.redrives());
--- a/src/main/java/loftflow/cli/DeadLetterCommand.java
+++ b/src/main/java/loftflow/cli/DeadLetterCommand.java
@@ -12,10 +12,11 @@
 import java.util.concurrent.Callable;
 import java.util.function.Consumer;
 import loftflow.admin.AdminClient;
-import loftflow.admin.DeadLetterFilterReader;
+import loftflow.admin.DeadLetterSelection;
 import loftflow.admin.JsonLines;
 import loftflow.deadletter.DeadLetter;
 import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.DeadLetterStoreException;
 import loftflow.deadletter.store.SqliteDeadLetterStore;
 import loftflow.json.JsonFields;
 import picocli.CommandLine;
@@ -93,14 +94,14 @@
 
         /** Asks a running relay; without one {@code stopped} is done, or an error told where that is null. */
         int ask(Map<String, String> request, Consumer<String> lines, Runnable stopped) throws IOException {
-            boolean runs = AdminClient.ask(folder, request, line -> take(line, lines));
+            boolean runs = AdminClient.request(folder, request, line -> take(line, lines));
             if (!runs && stopped == null) {
                 throw new IOException("no relay listens on " + folder.resolve("admin.sock"));
             }
             if (!runs) {
                 try {
                     stopped.run();
-                } catch (IllegalArgumentException | DeadLetterStore.ShelfException e) {
+                } catch (IllegalArgumentException | DeadLetterStoreException e) {
                     throw new IOException(e.getMessage(), e);
                 }
             }
@@ -110,20 +111,20 @@
         }
 
         DeadLetterStore file() {
-            return SqliteDeadLetterStore.reading(folder);
+            return SqliteDeadLetterStore.openReadOnly(folder);
         }
 
         /** Hands on the entries that a request means, from the file of a stopped relay. */
         void fromFile(Map<String, String> request, Consumer<String> lines) {
-            DeadLetterFilterReader filters = DeadLetterFilterReader.of(request);
+            DeadLetterSelection filters = DeadLetterSelection.of(request);
             try (DeadLetterStore shelf = file()) {
                 long from = 0;
-                long left = filters.most();
+                long left = filters.maxEntries();
                 while (left > 0) {
                     int page = (int) Math.min(PAGE, left);
-                    List<DeadLetter> entries = shelf.list(filters.filter(), from, page, filters.bodies());
+                    List<DeadLetter> entries = shelf.list(filters.filter(), from, page, filters.withBodies());
                     for (DeadLetter entry : entries) {
-                        lines.accept(JsonLines.entry(entry, filters.bodies(), null, List.of()));
+                        lines.accept(JsonLines.deadLetter(entry, filters.withBodies(), null, List.of()));
                         from = entry.id() + 1;
                     }
                     left = entries.size() < page ? 0 : left - page;
@@ -243,10 +244,9 @@
             }
             return ask(request, out()::println, () -> {
                 try (DeadLetterStore shelf = file()) {
-                    DeadLetter entry = shelf.get(
-                                    DeadLetterFilterReader.of(request).id())
+                    DeadLetter entry = shelf.get(DeadLetterSelection.of(request).id())
                             .orElseThrow(() -> new IllegalArgumentException("there is no entry " + id));
-                    out().println(JsonLines.entry(entry, body, null, shelf.audits(entry.id())));
+                    out().println(JsonLines.deadLetter(entry, body, null, shelf.auditTrail(entry.id())));
                 }
             });
         }
--- a/src/main/java/loftflow/cli/DemoCommand.java
+++ b/src/main/java/loftflow/cli/DemoCommand.java
@@ -17,6 +17,7 @@
 import loftflow.fake.FakeDiscoveryAgent;
 import loftflow.fake.FakePartner;
 import loftflow.fake.ServedRelay;
+import loftflow.protocol.CompletionProtocol;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -245,9 +246,11 @@
                 twice += effects > 1 ? 1 : 0;
                 if (effects > 0) {
                     delivered++;
-                } else if (platform.notices().contains(new FakeDiscoveryAgent.Notice(id, "bounced"))) {
+                } else if (platform.notices()
+                        .contains(new FakeDiscoveryAgent.Notice(id, CompletionProtocol.RESULT_REJECTED))) {
                     bounced++;
-                } else if (platform.notices().contains(new FakeDiscoveryAgent.Notice(id, "dead"))) {
+                } else if (platform.notices()
+                        .contains(new FakeDiscoveryAgent.Notice(id, CompletionProtocol.RESULT_FAILED))) {
                     dead++;
                 }
             }
--- a/src/main/java/loftflow/cli/Main.java
+++ b/src/main/java/loftflow/cli/Main.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import loftflow.config.Config;
+import loftflow.config.PlatformConfigReader;
 import loftflow.config.tool.RelayFile;
 import loftflow.json.MalformedInputException;
 import loftflow.log.Log;
@@ -21,11 +22,11 @@
     /** Runs a command. */
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals("serve")) {
-            serve(Config.ofPlatform(System.getenv()));
+            serve(PlatformConfigReader.source(System.getenv(), null));
         } else if (args.length == 3 && args[0].equals("serve") && args[1].equals("--config")) {
             serve(RelayFile.source(Path.of(args[2])));
         } else if (args.length == 3 && args[0].equals("serve") && args[1].equals("--memory")) {
-            serve(Config.ofPlatform(System.getenv(), Path.of(args[2])));
+            serve(PlatformConfigReader.source(System.getenv(), Path.of(args[2])));
         } else if (args.length == 1 && args[0].equals("simhost")) {
             simhost();
         } else {
--- a/src/main/java/loftflow/completion/CompletionLog.java
+++ b/src/main/java/loftflow/completion/CompletionLog.java
@@ -22,7 +22,7 @@
  */
 public final class CompletionLog implements CompletionNotifier {
     /** The part of the disk that both files together may take is one in so many. */
-    public static final int DISK_PART = 20;
+    public static final int DISK_DIVISOR = 20;
 
     private static final String NAME = "ends.jsonl";
     private static final String ROTATED_NAME = NAME + ".1";
--- a/src/main/java/loftflow/config/Config.java
+++ b/src/main/java/loftflow/config/Config.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import loftflow.engine.Endpoint;
-import loftflow.json.JsonFields;
 import loftflow.policy.api.EndpointListKind;
 import loftflow.policy.api.PolicySettings;
 
@@ -20,7 +19,7 @@
  *     journal
  * @param stateDirectory the directory for everything that outlasts the process
  * @param maxClientConnections connection limit for clients, over all listeners
- * @param hostConnections connection limit for upstreams, over all endpoints
+ * @param maxUpstreamConnections connection limit for upstreams, over all endpoints
  * @param diskBytes disk space for the journal and everything beside it
  * @param settings what the delivery policy is configured with
  * @param roundPeriodMicros how long events are collected before the policy runs
@@ -41,7 +40,7 @@
         InetSocketAddress completionAddress,
         Path stateDirectory,
         int maxClientConnections,
-        int hostConnections,
+        int maxUpstreamConnections,
         long diskBytes,
         PolicySettings settings,
         long roundPeriodMicros,
@@ -50,10 +49,10 @@
         EndpointListKind knownListKind,
         long knownListVersion,
         List<Endpoint> knownEndpoints,
-        Keeping deadLetters,
+        DeadLetterOptions deadLetters,
         Amqp amqp,
         Http2 http2,
-        Memory warmStart,
+        WarmStartOptions warmStart,
         byte[] sourceBytes) {
 
     /**
@@ -68,7 +67,7 @@
      * @param waitMarginMicros added to a Retry-After that outlasts a restart
      * @param isSyncedToDisk whether a snapshot counts as saved only once it is synced to the disk
      */
-    public record Memory(
+    public record WarmStartOptions(
             String owner,
             long limitBytes,
             long writeBytesPerSecond,
@@ -93,7 +92,7 @@
      * @param lateResponseWindowMicros how long a late response is waited for after a timeout; 0 for not at all
      * @param retentionMicrosByClass how long messages may be redriven, by request class
      */
-    public record Keeping(
+    public record DeadLetterOptions(
             long limitBytes,
             long maxEntries,
             double highWatermark,
@@ -118,8 +117,8 @@
      */
     public record Amqp(
             Map<String, BrokerRoute> brokerRoutes,
-            List<AmqpFront> listeners,
-            List<AmqpQueue> queues,
+            List<AmqpListenerOptions> listeners,
+            List<AmqpConsumerOptions> queues,
             List<MappingRule> mappings,
             int maxConnectionsPerListener,
             long deduplicationWindowMicros,
@@ -151,7 +150,7 @@
      * @param user null where clients need no login; so is {@code password} then
      * @param replyHoldMicros how long a completion waits for a consumer of its reply queue
      */
-    public record AmqpFront(
+    public record AmqpListenerOptions(
             String name,
             InetSocketAddress listenAddress,
             String exchange,
@@ -171,7 +170,7 @@
      * @param completionReplies which completions are replied: {@code asked}, {@code always} or {@code never}
      * @param replyQueue the queue for replies to messages that name none; may be null
      */
-    public record AmqpQueue(
+    public record AmqpConsumerOptions(
             String name,
             InetSocketAddress address,
             Login login,
@@ -205,7 +204,7 @@
      * @param maxStreams how many streams the connections of one listener may have open together
      * @param bodyBufferBytes buffer capacity for incomplete bodies, for each listener
      */
-    public record Http2(List<Http2Front> listeners, int maxStreams, long bodyBufferBytes) {}
+    public record Http2(List<Http2ListenerOptions> listeners, int maxStreams, long bodyBufferBytes) {}
 
     /**
      * A listener for HTTP/2 clients.
@@ -217,7 +216,7 @@
      * @param maxResetsPerSecond how many RST_STREAM frames a connection may send
      * @param drainTimeoutMicros how long the last responses may take once a connection closes
      */
-    public record Http2Front(
+    public record Http2ListenerOptions(
             InetSocketAddress listenAddress,
             int maxStreamsPerConnection,
             int maxHeaderListBytes,
@@ -246,30 +245,15 @@
         byte[] bytes() throws IOException, BadConfigException;
     }
 
-    /** See {@link PlatformConfigReader#source}; with no warm start. */
-    public static Source ofPlatform(Map<String, String> environment) {
-        return PlatformConfigReader.source(environment, null);
-    }
-
-    /** See {@link PlatformConfigReader#source}. */
-    public static Source ofPlatform(Map<String, String> environment, Path warmStartFile) {
-        return PlatformConfigReader.source(environment, warmStartFile);
-    }
-
-    /** See {@link PlatformConfigReader#parse}. */
-    public static Config of(JsonFields json, Path stateDirectory, byte[] sourceBytes) {
-        return PlatformConfigReader.parse(json, stateDirectory, sourceBytes);
-    }
-
     /** The same configuration with a warm start. */
-    Config withWarmStart(Memory enabledWarmStart) {
+    Config withWarmStart(WarmStartOptions enabledWarmStart) {
         return new Config(
                 listenAddresses,
                 discoveryAddress,
                 completionAddress,
                 stateDirectory,
                 maxClientConnections,
-                hostConnections,
+                maxUpstreamConnections,
                 diskBytes,
                 settings,
                 roundPeriodMicros,
--- a/src/main/java/loftflow/config/PlatformConfigReader.java
+++ b/src/main/java/loftflow/config/PlatformConfigReader.java
@@ -51,7 +51,6 @@
         static final String LIMITS_DISK_MIB = "disk_mb";
         static final String LIMITS_SOCKETS = "sockets";
         static final String KNOWN_LIST = "known";
-        static final String KNOWN_LIST_VERSION = "rev";
 
         private Member() {}
     }
@@ -153,8 +152,8 @@
         List<Endpoint> knownEndpoints = List.of();
         if (json.value(Member.KNOWN_LIST) != null) {
             JsonFields knownList = json.object(Member.KNOWN_LIST);
-            knownListVersion = knownList.whole(Member.KNOWN_LIST_VERSION);
-            knownEndpoints = EndpointListCodec.readAll(knownList);
+            knownListVersion = EndpointListCodec.revision(knownList);
+            knownEndpoints = EndpointListCodec.readEndpoints(knownList);
         }
         boolean isLoadReportEnabled = isLoadReportEnabled(settingsJson);
         int connections = sockets(limits) - RESERVED_DESCRIPTORS;
@@ -169,8 +168,8 @@
                 Math.max(1, connections - clientConnections),
                 (long) (limits.number(Member.LIMITS_DISK_MIB) * BYTES_PER_MIB),
                 settings,
-                settingsJson.micros(Member.SETTINGS_PERIOD, 0),
-                settingsJson.object(Member.SETTINGS_LIMITS).micros(Member.SETTINGS_LIMITS_IDLE_TIMEOUT),
+                settingsJson.secondsAsMicros(Member.SETTINGS_PERIOD, 0),
+                settingsJson.object(Member.SETTINGS_LIMITS).secondsAsMicros(Member.SETTINGS_LIMITS_IDLE_TIMEOUT),
                 isLoadReportEnabled,
                 EndpointListKind.CACHED,
                 knownListVersion,
@@ -191,26 +190,30 @@
     }
 
     private static int sockets(JsonFields limits) {
-        long sockets = limits.whole(Member.LIMITS_SOCKETS);
+        long sockets = limits.wholeNumber(Member.LIMITS_SOCKETS);
         if (sockets <= RESERVED_DESCRIPTORS) {
             throw new IllegalArgumentException("limits.sockets: more than " + RESERVED_DESCRIPTORS + " are needed");
         }
         return (int) Math.min(sockets, Integer.MAX_VALUE);
     }
 
-    private static Config.Memory warmStart(JsonFields json, Config config) {
+    private static Config.WarmStartOptions warmStart(JsonFields json, Config config) {
         double diskShare = json.number(WarmStartMember.DISK_SHARE);
         if (!(diskShare > 0 && diskShare <= MAX_WARM_START_DISK_SHARE)) {
             throw new IllegalArgumentException(WarmStartMember.DISK_SHARE + ": from 0 to " + MAX_WARM_START_DISK_SHARE
                     + ": the journal may need the rest");
         }
-        return new Config.Memory(
+        return new Config.WarmStartOptions(
                 "platform#" + config.settings().relayIndex(),
                 (long) (config.diskBytes() * diskShare),
-                atLeast(json, WarmStartMember.WRITE_RATE, 1, json.whole(WarmStartMember.WRITE_RATE)),
-                atLeast(json, WarmStartMember.HALF_LIFE, 1_000_000, json.micros(WarmStartMember.HALF_LIFE)),
-                atLeast(json, WarmStartMember.LIST_CONFIRMATION, 0, json.micros(WarmStartMember.LIST_CONFIRMATION)),
-                atLeast(json, WarmStartMember.WAIT_MARGIN, 0, json.micros(WarmStartMember.WAIT_MARGIN)),
+                atLeast(json, WarmStartMember.WRITE_RATE, 1, json.wholeNumber(WarmStartMember.WRITE_RATE)),
+                atLeast(json, WarmStartMember.HALF_LIFE, 1_000_000, json.secondsAsMicros(WarmStartMember.HALF_LIFE)),
+                atLeast(
+                        json,
+                        WarmStartMember.LIST_CONFIRMATION,
+                        0,
+                        json.secondsAsMicros(WarmStartMember.LIST_CONFIRMATION)),
+                atLeast(json, WarmStartMember.WAIT_MARGIN, 0, json.secondsAsMicros(WarmStartMember.WAIT_MARGIN)),
                 false);
     }
 
--- a/src/main/java/loftflow/config/tool/PlatformFile.java
+++ b/src/main/java/loftflow/config/tool/PlatformFile.java
@@ -12,6 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import loftflow.config.Config;
+import loftflow.config.PlatformConfigReader;
 import loftflow.config.file.Finding;
 import loftflow.config.file.Units;
 import loftflow.json.JsonFields;
@@ -20,6 +21,7 @@
 import loftflow.policy.api.PolicySettings;
 import loftflow.policy.api.RelayLimits;
 import loftflow.policy.api.RequestClass;
+import loftflow.protocol.PlatformSettingsProtocol;
 
 /**
  * Checks a platform's JSON ({@code EDGE_CONFIG}). Errors are what keeps a relay from starting, in the words of
@@ -58,8 +60,8 @@
         }
         try (JsonParser parser = json.createParser(text)) {
             parser.nextToken();
-            contradictions(
-                    Config.of(JsonFields.ofObject("config", JsonFields.read(parser)), Path.of("/"), new byte[0]));
+            contradictions(PlatformConfigReader.parse(
+                    JsonFields.ofObject("config", JsonFields.read(parser)), Path.of("/"), new byte[0]));
         } catch (IOException | MalformedInputException | IllegalArgumentException e) {
             String reason = e.getMessage();
             String key = places.keySet().stream()
@@ -97,11 +99,12 @@
     private void contradictions(Config config) {
         PolicySettings settings = config.settings();
         RelayLimits limits = settings.limits();
-        if (config.hostConnections() < limits.maxConcurrentCalls()) {
+        if (config.maxUpstreamConnections() < limits.maxConcurrentCalls()) {
             warn(
                     "limits.sockets",
-                    config.hostConnections() + " connections to hosts are left, fewer than"
-                            + " settings.family-info.call-slots = " + limits.maxConcurrentCalls()
+                    config.maxUpstreamConnections() + " connections to hosts are left, fewer than"
+                            + " settings." + PlatformSettingsProtocol.DELIVERY_SETTINGS + "."
+                            + PlatformSettingsProtocol.MAX_CONCURRENT_CALLS + " = " + limits.maxConcurrentCalls()
                             + "; calls will wait for one another");
         }
         if (settings.rules().drainGraceMicros() >= STOP_TIME) {
@@ -115,14 +118,14 @@
             String key = "settings.classes[" + (i + 1) + "]";
             if (type.deadlineMicros() <= limits.connectTimeoutMicros()) {
                 warn(
-                        key + ".deadline-s",
+                        key + "." + PlatformSettingsProtocol.DEADLINE_SECONDS,
                         Units.ofSpan(type.deadlineMicros()) + " is no longer than"
                                 + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeoutMicros()));
             }
             if (type.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
                     && type.keyWindowMicros() <= limits.connectTimeoutMicros()) {
                 warn(
-                        key + ".dedup-window-s",
+                        key + "." + PlatformSettingsProtocol.KEY_WINDOW_SECONDS,
                         Units.ofSpan(type.keyWindowMicros()) + " is no longer than"
                                 + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeoutMicros())
                                 + ": no retry could be made");
--- a/src/main/java/loftflow/config/tool/RelayFile.java
+++ b/src/main/java/loftflow/config/tool/RelayFile.java
@@ -115,8 +115,8 @@
     private static Config.Amqp amqp(Declaration declared, DerivedSettings figures) throws Config.BadConfigException {
         Map<String, Config.Login> logins = logins(declared);
         Map<String, Config.BrokerRoute> routes = brokerRoutes(declared, logins);
-        List<Config.AmqpFront> fronts = amqpListeners(declared);
-        List<Config.AmqpQueue> queues = queues(declared, logins);
+        List<Config.AmqpListenerOptions> fronts = amqpListeners(declared);
+        List<Config.AmqpConsumerOptions> queues = queues(declared, logins);
         if (routes.isEmpty() && fronts.isEmpty() && queues.isEmpty()) {
             return null;
         }
@@ -159,11 +159,12 @@
         return routes;
     }
 
-    private static List<Config.AmqpFront> amqpListeners(Declaration declared) throws Config.BadConfigException {
-        List<Config.AmqpFront> listeners = new ArrayList<>();
+    private static List<Config.AmqpListenerOptions> amqpListeners(Declaration declared)
+            throws Config.BadConfigException {
+        List<Config.AmqpListenerOptions> listeners = new ArrayList<>();
         for (Declaration.Front front : declared.fronts()) {
             if (front.amqp()) {
-                listeners.add(new Config.AmqpFront(
+                listeners.add(new Config.AmqpListenerOptions(
                         front.name(),
                         Endpoint.address(front.listen()),
                         front.exchange(),
@@ -178,9 +179,9 @@
         return listeners;
     }
 
-    private static List<Config.AmqpQueue> queues(Declaration declared, Map<String, Config.Login> logins) {
+    private static List<Config.AmqpConsumerOptions> queues(Declaration declared, Map<String, Config.Login> logins) {
         return declared.amqp().queues().stream()
-                .map(queue -> new Config.AmqpQueue(
+                .map(queue -> new Config.AmqpConsumerOptions(
                         queue.name(),
                         Endpoint.address(queue.address()),
                         logins.get(queue.broker()),
@@ -206,8 +207,8 @@
     }
 
     private static Config.Http2 http2(Declaration declared, DerivedSettings figures) {
-        List<Config.Http2Front> fronts = declared.http2().stream()
-                .map(f -> new Config.Http2Front(
+        List<Config.Http2ListenerOptions> fronts = declared.http2().stream()
+                .map(f -> new Config.Http2ListenerOptions(
                         Endpoint.address(f.listen()),
                         Planner.streams(f.http2(), figures),
                         (int) f.http2().headerList(),
@@ -233,11 +234,11 @@
         }
     }
 
-    private static Config.Keeping keeping(Declaration declared) {
+    private static Config.DeadLetterOptions keeping(Declaration declared) {
         Declaration.Undeliverable u = declared.undeliverable();
         return !u.keep()
                 ? null
-                : new Config.Keeping(
+                : new Config.DeadLetterOptions(
                         u.limit(),
                         u.entries(),
                         u.high(),
@@ -253,11 +254,11 @@
                                         Declaration.MessageClass::name, Declaration.MessageClass::shelfLife)));
     }
 
-    private static Config.Memory memory(Declaration declared) {
+    private static Config.WarmStartOptions memory(Declaration declared) {
         Declaration.Memory m = declared.memory();
         return !m.keep()
                 ? null
-                : new Config.Memory(
+                : new Config.WarmStartOptions(
                         declared.name() + "#" + declared.fleet().number(),
                         m.limit(),
                         m.rate(),
--- a/src/main/java/loftflow/config/tool/RelayFileText.java
+++ b/src/main/java/loftflow/config/tool/RelayFileText.java
@@ -25,10 +25,9 @@
     public static String of(Node application, String fileName, Planner.Plan plan) {
         RelayFileText text = new RelayFileText();
         text.out
-                .append(
-                        "# Written by loftflow config write. Change the application file and write again, or change"
-                                + " this\n# file: the next write then shows the difference and wants --force."
-                                + "\n# Start line:\n#   ")
+                .append("# Written by loftflow config write. Change the application file and write again, or change"
+                        + " this\n# file: the next write then shows the difference and wants --force."
+                        + "\n# Start line:\n#   ")
                 .append(DerivedSettingsWriter.startLine(plan.figures(), fileName))
                 .append("\n\n");
         text.table("", "", application);
--- a/src/main/java/loftflow/deadletter/DeadLetter.java
+++ b/src/main/java/loftflow/deadletter/DeadLetter.java
@@ -16,7 +16,7 @@
  * @param dueMicros when it is next considered for redrive; {@link #NEVER_DUE} where only an operator brings it back
  * @param confirmation the latest confirmation by an operator; null for none
  * @param redrives how often it was sent again
- * @param tries all attempts to deliver it, in order
+ * @param attempts all attempts to deliver it, in order
  */
 public record DeadLetter(
         long id,
@@ -28,14 +28,14 @@
         long dueMicros,
         Confirmation confirmation,
         int redrives,
-        List<Attempt> tries) {
+        List<Attempt> attempts) {
     /** In place of a due time: not due by itself. */
     public static final long NEVER_DUE = Long.MAX_VALUE;
 
     /** State of a dead letter. */
     public enum State {
         /** It waits in the store. */
-        KEPT("KEPT"),
+        STORED("KEPT"),
         /** The engine is sending it again. */
         REDRIVING("RESENDING"),
         /** It was delivered. */
@@ -92,15 +92,15 @@
     public record Confirmation(String by, String reason, int attempts, long atMicros) {}
 
     /** Whether the message took effect, as far as the outcomes of all attempts prove it. */
-    public ExecutionCertainty ran() {
-        return tries.stream().map(Attempt::certainty).max(Enum::compareTo).orElse(ExecutionCertainty.NOT_EXECUTED);
+    public ExecutionCertainty certainty() {
+        return attempts.stream().map(Attempt::certainty).max(Enum::compareTo).orElse(ExecutionCertainty.NOT_EXECUTED);
     }
 
     /** The attempts that may have taken effect and that no confirmation covers. */
     public List<Attempt> unconfirmedAttempts() {
-        int confirmed = confirmation == null ? 0 : Math.min(confirmation.attempts(), tries.size());
-        return tries.subList(confirmed, tries.size()).stream()
-                .filter(attempt -> attempt.certainty() == ExecutionCertainty.MAYBE)
+        int confirmed = confirmation == null ? 0 : Math.min(confirmation.attempts(), attempts.size());
+        return attempts.subList(confirmed, attempts.size()).stream()
+                .filter(attempt -> attempt.certainty() == ExecutionCertainty.UNKNOWN)
                 .toList();
     }
 }
--- a/src/main/java/loftflow/deadletter/DeadLetterFactory.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterFactory.java
@@ -39,7 +39,7 @@
                 nowMicros,
                 reason(attempts),
                 CLIENT_REPLY_FAILED,
-                isExecuted ? DeadLetter.State.DELIVERED : DeadLetter.State.KEPT,
+                isExecuted ? DeadLetter.State.DELIVERED : DeadLetter.State.STORED,
                 dueMicros,
                 null,
                 0,
--- a/src/main/java/loftflow/deadletter/DeadLetterService.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterService.java
@@ -35,7 +35,7 @@
      * @param retentionMicros time after which delivered and discarded dead letters are removed
      */
     public record Options(
-            Map<String, RedrivePolicy.Shelved> redriveClasses,
+            Map<String, RedriveClass> redriveClasses,
             RedrivePolicy policy,
             double redrivesPerSecond,
             long highWatermarkBytes,
@@ -113,7 +113,7 @@
     private static void resetUnjournaledRedrives(DeadLetterStore store, List<Long> journaledIds) {
         for (DeadLetter deadLetter : store.list(REDRIVING, 0, Integer.MAX_VALUE, false)) {
             if (!journaledIds.contains(deadLetter.id())) {
-                store.transition(deadLetter.id(), DeadLetter.State.REDRIVING, DeadLetter.State.KEPT, 0);
+                store.transition(deadLetter.id(), DeadLetter.State.REDRIVING, DeadLetter.State.STORED, 0);
             }
         }
     }
@@ -252,7 +252,7 @@
         }
         long dueMicros = decision instanceof RedrivePolicy.SendLater later ? later.atMicros() : DeadLetter.NEVER_DUE;
         submit(
-                store -> store.transition(deadLetter.id(), DeadLetter.State.KEPT, DeadLetter.State.KEPT, dueMicros),
+                store -> store.transition(deadLetter.id(), DeadLetter.State.STORED, DeadLetter.State.STORED, dueMicros),
                 isChanged -> {});
         decided.accept(decision);
     }
@@ -270,7 +270,7 @@
         int destination = deadLetter.content().destination();
         pacer.begin(destination, nowMicros);
         boolean isQueued = submit(
-                store -> store.transition(deadLetter.id(), DeadLetter.State.KEPT, DeadLetter.State.REDRIVING, 0),
+                store -> store.transition(deadLetter.id(), DeadLetter.State.STORED, DeadLetter.State.REDRIVING, 0),
                 isChanged -> {
                     if (isChanged) {
                         send(deadLetter, decided);
@@ -288,7 +288,7 @@
 
     /** The policy's decision on a dead letter at this moment. */
     public RedrivePolicy.Decision decide(DeadLetter deadLetter) {
-        RedrivePolicy.Shelved redriveClass =
+        RedriveClass redriveClass =
                 options.redriveClasses().get(deadLetter.content().requestClass());
         return options.policy().decide(deadLetter, redriveClass, clock.micros(), steadySinceMicros);
     }
@@ -312,8 +312,8 @@
                 ? DeadLetter.NEVER_DUE
                 : clock.micros() + options.policy().pauseMicros();
         submitUntilDone(
-                store ->
-                        store.transition(deadLetter.id(), DeadLetter.State.REDRIVING, DeadLetter.State.KEPT, dueMicros),
+                store -> store.transition(
+                        deadLetter.id(), DeadLetter.State.REDRIVING, DeadLetter.State.STORED, dueMicros),
                 isChanged -> {});
         decided.accept(
                 decision instanceof RedrivePolicy.SendNow
@@ -358,13 +358,13 @@
             DeadLetterStore store, DeadLetter deadLetter, List<DeadLetter.Attempt> attempts, long nowMicros) {
         // The message began with attempts that the store has already.
         List<DeadLetter.Attempt> newAttempts = new ArrayList<>(attempts);
-        newAttempts.removeIf(attempt -> deadLetter.tries().stream().anyMatch(known -> isSame(known, attempt)));
-        boolean isExecuted = deadLetter.ran() == ExecutionCertainty.EXECUTED
+        newAttempts.removeIf(attempt -> deadLetter.attempts().stream().anyMatch(known -> isSame(known, attempt)));
+        boolean isExecuted = deadLetter.certainty() == ExecutionCertainty.EXECUTED
                 || newAttempts.stream().anyMatch(attempt -> attempt.certainty() == ExecutionCertainty.EXECUTED);
         store.recordRedrive(
                 deadLetter.id(),
                 newAttempts,
-                isExecuted ? DeadLetter.State.DELIVERED : DeadLetter.State.KEPT,
+                isExecuted ? DeadLetter.State.DELIVERED : DeadLetter.State.STORED,
                 options.policy().nextAttemptMicros(deadLetter, nowMicros),
                 redriveReason(deadLetter, newAttempts));
     }
--- a/src/main/java/loftflow/deadletter/DeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterStore.java
@@ -6,32 +6,24 @@
 
 /**
  * Storage of dead letters. Each call is durable against the end of the process when it returns, and throws
- * {@link ShelfException} where it fails. Not thread-safe.
+ * {@link DeadLetterStoreException} where it fails. Not thread-safe.
  */
 public interface DeadLetterStore extends AutoCloseable {
-    /** A store that fails; the message is for operators. */
-    final class ShelfException extends RuntimeException {
-        private static final long serialVersionUID = 1L;
-
-        public ShelfException(String message, Throwable cause) {
-            super(message, cause);
-        }
-    }
 
     /**
      * Selects dead letters; null, and 0 for a time, select any.
      *
-     * @param newer earliest time at which the dead letter was stored, in microseconds
-     * @param older time before which it was stored, in microseconds
+     * @param storedFromMicros earliest time at which the dead letter was stored, in microseconds
+     * @param storedBeforeMicros time before which it was stored, in microseconds
      */
     record Filter(
             DeadLetter.State state,
             Integer destination,
             String requestClass,
             String tenant,
-            ExecutionCertainty ran,
-            long newer,
-            long older) {
+            ExecutionCertainty certainty,
+            long storedFromMicros,
+            long storedBeforeMicros) {
         /** Selects all dead letters. */
         public static final Filter ALL = new Filter(null, null, null, null, null, 0, 0);
     }
@@ -78,7 +70,7 @@
     void appendAudit(long atMicros, String who, String what, long id, String detail);
 
     /** The audit trail of a dead letter, oldest line first. */
-    List<String> audits(long id);
+    List<String> auditTrail(long id);
 
     /** Removes delivered and discarded dead letters that were stored before a time, oldest first; returns how many. */
     int removeSettled(long storedBeforeMicros, int maxEntries);
--- a/src/main/java/loftflow/deadletter/ExecutionCertainty.java
+++ b/src/main/java/loftflow/deadletter/ExecutionCertainty.java
@@ -10,7 +10,7 @@
     /** Proven not to have taken effect. */
     NOT_EXECUTED("NEVER"),
     /** It may have taken effect. */
-    MAYBE("MAYBE"),
+    UNKNOWN("MAYBE"),
     /** Proven to have taken effect. */
     EXECUTED("DID");
 
@@ -42,12 +42,12 @@
     /** What an outcome proves by the wire protocol. An outcome of null, not known yet, proves nothing. */
     public static ExecutionCertainty of(AttemptOutcome outcome) {
         if (outcome == null) {
-            return MAYBE;
+            return UNKNOWN;
         }
         return switch (outcome) {
             case OK -> EXECUTED;
             case REJECTED, CONNECT_FAILED, NOT_SENT -> NOT_EXECUTED;
-            case ERROR, TIMEOUT, RESET, CANCELLED -> MAYBE;
+            case ERROR, TIMEOUT, RESET, CANCELLED -> UNKNOWN;
         };
     }
 }
--- a/src/main/java/loftflow/deadletter/RedrivePolicy.java
+++ b/src/main/java/loftflow/deadletter/RedrivePolicy.java
@@ -58,13 +58,6 @@
     /** It is not sent any more. */
     public record Settled(String reason) implements Decision {}
 
-    /**
-     * A request class with its redrive window.
-     *
-     * @param redriveWindowMicros time for which its messages are redriven without an operator
-     */
-    public record Shelved(RequestClass requestClass, long redriveWindowMicros) {}
-
     /**
      * Decides on a dead letter.
      *
@@ -74,8 +67,8 @@
      *     process, nor before anything that an earlier process has left. The wall clock may have been set in between,
      *     so a key window that began earlier can't be shown to be open
      */
-    public Decision decide(DeadLetter deadLetter, Shelved redriveClass, long nowMicros, long steadySinceMicros) {
-        if (deadLetter.state() == DeadLetter.State.DELIVERED || deadLetter.ran() == ExecutionCertainty.EXECUTED) {
+    public Decision decide(DeadLetter deadLetter, RedriveClass redriveClass, long nowMicros, long steadySinceMicros) {
+        if (deadLetter.state() == DeadLetter.State.DELIVERED || deadLetter.certainty() == ExecutionCertainty.EXECUTED) {
             return new Settled("it was delivered");
         }
         if (deadLetter.state() == DeadLetter.State.DISCARDED) {
@@ -158,7 +151,7 @@
     }
 
     private static long newestMicros(DeadLetter deadLetter) {
-        long lastSentMicros = deadLetter.tries().stream()
+        long lastSentMicros = deadLetter.attempts().stream()
                 .mapToLong(DeadLetter.Attempt::sentAtMicros)
                 .max()
                 .orElse(0);
--- a/src/main/java/loftflow/deadletter/store/DeadLetterRows.java
+++ b/src/main/java/loftflow/deadletter/store/DeadLetterRows.java
@@ -109,7 +109,7 @@
                     index++;
                 }
                 if (index < deadLetters.size() && deadLetters.get(index).id() == id) {
-                    deadLetters.get(index).tries().add(attempt(rows));
+                    deadLetters.get(index).attempts().add(attempt(rows));
                 }
             }
         }
--- a/src/main/java/loftflow/deadletter/store/SqliteDatabaseFile.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDatabaseFile.java
@@ -8,7 +8,7 @@
 import java.sql.ResultSet;
 import java.sql.SQLException;
 import java.sql.Statement;
-import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.DeadLetterStoreException;
 import loftflow.log.Log;
 import org.sqlite.SQLiteConfig;
 
@@ -28,7 +28,7 @@
         } catch (DeadLetterSchema.DamagedException e) {
             return replace(file, maxBytes, e);
         } catch (SQLException | IOException e) {
-            throw new DeadLetterStore.ShelfException("deadletter: " + file + " can't be opened: " + e.getMessage(), e);
+            throw new DeadLetterStoreException("deadletter: " + file + " can't be opened: " + e.getMessage(), e);
         }
     }
 
@@ -50,7 +50,7 @@
                     + " reason=\"" + damage.getMessage() + "\"");
             return connect(file, maxBytes);
         } catch (SQLException | IOException | DeadLetterSchema.DamagedException e) {
-            throw new DeadLetterStore.ShelfException("deadletter: " + file + " can't be created: " + e.getMessage(), e);
+            throw new DeadLetterStoreException("deadletter: " + file + " can't be created: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
@@ -15,6 +15,7 @@
 import java.util.stream.Stream;
 import loftflow.deadletter.DeadLetter;
 import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.DeadLetterStoreException;
 import loftflow.deadletter.ExecutionCertainty;
 import loftflow.engine.Message;
 import loftflow.policy.api.AttemptOutcome;
@@ -25,9 +26,9 @@
  */
 public final class SqliteDeadLetterStore implements DeadLetterStore {
     /** Name of the file in the state folder. */
-    public static final String NAME = "undeliverable.db";
+    public static final String FILE_NAME = "undeliverable.db";
 
-    private static final String STORED = quoted(DeadLetter.State.KEPT);
+    private static final String STORED = quoted(DeadLetter.State.STORED);
     private static final String DELIVERED = quoted(DeadLetter.State.DELIVERED);
     private static final String DISCARDED = quoted(DeadLetter.State.DISCARDED);
     /** Outcomes that prove whether an attempt was executed; they are not replaced by later ones. */
@@ -56,27 +57,27 @@
      * one is created.
      *
      * @param maxBytes size that the database never exceeds: a change that would make it larger fails as a whole
-     * @throws ShelfException where it can't be opened or created, as on a full or read-only disk
+     * @throws DeadLetterStoreException where it can't be opened or created, as on a full or read-only disk
      */
     public static SqliteDeadLetterStore open(Path folder, long maxBytes) {
-        return new SqliteDeadLetterStore(SqliteDatabaseFile.open(folder, NAME, maxBytes), "line");
+        return new SqliteDeadLetterStore(SqliteDatabaseFile.open(folder, FILE_NAME, maxBytes), "line");
     }
 
     /**
      * Opens the database of a folder for reading only, such as that of a stopped relay.
      *
-     * @throws ShelfException where there is none, or it can't be opened
+     * @throws DeadLetterStoreException where there is none, or it can't be opened
      */
-    public static SqliteDeadLetterStore reading(Path folder) {
-        Path file = folder.resolve(NAME);
+    public static SqliteDeadLetterStore openReadOnly(Path folder) {
+        Path file = folder.resolve(FILE_NAME);
         if (!Files.isRegularFile(file)) {
-            throw new ShelfException("there is no " + file, null);
+            throw new DeadLetterStoreException("there is no " + file, null);
         }
         try {
             Connection connection = SqliteDatabaseFile.openReadOnly(file);
             return new SqliteDeadLetterStore(connection, DeadLetterSchema.orderingKeyColumn(connection));
         } catch (SQLException e) {
-            throw new ShelfException(file + " can't be opened: " + e.getMessage(), e);
+            throw new DeadLetterStoreException(file + " can't be opened: " + e.getMessage(), e);
         }
     }
 
@@ -99,13 +100,13 @@
                     deadLetter.reason(),
                     deadLetter.clientReply(),
                     deadLetter.state().code(),
-                    deadLetter.ran().code(),
+                    deadLetter.certainty().code(),
                     deadLetter.dueMicros(),
                     content.orderingKey());
             long id = findId(content.messageId(), content.deadlineMicros()).orElseThrow();
             // After a crash before the journal forgot the message, the dead letter has its attempts already.
             if (inserted == 1) {
-                rows.insertAttempts(id, 0, deadLetter.tries());
+                rows.insertAttempts(id, 0, deadLetter.attempts());
             }
             return id;
         });
@@ -143,9 +144,13 @@
         and(sql, values, "destination = ?", filter.destination());
         and(sql, values, "class = ?", filter.requestClass());
         and(sql, values, "tenant = ?", filter.tenant());
-        and(sql, values, "ran = ?", filter.ran() == null ? null : filter.ran().code());
-        and(sql, values, "kept_at >= ?", filter.newer() == 0 ? null : filter.newer());
-        and(sql, values, "kept_at < ?", filter.older() == 0 ? null : filter.older());
+        and(
+                sql,
+                values,
+                "ran = ?",
+                filter.certainty() == null ? null : filter.certainty().code());
+        and(sql, values, "kept_at >= ?", filter.storedFromMicros() == 0 ? null : filter.storedFromMicros());
+        and(sql, values, "kept_at < ?", filter.storedBeforeMicros() == 0 ? null : filter.storedBeforeMicros());
         sql.append(" ORDER BY id LIMIT ?");
         values.add(maxEntries);
         return session.inTransaction(() -> rows.read(sql.toString(), values.toArray()));
@@ -211,7 +216,7 @@
         session.inTransaction(() -> {
             Optional<DeadLetter> deadLetter = rows.find(id);
             if (deadLetter.isPresent()) {
-                rows.insertAttempts(id, deadLetter.get().tries().size(), attempts);
+                rows.insertAttempts(id, deadLetter.get().attempts().size(), attempts);
                 // A redrive that was cancelled by a proof of execution does not overwrite that proof.
                 session.update(
                         "UPDATE entry SET state = CASE WHEN state = " + DELIVERED + " THEN state ELSE ? END, due = ?,"
@@ -250,7 +255,7 @@
 
     /** Updates the column that filters select by; it follows from the outcomes of all attempts. */
     private void updateCertainty(long id) throws SQLException {
-        ExecutionCertainty certainty = rows.find(id).map(DeadLetter::ran).orElse(ExecutionCertainty.NOT_EXECUTED);
+        ExecutionCertainty certainty = rows.find(id).map(DeadLetter::certainty).orElse(ExecutionCertainty.NOT_EXECUTED);
         session.update("UPDATE entry SET ran = ? WHERE id = ?", certainty.code(), id);
     }
 
@@ -280,7 +285,7 @@
     }
 
     @Override
-    public List<String> audits(long id) {
+    public List<String> auditTrail(long id) {
         return session.inTransaction(() -> {
             List<String> lines = new ArrayList<>();
             try (PreparedStatement statement =
--- a/src/main/java/loftflow/deadletter/store/SqliteSession.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteSession.java
@@ -4,7 +4,7 @@
 import java.sql.PreparedStatement;
 import java.sql.ResultSet;
 import java.sql.SQLException;
-import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.DeadLetterStoreException;
 
 /** Transactions and statements on one connection. Not thread-safe. */
 final class SqliteSession implements AutoCloseable {
@@ -33,7 +33,7 @@
                 throw e;
             }
         } catch (SQLException e) {
-            throw new DeadLetterStore.ShelfException("the store fails: " + e.getMessage(), e);
+            throw new DeadLetterStoreException("the store fails: " + e.getMessage(), e);
         }
     }
 
@@ -87,7 +87,7 @@
         try {
             connection.close();
         } catch (SQLException e) {
-            throw new DeadLetterStore.ShelfException("the store can't be closed: " + e.getMessage(), e);
+            throw new DeadLetterStoreException("the store can't be closed: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/loftflow/deduplication/DeduplicationFile.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationFile.java
@@ -68,7 +68,7 @@
 
     /** Also false while the file can't be written: an id that is not in it would not outlast the process. */
     @Override
-    public boolean hasRoom() {
+    public boolean hasCapacity() {
         if (isBroken && clockMicros.getAsLong() >= nextCompactionMicros) {
             compact();
         }
@@ -87,7 +87,7 @@
 
     private void append(byte[] record) {
         try {
-            RecordFile.write(file, record, sizeBytes);
+            RecordFile.writeFully(file, record, sizeBytes);
             sizeBytes += record.length;
             records++;
         } catch (IOException e) {
@@ -98,9 +98,9 @@
 
     private static byte[] record(String id, long acceptedAtMicros) {
         byte[] idBytes = id.getBytes(StandardCharsets.UTF_8);
-        byte[] record = new byte[RecordFile.HEAD + Long.BYTES + idBytes.length];
+        byte[] record = new byte[RecordFile.HEADER_BYTES + Long.BYTES + idBytes.length];
         ByteBuffer.wrap(record)
-                .position(RecordFile.HEAD)
+                .position(RecordFile.HEADER_BYTES)
                 .putLong(acceptedAtMicros)
                 .put(idBytes);
         return RecordFile.seal(record);
@@ -134,7 +134,7 @@
             long writtenBytes = 0;
             for (Map.Entry<String, Long> id : window.all().entrySet()) {
                 byte[] record = record(id.getKey(), id.getValue());
-                RecordFile.write(next, record, writtenBytes);
+                RecordFile.writeFully(next, record, writtenBytes);
                 writtenBytes += record.length;
             }
             Files.move(folder.resolve(UNFINISHED_NAME), folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
@@ -146,14 +146,14 @@
     }
 
     private void replay() throws IOException {
-        ByteBuffer all = RecordFile.all(file);
-        byte[] payload = RecordFile.next(all);
+        ByteBuffer all = RecordFile.readAll(file);
+        byte[] payload = RecordFile.readNext(all);
         while (payload != null && payload.length > Long.BYTES && payload.length <= Long.BYTES + MAX_ID_BYTES) {
             String id = new String(payload, Long.BYTES, payload.length - Long.BYTES, StandardCharsets.UTF_8);
             window.add(id, ByteBuffer.wrap(payload).getLong());
             records++;
             sizeBytes = all.position();
-            payload = RecordFile.next(all);
+            payload = RecordFile.readNext(all);
         }
         if (sizeBytes < file.size()) {
             Log.line("deduplication: torn tail truncated bytes=" + (file.size() - sizeBytes));
--- a/src/main/java/loftflow/deduplication/Deduplicator.java
+++ b/src/main/java/loftflow/deduplication/Deduplicator.java
@@ -6,14 +6,14 @@
  */
 public interface Deduplicator {
     /** Retains nothing: every message is new. */
-    Deduplicator NOTHING = new Deduplicator() {
+    Deduplicator NONE = new Deduplicator() {
         @Override
         public boolean contains(String id) {
             return false;
         }
 
         @Override
-        public boolean hasRoom() {
+        public boolean hasCapacity() {
             return true;
         }
 
@@ -25,7 +25,7 @@
     boolean contains(String id);
 
     /** False where no more ids can be retained; no message that must not be accepted twice may be accepted then. */
-    boolean hasRoom();
+    boolean hasCapacity();
 
     /** Retains the id of an accepted message; it outlasts the process when this returns. */
     void add(String id);
--- a/src/main/java/loftflow/discovery/Backoff.java
+++ b/src/main/java/loftflow/discovery/Backoff.java
@@ -22,12 +22,12 @@
     }
 
     /** The same delay each time. */
-    public static Backoff steady(long delayMillis) {
+    public static Backoff constant(long delayMillis) {
         return new Backoff(delayMillis, delayMillis, null);
     }
 
     /** Delays from half of {@code firstDelayMillis} up to {@code maxDelayMillis}; each client has its own seed. */
-    public static Backoff growing(long firstDelayMillis, long maxDelayMillis, long seed) {
+    public static Backoff exponential(long firstDelayMillis, long maxDelayMillis, long seed) {
         return new Backoff(firstDelayMillis, maxDelayMillis, new SplittableRandom(seed));
     }
 
--- a/src/main/java/loftflow/discovery/EndpointListCodec.java
+++ b/src/main/java/loftflow/discovery/EndpointListCodec.java
@@ -40,7 +40,7 @@
      * @throws MalformedInputException where there is none
      */
     public static long revision(JsonFields list) {
-        return list.whole(DiscoveryProtocol.REVISION);
+        return list.wholeNumber(DiscoveryProtocol.REVISION);
     }
 
     /**
@@ -48,7 +48,7 @@
      *
      * @throws MalformedInputException where there is no array of them
      */
-    public static List<Endpoint> readAll(JsonFields list) {
+    public static List<Endpoint> readEndpoints(JsonFields list) {
         return new EntryReader("known list", Map.of()).read(list, false);
     }
 
@@ -68,7 +68,7 @@
                 throw new MalformedInputException("more than a list");
             }
             long revision = revision(list);
-            boolean isFull = list.flag(DiscoveryProtocol.IS_FULL);
+            boolean isFull = list.booleanOrFalse(DiscoveryProtocol.IS_FULL);
             EntryReader reader = new EntryReader(source, known);
             List<Endpoint> endpoints = reader.read(list, isFull);
             return new EndpointList(revision, isFull, endpoints, reader.isComplete);
@@ -95,7 +95,7 @@
                 throw new MalformedInputException(source + ": " + DiscoveryProtocol.ENDPOINTS + ": an array is needed");
             }
             int position = 0;
-            for (Object entry : list.list(DiscoveryProtocol.ENDPOINTS)) {
+            for (Object entry : list.listOrEmpty(DiscoveryProtocol.ENDPOINTS)) {
                 position++;
                 try {
                     add(readEntry(JsonFields.ofObject(DiscoveryProtocol.ENDPOINTS, entry)));
@@ -161,7 +161,7 @@
         Availability availability = availability(fields.text(DiscoveryProtocol.STATE));
         EndpointEntry entry = new EndpointEntry(
                 fields.text(DiscoveryProtocol.ROUTE),
-                Math.toIntExact(fields.whole(DiscoveryProtocol.DESTINATION)),
+                Math.toIntExact(fields.wholeNumber(DiscoveryProtocol.DESTINATION)),
                 fields.text(DiscoveryProtocol.KIND),
                 fields.text(DiscoveryProtocol.ZONE),
                 availability,
--- a/src/main/java/loftflow/discovery/EndpointWatcher.java
+++ b/src/main/java/loftflow/discovery/EndpointWatcher.java
@@ -24,7 +24,7 @@
     /** A watch answers after this long; far below the time in which a change must be known. */
     private static final long WATCH_MILLIS = 1000;
     /** The timeout of an answer that discovery has at once. */
-    public static final long PATIENCE_MS = 400;
+    public static final long RESPONSE_TIMEOUT_MILLIS = 400;
     /** The delay between an answer and the next request; far below the 200 ms after which a watch ends. */
     private static final long REQUEST_DELAY_MILLIS = 10;
     /** Without a readable answer for this long, discovery is unresponsive; far above {@link #WATCH_MILLIS}. */
@@ -107,7 +107,7 @@
     }
 
     /** Requests the full list next, in place of its changes. */
-    public void askForAll() {
+    public void requestFullList() {
         isFullListRequested = true;
     }
 
@@ -119,14 +119,14 @@
                     HttpMethod.GET,
                     DiscoveryProtocol.LIST_PATH,
                     "",
-                    PATIENCE_MS,
+                    RESPONSE_TIMEOUT_MILLIS,
                     (status, body) -> onResponse(status, body, true));
         } else {
             connection.request(
                     HttpMethod.GET,
                     EndpointListCodec.watchPath(revision, WATCH_MILLIS),
                     "",
-                    WATCH_MILLIS + PATIENCE_MS,
+                    WATCH_MILLIS + RESPONSE_TIMEOUT_MILLIS,
                     (status, body) -> onResponse(status, body, false));
         }
     }
@@ -193,7 +193,7 @@
 
     private void requestFullListSoon() {
         if (gapRequest == null || gapRequest.isDone()) {
-            gapRequest = loop.schedule(this::askForAll, gapDelayMillis, TimeUnit.MILLISECONDS);
+            gapRequest = loop.schedule(this::requestFullList, gapDelayMillis, TimeUnit.MILLISECONDS);
             gapDelayMillis = Math.min(MAX_GAP_DELAY_MILLIS, 2 * gapDelayMillis);
         }
     }
--- a/src/main/java/loftflow/engine/EventLoopLag.java
+++ b/src/main/java/loftflow/engine/EventLoopLag.java
@@ -30,7 +30,7 @@
     }
 
     /** The earliest time at which bytes that are read now can have arrived, in microseconds since the epoch. */
-    public long unreadSince() {
+    public long unreadSinceMicros() {
         return previousSampleMicros;
     }
 }
--- a/src/main/java/loftflow/experiment/loopback/BaselineProxy.java
+++ b/src/main/java/loftflow/experiment/loopback/BaselineProxy.java
@@ -20,7 +20,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import loftflow.http.Headers;
+import loftflow.protocol.ClientProtocol;
+import loftflow.protocol.HostProtocol;
+import loftflow.protocol.MessageHeaders;
 
 /**
  * A proxy without decisions or storage, as a baseline for the cost of a relay: it forwards each message to the next
@@ -40,7 +42,7 @@
         for (String argument : arguments) {
             String[] parts = argument.split("[=:]");
             proxy.destinations
-                    .computeIfAbsent("dest=" + parts[0], d -> new ArrayList<>())
+                    .computeIfAbsent(ClientProtocol.DESTINATION_FIELD + parts[0], d -> new ArrayList<>())
                     .add(new LoopbackHttp.ConnectionPool(
                             proxy.loop, new InetSocketAddress(parts[1], Integer.parseInt(parts[2]))));
         }
@@ -56,7 +58,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             Channel client = ctx.channel();
             List<LoopbackHttp.ConnectionPool> endpoints =
-                    destinations.get(request.headers().get(Headers.CONSIGNEE, ""));
+                    destinations.get(request.headers().get(MessageHeaders.DESTINATION, ""));
             if (endpoints == null) {
                 respond(client, HttpResponseStatus.NOT_FOUND);
                 return;
@@ -96,12 +98,16 @@
         FullHttpRequest call = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.POST,
-                "/receive",
+                HostProtocol.SINGLE_PATH,
                 request.content().retain());
         call.headers()
                 .set(HttpHeaderNames.HOST, "endpoint")
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-        for (String name : List.of(Headers.CALL_ID, Headers.CALL_CLASS, Headers.BUDGET, Headers.KEY)) {
+        for (String name : List.of(
+                MessageHeaders.MESSAGE_ID,
+                MessageHeaders.REQUEST_CLASS,
+                MessageHeaders.TIMEOUT_MILLIS,
+                MessageHeaders.IDEMPOTENCY_KEY)) {
             String value = request.headers().get(name);
             if (value != null) {
                 call.headers().set(name, value);
--- a/src/main/java/loftflow/experiment/loopback/CompletionServer.java
+++ b/src/main/java/loftflow/experiment/loopback/CompletionServer.java
@@ -13,15 +13,11 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import loftflow.protocol.CompletionProtocol;
 
 /** Receives completion notices of relays (PROTOCOL, Notices) and forwards rejections and failures to the clients. */
 final class CompletionServer {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final String REFERENCE_FIELD = "ref";
-    private static final String RESULT_FIELD = "result";
-    private static final String RETRY_AFTER_FIELD = "wait_ms";
-    private static final String DELIVERED = "done";
-    private static final String REJECTED = "bounced";
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final LoadGenerator loadGenerator;
@@ -60,15 +56,17 @@
             for (JsonToken token = json.nextToken(); token != null; token = json.nextToken()) {
                 if (token == JsonToken.FIELD_NAME) {
                     switch (json.currentName()) {
-                        case REFERENCE_FIELD -> reference = json.nextTextValue();
-                        case RESULT_FIELD -> result = json.nextTextValue();
-                        case RETRY_AFTER_FIELD -> retryAfterMillis = json.nextLongValue(0);
+                        case CompletionProtocol.MESSAGE_ID -> reference = json.nextTextValue();
+                        case CompletionProtocol.RESULT -> result = json.nextTextValue();
+                        case CompletionProtocol.RETRY_AFTER_MILLIS -> retryAfterMillis = json.nextLongValue(0);
                         default -> {}
                     }
                 } else if (token == JsonToken.END_OBJECT) {
-                    if (!DELIVERED.equals(result)) {
+                    if (!CompletionProtocol.RESULT_DELIVERED.equals(result)) {
                         loadGenerator.onCompletion(
-                                reference, REJECTED.equals(result), retryAfterMillis * MICROS_PER_MILLI);
+                                reference,
+                                CompletionProtocol.RESULT_REJECTED.equals(result),
+                                retryAfterMillis * MICROS_PER_MILLI);
                     }
                     retryAfterMillis = 0;
                 }
--- a/src/main/java/loftflow/experiment/loopback/DiscoveryList.java
+++ b/src/main/java/loftflow/experiment/loopback/DiscoveryList.java
@@ -5,13 +5,10 @@
 import java.util.List;
 import loftflow.experiment.scenario.Scenario;
 import loftflow.fake.FakeDiscoveryAgent;
+import loftflow.protocol.DiscoveryProtocol;
 
 /** The endpoint list of a run, as the fake discovery agent publishes it. Thread-safe. */
 final class DiscoveryList implements AutoCloseable {
-    static final String IN_SERVICE = "in_service";
-    static final String DRAINING = "terminating";
-    static final String REMOVED = "terminated";
-
     private final FakeDiscoveryAgent agent = new FakeDiscoveryAgent();
     private final Scenario.Layout layout;
     private final List<EndpointServer> endpoints;
@@ -25,7 +22,7 @@
     DiscoveryList(Scenario.Layout layout, List<EndpointServer> endpoints) throws IOException {
         this.layout = layout;
         this.endpoints = endpoints;
-        layout.endpoints().forEach(endpoint -> states.add(IN_SERVICE));
+        layout.endpoints().forEach(endpoint -> states.add(DiscoveryProtocol.STATE_LISTED));
     }
 
     String agentAddress() {
--- a/src/main/java/loftflow/experiment/loopback/EndpointServer.java
+++ b/src/main/java/loftflow/experiment/loopback/EndpointServer.java
@@ -30,7 +30,8 @@
 import loftflow.experiment.history.CallCounts;
 import loftflow.experiment.history.MessageHistory;
 import loftflow.experiment.scenario.Scenario;
-import loftflow.http.Headers;
+import loftflow.protocol.HostProtocol;
+import loftflow.protocol.MessageHeaders;
 
 /**
  * An endpoint on a loopback port (PROTOCOL, Relays to hosts). The emulated endpoint decides the response and its time;
@@ -39,7 +40,6 @@
 final class EndpointServer {
     private static final JsonFactory JSON = new JsonFactory();
     private static final String PROBE_PATH_PREFIX = "/-/";
-    private static final String SINGLE_CALL_PATH = "/receive";
     /** The relay whose call on a connection will get no response. */
     private static final AttributeKey<Integer> UNANSWERED_RELAY = AttributeKey.valueOf("lab.silent-for");
 
@@ -105,8 +105,8 @@
             if (path.startsWith(PROBE_PATH_PREFIX)) {
                 EmulatedEndpoint.CallResult result = endpoint.receiveProbe(CallCounts.NONE, context.nowMicros());
                 scheduleResponse(ctx, new PendingCall(CallCounts.NONE, 0, List.of(), false), result);
-            } else if (path.equals(SINGLE_CALL_PATH)) {
-                receiveCall(ctx, List.of(request.headers().get(Headers.CALL_ID, "")), false);
+            } else if (path.equals(HostProtocol.SINGLE_PATH)) {
+                receiveCall(ctx, List.of(request.headers().get(MessageHeaders.MESSAGE_ID, "")), false);
             } else {
                 receiveCall(ctx, readIds(ByteBufUtil.getBytes(request.content())), true);
             }
@@ -201,10 +201,10 @@
                 HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length());
         if (retryAfterMicros > 0) {
-            response.headers().set(Headers.COME_BACK, TimeUnit.MICROSECONDS.toMillis(retryAfterMicros));
+            response.headers().set(MessageHeaders.RETRY_AFTER_MILLIS, TimeUnit.MICROSECONDS.toMillis(retryAfterMicros));
         }
         if (endpoint.group().reportsLimit()) {
-            response.headers().set(Headers.LOAD_REPORT, limitReport());
+            response.headers().set(MessageHeaders.LOAD_REPORT, limitReport());
         }
         ctx.writeAndFlush(response);
     }
--- a/src/main/java/loftflow/experiment/loopback/FaultInjector.java
+++ b/src/main/java/loftflow/experiment/loopback/FaultInjector.java
@@ -10,6 +10,7 @@
 import loftflow.experiment.history.RunHistory;
 import loftflow.experiment.scenario.FailureKind;
 import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.protocol.DiscoveryProtocol;
 
 /**
  * Carries out the faults of a schedule that affect processes and sockets: crashes of relays, endpoints that refuse
@@ -95,9 +96,9 @@
     }
 
     private void schedule(FaultSchedule.EndpointDrain drain) {
-        scheduleAt(drain.fromMicros(), () -> publish(drain.endpoint(), DiscoveryList.DRAINING));
+        scheduleAt(drain.fromMicros(), () -> publish(drain.endpoint(), DiscoveryProtocol.STATE_DRAINING));
         scheduleAt(drain.removedAtMicros(), () -> {
-            publish(drain.endpoint(), DiscoveryList.REMOVED);
+            publish(drain.endpoint(), DiscoveryProtocol.STATE_REMOVED);
             context.loop()
                     .submit(endpoints.get(drain.endpoint())::stopListening)
                     .sync();
--- a/src/main/java/loftflow/experiment/loopback/LoadGenerator.java
+++ b/src/main/java/loftflow/experiment/loopback/LoadGenerator.java
@@ -14,8 +14,9 @@
 import loftflow.experiment.history.MessageHistory;
 import loftflow.experiment.scenario.Arrival;
 import loftflow.experiment.scenario.Scenario;
-import loftflow.http.Headers;
 import loftflow.policy.api.Idempotency;
+import loftflow.protocol.ClientProtocol;
+import loftflow.protocol.MessageHeaders;
 
 /**
  * The clients of a fleet: submits each message on a connection without another request in flight, and resubmits
@@ -81,19 +82,19 @@
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api", Unpooled.wrappedBuffer(BODY));
         request.headers()
                 .set(HttpHeaderNames.HOST, "relay")
-                .set(Headers.CALL_ID, id)
-                .set(Headers.CALL_CLASS, messageClass.name())
-                .set(Headers.BUDGET, TimeUnit.MICROSECONDS.toMillis(messageClass.deadlineMicros()))
-                .set(Headers.CONSIGNEE, "dest=" + message.partner())
+                .set(MessageHeaders.MESSAGE_ID, id)
+                .set(MessageHeaders.REQUEST_CLASS, messageClass.name())
+                .set(MessageHeaders.TIMEOUT_MILLIS, TimeUnit.MICROSECONDS.toMillis(messageClass.deadlineMicros()))
+                .set(MessageHeaders.DESTINATION, ClientProtocol.DESTINATION_FIELD + message.partner())
                 .set(HttpHeaderNames.CONTENT_LENGTH, BODY.length);
         if (message.tenant() >= 0) {
             request.headers()
                     .set(
-                            Headers.CALLER,
+                            MessageHeaders.TENANT,
                             scenario.tenants().get(message.tenant()).name());
         }
         if (messageClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
-            request.headers().set(Headers.KEY, "k" + number);
+            request.headers().set(MessageHeaders.IDEMPOTENCY_KEY, "k" + number);
         }
         return request;
     }
--- a/src/main/java/loftflow/experiment/results/ResultsFolder.java
+++ b/src/main/java/loftflow/experiment/results/ResultsFolder.java
@@ -55,9 +55,9 @@
     private ResultsFolder(FileChannel lock, FileChannel file) throws IOException {
         this.lock = lock;
         this.file = file;
-        ByteBuffer content = RecordFile.all(file);
+        ByteBuffer content = RecordFile.readAll(file);
         int wholeBytes = 0;
-        for (byte[] record = RecordFile.next(content); record != null; record = RecordFile.next(content)) {
+        for (byte[] record = RecordFile.readNext(content); record != null; record = RecordFile.readNext(content)) {
             results.add(read(record));
             wholeBytes = content.position();
         }
@@ -111,8 +111,8 @@
     /** Stores a finished run; it is on the disk when this returns. */
     public void add(Result result) throws IOException {
         byte[] text = write(result).getBytes(StandardCharsets.UTF_8);
-        byte[] record = RecordFile.seal(ByteBuffer.allocate(RecordFile.HEAD + text.length)
-                .position(RecordFile.HEAD)
+        byte[] record = RecordFile.seal(ByteBuffer.allocate(RecordFile.HEADER_BYTES + text.length)
+                .position(RecordFile.HEADER_BYTES)
                 .put(text)
                 .array());
         RecordFile.append(file, record, endOffset);
--- a/src/main/java/loftflow/fake/FakeClient.java
+++ b/src/main/java/loftflow/fake/FakeClient.java
@@ -5,7 +5,8 @@
 import java.io.InputStreamReader;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import loftflow.http.Headers;
+import loftflow.protocol.ClientProtocol;
+import loftflow.protocol.MessageHeaders;
 
 /** A program that hands messages in to a relay (PROTOCOL, Clients to relays), one at a time on a kept connection. */
 public final class FakeClient implements AutoCloseable {
@@ -33,18 +34,22 @@
             throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         return exchange(
-                "POST /api HTTP/1.1\r\nHost: relay\r\n" + Headers.CALL_ID + ": " + id + "\r\n"
-                        + Headers.CALL_CLASS + ": " + type + "\r\n"
-                        + (tenant == null ? "" : Headers.CALLER + ": " + tenant + "\r\n") + Headers.BUDGET + ": "
-                        + budgetMs + "\r\n" + (key == null ? "" : Headers.KEY + ": " + key + "\r\n")
-                        + "Content-Length: " + bytes.length + "\r\n" + Headers.CONSIGNEE + ": dest=" + destination
+                "POST /api HTTP/1.1\r\nHost: relay\r\n" + MessageHeaders.MESSAGE_ID + ": " + id + "\r\n"
+                        + MessageHeaders.REQUEST_CLASS + ": " + type + "\r\n"
+                        + (tenant == null ? "" : MessageHeaders.TENANT + ": " + tenant + "\r\n")
+                        + MessageHeaders.TIMEOUT_MILLIS + ": "
+                        + budgetMs + "\r\n" + (key == null ? "" : MessageHeaders.IDEMPOTENCY_KEY + ": " + key + "\r\n")
+                        + "Content-Length: " + bytes.length + "\r\n" + MessageHeaders.DESTINATION + ": "
+                        + ClientProtocol.DESTINATION_FIELD
+                        + destination
                         + "\r\n\r\n",
                 bytes);
     }
 
     /** True where the relay says that it is ready. */
     public boolean isReady() throws IOException {
-        return exchange("GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n", new byte[0]) == 200;
+        return exchange("GET " + ClientProtocol.READINESS_PATH + " HTTP/1.1\r\nHost: relay\r\n\r\n", new byte[0])
+                == 200;
     }
 
     private int exchange(String head, byte[] body) throws IOException {
--- a/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
+++ b/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
@@ -7,6 +7,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import loftflow.protocol.CompletionProtocol;
+import loftflow.protocol.DiscoveryProtocol;
 
 /**
  * Discovery's agent on a loopback port (PROTOCOL, Discovery and Notices): tells a list of endpoints and its changes to
@@ -37,7 +39,7 @@
         return notices;
     }
 
-    /** An entry of a list; {@code state} is {@code in_service}, {@code terminating} or {@code terminated}. */
+    /** An entry of a list; {@code state} is one of {@link DiscoveryProtocol}'s states. */
     public static String entry(String id, int destination, String kind, String building, String state, String address) {
         return entry(id, destination, kind, building, state, address, 1);
     }
@@ -45,10 +47,26 @@
     /** As above; {@code rate} is the entry's hint. */
     public static String entry(
             String id, int destination, String kind, String building, String state, String address, double rate) {
-        return "{\"uid\":\"" + id + "\",\"endpoint\":\"" + address + "\",\"az\":\"" + building + "\",\"model\":\""
-                + kind
-                + "\",\"pod_group\":" + destination + ",\"state\":\"" + state
-                + "\",\"capacity_hint\":" + rate + ",\"boot_ms\":0}";
+        return "{"
+                + String.join(
+                        ",",
+                        text(DiscoveryProtocol.ROUTE, id),
+                        text(DiscoveryProtocol.ADDRESS, address),
+                        text(DiscoveryProtocol.ZONE, building),
+                        text(DiscoveryProtocol.KIND, kind),
+                        number(DiscoveryProtocol.DESTINATION, destination),
+                        text(DiscoveryProtocol.STATE, state),
+                        number(DiscoveryProtocol.RATE_PER_SECOND, rate),
+                        number(DiscoveryProtocol.STARTED_AT_MILLIS, 0))
+                + "}";
+    }
+
+    private static String text(String name, String value) {
+        return "\"" + name + "\":\"" + value + "\"";
+    }
+
+    private static String number(String name, Object value) {
+        return "\"" + name + "\":" + value;
     }
 
     /** Tells another whole list from now on; those who watch hear of it at once. */
@@ -69,14 +87,14 @@
     }
 
     private String answer(ScriptedPeer.Request request) {
-        if (request.line().startsWith("POST /status ")) {
+        if (request.line().startsWith("POST " + CompletionProtocol.NOTICE_PATH + " ")) {
             Matcher each = NOTICE.matcher(request.body());
             while (each.find()) {
                 notices.add(new Notice(each.group(1), each.group(2)));
             }
             return ScriptedPeer.status(204);
         }
-        if (!request.line().startsWith("GET /api/targets")) {
+        if (!request.line().startsWith("GET " + DiscoveryProtocol.LIST_PATH)) {
             return ScriptedPeer.status(404);
         }
         Matcher watch = AFTER.matcher(request.line());
--- a/src/main/java/loftflow/fake/FakePartner.java
+++ b/src/main/java/loftflow/fake/FakePartner.java
@@ -6,7 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import loftflow.http.Headers;
+import loftflow.protocol.HostProtocol;
+import loftflow.protocol.MessageHeaders;
 
 /**
  * A partner's endpoint on a loopback port (PROTOCOL, Relays to hosts): takes calls of one message, within a limit and
@@ -116,7 +117,7 @@
         if (request.line().startsWith("GET /-/")) {
             return check();
         }
-        if (!request.line().startsWith("POST /receive ")) {
+        if (!request.line().startsWith("POST " + HostProtocol.SINGLE_PATH + " ")) {
             return ScriptedPeer.status(404);
         }
         Mood now;
@@ -127,7 +128,7 @@
             int status = !ran ? 503 : now == Mood.WELL || now == Mood.LATE ? 200 : NO_ANSWER;
             postings.add(new Posting(
                     request.id(),
-                    request.headers().get(Headers.KEY.toLowerCase(java.util.Locale.ROOT)),
+                    request.headers().get(MessageHeaders.IDEMPOTENCY_KEY.toLowerCase(java.util.Locale.ROOT)),
                     System.nanoTime(),
                     ran,
                     status));
--- a/src/main/java/loftflow/journal/Journal.java
+++ b/src/main/java/loftflow/journal/Journal.java
@@ -229,13 +229,13 @@
             JournalRecordCodec.Header header = JournalRecordCodec.readHeader(in);
             number = header.messageNumber();
             if (header.isAccepted()) {
-                addOpen(JournalRecordCodec.readAccepted(header, in), payload.length + RecordFile.HEAD);
+                addOpen(JournalRecordCodec.readAccepted(header, in), payload.length + RecordFile.HEADER_BYTES);
                 return;
             }
             lastNumber = Math.max(lastNumber, number);
             OpenMessage open = openMessages.get(number);
             if (open != null) {
-                addBytes(open, payload.length + RecordFile.HEAD);
+                addBytes(open, payload.length + RecordFile.HEADER_BYTES);
                 apply(JournalRecordCodec.readUpdate(header, in), open.message);
             }
         } catch (IOException | IllegalArgumentException | IndexOutOfBoundsException e) {
--- a/src/main/java/loftflow/journal/JournalRecordCodec.java
+++ b/src/main/java/loftflow/journal/JournalRecordCodec.java
@@ -130,7 +130,7 @@
 
     private static byte[] record(int type, Message message, PayloadWriter payload) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.writeBytes(new byte[RecordFile.HEAD]);
+        bytes.writeBytes(new byte[RecordFile.HEADER_BYTES]);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(type);
             out.writeLong(message.number());
--- a/src/main/java/loftflow/journal/JournalSegment.java
+++ b/src/main/java/loftflow/journal/JournalSegment.java
@@ -47,12 +47,12 @@
 
     /** Everything that the file holds, for {@link #readRecord}. */
     ByteBuffer readAll() throws IOException {
-        return RecordFile.all(channel);
+        return RecordFile.readAll(channel);
     }
 
     /** The payload of the next whole record of {@link #readAll}, or null at the end and where a record is torn. */
     byte[] readRecord(ByteBuffer all) {
-        byte[] payload = RecordFile.next(all);
+        byte[] payload = RecordFile.readNext(all);
         if (payload != null) {
             sizeBytes = all.position();
         }
@@ -71,7 +71,7 @@
      *     {@link #truncateTail}
      */
     void append(byte[] record) throws IOException {
-        RecordFile.write(channel, record, sizeBytes);
+        RecordFile.writeFully(channel, record, sizeBytes);
         sizeBytes += record.length;
     }
 
--- a/src/main/java/loftflow/json/JsonFields.java
+++ b/src/main/java/loftflow/json/JsonFields.java
@@ -121,7 +121,7 @@
     }
 
     /** The array at a position; empty where it is absent. */
-    public List<?> list(Object position) {
+    public List<?> listOrEmpty(Object position) {
         Object value = value(position);
         if (value == null) {
             return List.of();
@@ -159,7 +159,7 @@
     }
 
     /** The number at a position, which must be present; a fraction is cut off. */
-    public long whole(Object position) {
+    public long wholeNumber(Object position) {
         if (value(position) instanceof Number number) {
             return number.longValue();
         }
@@ -167,12 +167,12 @@
     }
 
     /** The number at a position, without its fraction, or a default where it is absent. */
-    public long whole(Object position, long defaultValue) {
-        return value(position) == null ? defaultValue : whole(position);
+    public long wholeNumber(Object position, long defaultValue) {
+        return value(position) == null ? defaultValue : wholeNumber(position);
     }
 
     /** The boolean at a position; false where it is absent. */
-    public boolean flag(Object position) {
+    public boolean booleanOrFalse(Object position) {
         Object value = value(position);
         if (value == null) {
             return false;
@@ -184,13 +184,13 @@
     }
 
     /** The number of seconds at a position, which must be present, as microseconds. */
-    public long micros(Object position) {
+    public long secondsAsMicros(Object position) {
         return Math.round(number(position) * MICROS_PER_SECOND);
     }
 
     /** The number of seconds at a position, as microseconds, or a default in microseconds where it is absent. */
-    public long micros(Object position, long defaultMicros) {
-        return value(position) == null ? defaultMicros : micros(position);
+    public long secondsAsMicros(Object position, long defaultMicros) {
+        return value(position) == null ? defaultMicros : secondsAsMicros(position);
     }
 
     private MalformedInputException wrongType(Object position, String expected) {
--- a/src/main/java/loftflow/listener/Listener.java
+++ b/src/main/java/loftflow/listener/Listener.java
@@ -6,13 +6,13 @@
     void drain();
 
     /** Reads pending bytes from sockets, and accepts pending connections. */
-    default void takeIn() {}
+    default void readPending() {}
 
     /** Returns true where every request that was begun has its response. */
     boolean isIdle();
 
     /** Returns true while a request that was received whole has no response yet. */
-    boolean isAnswering();
+    boolean hasRequestInProgress();
 
     /** Accepts nothing from now on. */
     void stopListening();
--- a/src/main/java/loftflow/listener/amqp/AmqpListener.java
+++ b/src/main/java/loftflow/listener/amqp/AmqpListener.java
@@ -182,7 +182,7 @@
     }
 
     @Override
-    public void tell(Message message) {
+    public void reply(Message message) {
         completionQueues.add(message);
     }
 
@@ -213,11 +213,11 @@
 
     @Override
     public boolean isIdle() {
-        return !isAnswering();
+        return !hasRequestInProgress();
     }
 
     @Override
-    public boolean isAnswering() {
+    public boolean hasRequestInProgress() {
         return sessions.stream().anyMatch(PublisherSession::hasUnansweredPublishes);
     }
 
--- a/src/main/java/loftflow/listener/amqp/CompletionReplier.java
+++ b/src/main/java/loftflow/listener/amqp/CompletionReplier.java
@@ -8,5 +8,5 @@
  */
 public interface CompletionReplier {
     /** Replies with the completion of a message, at once or as soon as that is possible. */
-    void tell(Message message);
+    void reply(Message message);
 }
--- a/src/main/java/loftflow/listener/amqp/PublishHandler.java
+++ b/src/main/java/loftflow/listener/amqp/PublishHandler.java
@@ -120,7 +120,7 @@
                         method.text("exchange"),
                         method.text("routing-key"),
                         command.body(),
-                        context.eventLoopLag().unreadSince(),
+                        context.eventLoopLag().unreadSinceMicros(),
                         listener.ids(),
                         reply);
     }
@@ -135,7 +135,7 @@
         } else if (context.deduplicator().contains(content.messageId())) {
             // A repeat of an accepted message, whose completion is owed once.
             channel.send(Method.of(MethodType.BASIC_ACK, tag, false));
-        } else if (!mapped.anonymous() && !context.deduplicator().hasRoom() || listener.isDraining()) {
+        } else if (!mapped.anonymous() && !context.deduplicator().hasCapacity() || listener.isDraining()) {
             channel.send(Method.of(MethodType.BASIC_NACK, tag, false, false));
         } else {
             accept(channel, tag, mapped);
@@ -150,7 +150,7 @@
         unanswered++;
         // The result is null where the publish has been answered already.
         publish.setMessage(
-                context.messageAcceptor().accept(content, context.eventLoopLag().unreadSince(), publish));
+                context.messageAcceptor().accept(content, context.eventLoopLag().unreadSinceMicros(), publish));
         if (unanswered >= MAX_UNANSWERED_PUBLISHES && !isReadPaused) {
             isReadPaused = true;
             session.connection().read(false);
--- a/src/main/java/loftflow/listener/amqp/QueueConsumer.java
+++ b/src/main/java/loftflow/listener/amqp/QueueConsumer.java
@@ -32,9 +32,9 @@
  */
 public final class QueueConsumer implements Listener, CompletionReplier, AmqpClientConnection.Owner {
     /** For which messages completions are published. */
-    public enum Tells {
+    public enum ReplyMode {
         /** For messages with a reply queue. */
-        ASKED("asked"),
+        ON_REQUEST("asked"),
         /** Also for messages without one, to the reply queue of the settings. */
         ALWAYS("always"),
         /** For none. */
@@ -42,7 +42,7 @@
 
         private final String setting;
 
-        Tells(String setting) {
+        ReplyMode(String setting) {
             this.setting = setting;
         }
 
@@ -51,8 +51,8 @@
          *
          * @throws IllegalArgumentException where the value is unknown
          */
-        public static Tells ofSetting(String value) {
-            for (Tells tells : values()) {
+        public static ReplyMode ofSetting(String value) {
+            for (ReplyMode tells : values()) {
                 if (tells.setting.equals(value)) {
                     return tells;
                 }
@@ -77,7 +77,7 @@
             String queue,
             int prefetch,
             boolean isAutoAcknowledge,
-            Tells tells,
+            ReplyMode tells,
             String replyQueue,
             long connectTimeoutMicros) {}
 
@@ -212,7 +212,7 @@
     @Override
     public void opened() {
         connection.openChannel(CONSUMER_CHANNEL);
-        if (options.tells() != Tells.NEVER) {
+        if (options.tells() != ReplyMode.NEVER) {
             connection.openChannel(REPLY_CHANNEL);
         }
     }
@@ -303,7 +303,7 @@
                 method.text("exchange"),
                 method.text("routing-key"),
                 command.body(),
-                eventLoopLag.unreadSince(),
+                eventLoopLag.unreadSinceMicros(),
                 ids,
                 reply(properties));
     }
@@ -318,7 +318,7 @@
     private String replyQueue(String requestedQueue) {
         return switch (options.tells()) {
             case NEVER -> null;
-            case ASKED -> requestedQueue;
+            case ON_REQUEST -> requestedQueue;
             case ALWAYS -> requestedQueue != null ? requestedQueue : options.replyQueue();
         };
     }
@@ -326,11 +326,11 @@
     private void submit(long tag, MessageMapping.Fits mapped) {
         Delivery delivery = new Delivery(connection, tag, mapped);
         deliveries.add(delivery);
-        if (isDraining || !mapped.anonymous() && !deduplicator.hasRoom()) {
+        if (isDraining || !mapped.anonymous() && !deduplicator.hasCapacity()) {
             delivery.rejected(0);
         } else {
             // The result is null where the delivery has been answered already.
-            delivery.message = messageAcceptor.accept(mapped.content(), eventLoopLag.unreadSince(), delivery);
+            delivery.message = messageAcceptor.accept(mapped.content(), eventLoopLag.unreadSinceMicros(), delivery);
         }
     }
 
@@ -348,7 +348,7 @@
     // ---- completions
 
     @Override
-    public void tell(Message message) {
+    public void reply(Message message) {
         replyPublisher.add(message);
     }
 
@@ -401,7 +401,7 @@
     }
 
     @Override
-    public boolean isAnswering() {
+    public boolean hasRequestInProgress() {
         return deliveries.stream().anyMatch(delivery -> delivery.message != null);
     }
 
--- a/src/main/java/loftflow/listener/connection/Acceptor.java
+++ b/src/main/java/loftflow/listener/connection/Acceptor.java
@@ -72,12 +72,12 @@
 
     /** The earliest time at which a connection that is accepted now can have arrived, in microseconds. */
     public long acceptableSince() {
-        return Math.min(backlogSinceMicros, eventLoopLag.unreadSince());
+        return Math.min(backlogSinceMicros, eventLoopLag.unreadSinceMicros());
     }
 
     /** The earliest time at which bytes that are read now can have arrived, in microseconds. */
     public long unreadSince() {
-        return eventLoopLag.unreadSince();
+        return eventLoopLag.unreadSinceMicros();
     }
 
     /**
--- a/src/main/java/loftflow/listener/http/HttpClientConnection.java
+++ b/src/main/java/loftflow/listener/http/HttpClientConnection.java
@@ -157,7 +157,7 @@
     }
 
     private void startReadTimeout() {
-        timer.start(MessageRequest.READ_MS, TimeUnit.MILLISECONDS, this::onReadTimeout);
+        timer.start(MessageRequest.READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS, this::onReadTimeout);
     }
 
     /** Closes the connection of a client that sends nothing, and rejects a request that does not end. */
--- a/src/main/java/loftflow/listener/http/HttpListener.java
+++ b/src/main/java/loftflow/listener/http/HttpListener.java
@@ -47,7 +47,7 @@
     @Override
     public void drain() {
         isDraining = true;
-        takeIn();
+        readPending();
         connections.inactive().stream()
                 .filter(connection -> connection.isFlushed() && !connection.isClosing())
                 .forEach(HttpClientConnection::close);
@@ -55,7 +55,7 @@
 
     /** Also reads from inactive connections: one that closes with a pending request would leave it unanswered. */
     @Override
-    public void takeIn() {
+    public void readPending() {
         acceptor.acceptPending();
         connections.inactive().forEach(HttpClientConnection::readPending);
     }
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public boolean isAnswering() {
+    public boolean hasRequestInProgress() {
         return connections.all().stream().anyMatch(HttpClientConnection::hasRequestInProgress);
     }
 
--- a/src/main/java/loftflow/listener/http2/Http2Listener.java
+++ b/src/main/java/loftflow/listener/http2/Http2Listener.java
@@ -48,7 +48,7 @@
             long poolBytes,
             Map<String, Double> classShares,
             double resetsPerSecond,
-            ConnectionExpiry.Spans expiry,
+            ConnectionExpiry.TimeLimits expiry,
             long drainTimeoutMicros) {}
 
     private static final long CHECK_INTERVAL_MILLIS = 50;
@@ -157,14 +157,14 @@
     /** Shuts every connection down gracefully, with a time limit in microseconds for open streams. */
     public void drain(long timeoutMicros) {
         isDraining = true;
-        takeIn();
+        readPending();
         long deadlineMicros = clock.micros() + timeoutMicros;
         connections.all().forEach(session -> session.drain(deadlineMicros));
     }
 
     /** Also reads from connections in their handshake: their streams may be pending, and they got no GOAWAY yet. */
     @Override
-    public void takeIn() {
+    public void readPending() {
         acceptor.acceptPending();
         connections.all().stream()
                 .filter(session -> !session.isHandshakeComplete())
@@ -177,7 +177,7 @@
     }
 
     @Override
-    public boolean isAnswering() {
+    public boolean hasRequestInProgress() {
         return connections.all().stream().anyMatch(ClientSession::hasRequestInProgress);
     }
 
--- a/src/main/java/loftflow/listener/http2/RequestStream.java
+++ b/src/main/java/loftflow/listener/http2/RequestStream.java
@@ -13,10 +13,10 @@
 import loftflow.engine.Message;
 import loftflow.engine.MessageAcceptor;
 import loftflow.listener.http2.flowcontrol.StreamLifecycle;
-import loftflow.listener.request.ClientProtocol;
 import loftflow.listener.request.ClientResponse;
 import loftflow.listener.request.Exchange;
 import loftflow.listener.request.MessageRequest;
+import loftflow.protocol.ClientProtocol;
 
 /** One request on a connection, from its head to its one response. */
 final class RequestStream extends Exchange {
--- a/src/main/java/loftflow/listener/http2/StreamTable.java
+++ b/src/main/java/loftflow/listener/http2/StreamTable.java
@@ -25,7 +25,7 @@
 /** The open streams of one connection: begins requests, sends the one response of each, and ends them. */
 final class StreamTable {
     private static final long MICROS_PER_MILLI = 1000;
-    private static final long READ_TIMEOUT_MICROS = MessageRequest.READ_MS * MICROS_PER_MILLI;
+    private static final long READ_TIMEOUT_MICROS = MessageRequest.READ_TIMEOUT_MILLIS * MICROS_PER_MILLI;
     /** When a client is to resubmit a message that was rejected for lack of memory. */
     private static final long OVERLOADED_RETRY_AFTER_MICROS = 1_000_000;
 
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
@@ -13,7 +13,7 @@
      * @param maxAgeMicros the age after which clients are to reconnect and so find new relays; 0 for no limit
      * @param writeStallMicros while the client reads nothing of what is buffered for it
      */
-    public record Spans(long handshakeMicros, long idleMicros, long maxAgeMicros, long writeStallMicros) {}
+    public record TimeLimits(long handshakeMicros, long idleMicros, long maxAgeMicros, long writeStallMicros) {}
 
     /** What to do with a connection. */
     public enum Verdict {
@@ -30,7 +30,7 @@
 
     private static final long NOT_STALLED = -1;
 
-    private final Spans limits;
+    private final TimeLimits limits;
     private final long openedAtMicros;
     private final long maxAgeMicros;
     private boolean isHandshakeComplete;
@@ -42,7 +42,7 @@
      *
      * @param jitter from 0 to 1, how far the maximum age is shortened
      */
-    public ConnectionExpiry(Spans limits, long nowMicros, double jitter) {
+    public ConnectionExpiry(TimeLimits limits, long nowMicros, double jitter) {
         this.limits = limits;
         openedAtMicros = nowMicros;
         idleSinceMicros = nowMicros;
--- a/src/main/java/loftflow/listener/request/Exchange.java
+++ b/src/main/java/loftflow/listener/request/Exchange.java
@@ -3,6 +3,7 @@
 import java.util.function.Supplier;
 import loftflow.engine.Message;
 import loftflow.engine.MessageAcceptor;
+import loftflow.protocol.ClientProtocol;
 
 /** One request and its one response, independent of the version of HTTP. For use on the event loop only. */
 public abstract class Exchange implements Message.ClientReply {
--- a/src/main/java/loftflow/listener/request/MessageRequest.java
+++ b/src/main/java/loftflow/listener/request/MessageRequest.java
@@ -3,13 +3,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import loftflow.engine.Message;
+import loftflow.protocol.ClientProtocol;
 
 /** Parses the message in a request from its path, headers and body. */
 public final class MessageRequest {
     /** The largest body of a message. */
     public static final int MAX_BODY_BYTES = 64 << 10;
     /** The longest time from the first byte of a request to its last; for the first request, from connecting. */
-    public static final long READ_MS = 2500;
+    public static final long READ_TIMEOUT_MILLIS = 2500;
 
     private static final int MAX_TOKEN_CHARS = 200;
     private static final int MAX_DIGITS = 9;
--- a/src/main/java/loftflow/listener/request/ClientProtocol.java
+++ b/src/main/java/loftflow/protocol/ClientProtocol.java
@@ -1,11 +1,10 @@
-package loftflow.listener.request;
+package loftflow.protocol;
 
 import java.util.List;
-import loftflow.http.Headers;
 
 /**
  * The names of the protocol that clients speak to relays (PROTOCOL, "Clients to relays"): paths, headers and their
- * fields, mapped to this project's terms. Nothing else in the listeners spells them.
+ * fields, mapped to this project's terms. Nothing else spells them.
  */
 public final class ClientProtocol {
     /** Path of a message; {@code /api/KEY} also gives it an ordering key. */
@@ -14,22 +13,22 @@
     public static final String READINESS_PATH = "/-/ready";
 
     /** Header: the message's id. */
-    public static final String MESSAGE_ID_HEADER = Headers.CALL_ID;
+    public static final String MESSAGE_ID_HEADER = MessageHeaders.MESSAGE_ID;
     /** Header: the message's class. */
-    public static final String CLASS_HEADER = Headers.CALL_CLASS;
+    public static final String CLASS_HEADER = MessageHeaders.REQUEST_CLASS;
     /** Header: the tenant. */
-    public static final String TENANT_HEADER = Headers.CALLER;
+    public static final String TENANT_HEADER = MessageHeaders.TENANT;
     /** Header: the idempotency key. */
-    public static final String IDEMPOTENCY_KEY_HEADER = Headers.KEY;
+    public static final String IDEMPOTENCY_KEY_HEADER = MessageHeaders.IDEMPOTENCY_KEY;
     /** Header: the time in whole milliseconds, from when the client sent the message, until its deadline. */
-    public static final String TIMEOUT_MILLIS_HEADER = Headers.BUDGET;
+    public static final String TIMEOUT_MILLIS_HEADER = MessageHeaders.TIMEOUT_MILLIS;
     /** Header: the message's destination, as {@link #DESTINATION_FIELD}. */
-    public static final String DESTINATION_HEADER = Headers.CONSIGNEE;
+    public static final String DESTINATION_HEADER = MessageHeaders.DESTINATION;
 
     /** The field of {@link #DESTINATION_HEADER} that holds the number of the destination. */
-    static final String DESTINATION_FIELD = "dest=";
+    public static final String DESTINATION_FIELD = "dest=";
     /** {@link #DESTINATION_HEADER} with further fields; group 1 is the number. */
-    static final String DESTINATION_PATTERN = "(?:.*[;,\\s])?dest=(\\d{1,9})(?:[;,\\s].*)?";
+    public static final String DESTINATION_PATTERN = "(?:.*[;,\\s])?dest=(\\d{1,9})(?:[;,\\s].*)?";
 
     private static final List<String> REQUEST_HEADERS = List.of(
             MESSAGE_ID_HEADER,
--- a/src/main/java/loftflow/http/Headers.java
+++ b/src/main/java/loftflow/protocol/MessageHeaders.java
@@ -1,25 +1,25 @@
-package loftflow.http;
+package loftflow.protocol;
 
 /** Header names of the client protocol, by which clients send messages, and of the host protocol, to upstreams. */
-public final class Headers {
+public final class MessageHeaders {
     /** Both protocols: the message id. */
-    public static final String CALL_ID = "X-Call-Id";
+    public static final String MESSAGE_ID = "X-Call-Id";
     /** Both protocols: the idempotency key. */
-    public static final String KEY = "Idempotency-Key";
+    public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
     /** Both protocols: the time left for delivery, in whole milliseconds. */
-    public static final String BUDGET = "X-Budget-Ms";
+    public static final String TIMEOUT_MILLIS = "X-Budget-Ms";
     /** Client protocol: the request class. */
-    public static final String CALL_CLASS = "X-Call-Class";
+    public static final String REQUEST_CLASS = "X-Call-Class";
     /** Client protocol: the tenant. */
-    public static final String CALLER = "X-Caller";
+    public static final String TENANT = "X-Caller";
     /** Client protocol: the destination, in the form {@code dest=7}. */
-    public static final String CONSIGNEE = "X-Consignee";
+    public static final String DESTINATION = "X-Consignee";
     /** Host protocol, response: the upstream's rate limit and load. */
     public static final String LOAD_REPORT = "X-Load-Report";
     /** Host protocol, response: Retry-After, in whole milliseconds. */
-    public static final String COME_BACK = "X-Come-Back-Ms";
+    public static final String RETRY_AFTER_MILLIS = "X-Come-Back-Ms";
     /** Host protocol, response: {@code 1} where the call was not sent, because this relay's call limit is used up. */
-    public static final String LINE_BUSY = "X-Line-Busy";
+    public static final String CONCURRENCY_LIMITED = "X-Line-Busy";
 
-    private Headers() {}
+    private MessageHeaders() {}
 }
--- a/src/main/java/loftflow/recordfile/RecordFile.java
+++ b/src/main/java/loftflow/recordfile/RecordFile.java
@@ -12,19 +12,19 @@
  */
 public final class RecordFile {
     /** Bytes of a record's header. */
-    public static final int HEAD = Integer.BYTES * 2;
+    public static final int HEADER_BYTES = Integer.BYTES * 2;
 
     private RecordFile() {}
 
     /**
      * Fills in the header of a record.
      *
-     * @param record {@link #HEAD} bytes for the header, then the payload; changed in place
+     * @param record {@link #HEADER_BYTES} bytes for the header, then the payload; changed in place
      * @return the same array
      */
     public static byte[] seal(byte[] record) {
-        int length = record.length - HEAD;
-        ByteBuffer.wrap(record).putInt(length).putInt(checksum(record, HEAD, length));
+        int length = record.length - HEADER_BYTES;
+        ByteBuffer.wrap(record).putInt(length).putInt(checksum(record, HEADER_BYTES, length));
         return record;
     }
 
@@ -34,8 +34,8 @@
      * @param all the content of a file; its position moves behind the record, or anywhere where null is returned
      * @return the payload, or null at the end and where the record is torn
      */
-    public static byte[] next(ByteBuffer all) {
-        if (all.remaining() < HEAD) {
+    public static byte[] readNext(ByteBuffer all) {
+        if (all.remaining() < HEADER_BYTES) {
             return null;
         }
         int length = all.getInt();
@@ -55,8 +55,8 @@
     }
 
     /** Reads the whole content of a file, whatever the channel's position. */
-    public static ByteBuffer all(FileChannel file) throws IOException {
-        ByteBuffer content = ByteBuffer.allocate((int) Math.min(file.size(), Integer.MAX_VALUE - HEAD));
+    public static ByteBuffer readAll(FileChannel file) throws IOException {
+        ByteBuffer content = ByteBuffer.allocate((int) Math.min(file.size(), Integer.MAX_VALUE - HEADER_BYTES));
         while (content.hasRemaining() && file.read(content, content.position()) >= 0) {
             continue;
         }
@@ -68,7 +68,7 @@
      *
      * @throws IOException where the disk is full or fails; some of the bytes may be written then
      */
-    public static void write(FileChannel file, byte[] bytes, long at) throws IOException {
+    public static void writeFully(FileChannel file, byte[] bytes, long at) throws IOException {
         ByteBuffer remaining = ByteBuffer.wrap(bytes);
         while (remaining.hasRemaining()) {
             file.write(remaining, at + remaining.position());
@@ -83,7 +83,7 @@
      */
     public static void append(FileChannel file, byte[] bytes, long end) throws IOException {
         try {
-            write(file, bytes, end);
+            writeFully(file, bytes, end);
         } catch (IOException e) {
             file.truncate(end);
             throw e;
--- a/src/main/java/loftflow/server/AmqpModule.java
+++ b/src/main/java/loftflow/server/AmqpModule.java
@@ -61,12 +61,12 @@
         this.defaultNotifier = defaultNotifier;
         Config.Amqp amqp = config.amqp();
         boolean hasSources = !amqp.listeners().isEmpty() || !amqp.queues().isEmpty();
-        Deduplicator deduplicator = hasSources ? openDeduplicator(journal) : Deduplicator.NOTHING;
+        Deduplicator deduplicator = hasSources ? openDeduplicator(journal) : Deduplicator.NONE;
         MessageMapping mapping = AmqpOptions.mapping(amqp, config.settings().classes());
-        for (Config.AmqpFront listener : amqp.listeners()) {
+        for (Config.AmqpListenerOptions listener : amqp.listeners()) {
             addListener(listener, mapping, deduplicator);
         }
-        for (Config.AmqpQueue queue : amqp.queues()) {
+        for (Config.AmqpConsumerOptions queue : amqp.queues()) {
             addConsumer(queue, mapping, deduplicator);
         }
     }
@@ -90,7 +90,7 @@
         return deduplicator;
     }
 
-    private void addListener(Config.AmqpFront options, MessageMapping mapping, Deduplicator deduplicator) {
+    private void addListener(Config.AmqpListenerOptions options, MessageMapping mapping, Deduplicator deduplicator) {
         AmqpListener listener = new AmqpListener(
                 engine,
                 clock,
@@ -104,7 +104,7 @@
         repliers.put(options.name(), listener);
     }
 
-    private void addConsumer(Config.AmqpQueue options, MessageMapping mapping, Deduplicator deduplicator)
+    private void addConsumer(Config.AmqpConsumerOptions options, MessageMapping mapping, Deduplicator deduplicator)
             throws IOException {
         QueueConsumer consumer = new QueueConsumer(
                 eventLoop,
@@ -157,7 +157,7 @@
             if (reply == null) {
                 defaultNotifier.notifyCompletion(message);
             } else if (repliers.containsKey(reply.listener())) {
-                repliers.get(reply.listener()).tell(message);
+                repliers.get(reply.listener()).reply(message);
             } else {
                 // The listener of a resumed message is no longer configured.
                 notifyWithoutReply(message);
--- a/src/main/java/loftflow/server/AmqpOptions.java
+++ b/src/main/java/loftflow/server/AmqpOptions.java
@@ -5,7 +5,6 @@
 import io.netty.handler.ssl.SslProvider;
 import java.io.IOException;
 import java.util.List;
-import java.util.Locale;
 import loftflow.amqp.link.AmqpClientConnection;
 import loftflow.amqp.link.AmqpServerConnection;
 import loftflow.amqp.mapping.MessageMapping;
@@ -53,7 +52,7 @@
         return text == null ? null : ValueSource.of(text);
     }
 
-    static AmqpListener.Options listener(Config.AmqpFront listener, int maxConnections) {
+    static AmqpListener.Options listener(Config.AmqpListenerOptions listener, int maxConnections) {
         return new AmqpListener.Options(
                 listener.name(),
                 listener.exchange(),
@@ -66,7 +65,8 @@
     }
 
     /** @throws IOException where the file of trusted certificates can't be read */
-    static QueueConsumer.Options consumer(Config.AmqpQueue queue, long connectTimeoutMicros) throws IOException {
+    static QueueConsumer.Options consumer(Config.AmqpConsumerOptions queue, long connectTimeoutMicros)
+            throws IOException {
         Config.Login login = queue.login();
         return new QueueConsumer.Options(
                 queue.name(),
@@ -75,7 +75,7 @@
                 queue.queue(),
                 queue.prefetch(),
                 queue.autoAcknowledge(),
-                QueueConsumer.Tells.ofSetting(queue.completionReplies()),
+                QueueConsumer.ReplyMode.ofSetting(queue.completionReplies()),
                 queue.replyQueue(),
                 connectTimeoutMicros);
     }
--- a/src/main/java/loftflow/server/DeadLetterModule.java
+++ b/src/main/java/loftflow/server/DeadLetterModule.java
@@ -8,7 +8,8 @@
 import loftflow.admin.DeadLetterCommands;
 import loftflow.config.Config;
 import loftflow.deadletter.DeadLetterService;
-import loftflow.deadletter.DeadLetterStore;
+import loftflow.deadletter.DeadLetterStoreException;
+import loftflow.deadletter.RedriveClass;
 import loftflow.deadletter.RedrivePolicy;
 import loftflow.deadletter.store.DeadLetterExecutor;
 import loftflow.deadletter.store.SqliteDeadLetterStore;
@@ -26,7 +27,7 @@
     /** Opens the store, makes it the engine's dead-letter sink and listens on the admin socket. */
     DeadLetterModule(EventLoop eventLoop, Timers timers, Clock clock, DeliveryEngine engine, Config config)
             throws IOException {
-        Config.Keeping options = config.deadLetters();
+        Config.DeadLetterOptions options = config.deadLetters();
         executor = openStore(config, eventLoop);
         service = new DeadLetterService(timers, clock, engine, executor, serviceOptions(config, options));
         engine.setDeadLetterSink(service);
@@ -40,12 +41,12 @@
                     SqliteDeadLetterStore.open(
                             config.stateDirectory(), config.deadLetters().limitBytes()),
                     eventLoop);
-        } catch (DeadLetterStore.ShelfException e) {
+        } catch (DeadLetterStoreException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    private static DeadLetterService.Options serviceOptions(Config config, Config.Keeping options) {
+    private static DeadLetterService.Options serviceOptions(Config config, Config.DeadLetterOptions options) {
         return new DeadLetterService.Options(
                 retentionByClass(config),
                 new RedrivePolicy(options.clockMarginMicros(), options.redriveBackoffMicros()),
@@ -57,12 +58,12 @@
                 options.maxClosedAgeMicros());
     }
 
-    private static Map<String, RedrivePolicy.Shelved> retentionByClass(Config config) {
+    private static Map<String, RedriveClass> retentionByClass(Config config) {
         Map<String, Long> retentionMicros = config.deadLetters().retentionMicrosByClass();
-        Map<String, RedrivePolicy.Shelved> retentions = new HashMap<>();
+        Map<String, RedriveClass> retentions = new HashMap<>();
         for (RequestClass requestClass : config.settings().classes()) {
             String name = requestClass.name();
-            retentions.put(name, new RedrivePolicy.Shelved(requestClass, retentionMicros.get(name)));
+            retentions.put(name, new RedriveClass(requestClass, retentionMicros.get(name)));
         }
         return retentions;
     }
--- a/src/main/java/loftflow/server/GracefulShutdown.java
+++ b/src/main/java/loftflow/server/GracefulShutdown.java
@@ -59,8 +59,8 @@
     private void finishWhenIdle() {
         boolean isPastDeadline = System.nanoTime() - deadlineNanos >= 0;
         // A request that arrived since the last pass read its sockets is still answered, if only as rejected.
-        listeners.forEach(Listener::takeIn);
-        if (isIdle() || isPastDeadline && listeners.stream().noneMatch(Listener::isAnswering)) {
+        listeners.forEach(Listener::readPending);
+        if (isIdle() || isPastDeadline && listeners.stream().noneMatch(Listener::hasRequestInProgress)) {
             listeners.forEach(Listener::stopListening);
             closeStores.run();
             finished.countDown();
--- a/src/main/java/loftflow/server/Http2Module.java
+++ b/src/main/java/loftflow/server/Http2Module.java
@@ -41,7 +41,7 @@
         this.eventLoop = eventLoop;
         this.config = config;
         Map<String, Double> bufferShares = bufferShareByClass(config.settings().classes());
-        for (Config.Http2Front listener : config.http2().listeners()) {
+        for (Config.Http2ListenerOptions listener : config.http2().listeners()) {
             listeners.add(new Http2Listener(
                     acceptor, clock, eventLoopLag, options(listener, config.http2(), maxConnections, bufferShares)));
         }
@@ -58,7 +58,10 @@
     }
 
     private static Http2Listener.Options options(
-            Config.Http2Front listener, Config.Http2 http2, int maxConnections, Map<String, Double> bufferShares) {
+            Config.Http2ListenerOptions listener,
+            Config.Http2 http2,
+            int maxConnections,
+            Map<String, Double> bufferShares) {
         return new Http2Listener.Options(
                 maxConnections,
                 new ConcurrentStreamLimit.Bounds(
@@ -70,8 +73,8 @@
                 http2.bodyBufferBytes(),
                 bufferShares,
                 listener.maxResetsPerSecond(),
-                new ConnectionExpiry.Spans(
-                        MessageRequest.READ_MS * 1000,
+                new ConnectionExpiry.TimeLimits(
+                        MessageRequest.READ_TIMEOUT_MILLIS * 1000,
                         listener.idleTimeoutMicros(),
                         listener.maxConnectionAgeMicros(),
                         listener.stallTimeoutMicros()),
--- a/src/main/java/loftflow/server/RelayServer.java
+++ b/src/main/java/loftflow/server/RelayServer.java
@@ -100,7 +100,7 @@
     private CompletionLog createCompletionLog() throws IOException {
         return new CompletionLog(
                 config.stateDirectory(),
-                config.diskBytes() / CompletionLog.DISK_PART,
+                config.diskBytes() / CompletionLog.DISK_DIVISOR,
                 engine::onCompletionAcknowledged);
     }
 
@@ -110,15 +110,15 @@
         HttpUpstreamClient.Options options = new HttpUpstreamClient.Options(
                 config.isLoadReportEnabled(),
                 config.upstreamIdleTimeoutMicros(),
-                config.hostConnections(),
+                config.maxUpstreamConnections(),
                 lateResponseWindowMicros);
         return new HttpUpstreamClient(eventLoop, clock, config.settings(), options, engine);
     }
 
     private EndpointWatcher createEndpointWatcher() {
         Backoff backoff = warmStart == null
-                ? Backoff.steady(DISCOVERY_RETRY_MILLIS)
-                : Backoff.growing(
+                ? Backoff.constant(DISCOVERY_RETRY_MILLIS)
+                : Backoff.exponential(
                         DISCOVERY_RETRY_MILLIS,
                         MAX_DISCOVERY_RETRY_MILLIS,
                         config.settings().seed());
@@ -165,7 +165,7 @@
         }
         startEngine();
         if (endpointWatcher != null) {
-            engine.holdUntilEndpointList(TimeUnit.MILLISECONDS.toMicros(EndpointWatcher.PATIENCE_MS));
+            engine.holdUntilEndpointList(TimeUnit.MILLISECONDS.toMicros(EndpointWatcher.RESPONSE_TIMEOUT_MILLIS));
         }
         if (deadLetters != null) {
             deadLetters.start();
@@ -177,7 +177,7 @@
 
     private void startEngine() {
         if (warmStart != null) {
-            warmStart.start(engine, endpointWatcher == null ? () -> {} : endpointWatcher::askForAll);
+            warmStart.start(engine, endpointWatcher == null ? () -> {} : endpointWatcher::requestFullList);
         } else {
             engine.start(config.knownListKind(), config.knownListVersion(), config.knownEndpoints());
         }
--- a/src/main/java/loftflow/server/RoutingUpstreamClient.java
+++ b/src/main/java/loftflow/server/RoutingUpstreamClient.java
@@ -19,7 +19,7 @@
     }
 
     private UpstreamClient clientOf(String route) {
-        return brokerClient.has(route) ? brokerClient : httpClient;
+        return brokerClient.hasRoute(route) ? brokerClient : httpClient;
     }
 
     @Override
@@ -27,7 +27,7 @@
         List<Endpoint> brokers = new ArrayList<>();
         List<Endpoint> httpEndpoints = new ArrayList<>();
         for (Endpoint endpoint : endpoints) {
-            boolean isBroker = brokerClient.has(endpoint.entry().route());
+            boolean isBroker = brokerClient.hasRoute(endpoint.entry().route());
             (isBroker ? brokers : httpEndpoints).add(endpoint);
         }
         brokerClient.onEndpointList(kind, brokers);
--- a/src/main/java/loftflow/server/WarmStartModule.java
+++ b/src/main/java/loftflow/server/WarmStartModule.java
@@ -17,9 +17,13 @@
 import loftflow.warmstart.DowntimeEstimate;
 import loftflow.warmstart.EndpointHistory;
 import loftflow.warmstart.EndpointListReconciler;
+import loftflow.warmstart.HistoryUpdate;
 import loftflow.warmstart.ListUpdate;
 import loftflow.warmstart.ListedEndpoint;
+import loftflow.warmstart.RestoredState;
 import loftflow.warmstart.TrustPolicy;
+import loftflow.warmstart.WarmStartOptions;
+import loftflow.warmstart.store.LoadedSnapshot;
 import loftflow.warmstart.store.SnapshotWriter;
 import loftflow.warmstart.store.SystemClocks;
 
@@ -46,7 +50,7 @@
     private final SnapshotWriter snapshotWriter;
     private final EndpointHistory history;
     /** What the earlier process saved. */
-    private final SnapshotWriter.Left saved;
+    private final LoadedSnapshot saved;
 
     private final ClockReading startedAt;
     /** True where the clocks can't show how long the relay was down. */
@@ -61,7 +65,7 @@
     WarmStartModule(EventLoop eventLoop, Config config) throws IOException {
         this.eventLoop = eventLoop;
         this.config = config;
-        Config.Memory options = config.warmStart();
+        Config.WarmStartOptions options = config.warmStart();
         snapshotWriter = new SnapshotWriter(
                 new SnapshotWriter.Options(
                         config.stateDirectory(),
@@ -72,19 +76,21 @@
         saved = snapshotWriter.load(options.owner());
         startedAt = SystemClocks.now();
         long relayTimeMicros = relayTimeMicros(saved, startedAt);
-        logClockDifference(startedAt.wall() - relayTimeMicros);
+        logClockDifference(startedAt.wallMicros() - relayTimeMicros);
         clock = Clock.from(relayTimeMicros);
-        snapshotWriter.start(saved.picture(), startedAt, relayTimeMicros);
-        isDowntimeUnknown = saved.picture() != null
-                && DowntimeEstimate.between(saved.picture().at(), startedAt).doubtful();
+        snapshotWriter.start(saved.snapshot(), startedAt, relayTimeMicros);
+        isDowntimeUnknown = saved.snapshot() != null
+                && DowntimeEstimate.between(saved.snapshot().clocks(), startedAt)
+                        .isUncertain();
         history = new EndpointHistory(historyRules(config), options.owner());
     }
 
     /** The time of the relay's own clock at its start, in microseconds since the epoch. */
-    private static long relayTimeMicros(SnapshotWriter.Left saved, ClockReading now) {
-        return saved.picture() == null
-                ? now.wall()
-                : DowntimeEstimate.goOn(saved.picture().time(), saved.picture().at(), now);
+    private static long relayTimeMicros(LoadedSnapshot saved, ClockReading now) {
+        return saved.snapshot() == null
+                ? now.wallMicros()
+                : DowntimeEstimate.continueRelayTime(
+                        saved.snapshot().relayTimeMicros(), saved.snapshot().clocks(), now);
     }
 
     private static void logClockDifference(long differenceMicros) {
@@ -93,10 +99,10 @@
         }
     }
 
-    private static EndpointHistory.Rules historyRules(Config config) {
-        Config.Memory options = config.warmStart();
+    private static WarmStartOptions historyRules(Config config) {
+        Config.WarmStartOptions options = config.warmStart();
         boolean isListFixed = config.discoveryAddress() == null;
-        return new EndpointHistory.Rules(
+        return new WarmStartOptions(
                 new TrustPolicy(options.trustHalfLifeMicros()),
                 options.listConfirmationMicros(),
                 options.waitMarginMicros(),
@@ -120,69 +126,70 @@
         ListUpdate configuredList = config.knownEndpoints().isEmpty()
                 ? null
                 : listUpdate(config.knownListKind(), config.knownListVersion(), config.knownEndpoints());
-        EndpointHistory.Opening opening =
-                history.open(saved.picture(), saved.notes(), saved.whole(), configuredList, startedAt, clock.micros());
-        opening.log().forEach(Log::line);
+        RestoredState opening = history.restore(
+                saved.snapshot(), saved.deltas(), saved.isComplete(), configuredList, startedAt, clock.micros());
+        opening.logLines().forEach(Log::line);
         if (isDowntimeUnknown) {
             engine.treatKeyWindowsAsExpired();
         }
-        engine.setEventObserver(event -> apply(history.saw(event, clock.micros())));
-        engine.start(config.knownListKind(), opening.revision(), endpoints(opening.list()), opening.remembered());
+        engine.setEventObserver(event -> apply(history.onPolicyEvent(event, clock.micros())));
+        engine.start(
+                config.knownListKind(), opening.revision(), endpoints(opening.endpoints()), opening.restoredRoutes());
         poll();
     }
 
     /** The address of the discovery agent has changed. */
     void onDiscoveryMoved() {
-        history.moved();
+        history.onDiscoveryReplaced();
     }
 
     @Override
     public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> endpoints) {
-        apply(history.heard(listUpdate(kind, version, endpoints), clock.micros()));
+        apply(history.onListUpdate(listUpdate(kind, version, endpoints), clock.micros()));
     }
 
-    private void apply(EndpointHistory.Heard result) {
-        result.log().forEach(Log::line);
-        snapshotWriter.note(result.notes(), clock.micros());
-        fullListDueMicros = Math.min(fullListDueMicros, result.askAt());
-        if (result.passOn() != null) {
+    private void apply(HistoryUpdate result) {
+        result.logLines().forEach(Log::line);
+        snapshotWriter.writeDeltas(result.deltas(), clock.micros());
+        fullListDueMicros = Math.min(fullListDueMicros, result.refreshAtMicros());
+        if (result.listUpdate() != null) {
             // This may be called by the engine while it processes an event, so the list is passed on afterwards.
             eventLoop.execute(() -> {
-                ListUpdate update = result.passOn();
+                ListUpdate update = result.listUpdate();
                 engine.onEndpointList(update.kind(), update.revision(), endpoints(update.entries()));
-                engine.restoreRoutes(result.remembered());
+                engine.restoreRoutes(result.restoredRoutes());
             });
         }
     }
 
     private void poll() {
         long nowMicros = clock.micros();
-        snapshotWriter.look(nowMicros);
-        if (history.nextDue() <= nowMicros) {
-            apply(history.due(nowMicros));
+        snapshotWriter.retryLostDeltas(nowMicros);
+        if (history.nextReleaseMicros() <= nowMicros) {
+            apply(history.releaseDue(nowMicros));
         }
         if (fullListDueMicros <= nowMicros) {
             fullListDueMicros = EndpointListReconciler.NEVER;
             requestFullList.run();
         }
-        if (isSaveDue(nowMicros) && snapshotWriter.isFree(nowMicros)) {
+        if (isSaveDue(nowMicros) && snapshotWriter.canWriteSnapshot(nowMicros)) {
             save(nowMicros);
         }
         eventLoop.schedule(this::poll, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private boolean isSaveDue(long nowMicros) {
-        return history.hasChanged()
-                || snapshotWriter.wantsPicture()
+        return history.hasUnsavedChanges()
+                || snapshotWriter.needsSnapshot()
                 || nowMicros - lastSaveMicros >= SAVE_INTERVAL_MICROS;
     }
 
     private void save(long nowMicros) {
-        if (snapshotWriter.save(
-                history.picture(SystemClocks.now(), nowMicros, engine.routeSnapshots()),
+        if (snapshotWriter.writeSnapshot(
+                history.takeSnapshot(SystemClocks.now(), nowMicros, engine.routeSnapshots()),
                 nowMicros,
-                history::notSaved)) {
-            history.saving();
+                history::onSnapshotFailed)) {
+            history.onSnapshotStarted();
             lastSaveMicros = nowMicros;
         }
     }
@@ -209,7 +216,7 @@
 
     private static List<Endpoint> endpoints(List<ListedEndpoint> entries) {
         return entries.stream()
-                .map(entry -> new Endpoint(entry.listed(), Endpoint.address(entry.address())))
+                .map(entry -> new Endpoint(entry.entry(), Endpoint.address(entry.address())))
                 .toList();
     }
 }
--- a/src/main/java/loftflow/settings/PlatformSettingsReader.java
+++ b/src/main/java/loftflow/settings/PlatformSettingsReader.java
@@ -35,8 +35,8 @@
         JsonFields info = params.object(PlatformSettingsProtocol.DELIVERY_SETTINGS);
         return new PolicySettings(
                 seed,
-                (int) params.whole(PlatformSettingsProtocol.RELAY_INDEX),
-                (int) params.whole(PlatformSettingsProtocol.FLEET_SIZE),
+                (int) params.wholeNumber(PlatformSettingsProtocol.RELAY_INDEX),
+                (int) params.wholeNumber(PlatformSettingsProtocol.FLEET_SIZE),
                 params.text(PlatformSettingsProtocol.ZONE),
                 classes(params),
                 tenants(params),
@@ -65,18 +65,18 @@
 
     private static List<RequestClass> classes(JsonFields params) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Object json : params.list(PlatformSettingsProtocol.CLASSES)) {
+        for (Object json : params.listOrEmpty(PlatformSettingsProtocol.CLASSES)) {
             JsonFields entry = JsonFields.ofObject(PlatformSettingsProtocol.CLASSES, json);
             classes.add(new RequestClass(
                     entry.text(PlatformSettingsProtocol.NAME),
                     repeat(entry.text(PlatformSettingsProtocol.IDEMPOTENCY)),
                     scope(entry),
-                    entry.micros(PlatformSettingsProtocol.KEY_WINDOW_SECONDS, 0),
-                    entry.micros(PlatformSettingsProtocol.LATENCY_OBJECTIVE_SECONDS),
-                    entry.micros(PlatformSettingsProtocol.DEADLINE_SECONDS),
+                    entry.secondsAsMicros(PlatformSettingsProtocol.KEY_WINDOW_SECONDS, 0),
+                    entry.secondsAsMicros(PlatformSettingsProtocol.LATENCY_OBJECTIVE_SECONDS),
+                    entry.secondsAsMicros(PlatformSettingsProtocol.DEADLINE_SECONDS),
                     entry.number(PlatformSettingsProtocol.PRIORITY_WEIGHT, 1),
                     entry.number(PlatformSettingsProtocol.LATE_WEIGHT, 0),
-                    entry.flag(PlatformSettingsProtocol.ORDERED)));
+                    entry.booleanOrFalse(PlatformSettingsProtocol.ORDERED)));
         }
         return classes;
     }
@@ -104,7 +104,7 @@
 
     private static List<Tenant> tenants(JsonFields params) {
         List<Tenant> tenants = new ArrayList<>();
-        for (Object json : params.list(PlatformSettingsProtocol.TENANTS)) {
+        for (Object json : params.listOrEmpty(PlatformSettingsProtocol.TENANTS)) {
             JsonFields entry = JsonFields.ofObject(PlatformSettingsProtocol.TENANTS, json);
             tenants.add(new Tenant(
                     entry.text(PlatformSettingsProtocol.NAME),
@@ -114,9 +114,9 @@
     }
 
     private static List<DestinationKind> kinds(JsonFields params, JsonFields info) {
-        List<?> names = params.list(PlatformSettingsProtocol.KINDS);
-        List<?> apart = info.list(PlatformSettingsProtocol.INDEPENDENT_ROUTES);
-        List<?> batches = info.list(PlatformSettingsProtocol.MAX_BATCH_SIZES);
+        List<?> names = params.listOrEmpty(PlatformSettingsProtocol.KINDS);
+        List<?> apart = info.listOrEmpty(PlatformSettingsProtocol.INDEPENDENT_ROUTES);
+        List<?> batches = info.listOrEmpty(PlatformSettingsProtocol.MAX_BATCH_SIZES);
         List<DestinationKind> kinds = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             int batch = i < batches.size() && batches.get(i) instanceof Number n ? n.intValue() : 1;
@@ -127,8 +127,8 @@
     }
 
     private static List<Zone> zones(JsonFields params, JsonFields info) {
-        List<?> names = params.list(PlatformSettingsProtocol.ZONES);
-        List<?> tolls = info.list(PlatformSettingsProtocol.ZONE_COSTS);
+        List<?> names = params.listOrEmpty(PlatformSettingsProtocol.ZONES);
+        List<?> tolls = info.listOrEmpty(PlatformSettingsProtocol.ZONE_COSTS);
         List<Zone> zones = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             double toll = i < tolls.size() && tolls.get(i) instanceof Number n ? n.doubleValue() : 0;
@@ -139,26 +139,26 @@
 
     private static RelayLimits limits(JsonFields limits, JsonFields info) {
         return new RelayLimits(
-                (int) info.whole(PlatformSettingsProtocol.MAX_CONCURRENT_CALLS),
-                (int) limits.whole(PlatformSettingsProtocol.MAX_OPEN_MESSAGES),
-                (int) limits.whole(PlatformSettingsProtocol.MAX_ATTEMPTS),
-                limits.flag(PlatformSettingsProtocol.CANCELLATION),
-                limits.flag(PlatformSettingsProtocol.PROBES),
-                limits.flag(PlatformSettingsProtocol.PEER_MESSAGES),
-                limits.flag(PlatformSettingsProtocol.HEDGED_ATTEMPTS),
-                limits.flag(PlatformSettingsProtocol.RETRY_AFTER),
-                limits.micros(PlatformSettingsProtocol.CONNECT_TIMEOUT_SECONDS, 0));
+                (int) info.wholeNumber(PlatformSettingsProtocol.MAX_CONCURRENT_CALLS),
+                (int) limits.wholeNumber(PlatformSettingsProtocol.MAX_OPEN_MESSAGES),
+                (int) limits.wholeNumber(PlatformSettingsProtocol.MAX_ATTEMPTS),
+                limits.booleanOrFalse(PlatformSettingsProtocol.CANCELLATION),
+                limits.booleanOrFalse(PlatformSettingsProtocol.PROBES),
+                limits.booleanOrFalse(PlatformSettingsProtocol.PEER_MESSAGES),
+                limits.booleanOrFalse(PlatformSettingsProtocol.HEDGED_ATTEMPTS),
+                limits.booleanOrFalse(PlatformSettingsProtocol.RETRY_AFTER),
+                limits.secondsAsMicros(PlatformSettingsProtocol.CONNECT_TIMEOUT_SECONDS, 0));
     }
 
     private static ServiceRules rules(JsonFields contract) {
         return new ServiceRules(
-                contract.micros(PlatformSettingsProtocol.COMPLETION_SLACK_SECONDS, 0),
-                contract.micros(PlatformSettingsProtocol.DRAIN_GRACE_SECONDS, 0),
+                contract.secondsAsMicros(PlatformSettingsProtocol.COMPLETION_SLACK_SECONDS, 0),
+                contract.secondsAsMicros(PlatformSettingsProtocol.DRAIN_GRACE_SECONDS, 0),
                 contract.number(PlatformSettingsProtocol.OVERLOAD_MULTIPLE, 1),
-                contract.micros(PlatformSettingsProtocol.OVERLOAD_WINDOW_SECONDS, 0),
+                contract.secondsAsMicros(PlatformSettingsProtocol.OVERLOAD_WINDOW_SECONDS, 0),
                 contract.number(PlatformSettingsProtocol.COLD_CAPACITY_SHARE, 0),
-                contract.micros(PlatformSettingsProtocol.WARM_UP_SECONDS, 0),
-                contract.micros(PlatformSettingsProtocol.WATCH_RENEWAL_SECONDS, 0),
-                contract.micros(PlatformSettingsProtocol.ORDERING_PAUSE_SECONDS, 0));
+                contract.secondsAsMicros(PlatformSettingsProtocol.WARM_UP_SECONDS, 0),
+                contract.secondsAsMicros(PlatformSettingsProtocol.WATCH_RENEWAL_SECONDS, 0),
+                contract.secondsAsMicros(PlatformSettingsProtocol.ORDERING_PAUSE_SECONDS, 0));
     }
 }
--- a/src/main/java/loftflow/simulator/SimulatorEventReader.java
+++ b/src/main/java/loftflow/simulator/SimulatorEventReader.java
@@ -34,53 +34,54 @@
     /** Remembers a numbered list of hosts. */
     void directory(JsonFields message) {
         List<EndpointEntry> entries = new ArrayList<>();
-        for (Object line : message.list(2)) {
+        for (Object line : message.listOrEmpty(2)) {
             JsonFields entry = JsonFields.ofArray("directory entry", line);
             entries.add(new EndpointEntry(
                     entry.text(4),
-                    (int) entry.whole(5),
+                    (int) entry.wholeNumber(5),
                     entry.text(0),
                     entry.text(2),
                     availability(entry.text(1)),
                     entry.number(6, 0)));
         }
-        directories.put(message.whole(1), List.copyOf(entries));
+        directories.put(message.wholeNumber(1), List.copyOf(entries));
     }
 
     /** Reads one event of an instance; {@code name} is the first value of the message. */
     PolicyEvent event(String name, JsonFields message) {
         return switch (name) {
             case SimulatorProtocol.MESSAGE_ACCEPTED -> new MessageAccepted(
-                    message.whole(1),
+                    message.wholeNumber(1),
                     message.text(2),
                     message.textOrNull(3),
                     message.textOrNull(4),
-                    message.micros(5),
-                    (int) message.whole(7));
+                    message.secondsAsMicros(5),
+                    (int) message.wholeNumber(7));
             case SimulatorProtocol.RESPONSE_STARTED -> new ResponseStarted(
-                    message.whole(1), (int) message.whole(4), message.text(3));
+                    message.wholeNumber(1), (int) message.wholeNumber(4), message.text(3));
             case SimulatorProtocol.ATTEMPT_COMPLETED -> attemptCompleted(message);
-            case SimulatorProtocol.MESSAGE_WITHDRAWN -> new MessageWithdrawn(message.whole(1));
-            case SimulatorProtocol.TIMER_FIRED -> new TimerFired(message.whole(1));
+            case SimulatorProtocol.MESSAGE_WITHDRAWN -> new MessageWithdrawn(message.wholeNumber(1));
+            case SimulatorProtocol.TIMER_FIRED -> new TimerFired(message.wholeNumber(1));
             case SimulatorProtocol.ENDPOINT_LIST -> endpointList(message);
             case SimulatorProtocol.PROBE_COMPLETED -> new ProbeCompleted(
-                    message.text(1), outcome(message.text(2)), 0, message.micros(3, 0), report(message, 4));
-            case SimulatorProtocol.PEER_MESSAGE -> new PeerMessage((int) message.whole(1), bytes(message.text(2)));
+                    message.text(1), outcome(message.text(2)), 0, message.secondsAsMicros(3, 0), report(message, 4));
+            case SimulatorProtocol.PEER_MESSAGE -> new PeerMessage(
+                    (int) message.wholeNumber(1), bytes(message.text(2)));
             default -> throw new MalformedInputException("unknown event " + name);
         };
     }
 
     private static AttemptCompleted attemptCompleted(JsonFields message) {
         AttemptOutcome outcome = outcome(message.text(4));
-        long retryAfterMicros = outcome == AttemptOutcome.REJECTED ? message.whole(2, 0) * MICROS_PER_MILLI : 0;
+        long retryAfterMicros = outcome == AttemptOutcome.REJECTED ? message.wholeNumber(2, 0) * MICROS_PER_MILLI : 0;
         return new AttemptCompleted(
-                message.whole(1),
-                (int) message.whole(5),
+                message.wholeNumber(1),
+                (int) message.wholeNumber(5),
                 message.text(6),
                 outcome,
-                message.flag(3),
+                message.booleanOrFalse(3),
                 retryAfterMicros,
-                message.micros(7, 0),
+                message.secondsAsMicros(7, 0),
                 report(message, 8));
     }
 
@@ -94,13 +95,13 @@
                     default -> throw new MalformedInputException("discovery: unknown kind " + message.text(1));
                 };
         if (kind == EndpointListKind.FAILED) {
-            return new EndpointListReceived(kind, message.whole(2, 0), List.of());
+            return new EndpointListReceived(kind, message.wholeNumber(2, 0), List.of());
         }
-        List<EndpointEntry> entries = directories.get(message.whole(3));
+        List<EndpointEntry> entries = directories.get(message.wholeNumber(3));
         if (entries == null) {
-            throw new MalformedInputException("discovery: no directory " + message.whole(3));
+            throw new MalformedInputException("discovery: no directory " + message.wholeNumber(3));
         }
-        return new EndpointListReceived(kind, message.whole(2), entries);
+        return new EndpointListReceived(kind, message.wholeNumber(2), entries);
     }
 
     private static LimitReport report(JsonFields message, int at) {
--- a/src/main/java/loftflow/simulator/SimulatorHost.java
+++ b/src/main/java/loftflow/simulator/SimulatorHost.java
@@ -79,13 +79,13 @@
                 throw new MalformedInputException("batch: more than one value");
             }
         }
-        long now = batch.micros(SimulatorProtocol.CLOCK_SECONDS);
-        long number = batch.whole(SimulatorProtocol.BATCH_NUMBER);
+        long now = batch.secondsAsMicros(SimulatorProtocol.CLOCK_SECONDS);
+        long number = batch.wholeNumber(SimulatorProtocol.BATCH_NUMBER);
         pending.clear();
-        for (Object json : batch.list(SimulatorProtocol.GROUPS)) {
+        for (Object json : batch.listOrEmpty(SimulatorProtocol.GROUPS)) {
             JsonFields group = JsonFields.ofObject("group", json);
-            long instance = group.whole(SimulatorProtocol.INSTANCE);
-            for (Object message : group.list(SimulatorProtocol.EVENTS)) {
+            long instance = group.wholeNumber(SimulatorProtocol.INSTANCE);
+            for (Object message : group.listOrEmpty(SimulatorProtocol.EVENTS)) {
                 accept(instance, JsonFields.ofMessage(message));
             }
         }
@@ -115,7 +115,7 @@
 
     private DeliveryPolicy launch(JsonFields message) {
         try {
-            return policyFactory.apply(PlatformSettingsReader.read(message.whole(1), message.object(2)));
+            return policyFactory.apply(PlatformSettingsReader.read(message.wholeNumber(1), message.object(2)));
         } catch (IllegalArgumentException e) {
             throw new MalformedInputException("launch: " + e.getMessage());
         }
--- a/src/main/java/loftflow/upstream/amqp/BrokerClient.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerClient.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns true where a route is reached through a broker. */
-    public boolean has(String route) {
+    public boolean hasRoute(String route) {
         return destinations.containsKey(route);
     }
 
--- a/src/main/java/loftflow/upstream/amqp/PublishProperties.java
+++ b/src/main/java/loftflow/upstream/amqp/PublishProperties.java
@@ -6,7 +6,7 @@
 import loftflow.amqp.codec.Property;
 import loftflow.amqp.confirm.PublisherConfirms;
 import loftflow.engine.Message;
-import loftflow.http.Headers;
+import loftflow.protocol.MessageHeaders;
 
 /** The AMQP properties of a published message. */
 final class PublishProperties {
@@ -26,7 +26,7 @@
         Map<String, Object> headers = new LinkedHashMap<>();
         headers.put(PublisherConfirms.TAG, tag);
         if (content.key() != null) {
-            headers.put(Headers.KEY, content.key());
+            headers.put(MessageHeaders.IDEMPOTENCY_KEY, content.key());
         }
         long leftMillis = Math.max(MIN_EXPIRATION_MILLIS, (content.deadlineMicros() - nowMicros) / MICROS_PER_MILLI);
         return Properties.NONE
--- a/src/main/java/loftflow/upstream/http/BatchCodec.java
+++ b/src/main/java/loftflow/upstream/http/BatchCodec.java
@@ -13,6 +13,7 @@
 import loftflow.engine.Message;
 import loftflow.json.JsonFields;
 import loftflow.json.MalformedInputException;
+import loftflow.protocol.HostProtocol;
 
 /** Encodes the body of a call that carries several messages, and decodes the body of its response. */
 final class BatchCodec {
--- a/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
+++ b/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
@@ -22,6 +22,7 @@
 import loftflow.policy.api.EndpointListKind;
 import loftflow.policy.api.LimitReport;
 import loftflow.policy.api.PolicySettings;
+import loftflow.protocol.HostProtocol;
 
 /**
  * Calls hosts over pooled HTTP/1.1 connections and reports the outcome of each attempt. It retries nothing: a call is
--- a/src/main/java/loftflow/upstream/http/LoadReportParser.java
+++ b/src/main/java/loftflow/upstream/http/LoadReportParser.java
@@ -2,6 +2,7 @@
 
 import loftflow.log.Log;
 import loftflow.policy.api.LimitReport;
+import loftflow.protocol.HostProtocol;
 
 /** Parses the load reports of hosts. */
 final class LoadReportParser {
--- a/src/main/java/loftflow/upstream/http/OutcomeTable.java
+++ b/src/main/java/loftflow/upstream/http/OutcomeTable.java
@@ -1,6 +1,7 @@
 package loftflow.upstream.http;
 
 import loftflow.policy.api.AttemptOutcome;
+import loftflow.protocol.HostProtocol;
 
 /**
  * The table of outcomes (PROTOCOL, "Relays to hosts"): which response means what for the attempts of a call.
--- a/src/main/java/loftflow/upstream/http/RequestFactory.java
+++ b/src/main/java/loftflow/upstream/http/RequestFactory.java
@@ -9,6 +9,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Collection;
 import loftflow.engine.Message;
+import loftflow.protocol.HostProtocol;
 
 /** Creates the requests of calls; the caller adds the timeout. An authority is the host's address and port. */
 final class RequestFactory {
--- a/src/main/java/loftflow/upstream/http/UpstreamCall.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamCall.java
@@ -18,6 +18,7 @@
 import loftflow.log.Log;
 import loftflow.policy.api.AttemptOutcome;
 import loftflow.policy.api.LimitReport;
+import loftflow.protocol.HostProtocol;
 
 /**
  * One call to a host: for one message, for a batch, or a probe. It is written at most once and reports one outcome for
--- a/src/main/java/loftflow/warmstart/DeltaReplay.java
+++ b/src/main/java/loftflow/warmstart/DeltaReplay.java
@@ -31,7 +31,7 @@
     private static KnownEndpoint applied(KnownEndpoint endpoint, SnapshotDelta delta, long savedAtMicros) {
         return switch (delta.kind()) {
             case OUT_OF_SERVICE -> endpoint.withState(KnownEndpoint.State.OUT_OF_SERVICE);
-            case EJECTED -> endpoint.withState(KnownEndpoint.State.STRUCK);
+            case EJECTED -> endpoint.withState(KnownEndpoint.State.EJECTED);
             case RETRY_AFTER -> withRetryAfter(endpoint, delta, savedAtMicros);
             case FAILED -> withCircuitOpen(endpoint, true).withFailure(delta.atMicros());
             case RECOVERED -> withCircuitOpen(endpoint, false)
--- a/src/main/java/loftflow/warmstart/DowntimeEstimate.java
+++ b/src/main/java/loftflow/warmstart/DowntimeEstimate.java
@@ -5,9 +5,9 @@
  *
  * @param minMicros lower bound; used for retry-after waits, so that none is shortened
  * @param maxMicros upper bound; used for trust, so that none is too high. {@link #UNKNOWN} where there is no bound
- * @param doubtful neither bound is proven: the machine rebooted in between, or provides no boot id
+ * @param isUncertain neither bound is proven: the machine rebooted in between, or provides no boot id
  */
-public record DowntimeEstimate(long minMicros, long maxMicros, boolean doubtful) {
+public record DowntimeEstimate(long minMicros, long maxMicros, boolean isUncertain) {
     /** Stands for a duration without an upper bound. Longer than any age at which an endpoint is trusted. */
     public static final long UNKNOWN = Long.MAX_VALUE / 4;
 
@@ -17,16 +17,16 @@
      * and a wall clock that is behind the earlier reading gives no upper bound at all.
      */
     public static DowntimeEstimate between(ClockReading earlier, ClockReading later) {
-        if (isSameBoot(earlier, later) && later.up() >= earlier.up()) {
-            long elapsedMicros = later.up() - earlier.up();
+        if (isSameBoot(earlier, later) && later.uptimeMicros() >= earlier.uptimeMicros()) {
+            long elapsedMicros = later.uptimeMicros() - earlier.uptimeMicros();
             return new DowntimeEstimate(elapsedMicros, elapsedMicros, false);
         }
-        long elapsedMicros = later.wall() - earlier.wall();
+        long elapsedMicros = later.wallMicros() - earlier.wallMicros();
         return new DowntimeEstimate(0, elapsedMicros >= 0 ? elapsedMicros : UNKNOWN, true);
     }
 
     private static boolean isSameBoot(ClockReading earlier, ClockReading later) {
-        return !earlier.boot().isEmpty() && earlier.boot().equals(later.boot());
+        return !earlier.bootId().isEmpty() && earlier.bootId().equals(later.bootId());
     }
 
     /**
@@ -36,8 +36,10 @@
      *
      * @param relayTimeMicros the relay's own time at the earlier reading
      */
-    public static long goOn(long relayTimeMicros, ClockReading earlier, ClockReading later) {
+    public static long continueRelayTime(long relayTimeMicros, ClockReading earlier, ClockReading later) {
         DowntimeEstimate downtime = between(earlier, later);
-        return downtime.doubtful() ? Math.max(relayTimeMicros, later.wall()) : relayTimeMicros + downtime.minMicros();
+        return downtime.isUncertain()
+                ? Math.max(relayTimeMicros, later.wallMicros())
+                : relayTimeMicros + downtime.minMicros();
     }
 }
--- a/src/main/java/loftflow/warmstart/EndpointHistory.java
+++ b/src/main/java/loftflow/warmstart/EndpointHistory.java
@@ -28,50 +28,6 @@
     /** Until a process has run this long, the call rates of the process before it are the better ones. */
     private static final long RATE_LEARNING_MICROS = 20_000_000;
 
-    /**
-     * Settings.
-     *
-     * @param trust how far restored endpoints are trusted
-     * @param settle microseconds for which discovery must repeat a doubtful list before it is accepted; 0 accepts at
-     *     once
-     * @param margin microseconds added to a retry-after that outlasts a restart
-     * @param warmUp microseconds for which an endpoint is cold after it has recovered
-     * @param fixed the list comes from the deploy file: it is complete, and no endpoint is ejected
-     */
-    public record Rules(TrustPolicy trust, long settle, long margin, long warmUp, boolean fixed) {}
-
-    /**
-     * What a relay starts with.
-     *
-     * @param list the endpoints with any trust at all
-     * @param revision revision of the list that they come from; -1 where there was none
-     * @param remembered what the decision module receives for each of them
-     * @param log lines to log
-     */
-    public record Opening(List<ListedEndpoint> list, long revision, List<RouteRestored> remembered, List<String> log) {}
-
-    /**
-     * What follows from a list or an event.
-     *
-     * @param passOn the list for the relay; null for none
-     * @param remembered what the decision module receives with it
-     * @param notes deltas to be written at once
-     * @param log lines to log
-     * @param askAt when the full list is to be requested again; {@link EndpointListReconciler#NEVER} for not at all
-     */
-    public record Heard(
-            ListUpdate passOn,
-            List<RouteRestored> remembered,
-            List<SnapshotDelta> notes,
-            List<String> log,
-            long askAt) {
-        static final Heard NOTHING = ofDeltas(List.of());
-
-        static Heard ofDeltas(List<SnapshotDelta> deltas) {
-            return new Heard(null, List.of(), deltas, List.of(), EndpointListReconciler.NEVER);
-        }
-    }
-
     /** Why an endpoint is ejected. */
     private enum EjectionReason {
         UNEXPECTED_RESPONSE("unexpected-response"),
@@ -84,7 +40,7 @@
         }
     }
 
-    private final Rules rules;
+    private final WarmStartOptions options;
     private final String owner;
     private final Map<String, KnownEndpoint> endpoints = new LinkedHashMap<>();
     private final Map<String, EndpointObservation> observations = new HashMap<>();
@@ -97,9 +53,9 @@
     private long openedAtMicros;
     private boolean hasUnsavedChanges;
 
-    /** An empty history; {@link #open} is called once before anything else. */
-    public EndpointHistory(Rules rules, String owner) {
-        this.rules = rules;
+    /** An empty history; {@link #restore} is called once before anything else. */
+    public EndpointHistory(WarmStartOptions options, String owner) {
+        this.options = options;
         this.owner = owner;
     }
 
@@ -114,7 +70,7 @@
      * @param clocks the machine's clocks now
      * @param nowMicros the relay's own time
      */
-    public Opening open(
+    public RestoredState restore(
             Snapshot snapshot,
             List<SnapshotDelta> deltas,
             boolean isComplete,
@@ -127,18 +83,18 @@
         List<String> logLines = new ArrayList<>();
         if (snapshot != null) {
             boolean hasAllDeltas = load(snapshot, deltas) && isComplete;
-            if (rules.fixed() || isNewer(otherList)) {
+            if (options.isListFixed() || isNewer(otherList)) {
                 restrictTo(otherList, nowMicros);
             }
-            DowntimeEstimate downtime = DowntimeEstimate.between(snapshot.at(), clocks);
+            DowntimeEstimate downtime = DowntimeEstimate.between(snapshot.clocks(), clocks);
             RestoreSummary summary = new RestoreSummary(revision, downtime);
             for (KnownEndpoint endpoint : List.copyOf(endpoints.values())) {
                 EndpointTrust trust = trustOf(endpoint, snapshot, downtime, hasAllDeltas);
                 summary.count(trust);
                 capEvidence(endpoint, trust, nowMicros);
                 if (trust != EndpointTrust.NEVER) {
-                    list.add(new ListedEndpoint(endpoint.listed(), endpoint.address()));
-                    restoredRoutes.add(restore(endpoint, trust, snapshot.time(), downtime, nowMicros));
+                    list.add(new ListedEndpoint(endpoint.entry(), endpoint.address()));
+                    restoredRoutes.add(restore(endpoint, trust, snapshot.relayTimeMicros(), downtime, nowMicros));
                 }
             }
             logLines.add(summary.logLine());
@@ -147,19 +103,19 @@
             otherList.entries().forEach(entry -> endpoints.put(entry.id(), newlyListed(entry, nowMicros)));
             list.addAll(otherList.entries());
         }
-        if (rules.fixed()) {
+        if (options.isListFixed()) {
             confirmedIds.addAll(endpoints.keySet());
         }
-        reconciler = new EndpointListReconciler(rules.settle(), revision, list);
+        reconciler = new EndpointListReconciler(options.settleMicros(), revision, list);
         hasUnsavedChanges = true;
-        return new Opening(list, revision, restoredRoutes, logLines);
+        return new RestoredState(list, revision, restoredRoutes, logLines);
     }
 
     private boolean load(Snapshot snapshot, List<SnapshotDelta> deltas) {
         generation = snapshot.generation();
         revision = snapshot.revision();
         snapshot.endpoints().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
-        return DeltaReplay.apply(endpoints, deltas, snapshot.time());
+        return DeltaReplay.apply(endpoints, deltas, snapshot.relayTimeMicros());
     }
 
     private boolean isNewer(ListUpdate list) {
@@ -178,26 +134,26 @@
             endpoints.put(
                     entry.id(),
                     isSame
-                            ? known.withListing(entry.listed(), entry.address(), known.listedAt())
+                            ? known.withListing(entry.entry(), entry.address(), known.listedAtMicros())
                             : newlyListed(entry, nowMicros));
         }
         revision = list.revision();
     }
 
     private static KnownEndpoint newlyListed(ListedEndpoint entry, long nowMicros) {
-        return KnownEndpoint.newlyListed(entry.listed(), entry.address(), nowMicros);
+        return KnownEndpoint.newlyListed(entry.entry(), entry.address(), nowMicros);
     }
 
     private EndpointTrust trustOf(
             KnownEndpoint endpoint, Snapshot snapshot, DowntimeEstimate downtime, boolean hasAllDeltas) {
-        return rules.fixed()
+        return options.isListFixed()
                 ? EndpointTrust.AS_LISTED
-                : rules.trust().trustOf(endpoint, snapshot.time(), downtime, hasAllDeltas);
+                : options.trustPolicy().trustOf(endpoint, snapshot.relayTimeMicros(), downtime, hasAllDeltas);
     }
 
     /** Lowers the evidence to the trust of this start, so that the next one trusts the endpoint no more. */
     private void capEvidence(KnownEndpoint endpoint, EndpointTrust trust, long nowMicros) {
-        long latestMicros = rules.trust().latestEvidenceMicros(trust, nowMicros);
+        long latestMicros = options.trustPolicy().latestEvidenceMicros(trust, nowMicros);
         endpoints.put(endpoint.id(), endpoint.withEvidenceNoLaterThan(latestMicros));
     }
 
@@ -210,13 +166,15 @@
         RouteSnapshot saved = endpoint.routeSnapshotOrUnknown();
         // Only time that has provably passed counts against a wait: none is shortened by a restart.
         long retryAfterMicros = saved.retryAfterRemainingMicros() > 0
-                ? Math.max(0, saved.retryAfterRemainingMicros() - downtime.minMicros() + rules.margin())
+                ? Math.max(
+                        0, saved.retryAfterRemainingMicros() - downtime.minMicros() + options.retryAfterMarginMicros())
+                : 0;
+        long sinceRecoveryMicros = endpoint.recoveredAtMicros() > 0
+                ? endpoint.recoveredAtMicros() + options.warmUpMicros() - savedAtMicros
                 : 0;
-        long sinceRecoveryMicros =
-                endpoint.recoveredAtMicros() > 0 ? endpoint.recoveredAtMicros() + rules.warmUp() - savedAtMicros : 0;
         long warmUpMicros = Math.max(sinceRecoveryMicros, saved.warmUpRemainingMicros()) - downtime.minMicros();
-        RouteSnapshot restored =
-                RouteSnapshots.withWaits(saved, retryAfterMicros, Math.max(0, Math.min(rules.warmUp(), warmUpMicros)));
+        RouteSnapshot restored = RouteSnapshots.withWaits(
+                saved, retryAfterMicros, Math.max(0, Math.min(options.warmUpMicros(), warmUpMicros)));
         observationOf(endpoint.id())
                 .restore(saved.circuitOpen(), retryAfterMicros > 0 ? nowMicros + retryAfterMicros : 0);
         endpoints.computeIfPresent(endpoint.id(), (id, known) -> known.withRouteSnapshot(restored));
@@ -228,30 +186,30 @@
     }
 
     /** Applies a list that discovery sent. */
-    public Heard heard(ListUpdate list, long nowMicros) {
+    public HistoryUpdate onListUpdate(ListUpdate list, long nowMicros) {
         EndpointListReconciler.Result result = reconciler.reconcile(list, nowMicros);
         return apply(result.accepted(), result.logLines(), result.refreshAtMicros(), nowMicros);
     }
 
     /** Applies the entries that were held back and whose hold has ended. */
-    public Heard due(long nowMicros) {
+    public HistoryUpdate releaseDue(long nowMicros) {
         ListUpdate list = reconciler.releaseDue(nowMicros);
-        return list == null ? Heard.NOTHING : apply(list, List.of(), EndpointListReconciler.NEVER, nowMicros);
+        return list == null ? HistoryUpdate.NOTHING : apply(list, List.of(), EndpointListReconciler.NEVER, nowMicros);
     }
 
-    /** When {@link #due} next has entries to apply; {@link EndpointListReconciler#NEVER} for not at all. */
-    public long nextDue() {
+    /** When {@link #releaseDue} next has entries to apply; {@link EndpointListReconciler#NEVER} for not at all. */
+    public long nextReleaseMicros() {
         return reconciler.nextReleaseMicros();
     }
 
     /** Another discovery agent sends the lists from now on. */
-    public void moved() {
+    public void onDiscoveryReplaced() {
         reconciler.resetRevision();
     }
 
-    private Heard apply(ListUpdate list, List<String> logLines, long refreshAtMicros, long nowMicros) {
+    private HistoryUpdate apply(ListUpdate list, List<String> logLines, long refreshAtMicros, long nowMicros) {
         if (list == null) {
-            return new Heard(null, List.of(), List.of(), logLines, refreshAtMicros);
+            return new HistoryUpdate(null, List.of(), List.of(), logLines, refreshAtMicros);
         }
         boolean isFull = list.kind() == EndpointListKind.FULL;
         hasUnsavedChanges = true;
@@ -273,13 +231,13 @@
                     .toList();
             missingIds.forEach(id -> remove(id, deltas, nowMicros));
         }
-        return new Heard(list, restoredRoutes, deltas, logLines, refreshAtMicros);
+        return new HistoryUpdate(list, restoredRoutes, deltas, logLines, refreshAtMicros);
     }
 
     private void applyListed(ListedEndpoint entry, List<RouteRestored> restoredRoutes, long nowMicros) {
         KnownEndpoint known = endpoints.get(entry.id());
         confirmedIds.add(entry.id());
-        if (known != null && known.state() == KnownEndpoint.State.STRUCK) {
+        if (known != null && known.state() == KnownEndpoint.State.EJECTED) {
             // It did not answer just now: it is probed first, and warmed up as after a failure.
             RouteSnapshot route = RouteSnapshots.withCircuitOpen(known.routeSnapshotOrUnknown(), true);
             restoredRoutes.add(new RouteRestored(TrustLevel.PROBE_FIRST, route));
@@ -288,7 +246,7 @@
                 entry.id(),
                 known == null
                         ? newlyListed(entry, nowMicros)
-                        : known.withListing(entry.listed(), entry.address(), nowMicros));
+                        : known.withListing(entry.entry(), entry.address(), nowMicros));
     }
 
     private void remove(String id, List<SnapshotDelta> deltas, long nowMicros) {
@@ -300,7 +258,7 @@
     }
 
     /** Applies an event that the engine sends to the decision module: how a call or a probe ended, or a retry-after. */
-    public Heard saw(PolicyEvent event, long nowMicros) {
+    public HistoryUpdate onPolicyEvent(PolicyEvent event, long nowMicros) {
         if (event instanceof AttemptCompleted attempt) {
             return onAttempt(attempt, nowMicros);
         }
@@ -310,9 +268,9 @@
         if (event instanceof RetryAfterReceived received && isListed(received.route())) {
             List<SnapshotDelta> deltas = new ArrayList<>();
             recordRetryAfter(received.route(), received.retryAfterMicros(), deltas, nowMicros);
-            return deltas.isEmpty() ? Heard.NOTHING : Heard.ofDeltas(deltas);
+            return deltas.isEmpty() ? HistoryUpdate.NOTHING : HistoryUpdate.ofDeltas(deltas);
         }
-        return Heard.NOTHING;
+        return HistoryUpdate.NOTHING;
     }
 
     private boolean isListed(String id) {
@@ -320,13 +278,13 @@
         return known != null && known.isListed();
     }
 
-    private Heard onAttempt(AttemptCompleted attempt, long nowMicros) {
+    private HistoryUpdate onAttempt(AttemptCompleted attempt, long nowMicros) {
         boolean hung = attempt.outcome() == AttemptOutcome.TIMEOUT && attempt.elapsedMicros() >= MIN_HANG_MICROS;
         boolean isStrike = hung || attempt.outcome() == AttemptOutcome.CONNECT_FAILED;
         return onOutcome(attempt.route(), attempt.outcome(), attempt.retryAfterMicros(), isStrike, false, nowMicros);
     }
 
-    private Heard onProbe(ProbeCompleted probe, long nowMicros) {
+    private HistoryUpdate onProbe(ProbeCompleted probe, long nowMicros) {
         // A probe is answered with 200 or 503, or 429 with a retry-after; anything else does not speak this protocol.
         boolean isUnexpected = probe.outcome() == AttemptOutcome.ERROR;
         boolean isStrike =
@@ -347,7 +305,7 @@
      * @param isStrike it was refused, or hung
      * @param isUnexpected its answer is none of this protocol
      */
-    private Heard onOutcome(
+    private HistoryUpdate onOutcome(
             String id,
             AttemptOutcome outcome,
             long retryAfterMicros,
@@ -355,7 +313,7 @@
             boolean isUnexpected,
             long nowMicros) {
         if (!isListed(id)) {
-            return Heard.NOTHING;
+            return HistoryUpdate.NOTHING;
         }
         EndpointObservation observation = observationOf(id);
         List<SnapshotDelta> deltas = new ArrayList<>();
@@ -363,7 +321,7 @@
         KnownEndpoint endpoint = observation.recordOutcome(endpoints.get(id), outcome, deltas, nowMicros);
         endpoints.put(id, endpoint);
         if (confirmedIds.contains(id)) {
-            return Heard.ofDeltas(deltas);
+            return HistoryUpdate.ofDeltas(deltas);
         }
         if (isStrike) {
             observation.recordStrike(nowMicros);
@@ -373,15 +331,16 @@
         }
         return observation.hasEjectionStrikes()
                 ? eject(endpoint, EjectionReason.REFUSED_OR_HUNG, deltas, nowMicros)
-                : Heard.ofDeltas(deltas);
+                : HistoryUpdate.ofDeltas(deltas);
     }
 
-    private Heard eject(KnownEndpoint endpoint, EjectionReason reason, List<SnapshotDelta> deltas, long nowMicros) {
-        endpoints.put(endpoint.id(), endpoint.withState(KnownEndpoint.State.STRUCK));
+    private HistoryUpdate eject(
+            KnownEndpoint endpoint, EjectionReason reason, List<SnapshotDelta> deltas, long nowMicros) {
+        endpoints.put(endpoint.id(), endpoint.withState(KnownEndpoint.State.EJECTED));
         hasUnsavedChanges = true;
         deltas.add(new SnapshotDelta(SnapshotDelta.Kind.EJECTED, endpoint.id(), nowMicros));
-        ListedEndpoint removed = new ListedEndpoint(endpoint.listed(), endpoint.address()).removed();
-        return new Heard(
+        ListedEndpoint removed = new ListedEndpoint(endpoint.entry(), endpoint.address()).removed();
+        return new HistoryUpdate(
                 new ListUpdate(EndpointListKind.DELTA, revision, List.of(removed)),
                 List.of(),
                 deltas,
@@ -391,7 +350,7 @@
     }
 
     /** True where the list has changed since the last snapshot. */
-    public boolean hasChanged() {
+    public boolean hasUnsavedChanges() {
         return hasUnsavedChanges;
     }
 
@@ -402,14 +361,14 @@
      * @param nowMicros the relay's own time
      * @param routes what the decision module knows
      */
-    public Snapshot picture(ClockReading clocks, long nowMicros, List<RouteSnapshot> routes) {
+    public Snapshot takeSnapshot(ClockReading clocks, long nowMicros, List<RouteSnapshot> routes) {
         Map<String, RouteSnapshot> routesById = new HashMap<>();
         routes.forEach(route -> routesById.put(route.route(), route));
         boolean isLearning = nowMicros - openedAtMicros < RATE_LEARNING_MICROS;
         List<KnownEndpoint> current = new ArrayList<>();
         for (KnownEndpoint endpoint : endpoints.values()) {
             RouteSnapshot route = routesById.get(endpoint.id());
-            RouteSnapshot earlier = endpoint.standing();
+            RouteSnapshot earlier = endpoint.routeSnapshot();
             if (route == null) {
                 current.add(endpoint);
             } else if (earlier != null && isLearning) {
@@ -422,13 +381,13 @@
     }
 
     /** The write of the last snapshot has begun: the next one has the next generation. */
-    public void saving() {
+    public void onSnapshotStarted() {
         hasUnsavedChanges = false;
         generation++;
     }
 
     /** The write of the last snapshot has failed: its generation is free again, and its changes are unsaved. */
-    public void notSaved() {
+    public void onSnapshotFailed() {
         hasUnsavedChanges = true;
         generation--;
     }
--- a/src/main/java/loftflow/warmstart/ListedEndpoint.java
+++ b/src/main/java/loftflow/warmstart/ListedEndpoint.java
@@ -8,26 +8,26 @@
  *
  * @param address a numeric IP address and a port; an IPv6 address stands in brackets
  */
-public record ListedEndpoint(EndpointEntry listed, String address) {
+public record ListedEndpoint(EndpointEntry entry, String address) {
     /** The endpoint's id, which is the id of its route. */
     public String id() {
-        return listed.route();
+        return entry.route();
     }
 
     boolean isInService() {
-        return listed.availability() == Availability.LISTED;
+        return entry.availability() == Availability.LISTED;
     }
 
     /** The same endpoint, marked as removed. */
     ListedEndpoint removed() {
         return new ListedEndpoint(
                 new EndpointEntry(
-                        listed.route(),
-                        listed.destination(),
-                        listed.kind(),
-                        listed.zone(),
+                        entry.route(),
+                        entry.destination(),
+                        entry.kind(),
+                        entry.zone(),
                         Availability.REMOVED,
-                        listed.ratePerSecond()),
+                        entry.ratePerSecond()),
                 address);
     }
 }
--- a/src/main/java/loftflow/warmstart/RestoreSummary.java
+++ b/src/main/java/loftflow/warmstart/RestoreSummary.java
@@ -25,7 +25,7 @@
         return "warmstart: restored endpoints=" + endpoints
                 + " revision=" + revision
                 + " ageSeconds=" + age()
-                + " clock=" + (downtime.doubtful() ? "unproven" : "proven")
+                + " clock=" + (downtime.isUncertain() ? "unproven" : "proven")
                 + " asListed=" + countOf(EndpointTrust.AS_LISTED)
                 + " probeFirst=" + countOf(EndpointTrust.PROBE_FIRST)
                 + " lastResort=" + countOf(EndpointTrust.LAST_RESORT)
--- a/src/main/java/loftflow/warmstart/TrustPolicy.java
+++ b/src/main/java/loftflow/warmstart/TrustPolicy.java
@@ -64,14 +64,14 @@
         if (!known.isListed()) {
             return EndpointTrust.NEVER;
         }
-        long evidenceMicros = Math.max(known.listedAt(), known.answeredAtMicros());
+        long evidenceMicros = Math.max(known.listedAtMicros(), known.answeredAtMicros());
         // Evidence from after the snapshot counts as being of the snapshot's time: it must not lower the age.
         long ageMicros = downtime.maxMicros() + Math.max(0, savedAtMicros - evidenceMicros);
         if (valueAtAge(ageMicros) < Math.pow(0.5, LAST_RESORT_HALF_LIVES)) {
             return EndpointTrust.LAST_RESORT;
         }
         boolean isProven = isComplete
-                && !downtime.doubtful()
+                && !downtime.isUncertain()
                 && evidenceMicros <= savedAtMicros
                 && known.failedAtMicros() <= known.answeredAtMicros();
         return ageMicros <= asListedMaxAgeMicros() && isProven ? EndpointTrust.AS_LISTED : EndpointTrust.PROBE_FIRST;
--- a/src/main/java/loftflow/warmstart/store/SnapshotCodec.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotCodec.java
@@ -67,14 +67,14 @@
     /** Encodes a snapshot as a whole file. */
     static byte[] encodeSnapshot(Snapshot snapshot) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.write(new byte[RecordFile.HEAD]);
+        bytes.write(new byte[RecordFile.HEADER_BYTES]);
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeUTF(snapshot.owner());
         out.writeLong(snapshot.generation());
-        out.writeLong(snapshot.at().wall());
-        out.writeLong(snapshot.at().up());
-        out.writeUTF(snapshot.at().boot());
-        out.writeLong(snapshot.time());
+        out.writeLong(snapshot.clocks().wallMicros());
+        out.writeLong(snapshot.clocks().uptimeMicros());
+        out.writeUTF(snapshot.clocks().bootId());
+        out.writeLong(snapshot.relayTimeMicros());
         out.writeLong(snapshot.revision());
         out.writeInt(snapshot.endpoints().size());
         for (KnownEndpoint endpoint : snapshot.endpoints()) {
@@ -91,7 +91,7 @@
     }
 
     private static void writeEndpoint(DataOutputStream out, KnownEndpoint endpoint) throws IOException {
-        EndpointEntry entry = endpoint.listed();
+        EndpointEntry entry = endpoint.entry();
         out.writeUTF(entry.route());
         out.writeInt(entry.destination());
         out.writeUTF(entry.kind());
@@ -100,11 +100,11 @@
         out.writeFloat((float) entry.ratePerSecond());
         out.writeUTF(endpoint.address());
         out.writeByte(StoredCodes.of(endpoint.state()));
-        out.writeLong(endpoint.listedAt());
+        out.writeLong(endpoint.listedAtMicros());
         out.writeLong(endpoint.answeredAtMicros());
         out.writeLong(endpoint.failedAtMicros());
         out.writeLong(endpoint.recoveredAtMicros());
-        RouteSnapshot route = endpoint.standing();
+        RouteSnapshot route = endpoint.routeSnapshot();
         out.writeBoolean(route != null);
         if (route != null) {
             out.writeLong(route.retryAfterRemainingMicros());
@@ -120,7 +120,7 @@
     static Snapshot decodeSnapshot(byte[] file) throws UnreadableException {
         ByteBuffer buffer = ByteBuffer.wrap(file);
         readHeader(buffer);
-        byte[] payload = RecordFile.next(buffer);
+        byte[] payload = RecordFile.readNext(buffer);
         if (payload == null || buffer.hasRemaining()) {
             throw new UnreadableException("torn file or wrong checksum");
         }
@@ -200,15 +200,15 @@
 
     /** The start of a delta file: its header and the generation of the snapshot that it follows. */
     static byte[] deltaFileHeader(long generation) {
-        byte[] record = new byte[RecordFile.HEAD + Long.BYTES];
-        ByteBuffer.wrap(record).putLong(RecordFile.HEAD, generation);
+        byte[] record = new byte[RecordFile.HEADER_BYTES + Long.BYTES];
+        ByteBuffer.wrap(record).putLong(RecordFile.HEADER_BYTES, generation);
         return file(RecordFile.seal(record));
     }
 
     /** Encodes a delta as a record. */
     static byte[] encodeDelta(SnapshotDelta delta) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.write(new byte[RecordFile.HEAD]);
+        bytes.write(new byte[RecordFile.HEADER_BYTES]);
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeByte(StoredCodes.of(delta.kind()));
         out.writeUTF(delta.endpointId());
@@ -219,7 +219,7 @@
     /** Reads the start of a delta file; the generation that it follows. Its deltas are next. */
     static long readDeltaFileHeader(ByteBuffer file) throws UnreadableException {
         readHeader(file);
-        byte[] payload = RecordFile.next(file);
+        byte[] payload = RecordFile.readNext(file);
         if (payload == null || payload.length != Long.BYTES) {
             throw new UnreadableException("torn header");
         }
@@ -228,7 +228,7 @@
 
     /** Decodes the next delta; null at the end of the file, and where the record is torn or unknown. */
     static SnapshotDelta decodeNextDelta(ByteBuffer file) {
-        byte[] payload = RecordFile.next(file);
+        byte[] payload = RecordFile.readNext(file);
         if (payload == null) {
             return null;
         }
--- a/src/main/java/loftflow/warmstart/store/SnapshotFolder.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotFolder.java
@@ -41,7 +41,7 @@
                         StandardOpenOption.CREATE,
                         StandardOpenOption.TRUNCATE_EXISTING,
                         StandardOpenOption.WRITE)) {
-                    RecordFile.write(file, bytes, 0);
+                    RecordFile.writeFully(file, bytes, 0);
                     if (sync) {
                         file.force(true);
                     }
--- a/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
@@ -40,20 +40,11 @@
     /**
      * Settings.
      *
-     * @param limit bytes of all files together
-     * @param rate bytes a second, on average over a minute
+     * @param limitBytes bytes of all files together
+     * @param bytesPerSecond bytes a second, on average over a minute
      * @param sync whether a snapshot must be on stable storage before it counts
      */
-    public record Options(Path folder, long limit, long rate, boolean sync) {}
-
-    /**
-     * What an earlier process left.
-     *
-     * @param picture the snapshot; null where none can be used
-     * @param notes deltas recorded since the snapshot, in order
-     * @param whole false where deltas since the snapshot may be missing
-     */
-    public record Left(Snapshot picture, List<SnapshotDelta> notes, boolean whole) {}
+    public record Options(Path folder, long limitBytes, long bytesPerSecond, boolean sync) {}
 
     private final Options options;
     private final SnapshotStore store;
@@ -81,7 +72,7 @@
     public SnapshotWriter(Options options, Executor eventLoop) throws IOException {
         this(
                 options,
-                SnapshotStore.at(options.folder(), (long) (options.limit() * DELTA_SHARE), options.sync()),
+                SnapshotStore.at(options.folder(), (long) (options.limitBytes() * DELTA_SHARE), options.sync()),
                 eventLoop);
     }
 
@@ -92,10 +83,10 @@
     }
 
     /** Loads what an earlier process left. Called once, before anything else; logs the files that are set aside. */
-    public Left load(String owner) {
+    public LoadedSnapshot load(String owner) {
         SnapshotStore.LoadedState loaded = store.load(owner);
         loaded.logLines().forEach(line -> Log.line(LOG_PREFIX + line));
-        return new Left(loaded.snapshot(), loaded.deltas(), loaded.isComplete());
+        return new LoadedSnapshot(loaded.snapshot(), loaded.deltas(), loaded.isComplete());
     }
 
     /**
@@ -107,17 +98,17 @@
     public void start(Snapshot last, ClockReading clocks, long nowMicros) {
         long idleMicros = last == null
                 ? DowntimeEstimate.UNKNOWN
-                : DowntimeEstimate.between(last.at(), clocks).minMicros();
-        budget = new WriteBudget(options.rate(), idleMicros, nowMicros);
+                : DowntimeEstimate.between(last.clocks(), clocks).minMicros();
+        budget = new WriteBudget(options.bytesPerSecond(), idleMicros, nowMicros);
     }
 
     /** True where deltas can't be written before the next snapshot. */
-    public boolean wantsPicture() {
+    public boolean needsSnapshot() {
         return store.needsSnapshot() || lostDeltas != null;
     }
 
     /** True where a snapshot of the last one's size could be written now. */
-    public boolean isFree(long nowMicros) {
+    public boolean canWriteSnapshot(long nowMicros) {
         return !isWriting && nowMicros >= nextAttemptMicros && budget.allowsSnapshot(lastSnapshotBytes, nowMicros);
     }
 
@@ -127,8 +118,8 @@
      * @param onFailure runs on the event loop where the write was started and failed later
      * @return false where the write was not started
      */
-    public boolean save(Snapshot snapshot, long nowMicros, Runnable onFailure) {
-        if (!isFree(nowMicros)) {
+    public boolean writeSnapshot(Snapshot snapshot, long nowMicros, Runnable onFailure) {
+        if (!canWriteSnapshot(nowMicros)) {
             return false;
         }
         try {
@@ -187,7 +178,7 @@
 
     /** Encodes a snapshot; one that is too large is encoded without the endpoints whose evidence is oldest. */
     private byte[] encodeWithinLimit(Snapshot snapshot) throws IOException {
-        long maxBytes = Math.min((long) (options.limit() * SNAPSHOT_SHARE), budget.maxSnapshotBytes());
+        long maxBytes = Math.min((long) (options.limitBytes() * SNAPSHOT_SHARE), budget.maxSnapshotBytes());
         byte[] bytes = SnapshotCodec.encodeSnapshot(snapshot);
         if (bytes.length <= maxBytes) {
             return bytes;
@@ -201,8 +192,8 @@
             bytes = SnapshotCodec.encodeSnapshot(new Snapshot(
                     snapshot.owner(),
                     snapshot.generation(),
-                    snapshot.at(),
-                    snapshot.time(),
+                    snapshot.clocks(),
+                    snapshot.relayTimeMicros(),
                     snapshot.revision(),
                     retained));
         }
@@ -216,12 +207,12 @@
 
     private static Comparator<KnownEndpoint> newestEvidenceFirst() {
         Comparator<KnownEndpoint> byEvidence =
-                Comparator.comparingLong(endpoint -> Math.max(endpoint.listedAt(), endpoint.answeredAtMicros()));
+                Comparator.comparingLong(endpoint -> Math.max(endpoint.listedAtMicros(), endpoint.answeredAtMicros()));
         return byEvidence.thenComparingLong(KnownEndpoint::answeredAtMicros).reversed();
     }
 
     /** Writes deltas at once; where that can't be, a single one that stands for them. */
-    public void note(List<SnapshotDelta> deltas, long nowMicros) {
+    public void writeDeltas(List<SnapshotDelta> deltas, long nowMicros) {
         if (deltas.isEmpty()) {
             return;
         }
@@ -286,7 +277,7 @@
     }
 
     /** Called each second: records lost deltas that could not be recorded when they were lost. */
-    public void look(long nowMicros) {
+    public void retryLostDeltas(long nowMicros) {
         recordLostDeltas(nowMicros);
     }
 
--- a/src/main/java/loftflow/warmstart/store/StoredCodes.java
+++ b/src/main/java/loftflow/warmstart/store/StoredCodes.java
@@ -20,7 +20,7 @@
         return switch (state) {
             case LISTED -> 0;
             case OUT_OF_SERVICE -> 1;
-            case STRUCK -> 2;
+            case EJECTED -> 2;
         };
     }
 
--- a/src/test/java/loftflow/ArchitectureTest.java
+++ b/src/test/java/loftflow/ArchitectureTest.java
@@ -94,18 +94,18 @@
                 "engine | loftflow.policy.api loftflow.engine loftflow.log loftflow.protocol",
                 "listener | loftflow.listener",
                 "listener.connection | loftflow.engine loftflow.listener.connection loftflow.log",
-                "listener.request | loftflow.engine loftflow.listener.request loftflow.http",
-                "listener.http | loftflow.listener loftflow.engine loftflow.listener.http loftflow.listener.connection loftflow.listener.request loftflow.http",
-                "listener.http2 | loftflow.listener loftflow.engine loftflow.listener.http2.. loftflow.listener.connection "
+                "listener.request | loftflow.protocol loftflow.engine loftflow.listener.request loftflow.http",
+                "listener.http | loftflow.protocol loftflow.listener loftflow.engine loftflow.listener.http loftflow.listener.connection loftflow.listener.request loftflow.http",
+                "listener.http2 | loftflow.protocol loftflow.listener loftflow.engine loftflow.listener.http2.. loftflow.listener.connection "
                         + "loftflow.listener.request loftflow.http",
                 "listener.http2.flowcontrol | loftflow.listener.http2.flowcontrol",
                 "listener.amqp | loftflow.protocol loftflow.listener loftflow.listener.amqp loftflow.listener.connection loftflow.engine loftflow.amqp.. loftflow.deduplication "
                         + "loftflow.log",
-                "upstream.amqp | loftflow.policy.api loftflow.engine loftflow.upstream.amqp loftflow.amqp.codec loftflow.amqp.link "
+                "upstream.amqp | loftflow.protocol loftflow.policy.api loftflow.engine loftflow.upstream.amqp loftflow.amqp.codec loftflow.amqp.link "
                         + "loftflow.amqp.confirm loftflow.http loftflow.log",
                 "deduplication | loftflow.deduplication loftflow.recordfile loftflow.log",
                 "recordfile | loftflow.recordfile",
-                "upstream.http | loftflow.policy.api loftflow.json loftflow.engine loftflow.upstream.http loftflow.http loftflow.log",
+                "upstream.http | loftflow.protocol loftflow.policy.api loftflow.json loftflow.engine loftflow.upstream.http loftflow.http loftflow.log",
                 "discovery | loftflow.protocol loftflow.policy.api loftflow.engine loftflow.discovery loftflow.http loftflow.json loftflow.log",
                 "completion | loftflow.protocol loftflow.engine loftflow.completion loftflow.discovery loftflow.recordfile loftflow.log",
                 "json | loftflow.json",
@@ -114,11 +114,11 @@
                 "simulator | loftflow.policy loftflow.policy.api loftflow.json loftflow.settings loftflow.simulator",
                 "settings | loftflow.protocol loftflow.policy.api loftflow.json loftflow.settings",
                 "journal | loftflow.policy.api loftflow.engine loftflow.journal loftflow.recordfile loftflow.log",
-                "config | loftflow.policy.api loftflow.config loftflow.engine loftflow.discovery loftflow.json loftflow.settings",
+                "config | loftflow.protocol loftflow.policy.api loftflow.config loftflow.engine loftflow.discovery loftflow.json loftflow.settings",
                 "config.file | loftflow.config.file",
                 "config.schema | loftflow.config.schema loftflow.config.file",
                 "config.plan | loftflow.config.plan loftflow.config.schema loftflow.config.file",
-                "config.tool | loftflow.policy.api loftflow.engine loftflow.json loftflow.config..",
+                "config.tool | loftflow.protocol loftflow.policy.api loftflow.engine loftflow.json loftflow.config..",
                 "server | loftflow.policy loftflow.policy.api loftflow.server loftflow.config loftflow.engine loftflow.listener.. loftflow.upstream.. "
                         + "loftflow.discovery loftflow.completion loftflow.journal loftflow.log loftflow.deadletter.. loftflow.admin "
                         + "loftflow.amqp.. loftflow.deduplication loftflow.warmstart..",
@@ -142,10 +142,10 @@
                 "experiment.design | loftflow.experiment.design loftflow.experiment.scenario",
                 "experiment.results | loftflow.experiment.results loftflow.experiment.scenario loftflow.experiment.history loftflow.experiment.evaluation "
                         + "loftflow.recordfile",
-                "experiment.loopback | loftflow.policy.api loftflow.experiment.loopback loftflow.experiment.scenario loftflow.experiment.history loftflow.experiment.emulator "
+                "experiment.loopback | loftflow.protocol loftflow.policy.api loftflow.experiment.loopback loftflow.experiment.scenario loftflow.experiment.history loftflow.experiment.emulator "
                         + "loftflow.experiment.evaluation loftflow.config.tool loftflow.config.file loftflow.fake loftflow.http",
                 "experiment | loftflow.policy loftflow.policy.api loftflow.experiment.. loftflow.engine loftflow.config.file loftflow.fake",
-                "fake | loftflow.fake loftflow.http loftflow.amqp.."
+                "fake | loftflow.protocol loftflow.fake loftflow.http loftflow.amqp.."
             })
     void packageUsesOnlyWhatItSays(String name, String allowed) {
         classes()
--- a/src/test/java/loftflow/admin/DeadLetterFilterReaderTest.java
+++ b/src/test/java/loftflow/admin/DeadLetterFilterReaderTest.java
@@ -14,15 +14,15 @@
 /** Requests and responses as the command line of any version knows them. */
 class DeadLetterFilterReaderTest {
     private static String error(String member, String value) {
-        return assertThrows(IllegalArgumentException.class, () -> DeadLetterFilterReader.of(Map.of(member, value)))
+        return assertThrows(IllegalArgumentException.class, () -> DeadLetterSelection.of(Map.of(member, value)))
                 .getMessage();
     }
 
     @Test
     void statesAndCertaintiesAreReadByTheirProtocolNames() {
-        DeadLetterFilterReader selection = DeadLetterFilterReader.of(Map.of("state", "resending", "ran", "did"));
+        DeadLetterSelection selection = DeadLetterSelection.of(Map.of("state", "resending", "ran", "did"));
         assertEquals(DeadLetter.State.REDRIVING, selection.filter().state());
-        assertEquals(ExecutionCertainty.EXECUTED, selection.filter().ran());
+        assertEquals(ExecutionCertainty.EXECUTED, selection.filter().certainty());
     }
 
     @Test
@@ -52,6 +52,6 @@
                         + "\"resends\":4,\"verdict\":\"may be sent\",\"word\":\"clerk: not posted\",\"tries\":["
                         + "{\"route\":\"r0\",\"building\":\"b0\",\"sent\":\"1970-01-01T00:00:00.500Z\","
                         + "\"result\":\"FULL\",\"ran\":\"never\"}],\"audit\":[\"a line\"],\"body\":\"AQID\"}",
-                JsonLines.entry(deadLetter, true, "may be sent", List.of("a line")));
+                JsonLines.deadLetter(deadLetter, true, "may be sent", List.of("a line")));
     }
 }
--- a/src/test/java/loftflow/completion/HttpCompletionNotifierTest.java
+++ b/src/test/java/loftflow/completion/HttpCompletionNotifierTest.java
@@ -116,7 +116,7 @@
      */
     private void endIterationsLate(List<String> acknowledged) {
         loop.execute(() -> {
-            RelayProcess.hold(150);
+            RelayProcess.blockThread(150);
             if (acknowledged.isEmpty()) {
                 loop.schedule(() -> endIterationsLate(acknowledged), 0, TimeUnit.MILLISECONDS);
             }
--- a/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -56,7 +56,7 @@
                 now + i,
                 "full",
                 "failed",
-                DeadLetter.State.KEPT,
+                DeadLetter.State.STORED,
                 now,
                 null,
                 0,
@@ -80,7 +80,7 @@
                     100_000 / ((System.nanoTime() - start) / 1e9));
             for (DeadLetterStore.Filter filter : List.of(
                     DeadLetterStore.Filter.ALL,
-                    new DeadLetterStore.Filter(DeadLetter.State.KEPT, 7, null, null, null, 0, 0),
+                    new DeadLetterStore.Filter(DeadLetter.State.STORED, 7, null, null, null, 0, 0),
                     new DeadLetterStore.Filter(
                             null, null, "settlement", "acme", ExecutionCertainty.NOT_EXECUTED, 0, 0))) {
                 start = System.nanoTime();
@@ -197,7 +197,7 @@
             for (ServedRelay relay : relays.values()) {
                 relay.close();
             }
-            try (DeadLetterStore store = SqliteDeadLetterStore.reading(folder.resolve("on"))) {
+            try (DeadLetterStore store = SqliteDeadLetterStore.openReadOnly(folder.resolve("on"))) {
                 print("stored meanwhile: %d", store.size().entries());
             }
         }
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
@@ -188,10 +188,9 @@
         journal = new Journal(folder.resolve("journal"), JOURNAL_BYTES);
         store = SqliteDeadLetterStore.open(folder, 1 << 30);
         engine = new DeliveryEngine(timers, clock, settings, 5_000, new KillableJournal(), DefaultDeliveryPolicy::new);
-        Map<String, RedrivePolicy.Shelved> redriveClasses = new HashMap<>();
+        Map<String, RedriveClass> redriveClasses = new HashMap<>();
         settings.classes()
-                .forEach(attempt ->
-                        redriveClasses.put(attempt.name(), new RedrivePolicy.Shelved(attempt, 60 * SECOND_MICROS)));
+                .forEach(attempt -> redriveClasses.put(attempt.name(), new RedriveClass(attempt, 60 * SECOND_MICROS)));
         service = new DeadLetterService(
                 timers,
                 clock,
@@ -325,12 +324,12 @@
                 deadLetter.dueMicros(),
                 deadLetter.confirmation(),
                 deadLetter.redrives(),
-                deadLetter.tries().stream()
+                deadLetter.attempts().stream()
                         .map(attempt -> new DeadLetter.Attempt(
                                 attempt.route(),
                                 attempt.zone(),
                                 attempt.sentAtMicros(),
-                                attempt.certainty() == ExecutionCertainty.MAYBE
+                                attempt.certainty() == ExecutionCertainty.UNKNOWN
                                         ? AttemptOutcome.NOT_SENT
                                         : attempt.outcome()))
                         .toList());
@@ -436,7 +435,7 @@
                         return;
                     }
                     List<DeadLetter> stored = store.list(
-                            new DeadLetterStore.Filter(DeadLetter.State.KEPT, null, null, null, null, 0, 0),
+                            new DeadLetterStore.Filter(DeadLetter.State.STORED, null, null, null, null, 0, 0),
                             0,
                             100,
                             true);
@@ -448,11 +447,11 @@
                         int action = random.nextInt(4);
                         if (action == 0 && !isExecuted) {
                             DeadLetter.Confirmation confirmation = new DeadLetter.Confirmation(
-                                    "clerk", "not executed", entry.tries().size(), nowMicros + clockSkewMicros);
+                                    "clerk", "not executed", entry.attempts().size(), nowMicros + clockSkewMicros);
                             confirmations += write(() -> store.recordConfirmation(entry.id(), confirmation, 0)) ? 1 : 0;
                         } else if (action == 1 && random.nextInt(20) == 0) {
                             if (write(() -> store.transition(
-                                    entry.id(), DeadLetter.State.KEPT, DeadLetter.State.DISCARDED, 0))) {
+                                    entry.id(), DeadLetter.State.STORED, DeadLetter.State.DISCARDED, 0))) {
                                 discardedIds.add(id);
                             }
                         } else {
@@ -537,7 +536,7 @@
             duplicates += executions > 1 && !destinations.classes.get(id).equals("safe") ? 1 : 0;
             DeadLetter entry = entries.get(id);
             boolean isUndelivered = entry != null
-                    && (entry.state() == DeadLetter.State.KEPT || entry.state() == DeadLetter.State.REDRIVING);
+                    && (entry.state() == DeadLetter.State.STORED || entry.state() == DeadLetter.State.REDRIVING);
             boolean isDiscarded = entry != null && entry.state() == DeadLetter.State.DISCARDED;
             boolean isRejected = rejectedIds.contains(id);
             boolean isDelivered = executions > 0 && !isUndelivered && !isDiscarded && !isRejected;
@@ -548,7 +547,7 @@
                                 + destinations.executionLog.stream()
                                         .filter(p -> p.startsWith(id + " "))
                                         .toList() + " open "
-                                + openIds.contains(id) + " " + entry + " " + (entry == null ? "" : entry.tries()));
+                                + openIds.contains(id) + " " + entry + " " + (entry == null ? "" : entry.attempts()));
             }
             // Reported as delivered and never executed counts as lost too.
             lost += !isDelivered && !isUndelivered && !isDiscarded && !isRejected && !openIds.contains(id) ? 1 : 0;
