--- a/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
@@ -8,6 +8,7 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.ssl.SslContext;
+import io.netty.handler.ssl.SslHandler;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.HashSet;
@@ -21,138 +22,152 @@
 import loftflow.amqp.codec.MethodType;
 
 /**
- * A connection to a broker (AMQP 0-9-1, section 2.2.4), which logs in by PLAIN and opens channels that are asked for.
+ * A connection to a broker (AMQP 0-9-1, section 2.2.4) that logs in with the PLAIN mechanism. Its owner opens the
+ * channels.
  */
 public final class AmqpClientConnection extends AmqpConnection {
-    /** The first bytes of every connection. */
-    static final byte[] GREETING = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
+    /** The protocol header, which a client sends first on every connection. */
+    static final byte[] PROTOCOL_HEADER = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
 
-    private static final int MOST_CHANNELS = 16;
-    private static final int MOST_FRAME = 128 << 10;
+    private static final int MAX_CHANNELS = 16;
+    private static final int MAX_FRAME_BYTES = 128 << 10;
 
     /**
-     * How to log in.
+     * Credentials and connection options.
      *
-     * @param heartbeat seconds; 0 for none, and the broker may ask for less
+     * @param heartbeat the requested interval in seconds; 0 leaves it to the broker, else the shorter of both applies
      */
     public record Login(String user, String password, String virtualHost, int heartbeat) {}
 
-    /** What a link is for. */
+    /** Receives the events of a connection, on its event loop. */
     public interface Owner {
-        /** The broker has let this side in; channels may be opened. */
+        /** The login succeeded; channels may be opened. */
         void opened();
 
-        /** A method has come: an answer, a delivery, a confirm, or what the broker has to say of its own accord. */
+        /** A method was received: a reply, a delivery, a confirm or a notification of the broker. */
         void received(Command command) throws AmqpException;
 
-        /** The broker asks for a wait with publishes, or takes that back; {@link #mayPublish} tells which. */
-        void publishing(String why);
+        /** The broker has paused or resumed publishing; {@link #mayPublish} returns the current state. */
+        void publishing(String reason);
 
-        /** The connection is over, whether it was ever open or not; called once. */
+        /** The connection is closed or could not be opened; called exactly once. */
         void closed(String reason);
     }
 
     /**
-     * A broker, and how to log in.
+     * Address and credentials of a broker.
      *
-     * @param tls null where the connection is plain
-     * @param tlsName the name that the broker's certificate has to hold; null for its address
+     * @param tls null for a plain-text connection
+     * @param tlsName the host name that the certificate of the broker is verified against; null for its address
      */
     public record Broker(InetSocketAddress address, Login login, SslContext tls, String tlsName) {}
 
     private final Login login;
     private final Owner owner;
-    private Future<?> opening;
-    /** Two ways for a broker to ask for a wait, each with its own end. */
+    private Future<?> openTimeout;
+    /** True between {@code connection.blocked} and {@code connection.unblocked}. */
     private boolean blocked;
 
-    private final Set<Integer> stopped = new HashSet<>();
+    /** Channels that the broker has paused by {@code channel.flow}. */
+    private final Set<Integer> pausedChannels = new HashSet<>();
+
     private final Set<Integer> channels = new HashSet<>();
     private boolean open;
-    private boolean over;
+    private boolean closeReported;
 
-    private AmqpClientConnection(Login login, int mostBody, Owner owner) {
-        super(mostBody, ANY_ROOM);
+    private AmqpClientConnection(Login login, int maxBodyBytes, Owner owner) {
+        super(maxBodyBytes, ANY_ROOM);
         this.login = login;
         this.owner = owner;
     }
 
     /**
-     * Connects, on an event loop and from it. Unless {@link #ready} is called within a time, the connection is over.
+     * Connects to a broker. Must be called on the given event loop. The connection is closed unless {@link #ready} is
+     * called before the timeout.
      *
-     * @param mostBody bytes of the largest body that is held; larger ones are skipped
-     * @param timeout microseconds until it has to be of use to its owner
+     * @param maxBodyBytes size of the largest message body that is buffered; larger ones are skipped
+     * @param timeoutMicros time for the socket, the login and whatever its owner sets up before {@link #ready}
      */
-    public static AmqpClientConnection dial(EventLoop loop, Broker broker, int mostBody, long timeout, Owner owner) {
-        AmqpClientConnection link = new AmqpClientConnection(broker.login(), mostBody, owner);
+    public static AmqpClientConnection dial(
+            EventLoop loop, Broker broker, int maxBodyBytes, long timeoutMicros, Owner owner) {
+        AmqpClientConnection connection = new AmqpClientConnection(broker.login(), maxBodyBytes, owner);
         InetSocketAddress address = broker.address();
         ChannelFuture connected = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeout / 1_000))
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel ch) {
-                        if (broker.tls() != null) {
-                            String host = broker.tlsName() != null
-                                    ? broker.tlsName()
-                                    : address.getAddress().getHostAddress();
-                            ch.pipeline().addLast(broker.tls().newHandler(ch.alloc(), host, address.getPort()));
-                        }
-                        ch.pipeline().addLast(link);
-                    }
-                })
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeoutMicros / 1_000))
+                .handler(initializer(broker, connection))
                 .connect(address);
-        link.opening = loop.schedule(
+        connection.openTimeout = loop.schedule(
                 () -> {
                     connected.channel().close();
-                    link.notConnected("it did not open in time");
+                    connection.onClosed("it did not open in time");
                 },
-                timeout,
+                timeoutMicros,
                 TimeUnit.MICROSECONDS);
         connected.addListener(done -> {
             if (!done.isSuccess()) {
-                // Guards against a socket that could not even be opened: its failure is told on another thread.
-                loop.execute(() -> link.notConnected(done.cause().getMessage()));
+                // If the socket can't be created, the listener is notified outside the event loop.
+                loop.execute(() -> connection.onClosed(done.cause().getMessage()));
             }
         });
-        return link;
+        return connection;
+    }
+
+    private static ChannelInitializer<Channel> initializer(Broker broker, AmqpClientConnection connection) {
+        return new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(Channel channel) {
+                if (broker.tls() != null) {
+                    channel.pipeline().addLast(tlsHandler(broker, channel));
+                }
+                channel.pipeline().addLast(connection);
+            }
+        };
     }
 
-    /** The connection is of use to its owner; the time for it to open does not bind any more. */
+    private static SslHandler tlsHandler(Broker broker, Channel channel) {
+        InetSocketAddress address = broker.address();
+        String host = broker.tlsName() != null
+                ? broker.tlsName()
+                : address.getAddress().getHostAddress();
+        return broker.tls().newHandler(channel.alloc(), host, address.getPort());
+    }
+
+    /** Cancels the timeout of {@link #dial}, as the connection is set up. */
     public void ready() {
-        opening.cancel(false);
+        openTimeout.cancel(false);
     }
 
-    /** False where the broker wants no publishes on a channel for now. */
+    /** Returns false while the broker has paused publishing on the connection or on the channel. */
     public boolean mayPublish(int channel) {
-        return !blocked && !stopped.contains(channel);
+        return !blocked && !pausedChannels.contains(channel);
     }
 
     @Override
-    void connected() {
-        sendRaw(GREETING);
+    void onConnected() {
+        sendRaw(PROTOCOL_HEADER);
     }
 
-    /** True between {@link Owner#opened} and the end. */
+    /** Returns true from {@link Owner#opened} until the connection starts to close. */
     public boolean isOpen() {
-        return open && !over && !isEnding();
+        return open && !closeReported && !isEnding();
     }
 
-    /** Opens a channel; {@code CHANNEL_OPEN_OK} is told to the owner. */
+    /** Opens a channel; the owner receives {@code CHANNEL_OPEN_OK}. */
     public void openChannel(int channel) {
         channels.add(channel);
         send(channel, Method.of(MethodType.CHANNEL_OPEN));
     }
 
     @Override
-    boolean mayCome(int channel) {
+    boolean acceptsChannel(int channel) {
         return channel == 0 || channels.contains(channel);
     }
 
     @Override
-    void received(Command command) throws AmqpException {
+    void onCommand(Command command) throws AmqpException {
         Method method = command.method();
         switch (method.op()) {
             case CONNECTION_BLOCKED -> {
@@ -163,7 +178,7 @@
                 blocked = false;
                 owner.publishing("the broker takes publishes again");
             }
-            case CHANNEL_FLOW -> flow(command.channel(), method.flag("active"));
+            case CHANNEL_FLOW -> onFlow(command.channel(), method.flag("active"));
 
             default -> {
                 if (command.channel() == 0) {
@@ -177,8 +192,8 @@
 
     private void onConnection(Command command) throws AmqpException {
         switch (command.op()) {
-            case CONNECTION_START -> start(command.method());
-            case CONNECTION_TUNE -> tune(command.method());
+            case CONNECTION_START -> onStart(command.method());
+            case CONNECTION_TUNE -> onTune(command.method());
             case CONNECTION_OPEN_OK -> {
                 open = true;
                 owner.opened();
@@ -187,17 +202,17 @@
         }
     }
 
-    private void flow(int channel, boolean active) {
+    private void onFlow(int channel, boolean active) {
         if (active) {
-            stopped.remove(channel);
+            pausedChannels.remove(channel);
         } else {
-            stopped.add(channel);
+            pausedChannels.add(channel);
         }
         send(channel, Method.of(MethodType.CHANNEL_FLOW_OK, active));
         owner.publishing(active ? "the broker lets the flow go on" : "the broker stops the flow");
     }
 
-    private void start(Method method) throws AmqpException {
+    private void onStart(Method method) throws AmqpException {
         if (!(" " + method.text("mechanisms") + " ").contains(" PLAIN ")) {
             throw new AmqpException(AmqpException.NOT_ALLOWED, "the broker does not take PLAIN");
         }
@@ -222,36 +237,31 @@
                         "en_US"));
     }
 
-    private void tune(Method method) throws AmqpException {
-        long max = method.number("frame-max");
-        int frames = (int) (max == 0 ? MOST_FRAME : Math.min(MOST_FRAME, max));
-        if (frames < Frame.LEAST_MAX) {
-            throw new AmqpException(AmqpException.SYNTAX_ERROR, "frames of " + frames + " bytes are too small");
+    private void onTune(Method method) throws AmqpException {
+        long brokerFrameMax = method.number("frame-max");
+        int frameMax = (int) (brokerFrameMax == 0 ? MAX_FRAME_BYTES : Math.min(MAX_FRAME_BYTES, brokerFrameMax));
+        if (frameMax < Frame.LEAST_MAX) {
+            throw new AmqpException(AmqpException.SYNTAX_ERROR, "frames of " + frameMax + " bytes are too small");
         }
-        long channelMax = method.number("channel-max");
-        int most = (int) (channelMax == 0 ? MOST_CHANNELS : Math.min(MOST_CHANNELS, channelMax));
-        int theirs = (int) method.number("heartbeat");
-        int heartbeat = login.heartbeat() == 0 || theirs == 0
-                ? Math.max(login.heartbeat(), theirs)
-                : Math.min(login.heartbeat(), theirs);
-        send(0, Method.of(MethodType.CONNECTION_TUNE_OK, most, (long) frames, heartbeat));
-        agreed(frames, heartbeat);
+        long brokerChannelMax = method.number("channel-max");
+        int channelMax = (int) (brokerChannelMax == 0 ? MAX_CHANNELS : Math.min(MAX_CHANNELS, brokerChannelMax));
+        int brokerHeartbeat = (int) method.number("heartbeat");
+        int heartbeat = login.heartbeat() == 0 || brokerHeartbeat == 0
+                ? Math.max(login.heartbeat(), brokerHeartbeat)
+                : Math.min(login.heartbeat(), brokerHeartbeat);
+        send(0, Method.of(MethodType.CONNECTION_TUNE_OK, channelMax, (long) frameMax, heartbeat));
+        applyTuning(frameMax, heartbeat);
         send(0, Method.of(MethodType.CONNECTION_OPEN, login.virtualHost()));
     }
 
     @Override
-    void over(String reason) {
-        if (!over) {
-            over = true;
-            if (opening != null) {
-                opening.cancel(false);
+    void onClosed(String reason) {
+        if (!closeReported) {
+            closeReported = true;
+            if (openTimeout != null) {
+                openTimeout.cancel(false);
             }
             owner.closed(reason);
         }
     }
-
-    /** The connection never came up. */
-    private void notConnected(String reason) {
-        over(reason);
-    }
 }
--- a/src/main/java/loftflow/amqp/link/AmqpConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpConnection.java
@@ -18,9 +18,12 @@
 import loftflow.amqp.codec.MethodType;
 import loftflow.amqp.codec.Properties;
 
-/** One connection, of either role: frames in and out, heartbeats and the end. Everything happens on its event loop. */
+/**
+ * One AMQP connection of either role: reads and writes frames, sends and checks heartbeats, and closes. Not
+ * thread-safe: every method is called on the event loop of its Netty channel.
+ */
 public abstract class AmqpConnection extends ChannelInboundHandlerAdapter {
-    /** What a link may hold of bodies that are not whole, where nobody counts. */
+    /** A budget that never refuses bytes of incomplete message bodies. */
     public static final CommandAssembler.Room ANY_ROOM = new CommandAssembler.Room() {
         @Override
         public boolean take(int bytes) {
@@ -31,48 +34,52 @@
         public void give(int bytes) {}
     };
 
-    private static final long PATIENCE_MS = 2_000;
-    private static final int MOST_TEXT = 200;
-    private static final int SILENT_HALVES = 4;
+    /** Time that the peer has to answer {@code connection.close} before the socket is closed. */
+    private static final long CLOSE_TIMEOUT_MILLIS = 2_000;
+    /** Characters of a {@code reply-text}; longer texts are truncated to fit a short string of 255 bytes. */
+    private static final int MAX_REPLY_TEXT_LENGTH = 200;
+    /** Halves of a heartbeat interval without a received frame after which the connection is closed. */
+    private static final int MAX_IDLE_HALF_INTERVALS = 4;
 
-    private final int mostBody;
-    private final CommandAssembler.Room room;
+    private final int maxBodyBytes;
+    private final CommandAssembler.Room bodyBudget;
     private final Map<Integer, CommandAssembler> assemblers = new HashMap<>();
     private ChannelHandlerContext context;
-    /** What has come of a frame that is not whole; null where nothing has. */
-    private ByteBuf half;
+    /** Received bytes that are not decoded yet; null if there are none. */
+    private ByteBuf partialFrame;
 
     private int frameMax = Frame.LEAST_MAX;
-    private Future<?> beat;
-    private boolean heard;
-    private boolean said;
-    private int silentBeats;
-    private boolean ending;
-    private boolean reads = true;
-    private boolean flushes;
-    private String why = "the connection was closed";
+    private Future<?> heartbeatTimer;
+    private boolean receivedSinceTick;
+    private boolean sentSinceTick;
+    private int idleHalfIntervals;
+    private boolean closing;
+    private boolean autoRead = true;
+    private boolean flushScheduled;
+    private String closeReason = "the connection was closed";
 
     /**
-     * A link.
+     * Creates the handler of one connection.
      *
-     * @param mostBody bytes of the largest body that is held
+     * @param maxBodyBytes size of the largest message body that is buffered; larger ones are skipped
+     * @param bodyBudget limits the bytes of incomplete bodies over all channels
      */
-    AmqpConnection(int mostBody, CommandAssembler.Room room) {
-        this.mostBody = mostBody;
-        this.room = room;
+    AmqpConnection(int maxBodyBytes, CommandAssembler.Room bodyBudget) {
+        this.maxBodyBytes = maxBodyBytes;
+        this.bodyBudget = bodyBudget;
     }
 
-    /** A method has come, with its content. */
-    abstract void received(Command command) throws AmqpException;
+    /** Handles a method that was received completely, with its content if it carries one. */
+    abstract void onCommand(Command command) throws AmqpException;
 
-    /** The connection is up. */
-    abstract void connected();
+    /** Called once the socket is connected. */
+    abstract void onConnected();
 
-    /** The connection is over; nothing comes of it any more. */
-    abstract void over(String reason);
+    /** Called when the socket is closed; no command is received afterwards. */
+    abstract void onClosed(String reason);
 
-    /** Takes bytes ahead of the first frame; true where frames follow. */
-    boolean opened(ByteBuf in) throws AmqpException {
+    /** Reads the protocol header ahead of the first frame; returns true once frames may follow. */
+    boolean readProtocolHeader(ByteBuf in) throws AmqpException {
         return true;
     }
 
@@ -83,47 +90,47 @@
 
     @Override
     public final void channelActive(ChannelHandlerContext ctx) {
-        connected();
+        onConnected();
     }
 
     /**
-     * Puts what comes together itself: the decoder that Netty has for that asks for more bytes on its own account, also
-     * where reading is switched off.
+     * Accumulates the received bytes and decodes complete frames. Netty's {@code ByteToMessageDecoder} is not used, as
+     * it requests further reads by itself, also while reading is paused.
      */
     @Override
     public final void channelRead(ChannelHandlerContext ctx, Object bytes) {
-        half = half == null
+        partialFrame = partialFrame == null
                 ? (ByteBuf) bytes
-                : ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), half, (ByteBuf) bytes);
-        decode(half);
-        if (half.isReadable()) {
-            half.discardSomeReadBytes();
+                : ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), partialFrame, (ByteBuf) bytes);
+        decode(partialFrame);
+        if (partialFrame.isReadable()) {
+            partialFrame.discardSomeReadBytes();
         } else {
-            dropHalf();
+            releasePartialFrame();
         }
     }
 
-    private void dropHalf() {
-        if (half != null) {
-            half.release();
-            half = null;
+    private void releasePartialFrame() {
+        if (partialFrame != null) {
+            partialFrame.release();
+            partialFrame = null;
         }
     }
 
     private void decode(ByteBuf in) {
         try {
-            if (!opened(in)) {
+            if (!readProtocolHeader(in)) {
                 return;
             }
             Frame frame = Frame.next(in, frameMax);
             while (frame != null) {
-                heard = true;
+                receivedSinceTick = true;
                 try {
-                    take(frame);
+                    onFrame(frame);
                 } finally {
                     frame.payload().release();
                 }
-                // Guards against frames that still come behind the end.
+                // Frames that follow the close of the socket are discarded.
                 if (!context.channel().isOpen()) {
                     in.skipBytes(in.readableBytes());
                     return;
@@ -136,182 +143,198 @@
         }
     }
 
-    private void take(Frame frame) throws AmqpException {
+    private void onFrame(Frame frame) throws AmqpException {
         if (frame.type() == Frame.Type.HEARTBEAT) {
             if (frame.channel() != 0) {
                 throw new AmqpException(AmqpException.FRAME_ERROR, "a heartbeat on channel " + frame.channel());
             }
             return;
         }
-        if (!mayCome(frame.channel())) {
+        if (!acceptsChannel(frame.channel())) {
             throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + frame.channel() + " is not open");
         }
         CommandAssembler assembler =
-                assemblers.computeIfAbsent(frame.channel(), c -> new CommandAssembler(c, mostBody, room));
+                assemblers.computeIfAbsent(frame.channel(), c -> new CommandAssembler(c, maxBodyBytes, bodyBudget));
         Command command = assembler.add(frame);
         if (command == null) {
             return;
         }
         if (command.op() == MethodType.CONNECTION_CLOSE) {
-            why = "the other side closed it: " + command.method().number("reply-code") + " "
+            closeReason = "the other side closed it: " + command.method().number("reply-code") + " "
                     + command.method().text("reply-text");
             send(0, Method.of(MethodType.CONNECTION_CLOSE_OK)).addListener(ChannelFutureListener.CLOSE);
         } else if (command.op() == MethodType.CONNECTION_CLOSE_OK) {
             context.close();
-        } else if (!ending) {
-            received(command);
+        } else if (!closing) {
+            onCommand(command);
         }
     }
 
-    /** True where frames may come on a channel; 0 is the connection's own. */
-    abstract boolean mayCome(int channel);
+    /** Returns true if the peer may send frames on a channel; channel 0 is that of the connection itself. */
+    abstract boolean acceptsChannel(int channel);
 
-    /** A channel is over: what was half read on it is dropped. */
-    void forget(int channel) {
+    /** Discards the partially received command of a closed channel. */
+    void discardChannel(int channel) {
         CommandAssembler assembler = assemblers.remove(channel);
         if (assembler != null) {
             assembler.close();
         }
     }
 
-    /** What was agreed on; a heartbeat of 0 s means none. */
-    void agreed(int max, int heartbeatSeconds) {
-        frameMax = max;
+    /**
+     * Applies the negotiated limits and starts the heartbeat.
+     *
+     * @param newFrameMax size of the largest frame in bytes
+     * @param heartbeatSeconds the heartbeat interval; 0 disables heartbeats
+     */
+    void applyTuning(int newFrameMax, int heartbeatSeconds) {
+        frameMax = newFrameMax;
         if (heartbeatSeconds > 0) {
-            long half = TimeUnit.SECONDS.toMillis(heartbeatSeconds) / 2;
-            beat = context.executor().scheduleAtFixedRate(this::beat, half, half, TimeUnit.MILLISECONDS);
+            long halfIntervalMillis = TimeUnit.SECONDS.toMillis(heartbeatSeconds) / 2;
+            heartbeatTimer = context.executor()
+                    .scheduleAtFixedRate(
+                            this::onHeartbeatTick, halfIntervalMillis, halfIntervalMillis, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Sends a heartbeat where nothing was sent for half of its interval, and gives up a side silent for two. */
-    private void beat() {
-        // Guards against giving up one whose beats lie unread, as this side does not read.
-        silentBeats = heard || !reads ? 0 : silentBeats + 1;
-        heard = false;
-        if (silentBeats >= SILENT_HALVES) {
+    /**
+     * Runs each half heartbeat interval: sends a heartbeat if nothing was sent since the last tick, and closes the
+     * connection if nothing was received for two intervals.
+     */
+    private void onHeartbeatTick() {
+        // While reading is paused, the heartbeats of the peer are not read, so its idle time is not counted.
+        idleHalfIntervals = receivedSinceTick || !autoRead ? 0 : idleHalfIntervals + 1;
+        receivedSinceTick = false;
+        if (idleHalfIntervals >= MAX_IDLE_HALF_INTERVALS) {
             close("no heartbeat came");
             return;
         }
-        if (!said) {
+        if (!sentSinceTick) {
             ByteBuf out = context.alloc().buffer(Frame.OVERHEAD);
             Frame.writeHeartbeat(out);
             context.writeAndFlush(out);
         }
-        said = false;
+        sentSinceTick = false;
     }
 
-    /** Bytes of the largest frame that was agreed on. */
+    /** Returns the negotiated size of the largest frame, in bytes. */
     public final int frameMax() {
         return frameMax;
     }
 
-    /** Sends a method without content. */
+    /** Sends a method without content; the future succeeds once its bytes are written to the socket. */
     public final ChannelFuture send(int channel, Method method) {
         ByteBuf out = context.alloc().buffer();
         Frame.write(out, channel, method);
         return write(out);
     }
 
-    /** Sends a method with its content; the future succeeds once every byte of it has left this process. */
+    /** Sends a method with its content; the future succeeds once all its bytes are written to the socket. */
     public final ChannelFuture send(int channel, Method method, Properties properties, byte[] body) {
         ByteBuf out = context.alloc().buffer(body.length + Frame.LEAST_MAX / 4);
         Frame.write(out, channel, method, properties, body, frameMax);
         return write(out);
     }
 
-    /** What is sent in one pass of the loop leaves together. */
+    /** Writes without a flush; one flush is scheduled for all that is written in the same pass of the event loop. */
     private ChannelFuture write(ByteBuf out) {
-        said = true;
+        sentSinceTick = true;
         ChannelFuture written = context.write(out);
-        if (!flushes) {
-            flushes = true;
+        if (!flushScheduled) {
+            flushScheduled = true;
             context.executor().execute(() -> {
-                flushes = false;
+                flushScheduled = false;
                 context.flush();
             });
         }
         return written;
     }
 
-    /** Sends the protocol's own first bytes. */
+    /** Sends bytes outside of a frame, such as the protocol header. */
     final ChannelFuture sendRaw(byte[] bytes) {
         return context.writeAndFlush(context.alloc().buffer(bytes.length).writeBytes(bytes));
     }
 
-    /** False where the other side does not read what was sent so far. */
+    /** Returns true if the connection is up and its write buffer is below the high-water mark. */
     public final boolean isWritable() {
         return context != null
                 && context.channel().isActive()
                 && context.channel().isWritable();
     }
 
-    /** Reads on, or no more, so that the other side's sends wait. */
-    public final void read(boolean on) {
-        reads = on;
-        context.channel().config().setAutoRead(on);
+    /** Resumes or pauses reading from the socket; while it is paused, TCP flow control holds back the peer. */
+    public final void read(boolean enabled) {
+        autoRead = enabled;
+        context.channel().config().setAutoRead(enabled);
     }
 
-    /** Ends the connection for a fault of the other side, in words; by the method's numbers where one is at fault. */
+    /**
+     * Closes the connection gracefully because of a protocol error of the peer.
+     *
+     * @param op the method that caused the error; null if no single method did
+     */
     public final void fail(AmqpException fault, MethodType op) {
         end(fault.code(), fault.getMessage(), op == null ? 0 : op.classId(), op == null ? 0 : op.methodId());
     }
 
-    /** Ends the connection in an orderly way: the other side is told, and has a little time to say that it knows. */
+    /** Closes the connection gracefully: sends {@code connection.close} and waits for the answer for a limited time. */
     public final void end(int code, String text) {
         end(code, text, 0, 0);
     }
 
     private void end(int code, String text, int classId, int methodId) {
-        if (ending || context == null || !context.channel().isActive()) {
+        if (closing || context == null || !context.channel().isActive()) {
             return;
         }
-        ending = true;
-        why = text;
+        closing = true;
+        closeReason = text;
         send(
                 0,
                 Method.of(
                         MethodType.CONNECTION_CLOSE,
                         code,
-                        text.length() > MOST_TEXT ? text.substring(0, MOST_TEXT) : text,
+                        text.length() > MAX_REPLY_TEXT_LENGTH ? text.substring(0, MAX_REPLY_TEXT_LENGTH) : text,
                         classId,
                         methodId));
-        context.executor().schedule((Runnable) context::close, PATIENCE_MS, TimeUnit.MILLISECONDS);
+        context.executor().schedule((Runnable) context::close, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connection at once. */
+    /** Closes the socket at once, without {@code connection.close}. */
     public final void close(String reason) {
         if (context != null && context.channel().isOpen()) {
-            why = reason;
+            closeReason = reason;
             context.close();
         }
     }
 
-    /** True where the connection is being ended from this side. */
+    /** Returns true if this side has sent {@code connection.close}. */
     public final boolean isEnding() {
-        return ending;
+        return closing;
+    }
+
+    private void stopHeartbeat() {
+        if (heartbeatTimer != null) {
+            heartbeatTimer.cancel(false);
+        }
     }
 
     @Override
     public final void handlerRemoved(ChannelHandlerContext ctx) {
-        dropHalf();
-        if (beat != null) {
-            beat.cancel(false);
-        }
+        releasePartialFrame();
+        stopHeartbeat();
         assemblers.values().forEach(CommandAssembler::close);
         assemblers.clear();
     }
 
     @Override
     public final void channelInactive(ChannelHandlerContext ctx) {
-        if (beat != null) {
-            beat.cancel(false);
-        }
-        over(why);
+        stopHeartbeat();
+        onClosed(closeReason);
     }
 
     @Override
     public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        why = cause.toString();
+        closeReason = cause.toString();
         ctx.close();
     }
 }
--- a/src/main/java/loftflow/amqp/link/AmqpServerConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpServerConnection.java
@@ -12,92 +12,101 @@
 import loftflow.amqp.codec.Method;
 import loftflow.amqp.codec.MethodType;
 
-/** A connection that a client has opened to this side: lets it in, and keeps its channels. */
+/**
+ * A connection that a client has opened: performs the handshake, authenticates the client and tracks its open channels.
+ */
 public final class AmqpServerConnection extends AmqpConnection {
     /**
-     * What is offered.
+     * The limits that this server offers in {@code connection.tune}.
      *
-     * @param product the name that clients are told
+     * @param product the product name in the server properties
      * @param channelMax the highest channel number
-     * @param frameMax bytes of the largest frame
-     * @param heartbeat seconds; 0 for none
+     * @param frameMax size of the largest frame in bytes
+     * @param heartbeat the interval in seconds; 0 for none
      */
     public record Offer(String product, int channelMax, int frameMax, int heartbeat) {}
 
-    /** What a link is for. */
+    /** Receives the events of a connection, on its event loop. */
     public interface Owner {
-        /** True where a user may come in. */
+        /** Returns true if the credentials are valid. */
         boolean admits(String user, String password);
 
-        /** A client is let in. */
+        /** The handshake is complete. */
         void opened(String virtualHost);
 
-        /** A channel is open. */
+        /** The client has opened a channel. */
         void channelOpened(int channel);
 
-        /** A channel is over, of whichever side's will, also by the end of the connection. */
+        /** A channel is closed, by either side or together with the connection. */
         void channelClosed(int channel);
 
         /**
-         * A method has come on an open channel.
+         * A method was received on an open channel.
          *
-         * @throws AmqpException to close the channel or, by its code, the connection
+         * @throws AmqpException to close the channel or, depending on the reply code, the connection
          */
         void received(Command command) throws AmqpException;
 
-        /** The connection is over; called once. */
+        /** The connection is closed; called exactly once. */
         void closed(String reason);
     }
 
+    /** Steps of the handshake, in order. */
     private enum State {
-        GREETING,
-        START_OK,
-        TUNE_OK,
-        OPEN,
-        SERVING
+        AWAITING_PROTOCOL_HEADER,
+        AWAITING_START_OK,
+        AWAITING_TUNE_OK,
+        AWAITING_OPEN,
+        OPEN
     }
 
-    private static final int PLAIN_PARTS = 3;
+    /** Parts of a PLAIN response, separated by NUL: authorization identity, user, password. */
+    private static final int PLAIN_RESPONSE_PARTS = 3;
 
     private final Offer offer;
     private final Owner owner;
     private final Set<Integer> channels = new HashSet<>();
-    /** Channels that this side has closed, whose client does not know yet. */
-    private final Set<Integer> closing = new HashSet<>();
+    /** Channels that this side has closed and the client has not acknowledged by {@code channel.close-ok}. */
+    private final Set<Integer> closingChannels = new HashSet<>();
 
-    private State state = State.GREETING;
-    private boolean over;
+    private State state = State.AWAITING_PROTOCOL_HEADER;
+    private boolean closeReported;
     private int channelMax;
 
-    /** A link for a channel's pipeline. */
-    public AmqpServerConnection(Offer offer, int mostBody, CommandAssembler.Room room, Owner owner) {
-        super(mostBody, room);
+    /**
+     * Creates the handler for the pipeline of an accepted socket.
+     *
+     * @param maxBodyBytes size of the largest message body that is buffered; larger ones are skipped
+     * @param bodyBudget limits the bytes of incomplete bodies over all channels
+     */
+    public AmqpServerConnection(Offer offer, int maxBodyBytes, CommandAssembler.Room bodyBudget, Owner owner) {
+        super(maxBodyBytes, bodyBudget);
         this.offer = offer;
         this.owner = owner;
     }
 
     @Override
-    void connected() {}
+    void onConnected() {}
 
     @Override
-    boolean opened(ByteBuf in) {
-        if (state != State.GREETING) {
+    boolean readProtocolHeader(ByteBuf in) {
+        if (state != State.AWAITING_PROTOCOL_HEADER) {
             return true;
         }
-        int there = Math.min(in.readableBytes(), AmqpClientConnection.GREETING.length);
-        byte[] bytes = new byte[there];
+        int available = Math.min(in.readableBytes(), AmqpClientConnection.PROTOCOL_HEADER.length);
+        byte[] bytes = new byte[available];
         in.getBytes(in.readerIndex(), bytes);
-        if (!Arrays.equals(bytes, Arrays.copyOf(AmqpClientConnection.GREETING, there))) {
-            // As the specification wants it (section 4.2.2): the greeting that would do, and the end.
+        if (!Arrays.equals(bytes, Arrays.copyOf(AmqpClientConnection.PROTOCOL_HEADER, available))) {
+            // Section 4.2.2: the server answers with the protocol header that it supports, and closes the socket.
             in.skipBytes(in.readableBytes());
-            sendRaw(AmqpClientConnection.GREETING).addListener(sent -> close("it does not greet in AMQP 0-9-1"));
+            sendRaw(AmqpClientConnection.PROTOCOL_HEADER).addListener(sent -> close("it does not greet in AMQP 0-9-1"));
             return false;
         }
-        if (there < AmqpClientConnection.GREETING.length) {
+        if (available < AmqpClientConnection.PROTOCOL_HEADER.length) {
             return false;
         }
-        in.skipBytes(there);
-        state = State.START_OK;
+        in.skipBytes(available);
+        state = State.AWAITING_START_OK;
         send(
                 0,
                 Method.of(
@@ -115,15 +124,15 @@
     }
 
     @Override
-    boolean mayCome(int channel) {
-        // A channel is opened by a frame on it.
-        return channel == 0 || state == State.SERVING && channel <= channelMax;
+    boolean acceptsChannel(int channel) {
+        // Any channel number within the limit, as channel.open is a frame on the channel that it opens.
+        return channel == 0 || state == State.OPEN && channel <= channelMax;
     }
 
     @Override
-    void received(Command command) throws AmqpException {
-        if (state != State.SERVING) {
-            open(command.method());
+    void onCommand(Command command) throws AmqpException {
+        if (state != State.OPEN) {
+            onHandshake(command.method());
         } else if (command.channel() == 0) {
             throw new AmqpException(AmqpException.COMMAND_INVALID, command.op() + " on channel 0");
         } else {
@@ -131,15 +140,15 @@
         }
     }
 
-    private void open(Method method) throws AmqpException {
-        if (state == State.START_OK && method.op() == MethodType.CONNECTION_START_OK) {
+    private void onHandshake(Method method) throws AmqpException {
+        if (state == State.AWAITING_START_OK && method.op() == MethodType.CONNECTION_START_OK) {
             String[] plain = method.text("response").split("\0", -1);
             if (!method.text("mechanism").equals("PLAIN")
-                    || plain.length != PLAIN_PARTS
+                    || plain.length != PLAIN_RESPONSE_PARTS
                     || !owner.admits(plain[1], plain[2])) {
                 throw new AmqpException(AmqpException.ACCESS_REFUSED, "ACCESS_REFUSED - login was refused");
             }
-            state = State.TUNE_OK;
+            state = State.AWAITING_TUNE_OK;
             send(
                     0,
                     Method.of(
@@ -147,11 +156,11 @@
                             offer.channelMax(),
                             (long) offer.frameMax(),
                             offer.heartbeat()));
-        } else if (state == State.TUNE_OK && method.op() == MethodType.CONNECTION_TUNE_OK) {
-            tune(method);
+        } else if (state == State.AWAITING_TUNE_OK && method.op() == MethodType.CONNECTION_TUNE_OK) {
+            onTuneOk(method);
+            state = State.AWAITING_OPEN;
+        } else if (state == State.AWAITING_OPEN && method.op() == MethodType.CONNECTION_OPEN) {
             state = State.OPEN;
-        } else if (state == State.OPEN && method.op() == MethodType.CONNECTION_OPEN) {
-            state = State.SERVING;
             owner.opened(method.text("virtual-host"));
             send(0, Method.of(MethodType.CONNECTION_OPEN_OK));
         } else {
@@ -159,64 +168,82 @@
         }
     }
 
-    private void tune(Method method) throws AmqpException {
-        long frames = method.number("frame-max") == 0 ? offer.frameMax() : method.number("frame-max");
-        long most = method.number("channel-max") == 0 ? offer.channelMax() : method.number("channel-max");
-        if (frames > offer.frameMax() || frames < Frame.LEAST_MAX || most > offer.channelMax()) {
+    private void onTuneOk(Method method) throws AmqpException {
+        long frameMax = method.number("frame-max") == 0 ? offer.frameMax() : method.number("frame-max");
+        long requestedChannelMax =
+                method.number("channel-max") == 0 ? offer.channelMax() : method.number("channel-max");
+        if (frameMax > offer.frameMax() || frameMax < Frame.LEAST_MAX || requestedChannelMax > offer.channelMax()) {
             throw new AmqpException(
                     AmqpException.NOT_ALLOWED,
-                    "more was agreed on than was offered: frames of " + frames + " bytes, channels to " + most);
+                    "more was agreed on than was offered: frames of " + frameMax + " bytes, channels to "
+                            + requestedChannelMax);
         }
-        channelMax = (int) most;
-        agreed((int) frames, (int) method.number("heartbeat"));
+        channelMax = (int) requestedChannelMax;
+        applyTuning((int) frameMax, (int) method.number("heartbeat"));
     }
 
     private void onChannel(Command command) throws AmqpException {
         int channel = command.channel();
-        if (closing.contains(channel)) {
-            // Guards against what was on its way when this side closed the channel.
-            if (command.op() == MethodType.CHANNEL_CLOSE_OK || command.op() == MethodType.CHANNEL_CLOSE) {
-                closing.remove(channel);
-                forget(channel);
-            }
-            if (command.op() == MethodType.CHANNEL_CLOSE) {
-                send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
-            }
-            return;
-        }
-        if (command.op() == MethodType.CHANNEL_OPEN) {
-            if (!channels.add(channel)) {
-                throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + channel + " is open already");
-            }
-            owner.channelOpened(channel);
-            send(channel, Method.of(MethodType.CHANNEL_OPEN_OK));
-            return;
-        }
-        if (!channels.contains(channel)) {
+        if (closingChannels.contains(channel)) {
+            onClosingChannel(command);
+        } else if (command.op() == MethodType.CHANNEL_OPEN) {
+            openChannel(channel);
+        } else if (!channels.contains(channel)) {
             throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + channel + " is not open");
+        } else if (command.op() == MethodType.CHANNEL_CLOSE) {
+            onChannelClose(channel);
+        } else {
+            deliver(command);
+        }
+    }
+
+    /** Ignores commands that the client sent before it received {@code channel.close}. */
+    private void onClosingChannel(Command command) {
+        int channel = command.channel();
+        if (command.op() == MethodType.CHANNEL_CLOSE_OK || command.op() == MethodType.CHANNEL_CLOSE) {
+            closingChannels.remove(channel);
+            discardChannel(channel);
         }
         if (command.op() == MethodType.CHANNEL_CLOSE) {
-            channels.remove(channel);
-            forget(channel);
-            owner.channelClosed(channel);
             send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
-            return;
         }
+    }
+
+    private void openChannel(int channel) throws AmqpException {
+        if (!channels.add(channel)) {
+            throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + channel + " is open already");
+        }
+        owner.channelOpened(channel);
+        send(channel, Method.of(MethodType.CHANNEL_OPEN_OK));
+    }
+
+    private void onChannelClose(int channel) {
+        channels.remove(channel);
+        discardChannel(channel);
+        owner.channelClosed(channel);
+        send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
+    }
+
+    private void deliver(Command command) {
         try {
             owner.received(command);
         } catch (AmqpException e) {
-            if (!e.isOfChannel()) {
+            if (e.isOfChannel()) {
+                closeChannel(command.channel(), e, command.op());
+            } else {
                 fail(e, command.op());
-                return;
             }
-            closeChannel(channel, e, command.op());
         }
     }
 
-    /** Closes a channel for a fault; what still comes on it is dropped until its client knows. */
+    /**
+     * Closes a channel because of an error. Commands on it are ignored until the client acknowledges the close.
+     *
+     * @param op the method that caused the error
+     */
     public void closeChannel(int channel, AmqpException fault, MethodType op) {
         if (channels.remove(channel)) {
-            closing.add(channel);
+            closingChannels.add(channel);
             send(
                     channel,
                     Method.of(MethodType.CHANNEL_CLOSE, fault.code(), fault.getMessage(), op.classId(), op.methodId()));
@@ -224,15 +251,15 @@
         }
     }
 
-    /** True where a channel is open. */
+    /** Returns true if the channel is open. */
     public boolean isOpen(int channel) {
         return channels.contains(channel);
     }
 
     @Override
-    void over(String reason) {
-        if (!over) {
-            over = true;
+    void onClosed(String reason) {
+        if (!closeReported) {
+            closeReported = true;
             Set.copyOf(channels).forEach(channel -> {
                 channels.remove(channel);
                 owner.channelClosed(channel);
--- a/src/main/java/loftflow/amqp/link/package-info.java
+++ b/src/main/java/loftflow/amqp/link/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Connections of AMQP 0-9-1 on Netty's channels, of both roles: the opening, what was agreed on, heartbeats, channels
- * and orderly ends. Nothing here comes back by itself.
+ * AMQP 0-9-1 connections over Netty, of both the client and the server role: handshake, negotiated limits, heartbeats,
+ * channels and graceful close. A closed connection is not reopened here.
  *
  * <p>May use: {@code amqp.codec} and Netty.
  */
