--- a/src/main/java/loftflow/amqp/codec/AmqpException.java
+++ b/src/main/java/loftflow/amqp/codec/AmqpException.java
@@ -1,7 +1,8 @@
 package loftflow.amqp.codec;
 
 /**
- * What the other side sent breaks the protocol, or asks for what can't be had (AMQP 0-9-1, section 1.2, reply codes).
+ * A protocol error of the peer, or a request that can't be fulfilled, with its reply code (AMQP 0-9-1, section 1.2). It
+ * carries no stack trace, as malformed input must stay cheap.
  */
 public final class AmqpException extends Exception {
     public static final int CONTENT_TOO_LARGE = 311;
@@ -21,18 +22,22 @@
 
     private final int code;
 
-    /** A fault with its reply code and words for the other side. */
+    /**
+     * Creates an error.
+     *
+     * @param message the reply text, which is sent to the peer
+     */
     public AmqpException(int code, String message) {
         super(message, null, false, false);
         this.code = code;
     }
 
-    /** The reply code. */
+    /** Returns the reply code. */
     public int code() {
         return code;
     }
 
-    /** True where the code ends the channel alone, and not the connection. */
+    /** Returns true if the error closes only the channel, and false if it closes the connection. */
     public boolean isOfChannel() {
         return code == CONTENT_TOO_LARGE || code == NO_ROUTE || code >= ACCESS_REFUSED && code <= PRECONDITION_FAILED;
     }
--- a/src/main/java/loftflow/amqp/codec/Command.java
+++ b/src/main/java/loftflow/amqp/codec/Command.java
@@ -1,18 +1,19 @@
 package loftflow.amqp.codec;
 
 /**
- * A method that has come whole, with its content where it carries one.
+ * A completely received method, with its content if it carries one.
  *
- * @param properties null where no content belongs to the method
- * @param body null where no content belongs to it, and where the content is larger than may be held
- * @param size bytes of the body as its header told them; 0 where there is none
+ * @param properties null if the method carries no content
+ * @param body null if the method carries no content, or if the body was skipped
+ * @param size size of the body in bytes as declared in the content header; 0 without content
  */
 public record Command(int channel, Method method, Properties properties, byte[] body, long size) {
+    /** Returns the type of the method. */
     public MethodType op() {
         return method.op();
     }
 
-    /** True where the content was skipped, as there was no room for it. */
+    /** Returns true if the body was skipped because it exceeded the size limit or the buffer budget. */
     public boolean isSkipped() {
         return properties != null && body == null;
     }
--- a/src/main/java/loftflow/amqp/codec/CommandAssembler.java
+++ b/src/main/java/loftflow/amqp/codec/CommandAssembler.java
@@ -4,47 +4,49 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * Puts the frames of one channel together (AMQP 0-9-1, section 4.2.6): a method, its header, and its body in pieces.
- * Content that may not be held is read past, so that the connection goes on behind it.
+ * Assembles the frames of one channel to commands (AMQP 0-9-1, section 4.2.6): a method, its content header and its
+ * body frames. A body that exceeds a limit is skipped, so that the commands that follow it can still be read. Not
+ * thread-safe.
  */
 public final class CommandAssembler {
-    /** What may be held of bodies that are not whole yet, all channels together. */
+    /** Limits the bytes that incomplete bodies may occupy, over all channels that share it. */
     public interface Room {
-        /** Takes bytes; false where there are not so many left. */
+        /** Reserves bytes; returns false, and reserves none, if they exceed the limit. */
         boolean take(int bytes);
 
-        /** Gives bytes back. */
+        /** Releases reserved bytes. */
         void give(int bytes);
     }
 
-    /** Guards against room that a header asks for and no body fills. */
-    private static final int LEAST = 1 << 10;
+    /** Upper bound of the initial allocation: a header alone must not allocate the declared size. */
+    private static final int INITIAL_BUFFER_BYTES = 1 << 10;
 
     private final int channel;
-    private final int mostBody;
-    private final Room room;
+    private final int maxBodyBytes;
+    private final Room bodyBudget;
     private Method method;
     private Properties properties;
-    private long size;
-    private long come;
-    /** Null while nothing is awaited, and where the body is read past. */
+    private long bodySize;
+    private long receivedBytes;
+    /** Null while no body is expected, and while the body is skipped. */
     private ByteBuf body;
 
     /**
-     * Assembles the frames of a channel.
+     * Creates the assembler of one channel.
      *
-     * @param mostBody bytes of the largest body that is held
+     * @param maxBodyBytes size of the largest body that is buffered; larger ones are skipped
      */
-    public CommandAssembler(int channel, int mostBody, Room room) {
+    public CommandAssembler(int channel, int maxBodyBytes, Room bodyBudget) {
         this.channel = channel;
-        this.mostBody = mostBody;
-        this.room = room;
+        this.maxBodyBytes = maxBodyBytes;
+        this.bodyBudget = bodyBudget;
     }
 
     /**
-     * Takes a frame of the channel in.
+     * Adds a received frame of the channel. The frame is not released.
      *
-     * @return what has come whole by it; null where more is needed
+     * @return the command that the frame completes; null if further frames are needed
+     * @throws AmqpException if the frame is malformed or not allowed at this point
      */
     public Command add(Frame frame) throws AmqpException {
         return switch (frame.type()) {
@@ -63,28 +65,28 @@
         if (method != null) {
             throw unexpected("a method before the content of " + method.op() + " is whole");
         }
-        Method read = Method.read(payload);
-        if (read.op().carriesContent()) {
-            method = read;
+        Method received = Method.read(payload);
+        if (received.op().carriesContent()) {
+            method = received;
             return null;
         }
-        return new Command(channel, read, null, null, 0);
+        return new Command(channel, received, null, null, 0);
     }
 
     private Command header(ByteBuf payload) throws AmqpException {
         if (method == null || properties != null) {
             throw unexpected("a header that no method awaits");
         }
-        ValueType.need(payload, Short.BYTES + Short.BYTES + Long.BYTES);
+        ValueType.requireReadable(payload, Short.BYTES + Short.BYTES + Long.BYTES);
         int classId = payload.readUnsignedShort();
         payload.skipBytes(Short.BYTES);
-        size = payload.readLong();
-        if (classId != method.op().classId() || size < 0) {
-            throw unexpected("a header of class " + classId + " with a body of " + size + " bytes");
+        bodySize = payload.readLong();
+        if (classId != method.op().classId() || bodySize < 0) {
+            throw unexpected("a header of class " + classId + " with a body of " + bodySize + " bytes");
         }
         properties = Properties.read(payload);
-        body = size <= mostBody ? Unpooled.buffer((int) Math.min(size, LEAST)) : null;
-        return size == 0 ? whole() : null;
+        body = bodySize <= maxBodyBytes ? Unpooled.buffer((int) Math.min(bodySize, INITIAL_BUFFER_BYTES)) : null;
+        return bodySize == 0 ? complete() : null;
     }
 
     private Command body(ByteBuf payload) throws AmqpException {
@@ -92,43 +94,43 @@
             throw unexpected("a body that no header awaits");
         }
         int bytes = payload.readableBytes();
-        come += bytes;
-        if (come > size) {
-            throw unexpected("a body longer than the " + size + " bytes that its header told");
+        receivedBytes += bytes;
+        if (receivedBytes > bodySize) {
+            throw unexpected("a body longer than the " + bodySize + " bytes that its header told");
         }
-        if (body != null && !room.take(bytes)) {
-            drop();
+        if (body != null && !bodyBudget.take(bytes)) {
+            releaseBody();
         }
         if (body != null) {
             body.writeBytes(payload);
         }
-        return come == size ? whole() : null;
+        return receivedBytes == bodySize ? complete() : null;
     }
 
-    private Command whole() {
+    private Command complete() {
         byte[] bytes = null;
         if (body != null) {
             bytes = new byte[body.readableBytes()];
             body.getBytes(0, bytes);
         }
-        Command command = new Command(channel, method, properties, bytes, size);
-        drop();
+        Command command = new Command(channel, method, properties, bytes, bodySize);
+        releaseBody();
         method = null;
         properties = null;
-        size = 0;
-        come = 0;
+        bodySize = 0;
+        receivedBytes = 0;
         return command;
     }
 
-    private void drop() {
+    private void releaseBody() {
         if (body != null) {
-            room.give(body.readableBytes());
+            bodyBudget.give(body.readableBytes());
             body = null;
         }
     }
 
-    /** Gives back what is held, as the channel is over. */
+    /** Releases the buffered bytes; called when the channel is closed. */
     public void close() {
-        drop();
+        releaseBody();
     }
 }
--- a/src/main/java/loftflow/amqp/codec/Frame.java
+++ b/src/main/java/loftflow/amqp/codec/Frame.java
@@ -2,9 +2,13 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** One frame (AMQP 0-9-1, section 4.2.3). Whoever gets it from {@link #next} releases its payload. */
+/**
+ * One frame (AMQP 0-9-1, section 4.2.3).
+ *
+ * @param payload a retained slice, which the caller of {@link #next} must release
+ */
 public record Frame(Type type, int channel, ByteBuf payload) {
-    /** What a frame holds. */
+    /** The kind of payload. */
     public enum Type {
         METHOD(1),
         HEADER(2),
@@ -28,23 +32,23 @@
         }
     }
 
-    /** What both sides may send before they have agreed on more. */
-    public static final int LEAST_MAX = 4096;
-    /** Bytes of a frame beside its payload. */
-    public static final int OVERHEAD = 8;
+    /** Size in bytes up to which every peer accepts frames, also before {@code connection.tune}. */
+    public static final int MIN_FRAME_MAX = 4096;
+    /** Bytes of a frame in addition to its payload: the header and the end octet. */
+    public static final int OVERHEAD_BYTES = 8;
 
-    private static final int HEAD = 7;
-    private static final int END = 0xCE;
+    private static final int HEADER_BYTES = 7;
+    private static final int END_OCTET = 0xCE;
 
     /**
-     * Takes the next frame off, or nothing at all where it is not whole yet.
+     * Reads the next frame. Consumes no bytes if the frame is incomplete.
      *
-     * @param max bytes of the largest frame that was agreed on
-     * @return null where more bytes are needed
-     * @throws AmqpException as soon as a frame can't be one, before the rest of it has come
+     * @param frameMax the negotiated size of the largest frame in bytes
+     * @return null if more bytes are needed
+     * @throws AmqpException if the bytes can't start a valid frame; thrown as early as possible
      */
-    public static Frame next(ByteBuf in, int max) throws AmqpException {
-        if (in.readableBytes() < HEAD) {
+    public static Frame next(ByteBuf in, int frameMax) throws AmqpException {
+        if (in.readableBytes() < HEADER_BYTES) {
             if (in.isReadable()) {
                 Type.of(in.getUnsignedByte(in.readerIndex()));
             }
@@ -54,23 +58,24 @@
         Type type = Type.of(in.getUnsignedByte(start));
         int channel = in.getUnsignedShort(start + 1);
         long size = in.getUnsignedInt(start + 1 + Short.BYTES);
-        if (size + OVERHEAD > max) {
+        if (size + OVERHEAD_BYTES > frameMax) {
             throw new AmqpException(
-                    AmqpException.FRAME_ERROR, "a frame of " + (size + OVERHEAD) + " bytes is larger than " + max);
+                    AmqpException.FRAME_ERROR,
+                    "a frame of " + (size + OVERHEAD_BYTES) + " bytes is larger than " + frameMax);
         }
-        if (in.readableBytes() < size + OVERHEAD) {
+        if (in.readableBytes() < size + OVERHEAD_BYTES) {
             return null;
         }
-        if (in.getUnsignedByte(start + HEAD + (int) size) != END) {
+        if (in.getUnsignedByte(start + HEADER_BYTES + (int) size) != END_OCTET) {
             throw new AmqpException(AmqpException.FRAME_ERROR, "a frame has no end octet");
         }
-        in.skipBytes(HEAD);
+        in.skipBytes(HEADER_BYTES);
         ByteBuf payload = in.readRetainedSlice((int) size);
         in.skipBytes(1);
         return new Frame(type, channel, payload);
     }
 
-    /** Begins a frame; {@link #end} ends it. */
+    /** Starts a frame; returns the index of its payload, which {@link #end} needs. */
     private static int begin(ByteBuf out, Type type, int channel) {
         out.writeByte(type.number).writeShort(channel).writeInt(0);
         return out.writerIndex();
@@ -78,32 +83,37 @@
 
     private static void end(ByteBuf out, int start) {
         out.setInt(start - Integer.BYTES, out.writerIndex() - start);
-        out.writeByte(END);
+        out.writeByte(END_OCTET);
     }
 
-    /** Writes a method in its frame. */
+    /** Writes a method frame. */
     public static void write(ByteBuf out, int channel, Method method) {
         int start = begin(out, Type.METHOD, channel);
         method.write(out);
         end(out, start);
     }
 
-    /** Writes a method with its content: a header and as few body frames as {@code max} allows; none for no bytes. */
-    public static void write(ByteBuf out, int channel, Method method, Properties properties, byte[] body, int max) {
+    /**
+     * Writes a method with its content: a header frame and as few body frames as possible; none for an empty body.
+     *
+     * @param frameMax the negotiated size of the largest frame in bytes
+     */
+    public static void write(
+            ByteBuf out, int channel, Method method, Properties properties, byte[] body, int frameMax) {
         write(out, channel, method);
         int start = begin(out, Type.HEADER, channel);
         out.writeShort(method.op().classId()).writeShort(0).writeLong(body.length);
         properties.write(out);
         end(out, start);
-        int most = max - OVERHEAD;
-        for (int from = 0; from < body.length; from += most) {
+        int maxPayloadBytes = frameMax - OVERHEAD_BYTES;
+        for (int offset = 0; offset < body.length; offset += maxPayloadBytes) {
             start = begin(out, Type.BODY, channel);
-            out.writeBytes(body, from, Math.min(most, body.length - from));
+            out.writeBytes(body, offset, Math.min(maxPayloadBytes, body.length - offset));
             end(out, start);
         }
     }
 
-    /** Writes a heartbeat. */
+    /** Writes a heartbeat frame. */
     public static void writeHeartbeat(ByteBuf out) {
         end(out, begin(out, Type.HEARTBEAT, 0));
     }
--- a/src/main/java/loftflow/amqp/codec/Method.java
+++ b/src/main/java/loftflow/amqp/codec/Method.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One method with its arguments, which are asked for by their names in the specification. */
+/** A method with its arguments, which are read by their names in the specification. Immutable. */
 public final class Method {
     private final MethodType op;
     private final Object[] values;
@@ -15,41 +15,42 @@
     }
 
     /**
-     * A method to send.
+     * Creates a method to send.
      *
-     * @param values the arguments that are not reserved, in order
-     * @throws IllegalArgumentException where they are not what the method takes
+     * @param values the arguments without the reserved ones, in order
+     * @throws IllegalArgumentException if their number or a type does not match the method
      */
     public static Method of(MethodType op, Object... values) {
         List<MethodType.Argument> arguments = op.arguments();
-        Object[] all = new Object[arguments.size()];
+        Object[] allValues = new Object[arguments.size()];
         int used = 0;
-        for (int i = 0; i < all.length; i++) {
+        for (int i = 0; i < allValues.length; i++) {
             MethodType.Argument argument = arguments.get(i);
             boolean reserved = argument.name().startsWith("reserved");
-            all[i] = reserved ? nothing(argument.kind()) : used < values.length ? values[used++] : null;
-            if (!argument.kind().fits(all[i])) {
-                throw new IllegalArgumentException(op + ": " + argument.name() + " can't be " + all[i]);
+            allValues[i] =
+                    reserved ? reservedValue(argument.valueType()) : used < values.length ? values[used++] : null;
+            if (!argument.valueType().fits(allValues[i])) {
+                throw new IllegalArgumentException(op + ": " + argument.name() + " can't be " + allValues[i]);
             }
         }
         if (used != values.length) {
             throw new IllegalArgumentException(op + " takes " + used + " arguments, not " + values.length);
         }
-        return new Method(op, all);
+        return new Method(op, allValues);
     }
 
-    private static Object nothing(ValueType kind) {
-        return switch (kind) {
+    private static Object reservedValue(ValueType valueType) {
+        return switch (valueType) {
             case OCTET, SHORT -> 0;
             case BIT -> false;
             case SHORTSTR, LONGSTR -> "";
-            default -> throw new IllegalStateException("nothing of kind " + kind + " is reserved");
+            default -> throw new IllegalStateException("nothing of kind " + valueType + " is reserved");
         };
     }
 
-    /** Reads a method frame's payload. */
+    /** Reads the payload of a method frame. */
     public static Method read(ByteBuf in) throws AmqpException {
-        ValueType.need(in, Short.BYTES + Short.BYTES);
+        ValueType.requireReadable(in, Short.BYTES + Short.BYTES);
         int classId = in.readUnsignedShort();
         int methodId = in.readUnsignedShort();
         MethodType op = MethodType.of(classId, methodId);
@@ -59,18 +60,18 @@
         }
         Object[] values = new Object[op.arguments().size()];
         int bits = 0;
-        int bit = Byte.SIZE;
+        int nextBit = Byte.SIZE;
         for (int i = 0; i < values.length; i++) {
-            ValueType kind = op.arguments().get(i).kind();
-            if (kind == ValueType.BIT) {
-                if (bit == Byte.SIZE) {
-                    bits = ValueType.need(in, 1).readUnsignedByte();
-                    bit = 0;
+            ValueType valueType = op.arguments().get(i).valueType();
+            if (valueType == ValueType.BIT) {
+                if (nextBit == Byte.SIZE) {
+                    bits = ValueType.requireReadable(in, 1).readUnsignedByte();
+                    nextBit = 0;
                 }
-                values[i] = (bits >> bit++ & 1) != 0;
+                values[i] = (bits >> nextBit++ & 1) != 0;
             } else {
-                bit = Byte.SIZE;
-                values[i] = kind.read(in);
+                nextBit = Byte.SIZE;
+                values[i] = valueType.read(in);
             }
         }
         if (in.isReadable()) {
@@ -79,37 +80,38 @@
         return new Method(op, values);
     }
 
-    /** Writes a method frame's payload. */
+    /** Writes the payload of a method frame. */
     void write(ByteBuf out) {
         out.writeShort(op.classId()).writeShort(op.methodId());
         int bits = 0;
-        int bit = 0;
+        int bitCount = 0;
         for (int i = 0; i < values.length; i++) {
-            ValueType kind = op.arguments().get(i).kind();
-            if (kind == ValueType.BIT) {
-                bits |= (Boolean) values[i] ? 1 << bit : 0;
-                bit++;
+            ValueType valueType = op.arguments().get(i).valueType();
+            if (valueType == ValueType.BIT) {
+                bits |= (Boolean) values[i] ? 1 << bitCount : 0;
+                bitCount++;
             }
-            boolean ends = bit > 0 && (kind != ValueType.BIT || bit == Byte.SIZE);
-            if (ends) {
+            boolean isOctetComplete = bitCount > 0 && (valueType != ValueType.BIT || bitCount == Byte.SIZE);
+            if (isOctetComplete) {
                 out.writeByte(bits);
                 bits = 0;
-                bit = 0;
+                bitCount = 0;
             }
-            if (kind != ValueType.BIT) {
-                kind.write(out, values[i]);
+            if (valueType != ValueType.BIT) {
+                valueType.write(out, values[i]);
             }
         }
-        if (bit > 0) {
+        if (bitCount > 0) {
             out.writeByte(bits);
         }
     }
 
+    /** Returns the type of the method. */
     public MethodType op() {
         return op;
     }
 
-    private Object value(String name) {
+    private Object argument(String name) {
         for (int i = 0; i < values.length; i++) {
             if (op.arguments().get(i).name().equals(name)) {
                 return values[i];
@@ -118,25 +120,25 @@
         throw new IllegalArgumentException(op + " has no " + name);
     }
 
-    /** An argument that is text. */
+    /** Returns a string argument. */
     public String text(String name) {
-        return (String) value(name);
+        return (String) argument(name);
     }
 
     /** An argument that is a bit. */
     public boolean flag(String name) {
-        return (Boolean) value(name);
+        return (Boolean) argument(name);
     }
 
-    /** An argument that is a whole number. */
+    /** Returns an integer argument of any width. */
     public long number(String name) {
-        return ((Number) value(name)).longValue();
+        return ((Number) argument(name)).longValue();
     }
 
-    /** An argument that is a field table. */
+    /** Returns a field table argument. */
     @SuppressWarnings("unchecked")
     public Map<String, Object> table(String name) {
-        return (Map<String, Object>) value(name);
+        return (Map<String, Object>) argument(name);
     }
 
     @Override
--- a/src/main/java/loftflow/amqp/codec/MethodType.java
+++ b/src/main/java/loftflow/amqp/codec/MethodType.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The methods that are understood, each with its arguments in order, as the specification lists them (AMQP 0-9-1,
- * section 1; those of class confirm, {@code basic.nack} and {@code connection.blocked} are RabbitMQ's extensions).
+ * The supported methods, each with its arguments in the order of the specification (AMQP 0-9-1, section 1; those of
+ * class confirm, {@code basic.nack} and {@code connection.blocked} are RabbitMQ's extensions).
  */
 public enum MethodType {
     CONNECTION_START(10, 10, "octet major, octet minor, table server-properties, longstr mechanisms, longstr locales"),
@@ -86,14 +86,14 @@
     CONFIRM_SELECT(85, 10, "bit no-wait"),
     CONFIRM_SELECT_OK(85, 11, "");
 
-    /** An argument: its kind, and its name in the specification. */
-    record Argument(ValueType kind, String name) {}
+    /** An argument: its type, and its name in the specification. */
+    record Argument(ValueType valueType, String name) {}
 
-    private static final Map<Integer, MethodType> BY_NUMBER = new HashMap<>();
+    private static final Map<Integer, MethodType> BY_ID = new HashMap<>();
 
     static {
         for (MethodType op : values()) {
-            BY_NUMBER.put(number(op.classId, op.methodId), op);
+            BY_ID.put(id(op.classId, op.methodId), op);
         }
     }
 
@@ -105,34 +105,37 @@
         this.classId = classId;
         this.methodId = methodId;
         for (String argument : arguments.isEmpty() ? new String[0] : arguments.split(", ")) {
-            String[] halves = argument.split(" ");
-            this.arguments.add(new Argument(ValueType.valueOf(halves[0].toUpperCase(Locale.ROOT)), halves[1]));
+            String[] typeAndName = argument.split(" ");
+            this.arguments.add(
+                    new Argument(ValueType.valueOf(typeAndName[0].toUpperCase(Locale.ROOT)), typeAndName[1]));
         }
     }
 
-    private static int number(int classId, int methodId) {
+    private static int id(int classId, int methodId) {
         return classId << Short.SIZE | methodId;
     }
 
-    /** The method of two numbers; null where it is none that is understood. */
+    /** Returns the method with the given identifiers; null if it is not supported. */
     static MethodType of(int classId, int methodId) {
-        return BY_NUMBER.get(number(classId, methodId));
+        return BY_ID.get(id(classId, methodId));
     }
 
+    /** Returns the identifier of the class of the method. */
     public int classId() {
         return classId;
     }
 
+    /** Returns the identifier of the method within its class. */
     public int methodId() {
         return methodId;
     }
 
-    /** Every argument, the first one first. */
+    /** Returns all arguments in order, including the reserved ones. */
     List<Argument> arguments() {
         return arguments;
     }
 
-    /** True where a header and a body follow. */
+    /** Returns true if a content header and a body follow the method. */
     public boolean carriesContent() {
         return this == BASIC_PUBLISH || this == BASIC_RETURN || this == BASIC_DELIVER || this == BASIC_GET_OK;
     }
--- a/src/main/java/loftflow/amqp/codec/Properties.java
+++ b/src/main/java/loftflow/amqp/codec/Properties.java
@@ -4,12 +4,13 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** The properties of a message. */
+/** The properties of a message. Immutable. */
 public final class Properties {
-    /** None at all. */
+    /** No properties. */
     public static final Properties NONE = new Properties(new EnumMap<>(Property.class));
 
-    private static final int CONTINUES = 1;
+    /** Flag of a further word of property flags, which class basic does not have. */
+    private static final int CONTINUATION_FLAG = 1;
 
     private final Map<Property, Object> values;
 
@@ -17,28 +18,33 @@
         this.values = values;
     }
 
-    /** These, with one more or another; null leaves it out. */
+    /**
+     * Returns a copy with a property set.
+     *
+     * @param value null removes the property
+     * @throws IllegalArgumentException if the property can't have such a value
+     */
     public Properties with(Property property, Object value) {
-        if (value != null && !property.kind().fits(value)) {
+        if (value != null && !property.valueType().fits(value)) {
             throw new IllegalArgumentException(property.label() + " can't be " + value);
         }
-        Map<Property, Object> more = new EnumMap<>(values);
-        more.remove(property);
+        Map<Property, Object> updated = new EnumMap<>(values);
+        updated.remove(property);
         if (value != null) {
-            more.put(property, value);
+            updated.put(property, value);
         }
-        return new Properties(more);
+        return new Properties(updated);
     }
 
     static Properties read(ByteBuf in) throws AmqpException {
-        int flags = ValueType.need(in, Short.BYTES).readUnsignedShort();
-        if ((flags & (CONTINUES | 1 << 1)) != 0) {
+        int flags = ValueType.requireReadable(in, Short.BYTES).readUnsignedShort();
+        if ((flags & (CONTINUATION_FLAG | 1 << 1)) != 0) {
             throw new AmqpException(AmqpException.SYNTAX_ERROR, "class basic has no more than 14 properties");
         }
         Map<Property, Object> values = new EnumMap<>(Property.class);
         for (Property property : Property.values()) {
             if ((flags & property.flag()) != 0) {
-                values.put(property, property.kind().read(in));
+                values.put(property, property.valueType().read(in));
             }
         }
         if (in.isReadable()) {
@@ -53,21 +59,21 @@
             flags |= property.flag();
         }
         out.writeShort(flags);
-        values.forEach((property, value) -> property.kind().write(out, value));
+        values.forEach((property, value) -> property.valueType().write(out, value));
     }
 
-    /** A property that is text; null where it is not there. */
+    /** Returns a string property; null if it is absent. */
     public String text(Property property) {
         return (String) values.get(property);
     }
 
-    /** A property that is a number; null where it is not there. */
+    /** Returns a numeric property; null if it is absent. */
     public Long number(Property property) {
         Object value = values.get(property);
         return value == null ? null : ((Number) value).longValue();
     }
 
-    /** The headers; empty where there are none. */
+    /** Returns the headers; empty if they are absent. */
     @SuppressWarnings("unchecked")
     public Map<String, Object> headers() {
         return (Map<String, Object>) values.getOrDefault(Property.HEADERS, Map.of());
--- a/src/main/java/loftflow/amqp/codec/Property.java
+++ b/src/main/java/loftflow/amqp/codec/Property.java
@@ -5,12 +5,12 @@
     CONTENT_TYPE("content-type", ValueType.SHORTSTR),
     CONTENT_ENCODING("content-encoding", ValueType.SHORTSTR),
     HEADERS("headers", ValueType.TABLE),
-    /** 1 or, for messages that outlast the broker, 2. */
+    /** 1 for transient messages, 2 for persistent ones. */
     DELIVERY_MODE("delivery-mode", ValueType.OCTET),
     PRIORITY("priority", ValueType.OCTET),
     CORRELATION_ID("correlation-id", ValueType.SHORTSTR),
     REPLY_TO("reply-to", ValueType.SHORTSTR),
-    /** Milliseconds after which the broker may drop the message, as text. */
+    /** Time to live of the message in milliseconds, as a decimal string. */
     EXPIRATION("expiration", ValueType.SHORTSTR),
     MESSAGE_ID("message-id", ValueType.SHORTSTR),
     TIMESTAMP("timestamp", ValueType.TIMESTAMP),
@@ -20,28 +20,28 @@
     CLUSTER_ID("cluster-id", ValueType.SHORTSTR);
 
     private final String label;
-    private final ValueType kind;
+    private final ValueType valueType;
 
     Property(String label, ValueType kind) {
         this.label = label;
-        this.kind = kind;
+        this.valueType = kind;
     }
 
-    /** Its name in the specification. */
+    /** Returns the name in the specification. */
     public String label() {
         return label;
     }
 
-    /** True where it is a number, and not text. */
+    /** Returns true if the value is a number, and false if it is a string or a table. */
     public boolean isNumber() {
-        return kind == ValueType.OCTET || kind == ValueType.TIMESTAMP;
+        return valueType == ValueType.OCTET || valueType == ValueType.TIMESTAMP;
     }
 
-    ValueType kind() {
-        return kind;
+    ValueType valueType() {
+        return valueType;
     }
 
-    /** The flag that says that it is there. */
+    /** Returns the bit that marks the property as present. */
     int flag() {
         return 1 << Short.SIZE - 1 - ordinal();
     }
--- a/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
@@ -240,7 +240,7 @@
     private void onTune(Method method) throws AmqpException {
         long brokerFrameMax = method.number("frame-max");
         int frameMax = (int) (brokerFrameMax == 0 ? MAX_FRAME_BYTES : Math.min(MAX_FRAME_BYTES, brokerFrameMax));
-        if (frameMax < Frame.LEAST_MAX) {
+        if (frameMax < Frame.MIN_FRAME_MAX) {
             throw new AmqpException(AmqpException.SYNTAX_ERROR, "frames of " + frameMax + " bytes are too small");
         }
         long brokerChannelMax = method.number("channel-max");
--- a/src/main/java/loftflow/amqp/link/AmqpConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpConnection.java
@@ -48,7 +48,7 @@
     /** Received bytes that are not decoded yet; null if there are none. */
     private ByteBuf partialFrame;
 
-    private int frameMax = Frame.LEAST_MAX;
+    private int frameMax = Frame.MIN_FRAME_MAX;
     private Future<?> heartbeatTimer;
     private boolean receivedSinceTick;
     private boolean sentSinceTick;
@@ -210,7 +210,7 @@
             return;
         }
         if (!sentSinceTick) {
-            ByteBuf out = context.alloc().buffer(Frame.OVERHEAD);
+            ByteBuf out = context.alloc().buffer(Frame.OVERHEAD_BYTES);
             Frame.writeHeartbeat(out);
             context.writeAndFlush(out);
         }
@@ -231,7 +231,7 @@
 
     /** Sends a method with its content; the future succeeds once all its bytes are written to the socket. */
     public final ChannelFuture send(int channel, Method method, Properties properties, byte[] body) {
-        ByteBuf out = context.alloc().buffer(body.length + Frame.LEAST_MAX / 4);
+        ByteBuf out = context.alloc().buffer(body.length + Frame.MIN_FRAME_MAX / 4);
         Frame.write(out, channel, method, properties, body, frameMax);
         return write(out);
     }
--- a/src/main/java/loftflow/amqp/link/AmqpServerConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpServerConnection.java
@@ -172,7 +172,7 @@
         long frameMax = method.number("frame-max") == 0 ? offer.frameMax() : method.number("frame-max");
         long requestedChannelMax =
                 method.number("channel-max") == 0 ? offer.channelMax() : method.number("channel-max");
-        if (frameMax > offer.frameMax() || frameMax < Frame.LEAST_MAX || requestedChannelMax > offer.channelMax()) {
+        if (frameMax > offer.frameMax() || frameMax < Frame.MIN_FRAME_MAX || requestedChannelMax > offer.channelMax()) {
             throw new AmqpException(
                     AmqpException.NOT_ALLOWED,
                     "more was agreed on than was offered: frames of " + frameMax + " bytes, channels to "
--- a/src/test/java/loftflow/amqp/codec/Fuzz.java
+++ b/src/test/java/loftflow/amqp/codec/Fuzz.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Feeds the codec bytes that were right once: {@code Fuzz CASES SEED}. Counts crashes, hangs and growth. */
+/** Feeds corrupted frames to the codec: {@code Fuzz CASES SEED}. Counts crashes, hangs and leaked bytes. */
 public final class Fuzz {
-    private static final int MAX = 8 << 10;
-    private static final long LONG_NANOS = 1_000_000_000;
+    private static final int FRAME_MAX = 8 << 10;
+    private static final long MAX_CASE_NANOS = 1_000_000_000;
 
-    /** What became of the cases; a crash is anything but a fault of the protocol, a hang or room not given back. */
-    record Tally(int cases, int read, int refused, int crashes, String firstCrash, double seconds) {}
+    /** The result of a run; a crash is an exception other than a protocol error, a hang or a leak of reserved bytes. */
+    record Tally(int cases, int commandsRead, int rejected, int crashes, String firstCrash, double seconds) {}
 
     private Fuzz() {}
 
-    /** Runs so many cases. */
+    /** Runs the given number of cases from a seed. */
     public static void main(String[] args) {
         System.out.println(run(Integer.parseInt(args[0]), Long.parseLong(args[1])));
     }
 
-    private static byte[] seed(Random random) {
+    private static byte[] validBytes(Random random) {
         ByteBuf out = Unpooled.buffer();
         Map<String, Object> table = Map.of("a", 1, "t", Map.of("b", "text", "l", List.of(1L, 2.0)));
         for (int i = 0; i < 4; i++) {
@@ -43,14 +43,14 @@
                                 .with(Property.MESSAGE_ID, "m")
                                 .with(Property.TIMESTAMP, 5L),
                         new byte[random.nextInt(9_000)],
-                        MAX);
+                        FRAME_MAX);
             }
         }
         return ByteBufUtil.getBytes(out);
     }
 
-    private static byte[] spoilt(Random random) {
-        byte[] bytes = seed(random);
+    private static byte[] corruptedBytes(Random random) {
+        byte[] bytes = validBytes(random);
         for (int i = random.nextInt(4); i > 0; i--) {
             int at = random.nextInt(Math.min(bytes.length, random.nextBoolean() ? 40 : bytes.length));
             switch (random.nextInt(4)) {
@@ -69,38 +69,38 @@
         int read = 0;
         int refused = 0;
         int crashes = 0;
-        String first = null;
+        String firstCrash = null;
         long start = System.nanoTime();
         for (int i = 0; i < cases; i++) {
             long caseStart = System.nanoTime();
-            int[] held = new int[1];
+            int[] reservedBytes = new int[1];
             try {
-                read += decode(spoilt(random), random, held);
+                read += decode(corruptedBytes(random), random, reservedBytes);
             } catch (AmqpException e) {
                 refused++;
             } catch (RuntimeException | Error e) {
                 crashes++;
-                first = first == null ? "case " + i + ": " + e : first;
+                firstCrash = firstCrash == null ? "case " + i + ": " + e : firstCrash;
             }
-            if (held[0] != 0 || System.nanoTime() - caseStart > LONG_NANOS) {
+            if (reservedBytes[0] != 0 || System.nanoTime() - caseStart > MAX_CASE_NANOS) {
                 crashes++;
-                first = first == null ? "case " + i + " holds " + held[0] + " or hangs" : first;
+                firstCrash = firstCrash == null ? "case " + i + " holds " + reservedBytes[0] + " or hangs" : firstCrash;
             }
         }
-        return new Tally(cases, read, refused, crashes, first, (System.nanoTime() - start) / 1e9);
+        return new Tally(cases, read, refused, crashes, firstCrash, (System.nanoTime() - start) / 1e9);
     }
 
-    private static int decode(byte[] bytes, Random random, int[] held) throws AmqpException {
+    private static int decode(byte[] bytes, Random random, int[] reservedBytes) throws AmqpException {
         CommandAssembler assembler = new CommandAssembler(1, 8_000, new CommandAssembler.Room() {
             @Override
             public boolean take(int taken) {
-                held[0] += taken;
+                reservedBytes[0] += taken;
                 return true;
             }
 
             @Override
             public void give(int given) {
-                held[0] -= given;
+                reservedBytes[0] -= given;
             }
         });
         ByteBuf in = Unpooled.buffer();
@@ -110,7 +110,7 @@
                 int step = Math.min(1 + random.nextInt(bytes.length), bytes.length - from);
                 in.writeBytes(bytes, from, step);
                 from += step;
-                for (Frame frame = Frame.next(in, MAX); frame != null; frame = Frame.next(in, MAX)) {
+                for (Frame frame = Frame.next(in, FRAME_MAX); frame != null; frame = Frame.next(in, FRAME_MAX)) {
                     if (frame.type() != Frame.Type.HEARTBEAT && assembler.add(frame) != null) {
                         read++;
                     }
