--- a/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
+++ b/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
@@ -7,31 +7,31 @@
 import java.util.TreeMap;
 
 /**
- * What is known of the publishes on one channel in confirm mode. Free of I/O: it is told what was written and what
- * came,
- * and says what that proves. Nothing is ever proven by silence, nor twice.
+ * Tracks the publishes on one channel in confirm mode. The caller reports what was written and received; each publish
+ * is settled at most once, and only on evidence: a missing confirm alone proves nothing. Performs no I/O; not
+ * thread-safe.
  *
- * @param <T> what is published
+ * @param <T> the type that identifies a publish for the caller
  */
 public final class PublisherConfirms<T> {
-    /** The header that a publish carries its tag in, since a return names none. */
+    /** The header that carries the delivery tag of a publish, as {@code basic.return} does not contain it. */
     public static final String TAG = "x-loftflow-publish";
 
-    /** What has become of a publish. */
+    /** The outcome of a publish. */
     public enum Fate {
-        /** Confirmed: it took effect. */
+        /** Acknowledged by the broker: it took effect. */
         ACKED,
-        /** Refused by the broker, which may have given it to some queues: it may have taken effect. */
+        /** Rejected by the broker, possibly after it reached some queues: it may have taken effect. */
         NACKED,
-        /** Returned: no queue got it, so it never took effect. */
+        /** Returned as unroutable: it did not take effect. */
         RETURNED,
-        /** The channel ended after it was written whole and before a confirm: it may have taken effect. */
+        /** The channel closed after it was written completely and before its confirm: it may have taken effect. */
         UNKNOWN,
-        /** It was not written whole, or the broker named it as the fault: it never took effect. */
+        /** Not written completely, or not processed because of a channel error: it did not take effect. */
         NEVER
     }
 
-    /** A publish whose fate is known. */
+    /** A publish with its outcome. */
     public record Settled<T>(T what, Fate fate) {}
 
     private static final class Publish<T> {
@@ -45,15 +45,15 @@
     }
 
     private final NavigableMap<Long, Publish<T>> open = new TreeMap<>();
-    private long last;
+    private long lastTag;
 
-    /** Counts a publish; returns its tag, by which the broker will speak of it. */
+    /** Registers a publish; returns its delivery tag, which the broker uses in its confirm. */
     public long publish(T what) {
-        open.put(++last, new Publish<>(what));
-        return last;
+        open.put(++lastTag, new Publish<>(what));
+        return lastTag;
     }
 
-    /** Every byte of a publish has left this process. */
+    /** Records that all bytes of a publish are written to the socket. */
     public void written(long tag) {
         Publish<T> publish = open.get(tag);
         if (publish != null) {
@@ -61,15 +61,15 @@
         }
     }
 
-    /** How many publishes have no confirm yet. */
+    /** Returns the number of publishes without a confirm. */
     public int open() {
         return open.size();
     }
 
     /**
-     * The broker has returned a publish.
+     * Handles {@code basic.return}.
      *
-     * @return empty where the tag is none of a publish that is open: that proves nothing
+     * @return empty if the tag is not that of an open, completely written publish, as that proves nothing
      */
     public List<Settled<T>> returned(long tag) {
         Publish<T> publish = open.get(tag);
@@ -81,44 +81,44 @@
     }
 
     /**
-     * The broker has confirmed or refused a publish, or all up to it; 0 with {@code multiple} means all.
+     * Handles {@code basic.ack} and {@code basic.nack}.
      *
-     * @return null where the broker speaks of what was never published, or not written whole, or confirmed already: it
-     *         has lost count, and nothing that it says of this channel proves anything
+     * @param multiple true if all publishes up to the tag are meant; tag 0 then means all
+     * @return null if the tag was never published, not written completely or confirmed before: the broker violates the
+     *     protocol, and no further confirm of this channel can be trusted
      */
     public List<Settled<T>> confirmed(long tag, boolean multiple, boolean acked) {
-        NavigableMap<Long, Publish<T>> meant =
-                multiple ? open.headMap(tag == 0 ? last : tag, true) : open.subMap(tag, true, tag, true);
-        if (tag > last || meant.isEmpty() || meant.values().stream().anyMatch(p -> !p.written)) {
+        NavigableMap<Long, Publish<T>> matching =
+                multiple ? open.headMap(tag == 0 ? lastTag : tag, true) : open.subMap(tag, true, tag, true);
+        if (tag > lastTag || matching.isEmpty() || matching.values().stream().anyMatch(publish -> !publish.written)) {
             return null;
         }
         List<Settled<T>> settled = new ArrayList<>();
-        for (Publish<T> publish : meant.values()) {
-            // What was returned is settled already; its confirm follows all the same.
+        for (Publish<T> publish : matching.values()) {
+            // A returned publish is settled already; the broker still confirms it.
             if (!publish.returned) {
                 settled.add(new Settled<>(publish.what, acked ? Fate.ACKED : Fate.NACKED));
             }
         }
-        meant.clear();
+        matching.clear();
         return settled;
     }
 
     /**
-     * The channel is over.
+     * Handles the close of the channel.
      *
-     * @param publishAtFault the broker closed it for a publish that can't be, as one to an exchange that is not there.
-     *        A broker goes through a channel in order and heeds nothing behind a fault, so where all was written whole
-     *        the
-     *        last publish is the one at fault or one behind it: it never took effect, whichever of them it was
+     * @param publishAtFault true if the broker closed it because of a publish, for example to an unknown exchange. A
+     *     broker processes a channel in order and ignores everything after an error. If all publishes were written
+     *     completely, the last one either caused the error or follows the one that did, so it did not take effect
      */
     public List<Settled<T>> closed(boolean publishAtFault) {
-        boolean all = open.values().stream().allMatch(p -> p.written);
+        boolean allWritten = open.values().stream().allMatch(publish -> publish.written);
         List<Settled<T>> settled = new ArrayList<>();
         for (Map.Entry<Long, Publish<T>> entry : open.entrySet()) {
             Publish<T> publish = entry.getValue();
-            boolean never = !publish.written || publishAtFault && all && entry.getKey() == last;
+            boolean neverProcessed = !publish.written || publishAtFault && allWritten && entry.getKey() == lastTag;
             if (!publish.returned) {
-                settled.add(new Settled<>(publish.what, never ? Fate.NEVER : Fate.UNKNOWN));
+                settled.add(new Settled<>(publish.what, neverProcessed ? Fate.NEVER : Fate.UNKNOWN));
             }
         }
         open.clear();
--- a/src/main/java/loftflow/amqp/confirm/package-info.java
+++ b/src/main/java/loftflow/amqp/confirm/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a broker's confirms, returns and ends prove of publishes: decided here, free of sockets, clocks and files.
+ * Derives the outcome of publishes from the confirms, returns and channel closes of a broker. The package performs no
+ * I/O and reads no clock.
  *
  * <p>May use: nothing of the relay.
  */
--- a/src/test/java/loftflow/amqp/confirm/PublisherConfirmsTest.java
+++ b/src/test/java/loftflow/amqp/confirm/PublisherConfirmsTest.java
@@ -14,6 +14,7 @@
 import loftflow.amqp.confirm.PublisherConfirms.Fate;
 import org.junit.jupiter.api.Test;
 
+/** Tests which outcome each confirm, return and channel close proves. */
 class PublisherConfirmsTest {
     private final PublisherConfirms<String> confirms = new PublisherConfirms<>();
 
@@ -28,7 +29,7 @@
     }
 
     @Test
-    void confirmIsForOneOrForAllUpToIt() {
+    void confirmSettlesOneOrAllUpToItsTag() {
         publish("a", "b", "c", "d");
         assertEquals("b ACKED", text(confirms.confirmed(2, false, true)));
         assertEquals("a ACKED, c ACKED", text(confirms.confirmed(3, true, true)));
@@ -37,7 +38,7 @@
     }
 
     @Test
-    void returnedNeverRanAndItsConfirmSaysNothingMore() {
+    void returnedPublishIsSettledOnce() {
         publish("a", "b");
         assertEquals("a RETURNED", text(confirms.returned(1)));
         assertEquals("", text(confirms.returned(1)));
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void confirmOfWhatWasNeverPublishedOrNotWrittenOrConfirmedAlreadyProvesNothing() {
+    void invalidConfirmSettlesNothing() {
         publish("a");
         assertNull(confirms.confirmed(2, false, true));
         assertNull(confirms.confirmed(9, true, true));
@@ -63,7 +64,7 @@
     }
 
     @Test
-    void endLeavesWhatWasWrittenWholeUnknownAndNothingElse() {
+    void closeLeavesOnlyWrittenPublishesUnknown() {
         publish("a", "b");
         confirms.publish("half");
         assertEquals("a UNKNOWN, b UNKNOWN, half NEVER", text(confirms.closed(false)));
@@ -71,7 +72,7 @@
     }
 
     @Test
-    void publishAtFaultIsTheLastOrAheadOfIt() {
+    void lastPublishIsNotProcessedAfterAChannelError() {
         publish("a", "b", "c");
         assertEquals("a UNKNOWN, b UNKNOWN, c NEVER", text(confirms.closed(true)));
         publish("only");
@@ -91,9 +92,9 @@
         return tag - 1;
     }
 
-    /** A broker that goes through a channel in order against what is concluded, over many drawn courses. */
+    /** Compares the outcomes with a simulated broker that processes a channel in order, over 5,000 random runs. */
     @Test
-    void noConclusionContradictsWhatTheBrokerDid() {
+    void outcomesNeverContradictTheBroker() {
         int never = 0;
         for (int seed = 0; seed < 5_000; seed++) {
             Random random = new Random(seed);
