--- a/src/main/java/loftflow/amqp/mapping/GeneratedIds.java
+++ b/src/main/java/loftflow/amqp/mapping/GeneratedIds.java
@@ -2,19 +2,19 @@
 
 import java.util.function.Supplier;
 
-/** Ids for messages whose clients gave them none; no two are alike, also over restarts. */
+/** Generates ids for messages without one. Ids are unique, also across restarts. Not thread-safe. */
 public final class GeneratedIds implements Supplier<String> {
     private final String prefix;
     private long next;
 
     /**
-     * Ids of one way in.
+     * Creates the generator of one listener.
      *
-     * @param name that of no other way in
-     * @param start when this process began, in microseconds
+     * @param name the name of the listener, unique within the relay
+     * @param startMicros the start time of this process, in microseconds since the Unix epoch
      */
-    public GeneratedIds(String name, long start) {
-        prefix = name + "-" + Long.toString(start, Character.MAX_RADIX) + "-";
+    public GeneratedIds(String name, long startMicros) {
+        prefix = name + "-" + Long.toString(startMicros, Character.MAX_RADIX) + "-";
     }
 
     @Override
--- a/src/main/java/loftflow/amqp/mapping/MessageMapping.java
+++ b/src/main/java/loftflow/amqp/mapping/MessageMapping.java
@@ -12,20 +12,18 @@
 import loftflow.policy.api.RequestClass;
 
 /**
- * Makes messages of what AMQP's clients publish, by the first rule that fits. It takes nothing for granted: what does
- * not
- * fit is refused with a reason, and a message that may take effect once and has no id is refused too, since a second
- * copy
- * of it could not be told from the first.
+ * Maps published AMQP messages to messages of the relay by the first rule that matches. A message that can't be mapped
+ * is rejected with a reason. So is a non-idempotent message without an id, as a duplicate of it could not be detected.
  */
 public final class MessageMapping {
     /**
-     * A rule.
+     * Says where each value of a message is read from.
      *
-     * @param contentType the content type that it is for; null for every one
-     * @param tenant null where messages name none
-     * @param key null where messages have none
-     * @param budget milliseconds from when a message was sent; null for its class's deadline
+     * @param contentType the content type that the rule matches; null matches every one
+     * @param tenant null if messages have no tenant
+     * @param key null if messages have no key
+     * @param budget source of the time to live in milliseconds, from when a message was sent; null for the deadline of
+     *     its class
      */
     public record Rule(
             String contentType,
@@ -36,28 +34,31 @@
             ValueSource destination,
             ValueSource budget) {}
 
-    /** What a message is to the relay. */
+    /** The result of a mapping. */
     public sealed interface Mapped {}
 
-    /** A message that can be handed in; {@code anonymous} where its client gave it no id. */
+    /** A mapped message; {@code anonymous} if its id was generated. */
     public record Fits(Message.Content content, boolean anonymous) implements Mapped {}
 
-    /** One that can't, and why. */
+    /** A message that can't be mapped, with the reason. */
     public record Misfits(String reason) implements Mapped {}
 
     private static final Pattern TOKEN = Pattern.compile("[\\x21-\\x7e]{1,200}");
-    private static final Pattern MILLIS = Pattern.compile("\\d{1,9}");
-    private static final Pattern NUMBER = Pattern.compile("\\d{1,9}");
-    /** The header by which brokers with that plug-in tell when a message came, in milliseconds. */
-    private static final String SENT_MS = "timestamp_in_ms";
+    private static final Pattern BUDGET_MILLIS = Pattern.compile("\\d{1,9}");
+    private static final Pattern DESTINATION = Pattern.compile("\\d{1,9}");
+    /** Header of the RabbitMQ timestamp plug-in: when the broker received the message, in milliseconds. */
+    private static final String TIMESTAMP_MILLIS_HEADER = "timestamp_in_ms";
 
-    private static final long MS = 1_000;
-    private static final long SECOND = 1_000_000;
+    /** Characters of a value that are quoted in a reason. */
+    private static final int MAX_QUOTED_LENGTH = 60;
+
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final List<Rule> rules;
     private final Map<String, RequestClass> classes = new HashMap<>();
 
-    /** A mapping by rules, the first one first. */
+    /** Creates a mapping; the rules are tried in order. */
     public MessageMapping(List<Rule> rules, List<RequestClass> classes) {
         this.rules = rules;
         classes.forEach(type -> this.classes.put(type.name(), type));
@@ -66,29 +67,26 @@
     /**
      * Maps a message.
      *
-     * @param cameAt microseconds since 1970; a message that does not tell when it was sent was sent then
-     * @param namelessIds asked for the id of a message that has none and needs none
-     * @param reply where its end is to be told; null for nowhere
+     * @param receivedAtMicros microseconds since the Unix epoch; the send time of a message without a timestamp
+     * @param idGenerator called only for an idempotent message without an id
+     * @param reply where the completion is reported; null for nowhere
      */
     public Mapped map(
             Properties properties,
             String exchange,
             String routingKey,
             byte[] body,
-            long cameAt,
-            Supplier<String> namelessIds,
+            long receivedAtMicros,
+            Supplier<String> idGenerator,
             Message.Reply reply) {
-        Rule rule = rules.stream()
-                .filter(r -> r.contentType() == null || r.contentType().equals(properties.text(Property.CONTENT_TYPE)))
-                .findFirst()
-                .orElse(null);
+        Rule rule = matchingRule(properties.text(Property.CONTENT_TYPE));
         if (rule == null) {
             return new Misfits("no mapping is for content type " + properties.text(Property.CONTENT_TYPE));
         }
         String className = rule.requestClass().value(properties, exchange, routingKey);
         RequestClass type = classes.get(className);
         if (type == null) {
-            return new Misfits("no class is named " + shown(className));
+            return new Misfits("no class is named " + quoted(className));
         }
         String id = rule.id().value(properties, exchange, routingKey);
         if (id == null && type.idempotency() == Idempotency.NON_IDEMPOTENT) {
@@ -96,47 +94,63 @@
                     + " from the first");
         }
         String key = optional(rule.key(), properties, exchange, routingKey);
-        if (id != null && !TOKEN.matcher(id).matches()
-                || key != null && !TOKEN.matcher(key).matches()) {
+        if (id != null && !isToken(id) || key != null && !isToken(key)) {
             return new Misfits("an id or key is no token of 200 characters at the most");
         }
         String destination = rule.destination().value(properties, exchange, routingKey);
-        if (destination == null || !NUMBER.matcher(destination).matches()) {
-            return new Misfits(shown(destination) + " is no number of a destination");
+        if (destination == null || !DESTINATION.matcher(destination).matches()) {
+            return new Misfits(quoted(destination) + " is no number of a destination");
         }
         String budget = optional(rule.budget(), properties, exchange, routingKey);
-        if (budget != null && !MILLIS.matcher(budget).matches()) {
-            return new Misfits(shown(budget) + " is no number of milliseconds");
+        if (budget != null && !BUDGET_MILLIS.matcher(budget).matches()) {
+            return new Misfits(quoted(budget) + " is no number of milliseconds");
         }
-        long deadline =
-                sentAt(properties, cameAt) + (budget == null ? type.deadlineMicros() : Long.parseLong(budget) * MS);
+        long deadlineMicros = sentAt(properties, receivedAtMicros)
+                + (budget == null ? type.deadlineMicros() : Long.parseLong(budget) * MICROS_PER_MILLI);
         return new Fits(
                 new Message.Content(
-                        id == null ? namelessIds.get() : id,
+                        id == null ? idGenerator.get() : id,
                         className,
                         optional(rule.tenant(), properties, exchange, routingKey),
                         key,
-                        deadline,
+                        deadlineMicros,
                         Integer.parseInt(destination),
                         body,
                         reply),
                 id == null);
     }
 
+    /** Returns the first rule for a content type; null if there is none. */
+    private Rule matchingRule(String contentType) {
+        return rules.stream()
+                .filter(rule -> rule.contentType() == null || rule.contentType().equals(contentType))
+                .findFirst()
+                .orElse(null);
+    }
+
+    private static boolean isToken(String text) {
+        return TOKEN.matcher(text).matches();
+    }
+
     private static String optional(ValueSource source, Properties properties, String exchange, String routingKey) {
         return source == null ? null : source.value(properties, exchange, routingKey);
     }
 
-    /** Guards against a clock ahead of this one, by which a message would have more time than its client counts. */
-    private static long sentAt(Properties properties, long cameAt) {
+    /**
+     * Returns the send time, at most the receive time, so that a client clock that is ahead does not extend the
+     * deadline.
+     */
+    private static long sentAt(Properties properties, long receivedAtMicros) {
         Long seconds = properties.number(Property.TIMESTAMP);
-        long told = properties.headers().get(SENT_MS) instanceof Long millis
-                ? millis * MS
-                : seconds == null ? cameAt : seconds * SECOND;
-        return Math.min(cameAt, told);
+        long sentAtMicros = properties.headers().get(TIMESTAMP_MILLIS_HEADER) instanceof Long millis
+                ? millis * MICROS_PER_MILLI
+                : seconds == null ? receivedAtMicros : seconds * MICROS_PER_SECOND;
+        return Math.min(receivedAtMicros, sentAtMicros);
     }
 
-    private static String shown(String text) {
-        return text == null ? "nothing" : '"' + (text.length() > 60 ? text.substring(0, 60) + "..." : text) + '"';
+    private static String quoted(String text) {
+        return text == null
+                ? "nothing"
+                : '"' + (text.length() > MAX_QUOTED_LENGTH ? text.substring(0, MAX_QUOTED_LENGTH) + "..." : text) + '"';
     }
 }
--- a/src/main/java/loftflow/amqp/mapping/ValueSource.java
+++ b/src/main/java/loftflow/amqp/mapping/ValueSource.java
@@ -5,8 +5,8 @@
 import loftflow.amqp.codec.Property;
 
 /**
- * Where a value of a message is taken from: {@code header:NAME}, {@code property:NAME}, {@code routing-key},
- * {@code exchange} or {@code fixed:VALUE}.
+ * The part of an AMQP message that a value is read from: {@code header:NAME}, {@code property:NAME},
+ * {@code routing-key}, {@code exchange} or {@code fixed:VALUE}.
  */
 public final class ValueSource {
     private enum Kind {
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Reads a source as a relay file writes it.
+     * Parses a source in the notation of the configuration file.
      *
-     * @throws IllegalArgumentException where it is none, in words for staff
+     * @throws IllegalArgumentException if the text is not a source; the message is shown to the operator
      */
     public static ValueSource of(String text) {
         int colon = text.indexOf(':');
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The value in a message; null where it has none. */
+    /** Returns the value in a message; null if it is absent. */
     String value(Properties properties, String exchange, String routingKey) {
         Object value =
                 switch (kind) {
--- a/src/main/java/loftflow/amqp/mapping/package-info.java
+++ b/src/main/java/loftflow/amqp/mapping/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How an AMQP message becomes one of the relay's: decided here, free of sockets, clocks and files.
+ * Maps AMQP messages to messages of the relay by configured rules. The package performs no I/O and reads no clock.
  *
  * <p>May use: the module's types, the engine's {@code Message}, and {@code amqp.codec}.
  */
--- a/src/test/java/loftflow/amqp/mapping/MessageMappingTest.java
+++ b/src/test/java/loftflow/amqp/mapping/MessageMappingTest.java
@@ -23,7 +23,8 @@
         return new RequestClass(name, repeat, KeyScope.ALL, SECOND, SECOND, 8 * SECOND, 1, 0, false);
     }
 
-    private static final MessageMapping.Rule USUAL = rule(null, "property:message-id", "property:type", "routing-key");
+    private static final MessageMapping.Rule DEFAULT_RULE =
+            rule(null, "property:message-id", "property:type", "routing-key");
 
     private static MessageMapping.Rule rule(String contentType, String id, String requestClass, String destination) {
         return new MessageMapping.Rule(
@@ -46,7 +47,7 @@
     }
 
     private static MessageMapping.Mapped map(Properties properties, String routingKey) {
-        return mapping(USUAL).map(properties, "e", routingKey, new byte[1], NOW, () -> "none-1", null);
+        return mapping(DEFAULT_RULE).map(properties, "e", routingKey, new byte[1], NOW, () -> "none-1", null);
     }
 
     private static Message.Content fits(Properties properties) {
@@ -59,7 +60,7 @@
     }
 
     @Test
-    void everyPartComesFromItsSource() {
+    void everyValueIsReadFromItsSource() {
         Message.Content c = fits(properties("once")
                 .with(Property.EXPIRATION, "1500")
                 .with(Property.HEADERS, Map.of("tenant", "acme", "key", 42)));
@@ -68,7 +69,7 @@
                 c.messageId() + " " + c.requestClass() + " " + c.tenant() + " " + c.key() + " " + c.destination());
         assertEquals(NOW + 1_500_000, c.deadlineMicros());
         Message.Reply reply = new Message.Reply("front", "q", "c");
-        MessageMapping fixed = mapping(rule("text/plain", "header:id", "fixed:any", "header:dest"), USUAL);
+        MessageMapping fixed = mapping(rule("text/plain", "header:id", "fixed:any", "header:dest"), DEFAULT_RULE);
         MessageMapping.Fits other = (MessageMapping.Fits) fixed.map(
                 properties("once")
                         .with(Property.CONTENT_TYPE, "text/plain")
@@ -87,7 +88,7 @@
     }
 
     @Test
-    void timeCountsFromWhenAMessageWasSent() {
+    void deadlineCountsFromTheSendTime() {
         assertEquals(
                 NOW + 8 * SECOND,
                 fits(properties("once")).deadlineMicros(),
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void unsafeMessageWithoutAnIdIsRefusedAndOthersGetOne() {
+    void nonIdempotentMessageWithoutAnIdIsRejectedAndOthersGetAGeneratedOne() {
         misfits(properties("once").with(Property.MESSAGE_ID, null), "7", "needs an id");
         MessageMapping.Fits any = (MessageMapping.Fits) map(properties("any").with(Property.MESSAGE_ID, null), "7");
         assertTrue(any.anonymous());
@@ -116,7 +117,7 @@
     }
 
     @Test
-    void whatDoesNotFitSaysWhy() {
+    void rejectionStatesTheReason() {
         misfits(properties("other"), "7", "no class is named \"other\"");
         misfits(properties("once").with(Property.TYPE, null), "7", "no class is named nothing");
         misfits(properties("once"), "elevator", "\"elevator\" is no number of a destination");
@@ -132,7 +133,7 @@
     }
 
     @Test
-    void sourcesAreCheckedAsTheyAreRead() {
+    void invalidSourcesAreRejected() {
         for (String wrong : List.of("", "nowhere", "property:headers", "property:size", "routing-keys", "header")) {
             if (!wrong.equals("header")) {
                 assertThrows(IllegalArgumentException.class, () -> ValueSource.of(wrong), wrong);
