--- a/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
+++ b/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
@@ -44,18 +44,18 @@
         }
     }
 
-    private final NavigableMap<Long, Publish<T>> open = new TreeMap<>();
+    private final NavigableMap<Long, Publish<T>> unconfirmed = new TreeMap<>();
     private long lastTag;
 
     /** Registers a publish; returns its delivery tag, which the broker uses in its confirm. */
     public long publish(T what) {
-        open.put(++lastTag, new Publish<>(what));
+        unconfirmed.put(++lastTag, new Publish<>(what));
         return lastTag;
     }
 
     /** Records that all bytes of a publish are written to the socket. */
     public void written(long tag) {
-        Publish<T> publish = open.get(tag);
+        Publish<T> publish = unconfirmed.get(tag);
         if (publish != null) {
             publish.written = true;
         }
@@ -63,7 +63,7 @@
 
     /** Returns the number of publishes without a confirm. */
     public int open() {
-        return open.size();
+        return unconfirmed.size();
     }
 
     /**
@@ -72,7 +72,7 @@
      * @return empty if the tag is not that of an open, completely written publish, as that proves nothing
      */
     public List<Settled<T>> returned(long tag) {
-        Publish<T> publish = open.get(tag);
+        Publish<T> publish = unconfirmed.get(tag);
         if (publish == null || publish.returned || !publish.written) {
             return List.of();
         }
@@ -88,8 +88,9 @@
      *     protocol, and no further confirm of this channel can be trusted
      */
     public List<Settled<T>> confirmed(long tag, boolean multiple, boolean acked) {
-        NavigableMap<Long, Publish<T>> matching =
-                multiple ? open.headMap(tag == 0 ? lastTag : tag, true) : open.subMap(tag, true, tag, true);
+        NavigableMap<Long, Publish<T>> matching = multiple
+                ? unconfirmed.headMap(tag == 0 ? lastTag : tag, true)
+                : unconfirmed.subMap(tag, true, tag, true);
         if (tag > lastTag || matching.isEmpty() || matching.values().stream().anyMatch(publish -> !publish.written)) {
             return null;
         }
@@ -112,16 +113,16 @@
      *     completely, the last one either caused the error or follows the one that did, so it did not take effect
      */
     public List<Settled<T>> closed(boolean publishAtFault) {
-        boolean allWritten = open.values().stream().allMatch(publish -> publish.written);
+        boolean allWritten = unconfirmed.values().stream().allMatch(publish -> publish.written);
         List<Settled<T>> settled = new ArrayList<>();
-        for (Map.Entry<Long, Publish<T>> entry : open.entrySet()) {
+        for (Map.Entry<Long, Publish<T>> entry : unconfirmed.entrySet()) {
             Publish<T> publish = entry.getValue();
             boolean neverProcessed = !publish.written || publishAtFault && allWritten && entry.getKey() == lastTag;
             if (!publish.returned) {
                 settled.add(new Settled<>(publish.what, neverProcessed ? Fate.NEVER : Fate.UNKNOWN));
             }
         }
-        open.clear();
+        unconfirmed.clear();
         return settled;
     }
 }
