--- a/src/main/java/loftflow/amqp/codec/AmqpException.java
+++ b/src/main/java/loftflow/amqp/codec/AmqpException.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns true if the error closes only the channel, and false if it closes the connection. */
-    public boolean isOfChannel() {
+    public boolean isChannelError() {
         return code == CONTENT_TOO_LARGE || code == NO_ROUTE || code >= ACCESS_REFUSED && code <= PRECONDITION_FAILED;
     }
 }
--- a/src/main/java/loftflow/amqp/codec/CommandAssembler.java
+++ b/src/main/java/loftflow/amqp/codec/CommandAssembler.java
@@ -10,12 +10,12 @@
  */
 public final class CommandAssembler {
     /** Limits the bytes that incomplete bodies may occupy, over all channels that share it. */
-    public interface Room {
+    public interface BodyBudget {
         /** Reserves bytes; returns false, and reserves none, if they exceed the limit. */
-        boolean take(int bytes);
+        boolean tryReserve(int bytes);
 
         /** Releases reserved bytes. */
-        void give(int bytes);
+        void release(int bytes);
     }
 
     /** Upper bound of the initial allocation: a header alone must not allocate the declared size. */
@@ -23,7 +23,7 @@
 
     private final int channel;
     private final int maxBodyBytes;
-    private final Room bodyBudget;
+    private final BodyBudget bodyBudget;
     private Method method;
     private Properties properties;
     private long bodySize;
@@ -36,7 +36,7 @@
      *
      * @param maxBodyBytes size of the largest body that is buffered; larger ones are skipped
      */
-    public CommandAssembler(int channel, int maxBodyBytes, Room bodyBudget) {
+    public CommandAssembler(int channel, int maxBodyBytes, BodyBudget bodyBudget) {
         this.channel = channel;
         this.maxBodyBytes = maxBodyBytes;
         this.bodyBudget = bodyBudget;
@@ -63,10 +63,10 @@
 
     private Command method(ByteBuf payload) throws AmqpException {
         if (method != null) {
-            throw unexpected("a method before the content of " + method.op() + " is whole");
+            throw unexpected("a method before the content of " + method.type() + " is whole");
         }
         Method received = Method.read(payload);
-        if (received.op().carriesContent()) {
+        if (received.type().carriesContent()) {
             method = received;
             return null;
         }
@@ -81,7 +81,7 @@
         int classId = payload.readUnsignedShort();
         payload.skipBytes(Short.BYTES);
         bodySize = payload.readLong();
-        if (classId != method.op().classId() || bodySize < 0) {
+        if (classId != method.type().classId() || bodySize < 0) {
             throw unexpected("a header of class " + classId + " with a body of " + bodySize + " bytes");
         }
         properties = Properties.read(payload);
@@ -98,7 +98,7 @@
         if (receivedBytes > bodySize) {
             throw unexpected("a body longer than the " + bodySize + " bytes that its header told");
         }
-        if (body != null && !bodyBudget.take(bytes)) {
+        if (body != null && !bodyBudget.tryReserve(bytes)) {
             releaseBody();
         }
         if (body != null) {
@@ -124,7 +124,7 @@
 
     private void releaseBody() {
         if (body != null) {
-            bodyBudget.give(body.readableBytes());
+            bodyBudget.release(body.readableBytes());
             body = null;
         }
     }
--- a/src/main/java/loftflow/amqp/codec/Frame.java
+++ b/src/main/java/loftflow/amqp/codec/Frame.java
@@ -102,7 +102,7 @@
             ByteBuf out, int channel, Method method, Properties properties, byte[] body, int frameMax) {
         write(out, channel, method);
         int start = begin(out, Type.HEADER, channel);
-        out.writeShort(method.op().classId()).writeShort(0).writeLong(body.length);
+        out.writeShort(method.type().classId()).writeShort(0).writeLong(body.length);
         properties.write(out);
         end(out, start);
         int maxPayloadBytes = frameMax - OVERHEAD_BYTES;
--- a/src/main/java/loftflow/amqp/codec/Method.java
+++ b/src/main/java/loftflow/amqp/codec/Method.java
@@ -6,11 +6,11 @@
 
 /** A method with its arguments, which are read by their names in the specification. Immutable. */
 public final class Method {
-    private final MethodType op;
+    private final MethodType type;
     private final Object[] values;
 
     private Method(MethodType op, Object[] values) {
-        this.op = op;
+        this.type = op;
         this.values = values;
     }
 
@@ -82,11 +82,11 @@
 
     /** Writes the payload of a method frame. */
     void write(ByteBuf out) {
-        out.writeShort(op.classId()).writeShort(op.methodId());
+        out.writeShort(type.classId()).writeShort(type.methodId());
         int bits = 0;
         int bitCount = 0;
         for (int i = 0; i < values.length; i++) {
-            ValueType valueType = op.arguments().get(i).valueType();
+            ValueType valueType = type.arguments().get(i).valueType();
             if (valueType == ValueType.BIT) {
                 bits |= (Boolean) values[i] ? 1 << bitCount : 0;
                 bitCount++;
@@ -107,17 +107,17 @@
     }
 
     /** Returns the type of the method. */
-    public MethodType op() {
-        return op;
+    public MethodType type() {
+        return type;
     }
 
     private Object argument(String name) {
         for (int i = 0; i < values.length; i++) {
-            if (op.arguments().get(i).name().equals(name)) {
+            if (type.arguments().get(i).name().equals(name)) {
                 return values[i];
             }
         }
-        throw new IllegalArgumentException(op + " has no " + name);
+        throw new IllegalArgumentException(type + " has no " + name);
     }
 
     /** Returns a string argument. */
@@ -143,10 +143,10 @@
 
     @Override
     public String toString() {
-        StringBuilder text = new StringBuilder(op.toString());
+        StringBuilder text = new StringBuilder(type.toString());
         for (int i = 0; i < values.length; i++) {
             text.append(i == 0 ? " " : ", ")
-                    .append(op.arguments().get(i).name())
+                    .append(type.arguments().get(i).name())
                     .append('=')
                     .append(values[i]);
         }
--- a/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
+++ b/src/main/java/loftflow/amqp/confirm/PublisherConfirms.java
@@ -15,10 +15,10 @@
  */
 public final class PublisherConfirms<T> {
     /** The header that carries the delivery tag of a publish, as {@code basic.return} does not contain it. */
-    public static final String TAG = "x-loftflow-publish";
+    public static final String DELIVERY_TAG_HEADER = "x-loftflow-publish";
 
     /** The outcome of a publish. */
-    public enum Fate {
+    public enum Outcome {
         /** Acknowledged by the broker: it took effect. */
         ACKED,
         /** Rejected by the broker, possibly after it reached some queues: it may have taken effect. */
@@ -32,7 +32,7 @@
     }
 
     /** A publish with its outcome. */
-    public record Settled<T>(T what, Fate fate) {}
+    public record Settled<T>(T publish, Outcome outcome) {}
 
     private static final class Publish<T> {
         final T what;
@@ -62,7 +62,7 @@
     }
 
     /** Returns the number of publishes without a confirm. */
-    public int open() {
+    public int openCount() {
         return unconfirmed.size();
     }
 
@@ -77,7 +77,7 @@
             return List.of();
         }
         publish.returned = true;
-        return List.of(new Settled<>(publish.what, Fate.RETURNED));
+        return List.of(new Settled<>(publish.what, Outcome.RETURNED));
     }
 
     /**
@@ -98,7 +98,7 @@
         for (Publish<T> publish : matching.values()) {
             // A returned publish is settled already; the broker still confirms it.
             if (!publish.returned) {
-                settled.add(new Settled<>(publish.what, acked ? Fate.ACKED : Fate.NACKED));
+                settled.add(new Settled<>(publish.what, acked ? Outcome.ACKED : Outcome.NACKED));
             }
         }
         matching.clear();
@@ -119,7 +119,7 @@
             Publish<T> publish = entry.getValue();
             boolean neverProcessed = !publish.written || publishAtFault && allWritten && entry.getKey() == lastTag;
             if (!publish.returned) {
-                settled.add(new Settled<>(publish.what, neverProcessed ? Fate.NEVER : Fate.UNKNOWN));
+                settled.add(new Settled<>(publish.what, neverProcessed ? Outcome.NEVER : Outcome.UNKNOWN));
             }
         }
         unconfirmed.clear();
--- a/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
@@ -35,23 +35,23 @@
     /**
      * Credentials and connection options.
      *
-     * @param heartbeat the requested interval in seconds; 0 leaves it to the broker, else the shorter of both applies
+     * @param heartbeatSeconds the requested interval in seconds; 0 leaves it to the broker, else the shorter of both applies
      */
-    public record Login(String user, String password, String virtualHost, int heartbeat) {}
+    public record Login(String user, String password, String virtualHost, int heartbeatSeconds) {}
 
     /** Receives the events of a connection, on its event loop. */
-    public interface Owner {
+    public interface Listener {
         /** The login succeeded; channels may be opened. */
-        void opened();
+        void onOpened();
 
         /** A method was received: a reply, a delivery, a confirm or a notification of the broker. */
-        void received(Command command) throws AmqpException;
+        void onCommand(Command command) throws AmqpException;
 
-        /** The broker has paused or resumed publishing; {@link #mayPublish} returns the current state. */
-        void publishing(String reason);
+        /** The broker has paused or resumed publishing; {@link #canPublish} returns the current state. */
+        void onPublishingChanged(String reason);
 
         /** The connection is closed or could not be opened; called exactly once. */
-        void closed(String reason);
+        void onClosed(String reason);
     }
 
     /**
@@ -63,7 +63,7 @@
     public record Broker(InetSocketAddress address, Login login, SslContext tls, String tlsName) {}
 
     private final Login login;
-    private final Owner owner;
+    private final Listener owner;
     private Future<?> openTimeout;
     /** True between {@code connection.blocked} and {@code connection.unblocked}. */
     private boolean blocked;
@@ -75,21 +75,21 @@
     private boolean open;
     private boolean closeReported;
 
-    private AmqpClientConnection(Login login, int maxBodyBytes, Owner owner) {
-        super(maxBodyBytes, ANY_ROOM);
+    private AmqpClientConnection(Login login, int maxBodyBytes, Listener owner) {
+        super(maxBodyBytes, UNLIMITED_BODY_BUDGET);
         this.login = login;
         this.owner = owner;
     }
 
     /**
-     * Connects to a broker. Must be called on the given event loop. The connection is closed unless {@link #ready} is
+     * Connects to a broker. Must be called on the given event loop. The connection is closed unless {@link #cancelOpenTimeout} is
      * called before the timeout.
      *
      * @param maxBodyBytes size of the largest message body that is buffered; larger ones are skipped
-     * @param timeoutMicros time for the socket, the login and whatever its owner sets up before {@link #ready}
+     * @param timeoutMicros time for the socket, the login and whatever its owner sets up before {@link #cancelOpenTimeout}
      */
-    public static AmqpClientConnection dial(
-            EventLoop loop, Broker broker, int maxBodyBytes, long timeoutMicros, Owner owner) {
+    public static AmqpClientConnection connect(
+            EventLoop loop, Broker broker, int maxBodyBytes, long timeoutMicros, Listener owner) {
         AmqpClientConnection connection = new AmqpClientConnection(broker.login(), maxBodyBytes, owner);
         InetSocketAddress address = broker.address();
         ChannelFuture connected = new Bootstrap()
@@ -135,13 +135,13 @@
         return broker.tls().newHandler(channel.alloc(), host, address.getPort());
     }
 
-    /** Cancels the timeout of {@link #dial}, as the connection is set up. */
-    public void ready() {
+    /** Cancels the timeout of {@link #connect}, as the connection is set up. */
+    public void cancelOpenTimeout() {
         openTimeout.cancel(false);
     }
 
     /** Returns false while the broker has paused publishing on the connection or on the channel. */
-    public boolean mayPublish(int channel) {
+    public boolean canPublish(int channel) {
         return !blocked && !pausedChannels.contains(channel);
     }
 
@@ -150,7 +150,7 @@
         sendRaw(PROTOCOL_HEADER);
     }
 
-    /** Returns true from {@link Owner#opened} until the connection starts to close. */
+    /** Returns true from {@link Listener#onOpened} until the connection starts to close. */
     public boolean isOpen() {
         return open && !closeReported && !isEnding();
     }
@@ -169,14 +169,14 @@
     @Override
     void onCommand(Command command) throws AmqpException {
         Method method = command.method();
-        switch (method.op()) {
+        switch (method.type()) {
             case CONNECTION_BLOCKED -> {
                 blocked = true;
-                owner.publishing("the broker blocks publishers: " + method.text("reason"));
+                owner.onPublishingChanged("the broker blocks publishers: " + method.text("reason"));
             }
             case CONNECTION_UNBLOCKED -> {
                 blocked = false;
-                owner.publishing("the broker takes publishes again");
+                owner.onPublishingChanged("the broker takes publishes again");
             }
             case CHANNEL_FLOW -> onFlow(command.channel(), method.flag("active"));
 
@@ -184,21 +184,21 @@
                 if (command.channel() == 0) {
                     onConnection(command);
                 } else {
-                    owner.received(command);
+                    owner.onCommand(command);
                 }
             }
         }
     }
 
     private void onConnection(Command command) throws AmqpException {
-        switch (command.op()) {
+        switch (command.type()) {
             case CONNECTION_START -> onStart(command.method());
             case CONNECTION_TUNE -> onTune(command.method());
             case CONNECTION_OPEN_OK -> {
                 open = true;
-                owner.opened();
+                owner.onOpened();
             }
-            default -> owner.received(command);
+            default -> owner.onCommand(command);
         }
     }
 
@@ -209,7 +209,7 @@
             pausedChannels.add(channel);
         }
         send(channel, Method.of(MethodType.CHANNEL_FLOW_OK, active));
-        owner.publishing(active ? "the broker lets the flow go on" : "the broker stops the flow");
+        owner.onPublishingChanged(active ? "the broker lets the flow go on" : "the broker stops the flow");
     }
 
     private void onStart(Method method) throws AmqpException {
@@ -246,9 +246,9 @@
         long brokerChannelMax = method.number("channel-max");
         int channelMax = (int) (brokerChannelMax == 0 ? MAX_CHANNELS : Math.min(MAX_CHANNELS, brokerChannelMax));
         int brokerHeartbeat = (int) method.number("heartbeat");
-        int heartbeat = login.heartbeat() == 0 || brokerHeartbeat == 0
-                ? Math.max(login.heartbeat(), brokerHeartbeat)
-                : Math.min(login.heartbeat(), brokerHeartbeat);
+        int heartbeat = login.heartbeatSeconds() == 0 || brokerHeartbeat == 0
+                ? Math.max(login.heartbeatSeconds(), brokerHeartbeat)
+                : Math.min(login.heartbeatSeconds(), brokerHeartbeat);
         send(0, Method.of(MethodType.CONNECTION_TUNE_OK, channelMax, (long) frameMax, heartbeat));
         applyTuning(frameMax, heartbeat);
         send(0, Method.of(MethodType.CONNECTION_OPEN, login.virtualHost()));
@@ -261,7 +261,7 @@
             if (openTimeout != null) {
                 openTimeout.cancel(false);
             }
-            owner.closed(reason);
+            owner.onClosed(reason);
         }
     }
 }
--- a/src/main/java/loftflow/amqp/link/AmqpConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpConnection.java
@@ -24,14 +24,14 @@
  */
 public abstract class AmqpConnection extends ChannelInboundHandlerAdapter {
     /** A budget that never refuses bytes of incomplete message bodies. */
-    public static final CommandAssembler.Room ANY_ROOM = new CommandAssembler.Room() {
+    public static final CommandAssembler.BodyBudget UNLIMITED_BODY_BUDGET = new CommandAssembler.BodyBudget() {
         @Override
-        public boolean take(int bytes) {
+        public boolean tryReserve(int bytes) {
             return true;
         }
 
         @Override
-        public void give(int bytes) {}
+        public void release(int bytes) {}
     };
 
     /** Time that the peer has to answer {@code connection.close} before the socket is closed. */
@@ -42,7 +42,7 @@
     private static final int MAX_IDLE_HALF_INTERVALS = 4;
 
     private final int maxBodyBytes;
-    private final CommandAssembler.Room bodyBudget;
+    private final CommandAssembler.BodyBudget bodyBudget;
     private final Map<Integer, CommandAssembler> assemblers = new HashMap<>();
     private ChannelHandlerContext context;
     /** Received bytes that are not decoded yet; null if there are none. */
@@ -64,7 +64,7 @@
      * @param maxBodyBytes size of the largest message body that is buffered; larger ones are skipped
      * @param bodyBudget limits the bytes of incomplete bodies over all channels
      */
-    AmqpConnection(int maxBodyBytes, CommandAssembler.Room bodyBudget) {
+    AmqpConnection(int maxBodyBytes, CommandAssembler.BodyBudget bodyBudget) {
         this.maxBodyBytes = maxBodyBytes;
         this.bodyBudget = bodyBudget;
     }
@@ -159,11 +159,11 @@
         if (command == null) {
             return;
         }
-        if (command.op() == MethodType.CONNECTION_CLOSE) {
+        if (command.type() == MethodType.CONNECTION_CLOSE) {
             closeReason = "the other side closed it: " + command.method().number("reply-code") + " "
                     + command.method().text("reply-text");
             send(0, Method.of(MethodType.CONNECTION_CLOSE_OK)).addListener(ChannelFutureListener.CLOSE);
-        } else if (command.op() == MethodType.CONNECTION_CLOSE_OK) {
+        } else if (command.type() == MethodType.CONNECTION_CLOSE_OK) {
             context.close();
         } else if (!closing) {
             onCommand(command);
@@ -263,7 +263,7 @@
     }
 
     /** Resumes or pauses reading from the socket; while it is paused, TCP flow control holds back the peer. */
-    public final void read(boolean enabled) {
+    public final void setAutoRead(boolean enabled) {
         autoRead = enabled;
         context.channel().config().setAutoRead(enabled);
     }
@@ -274,15 +274,16 @@
      * @param op the method that caused the error; null if no single method did
      */
     public final void fail(AmqpException fault, MethodType op) {
-        end(fault.code(), fault.getMessage(), op == null ? 0 : op.classId(), op == null ? 0 : op.methodId());
+        closeGracefully(
+                fault.code(), fault.getMessage(), op == null ? 0 : op.classId(), op == null ? 0 : op.methodId());
     }
 
     /** Closes the connection gracefully: sends {@code connection.close} and waits for the answer for a limited time. */
-    public final void end(int code, String text) {
-        end(code, text, 0, 0);
+    public final void closeGracefully(int code, String text) {
+        closeGracefully(code, text, 0, 0);
     }
 
-    private void end(int code, String text, int classId, int methodId) {
+    private void closeGracefully(int code, String text, int classId, int methodId) {
         if (closing || context == null || !context.channel().isActive()) {
             return;
         }
--- a/src/main/java/loftflow/amqp/link/AmqpServerConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpServerConnection.java
@@ -22,33 +22,33 @@
      * @param product the product name in the server properties
      * @param channelMax the highest channel number
      * @param frameMax size of the largest frame in bytes
-     * @param heartbeat the interval in seconds; 0 for none
+     * @param heartbeatSeconds the interval in seconds; 0 for none
      */
-    public record Offer(String product, int channelMax, int frameMax, int heartbeat) {}
+    public record Limits(String product, int channelMax, int frameMax, int heartbeatSeconds) {}
 
     /** Receives the events of a connection, on its event loop. */
-    public interface Owner {
+    public interface Listener {
         /** Returns true if the credentials are valid. */
-        boolean admits(String user, String password);
+        boolean isAuthorized(String user, String password);
 
         /** The handshake is complete. */
-        void opened(String virtualHost);
+        void onOpened(String virtualHost);
 
         /** The client has opened a channel. */
-        void channelOpened(int channel);
+        void onChannelOpened(int channel);
 
         /** A channel is closed, by either side or together with the connection. */
-        void channelClosed(int channel);
+        void onChannelClosed(int channel);
 
         /**
          * A method was received on an open channel.
          *
          * @throws AmqpException to close the channel or, depending on the reply code, the connection
          */
-        void received(Command command) throws AmqpException;
+        void onCommand(Command command) throws AmqpException;
 
         /** The connection is closed; called exactly once. */
-        void closed(String reason);
+        void onClosed(String reason);
     }
 
     /** Steps of the handshake, in order. */
@@ -63,8 +63,8 @@
     /** Parts of a PLAIN response, separated by NUL: authorization identity, user, password. */
     private static final int PLAIN_RESPONSE_PARTS = 3;
 
-    private final Offer offer;
-    private final Owner owner;
+    private final Limits offer;
+    private final Listener owner;
     private final Set<Integer> channels = new HashSet<>();
     /** Channels that this side has closed and the client has not acknowledged by {@code channel.close-ok}. */
     private final Set<Integer> closingChannels = new HashSet<>();
@@ -79,7 +79,8 @@
      * @param maxBodyBytes size of the largest message body that is buffered; larger ones are skipped
      * @param bodyBudget limits the bytes of incomplete bodies over all channels
      */
-    public AmqpServerConnection(Offer offer, int maxBodyBytes, CommandAssembler.Room bodyBudget, Owner owner) {
+    public AmqpServerConnection(
+            Limits offer, int maxBodyBytes, CommandAssembler.BodyBudget bodyBudget, Listener owner) {
         super(maxBodyBytes, bodyBudget);
         this.offer = offer;
         this.owner = owner;
@@ -134,18 +135,18 @@
         if (state != State.OPEN) {
             onHandshake(command.method());
         } else if (command.channel() == 0) {
-            throw new AmqpException(AmqpException.COMMAND_INVALID, command.op() + " on channel 0");
+            throw new AmqpException(AmqpException.COMMAND_INVALID, command.type() + " on channel 0");
         } else {
             onChannel(command);
         }
     }
 
     private void onHandshake(Method method) throws AmqpException {
-        if (state == State.AWAITING_START_OK && method.op() == MethodType.CONNECTION_START_OK) {
+        if (state == State.AWAITING_START_OK && method.type() == MethodType.CONNECTION_START_OK) {
             String[] plain = method.text("response").split("\0", -1);
             if (!method.text("mechanism").equals("PLAIN")
                     || plain.length != PLAIN_RESPONSE_PARTS
-                    || !owner.admits(plain[1], plain[2])) {
+                    || !owner.isAuthorized(plain[1], plain[2])) {
                 throw new AmqpException(AmqpException.ACCESS_REFUSED, "ACCESS_REFUSED - login was refused");
             }
             state = State.AWAITING_TUNE_OK;
@@ -155,16 +156,16 @@
                             MethodType.CONNECTION_TUNE,
                             offer.channelMax(),
                             (long) offer.frameMax(),
-                            offer.heartbeat()));
-        } else if (state == State.AWAITING_TUNE_OK && method.op() == MethodType.CONNECTION_TUNE_OK) {
+                            offer.heartbeatSeconds()));
+        } else if (state == State.AWAITING_TUNE_OK && method.type() == MethodType.CONNECTION_TUNE_OK) {
             onTuneOk(method);
             state = State.AWAITING_OPEN;
-        } else if (state == State.AWAITING_OPEN && method.op() == MethodType.CONNECTION_OPEN) {
+        } else if (state == State.AWAITING_OPEN && method.type() == MethodType.CONNECTION_OPEN) {
             state = State.OPEN;
-            owner.opened(method.text("virtual-host"));
+            owner.onOpened(method.text("virtual-host"));
             send(0, Method.of(MethodType.CONNECTION_OPEN_OK));
         } else {
-            throw new AmqpException(AmqpException.COMMAND_INVALID, method.op() + " while the connection opens");
+            throw new AmqpException(AmqpException.COMMAND_INVALID, method.type() + " while the connection opens");
         }
     }
 
@@ -186,11 +187,11 @@
         int channel = command.channel();
         if (closingChannels.contains(channel)) {
             onClosingChannel(command);
-        } else if (command.op() == MethodType.CHANNEL_OPEN) {
+        } else if (command.type() == MethodType.CHANNEL_OPEN) {
             openChannel(channel);
         } else if (!channels.contains(channel)) {
             throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + channel + " is not open");
-        } else if (command.op() == MethodType.CHANNEL_CLOSE) {
+        } else if (command.type() == MethodType.CHANNEL_CLOSE) {
             onChannelClose(channel);
         } else {
             deliver(command);
@@ -200,11 +201,11 @@
     /** Ignores commands that the client sent before it received {@code channel.close}. */
     private void onClosingChannel(Command command) {
         int channel = command.channel();
-        if (command.op() == MethodType.CHANNEL_CLOSE_OK || command.op() == MethodType.CHANNEL_CLOSE) {
+        if (command.type() == MethodType.CHANNEL_CLOSE_OK || command.type() == MethodType.CHANNEL_CLOSE) {
             closingChannels.remove(channel);
             discardChannel(channel);
         }
-        if (command.op() == MethodType.CHANNEL_CLOSE) {
+        if (command.type() == MethodType.CHANNEL_CLOSE) {
             send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
         }
     }
@@ -213,25 +214,25 @@
         if (!channels.add(channel)) {
             throw new AmqpException(AmqpException.CHANNEL_ERROR, "channel " + channel + " is open already");
         }
-        owner.channelOpened(channel);
+        owner.onChannelOpened(channel);
         send(channel, Method.of(MethodType.CHANNEL_OPEN_OK));
     }
 
     private void onChannelClose(int channel) {
         channels.remove(channel);
         discardChannel(channel);
-        owner.channelClosed(channel);
+        owner.onChannelClosed(channel);
         send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
     }
 
     private void deliver(Command command) {
         try {
-            owner.received(command);
+            owner.onCommand(command);
         } catch (AmqpException e) {
-            if (e.isOfChannel()) {
-                closeChannel(command.channel(), e, command.op());
+            if (e.isChannelError()) {
+                closeChannel(command.channel(), e, command.type());
             } else {
-                fail(e, command.op());
+                fail(e, command.type());
             }
         }
     }
@@ -247,7 +248,7 @@
             send(
                     channel,
                     Method.of(MethodType.CHANNEL_CLOSE, fault.code(), fault.getMessage(), op.classId(), op.methodId()));
-            owner.channelClosed(channel);
+            owner.onChannelClosed(channel);
         }
     }
 
@@ -262,9 +263,9 @@
             closeReported = true;
             Set.copyOf(channels).forEach(channel -> {
                 channels.remove(channel);
-                owner.channelClosed(channel);
+                owner.onChannelClosed(channel);
             });
-            owner.closed(reason);
+            owner.onClosed(reason);
         }
     }
 }
--- a/src/main/java/loftflow/amqp/mapping/MessageMapping.java
+++ b/src/main/java/loftflow/amqp/mapping/MessageMapping.java
@@ -35,13 +35,13 @@
             ValueSource budget) {}
 
     /** The result of a mapping. */
-    public sealed interface Mapped {}
+    public sealed interface Result {}
 
     /** A mapped message; {@code anonymous} if its id was generated. */
-    public record Fits(Message.Content content, boolean anonymous) implements Mapped {}
+    public record Accepted(Message.Content content, boolean anonymous) implements Result {}
 
     /** A message that can't be mapped, with the reason. */
-    public record Misfits(String reason) implements Mapped {}
+    public record Rejected(String reason) implements Result {}
 
     private static final Pattern TOKEN = Pattern.compile("[\\x21-\\x7e]{1,200}");
     private static final Pattern BUDGET_MILLIS = Pattern.compile("\\d{1,9}");
@@ -71,7 +71,7 @@
      * @param idGenerator called only for an idempotent message without an id
      * @param reply where the completion is reported; null for nowhere
      */
-    public Mapped map(
+    public Result map(
             Properties properties,
             String exchange,
             String routingKey,
@@ -81,33 +81,33 @@
             Message.Reply reply) {
         Rule rule = matchingRule(properties.text(Property.CONTENT_TYPE));
         if (rule == null) {
-            return new Misfits("no mapping is for content type " + properties.text(Property.CONTENT_TYPE));
+            return new Rejected("no mapping is for content type " + properties.text(Property.CONTENT_TYPE));
         }
         String className = rule.requestClass().value(properties, exchange, routingKey);
         RequestClass type = classes.get(className);
         if (type == null) {
-            return new Misfits("no class is named " + quoted(className));
+            return new Rejected("no class is named " + quoted(className));
         }
         String id = rule.id().value(properties, exchange, routingKey);
         if (id == null && type.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            return new Misfits("a message of class " + className + " needs an id: a second copy of it could not be told"
-                    + " from the first");
+            return new Rejected("a message of class " + className
+                    + " needs an id: a second copy of it could not be told" + " from the first");
         }
         String key = optional(rule.key(), properties, exchange, routingKey);
         if (id != null && !isToken(id) || key != null && !isToken(key)) {
-            return new Misfits("an id or key is no token of 200 characters at the most");
+            return new Rejected("an id or key is no token of 200 characters at the most");
         }
         String destination = rule.destination().value(properties, exchange, routingKey);
         if (destination == null || !DESTINATION.matcher(destination).matches()) {
-            return new Misfits(quoted(destination) + " is no number of a destination");
+            return new Rejected(quoted(destination) + " is no number of a destination");
         }
         String budget = optional(rule.budget(), properties, exchange, routingKey);
         if (budget != null && !BUDGET_MILLIS.matcher(budget).matches()) {
-            return new Misfits(quoted(budget) + " is no number of milliseconds");
+            return new Rejected(quoted(budget) + " is no number of milliseconds");
         }
         long deadlineMicros = sentAt(properties, receivedAtMicros)
                 + (budget == null ? type.deadlineMicros() : Long.parseLong(budget) * MICROS_PER_MILLI);
-        return new Fits(
+        return new Accepted(
                 new Message.Content(
                         id == null ? idGenerator.get() : id,
                         className,
--- a/src/main/java/loftflow/fake/FakeBroker.java
+++ b/src/main/java/loftflow/fake/FakeBroker.java
@@ -506,7 +506,7 @@
         delivery.queue.ready.addFirst(delivery.message);
     }
 
-    private final class Session implements AmqpServerConnection.Owner {
+    private final class Session implements AmqpServerConnection.Listener {
         private final SocketChannel ch;
         private final AmqpServerConnection link;
         private final Map<Integer, ChannelState> channels = new HashMap<>();
@@ -515,19 +515,19 @@
         Session(SocketChannel ch) {
             this.ch = ch;
             link = new AmqpServerConnection(
-                    new AmqpServerConnection.Offer("stand-in", MOST_CHANNELS, FRAME_MAX, heartbeat),
+                    new AmqpServerConnection.Limits("stand-in", MOST_CHANNELS, FRAME_MAX, heartbeat),
                     MOST_BODY,
-                    AmqpConnection.ANY_ROOM,
+                    AmqpConnection.UNLIMITED_BODY_BUDGET,
                     this);
         }
 
         @Override
-        public boolean admits(String user, String password) {
+        public boolean isAuthorized(String user, String password) {
             return !password.equals("wrong");
         }
 
         @Override
-        public void opened(String virtualHost) {
+        public void onOpened(String virtualHost) {
             sessions.add(this);
             if (blocked) {
                 // Behind the answer that is sent when this returns.
@@ -553,13 +553,13 @@
         }
 
         @Override
-        public void channelOpened(int channel) {
+        public void onChannelOpened(int channel) {
             channels.put(channel, new ChannelState(channel));
             knowsBlocked |= blocked;
         }
 
         @Override
-        public void channelClosed(int channel) {
+        public void onChannelClosed(int channel) {
             ChannelState state = channels.remove(channel);
             state.consumers.forEach(c -> c.queue.consumers.remove(c));
             List<Delivery> back = new ArrayList<>(state.unacked.descendingMap().values());
@@ -568,15 +568,15 @@
         }
 
         @Override
-        public void closed(String reason) {
+        public void onClosed(String reason) {
             sessions.remove(this);
         }
 
         @Override
-        public void received(Command command) throws AmqpException {
+        public void onCommand(Command command) throws AmqpException {
             ChannelState state = channels.get(command.channel());
             Method m = command.method();
-            switch (command.op()) {
+            switch (command.type()) {
                 case EXCHANGE_DECLARE -> {
                     exchange(m);
                     answer(state, m, Method.of(MethodType.EXCHANGE_DECLARE_OK));
@@ -622,7 +622,8 @@
                 }
                 case CHANNEL_FLOW -> link.send(state.number, Method.of(MethodType.CHANNEL_FLOW_OK, m.flag("active")));
                 case CHANNEL_FLOW_OK -> knowsBlocked = blocked;
-                default -> throw new AmqpException(AmqpException.NOT_IMPLEMENTED, command.op() + " is not implemented");
+                default -> throw new AmqpException(
+                        AmqpException.NOT_IMPLEMENTED, command.type() + " is not implemented");
             }
         }
 
@@ -793,7 +794,7 @@
                                 AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - as the script wants it"),
                         MethodType.BASIC_ACK);
             } else if (fate == Fate.CLOSE_CONNECTION) {
-                link.end(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - as the script wants it");
+                link.closeGracefully(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - as the script wants it");
             } else if (tag > 0) {
                 confirm(state, tag, fate);
             }
--- a/src/main/java/loftflow/listener/amqp/AmqpListener.java
+++ b/src/main/java/loftflow/listener/amqp/AmqpListener.java
@@ -45,7 +45,7 @@
             String user,
             String password,
             int maxConnections,
-            AmqpServerConnection.Offer offer,
+            AmqpServerConnection.Limits offer,
             long replyHoldMicros) {}
 
     /** What the sessions of a listener share. */
@@ -110,11 +110,11 @@
     }
 
     /** The memory bound of partly received bodies, which all connections share. */
-    private static final class BodyBuffer implements CommandAssembler.Room {
+    private static final class BodyBuffer implements CommandAssembler.BodyBudget {
         private int bufferedBytes;
 
         @Override
-        public boolean take(int bytes) {
+        public boolean tryReserve(int bytes) {
             if (bufferedBytes + bytes > MAX_BUFFERED_BYTES) {
                 return false;
             }
@@ -123,7 +123,7 @@
         }
 
         @Override
-        public void give(int bytes) {
+        public void release(int bytes) {
             bufferedBytes -= bytes;
         }
     }
--- a/src/main/java/loftflow/listener/amqp/PublishHandler.java
+++ b/src/main/java/loftflow/listener/amqp/PublishHandler.java
@@ -52,7 +52,7 @@
         }
         if (isReadPaused && unanswered <= MAX_UNANSWERED_PUBLISHES / 2) {
             isReadPaused = false;
-            session.connection().read(true);
+            session.connection().setAutoRead(true);
         }
     }
 
@@ -94,20 +94,20 @@
                     tag,
                     command,
                     AmqpException.CONTENT_TOO_LARGE,
-                    "CONTENT_TOO_LARGE - " + command.size()
+                    "CONTENT_TOO_LARGE - " + command.bodySize()
                             + " bytes are more than is taken, or more than there is room for now");
             return;
         }
-        MessageMapping.Mapped mapped = map(command);
-        if (mapped instanceof MessageMapping.Misfits misfit) {
+        MessageMapping.Result mapped = map(command);
+        if (mapped instanceof MessageMapping.Rejected misfit) {
             String reason = "PRECONDITION_FAILED - " + misfit.reason();
             refuse(channel, tag, command, AmqpException.PRECONDITION_FAILED, reason);
         } else {
-            submit(channel, tag, command, (MessageMapping.Fits) mapped);
+            submit(channel, tag, command, (MessageMapping.Accepted) mapped);
         }
     }
 
-    private MessageMapping.Mapped map(Command command) {
+    private MessageMapping.Result map(Command command) {
         Method method = command.method();
         Properties properties = command.properties();
         String replyTo = properties.text(Property.REPLY_TO);
@@ -125,7 +125,7 @@
                         reply);
     }
 
-    private void submit(PublisherChannel channel, long tag, Command command, MessageMapping.Fits mapped) {
+    private void submit(PublisherChannel channel, long tag, Command command, MessageMapping.Accepted mapped) {
         Message.Content content = mapped.content();
         if (!context.messageAcceptor().hasDestination(content.destination())) {
             refuse(channel, tag, command, AmqpException.NO_ROUTE, "NO_ROUTE");
@@ -142,7 +142,7 @@
         }
     }
 
-    private void accept(PublisherChannel channel, long tag, MessageMapping.Fits mapped) {
+    private void accept(PublisherChannel channel, long tag, MessageMapping.Accepted mapped) {
         Message.Content content = mapped.content();
         String messageId = mapped.anonymous() ? null : content.messageId();
         PendingPublish publish = new PendingPublish(this, channel, tag, messageId);
@@ -153,7 +153,7 @@
                 context.messageAcceptor().accept(content, context.eventLoopLag().unreadSinceMicros(), publish));
         if (unanswered >= MAX_UNANSWERED_PUBLISHES && !isReadPaused) {
             isReadPaused = true;
-            session.connection().read(false);
+            session.connection().setAutoRead(false);
         }
     }
 
--- a/src/main/java/loftflow/listener/amqp/PublisherSession.java
+++ b/src/main/java/loftflow/listener/amqp/PublisherSession.java
@@ -14,7 +14,7 @@
  * The connection of one program: admits it and dispatches its methods, publishes to {@link PublishHandler} and the rest
  * to its {@link PublisherChannel}s.
  */
-final class PublisherSession implements AmqpServerConnection.Owner {
+final class PublisherSession implements AmqpServerConnection.Listener {
     private final AmqpListener listener;
     private final AmqpListener.Context context;
     private final PublishHandler publishHandler;
@@ -52,7 +52,7 @@
     }
 
     void end(int code, String text) {
-        connection.end(code, text);
+        connection.closeGracefully(code, text);
     }
 
     /** Returns true where a channel is open; one that was opened anew under its number is another channel. */
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public boolean admits(String user, String password) {
+    public boolean isAuthorized(String user, String password) {
         String requiredUser = context.options().user();
         return !listener.isDraining() && (requiredUser == null || requiredUser.equals(user) && isPassword(password));
     }
@@ -78,33 +78,33 @@
     }
 
     @Override
-    public void opened(String virtualHost) {
+    public void onOpened(String virtualHost) {
         isAdmitted = true;
     }
 
     @Override
-    public void channelOpened(int number) {
+    public void onChannelOpened(int number) {
         channels.put(number, new PublisherChannel(this, listener, number));
     }
 
     /** Withdraws messages that the program gave up, and requeues completions that it did not acknowledge. */
     @Override
-    public void channelClosed(int number) {
+    public void onChannelClosed(int number) {
         PublisherChannel channel = channels.remove(number);
         publishHandler.withdraw(channel);
         channel.close();
     }
 
     @Override
-    public void closed(String reason) {
+    public void onClosed(String reason) {
         listener.onClosed(this);
     }
 
     @Override
-    public void received(Command command) throws AmqpException {
+    public void onCommand(Command command) throws AmqpException {
         PublisherChannel channel = channels.get(command.channel());
         Method method = command.method();
-        switch (command.op()) {
+        switch (command.type()) {
             case CONFIRM_SELECT -> channel.selectConfirms(method);
             case BASIC_PUBLISH -> publishHandler.publish(channel, command);
             case EXCHANGE_DECLARE -> {
@@ -120,7 +120,7 @@
             case BASIC_REJECT -> channel.settle(method, false, !method.flag("requeue"));
             case CHANNEL_FLOW -> channel.setFlow(method.flag("active"));
             default -> throw new AmqpException(
-                    AmqpException.NOT_IMPLEMENTED, "NOT_IMPLEMENTED - a relay has no " + command.op());
+                    AmqpException.NOT_IMPLEMENTED, "NOT_IMPLEMENTED - a relay has no " + command.type());
         }
     }
 }
--- a/src/main/java/loftflow/listener/amqp/QueueConsumer.java
+++ b/src/main/java/loftflow/listener/amqp/QueueConsumer.java
@@ -30,7 +30,7 @@
  * for now, and rejected for good where it can never be accepted. Completions are published to reply queues of the same
  * broker. For use on the event loop only.
  */
-public final class QueueConsumer implements Listener, CompletionReplier, AmqpClientConnection.Owner {
+public final class QueueConsumer implements Listener, CompletionReplier, AmqpClientConnection.Listener {
     /** For which messages completions are published. */
     public enum ReplyMode {
         /** For messages with a reply queue. */
@@ -105,7 +105,7 @@
         /** The submitted message; null before its submission and after its answer. */
         private Message message;
 
-        Delivery(AmqpClientConnection origin, long tag, MessageMapping.Fits mapped) {
+        Delivery(AmqpClientConnection origin, long tag, MessageMapping.Accepted mapped) {
             this.origin = origin;
             this.tag = tag;
             messageId = mapped.content().messageId();
@@ -139,7 +139,7 @@
             message = null;
             deliveries.remove(this);
             if (options.isAutoAcknowledge()) {
-                if (method.op() != MethodType.BASIC_ACK) {
+                if (method.type() != MethodType.BASIC_ACK) {
                     Log.line("amqp: rejected message lost messageId=" + messageId + " queue=" + options.queue());
                 }
             } else if (origin == connection && origin.isOpen()) {
@@ -205,12 +205,12 @@
         if (isStopped) {
             return;
         }
-        connection =
-                AmqpClientConnection.dial(loop, options.broker(), MAX_BODY_BYTES, options.connectTimeoutMicros(), this);
+        connection = AmqpClientConnection.connect(
+                loop, options.broker(), MAX_BODY_BYTES, options.connectTimeoutMicros(), this);
     }
 
     @Override
-    public void opened() {
+    public void onOpened() {
         connection.openChannel(CONSUMER_CHANNEL);
         if (options.tells() != ReplyMode.NEVER) {
             connection.openChannel(REPLY_CHANNEL);
@@ -218,9 +218,9 @@
     }
 
     @Override
-    public void received(Command command) throws AmqpException {
+    public void onCommand(Command command) throws AmqpException {
         Method method = command.method();
-        switch (method.op()) {
+        switch (method.type()) {
             case CHANNEL_OPEN_OK -> onChannelOpened(command.channel());
             case BASIC_QOS_OK -> consume();
             case BASIC_CONSUME_OK -> onConsuming();
@@ -229,9 +229,9 @@
             case BASIC_ACK, BASIC_NACK -> replyPublisher.onConfirm(method);
             case BASIC_RETURN -> replyPublisher.onReturn(command);
             case BASIC_CANCEL_OK -> {}
-            case BASIC_CANCEL -> connection.end(REPLY_SUCCESS, "the queue is gone");
+            case BASIC_CANCEL -> connection.closeGracefully(REPLY_SUCCESS, "the queue is gone");
             case CHANNEL_CLOSE -> onChannelClosed(command.channel(), method);
-            default -> throw new AmqpException(AmqpException.COMMAND_INVALID, method.op() + " was not asked for");
+            default -> throw new AmqpException(AmqpException.COMMAND_INVALID, method.type() + " was not asked for");
         }
     }
 
@@ -256,7 +256,7 @@
     }
 
     private void onConsuming() {
-        connection.ready();
+        connection.cancelOpenTimeout();
         reconnectPauseMillis = MIN_RECONNECT_PAUSE_MILLIS;
         Log.line("amqp: consuming queue=" + options.queue() + " broker="
                 + options.broker().address());
@@ -266,19 +266,19 @@
         Log.line("amqp: channel closed by the broker queue=" + options.queue() + " channel=" + channel + " code="
                 + method.number("reply-code") + " reason=" + method.text("reply-text"));
         connection.send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
-        connection.end(REPLY_SUCCESS, "a channel was closed");
+        connection.closeGracefully(REPLY_SUCCESS, "a channel was closed");
     }
 
     // ---- inbound messages
 
     private void onDelivery(Command command) {
         long tag = command.method().number("delivery-tag");
-        MessageMapping.Mapped mapped = map(command);
-        if (mapped instanceof MessageMapping.Misfits misfit) {
+        MessageMapping.Result mapped = map(command);
+        if (mapped instanceof MessageMapping.Rejected misfit) {
             rejectForGood(tag, misfit.reason());
             return;
         }
-        MessageMapping.Fits fits = (MessageMapping.Fits) mapped;
+        MessageMapping.Accepted fits = (MessageMapping.Accepted) mapped;
         Message.Content content = fits.content();
         if (deduplicator.contains(content.messageId())) {
             // A redelivery of an accepted message whose ack was lost; its completion is owed once.
@@ -292,9 +292,9 @@
         }
     }
 
-    private MessageMapping.Mapped map(Command command) {
+    private MessageMapping.Result map(Command command) {
         if (command.isSkipped()) {
-            return new MessageMapping.Misfits(command.size() + " bytes are more than is taken");
+            return new MessageMapping.Rejected(command.bodySize() + " bytes are more than is taken");
         }
         Method method = command.method();
         Properties properties = command.properties();
@@ -323,7 +323,7 @@
         };
     }
 
-    private void submit(long tag, MessageMapping.Fits mapped) {
+    private void submit(long tag, MessageMapping.Accepted mapped) {
         Delivery delivery = new Delivery(connection, tag, mapped);
         deliveries.add(delivery);
         if (isDraining || !mapped.anonymous() && !deduplicator.hasCapacity()) {
@@ -354,14 +354,14 @@
 
     /** The broker blocks publishers, or accepts them again. */
     @Override
-    public void publishing(String why) {
+    public void onPublishingChanged(String why) {
         replyPublisher.publishPending();
     }
 
     // ---- the end of the connection, and shutdown
 
     @Override
-    public void closed(String reason) {
+    public void onClosed(String reason) {
         if (!isStopped) {
             Log.line("amqp: connection closed queue=" + options.queue() + " broker="
                     + options.broker().address() + " reason=" + reason);
@@ -409,7 +409,7 @@
     public void stopListening() {
         isStopped = true;
         if (connection != null) {
-            connection.end(REPLY_SUCCESS, "the relay ends");
+            connection.closeGracefully(REPLY_SUCCESS, "the relay ends");
         }
     }
 }
--- a/src/main/java/loftflow/listener/amqp/ReplyPublisher.java
+++ b/src/main/java/loftflow/listener/amqp/ReplyPublisher.java
@@ -66,7 +66,7 @@
     /** Publishes as many completions as the broker and the socket accept. */
     void publishPending() {
         while (connection != null
-                && connection.mayPublish(channel)
+                && connection.canPublish(channel)
                 && !unpublished.isEmpty()
                 && connection.isWritable()) {
             publish(unpublished.poll());
@@ -82,7 +82,9 @@
                         channel,
                         Method.of(MethodType.BASIC_PUBLISH, DEFAULT_EXCHANGE, queue, true, false),
                         ReplyBody.properties(message)
-                                .with(Property.HEADERS, Map.<String, Object>of(PublisherConfirms.TAG, tag)),
+                                .with(
+                                        Property.HEADERS,
+                                        Map.<String, Object>of(PublisherConfirms.DELIVERY_TAG_HEADER, tag)),
                         ReplyBody.body(message))
                 .addListener(done -> {
                     if (done.isSuccess()) {
@@ -94,7 +96,7 @@
 
     /** The broker has sent an ack or a nack. */
     void onConfirm(Method method) throws AmqpException {
-        boolean isAck = method.op() == MethodType.BASIC_ACK;
+        boolean isAck = method.type() == MethodType.BASIC_ACK;
         List<PublisherConfirms.Settled<Message>> settled =
                 confirms.confirmed(method.number("delivery-tag"), method.flag("multiple"), isAck);
         if (settled == null) {
@@ -105,14 +107,14 @@
 
     /** The broker has returned a publish. */
     void onReturn(Command command) {
-        if (command.properties().headers().get(PublisherConfirms.TAG) instanceof Long tag) {
+        if (command.properties().headers().get(PublisherConfirms.DELIVERY_TAG_HEADER) instanceof Long tag) {
             confirms.returned(tag).forEach(this::settle);
         }
     }
 
     private void settle(PublisherConfirms.Settled<Message> settled) {
-        Message message = settled.what();
-        switch (settled.fate()) {
+        Message message = settled.publish();
+        switch (settled.outcome()) {
             case ACKED -> acknowledged.accept(message);
             case RETURNED -> {
                 Log.line("amqp: reply queue not found queue="
--- a/src/main/java/loftflow/server/AmqpOptions.java
+++ b/src/main/java/loftflow/server/AmqpOptions.java
@@ -59,7 +59,7 @@
                 listener.user(),
                 listener.password(),
                 maxConnections,
-                new AmqpServerConnection.Offer(
+                new AmqpServerConnection.Limits(
                         PRODUCT, listener.maxChannels(), listener.maxFrameBytes(), listener.heartbeatSeconds()),
                 listener.replyHoldMicros());
     }
--- a/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
@@ -25,7 +25,7 @@
  * broker become outcomes by the table of docs/operators/amqp.md ({@link BrokerOutcomes}); {@link PublisherConfirms}
  * decides what is proven. For use on the event loop only.
  */
-final class BrokerConnection implements AmqpClientConnection.Owner {
+final class BrokerConnection implements AmqpClientConnection.Listener {
     /** The services and callbacks that a connection needs from its client. */
     interface Owner {
         EventLoop loop();
@@ -164,8 +164,12 @@
     }
 
     void closeIdle() {
-        if (connection != null && isReady && confirms.open() == 0 && unpublished.isEmpty() && probeStarts.isEmpty()) {
-            connection.end(REPLY_SUCCESS, "idle");
+        if (connection != null
+                && isReady
+                && confirms.openCount() == 0
+                && unpublished.isEmpty()
+                && probeStarts.isEmpty()) {
+            connection.closeGracefully(REPLY_SUCCESS, "idle");
         }
     }
 
@@ -174,7 +178,7 @@
         isStopped = true;
         endUnpublished(AttemptOutcome.NOT_SENT, 0);
         endProbes(AttemptOutcome.NOT_SENT);
-        if (confirms.open() == 0) {
+        if (confirms.openCount() == 0) {
             closeConnection(NOT_LISTED_REASON);
         }
     }
@@ -188,7 +192,7 @@
     // ---- the connection
 
     private void connect() {
-        connection = AmqpClientConnection.dial(
+        connection = AmqpClientConnection.connect(
                 owner.loop(),
                 new AmqpClientConnection.Broker(
                         endpoint.address(), destination.login(), destination.tls(), destination.tlsName()),
@@ -198,26 +202,26 @@
     }
 
     @Override
-    public void opened() {
+    public void onOpened() {
         connection.openChannel(CHANNEL);
     }
 
     @Override
-    public void received(Command command) throws AmqpException {
+    public void onCommand(Command command) throws AmqpException {
         Method method = command.method();
-        switch (method.op()) {
+        switch (method.type()) {
             case CHANNEL_OPEN_OK -> connection.send(CHANNEL, Method.of(MethodType.CONFIRM_SELECT, false));
             case CONFIRM_SELECT_OK -> onReady();
             case BASIC_ACK, BASIC_NACK -> onConfirm(method);
             case BASIC_RETURN -> onReturn(command);
             case BASIC_QOS_OK -> onProbeAnswered();
             case CHANNEL_CLOSE -> onChannelClosed(method);
-            default -> throw new AmqpException(AmqpException.COMMAND_INVALID, method.op() + " was not asked for");
+            default -> throw new AmqpException(AmqpException.COMMAND_INVALID, method.type() + " was not asked for");
         }
     }
 
     private void onReady() {
-        connection.ready();
+        connection.cancelOpenTimeout();
         isReady = true;
         hasBeenReady = true;
         probeStarts.forEach(start -> sendProbe());
@@ -234,12 +238,12 @@
     }
 
     private boolean isBlocked() {
-        return connection != null && !connection.mayPublish(CHANNEL);
+        return connection != null && !connection.canPublish(CHANNEL);
     }
 
     /** The broker blocks publishers, or accepts them again: while it blocks, unpublished attempts end as rejected. */
     @Override
-    public void publishing(String why) {
+    public void onPublishingChanged(String why) {
         log(why, "");
         if (isBlocked()) {
             endUnpublished(AttemptOutcome.REJECTED, BLOCKED_RETRY_AFTER_MICROS);
@@ -259,7 +263,7 @@
         while (isReady
                 && !unpublished.isEmpty()
                 && connection.isWritable()
-                && confirms.open() < MAX_UNCONFIRMED_PUBLISHES) {
+                && confirms.openCount() < MAX_UNCONFIRMED_PUBLISHES) {
             Message.Attempt attempt = unpublished.keySet().iterator().next();
             PendingAttempt pending = unpublished.remove(attempt);
             // After its latest arrival the destination may have forgotten the idempotency key.
@@ -270,8 +274,8 @@
             published.put(attempt, pending);
             publish(attempt);
         }
-        if (isReady && confirms.open() >= MAX_UNCONFIRMED_PUBLISHES) {
-            closeConnection(confirms.open() + " publishes have no confirm");
+        if (isReady && confirms.openCount() >= MAX_UNCONFIRMED_PUBLISHES) {
+            closeConnection(confirms.openCount() + " publishes have no confirm");
         }
     }
 
@@ -294,19 +298,19 @@
     private void onConfirm(Method method) throws AmqpException {
         long tag = method.number("delivery-tag");
         List<PublisherConfirms.Settled<Message.Attempt>> settled =
-                confirms.confirmed(tag, method.flag("multiple"), method.op() == MethodType.BASIC_ACK);
+                confirms.confirmed(tag, method.flag("multiple"), method.type() == MethodType.BASIC_ACK);
         if (settled == null) {
             throw new AmqpException(AmqpException.PRECONDITION_FAILED, method + " speaks of no publish that is open");
         }
         settled.forEach(this::settle);
         publishPending();
-        if (isStopped && confirms.open() == 0) {
+        if (isStopped && confirms.openCount() == 0) {
             closeConnection(NOT_LISTED_REASON);
         }
     }
 
     private void onReturn(Command command) {
-        Object tag = command.properties().headers().get(PublisherConfirms.TAG);
+        Object tag = command.properties().headers().get(PublisherConfirms.DELIVERY_TAG_HEADER);
         List<PublisherConfirms.Settled<Message.Attempt>> settled =
                 tag instanceof Long number ? confirms.returned(number) : List.of();
         if (settled.isEmpty()) {
@@ -321,11 +325,11 @@
     }
 
     private void settle(PublisherConfirms.Settled<Message.Attempt> settled) {
-        Message.Attempt attempt = settled.what();
+        Message.Attempt attempt = settled.publish();
         PendingAttempt pending = published.remove(attempt);
         if (pending != null) {
-            end(attempt, pending, BrokerOutcomes.ofFate(settled.fate()), 0);
-        } else if (settled.fate() == PublisherConfirms.Fate.ACKED) {
+            end(attempt, pending, BrokerOutcomes.ofFate(settled.outcome()), 0);
+        } else if (settled.outcome() == PublisherConfirms.Outcome.ACKED) {
             // The attempt has timed out or was cancelled before.
             owner.onLateDelivery(attempt);
         }
@@ -341,7 +345,7 @@
                 isPublish && (code == AmqpException.NOT_FOUND || code == AmqpException.ACCESS_REFUSED);
         connection.send(CHANNEL, Method.of(MethodType.CHANNEL_CLOSE_OK));
         settleAll(isPublishAtFault);
-        connection.end(REPLY_SUCCESS, "its channel was closed");
+        connection.closeGracefully(REPLY_SUCCESS, "its channel was closed");
     }
 
     private void settleAll(boolean isPublishAtFault) {
@@ -352,10 +356,10 @@
     }
 
     @Override
-    public void closed(String reason) {
+    public void onClosed(String reason) {
         boolean wasReady = hasBeenReady;
         hasBeenReady = false;
-        if (!wasReady && !isStopped || confirms.open() > 0) {
+        if (!wasReady && !isStopped || confirms.openCount() > 0) {
             log("connection closed", " reason=" + reason);
         }
         connection = null;
--- a/src/main/java/loftflow/upstream/amqp/BrokerOutcomes.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerOutcomes.java
@@ -8,7 +8,7 @@
     private BrokerOutcomes() {}
 
     /** The outcome of an attempt whose publish has a known fate. */
-    static AttemptOutcome ofFate(PublisherConfirms.Fate fate) {
+    static AttemptOutcome ofFate(PublisherConfirms.Outcome fate) {
         return switch (fate) {
             case ACKED -> AttemptOutcome.OK;
             case NACKED -> AttemptOutcome.ERROR;
--- a/src/main/java/loftflow/upstream/amqp/PublishProperties.java
+++ b/src/main/java/loftflow/upstream/amqp/PublishProperties.java
@@ -24,7 +24,7 @@
      */
     static Properties of(Message.Content content, long tag, long nowMicros) {
         Map<String, Object> headers = new LinkedHashMap<>();
-        headers.put(PublisherConfirms.TAG, tag);
+        headers.put(PublisherConfirms.DELIVERY_TAG_HEADER, tag);
         if (content.key() != null) {
             headers.put(MessageHeaders.IDEMPOTENCY_KEY, content.key());
         }
--- a/src/main/java/loftflow/warmstart/HistoryUpdate.java
+++ b/src/main/java/loftflow/warmstart/HistoryUpdate.java
@@ -10,7 +10,8 @@
  * @param restoredRoutes what the decision module receives with it
  * @param deltas deltas to be written at once
  * @param logLines lines to log
- * @param refreshAtMicros when the full list is to be requested again; {@link EndpointListReconciler#NEVER} for not at all
+ * @param refreshAtMicros when the full list is to be requested again; {@link EndpointListReconciler#NEVER} for not at
+ *     all
  */
 public record HistoryUpdate(
         ListUpdate listUpdate,
--- a/src/test/java/loftflow/amqp/codec/CodecTest.java
+++ b/src/test/java/loftflow/amqp/codec/CodecTest.java
@@ -241,7 +241,7 @@
                 frame.payload().release();
                 if (command != null) {
                     read.add(command.method() + " " + command.properties() + " " + Arrays.hashCode(command.body()) + " "
-                            + command.size());
+                            + command.bodySize());
                 }
             }
         }
@@ -269,7 +269,7 @@
     }
 
     /** A budget that counts the reserved bytes. */
-    private static final class CountingBudget implements CommandAssembler.Room {
+    private static final class CountingBudget implements CommandAssembler.BodyBudget {
         private final int limitBytes;
         private int reservedBytes;
         private int peakBytes;
@@ -279,7 +279,7 @@
         }
 
         @Override
-        public boolean take(int bytes) {
+        public boolean tryReserve(int bytes) {
             if (reservedBytes + bytes > limitBytes) {
                 return false;
             }
@@ -289,7 +289,7 @@
         }
 
         @Override
-        public void give(int bytes) {
+        public void release(int bytes) {
             reservedBytes -= bytes;
         }
     }
@@ -321,7 +321,7 @@
         assertEquals(0, assemble(assembler, content(0)).body().length);
         Command large = assemble(assembler, content((64 << 10) + 1));
         assertTrue(large.isSkipped());
-        assertEquals((64 << 10) + 1, large.size());
+        assertEquals((64 << 10) + 1, large.bodySize());
         assertEquals(0, budget.peakBytes, "nothing of it was held");
         Command next = assemble(assembler, content(64 << 10));
         assertEquals(64 << 10, next.body().length);
--- a/src/test/java/loftflow/amqp/codec/Fuzz.java
+++ b/src/test/java/loftflow/amqp/codec/Fuzz.java
@@ -91,15 +91,15 @@
     }
 
     private static int decode(byte[] bytes, Random random, int[] reservedBytes) throws AmqpException {
-        CommandAssembler assembler = new CommandAssembler(1, 8_000, new CommandAssembler.Room() {
+        CommandAssembler assembler = new CommandAssembler(1, 8_000, new CommandAssembler.BodyBudget() {
             @Override
-            public boolean take(int taken) {
+            public boolean tryReserve(int taken) {
                 reservedBytes[0] += taken;
                 return true;
             }
 
             @Override
-            public void give(int given) {
+            public void release(int given) {
                 reservedBytes[0] -= given;
             }
         });
--- a/src/test/java/loftflow/amqp/confirm/PublisherConfirmsTest.java
+++ b/src/test/java/loftflow/amqp/confirm/PublisherConfirmsTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.stream.Collectors;
-import loftflow.amqp.confirm.PublisherConfirms.Fate;
+import loftflow.amqp.confirm.PublisherConfirms.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Tests which outcome each confirm, return and channel close proves. */
@@ -25,7 +25,7 @@
     }
 
     private static String text(List<PublisherConfirms.Settled<String>> settled) {
-        return settled.stream().map(s -> s.what() + " " + s.fate()).collect(Collectors.joining(", "));
+        return settled.stream().map(s -> s.publish() + " " + s.outcome()).collect(Collectors.joining(", "));
     }
 
     @Test
@@ -34,7 +34,7 @@
         assertEquals("b ACKED", text(confirms.confirmed(2, false, true)));
         assertEquals("a ACKED, c ACKED", text(confirms.confirmed(3, true, true)));
         assertEquals("d NACKED", text(confirms.confirmed(0, true, false)));
-        assertEquals(0, confirms.open());
+        assertEquals(0, confirms.openCount());
     }
 
     @Test
@@ -58,7 +58,7 @@
         confirms.publish("half");
         assertNull(confirms.confirmed(2, false, true), "it has not left whole");
         assertNull(confirms.confirmed(2, true, true));
-        assertEquals(2, confirms.open(), "nothing was settled by any of it");
+        assertEquals(2, confirms.openCount(), "nothing was settled by any of it");
         assertEquals("a ACKED", text(confirms.confirmed(1, false, true)));
         assertNull(confirms.confirmed(1, false, true));
     }
@@ -68,7 +68,7 @@
         publish("a", "b");
         confirms.publish("half");
         assertEquals("a UNKNOWN, b UNKNOWN, half NEVER", text(confirms.closed(false)));
-        assertEquals(0, confirms.open());
+        assertEquals(0, confirms.openCount());
     }
 
     @Test
@@ -100,7 +100,7 @@
             Random random = new Random(seed);
             PublisherConfirms<Integer> drawn = new PublisherConfirms<>();
             Set<Integer> ran = new HashSet<>();
-            Map<Integer, Fate> concluded = new HashMap<>();
+            Map<Integer, Outcome> concluded = new HashMap<>();
             int count = 1 + random.nextInt(8);
             int whole = random.nextInt(count + 1);
             int fault = random.nextInt(3) == 0 && whole > 0 ? 1 + random.nextInt(whole) : 0;
@@ -112,17 +112,18 @@
             }
             for (int tag = 1; tag <= whole && tag != fault; tag++) {
                 if (random.nextInt(4) == 0) {
-                    drawn.returned(tag).forEach(s -> concluded.put(s.what(), s.fate()));
+                    drawn.returned(tag).forEach(s -> concluded.put(s.publish(), s.outcome()));
                 } else {
                     ran.add(tag);
                 }
                 if (random.nextBoolean()) {
-                    drawn.confirmed(tag, random.nextBoolean(), true).forEach(s -> concluded.put(s.what(), s.fate()));
+                    drawn.confirmed(tag, random.nextBoolean(), true)
+                            .forEach(s -> concluded.put(s.publish(), s.outcome()));
                 }
             }
-            drawn.closed(fault > 0 && whole == count).forEach(s -> concluded.put(s.what(), s.fate()));
+            drawn.closed(fault > 0 && whole == count).forEach(s -> concluded.put(s.publish(), s.outcome()));
             assertEquals(count, concluded.size(), "seed " + seed);
-            for (Map.Entry<Integer, Fate> one : concluded.entrySet()) {
+            for (Map.Entry<Integer, Outcome> one : concluded.entrySet()) {
                 boolean runs = ran.contains(one.getKey());
                 boolean right =
                         switch (one.getValue()) {
@@ -130,7 +131,7 @@
                             case RETURNED, NEVER -> !runs;
                             default -> true;
                         };
-                never += one.getValue() == Fate.NEVER ? 1 : 0;
+                never += one.getValue() == Outcome.NEVER ? 1 : 0;
                 assertTrue(right, "seed " + seed + ": " + one + ", ran: " + ran);
             }
         }
--- a/src/test/java/loftflow/amqp/mapping/MessageMappingTest.java
+++ b/src/test/java/loftflow/amqp/mapping/MessageMappingTest.java
@@ -46,16 +46,16 @@
         return Properties.NONE.with(Property.TYPE, type).with(Property.MESSAGE_ID, "m1");
     }
 
-    private static MessageMapping.Mapped map(Properties properties, String routingKey) {
+    private static MessageMapping.Result map(Properties properties, String routingKey) {
         return mapping(DEFAULT_RULE).map(properties, "e", routingKey, new byte[1], NOW, () -> "none-1", null);
     }
 
     private static Message.Content fits(Properties properties) {
-        return ((MessageMapping.Fits) map(properties, "7")).content();
+        return ((MessageMapping.Accepted) map(properties, "7")).content();
     }
 
     private static void misfits(Properties properties, String routingKey, String reason) {
-        String said = ((MessageMapping.Misfits) map(properties, routingKey)).reason();
+        String said = ((MessageMapping.Rejected) map(properties, routingKey)).reason();
         assertTrue(said.contains(reason), said);
     }
 
@@ -70,7 +70,7 @@
         assertEquals(NOW + 1_500_000, c.deadlineMicros());
         Message.Reply reply = new Message.Reply("front", "q", "c");
         MessageMapping fixed = mapping(rule("text/plain", "header:id", "fixed:any", "header:dest"), DEFAULT_RULE);
-        MessageMapping.Fits other = (MessageMapping.Fits) fixed.map(
+        MessageMapping.Accepted other = (MessageMapping.Accepted) fixed.map(
                 properties("once")
                         .with(Property.CONTENT_TYPE, "text/plain")
                         .with(Property.HEADERS, Map.of("id", "h1", "dest", 12)),
@@ -110,10 +110,11 @@
     @Test
     void nonIdempotentMessageWithoutAnIdIsRejectedAndOthersGetAGeneratedOne() {
         misfits(properties("once").with(Property.MESSAGE_ID, null), "7", "needs an id");
-        MessageMapping.Fits any = (MessageMapping.Fits) map(properties("any").with(Property.MESSAGE_ID, null), "7");
+        MessageMapping.Accepted any =
+                (MessageMapping.Accepted) map(properties("any").with(Property.MESSAGE_ID, null), "7");
         assertTrue(any.anonymous());
         assertEquals("none-1", any.content().messageId());
-        assertFalse(((MessageMapping.Fits) map(properties("any"), "7")).anonymous());
+        assertFalse(((MessageMapping.Accepted) map(properties("any"), "7")).anonymous());
     }
 
     @Test
@@ -125,7 +126,7 @@
         misfits(properties("once").with(Property.EXPIRATION, "soon"), "7", "\"soon\" is no number of milliseconds");
         misfits(properties("once").with(Property.MESSAGE_ID, "two words"), "7", "is no token");
         misfits(properties("once").with(Property.HEADERS, Map.of("key", "\n")), "7", "is no token");
-        String said = ((MessageMapping.Misfits)
+        String said = ((MessageMapping.Rejected)
                         mapping(rule("a/b", "property:message-id", "property:type", "routing-key"))
                                 .map(properties("once"), "e", "7", new byte[0], NOW, () -> "x", null))
                 .reason();
--- a/src/test/java/loftflow/interop/AmqpCampaign.java
+++ b/src/test/java/loftflow/interop/AmqpCampaign.java
@@ -147,7 +147,7 @@
                                 null,
                                 null,
                                 20,
-                                new AmqpServerConnection.Offer("loftflow", 20, 8 << 10, 2),
+                                new AmqpServerConnection.Limits("loftflow", 20, 8 << 10, 2),
                                 600 * SECOND),
                         engine::onCompletionAcknowledged,
                         message -> {});
@@ -186,7 +186,7 @@
     }
 
     /** A program that publishes to the relay's listener, again where it has heard nothing, and takes its ends. */
-    private static final class Publisher implements AmqpClientConnection.Owner {
+    private static final class Publisher implements AmqpClientConnection.Listener {
         private final EventLoop loop;
         private final String host;
         private volatile int port;
@@ -214,7 +214,7 @@
                 return;
             }
             // A relay that is killed in this same process may leave a socket behind that nobody answers for.
-            link = AmqpClientConnection.dial(
+            link = AmqpClientConnection.connect(
                     loop,
                     new AmqpClientConnection.Broker(
                             new InetSocketAddress(host, port),
@@ -233,15 +233,15 @@
         }
 
         @Override
-        public void opened() {
+        public void onOpened() {
             link.openChannel(1);
             link.openChannel(2);
         }
 
         @Override
-        public void received(Command command) {
+        public void onCommand(Command command) {
             Method m = command.method();
-            switch (m.op()) {
+            switch (m.type()) {
                 case CHANNEL_OPEN_OK -> link.send(
                         command.channel(),
                         command.channel() == 1
@@ -249,7 +249,7 @@
                                 : Method.of(
                                         MethodType.BASIC_CONSUME, "ends", "t", false, false, false, false, Map.of()));
                 case CONFIRM_SELECT_OK -> {
-                    link.ready();
+                    link.cancelOpenTimeout();
                     ready = true;
                     published = 0;
                     List.copyOf(untaken.keySet()).forEach(this::publish);
@@ -291,10 +291,10 @@
         }
 
         @Override
-        public void publishing(String why) {}
+        public void onPublishingChanged(String why) {}
 
         @Override
-        public void closed(String reason) {
+        public void onClosed(String reason) {
             link = null;
             ready = false;
             out.clear();
--- a/src/test/java/loftflow/interop/InteropBenchmark.java
+++ b/src/test/java/loftflow/interop/InteropBenchmark.java
@@ -357,7 +357,8 @@
         Method publish = Method.of(MethodType.BASIC_PUBLISH, "loftflow", "7", true, false);
         for (int round = 0; round < 3; round++) {
             int count = 1_000_000;
-            CommandAssembler assembler = new CommandAssembler(1, 1 << 16, loftflow.amqp.link.AmqpConnection.ANY_ROOM);
+            CommandAssembler assembler =
+                    new CommandAssembler(1, 1 << 16, loftflow.amqp.link.AmqpConnection.UNLIMITED_BODY_BUDGET);
             ByteBuf out = Unpooled.buffer(1 << 12);
             long writing = 0;
             long reading = 0;
--- a/src/test/java/loftflow/listener/amqp/AmqpProtocolErrorsTest.java
+++ b/src/test/java/loftflow/listener/amqp/AmqpProtocolErrorsTest.java
@@ -90,7 +90,7 @@
             writing.start();
             int opened = 0;
             Method method = client.next();
-            for (; method != null && method.op() == MethodType.CHANNEL_OPEN_OK; method = client.next()) {
+            for (; method != null && method.type() == MethodType.CHANNEL_OPEN_OK; method = client.next()) {
                 opened++;
             }
             assertEquals(8, opened);
--- a/src/test/java/loftflow/listener/amqp/PublishingTestBase.java
+++ b/src/test/java/loftflow/listener/amqp/PublishingTestBase.java
@@ -49,7 +49,7 @@
                         user,
                         "secret",
                         20,
-                        new AmqpServerConnection.Offer("loftflow", 8, MAX_FRAME_BYTES, 2),
+                        new AmqpServerConnection.Limits("loftflow", 8, MAX_FRAME_BYTES, 2),
                         replyHoldMicros),
                 message -> acknowledgedIds.add(message.content().messageId()),
                 message -> fallbackIds.add(message.content().messageId()));
--- a/src/test/java/loftflow/listener/amqp/RawAmqpClient.java
+++ b/src/test/java/loftflow/listener/amqp/RawAmqpClient.java
@@ -30,7 +30,7 @@
     /** Sends the protocol header. */
     RawAmqpClient greet() throws Exception {
         out.write(new byte[] {'A', 'M', 'Q', 'P', 0, 0, 9, 1});
-        assertEquals(MethodType.CONNECTION_START, next().op());
+        assertEquals(MethodType.CONNECTION_START, next().type());
         return this;
     }
 
@@ -38,17 +38,17 @@
     RawAmqpClient open() throws Exception {
         greet();
         send(0, Method.of(MethodType.CONNECTION_START_OK, Map.of(), "PLAIN", "\0a\0b", "en_US"));
-        assertEquals(MethodType.CONNECTION_TUNE, next().op());
+        assertEquals(MethodType.CONNECTION_TUNE, next().type());
         send(0, Method.of(MethodType.CONNECTION_TUNE_OK, 8, (long) PublishingTestBase.MAX_FRAME_BYTES, 0));
         send(0, Method.of(MethodType.CONNECTION_OPEN, "/"));
-        assertEquals(MethodType.CONNECTION_OPEN_OK, next().op());
+        assertEquals(MethodType.CONNECTION_OPEN_OK, next().type());
         return this;
     }
 
     /** Opens a channel. */
     RawAmqpClient channel(int number) throws Exception {
         send(number, Method.of(MethodType.CHANNEL_OPEN));
-        assertEquals(MethodType.CHANNEL_OPEN_OK, next().op());
+        assertEquals(MethodType.CHANNEL_OPEN_OK, next().type());
         return this;
     }
 
@@ -87,7 +87,7 @@
     /** Reads until the peer closes, and returns the code of its close; 0 for none. */
     long awaitCloseCode() throws Exception {
         Method method = next();
-        while (method != null && method.op() != MethodType.CONNECTION_CLOSE) {
+        while (method != null && method.type() != MethodType.CONNECTION_CLOSE) {
             method = next();
         }
         return method == null ? 0 : method.number("reply-code");
