--- a/src/test/java/loftflow/fake/FakeBrokerTest.java
+++ b/src/test/java/loftflow/fake/FakeBrokerTest.java
@@ -106,7 +106,7 @@
                 (tag, multiple) -> told.add("ack " + tag + " " + multiple), (tag, multiple) -> told.add("nack " + tag));
         channel.basicPublish("", "nowhere", true, id("1"), bytes("x"));
         channel.waitForConfirms(5_000);
-        broker.script(id -> id.equals("2") ? Fate.CONFIRM_WITH_NEXT : id.equals("4") ? Fate.NACK : Fate.CONFIRM);
+        broker.fateOf(id -> id.equals("2") ? Fate.CONFIRM_WITH_NEXT : id.equals("4") ? Fate.NACK : Fate.CONFIRM);
         channel.basicPublish("", "q", id("2"), bytes("x"));
         channel.basicPublish("", "q", id("3"), bytes("x"));
         channel.basicPublish("", "q", id("4"), bytes("x"));
@@ -183,7 +183,7 @@
         broker.cut(new FakeBroker.Cut(() -> 300, () -> 0));
         assertThrows(IOException.class, () -> factory().newConnection());
         broker.cut(FakeBroker.Cut.NEVER);
-        broker.heartbeat(1);
+        broker.heartbeatSeconds(1);
         try (Connection beating = factory().newConnection()) {
             assertEquals(1, beating.getHeartbeat());
             Thread.sleep(3_500);
--- a/src/test/java/loftflow/interop/AmqpCampaign.java
+++ b/src/test/java/loftflow/interop/AmqpCampaign.java
@@ -326,7 +326,7 @@
                 case 0 -> Fate.CONFIRM_WITH_NEXT;
                 case 1 -> Fate.CONFIRM_AFTER_NEXT;
                 case 2 -> Fate.CONFIRM_LATE;
-                case 3 -> Fate.SILENT;
+                case 3 -> Fate.NO_CONFIRM;
                 case 4 -> Fate.NACK;
                 case 5 -> Fate.CLOSE_CHANNEL;
                 case 6 -> Fate.CLOSE_CONNECTION;
@@ -362,7 +362,7 @@
                     draws.add(drawn());
                 }
                 AtomicInteger at = new AtomicInteger();
-                broker.script(id -> id != null && id.startsWith("m") && !id.endsWith(".end")
+                broker.fateOf(id -> id != null && id.startsWith("m") && !id.endsWith(".end")
                         ? fates.merge(id, draws.get(at.getAndIncrement() % draws.size()), (a, b) -> b)
                         : Fate.CONFIRM);
                 Random cuts = new Random(seed);
@@ -501,8 +501,8 @@
                             + (rejected.contains(id) ? " and rejected" : ""));
                 }
             }
-            if (broker.waitsBroken() > 0) {
-                faults.add("run " + seed + ": waits broken " + broker.waitsBroken());
+            if (broker.publishesWhileBlocked() > 0) {
+                faults.add("run " + seed + ": waits broken " + broker.publishesWhileBlocked());
             }
             int publishes = (int) broker.postings().stream()
                     .filter(p -> p.id() != null && p.id().startsWith("m") && !p.id().endsWith(".end"))
@@ -517,7 +517,7 @@
                     twice,
                     endless,
                     contradicted,
-                    broker.waitsBroken(),
+                    broker.publishesWhileBlocked(),
                     faults);
         }
     }
--- a/src/test/java/loftflow/interop/ClosedChannelTest.java
+++ b/src/test/java/loftflow/interop/ClosedChannelTest.java
@@ -87,7 +87,7 @@
                     FakeClient client = relay.client()) {
                 // The first publish of each takes effect and closes its channel; later ones are confirmed.
                 java.util.Set<String> seen = java.util.concurrent.ConcurrentHashMap.newKeySet();
-                broker.script(id -> seen.add(id) ? Fate.CLOSE_CHANNEL : Fate.CONFIRM);
+                broker.fateOf(id -> seen.add(id) ? Fate.CLOSE_CHANNEL : Fate.CONFIRM);
                 for (String type : List.of("settlement", "car-order", "status-update")) {
                     await(() -> {
                         try {
--- a/src/test/java/loftflow/interop/Http2Campaign.java
+++ b/src/test/java/loftflow/interop/Http2Campaign.java
@@ -301,7 +301,7 @@
                             random.nextInt(3) > 0 ? Fate.CONFIRM : Fate.values()[random.nextInt(Fate.values().length)]);
                 }
                 Map<String, Fate> fates = new ConcurrentHashMap<>();
-                broker.script(id -> id == null
+                broker.fateOf(id -> id == null
                         ? Fate.CONFIRM
                         : fates.computeIfAbsent(id, i -> draws.get(Math.floorMod(i.hashCode(), draws.size()))));
                 return play(broker, scratch.folder());
--- a/src/test/java/loftflow/interop/OutboundSide.java
+++ b/src/test/java/loftflow/interop/OutboundSide.java
@@ -132,7 +132,7 @@
 
         @Override
         void silent() {
-            broker.be(FakeBroker.Fate.SILENT);
+            broker.be(FakeBroker.Fate.NO_CONFIRM);
         }
 
         @Override
@@ -154,7 +154,7 @@
 
         @Override
         int waitsBroken() {
-            return broker.waitsBroken();
+            return broker.publishesWhileBlocked();
         }
 
         @Override
--- a/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
+++ b/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
@@ -243,7 +243,7 @@
         assertEquals(1, broker.size("ends"));
         broker.block(false);
         await(() -> acknowledgedIds.equals(List.of("a", "b")));
-        assertEquals(0, broker.waitsBroken());
+        assertEquals(0, broker.publishesWhileBlocked());
     }
 
     @Test
--- a/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
+++ b/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
@@ -240,7 +240,7 @@
 
     @Test
     void multipleAndUnorderedConfirms() {
-        broker.script(id ->
+        broker.fateOf(id ->
                 id.equals("a") ? Fate.CONFIRM_WITH_NEXT : id.equals("c") ? Fate.CONFIRM_AFTER_NEXT : Fate.CONFIRM);
         send("a", "b", "c", "d");
         for (String id : List.of("a", "b", "c", "d")) {
@@ -250,7 +250,7 @@
 
     @Test
     void channelClosedBeforeTheConfirmLeavesAllUnknown() {
-        broker.script(id -> id.equals("b") ? Fate.CLOSE_CHANNEL : Fate.SILENT);
+        broker.fateOf(id -> id.equals("b") ? Fate.CLOSE_CHANNEL : Fate.NO_CONFIRM);
         send("a", "b", "c");
         for (String id : List.of("a", "b", "c")) {
             assertEquals(new Completion(AttemptOutcome.RESET, false, 0), completionOf(id), id);
@@ -300,7 +300,7 @@
 
     @Test
     void publishToAMissingExchangeNeverRanAndOthersAreUnknown() {
-        broker.script(id -> id.equals("b") ? Fate.NO_EXCHANGE : Fate.SILENT);
+        broker.fateOf(id -> id.equals("b") ? Fate.NO_EXCHANGE : Fate.NO_CONFIRM);
         send("a", "b");
         assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
         assertEquals(AttemptOutcome.NOT_SENT, outcomeOf("b"));
@@ -327,7 +327,7 @@
         });
         send("c");
         assertEquals(AttemptOutcome.OK, outcomeOf("c"));
-        assertEquals(0, broker.waitsBroken());
+        assertEquals(0, broker.publishesWhileBlocked());
         assertEquals(Set.of("a", "c"), broker.effects().keySet());
     }
 
@@ -361,7 +361,7 @@
 
     @Test
     void confirmForAnUnknownTagProvesNothing() {
-        broker.be(Fate.SILENT);
+        broker.be(Fate.NO_CONFIRM);
         send("a");
         awaitPosted("a");
         broker.say(1, Method.of(MethodType.BASIC_ACK, 99L, false));
@@ -370,7 +370,7 @@
 
     @Test
     void confirmOnAnotherChannelProvesNothing() {
-        broker.be(Fate.SILENT);
+        broker.be(Fate.NO_CONFIRM);
         send("a");
         awaitPosted("a");
         broker.say(2, Method.of(MethodType.BASIC_ACK, 1L, false));
@@ -389,7 +389,7 @@
 
     @Test
     void cancelledPublishMayHaveRun() throws Exception {
-        broker.be(Fate.SILENT);
+        broker.be(Fate.NO_CONFIRM);
         Message message = new Message(
                 1,
                 new Message.Content(
@@ -421,8 +421,8 @@
 
     @Test
     void lostHeartbeatLeavesUnconfirmedPublishesUnknown() {
-        broker.heartbeat(1);
-        broker.be(Fate.SILENT);
+        broker.heartbeatSeconds(1);
+        broker.be(Fate.NO_CONFIRM);
         send("a");
         awaitPosted("a");
         broker.freeze(4_000);
@@ -431,7 +431,7 @@
 
     @Test
     void brokerRestartedWithoutState() throws Exception {
-        broker.be(Fate.SILENT);
+        broker.be(Fate.NO_CONFIRM);
         send("a");
         awaitPosted("a");
         broker.shut();
