--- a/src/main/java/loftflow/config/Config.java
+++ b/src/main/java/loftflow/config/Config.java
@@ -52,7 +52,7 @@
         DeadLetterOptions deadLetters,
         Amqp amqp,
         Http2 http2,
-        WarmStartOptions warmStart,
+        WarmStartConfig warmStart,
         byte[] sourceBytes) {
 
     /**
@@ -67,7 +67,7 @@
      * @param waitMarginMicros added to a Retry-After that outlasts a restart
      * @param isSyncedToDisk whether a snapshot counts as saved only once it is synced to the disk
      */
-    public record WarmStartOptions(
+    public record WarmStartConfig(
             String owner,
             long limitBytes,
             long writeBytesPerSecond,
@@ -246,7 +246,7 @@
     }
 
     /** The same configuration with a warm start. */
-    Config withWarmStart(WarmStartOptions enabledWarmStart) {
+    Config withWarmStart(WarmStartConfig enabledWarmStart) {
         return new Config(
                 listenAddresses,
                 discoveryAddress,
--- a/src/main/java/loftflow/config/PlatformConfigReader.java
+++ b/src/main/java/loftflow/config/PlatformConfigReader.java
@@ -197,13 +197,13 @@
         return (int) Math.min(sockets, Integer.MAX_VALUE);
     }
 
-    private static Config.WarmStartOptions warmStart(JsonFields json, Config config) {
+    private static Config.WarmStartConfig warmStart(JsonFields json, Config config) {
         double diskShare = json.number(WarmStartMember.DISK_SHARE);
         if (!(diskShare > 0 && diskShare <= MAX_WARM_START_DISK_SHARE)) {
             throw new IllegalArgumentException(WarmStartMember.DISK_SHARE + ": from 0 to " + MAX_WARM_START_DISK_SHARE
                     + ": the journal may need the rest");
         }
-        return new Config.WarmStartOptions(
+        return new Config.WarmStartConfig(
                 "platform#" + config.settings().relayIndex(),
                 (long) (config.diskBytes() * diskShare),
                 atLeast(json, WarmStartMember.WRITE_RATE, 1, json.wholeNumber(WarmStartMember.WRITE_RATE)),
--- a/src/main/java/loftflow/config/tool/PlatformFile.java
+++ b/src/main/java/loftflow/config/tool/PlatformFile.java
@@ -30,7 +30,7 @@
  */
 final class PlatformFile {
     /** SIGKILL comes no sooner after SIGTERM (DEPLOY). */
-    private static final long STOP_TIME = 3_700_000;
+    private static final long EARLIEST_KILL_MICROS = 3_700_000;
 
     private final String file;
     private final Map<String, JsonLocation> places = new HashMap<>();
@@ -107,11 +107,11 @@
                             + PlatformSettingsProtocol.MAX_CONCURRENT_CALLS + " = " + limits.maxConcurrentCalls()
                             + "; calls will wait for one another");
         }
-        if (settings.rules().drainGraceMicros() >= STOP_TIME) {
+        if (settings.rules().drainGraceMicros() >= EARLIEST_KILL_MICROS) {
             warn(
                     "settings.contract.drain-grace-s",
-                    Units.ofSpan(settings.rules().drainGraceMicros()) + " is no shorter than " + Units.ofSpan(STOP_TIME)
-                            + ", after which a stopped relay may be killed");
+                    Units.ofSpan(settings.rules().drainGraceMicros()) + " is no shorter than "
+                            + Units.ofSpan(EARLIEST_KILL_MICROS) + ", after which a stopped relay may be killed");
         }
         for (int i = 0; i < settings.classes().size(); i++) {
             RequestClass type = settings.classes().get(i);
--- a/src/main/java/loftflow/config/tool/RelayFile.java
+++ b/src/main/java/loftflow/config/tool/RelayFile.java
@@ -254,11 +254,11 @@
                                         Declaration.MessageClass::name, Declaration.MessageClass::shelfLife)));
     }
 
-    private static Config.WarmStartOptions memory(Declaration declared) {
+    private static Config.WarmStartConfig memory(Declaration declared) {
         Declaration.Memory m = declared.memory();
         return !m.keep()
                 ? null
-                : new Config.WarmStartOptions(
+                : new Config.WarmStartConfig(
                         declared.name() + "#" + declared.fleet().number(),
                         m.limit(),
                         m.rate(),
--- a/src/main/java/loftflow/engine/DeliveryRound.java
+++ b/src/main/java/loftflow/engine/DeliveryRound.java
@@ -35,6 +35,10 @@
         this.actions = actions;
     }
 
+    /**
+     * Runs one round. While the relay quiesces, the policy does not run and its events are dropped: outcomes are
+     * journaled as they arrive, and the next process resumes from the journal.
+     */
     void run() {
         long nowMicros = context.nowMicros();
         List<PolicyEvent> pendingEvents = events.drain();
--- a/src/main/java/loftflow/engine/UpstreamClient.java
+++ b/src/main/java/loftflow/engine/UpstreamClient.java
@@ -17,13 +17,13 @@
         /**
          * An attempt ended.
          *
-         * @param isFinal the upstream needs nothing more for its message
+         * @param messageClosed the upstream needs nothing more for its message
          * @param retryAfterMicros how long the upstream requested to be sent nothing; 0 where it did not
          */
         void onAttemptCompleted(
                 Message.Attempt attempt,
                 AttemptOutcome outcome,
-                boolean isFinal,
+                boolean messageClosed,
                 long retryAfterMicros,
                 LimitReport limitReport);
 
--- a/src/main/java/loftflow/policy/CallEvaluator.java
+++ b/src/main/java/loftflow/policy/CallEvaluator.java
@@ -6,18 +6,20 @@
 /**
  * What does the outcome of a call say of its route and its group? Errors, connection failures and timeouts count as
  * failures of the circuit; a rejection cuts the send rate instead, unless the destination rejects for so long that it
- * must be closed to all. Times are microseconds.
+ * must be unavailable to all. Times are microseconds.
  */
 final class CallEvaluator {
-    /** A Retry-After longer than the window in which a destination counts calls means that it is closed to all. */
-    private static final long CLOSED_RETRY_AFTER_MICROS = 2_500_000;
+    /**
+     * A Retry-After longer than any window in which destinations count calls: the destination is unavailable to all.
+     */
+    private static final long UNAVAILABLE_RETRY_AFTER_MICROS = 2_500_000;
 
     /** Rejections without a served call for this long mean the same. */
-    private static final long CLOSED_AFTER_REJECTIONS_MICROS = 1_000_000;
+    private static final long UNAVAILABLE_AFTER_REJECTIONS_MICROS = 1_000_000;
 
     private final RoundContext context;
     private final ResponseTimes responseTimes;
-    private final LimitEstimator limits;
+    private final KnownLimits limits;
     private final RecoveryRamp ramp;
     private final CircuitBreaker circuitBreaker;
     private final SendRateLimiter rateLimiter;
@@ -26,7 +28,7 @@
     CallEvaluator(
             RoundContext context,
             ResponseTimes responseTimes,
-            LimitEstimator limits,
+            KnownLimits limits,
             RecoveryRamp ramp,
             CircuitBreaker circuitBreaker,
             SendRateLimiter rateLimiter,
@@ -103,8 +105,8 @@
         Route route = call.route;
         LimitGroup group = route.group;
         countRejection(group, report);
-        boolean closedToAll = isClosedToAll(group, retryAfterMicros, report);
-        if (closedToAll || !group.circuit.isClosed()) {
+        boolean unavailable = isUnavailable(group, retryAfterMicros, report);
+        if (unavailable || !group.circuit.isClosed()) {
             circuitBreaker.open(group.circuit, group, retryAfterMicros);
         }
         if (call.isProbe && !route.circuit.isClosed()) {
@@ -115,8 +117,7 @@
     }
 
     private void countRejection(LimitGroup group, LimitReport report) {
-        // A fleet that exceeds a limit sees nothing but rejections too; that does not mean closed while the limit is
-        // used up.
+        // A fleet that exceeds a limit sees nothing but rejections too, though the destination is available.
         boolean limitUsedUp =
                 limits.limitPerSecond(group) > 0 && report.remainingShare() < SendRateLimiter.SCARCE_REMAINING_SHARE;
         if (limitUsedUp && rateLimiter.exceedsFairShare(group)) {
@@ -128,13 +129,13 @@
         group.consecutiveRejections++;
     }
 
-    /** A destination that is closed to all rejects like one above its limit, but returns cold. */
-    private boolean isClosedToAll(LimitGroup group, long retryAfterMicros, LimitReport report) {
+    /** A destination that is unavailable to all rejects like one above its limit, but recovers cold. */
+    private boolean isUnavailable(LimitGroup group, long retryAfterMicros, LimitReport report) {
         // With limit left, a rejection is suspicious; a single one proves nothing, as reports are some 100 ms old.
         boolean limitLeft = context.isLargeFleet() && report.remainingShare() >= SendRateLimiter.SCARCE_REMAINING_SHARE;
         int enough = limitLeft ? CircuitBreaker.FAILURES_TO_OPEN - 1 : CircuitBreaker.FAILURES_TO_OPEN;
-        return retryAfterMicros > CLOSED_RETRY_AFTER_MICROS
+        return retryAfterMicros > UNAVAILABLE_RETRY_AFTER_MICROS
                 || group.consecutiveRejections >= enough
-                        && context.now() - group.rejectedSinceMicros >= CLOSED_AFTER_REJECTIONS_MICROS;
+                        && context.now() - group.rejectedSinceMicros >= UNAVAILABLE_AFTER_REJECTIONS_MICROS;
     }
 }
--- a/src/main/java/loftflow/policy/CallSender.java
+++ b/src/main/java/loftflow/policy/CallSender.java
@@ -8,7 +8,7 @@
  */
 final class CallSender {
     private final RoundContext context;
-    private final MessageTable messages;
+    private final PendingMessages messages;
     private final KeyOrder keyOrder;
     private final RetryPolicy retryPolicy;
     private final AttemptTimeouts timeouts;
@@ -18,7 +18,7 @@
 
     CallSender(
             RoundContext context,
-            MessageTable messages,
+            PendingMessages messages,
             KeyOrder keyOrder,
             RetryPolicy retryPolicy,
             AttemptTimeouts timeouts,
--- a/src/main/java/loftflow/policy/DefaultDeliveryPolicy.java
+++ b/src/main/java/loftflow/policy/DefaultDeliveryPolicy.java
@@ -32,7 +32,7 @@
     private final RoundContext context;
     private final EndpointRegistry endpoints;
     private final KeyOrder keyOrder;
-    private final MessageTable messages;
+    private final PendingMessages messages;
     private final MessageCompleter completer;
     private final LoadShedder loadShedder;
     private final OutcomeProcessor outcomes;
@@ -51,8 +51,8 @@
         RouteScorer scorer = new RouteScorer(context, responseTimes);
         endpoints = new EndpointRegistry(context, scorer);
         keyOrder = new KeyOrder(context);
-        messages = new MessageTable(context, endpoints, keyOrder);
-        LimitEstimator limits = new LimitEstimator(context);
+        messages = new PendingMessages(context, endpoints, keyOrder);
+        KnownLimits limits = new KnownLimits(context);
         RecoveryRamp ramp = new RecoveryRamp(context, limits);
         OutlierDetector outliers = new OutlierDetector(context, responseTimes);
         CircuitBreaker circuitBreaker = new CircuitBreaker(context, ramp, outliers);
@@ -62,7 +62,7 @@
         coordinator = new SendPermitCoordinator(context, peers, limits, ramp, rateLimiter, permits);
         peers.receiveBy(this::onPeerMessage);
         ConcurrencyLimiter concurrency = new ConcurrencyLimiter(context, outliers);
-        RouteAvailability availability = new RouteAvailability(context, circuitBreaker, outliers, permits, concurrency);
+        RouteAvailability availability = new RouteAvailability(context, rateLimiter, outliers, permits, concurrency);
         RetryPolicy retryPolicy = new RetryPolicy(context);
         MessageValue values = new MessageValue(context, responseTimes);
         completer = new MessageCompleter(context, messages, retryPolicy, availability);
@@ -85,6 +85,7 @@
                 values,
                 responseTimes,
                 retryPolicy,
+                circuitBreaker,
                 availability,
                 selector,
                 concurrency,
@@ -151,8 +152,8 @@
     }
 
     /**
-     * Attempts of before a restart count on; one without a known outcome may have executed and is not answered any
-     * more.
+     * Attempts of before a restart count on. One without a known outcome counts as a reset, which may have executed.
+     * Where its route is not listed, a keyed message is allowed nowhere and waits until its deadline.
      */
     private void resume(MessageResumed event) {
         PendingMessage message = messages.add(event.message());
--- a/src/main/java/loftflow/policy/Dispatcher.java
+++ b/src/main/java/loftflow/policy/Dispatcher.java
@@ -21,11 +21,12 @@
 
     private final RoundContext context;
     private final EndpointRegistry endpoints;
-    private final MessageTable messages;
+    private final PendingMessages messages;
     private final KeyOrder keyOrder;
     private final MessageValue values;
     private final ResponseTimes responseTimes;
     private final RetryPolicy retryPolicy;
+    private final CircuitBreaker circuitBreaker;
     private final RouteAvailability availability;
     private final RouteSelector selector;
     private final ConcurrencyLimiter concurrency;
@@ -37,11 +38,12 @@
     Dispatcher(
             RoundContext context,
             EndpointRegistry endpoints,
-            MessageTable messages,
+            PendingMessages messages,
             KeyOrder keyOrder,
             MessageValue values,
             ResponseTimes responseTimes,
             RetryPolicy retryPolicy,
+            CircuitBreaker circuitBreaker,
             RouteAvailability availability,
             RouteSelector selector,
             ConcurrencyLimiter concurrency,
@@ -56,6 +58,7 @@
         this.values = values;
         this.responseTimes = responseTimes;
         this.retryPolicy = retryPolicy;
+        this.circuitBreaker = circuitBreaker;
         this.availability = availability;
         this.selector = selector;
         this.concurrency = concurrency;
@@ -89,6 +92,7 @@
         if (destination.waitingMessages.isEmpty()) {
             return;
         }
+        destination.routes.values().forEach(circuitBreaker::openIfUnresponsive);
         List<Route> usable = new ArrayList<>(destination.routes.values());
         usable.removeIf(route -> !availability.isUsable(route));
         if (usable.isEmpty()) {
--- a/src/main/java/loftflow/policy/LimitEstimator.java
+++ b/src/main/java/loftflow/policy/KnownLimits.java
@@ -4,13 +4,13 @@
  * How many calls a second does a group take from all relays together? The limit that the destination reported, else the
  * one that discovery lists, as far as the settings trust it; 0 where neither is known.
  */
-final class LimitEstimator {
+final class KnownLimits {
     /** A rough listed rate may be too high by up to this factor. */
     private static final double ROUGH_RATE_DIVISOR = 1.5;
 
     private final RoundContext context;
 
-    LimitEstimator(RoundContext context) {
+    KnownLimits(RoundContext context) {
         this.context = context;
     }
 
--- a/src/main/java/loftflow/policy/LimitGroup.java
+++ b/src/main/java/loftflow/policy/LimitGroup.java
@@ -30,7 +30,9 @@
     double reportedLimitPerSecond;
 
     // Recovery, see RecoveryRamp.
-    /** This relay's calls a second before the latest outage. */
+    /**
+     * This relay's calls a second before the latest outage or restart; 0 where neither occurred, or the limit is known.
+     */
     double usualRatePerSecond;
 
     long recoveredAtMicros = Long.MIN_VALUE / 2;
--- a/src/main/java/loftflow/policy/LoadShedder.java
+++ b/src/main/java/loftflow/policy/LoadShedder.java
@@ -9,14 +9,14 @@
  */
 final class LoadShedder {
     private final RoundContext context;
-    private final MessageTable messages;
+    private final PendingMessages messages;
     private final MessageValue values;
     private final RetryPolicy retryPolicy;
     private final MessageCompleter completer;
 
     LoadShedder(
             RoundContext context,
-            MessageTable messages,
+            PendingMessages messages,
             MessageValue values,
             RetryPolicy retryPolicy,
             MessageCompleter completer) {
--- a/src/main/java/loftflow/policy/MessageCompleter.java
+++ b/src/main/java/loftflow/policy/MessageCompleter.java
@@ -9,12 +9,12 @@
     private static final long MIN_RETRY_AFTER_MICROS = RoundContext.MICROS_PER_SECOND / 2;
 
     private final RoundContext context;
-    private final MessageTable messages;
+    private final PendingMessages messages;
     private final RetryPolicy retryPolicy;
     private final RouteAvailability availability;
 
     MessageCompleter(
-            RoundContext context, MessageTable messages, RetryPolicy retryPolicy, RouteAvailability availability) {
+            RoundContext context, PendingMessages messages, RetryPolicy retryPolicy, RouteAvailability availability) {
         this.context = context;
         this.messages = messages;
         this.retryPolicy = retryPolicy;
--- a/src/main/java/loftflow/policy/OutcomeProcessor.java
+++ b/src/main/java/loftflow/policy/OutcomeProcessor.java
@@ -11,7 +11,7 @@
 final class OutcomeProcessor {
     private final RoundContext context;
     private final EndpointRegistry endpoints;
-    private final MessageTable messages;
+    private final PendingMessages messages;
     private final KeyOrder keyOrder;
     private final ConcurrencyLimiter concurrency;
     private final AttemptTimeouts timeouts;
@@ -21,7 +21,7 @@
     OutcomeProcessor(
             RoundContext context,
             EndpointRegistry endpoints,
-            MessageTable messages,
+            PendingMessages messages,
             KeyOrder keyOrder,
             ConcurrencyLimiter concurrency,
             AttemptTimeouts timeouts,
@@ -55,7 +55,7 @@
         keyOrder.pauseAfter(message, event.outcome());
         if (message.isFinished) {
             messages.forgetIfSettled(message);
-        } else if (event.closed()) {
+        } else if (event.messageClosed()) {
             messages.finish(message);
         } else if (message.attemptsInFlight == 0) {
             completer.retryOrEnd(message);
--- a/src/main/java/loftflow/policy/MessageTable.java
+++ b/src/main/java/loftflow/policy/PendingMessages.java
@@ -16,7 +16,7 @@
  * waits, or has attempts in flight, or is finished; a finished one is forgotten once no attempt is in flight and its
  * completion is acknowledged. Holds no decision.
  */
-final class MessageTable {
+final class PendingMessages {
     private final RoundContext context;
     private final EndpointRegistry endpoints;
     private final KeyOrder keyOrder;
@@ -30,7 +30,7 @@
 
     private int openCount;
 
-    MessageTable(RoundContext context, EndpointRegistry endpoints, KeyOrder keyOrder) {
+    PendingMessages(RoundContext context, EndpointRegistry endpoints, KeyOrder keyOrder) {
         this.context = context;
         this.endpoints = endpoints;
         this.keyOrder = keyOrder;
--- a/src/main/java/loftflow/policy/RecoveryRamp.java
+++ b/src/main/java/loftflow/policy/RecoveryRamp.java
@@ -14,9 +14,9 @@
     private static final double MIN_FLEET_RATE_PER_SECOND = 0.75;
 
     private final RoundContext context;
-    private final LimitEstimator limits;
+    private final KnownLimits limits;
 
-    RecoveryRamp(RoundContext context, LimitEstimator limits) {
+    RecoveryRamp(RoundContext context, KnownLimits limits) {
         this.context = context;
         this.limits = limits;
     }
--- a/src/main/java/loftflow/policy/RetryPolicy.java
+++ b/src/main/java/loftflow/policy/RetryPolicy.java
@@ -17,7 +17,10 @@
         this.context = context;
     }
 
-    /** True where a message without an attempt in flight may be attempted again at some route. */
+    /**
+     * True where a message without an attempt in flight may be attempted again. Says nothing of routes: a message that
+     * is allowed at none, such as a keyed one whose window has passed, waits until its deadline.
+     */
     boolean mayRetry(PendingMessage message) {
         boolean attemptsExhausted =
                 message.attempts.size() >= context.settings().limits().maxAttempts();
--- a/src/main/java/loftflow/policy/RoundContext.java
+++ b/src/main/java/loftflow/policy/RoundContext.java
@@ -11,6 +11,9 @@
 final class RoundContext {
     static final long MICROS_PER_SECOND = 1_000_000;
 
+    /** In a larger fleet a relay sends each destination too little to learn its limit from its own calls. */
+    private static final int MAX_SMALL_FLEET = 12;
+
     /** How many relays are taken to be sending at once when a limit that none of them knows is first exceeded. */
     static final double ASSUMED_SENDERS = 12;
 
@@ -53,7 +56,7 @@
 
     /** True where the fleet is so large that one relay's own calls reveal little of a destination's limit. */
     boolean isLargeFleet() {
-        return settings.fleetSize() > ASSUMED_SENDERS;
+        return settings.fleetSize() > MAX_SMALL_FLEET;
     }
 
     /** A random number from 0 (inclusive) to 1 (exclusive). */
--- a/src/main/java/loftflow/policy/RouteAvailability.java
+++ b/src/main/java/loftflow/policy/RouteAvailability.java
@@ -7,30 +7,30 @@
  */
 final class RouteAvailability {
     private final RoundContext context;
-    private final CircuitBreaker circuitBreaker;
+    private final SendRateLimiter rateLimiter;
     private final OutlierDetector outliers;
     private final SendPermits permits;
     private final ConcurrencyLimiter concurrency;
 
     RouteAvailability(
             RoundContext context,
-            CircuitBreaker circuitBreaker,
+            SendRateLimiter rateLimiter,
             OutlierDetector outliers,
             SendPermits permits,
             ConcurrencyLimiter concurrency) {
         this.context = context;
-        this.circuitBreaker = circuitBreaker;
+        this.rateLimiter = rateLimiter;
         this.outliers = outliers;
         this.permits = permits;
         this.concurrency = concurrency;
     }
 
-    /** True where a message may be sent to the route now; opens its circuit first where it is unresponsive. */
+    /** True where a message may be sent to the route now. */
     boolean isUsable(Route route) {
         LimitGroup group = route.group;
-        circuitBreaker.openIfUnresponsive(route);
         return route.listed
                 && context.now() >= group.retryNotBeforeMicros
+                && rateLimiter.isDue(group)
                 && permits.maySend(group)
                 && route.circuit.isClosed()
                 && group.circuit.isClosed()
--- a/src/main/java/loftflow/policy/SendPermitCoordinator.java
+++ b/src/main/java/loftflow/policy/SendPermitCoordinator.java
@@ -11,7 +11,7 @@
  */
 final class SendPermitCoordinator {
     /** Gentle, as the coordinator receives the rejections of all relays. */
-    private static final double REJECTION_CUT = 0.8;
+    private static final double RATE_FACTOR_AFTER_REJECTION = 0.8;
 
     /** A rough listed rate may be too low by up to this factor. */
     private static final double MAX_RATE_FACTOR = 2;
@@ -24,7 +24,7 @@
 
     private final RoundContext context;
     private final PeerChannel peers;
-    private final LimitEstimator limits;
+    private final KnownLimits limits;
     private final RecoveryRamp ramp;
     private final SendRateLimiter rateLimiter;
     private final SendPermits permits;
@@ -34,7 +34,7 @@
     SendPermitCoordinator(
             RoundContext context,
             PeerChannel peers,
-            LimitEstimator limits,
+            KnownLimits limits,
             RecoveryRamp ramp,
             SendRateLimiter rateLimiter,
             SendPermits permits) {
@@ -61,7 +61,7 @@
         }
         if (observation == PeerMessageType.REJECTED
                 && context.now() - ledger.lastCutAtMicros >= SendRateLimiter.MIN_CUT_INTERVAL_MICROS) {
-            ledger.rateFactor *= REJECTION_CUT;
+            ledger.rateFactor *= RATE_FACTOR_AFTER_REJECTION;
             ledger.lastCutAtMicros = context.now();
         }
         ledger.requesters.add(relay);
@@ -107,7 +107,7 @@
     private double permitRatePerSecond(LimitGroup group) {
         PermitLedger ledger = group.permitLedger;
         double known = limits.limitPerSecond(group);
-        double limit = known == 0 ? SendRateLimiter.MIN_FLEET_RATE_PER_SECOND : known;
+        double limit = known == 0 ? SendRateLimiter.ASSUMED_FLEET_LIMIT_PER_SECOND : known;
         double grown = ledger.rateFactor * rateLimiter.growthSince(ledger.lastGrowthAtMicros);
         ledger.rateFactor = Math.min(MAX_RATE_FACTOR, grown);
         ledger.lastGrowthAtMicros = context.now();
--- a/src/main/java/loftflow/policy/SendPermits.java
+++ b/src/main/java/loftflow/policy/SendPermits.java
@@ -4,7 +4,8 @@
  * May this relay send to a group that its peers share with it? Where relays may exchange messages, a group that is
  * congested or fails is put under permits: each relay reports what it observes to the group's coordinator, which all
  * relays derive from the group's id, and sends once it holds a permit. A lost message or a dead coordinator costs
- * {@link #PERMIT_TIMEOUT_MICROS}; after that the relay falls back to its own rate limit. Times are microseconds.
+ * {@link #PERMIT_TIMEOUT_MICROS}; after that the relay falls back to its own rate limit. Relays on sockets exchange no
+ * messages, so permits take effect in the simulator alone. Times are microseconds.
  */
 final class SendPermits {
     /** How long a congestion notice makes every relay require permits. */
@@ -23,13 +24,12 @@
         this.peers = peers;
     }
 
-    /** Within the rate limit and, while permits are required, with a permit or after its timeout. */
+    /** True where no permit is required, this relay holds one, or the permit that it requested has timed out. */
     boolean maySend(LimitGroup group) {
         long now = context.now();
-        return now >= group.nextSendAtMicros
-                && (now >= group.permitsRequiredUntilMicros
-                        || now < group.permitValidUntilMicros
-                        || group.permitRequested && !isAwaited(group));
+        return now >= group.permitsRequiredUntilMicros
+                || now < group.permitValidUntilMicros
+                || group.permitRequested && !isAwaited(group);
     }
 
     private boolean isAwaited(LimitGroup group) {
--- a/src/main/java/loftflow/policy/SendRateLimiter.java
+++ b/src/main/java/loftflow/policy/SendRateLimiter.java
@@ -1,14 +1,15 @@
 package loftflow.policy;
 
 /**
- * How fast may this relay send to a limit group? No limit applies until the group rejects a call. Then the rate is cut
- * to this relay's share of the group's limit, or, where the limit is unknown, to what was served, and grows again with
- * every served call. Where destinations report how much of their limit is left, that report steers growth and cuts
- * instead. Rates are calls a second of this relay.
+ * How fast may this relay send to a limit group? No limit applies until the group rejects a call. Then the rate is cut,
+ * to this relay's share of a burst or to half of what was served, and is halved by later rejections. It grows by a
+ * tenth a second while calls are served; after a first cut without a known limit it is doubled until the next
+ * rejection, to probe for capacity. Where destinations report how much of their limit is left, a large fleet lets that
+ * report steer growth and cuts. Rates are calls a second of this relay.
  */
 final class SendRateLimiter {
     /** Assumed for all relays together where no limit is known. */
-    static final double MIN_FLEET_RATE_PER_SECOND = 3;
+    static final double ASSUMED_FLEET_LIMIT_PER_SECOND = 3;
 
     /** Less than this share of the limit left: it is used up faster than it is replenished. */
     static final double SCARCE_REMAINING_SHARE = 0.5;
@@ -22,27 +23,38 @@
     /** Growth in a second where a report says that all of the limit is left. */
     private static final double REPORTED_GROWTH_PER_SECOND = 0.3;
 
+    /** Growth while probing for capacity, over {@link #PROBING_GROWTH_INTERVAL_MICROS} at the least. */
+    private static final double PROBING_GROWTH_FACTOR = 2;
+
+    private static final long PROBING_GROWTH_INTERVAL_MICROS = 500_000;
+
     /** One served call accounts for no more growth than that of this time. */
     private static final long MAX_GROWTH_WINDOW_MICROS = 5_000_000;
 
-    private static final double REJECTION_CUT = 0.5;
+    /** The rate is multiplied by this after a rejection. */
+    private static final double RATE_FACTOR_AFTER_REJECTION = 0.5;
 
-    /** Gentler than after a rejection, as none has occurred yet. */
-    private static final double SCARCITY_CUT = 0.9;
+    /** The rate is multiplied by this while the limit is scarce; gentler, as no rejection has occurred yet. */
+    private static final double RATE_FACTOR_WHEN_SCARCE = 0.9;
 
     /** Rounds are no longer than this where the relay has CPU time. */
     private static final long MAX_ROUND_MICROS = 10_000;
 
     private final RoundContext context;
-    private final LimitEstimator limits;
+    private final KnownLimits limits;
     private final RecoveryRamp ramp;
 
-    SendRateLimiter(RoundContext context, LimitEstimator limits, RecoveryRamp ramp) {
+    SendRateLimiter(RoundContext context, KnownLimits limits, RecoveryRamp ramp) {
         this.context = context;
         this.limits = limits;
         this.ramp = ramp;
     }
 
+    /** True where the rate lets a call leave now. */
+    boolean isDue(LimitGroup group) {
+        return context.now() >= group.nextSendAtMicros;
+    }
+
     /** A call leaves now: the next one is due an interval later; a slow round may catch up what it missed. */
     void onSent(LimitGroup group) {
         long earliest = Math.max(group.nextSendAtMicros, context.now() - MAX_ROUND_MICROS);
@@ -77,7 +89,8 @@
             growAsReported(group, remainingShare);
         } else if (group.probingForCapacity) {
             long sinceGrowth = context.now() - group.lastGrowthAtMicros;
-            group.sendRatePerSecond *= Math.pow(2, Math.min(1, sinceGrowth / (double) MIN_CUT_INTERVAL_MICROS));
+            group.sendRatePerSecond *=
+                    Math.pow(PROBING_GROWTH_FACTOR, Math.min(1, sinceGrowth / (double) PROBING_GROWTH_INTERVAL_MICROS));
         } else {
             group.sendRatePerSecond *= growthSince(group.lastGrowthAtMicros);
         }
@@ -92,7 +105,7 @@
             group.lastCutAtMicros = context.now();
             double sent = group.sentCalls.extrapolatedRatePerSecond(context.now());
             group.sendRatePerSecond =
-                    Math.max(fairShare(group), Math.min(group.sendRatePerSecond, sent) * SCARCITY_CUT);
+                    Math.max(fairShare(group), Math.min(group.sendRatePerSecond, sent) * RATE_FACTOR_WHEN_SCARCE);
         }
     }
 
@@ -121,26 +134,31 @@
         group.nextSendAtMicros = Math.max(group.nextSendAtMicros, earliest + context.withJitter(interval));
     }
 
-    /**
-     * Cuts to a share that lets a relay with a burst send it, as few relays have one at a time. Where the limit is
-     * known, a rate above what this relay really sends is first cut to that, or many cuts would change nothing.
-     */
+    /** The first cut of an unlimited rate starts from what the group may take; later ones halve the rate. */
     private void cut(LimitGroup group) {
         group.lastCutAtMicros = context.now();
         group.lastGrowthAtMicros = context.now();
+        boolean unlimited = group.sendRatePerSecond == Double.POSITIVE_INFINITY;
+        group.probingForCapacity = unlimited && limits.limitPerSecond(group) == 0;
+        group.sendRatePerSecond = unlimited
+                ? rateAfterFirstRejection(group)
+                : Math.max(fairShare(group), group.sendRatePerSecond * RATE_FACTOR_AFTER_REJECTION);
+    }
+
+    /**
+     * A share that lets a relay with a burst send it, as few relays have one at a time, or half of what was served
+     * lately, whichever is higher. Where the limit is known, the share is held to half of what this relay really sends,
+     * or the cut might change nothing.
+     */
+    private double rateAfterFirstRejection(LimitGroup group) {
         int fleetSize = context.settings().fleetSize();
         double senders = Math.min(RoundContext.ASSUMED_SENDERS, fleetSize);
         double burstShare = fairShare(group) * fleetSize / senders;
-        double limit = limits.limitPerSecond(group);
-        if (limit > 0) {
+        if (limits.limitPerSecond(group) > 0) {
             double sent = group.sentCalls.extrapolatedRatePerSecond(context.now());
-            burstShare = Math.max(fairShare(group), Math.min(burstShare, sent * REJECTION_CUT));
+            burstShare = Math.max(fairShare(group), Math.min(burstShare, sent * RATE_FACTOR_AFTER_REJECTION));
         }
-        boolean unlimited = group.sendRatePerSecond == Double.POSITIVE_INFINITY;
-        group.probingForCapacity = limit == 0 && unlimited;
-        group.sendRatePerSecond = unlimited
-                ? Math.max(burstShare, group.servedCalls.ratePerSecond(context.now()) / 2)
-                : Math.max(fairShare(group), group.sendRatePerSecond * REJECTION_CUT);
+        return Math.max(burstShare, group.servedCalls.ratePerSecond(context.now()) / 2);
     }
 
     /**
@@ -157,7 +175,7 @@
      */
     private double fairShare(LimitGroup group) {
         double limit = limits.limitPerSecond(group);
-        double equalShare = (limit > 0 ? limit : MIN_FLEET_RATE_PER_SECOND)
+        double equalShare = (limit > 0 ? limit : ASSUMED_FLEET_LIMIT_PER_SECOND)
                 / context.settings().fleetSize();
         if (!context.isLargeFleet() || limit == 0) {
             return equalShare;
--- a/src/main/java/loftflow/policy/WakeUpTimer.java
+++ b/src/main/java/loftflow/policy/WakeUpTimer.java
@@ -9,7 +9,7 @@
 
     private final RoundContext context;
     private final EndpointRegistry endpoints;
-    private final MessageTable messages;
+    private final PendingMessages messages;
     private final RouteAvailability availability;
     private final ConcurrencyLimiter concurrency;
     private final SendPermitCoordinator coordinator;
@@ -19,7 +19,7 @@
     WakeUpTimer(
             RoundContext context,
             EndpointRegistry endpoints,
-            MessageTable messages,
+            PendingMessages messages,
             RouteAvailability availability,
             ConcurrencyLimiter concurrency,
             SendPermitCoordinator coordinator) {
--- a/src/main/java/loftflow/policy/WarmStart.java
+++ b/src/main/java/loftflow/policy/WarmStart.java
@@ -17,10 +17,10 @@
 
     private final RoundContext context;
     private final EndpointRegistry endpoints;
-    private final LimitEstimator limits;
+    private final KnownLimits limits;
     private final CircuitBreaker circuitBreaker;
 
-    WarmStart(RoundContext context, EndpointRegistry endpoints, LimitEstimator limits, CircuitBreaker circuitBreaker) {
+    WarmStart(RoundContext context, EndpointRegistry endpoints, KnownLimits limits, CircuitBreaker circuitBreaker) {
         this.context = context;
         this.endpoints = endpoints;
         this.limits = limits;
@@ -66,7 +66,7 @@
         group.usualRatePerSecond = limit > 0 ? 0 : Math.max(group.usualRatePerSecond, snapshot.usualRatePerSecond());
         double minRate = limit > 0
                 ? limit / fleetSize
-                : SendRateLimiter.MIN_FLEET_RATE_PER_SECOND / Math.min(RoundContext.ASSUMED_SENDERS, fleetSize);
+                : SendRateLimiter.ASSUMED_FLEET_LIMIT_PER_SECOND / Math.min(RoundContext.ASSUMED_SENDERS, fleetSize);
         double rate =
                 Math.max(minRate, snapshot.usualRatePerSecond()) * (1 - START_JITTER_SHARE * context.nextRandom());
         group.sendRatePerSecond = Math.min(group.sendRatePerSecond, rate);
--- a/src/main/java/loftflow/policy/api/AttemptCompleted.java
+++ b/src/main/java/loftflow/policy/api/AttemptCompleted.java
@@ -6,7 +6,7 @@
  * @param id the message
  * @param attempt the number of the attempt, the first is 0
  * @param outcome how it ended
- * @param closed nothing more is owed for the message
+ * @param messageClosed nothing more is owed for the message
  * @param retryAfterMicros how long the destination asked to be left alone; 0 where it did not
  * @param elapsedMicros since the attempt was sent
  * @param limitReport never null
@@ -16,7 +16,7 @@
         int attempt,
         String route,
         AttemptOutcome outcome,
-        boolean closed,
+        boolean messageClosed,
         long retryAfterMicros,
         long elapsedMicros,
         LimitReport limitReport)
--- a/src/main/java/loftflow/policy/api/RelayLimits.java
+++ b/src/main/java/loftflow/policy/api/RelayLimits.java
@@ -9,7 +9,7 @@
  * @param cancellation attempts may be cancelled
  * @param probes health checks may be sent
  * @param peerMessages relays of a fleet may send messages to each other
- * @param hedgedAttempts a second attempt may be made while the first is in flight
+ * @param hedgedAttempts a second attempt may be made while the first is in flight; the default policy makes none
  * @param retryAfter a rejected client is given a Retry-After
  * @param connectTimeoutMicros 0 where the settings name none
  */
--- a/src/main/java/loftflow/server/GracefulShutdown.java
+++ b/src/main/java/loftflow/server/GracefulShutdown.java
@@ -8,16 +8,16 @@
 import loftflow.listener.Listener;
 
 /**
- * What happens on SIGTERM. For a moment the relay serves as usual; then its listeners drain; then no attempt is started
- * any more; the process ends once nothing is in flight, or at a deadline. Messages that are open at the end are in the
- * journal, and the next process resumes them.
+ * What happens on SIGTERM. For a moment the relay serves as usual; then its listeners drain; then the policy starts no
+ * attempt any more; the process ends once nothing is in flight, or from a deadline on as soon as no client waits for an
+ * answer. Messages that are open at the end are in the journal, and the next process resumes them.
  *
  * <p>All times count from the signal. The process is killed 3.7 s after it at the earliest.
  */
 final class GracefulShutdown {
     /** Until then the relay serves as usual, since clients still open connections. */
     private static final long DRAIN_AFTER_MILLIS = 500;
-    /** From then on no attempt is started; one takes about a second. */
+    /** From then on no message is accepted and the policy starts no attempt; one takes about a second. */
     private static final long QUIESCE_AFTER_MILLIS = 2200;
     /** From then on only answers that clients wait for delay the end. */
     private static final long DEADLINE_MILLIS = 3200;
--- a/src/main/java/loftflow/server/WarmStartModule.java
+++ b/src/main/java/loftflow/server/WarmStartModule.java
@@ -65,7 +65,7 @@
     WarmStartModule(EventLoop eventLoop, Config config) throws IOException {
         this.eventLoop = eventLoop;
         this.config = config;
-        Config.WarmStartOptions options = config.warmStart();
+        Config.WarmStartConfig options = config.warmStart();
         snapshotWriter = new SnapshotWriter(
                 new SnapshotWriter.Options(
                         config.stateDirectory(),
@@ -100,7 +100,7 @@
     }
 
     private static WarmStartOptions historyRules(Config config) {
-        Config.WarmStartOptions options = config.warmStart();
+        Config.WarmStartConfig options = config.warmStart();
         boolean isListFixed = config.discoveryAddress() == null;
         return new WarmStartOptions(
                 new TrustPolicy(options.trustHalfLifeMicros()),
--- a/src/test/java/loftflow/experiment/RuleCheckerTest.java
+++ b/src/test/java/loftflow/experiment/RuleCheckerTest.java
@@ -141,7 +141,14 @@
 
         private static PolicyEvent outcome(AttemptCompleted o, AttemptOutcome result, long wait) {
             return new AttemptCompleted(
-                    o.id(), o.attempt(), o.route(), result, o.closed(), wait, o.elapsedMicros(), o.limitReport());
+                    o.id(),
+                    o.attempt(),
+                    o.route(),
+                    result,
+                    o.messageClosed(),
+                    wait,
+                    o.elapsedMicros(),
+                    o.limitReport());
         }
 
         /** The same fault in one of a hundred scenarios' fleets. */
--- a/src/test/java/loftflow/stored/StoredConfigTest.java
+++ b/src/test/java/loftflow/stored/StoredConfigTest.java
@@ -79,7 +79,7 @@
         assertEquals(197_607_424, config.diskBytes());
         assertEquals(Path.of("/var/lib/loftflow/amqp-desk"), config.stateDirectory());
         assertEquals(
-                new Config.WarmStartOptions("amqp-desk#0", 1 << 20, 8_192, 600_000_000, 120_000_000, 50_000, false),
+                new Config.WarmStartConfig("amqp-desk#0", 1 << 20, 8_192, 600_000_000, 120_000_000, 50_000, false),
                 config.warmStart());
         Config.Login login = new Config.Login("relay", "guest", "/orders", 2, true, null, "broker.grain.example");
         assertEquals(
