--- a/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpClientConnection.java
@@ -35,7 +35,8 @@
     /**
      * Credentials and connection options.
      *
-     * @param heartbeatSeconds the requested interval in seconds; 0 leaves it to the broker, else the shorter of both applies
+     * @param heartbeatSeconds the requested interval in seconds; 0 leaves it to the broker, else the shorter of both
+     *     applies
      */
     public record Login(String user, String password, String virtualHost, int heartbeatSeconds) {}
 
@@ -82,11 +83,12 @@
     }
 
     /**
-     * Connects to a broker. Must be called on the given event loop. The connection is closed unless {@link #cancelOpenTimeout} is
-     * called before the timeout.
+     * Connects to a broker. Must be called on the given event loop. The connection is closed unless
+     * {@link #cancelOpenTimeout} is called before the timeout.
      *
      * @param maxBodyBytes size of the largest message body that is buffered; larger ones are skipped
-     * @param timeoutMicros time for the socket, the login and whatever its owner sets up before {@link #cancelOpenTimeout}
+     * @param timeoutMicros time for the socket, the login and whatever its owner sets up before
+     *     {@link #cancelOpenTimeout}
      */
     public static AmqpClientConnection connect(
             EventLoop loop, Broker broker, int maxBodyBytes, long timeoutMicros, Listener owner) {
--- a/src/main/java/loftflow/fake/FakeBrokerSession.java
+++ b/src/main/java/loftflow/fake/FakeBrokerSession.java
@@ -266,39 +266,9 @@
         }
         boolean runs = fate != FakeBroker.Fate.NACK && fate != FakeBroker.Fate.DROP_BEFORE;
         Set<BrokerQueue> to = runs ? broker.route(exchange, m.text("routing-key")) : Set.of();
-        Object key = properties.headers().get(FakeBroker.KEY);
-        for (BrokerQueue queue : to) {
-            broker.postings.add(new FakeBroker.Posting(
-                    id,
-                    key == null ? null : key.toString(),
-                    queue.name,
-                    properties,
-                    command.body(),
-                    System.nanoTime(),
-                    true));
-            queue.ready.add(new StoredMessage(exchange, m.text("routing-key"), properties, command.body()));
-        }
-        if (to.isEmpty()) {
-            broker.postings.add(new FakeBroker.Posting(
-                    id,
-                    key == null ? null : key.toString(),
-                    null,
-                    properties,
-                    command.body(),
-                    System.nanoTime(),
-                    false));
-        }
+        store(command, exchange, to);
         if (runs && to.isEmpty() && m.flag("mandatory")) {
-            connection.send(
-                    state.number,
-                    Method.of(
-                            MethodType.BASIC_RETURN,
-                            AmqpException.NO_ROUTE,
-                            "NO_ROUTE",
-                            exchange,
-                            m.text("routing-key")),
-                    properties,
-                    command.body());
+            returnUnroutable(state, command, exchange);
         }
         to.forEach(broker::dispatch);
         if (fate == FakeBroker.Fate.DROP_BEFORE || fate == FakeBroker.Fate.DROP_AFTER) {
@@ -316,6 +286,44 @@
         }
     }
 
+    /** Puts a published message into its queues, and records one posting a queue, or one where there is none. */
+    private void store(Command command, String exchange, Set<BrokerQueue> queues) {
+        for (BrokerQueue queue : queues) {
+            broker.postings.add(posting(command, queue.name));
+            queue.ready.add(new StoredMessage(
+                    exchange, command.method().text("routing-key"), command.properties(), command.body()));
+        }
+        if (queues.isEmpty()) {
+            broker.postings.add(posting(command, null));
+        }
+    }
+
+    private static FakeBroker.Posting posting(Command command, String queue) {
+        Properties properties = command.properties();
+        Object key = properties.headers().get(FakeBroker.KEY);
+        return new FakeBroker.Posting(
+                properties.text(Property.MESSAGE_ID),
+                key == null ? null : key.toString(),
+                queue,
+                properties,
+                command.body(),
+                System.nanoTime(),
+                queue != null);
+    }
+
+    private void returnUnroutable(BrokerChannel state, Command command, String exchange) {
+        connection.send(
+                state.number,
+                Method.of(
+                        MethodType.BASIC_RETURN,
+                        AmqpException.NO_ROUTE,
+                        "NO_ROUTE",
+                        exchange,
+                        command.method().text("routing-key")),
+                command.properties(),
+                command.body());
+    }
+
     private void confirm(BrokerChannel state, long tag, FakeBroker.Fate fate) {
         switch (fate) {
             case NACK -> connection.send(state.number, Method.of(MethodType.BASIC_NACK, tag, false, false));
