--- a/src/main/java/loftflow/cli/ReplayCommand.java
+++ b/src/main/java/loftflow/cli/ReplayCommand.java
@@ -156,25 +156,26 @@
         for (Declaration.MessageClass c : declared.classes()) {
             Scenario.MessageClass type = new Scenario.MessageClass(
                     c.name(),
-                    RelayFile.idempotency(c.repeat()),
-                    c.keyWindow(),
-                    c.keysByBuilding(),
-                    c.wanted(),
-                    c.deadline(),
-                    c.worth(),
-                    c.lateWorth(),
-                    c.peakRate(),
-                    c.to());
+                    RelayFile.idempotency(c.idempotency()),
+                    c.keyWindowMicros(),
+                    c.isKeyScopedToZone(),
+                    c.latencyObjectiveMicros(),
+                    c.deadlineMicros(),
+                    c.priorityWeight(),
+                    c.lateWeight(),
+                    c.peakRatePerSecond(),
+                    c.destinationKinds());
             if (scenario.groups().stream().noneMatch(g -> g.trafficWeight() > 0 && type.goesTo(g.kind()))) {
                 throw new IllegalArgumentException("class " + c.name() + " of " + declared.name() + " goes to "
-                        + String.join(", ", c.to()) + ": " + scenario.name() + " has no partners of that kind");
+                        + String.join(", ", c.destinationKinds()) + ": " + scenario.name()
+                        + " has no partners of that kind");
             }
             classes.add(type);
         }
         return scenario.withTraffic(
                 classes,
                 declared.tenants().stream()
-                        .map(t -> new Scenario.Tenant(t.name(), t.rate(), t.rate()))
+                        .map(t -> new Scenario.Tenant(t.name(), t.quotaPerSecond(), t.quotaPerSecond()))
                         .toList());
     }
 
--- a/src/main/java/loftflow/cli/ScenarioCommand.java
+++ b/src/main/java/loftflow/cli/ScenarioCommand.java
@@ -43,7 +43,7 @@
             throws IOException, SourceFile.UnreadableException {
         ScenarioReader.ReadResult read = ScenarioFiles.BUILT_IN.contains(name)
                 ? ScenarioFiles.read(name, ScenarioFiles.builtInText(name))
-                : ScenarioFiles.read(name, SourceFile.text(Path.of(name)));
+                : ScenarioFiles.read(name, SourceFile.readText(Path.of(name)));
         read.findings().forEach(finding -> spec.commandLine().getErr().println(finding));
         return read;
     }
--- a/src/main/java/loftflow/cli/TraceColumnsFile.java
+++ b/src/main/java/loftflow/cli/TraceColumnsFile.java
@@ -34,7 +34,7 @@
      */
     static ColumnMapping read(Path file) throws SourceFile.UnreadableException {
         List<Finding> findings = new ArrayList<>();
-        Node top = TomlFile.read(file.toString(), SourceFile.text(file), findings);
+        Node top = TomlFile.read(file.toString(), SourceFile.readText(file), findings);
         if (!findings.isEmpty()) {
             throw new IllegalArgumentException(findings.get(0).toString());
         }
--- a/src/main/java/loftflow/cli/TraceCommand.java
+++ b/src/main/java/loftflow/cli/TraceCommand.java
@@ -139,7 +139,7 @@
 
         private long span(String option, String text) {
             try {
-                return Units.span(text);
+                return Units.parseDurationMicros(text);
             } catch (IllegalArgumentException e) {
                 throw misuse(option + ": " + e.getMessage());
             }
@@ -211,8 +211,8 @@
                     out.printf(
                             Locale.ROOT,
                             "from %s to %s of the trace's clock; at the most %d in one second%n",
-                            Units.ofSpan(spread.first),
-                            Units.ofSpan(spread.last),
+                            Units.formatDuration(spread.first),
+                            Units.formatDuration(spread.last),
                             spread.busiest);
                 }
                 return tally.rowsRejected() == 0 ? 0 : 1;
@@ -305,14 +305,15 @@
                     declared.classes().stream()
                             .map(c -> new TraceMapping.Type(
                                     c.name(),
-                                    c.peakRate(),
-                                    c.repeat() == Declaration.Repeat.BY_KEY,
-                                    c.body(),
-                                    c.largestBody(),
-                                    c.deadline(),
-                                    declared.partners().stream()
-                                            .filter(p -> c.to() == null || c.to().contains(p.kind()))
-                                            .map(Declaration.Partner::number)
+                                    c.peakRatePerSecond(),
+                                    c.idempotency() == Declaration.Idempotency.IDEMPOTENT_BY_KEY,
+                                    c.bodyBytes(),
+                                    c.maxBodyBytes(),
+                                    c.deadlineMicros(),
+                                    declared.destinations().stream()
+                                            .filter(p -> c.destinationKinds() == null
+                                                    || c.destinationKinds().contains(p.kind()))
+                                            .map(Declaration.Destination::number)
                                             .toList()))
                             .toList(),
                     declared.tenants().stream().map(Declaration.Tenant::name).toList());
@@ -325,7 +326,7 @@
      * @throws IllegalArgumentException with its first error
      */
     static Declaration declared(Path app) throws SourceFile.UnreadableException {
-        CheckedFile checked = CheckedFile.of(app.toString(), SourceFile.text(app), MachineInspector.UNKNOWN);
+        CheckedFile checked = CheckedFile.of(app.toString(), SourceFile.readText(app), MachineInspector.UNKNOWN);
         if (!checked.isClean()) {
             throw new IllegalArgumentException(checked.findings().stream()
                     .filter(Finding::isError)
--- a/src/main/java/loftflow/config/file/Node.java
+++ b/src/main/java/loftflow/config/file/Node.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * A value in a file with the place at which its key stands, whatever the file's format.
+ * A value in a file with the position of its key, whatever the file's format.
  *
  * @param value text, {@code Long}, {@code Double}, {@code Boolean}, a list of nodes, or a map of nodes in the order of
  *     the file; null where the file says so, or holds what no setting can be
@@ -24,7 +24,7 @@
         return value instanceof List<?> ? (List<Node>) value : null;
     }
 
-    /** What kind of value this is, in words for staff. */
+    /** What kind of value this is, in words for operators. */
     public String kind() {
         if (value instanceof String) {
             return "text";
--- a/src/main/java/loftflow/config/file/SourceFile.java
+++ b/src/main/java/loftflow/config/file/SourceFile.java
@@ -10,14 +10,14 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Reads a file that staff wrote, or ends with a plain line that says why it can't be read. */
+/** Reads a file that operators wrote; an error says in one line why it can't be read. */
 public final class SourceFile {
-    /** Far above any configuration; guards against reading what is none. */
-    static final int LARGEST = 1 << 20;
+    /** Far above any configuration, so that a file of another kind is not read whole. */
+    static final int MAX_BYTES = 1 << 20;
 
     private SourceFile() {}
 
-    /** A file that can't be read at all; the message is for staff and names the file. */
+    /** A file that can't be read at all; the message is for operators and names the file. */
     public static final class UnreadableException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -27,18 +27,18 @@
     }
 
     /** The bytes of a regular file of 1 MiB at the most. */
-    public static byte[] bytes(Path file) throws UnreadableException {
+    public static byte[] readBytes(Path file) throws UnreadableException {
         try {
             if (Files.isDirectory(file)) {
                 throw new UnreadableException(file, "is a folder, not a file");
             }
-            // Guards against a pipe or a device: to read one may never end.
+            // Reading a pipe or a device may never end.
             if (Files.exists(file) && !Files.isRegularFile(file)) {
                 throw new UnreadableException(file, "is no regular file");
             }
             try (InputStream in = Files.newInputStream(file)) {
-                byte[] bytes = in.readNBytes(LARGEST + 1);
-                if (bytes.length > LARGEST) {
+                byte[] bytes = in.readNBytes(MAX_BYTES + 1);
+                if (bytes.length > MAX_BYTES) {
                     throw new UnreadableException(file, "is larger than 1 MiB, which no configuration is");
                 }
                 return bytes;
@@ -51,8 +51,8 @@
     }
 
     /** The text of a file in UTF-8 that holds something. */
-    public static String text(Path file) throws UnreadableException {
-        byte[] bytes = bytes(file);
+    public static String readText(Path file) throws UnreadableException {
+        byte[] bytes = readBytes(file);
         try {
             String text = StandardCharsets.UTF_8
                     .newDecoder()
--- a/src/main/java/loftflow/config/file/TomlFile.java
+++ b/src/main/java/loftflow/config/file/TomlFile.java
@@ -17,7 +17,7 @@
     /**
      * Reads a text.
      *
-     * @param findings takes what breaks the grammar, such as a key that stands twice
+     * @param findings receives what breaks the grammar, such as a key that stands twice
      * @return the table of the whole file; what broke the grammar may lack in it
      */
     public static Node read(String file, String text, List<Finding> findings) {
@@ -25,7 +25,7 @@
         try {
             result = Toml.parse(text);
         } catch (StackOverflowError e) {
-            // Guards against brackets without end: the parser goes down one call for each.
+            // The parser recurses for each nested bracket.
             findings.add(new Finding(Finding.Severity.ERROR, file, 1, 1, "", "nests too deeply to be read"));
             return new Node(Map.of(), 1, 1);
         }
@@ -40,7 +40,7 @@
         return table(result, 1, 1);
     }
 
-    /** Guards against a message that breaks out of its line. */
+    /** A message without control characters, so that a finding stays on one line. */
     private static String plain(String message) {
         return message.replaceAll("\\p{Cntrl}+", " ");
     }
--- a/src/main/java/loftflow/config/plan/AddressChecks.java
+++ b/src/main/java/loftflow/config/plan/AddressChecks.java
@@ -12,7 +12,7 @@
 
     @Override
     void run() {
-        List<Declaration.Front> fronts = declared.fronts();
+        List<Declaration.Listener> fronts = declared.listeners();
         for (int i = 0; i < fronts.size(); i++) {
             checkListeners(fronts.get(i), fronts.subList(0, i));
             checkOwnCalls(fronts.get(i));
@@ -20,39 +20,39 @@
         checkEndpointPorts();
     }
 
-    private void checkListeners(Declaration.Front front, List<Declaration.Front> previous) {
-        for (Declaration.Front other : previous) {
+    private void checkListeners(Declaration.Listener front, List<Declaration.Listener> previous) {
+        for (Declaration.Listener other : previous) {
             if (Addresses.collide(front.listen(), other.listen())) {
                 error(
-                        front.at(),
+                        front.table(),
                         "listen",
                         front.listen() + " is taken by the front in line "
-                                + other.at().at("listen").line() + ", " + other.listen() + "; give it another port");
+                                + other.table().at("listen").line() + ", " + other.listen() + "; give it another port");
             }
         }
     }
 
-    private void checkOwnCalls(Declaration.Front front) {
+    private void checkOwnCalls(Declaration.Listener front) {
         String listen = front.listen();
         for (Declaration.Endpoint endpoint : declared.endpoints()) {
             if (Addresses.collide(listen, endpoint.address())) {
                 error(
-                        front.at(),
+                        front.table(),
                         "listen",
                         listen + " is where endpoint " + endpoint.id()
                                 + " takes calls: the relay would call itself; give one another port");
             }
         }
-        if (declared.discovery().agent() != null
-                && Addresses.collide(listen, declared.discovery().agent())) {
-            error(front.at(), "listen", listen + " is discovery.agent's address; give it another port");
+        if (declared.discovery().agentAddress() != null
+                && Addresses.collide(listen, declared.discovery().agentAddress())) {
+            error(front.table(), "listen", listen + " is discovery.agent's address; give it another port");
         }
     }
 
     private void checkEndpointPorts() {
         for (Declaration.Endpoint endpoint : declared.endpoints()) {
             if (endpoint.address().endsWith(":0")) {
-                error(endpoint.at(), "address", endpoint.address() + " has port 0, where nobody can be called");
+                error(endpoint.table(), "address", endpoint.address() + " has port 0, where nobody can be called");
             }
         }
     }
--- a/src/main/java/loftflow/config/plan/AmqpChecks.java
+++ b/src/main/java/loftflow/config/plan/AmqpChecks.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Set;
 import loftflow.config.file.Finding;
+import loftflow.config.plan.Declaration.Idempotency;
 import loftflow.config.plan.Declaration.MessageClass;
-import loftflow.config.plan.Declaration.Repeat;
 import loftflow.config.schema.TableReader;
 
 /** Checks brokers, queues, listeners and mappings of AMQP. */
@@ -37,15 +37,15 @@
     private void checkBrokers() {
         for (Declaration.Broker broker : declared.amqp().brokers()) {
             if (!usedBrokers.contains(broker.name())) {
-                warn(broker.at(), "name", "no endpoint and no queue is at broker " + broker.name());
+                warn(broker.table(), "name", "no endpoint and no queue is at broker " + broker.name());
             } else {
-                checkHeartbeat(broker.at(), broker.heartbeat());
+                checkHeartbeat(broker.table(), broker.heartbeatMicros());
             }
-            checkReadable(broker.at(), "password-file", broker.passwordFile());
-            checkReadable(broker.at(), "trust-file", broker.trustFile());
+            checkReadable(broker.table(), "password-file", broker.passwordFile());
+            checkReadable(broker.table(), "trust-file", broker.trustFile());
             if (!broker.tls() && (broker.trustFile() != null || broker.tlsName() != null)) {
                 error(
-                        broker.at(),
+                        broker.table(),
                         broker.trustFile() != null ? "trust-file" : "tls-name",
                         "is for TLS, and tls = false;" + " set that to true or leave this out");
             }
@@ -53,13 +53,13 @@
     }
 
     private void checkListeners() {
-        for (Declaration.Front front : declared.fronts()) {
-            if (front.amqp()) {
-                checkHeartbeat(front.at(), front.heartbeat());
-                checkReadable(front.at(), "password-file", front.passwordFile());
+        for (Declaration.Listener front : declared.listeners()) {
+            if (front.isAmqp()) {
+                checkHeartbeat(front.table(), front.heartbeatMicros());
+                checkReadable(front.table(), "password-file", front.passwordFile());
                 if ((front.user() == null) != (front.passwordFile() == null)) {
                     error(
-                            front.at(),
+                            front.table(),
                             front.user() == null ? "password-file" : "user",
                             "user and password-file belong" + " together; add the other one or leave this one out");
                 }
@@ -72,9 +72,9 @@
     private void checkEndpoint(Declaration.Endpoint endpoint) {
         if (endpoint.broker() == null) {
             for (String key : List.of("exchange", "routing-key")) {
-                if (endpoint.at().has(key)) {
+                if (endpoint.table().has(key)) {
                     error(
-                            endpoint.at(),
+                            endpoint.table(),
                             key,
                             "is for AMQP, and endpoint " + endpoint.id() + " has no broker; name the"
                                     + " [[broker]] or leave it out");
@@ -84,11 +84,11 @@
         }
         usedBrokers.add(endpoint.broker());
         if (!brokerNames.contains(endpoint.broker())) {
-            error(endpoint.at(), "broker", "no [[broker]] is named " + endpoint.broker());
+            error(endpoint.table(), "broker", "no [[broker]] is named " + endpoint.broker());
         }
         if (endpoint.exchange().isEmpty() && endpoint.routingKey().isEmpty()) {
             error(
-                    endpoint.at(),
+                    endpoint.table(),
                     "routing-key",
                     "neither exchange nor routing key: no message could be routed; give the"
                             + " queue's name as the routing key");
@@ -98,48 +98,48 @@
     private void checkQueue(Declaration.Queue queue) {
         usedBrokers.add(queue.broker());
         if (!brokerNames.contains(queue.broker())) {
-            error(queue.at(), "broker", "no [[broker]] is named " + queue.broker());
+            error(queue.table(), "broker", "no [[broker]] is named " + queue.broker());
         }
-        if (queue.prefetch() > derived.messages()) {
+        if (queue.prefetch() > derived.maxOpenMessages()) {
             error(
-                    queue.at(),
+                    queue.table(),
                     "prefetch",
-                    queue.prefetch() + " is above buffer.messages = " + derived.messages()
+                    queue.prefetch() + " is above buffer.messages = " + derived.maxOpenMessages()
                             + ": the relay would refuse what it asked for; lower it");
         }
         for (MessageClass messageClass : declared.classes()) {
-            if (queue.autoAcknowledge() && messageClass.repeat() != Repeat.REPEATABLE) {
+            if (queue.autoAcknowledge() && messageClass.idempotency() != Idempotency.IDEMPOTENT) {
                 error(
-                        queue.at(),
+                        queue.table(),
                         "acknowledge",
                         "auto, and messages of class " + messageClass.name() + " are not repeatable: one"
                                 + " that the broker has forgotten could be lost; set it to manual");
                 break;
             }
         }
-        if (queue.ends().equals("always") && queue.replyQueue() == null) {
-            error(queue.at(), "ends", "always, and there is no reply-queue for messages that ask for none; add it");
+        if (queue.completionReplies().equals("always") && queue.replyQueue() == null) {
+            error(queue.table(), "ends", "always, and there is no reply-queue for messages that ask for none; add it");
         }
-        if (!queue.ends().equals("always") && queue.replyQueue() != null) {
+        if (!queue.completionReplies().equals("always") && queue.replyQueue() != null) {
             error(
-                    queue.at(),
+                    queue.table(),
                     "reply-queue",
-                    "is used with ends = \"always\" alone, and that is " + queue.ends() + "; change one");
+                    "is used with ends = \"always\" alone, and that is " + queue.completionReplies() + "; change one");
         }
     }
 
     /** A heartbeat interval beyond a deadline detects a dead connection only after its messages have expired. */
     private void checkHeartbeat(TableReader table, long heartbeatMicros) {
         declared.classes().stream()
-                .min(Comparator.comparingLong(MessageClass::deadline))
+                .min(Comparator.comparingLong(MessageClass::deadlineMicros))
                 .ifPresent(messageClass -> {
-                    if (heartbeatMicros > messageClass.deadline()) {
+                    if (heartbeatMicros > messageClass.deadlineMicros()) {
                         error(
                                 table,
                                 "heartbeat",
                                 duration(heartbeatMicros) + " is longer than the deadline of class "
                                         + messageClass.name() + ", "
-                                        + duration(messageClass.deadline())
+                                        + duration(messageClass.deadlineMicros())
                                         + ": a dead connection would be found when its messages are over; lower it");
                     }
                 });
@@ -153,26 +153,26 @@
 
     private void checkMappings() {
         Set<String> seen = new HashSet<>();
-        Declaration.Mapping catchAll = null;
-        for (Declaration.Mapping mapping : declared.amqp().mappings()) {
+        Declaration.MessageMapping catchAll = null;
+        for (Declaration.MessageMapping mapping : declared.amqp().mappings()) {
             if (catchAll != null) {
                 error(
-                        mapping.at(),
+                        mapping.table(),
                         "content-type",
                         "is never reached: the mapping in line "
-                                + catchAll.at().place().line()
+                                + catchAll.table().place().line()
                                 + " is for every content messageClass; put that one last");
             } else if (mapping.contentType() == null) {
                 catchAll = mapping;
             } else if (!seen.add(mapping.contentType())) {
                 error(
-                        mapping.at(),
+                        mapping.table(),
                         "content-type",
                         "\"" + mapping.contentType() + "\" stands in a mapping above, which is" + " used");
             }
         }
         if (!declared.amqp().mappings().isEmpty() && !declared.takesAmqp()) {
-            warn(declared.amqp().mappings().get(0).at(), "class", "nothing comes in over AMQP that could be mapped");
+            warn(declared.amqp().mappings().get(0).table(), "class", "nothing comes in over AMQP that could be mapped");
         }
     }
 }
--- a/src/main/java/loftflow/config/plan/CapacityChecks.java
+++ b/src/main/java/loftflow/config/plan/CapacityChecks.java
@@ -25,42 +25,42 @@
 
     private void checkBuffer() {
         double openMessages = SizingModel.openMessages(declared);
-        if (derived.messages() < openMessages) {
+        if (derived.maxOpenMessages() < openMessages) {
             derivedError(
                     "buffer.messages",
                     text(
                             "%d messages are too few: peak-rate times deadline over all classes is %.0f;"
                                     + " raise it or shorten deadlines",
-                            derived.messages(), Math.ceil(openMessages)));
+                            derived.maxOpenMessages(), Math.ceil(openMessages)));
         }
     }
 
     private void checkConcurrentCalls() {
         double calls = SizingModel.concurrentCalls(declared);
-        if (derived.slots() < calls) {
+        if (derived.maxConcurrentCalls() < calls) {
             derivedError(
                     "calls.slots",
                     text(
                             "%d slots are too few: peak rates times responses keep %.1f calls out; raise it",
-                            derived.slots(), calls));
+                            derived.maxConcurrentCalls(), calls));
         }
-        if (derived.connections() < derived.slots()) {
+        if (derived.maxUpstreamConnections() < derived.maxConcurrentCalls()) {
             derivedError(
                     "calls.connections",
-                    derived.connections() + " connections are fewer than calls.slots = " + derived.slots()
-                            + "; raise it");
+                    derived.maxUpstreamConnections() + " connections are fewer than calls.slots = "
+                            + derived.maxConcurrentCalls() + "; raise it");
         }
     }
 
     private void checkDescriptors() {
-        int all = derived.connections()
-                + derived.clients()
+        int all = derived.maxUpstreamConnections()
+                + derived.maxClientConnections()
                 + declared.amqp().queues().size()
                 + SizingModel.OTHER_DESCRIPTORS;
         if (all > declared.machine().descriptors()) {
             derivedError(
                     "clients.connections",
-                    derived.clients() + " clients, " + derived.connections()
+                    derived.maxClientConnections() + " clients, " + derived.maxUpstreamConnections()
                             + " connections to partners and " + SizingModel.OTHER_DESCRIPTORS
                             + " descriptors of the process itself"
                             + " are " + all + ", and machine.descriptors = "
@@ -70,15 +70,16 @@
     }
 
     private void checkJournal() {
-        double recordBytes = SizingModel.bytesOf(declared, derived.messages(), SizingModel.JOURNAL_BYTES_PER_MESSAGE);
-        if (recordBytes > SizingModel.OPEN_JOURNAL_SHARE * derived.journal()) {
+        double recordBytes =
+                SizingModel.bytesOf(declared, derived.maxOpenMessages(), SizingModel.JOURNAL_BYTES_PER_MESSAGE);
+        if (recordBytes > SizingModel.OPEN_JOURNAL_SHARE * derived.journalBytes()) {
             derivedError(
                     "journal.limit",
                     text(
                             "%s is too small for %d open messages: they take %s, and may take %.0f%% of it;"
                                     + " raise it to %s",
-                            Units.ofSize(derived.journal()),
-                            derived.messages(),
+                            Units.formatSize(derived.journalBytes()),
+                            derived.maxOpenMessages(),
                             SizingModel.kib(recordBytes),
                             SizingModel.OPEN_JOURNAL_SHARE * 100,
                             SizingModel.kib(recordBytes / SizingModel.OPEN_JOURNAL_SHARE)));
@@ -86,15 +87,15 @@
     }
 
     private void checkHeap() {
-        double heldBytes = SizingModel.bytesOf(declared, derived.messages(), SizingModel.HEAP_BYTES_PER_MESSAGE);
-        if (heldBytes > SizingModel.OPEN_HEAP_SHARE * derived.heap()) {
+        double heldBytes = SizingModel.bytesOf(declared, derived.maxOpenMessages(), SizingModel.HEAP_BYTES_PER_MESSAGE);
+        if (heldBytes > SizingModel.OPEN_HEAP_SHARE * derived.heapBytes()) {
             derivedError(
                     "process.heap",
                     text(
                             "%s is too small for %d held messages: they take %s, and may take half of it;"
                                     + " raise it to %s",
-                            Units.ofSize(derived.heap()),
-                            derived.messages(),
+                            Units.formatSize(derived.heapBytes()),
+                            derived.maxOpenMessages(),
                             SizingModel.kib(heldBytes),
                             SizingModel.kib(heldBytes / SizingModel.OPEN_HEAP_SHARE)));
         }
@@ -102,17 +103,17 @@
 
     private void checkClasses() {
         for (MessageClass messageClass : declared.classes()) {
-            if (messageClass.secondCopies() && !derived.secondCopies()) {
+            if (messageClass.isHedged() && !derived.areHedgedAttemptsEnabled()) {
                 derivedError(
                         "calls.second-copies",
                         "false, and class " + messageClass.name() + " asks for second copies; set it to"
                                 + " true or the class's to false");
             }
-            if (derived.connectTimeout() >= messageClass.deadline()) {
+            if (derived.connectTimeoutMicros() >= messageClass.deadlineMicros()) {
                 derivedError(
                         "calls.connect-timeout",
-                        duration(derived.connectTimeout()) + " is no shorter than the deadline of" + " class "
-                                + messageClass.name() + ", " + duration(messageClass.deadline()) + "; lower it");
+                        duration(derived.connectTimeoutMicros()) + " is no shorter than the deadline of" + " class "
+                                + messageClass.name() + ", " + duration(messageClass.deadlineMicros()) + "; lower it");
             }
         }
     }
--- a/src/main/java/loftflow/config/plan/ConsistencyCheck.java
+++ b/src/main/java/loftflow/config/plan/ConsistencyCheck.java
@@ -39,24 +39,24 @@
 
     /** Adds an error at a derived setting, by its full key. */
     protected final void derivedError(String key, String reason) {
-        findings.add(derived.at().apply(key).error(reason));
+        findings.add(derived.locations().apply(key).error(reason));
     }
 
     /** A duration as files write it. */
     protected static String duration(long micros) {
-        return Units.ofSpan(micros);
+        return Units.formatDuration(micros);
     }
 
     /** Adds an error for each setting of a listener that is for another protocol than its own. */
     protected final void rejectForeignSettings(
-            Declaration.Front front, List<String> keys, String protocolName, String protocol) {
+            Declaration.Listener front, List<String> keys, String protocolName, String protocol) {
         keys.stream()
-                .filter(front.at()::has)
+                .filter(front.table()::has)
                 .forEach(key -> error(
-                        front.at(),
+                        front.table(),
                         key,
                         "is for " + protocolName + ", and this front"
-                                + " speaks " + (front.amqp() ? "AMQP" : front.isHttp2() ? "HTTP/2" : "HTTP")
+                                + " speaks " + (front.isAmqp() ? "AMQP" : front.isHttp2() ? "HTTP/2" : "HTTP")
                                 + "; set protocol = \"" + protocol
                                 + "\" or leave it out"));
     }
--- a/src/main/java/loftflow/config/plan/Declaration.java
+++ b/src/main/java/loftflow/config/plan/Declaration.java
@@ -8,45 +8,45 @@
 import loftflow.config.schema.TableReader;
 
 /**
- * What a program's people declare: its messages, its partners, its machine. Spans are in microseconds, sizes in bytes,
- * rates a second; 0 where none is known. Each part knows the table that it was read from, for findings.
+ * What an application file declares: messages, destinations, the machine. 0 stands for a figure that is not known. Each
+ * part has the table that it was read from, for findings.
  */
 public record Declaration(
         TableReader at,
         String name,
         Machine machine,
-        List<Front> fronts,
+        List<Listener> listeners,
         Discovery discovery,
         Fleet fleet,
         List<Tenant> tenants,
         List<MessageClass> classes,
-        List<Kind> kinds,
-        List<Partner> partners,
-        Undeliverable undeliverable,
-        Memory memory,
+        List<DestinationKind> kinds,
+        List<Destination> destinations,
+        DeadLetters deadLetters,
+        WarmStart warmStart,
         Amqp amqp) {
-    /** Where partners close idle connections if nothing else is declared. */
-    private static final long USUAL_IDLE = 10_000_000;
+    /** After how long destinations close idle connections if nothing else is declared. */
+    private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 10_000_000;
 
     /** How often a message of a class may take effect. */
-    public enum Repeat {
-        REPEATABLE,
-        BY_KEY,
-        ONCE
+    public enum Idempotency {
+        IDEMPOTENT,
+        IDEMPOTENT_BY_KEY,
+        NON_IDEMPOTENT
     }
 
     /** The machine that a relay gets. */
     public record Machine(
-            TableReader at,
+            TableReader table,
             double cores,
-            long memory,
+            long memoryBytes,
             int descriptors,
-            long disk,
+            long diskBytes,
             String folder,
-            String building,
-            long stopTime) {}
+            String zone,
+            long stopTimeMicros) {}
 
-    /** What programs speak at a door. */
+    /** What client programs speak at a listener. */
     public enum Protocol {
         HTTP,
         AMQP,
@@ -54,158 +54,168 @@
     }
 
     /**
-     * A door for programs; what is for other protocols is set to its fallbacks. Null where no user is needed.
+     * A listener for client programs; settings of other protocols have their defaults. The user is null where none is
+     * needed.
      *
-     * @param http2 what is for HTTP/2 alone
+     * @param http2 settings of HTTP/2 alone
      */
-    public record Front(
-            TableReader at,
+    public record Listener(
+            TableReader table,
             String listen,
             Protocol protocol,
             String name,
             String exchange,
             String user,
             String passwordFile,
-            long heartbeat,
-            int channels,
-            long frame,
-            long replyHold,
+            long heartbeatMicros,
+            int maxChannels,
+            long maxFrameBytes,
+            long replyRetentionMicros,
             Http2 http2) {
-        /** True where programs speak AMQP there. */
-        public boolean amqp() {
+        /** True where clients speak AMQP. */
+        public boolean isAmqp() {
             return protocol == Protocol.AMQP;
         }
 
-        /** True where programs speak HTTP/2 there. */
+        /** True where clients speak HTTP/2. */
         public boolean isHttp2() {
             return protocol == Protocol.HTTP2;
         }
     }
 
-    /** What is declared of a front that speaks HTTP/2; {@code age} is 0 for any, {@code streams} 0 where left out. */
+    /** Settings of a listener for HTTP/2; a maximum age of 0 is none, and 0 streams stand for the default. */
     public record Http2(
-            int streams, long headerList, long window, long idle, long age, long stall, double resets, long drain) {}
-
-    /** What is declared of AMQP beside fronts and endpoints. */
-    public record Amqp(List<Queue> queues, List<Mapping> mappings, List<Broker> brokers, Duplicates duplicates) {}
+            int maxStreams,
+            long maxHeaderListBytes,
+            long windowBytes,
+            long idleTimeoutMicros,
+            long maxAgeMicros,
+            long stallTimeoutMicros,
+            double maxResetsPerSecond,
+            long drainMicros) {}
+
+    /** Settings of AMQP beside listeners and endpoints. */
+    public record Amqp(
+            List<Queue> queues, List<MessageMapping> mappings, List<Broker> brokers, Deduplication deduplication) {}
 
     /** A queue to take messages from; {@code replyQueue} may be null. */
     public record Queue(
-            TableReader at,
+            TableReader table,
             String name,
             String broker,
             String address,
             String queue,
             int prefetch,
             boolean autoAcknowledge,
-            String ends,
+            String completionReplies,
             String replyQueue) {}
 
     /** How AMQP messages are read, by sources as text; null where there is none. */
-    public record Mapping(
-            TableReader at,
+    public record MessageMapping(
+            TableReader table,
             String contentType,
-            String id,
+            String messageId,
             String requestClass,
             String tenant,
             String key,
             String destination,
-            String budget) {}
+            String timeBudget) {}
 
     /** How to log in; files and the name may be null. */
     public record Broker(
-            TableReader at,
+            TableReader table,
             String name,
             String virtualHost,
             String user,
             String passwordFile,
-            long heartbeat,
+            long heartbeatMicros,
             boolean tls,
             String trustFile,
             String tlsName) {}
 
-    /** What is remembered of messages that were taken on over AMQP. */
-    public record Duplicates(TableReader at, long span, int entries) {}
+    /** The window in which ids of messages accepted over AMQP are known. */
+    public record Deduplication(TableReader table, long windowMicros, int maxEntries) {}
 
     /** Addresses in digits, each null where there is none. */
-    public record Discovery(TableReader at, String agent, String notices) {}
+    public record Discovery(TableReader table, String agentAddress, String completionAddress) {}
 
     /** The relays that share partners. */
-    public record Fleet(TableReader at, int relays, int number) {}
-
-    /** What is kept of messages that could not be delivered; nothing where {@code keep} is false. */
-    public record Undeliverable(
-            TableReader at,
-            boolean keep,
-            long limit,
-            long entries,
-            double high,
-            double low,
-            boolean refuseWhenFull,
-            long age,
-            double pace,
-            long pause,
-            long clockMargin,
-            long listenOn) {}
-
-    /** What is remembered of partners over a restart; nothing where {@code keep} is false. */
-    public record Memory(
-            TableReader at,
-            boolean keep,
-            long limit,
-            long rate,
-            long halfLife,
-            long settle,
-            long margin,
-            boolean sync) {}
-
-    /** Whoever messages are sent for. */
-    public record Tenant(TableReader at, String name, double rate) {}
-
-    /** A class of messages; {@code to} is null where it goes to all kinds. */
+    public record Fleet(TableReader table, int size, int relayIndex) {}
+
+    /** The dead-letter store. */
+    public record DeadLetters(
+            TableReader table,
+            boolean isEnabled,
+            long limitBytes,
+            long maxEntries,
+            double fullShare,
+            double resumeShare,
+            boolean rejectsWhenFull,
+            long retentionMicros,
+            double redrivesPerSecond,
+            long redriveBackoffMicros,
+            long clockMarginMicros,
+            long lateAnswerMicros) {}
+
+    /** What is stored of endpoints over a restart. */
+    public record WarmStart(
+            TableReader table,
+            boolean isEnabled,
+            long limitBytes,
+            long writeBytesPerSecond,
+            long trustHalfLifeMicros,
+            long listConfirmationMicros,
+            long retryAfterMarginMicros,
+            boolean isSyncedToDisk) {}
+
+    /** A tenant, for whom messages are sent. */
+    public record Tenant(TableReader table, String name, double quotaPerSecond) {}
+
+    /** A class of messages; the kinds of destinations are null where it goes to all. */
     public record MessageClass(
-            TableReader at,
+            TableReader table,
             String name,
-            Repeat repeat,
-            long keyWindow,
-            boolean keysByBuilding,
-            long wanted,
-            long deadline,
-            double worth,
-            double lateWorth,
-            boolean inOrder,
-            boolean secondCopies,
-            double peakRate,
-            double meanRate,
-            long body,
-            long largestBody,
-            long shelfLife,
-            List<String> to) {
-        /** True where messages go to partners of that kind. */
-        boolean goesTo(Partner partner) {
-            return to == null || to.contains(partner.kind());
+            Idempotency idempotency,
+            long keyWindowMicros,
+            boolean isKeyScopedToZone,
+            long latencyObjectiveMicros,
+            long deadlineMicros,
+            double priorityWeight,
+            double lateWeight,
+            boolean isOrdered,
+            boolean isHedged,
+            double peakRatePerSecond,
+            double meanRatePerSecond,
+            long bodyBytes,
+            long maxBodyBytes,
+            long deadLetterRetentionMicros,
+            List<String> destinationKinds) {
+        /** True where messages of the class go to destinations of that kind. */
+        boolean goesTo(Destination partner) {
+            return destinationKinds == null || destinationKinds.contains(partner.kind());
         }
     }
 
-    /** A kind of partner. */
-    public record Kind(TableReader at, String name, int batch, boolean routesApart, long idle) {}
+    /** A kind of destination. */
+    public record DestinationKind(
+            TableReader table, String name, int maxBatchSize, boolean hasIndependentRoutes, long idleTimeoutMicros) {}
 
     /** A destination. */
-    public record Partner(
-            TableReader at,
+    public record Destination(
+            TableReader table,
             String name,
             int number,
             String kind,
-            double limit,
-            long response,
+            double limitPerSecond,
+            long responseTimeMicros,
             List<Endpoint> endpoints) {}
 
-    /** Where a partner takes calls; {@code broker} is null where it takes them over HTTP. */
+    /** An endpoint of a destination; the broker is null where it accepts calls over HTTP. */
     public record Endpoint(
-            TableReader at,
+            TableReader table,
             String id,
             String address,
-            String building,
+            String zone,
             String broker,
             String exchange,
             String routingKey) {}
@@ -215,9 +225,9 @@
         TableReader machine = top.table("machine");
         TableReader discovery = top.table("discovery");
         TableReader fleet = top.table("fleet");
-        List<Partner> partners = new ArrayList<>();
+        List<Destination> partners = new ArrayList<>();
         for (TableReader partner : top.tables("partner")) {
-            partners.add(new Partner(
+            partners.add(new Destination(
                     partner,
                     partner.text("name"),
                     (int) partner.whole("number"),
@@ -247,7 +257,7 @@
                         machine.text("folder"),
                         machine.text("building"),
                         machine.whole("stop-time")),
-                fronts(top),
+                listeners(top),
                 new Discovery(
                         discovery,
                         discovery.text("agent"),
@@ -259,15 +269,15 @@
                 top.tables("class").stream().map(Declaration::messageClass).toList(),
                 kinds(top, partners),
                 partners,
-                undeliverable(top.table("undeliverable")),
-                memory(top.table("memory")),
+                deadLetters(top.table("undeliverable")),
+                warmStart(top.table("memory")),
                 amqp(top));
     }
 
-    private static List<Front> fronts(TableReader top) {
-        List<Front> fronts = new ArrayList<>();
+    private static List<Listener> listeners(TableReader top) {
+        List<Listener> fronts = new ArrayList<>();
         for (TableReader f : top.tables("front")) {
-            fronts.add(new Front(
+            fronts.add(new Listener(
                     f,
                     f.text("listen"),
                     Protocol.valueOf(f.text("protocol").toUpperCase(Locale.ROOT)),
@@ -308,7 +318,7 @@
                                 q.text("reply-queue")))
                         .toList(),
                 top.tables("mapping").stream()
-                        .map(m -> new Mapping(
+                        .map(m -> new MessageMapping(
                                 m,
                                 m.text("content-type"),
                                 m.text("id"),
@@ -330,21 +340,21 @@
                                 b.text("trust-file"),
                                 b.text("tls-name")))
                         .toList(),
-                new Duplicates(d, d.whole("span"), (int) d.whole("entries")));
+                new Deduplication(d, d.whole("span"), (int) d.whole("entries")));
     }
 
     /** True where messages come in over AMQP. */
     boolean takesAmqp() {
-        return !amqp.queues().isEmpty() || fronts.stream().anyMatch(Front::amqp);
+        return !amqp.queues().isEmpty() || listeners.stream().anyMatch(Listener::isAmqp);
     }
 
     /** The fronts that speak HTTP/2. */
-    public List<Front> http2() {
-        return fronts.stream().filter(Front::isHttp2).toList();
+    public List<Listener> http2() {
+        return listeners.stream().filter(Listener::isHttp2).toList();
     }
 
-    private static Undeliverable undeliverable(TableReader u) {
-        return new Undeliverable(
+    private static DeadLetters deadLetters(TableReader u) {
+        return new DeadLetters(
                 u,
                 u.flag("keep"),
                 u.whole("limit"),
@@ -359,8 +369,8 @@
                 u.whole("listen-on"));
     }
 
-    private static Memory memory(TableReader m) {
-        return new Memory(
+    private static WarmStart warmStart(TableReader m) {
+        return new WarmStart(
                 m,
                 m.flag("keep"),
                 m.whole("limit"),
@@ -372,11 +382,11 @@
     }
 
     private static MessageClass messageClass(TableReader c) {
-        Repeat repeat =
+        Idempotency repeat =
                 switch (c.text("repeat")) {
-                    case "once" -> Repeat.ONCE;
-                    case "by-key" -> Repeat.BY_KEY;
-                    default -> Repeat.REPEATABLE;
+                    case "once" -> Idempotency.NON_IDEMPOTENT;
+                    case "by-key" -> Idempotency.IDEMPOTENT_BY_KEY;
+                    default -> Idempotency.IDEMPOTENT;
                 };
         return new MessageClass(
                 c,
@@ -399,16 +409,18 @@
     }
 
     /** The kinds that are declared, and those that partners or classes name without a table of their own. */
-    private static List<Kind> kinds(TableReader top, List<Partner> partners) {
-        Map<String, Kind> kinds = new HashMap<>();
-        List<Kind> inOrder = new ArrayList<>();
+    private static List<DestinationKind> kinds(TableReader top, List<Destination> partners) {
+        Map<String, DestinationKind> kinds = new HashMap<>();
+        List<DestinationKind> inOrder = new ArrayList<>();
         for (TableReader k : top.tables("kind")) {
-            inOrder.add(new Kind(k, k.text("name"), (int) k.whole("batch"), k.flag("routes-apart"), k.whole("idle")));
+            inOrder.add(new DestinationKind(
+                    k, k.text("name"), (int) k.whole("batch"), k.flag("routes-apart"), k.whole("idle")));
             kinds.put(k.text("name"), inOrder.get(inOrder.size() - 1));
         }
-        for (Partner partner : partners) {
+        for (Destination partner : partners) {
             kinds.computeIfAbsent(partner.kind(), name -> {
-                Kind kind = new Kind(partner.at(), name, 1, false, USUAL_IDLE);
+                DestinationKind kind =
+                        new DestinationKind(partner.table(), name, 1, false, DEFAULT_IDLE_TIMEOUT_MICROS);
                 inOrder.add(kind);
                 return kind;
             });
@@ -416,7 +428,7 @@
         return inOrder;
     }
 
-    Kind kindOf(Partner partner) {
+    DestinationKind kindOf(Destination partner) {
         return kinds.stream()
                 .filter(k -> k.name().equals(partner.kind()))
                 .findFirst()
@@ -424,22 +436,22 @@
     }
 
     /** The partners that a class goes to. */
-    List<Partner> partnersOf(MessageClass type) {
-        return partners.stream().filter(type::goesTo).toList();
+    List<Destination> partnersOf(MessageClass type) {
+        return destinations.stream().filter(type::goesTo).toList();
     }
 
     /** Messages a second of all classes at their peak. */
     double peakRate() {
-        return classes.stream().mapToDouble(MessageClass::peakRate).sum();
+        return classes.stream().mapToDouble(MessageClass::peakRatePerSecond).sum();
     }
 
     /** The endpoints of all partners. */
     public List<Endpoint> endpoints() {
-        return partners.stream().flatMap(p -> p.endpoints().stream()).toList();
+        return destinations.stream().flatMap(p -> p.endpoints().stream()).toList();
     }
 
     /** The names of all kinds, including those with partners that only discovery knows. */
     List<String> kindNames() {
-        return kinds.stream().map(Kind::name).toList();
+        return kinds.stream().map(DestinationKind::name).toList();
     }
 }
--- a/src/main/java/loftflow/config/plan/DeduplicationChecks.java
+++ b/src/main/java/loftflow/config/plan/DeduplicationChecks.java
@@ -22,51 +22,55 @@
     }
 
     private void checkEntries() {
-        Declaration.Duplicates deduplication = declared.amqp().duplicates();
+        Declaration.Deduplication deduplication = declared.amqp().deduplication();
         double entries = declared.classes().stream()
-                .mapToDouble(c -> (c.meanRate() > 0 ? c.meanRate() : c.peakRate()) * deduplication.span() / 1e6)
+                .mapToDouble(c -> (c.meanRatePerSecond() > 0 ? c.meanRatePerSecond() : c.peakRatePerSecond())
+                        * deduplication.windowMicros()
+                        / 1e6)
                 .sum();
-        if (entries > deduplication.entries()) {
+        if (entries > deduplication.maxEntries()) {
             warn(
-                    deduplication.at(),
+                    deduplication.table(),
                     "entries",
                     text(
                             "%d ids are fewer than the %.0f messages of %s at the classes' rates: when they are"
                                     + " full, nothing more is taken on over AMQP; raise it or shorten the span",
-                            deduplication.entries(), entries, duration(deduplication.span())));
+                            deduplication.maxEntries(), entries, duration(deduplication.windowMicros())));
         }
     }
 
     private void checkMemory() {
-        Declaration.Duplicates deduplication = declared.amqp().duplicates();
-        long memory = deduplication.entries() * SizingModel.HEAP_BYTES_PER_SEEN_ID;
-        if (memory > SizingModel.SEEN_ID_HEAP_SHARE * derived.heap()) {
+        Declaration.Deduplication deduplication = declared.amqp().deduplication();
+        long memory = deduplication.maxEntries() * SizingModel.HEAP_BYTES_PER_SEEN_ID;
+        if (memory > SizingModel.SEEN_ID_HEAP_SHARE * derived.heapBytes()) {
             error(
-                    deduplication.at(),
+                    deduplication.table(),
                     "entries",
                     text(
                             "%d ids take some %s, and may take a quarter of process.heap = %s; lower it",
-                            deduplication.entries(), SizingModel.kib(memory), Units.ofSize(derived.heap())));
+                            deduplication.maxEntries(),
+                            SizingModel.kib(memory),
+                            Units.formatSize(derived.heapBytes())));
         }
     }
 
     private void checkDisk() {
-        Declaration.Duplicates deduplication = declared.amqp().duplicates();
-        long disk = deduplication.entries() * SizingModel.DISK_BYTES_PER_SEEN_ID;
-        long others = derived.journal()
-                + (declared.undeliverable().keep() ? declared.undeliverable().limit() : 0)
-                + (declared.memory().keep() ? declared.memory().limit() : 0);
-        if (others + disk > declared.machine().disk()) {
+        Declaration.Deduplication deduplication = declared.amqp().deduplication();
+        long disk = deduplication.maxEntries() * SizingModel.DISK_BYTES_PER_SEEN_ID;
+        long others = derived.journalBytes()
+                + (declared.deadLetters().isEnabled() ? declared.deadLetters().limitBytes() : 0)
+                + (declared.warmStart().isEnabled() ? declared.warmStart().limitBytes() : 0);
+        if (others + disk > declared.machine().diskBytes()) {
             error(
-                    deduplication.at(),
+                    deduplication.table(),
                     "entries",
                     text(
                             "%d ids take up to %s, and with %s for the journal and what is kept that is more"
                                     + " than machine.disk = %s; lower it or raise that",
-                            deduplication.entries(),
+                            deduplication.maxEntries(),
                             SizingModel.kib(disk),
-                            Units.ofSize(others),
-                            Units.ofSize(declared.machine().disk())));
+                            Units.formatSize(others),
+                            Units.formatSize(declared.machine().diskBytes())));
         }
     }
 }
--- a/src/main/java/loftflow/config/plan/DerivedSettings.java
+++ b/src/main/java/loftflow/config/plan/DerivedSettings.java
@@ -5,36 +5,35 @@
 import loftflow.config.schema.TableReader;
 
 /**
- * What one relay runs by, beyond what was declared: worked out by {@link Planner} or read from a relay file. Spans are
- * in microseconds, sizes in bytes.
+ * What one relay runs by beyond what was declared: derived by {@link Planner} or read from a relay file.
  *
- * @param at where a figure stands, by its key, for findings
+ * @param locations the location of a setting, by its key, for findings
  */
 public record DerivedSettings(
-        Function<String, SettingLocation> at,
-        int messages,
-        long round,
-        int slots,
-        int connections,
-        int attempts,
-        long connectTimeout,
-        long idle,
-        boolean cancel,
-        boolean probes,
-        boolean reports,
-        boolean secondCopies,
-        int clients,
-        int streams,
-        long buffer,
-        long journal,
-        long heap,
-        long direct,
-        long drainGrace,
-        double fallMultiple,
-        long fallSpan,
-        double coldFrom,
-        long warmUp,
-        long orderPause) {
+        Function<String, SettingLocation> locations,
+        int maxOpenMessages,
+        long roundPeriodMicros,
+        int maxConcurrentCalls,
+        int maxUpstreamConnections,
+        int maxAttempts,
+        long connectTimeoutMicros,
+        long upstreamIdleTimeoutMicros,
+        boolean isCancellationEnabled,
+        boolean areProbesEnabled,
+        boolean areLoadReportsEnabled,
+        boolean areHedgedAttemptsEnabled,
+        int maxClientConnections,
+        int maxHttp2Streams,
+        long http2BodyBufferBytes,
+        long journalBytes,
+        long heapBytes,
+        long directMemoryBytes,
+        long drainGraceMicros,
+        double overloadMultiple,
+        long overloadWindowMicros,
+        double coldCapacityShare,
+        long warmUpMicros,
+        long orderingPauseMicros) {
 
     /** Reads the figures of a relay file. */
     public static DerivedSettings of(TableReader top) {
--- a/src/main/java/loftflow/config/plan/DerivedSettingsWriter.java
+++ b/src/main/java/loftflow/config/plan/DerivedSettingsWriter.java
@@ -14,45 +14,46 @@
     /** The keys of all derived settings with their values as a file writes them, in the order of the schema. */
     public static Map<String, String> values(DerivedSettings settings) {
         Map<String, String> values = new LinkedHashMap<>();
-        values.put("buffer.messages", Integer.toString(settings.messages()));
-        values.put("buffer.round", duration(settings.round()));
-        values.put("calls.slots", Integer.toString(settings.slots()));
-        values.put("calls.connections", Integer.toString(settings.connections()));
-        values.put("calls.attempts", Integer.toString(settings.attempts()));
-        values.put("calls.connect-timeout", duration(settings.connectTimeout()));
-        values.put("calls.idle", duration(settings.idle()));
-        values.put("calls.cancel", Boolean.toString(settings.cancel()));
-        values.put("calls.probes", Boolean.toString(settings.probes()));
-        values.put("calls.reports", Boolean.toString(settings.reports()));
-        values.put("calls.second-copies", Boolean.toString(settings.secondCopies()));
-        values.put("clients.connections", Integer.toString(settings.clients()));
-        values.put("clients.streams", Integer.toString(settings.streams()));
-        values.put("clients.buffer", size(settings.buffer()));
-        values.put("journal.limit", size(settings.journal()));
-        values.put("process.heap", size(settings.heap()));
-        values.put("process.direct", size(settings.direct()));
-        values.put("rules.drain-grace", duration(settings.drainGrace()));
-        values.put("rules.fall-multiple", Double.toString(settings.fallMultiple()));
-        values.put("rules.fall-span", duration(settings.fallSpan()));
-        values.put("rules.cold-from", Double.toString(settings.coldFrom()));
-        values.put("rules.warm-up", duration(settings.warmUp()));
-        values.put("rules.order-pause", duration(settings.orderPause()));
+        values.put("buffer.messages", Integer.toString(settings.maxOpenMessages()));
+        values.put("buffer.round", duration(settings.roundPeriodMicros()));
+        values.put("calls.slots", Integer.toString(settings.maxConcurrentCalls()));
+        values.put("calls.connections", Integer.toString(settings.maxUpstreamConnections()));
+        values.put("calls.attempts", Integer.toString(settings.maxAttempts()));
+        values.put("calls.connect-timeout", duration(settings.connectTimeoutMicros()));
+        values.put("calls.idle", duration(settings.upstreamIdleTimeoutMicros()));
+        values.put("calls.cancel", Boolean.toString(settings.isCancellationEnabled()));
+        values.put("calls.probes", Boolean.toString(settings.areProbesEnabled()));
+        values.put("calls.reports", Boolean.toString(settings.areLoadReportsEnabled()));
+        values.put("calls.second-copies", Boolean.toString(settings.areHedgedAttemptsEnabled()));
+        values.put("clients.connections", Integer.toString(settings.maxClientConnections()));
+        values.put("clients.streams", Integer.toString(settings.maxHttp2Streams()));
+        values.put("clients.buffer", size(settings.http2BodyBufferBytes()));
+        values.put("journal.limit", size(settings.journalBytes()));
+        values.put("process.heap", size(settings.heapBytes()));
+        values.put("process.direct", size(settings.directMemoryBytes()));
+        values.put("rules.drain-grace", duration(settings.drainGraceMicros()));
+        values.put("rules.fall-multiple", Double.toString(settings.overloadMultiple()));
+        values.put("rules.fall-span", duration(settings.overloadWindowMicros()));
+        values.put("rules.cold-from", Double.toString(settings.coldCapacityShare()));
+        values.put("rules.warm-up", duration(settings.warmUpMicros()));
+        values.put("rules.order-pause", duration(settings.orderingPauseMicros()));
         return values;
     }
 
     private static String duration(long micros) {
-        return '"' + Units.ofSpan(micros) + '"';
+        return '"' + Units.formatDuration(micros) + '"';
     }
 
     private static String size(long bytes) {
-        return '"' + Units.ofSize(bytes) + '"';
+        return '"' + Units.formatSize(bytes) + '"';
     }
 
     /** The command that starts a relay with a relay file. */
     public static String startLine(DerivedSettings settings, String relayFile) {
-        long heapMib = settings.heap() / BYTES_PER_MIB;
+        long heapMib = settings.heapBytes() / BYTES_PER_MIB;
         return "java -XX:-UsePerfData -Xms" + Math.min(MAX_INITIAL_HEAP_MIB, heapMib) + "m -Xmx" + heapMib
-                + "m -XX:MaxDirectMemorySize=" + settings.direct() / BYTES_PER_MIB + "m -XX:MaxMetaspaceSize=40m"
+                + "m -XX:MaxDirectMemorySize=" + settings.directMemoryBytes() / BYTES_PER_MIB
+                + "m -XX:MaxMetaspaceSize=40m"
                 + " -XX:ReservedCodeCacheSize=24m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
                 + " -XX:+ExitOnOutOfMemoryError -Dio.netty.allocator.type=unpooled -jar loftflow.jar serve --config "
                 + relayFile;
--- a/src/main/java/loftflow/config/plan/Http2Checks.java
+++ b/src/main/java/loftflow/config/plan/Http2Checks.java
@@ -19,10 +19,10 @@
 
     @Override
     void run() {
-        declared.fronts().stream()
+        declared.listeners().stream()
                 .filter(front -> !front.isHttp2())
                 .forEach(front -> rejectForeignSettings(front, LISTENER_SETTINGS, "HTTP/2", "http2"));
-        for (Declaration.Front front : declared.http2()) {
+        for (Declaration.Listener front : declared.http2()) {
             checkListener(front, front.http2());
             checkTimes(front, front.http2());
         }
@@ -32,95 +32,100 @@
         }
     }
 
-    private void checkListener(Declaration.Front front, Declaration.Http2 http2) {
-        if (http2.streams() > derived.streams()) {
+    private void checkListener(Declaration.Listener front, Declaration.Http2 http2) {
+        if (http2.maxStreams() > derived.maxHttp2Streams()) {
             error(
-                    front.at(),
+                    front.table(),
                     "streams",
-                    http2.streams() + " for one connection are more than clients.streams = " + derived.streams()
-                            + " for all; lower it");
+                    http2.maxStreams() + " for one connection are more than clients.streams = "
+                            + derived.maxHttp2Streams() + " for all; lower it");
         }
-        if (http2.streams() > derived.messages()) {
+        if (http2.maxStreams() > derived.maxOpenMessages()) {
             error(
-                    front.at(),
+                    front.table(),
                     "streams",
-                    http2.streams() + " of one connection would be more than buffer.messages = " + derived.messages()
-                            + ": it alone could fill the relay; lower it");
+                    http2.maxStreams() + " of one connection would be more than buffer.messages = "
+                            + derived.maxOpenMessages() + ": it alone could fill the relay; lower it");
         }
-        if (http2.window() > derived.buffer()) {
+        if (http2.windowBytes() > derived.http2BodyBufferBytes()) {
             error(
-                    front.at(),
+                    front.table(),
                     "window",
-                    Units.ofSize(http2.window()) + " of one connection is more than clients.buffer = "
-                            + Units.ofSize(derived.buffer()) + " for all; lower it");
+                    Units.formatSize(http2.windowBytes()) + " of one connection is more than clients.buffer = "
+                            + Units.formatSize(derived.http2BodyBufferBytes()) + " for all; lower it");
         }
     }
 
-    private void checkTimes(Declaration.Front front, Declaration.Http2 http2) {
-        if (http2.age() > 0 && http2.age() <= http2.drain()) {
+    private void checkTimes(Declaration.Listener front, Declaration.Http2 http2) {
+        if (http2.maxAgeMicros() > 0 && http2.maxAgeMicros() <= http2.drainMicros()) {
             error(
-                    front.at(),
+                    front.table(),
                     "age",
-                    duration(http2.age()) + " is no longer than drain = " + duration(http2.drain())
+                    duration(http2.maxAgeMicros()) + " is no longer than drain = " + duration(http2.drainMicros())
                             + ": a connection would go as soon as it has come; raise it or set 0s for any age");
         }
-        if (http2.drain() >= declared.machine().stopTime()) {
+        if (http2.drainMicros() >= declared.machine().stopTimeMicros()) {
             error(
-                    front.at(),
+                    front.table(),
                     "drain",
-                    duration(http2.drain()) + " is no shorter than machine.stop-time = "
-                            + duration(declared.machine().stopTime())
+                    duration(http2.drainMicros()) + " is no shorter than machine.stop-time = "
+                            + duration(declared.machine().stopTimeMicros())
                             + ": the process would be ended before its streams are; lower it");
         }
         declared.classes().stream()
-                .min(Comparator.comparingLong(MessageClass::deadline))
+                .min(Comparator.comparingLong(MessageClass::deadlineMicros))
                 .ifPresent(messageClass -> {
-                    if (http2.stall() > messageClass.deadline()) {
+                    if (http2.stallTimeoutMicros() > messageClass.deadlineMicros()) {
                         warn(
-                                front.at(),
+                                front.table(),
                                 "stall",
-                                duration(http2.stall()) + " is longer than the deadline of class " + messageClass.name()
+                                duration(http2.stallTimeoutMicros()) + " is longer than the deadline of class "
+                                        + messageClass.name()
                                         + ", "
-                                        + duration(messageClass.deadline())
+                                        + duration(messageClass.deadlineMicros())
                                         + ": programs would hear of refusals when there is no time left");
                     }
                 });
     }
 
     private void checkStreams() {
-        double streams = (double) derived.streams()
+        double streams = (double) derived.maxHttp2Streams()
                 * SizingModel.HEAP_BYTES_PER_STREAM
                 * declared.http2().size();
-        if (streams > SizingModel.STREAM_HEAP_SHARE * derived.heap()) {
+        if (streams > SizingModel.STREAM_HEAP_SHARE * derived.heapBytes()) {
             derivedError(
                     "clients.streams",
                     text(
                             "%d streams at each of %d HTTP/2 fronts take some %s, and may take a fifth of"
                                     + " process.heap = %s; lower it",
-                            derived.streams(),
+                            derived.maxHttp2Streams(),
                             declared.http2().size(),
                             SizingModel.kib(streams),
-                            Units.ofSize(derived.heap())));
+                            Units.formatSize(derived.heapBytes())));
         }
     }
 
     private void checkBuffer() {
-        double buffers = (double) derived.buffer() * declared.http2().size();
-        if (buffers > SizingModel.STREAM_HEAP_SHARE * derived.heap()) {
+        double buffers =
+                (double) derived.http2BodyBufferBytes() * declared.http2().size();
+        if (buffers > SizingModel.STREAM_HEAP_SHARE * derived.heapBytes()) {
             derivedError(
                     "clients.buffer",
                     text(
                             "%s at each of %d HTTP/2 fronts may take a fifth of process.heap = %s; lower it",
-                            Units.ofSize(derived.buffer()), declared.http2().size(), Units.ofSize(derived.heap())));
+                            Units.formatSize(derived.http2BodyBufferBytes()),
+                            declared.http2().size(),
+                            Units.formatSize(derived.heapBytes())));
         }
         long largest = declared.classes().stream()
-                .mapToLong(MessageClass::largestBody)
+                .mapToLong(MessageClass::maxBodyBytes)
                 .max()
                 .orElse(0);
-        if (largest > derived.buffer()) {
+        if (largest > derived.http2BodyBufferBytes()) {
             derivedError(
                     "clients.buffer",
-                    Units.ofSize(derived.buffer()) + " holds no body of " + Units.ofSize(largest) + "; raise it");
+                    Units.formatSize(derived.http2BodyBufferBytes()) + " holds no body of " + Units.formatSize(largest)
+                            + "; raise it");
         }
     }
 }
--- a/src/main/java/loftflow/config/plan/MachineChecks.java
+++ b/src/main/java/loftflow/config/plan/MachineChecks.java
@@ -28,49 +28,50 @@
 
     private void checkMemory() {
         Declaration.Machine machine = declared.machine();
-        long memory = derived.heap() + derived.direct() + SizingModel.JVM_BYTES;
-        if (memory > machine.memory()) {
+        long memory = derived.heapBytes() + derived.directMemoryBytes() + SizingModel.JVM_BYTES;
+        if (memory > machine.memoryBytes()) {
             derivedError(
                     "process.heap",
-                    Units.ofSize(derived.heap()) + " of heap, " + Units.ofSize(derived.direct())
-                            + " of direct memory and " + Units.ofSize(SizingModel.JVM_BYTES)
+                    Units.formatSize(derived.heapBytes()) + " of heap, " + Units.formatSize(derived.directMemoryBytes())
+                            + " of direct memory and " + Units.formatSize(SizingModel.JVM_BYTES)
                             + " for the JVM itself are "
-                            + Units.ofSize(memory) + ", and machine.memory = " + Units.ofSize(machine.memory())
+                            + Units.formatSize(memory) + ", and machine.memory = "
+                            + Units.formatSize(machine.memoryBytes())
                             + "; lower the heap or raise that");
         }
     }
 
     private void checkDisk() {
         Declaration.Machine machine = declared.machine();
-        if (derived.journal() > machine.disk()) {
+        if (derived.journalBytes() > machine.diskBytes()) {
             derivedError(
                     "journal.limit",
-                    Units.ofSize(derived.journal()) + " is more than machine.disk = " + Units.ofSize(machine.disk())
-                            + "; lower it");
+                    Units.formatSize(derived.journalBytes()) + " is more than machine.disk = "
+                            + Units.formatSize(machine.diskBytes()) + "; lower it");
         }
     }
 
     private void checkTimes() {
         Declaration.Machine machine = declared.machine();
-        if (derived.drainGrace() >= machine.stopTime()) {
+        if (derived.drainGraceMicros() >= machine.stopTimeMicros()) {
             derivedError(
                     "rules.drain-grace",
-                    duration(derived.drainGrace()) + " is no shorter than machine.stop-time = "
-                            + duration(machine.stopTime())
+                    duration(derived.drainGraceMicros()) + " is no shorter than machine.stop-time = "
+                            + duration(machine.stopTimeMicros())
                             + ": the process would be ended before the grace is over; lower it");
         }
-        if (machine.stopTime() < MAX_SHUTDOWN_MICROS) {
+        if (machine.stopTimeMicros() < MAX_SHUTDOWN_MICROS) {
             warn(
-                    machine.at(),
+                    machine.table(),
                     "stop-time",
-                    duration(machine.stopTime()) + " is shorter than the " + duration(MAX_SHUTDOWN_MICROS)
+                    duration(machine.stopTimeMicros()) + " is shorter than the " + duration(MAX_SHUTDOWN_MICROS)
                             + " that a planned end may take: what is still open then waits for the next start");
         }
-        if (derived.warmUp() > 0 && derived.fallSpan() > derived.warmUp()) {
+        if (derived.warmUpMicros() > 0 && derived.overloadWindowMicros() > derived.warmUpMicros()) {
             derivedError(
                     "rules.fall-span",
-                    duration(derived.fallSpan()) + " is longer than rules.warm-up = " + duration(derived.warmUp())
-                            + ": the rule could never bind; lower it");
+                    duration(derived.overloadWindowMicros()) + " is longer than rules.warm-up = "
+                            + duration(derived.warmUpMicros()) + ": the rule could never bind; lower it");
         }
     }
 
@@ -80,11 +81,11 @@
                 .temporary()
                 .filter(temporary -> isWithin(machine.folder(), temporary))
                 .ifPresent(temporary -> error(
-                        machine.at(),
+                        machine.table(),
                         "folder",
                         machine.folder() + " is inside $TMPDIR (" + temporary
                                 + "), which is emptied at each start; keep the journal elsewhere"));
-        machineInspector.fault(machine.folder()).ifPresent(fault -> error(machine.at(), "folder", fault));
+        machineInspector.fault(machine.folder()).ifPresent(fault -> error(machine.table(), "folder", fault));
     }
 
     /** True if a folder is another one, or inside it. */
--- a/src/main/java/loftflow/config/plan/MessageClassChecks.java
+++ b/src/main/java/loftflow/config/plan/MessageClassChecks.java
@@ -7,9 +7,9 @@
 import java.util.stream.Collectors;
 import loftflow.config.file.Finding;
 import loftflow.config.file.Units;
+import loftflow.config.plan.Declaration.Destination;
+import loftflow.config.plan.Declaration.Idempotency;
 import loftflow.config.plan.Declaration.MessageClass;
-import loftflow.config.plan.Declaration.Partner;
-import loftflow.config.plan.Declaration.Repeat;
 
 /** Checks each message class by itself and against the partners that it goes to. */
 final class MessageClassChecks extends ConsistencyCheck {
@@ -32,83 +32,85 @@
     }
 
     private void checkFigures(MessageClass messageClass) {
-        if (messageClass.wanted() >= messageClass.deadline()) {
+        if (messageClass.latencyObjectiveMicros() >= messageClass.deadlineMicros()) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "wanted",
-                    duration(messageClass.wanted()) + " is no shorter than deadline = "
-                            + duration(messageClass.deadline()) + "; make it shorter");
+                    duration(messageClass.latencyObjectiveMicros()) + " is no shorter than deadline = "
+                            + duration(messageClass.deadlineMicros()) + "; make it shorter");
         }
-        if (messageClass.meanRate() > messageClass.peakRate()) {
+        if (messageClass.meanRatePerSecond() > messageClass.peakRatePerSecond()) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "mean-rate",
-                    Units.ofRate(messageClass.meanRate()) + " is above peak-rate = "
-                            + Units.ofRate(messageClass.peakRate()) + "; raise the peak");
+                    Units.formatRate(messageClass.meanRatePerSecond()) + " is above peak-rate = "
+                            + Units.formatRate(messageClass.peakRatePerSecond()) + "; raise the peak");
         }
-        if (messageClass.peakRate() <= 0) {
+        if (messageClass.peakRatePerSecond() <= 0) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "peak-rate",
                     "0/s means that no message comes; leave the class out or give its rate");
         }
-        if (messageClass.body() > messageClass.largestBody()) {
+        if (messageClass.bodyBytes() > messageClass.maxBodyBytes()) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "body",
-                    Units.ofSize(messageClass.body()) + " is larger than largest-body = "
-                            + Units.ofSize(messageClass.largestBody()) + "; raise that");
+                    Units.formatSize(messageClass.bodyBytes()) + " is larger than largest-body = "
+                            + Units.formatSize(messageClass.maxBodyBytes()) + "; raise that");
         }
     }
 
     private void checkIdempotencyKey(MessageClass messageClass) {
-        boolean keyed = messageClass.repeat() == Repeat.BY_KEY;
-        if (keyed && messageClass.keyWindow() == 0) {
+        boolean keyed = messageClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY;
+        if (keyed && messageClass.keyWindowMicros() == 0) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "key-window",
                     "is missing: repeat = by-key needs how long a partner drops a repeated key");
         }
-        if (!keyed && messageClass.at().has("key-window")) {
+        if (!keyed && messageClass.table().has("key-window")) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "key-window",
-                    "means nothing with repeat = " + messageClass.at().text("repeat") + "; leave it out or say by-key");
+                    "means nothing with repeat = " + messageClass.table().text("repeat")
+                            + "; leave it out or say by-key");
         }
-        if (!keyed && messageClass.keysByBuilding()) {
+        if (!keyed && messageClass.isKeyScopedToZone()) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "key-scope",
-                    "means nothing with repeat = " + messageClass.at().text("repeat") + "; leave it out or say by-key");
+                    "means nothing with repeat = " + messageClass.table().text("repeat")
+                            + "; leave it out or say by-key");
         }
     }
 
     private void checkSecondCopies(MessageClass messageClass) {
-        if (messageClass.repeat() == Repeat.ONCE && messageClass.secondCopies()) {
+        if (messageClass.idempotency() == Idempotency.NON_IDEMPOTENT && messageClass.isHedged()) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "second-copies",
                     "repeat = once forbids them: the copy could take effect too; leave them" + " out");
         }
-        if (messageClass.inOrder() && messageClass.secondCopies()) {
+        if (messageClass.isOrdered() && messageClass.isHedged()) {
             error(
-                    messageClass.at(),
+                    messageClass.table(),
                     "second-copies",
                     "in-order = true forbids them: messages of a key go out one at a time");
         }
     }
 
     private void checkKeyScope(MessageClass messageClass) {
-        if (messageClass.repeat() != Repeat.BY_KEY || !messageClass.keysByBuilding()) {
+        if (messageClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY || !messageClass.isKeyScopedToZone()) {
             return;
         }
-        for (Partner partner : declared.partnersOf(messageClass)) {
+        for (Destination partner : declared.partnersOf(messageClass)) {
             Set<String> buildings = partner.endpoints().stream()
-                    .map(Declaration.Endpoint::building)
+                    .map(Declaration.Endpoint::zone)
                     .collect(Collectors.toCollection(LinkedHashSet::new));
             if (buildings.size() > 1) {
                 warn(
-                        messageClass.at(),
+                        messageClass.table(),
                         "key-scope",
                         "partner " + partner.name() + " stands in " + buildings.size()
                                 + " buildings (" + String.join(", ", buildings)
@@ -119,33 +121,34 @@
     }
 
     private void checkOrder(MessageClass messageClass) {
-        if (!messageClass.inOrder()) {
+        if (!messageClass.isOrdered()) {
             return;
         }
-        for (Declaration.Kind kind : declared.kinds()) {
-            if (kind.batch() > 1
-                    && (messageClass.to() == null || messageClass.to().contains(kind.name()))) {
+        for (Declaration.DestinationKind kind : declared.kinds()) {
+            if (kind.maxBatchSize() > 1
+                    && (messageClass.destinationKinds() == null
+                            || messageClass.destinationKinds().contains(kind.name()))) {
                 error(
-                        messageClass.at(),
+                        messageClass.table(),
                         "in-order",
-                        "kind " + kind.name() + " takes batch = " + kind.batch()
+                        "kind " + kind.name() + " takes batch = " + kind.maxBatchSize()
                                 + " messages in a call, which keep no order; set its batch to 1 or in-order to false");
             }
         }
     }
 
     private void checkKinds(MessageClass messageClass) {
-        if (messageClass.to() == null) {
+        if (messageClass.destinationKinds() == null) {
             return;
         }
-        if (messageClass.to().isEmpty()) {
-            error(messageClass.at(), "to", "is empty: the class could go nowhere; leave it out for all kinds");
+        if (messageClass.destinationKinds().isEmpty()) {
+            error(messageClass.table(), "to", "is empty: the class could go nowhere; leave it out for all kinds");
         }
         List<String> known = declared.kindNames();
-        for (String kind : messageClass.to()) {
-            if (!known.contains(kind) && declared.discovery().agent() == null) {
+        for (String kind : messageClass.destinationKinds()) {
+            if (!known.contains(kind) && declared.discovery().agentAddress() == null) {
                 error(
-                        messageClass.at(),
+                        messageClass.table(),
                         "to",
                         "no partner is of kind " + kind + "; there are " + String.join(", ", known));
             }
@@ -153,54 +156,55 @@
     }
 
     /** The time for a first response, and for a second attempt where the class allows one. */
-    private long requiredMicros(MessageClass messageClass, Partner partner) {
-        long once = derived.connectTimeout() + partner.response();
-        return messageClass.repeat() == Repeat.ONCE ? once : 2 * once;
+    private long requiredMicros(MessageClass messageClass, Destination partner) {
+        long once = derived.connectTimeoutMicros() + partner.responseTimeMicros();
+        return messageClass.idempotency() == Idempotency.NON_IDEMPOTENT ? once : 2 * once;
     }
 
     private void checkDeadline(MessageClass messageClass) {
-        List<Partner> partners = declared.partnersOf(messageClass);
-        String tries = messageClass.repeat() == Repeat.ONCE ? "one try" : "a try and one more";
-        List<Partner> slow = partners.stream()
-                .filter(p -> requiredMicros(messageClass, p) > messageClass.deadline())
+        List<Destination> partners = declared.partnersOf(messageClass);
+        String tries = messageClass.idempotency() == Idempotency.NON_IDEMPOTENT ? "one try" : "a try and one more";
+        List<Destination> slow = partners.stream()
+                .filter(p -> requiredMicros(messageClass, p) > messageClass.deadlineMicros())
                 .toList();
         if (!slow.isEmpty()) {
-            Partner quickest = slow.stream()
+            Destination quickest = slow.stream()
                     .min(Comparator.comparingLong(p -> requiredMicros(messageClass, p)))
                     .orElseThrow();
             long need = requiredMicros(messageClass, quickest);
             if (slow.size() == partners.size()) {
                 error(
-                        messageClass.at(),
+                        messageClass.table(),
                         "deadline",
-                        duration(messageClass.deadline()) + " is shorter than any partner can answer in: even "
+                        duration(messageClass.deadlineMicros()) + " is shorter than any partner can answer in: even "
                                 + quickest.name() + " needs " + duration(need) + " (connecting "
-                                + duration(derived.connectTimeout())
-                                + ", response " + duration(quickest.response()) + ", " + tries + "); raise it to "
+                                + duration(derived.connectTimeoutMicros())
+                                + ", response " + duration(quickest.responseTimeMicros()) + ", " + tries
+                                + "); raise it to "
                                 + duration(need));
             } else {
                 warn(
-                        messageClass.at(),
+                        messageClass.table(),
                         "deadline",
-                        duration(messageClass.deadline()) + " is too short for " + slow.size() + " of "
+                        duration(messageClass.deadlineMicros()) + " is too short for " + slow.size() + " of "
                                 + partners.size() + " partners ("
-                                + slow.stream().map(Partner::name).collect(Collectors.joining(", ")) + "): "
+                                + slow.stream().map(Destination::name).collect(Collectors.joining(", ")) + "): "
                                 + quickest.name() + " needs " + duration(need) + " for " + tries);
             }
         }
     }
 
     private void checkKeyWindow(MessageClass messageClass) {
-        if (messageClass.repeat() == Repeat.BY_KEY && messageClass.keyWindow() > 0) {
+        if (messageClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY && messageClass.keyWindowMicros() > 0) {
             long quickest = declared.partnersOf(messageClass).stream()
                     .mapToLong(p -> requiredMicros(messageClass, p))
                     .min()
                     .orElse(0);
-            if (messageClass.keyWindow() < quickest) {
+            if (messageClass.keyWindowMicros() < quickest) {
                 error(
-                        messageClass.at(),
+                        messageClass.table(),
                         "key-window",
-                        duration(messageClass.keyWindow()) + " is shorter than the span of one retry, "
+                        duration(messageClass.keyWindowMicros()) + " is shorter than the span of one retry, "
                                 + duration(quickest) + ": none could ever be made; raise it or say repeat = once");
             }
         }
--- a/src/main/java/loftflow/config/plan/NameChecks.java
+++ b/src/main/java/loftflow/config/plan/NameChecks.java
@@ -27,13 +27,13 @@
     }
 
     private void checkExistence() {
-        if (declared.fronts().isEmpty() && declared.amqp().queues().isEmpty()) {
+        if (declared.listeners().isEmpty() && declared.amqp().queues().isEmpty()) {
             error(declared.at(), "front", "no front: nobody could hand a message in; add a [[front]]");
         }
         if (declared.classes().isEmpty()) {
             error(declared.at(), "class", "no class of messages: add a [[class]]");
         }
-        if (declared.partners().isEmpty() && declared.discovery().agent() == null) {
+        if (declared.destinations().isEmpty() && declared.discovery().agentAddress() == null) {
             error(
                     declared.at(),
                     "partner",
@@ -42,16 +42,22 @@
     }
 
     private void checkUniqueness() {
-        unique(declared.classes(), c -> c.name(), c -> c.at(), "name");
-        unique(declared.tenants(), t -> t.name(), t -> t.at(), "name");
-        unique(declared.partners(), p -> p.name(), p -> p.at(), "name");
-        unique(declared.partners(), p -> Integer.toString(p.number()), p -> p.at(), "number");
-        unique(declared.kinds(), k -> k.name(), k -> k.at(), "name");
-        unique(declared.endpoints(), e -> e.id(), e -> e.at(), "id");
-        unique(declared.endpoints(), NameChecks::destination, e -> e.at(), "address");
-        unique(declared.amqp().brokers(), b -> b.name(), b -> b.at(), "name");
-        unique(declared.amqp().queues(), q -> q.name(), q -> q.at(), "name");
-        unique(declared.fronts().stream().filter(Declaration.Front::amqp).toList(), f -> f.name(), f -> f.at(), "name");
+        unique(declared.classes(), c -> c.name(), c -> c.table(), "name");
+        unique(declared.tenants(), t -> t.name(), t -> t.table(), "name");
+        unique(declared.destinations(), p -> p.name(), p -> p.table(), "name");
+        unique(declared.destinations(), p -> Integer.toString(p.number()), p -> p.table(), "number");
+        unique(declared.kinds(), k -> k.name(), k -> k.table(), "name");
+        unique(declared.endpoints(), e -> e.id(), e -> e.table(), "id");
+        unique(declared.endpoints(), NameChecks::destination, e -> e.table(), "address");
+        unique(declared.amqp().brokers(), b -> b.name(), b -> b.table(), "name");
+        unique(declared.amqp().queues(), q -> q.name(), q -> q.table(), "name");
+        unique(
+                declared.listeners().stream()
+                        .filter(Declaration.Listener::isAmqp)
+                        .toList(),
+                f -> f.name(),
+                f -> f.table(),
+                "name");
     }
 
     /** The address of an endpoint; at a broker, exchange and routing key belong to it. */
@@ -63,41 +69,42 @@
     }
 
     private void checkRelayNumber() {
-        if (declared.fleet().number() >= declared.fleet().relays()) {
+        if (declared.fleet().relayIndex() >= declared.fleet().size()) {
             error(
-                    declared.fleet().at(),
+                    declared.fleet().table(),
                     "number",
-                    declared.fleet().number() + " is beyond the last relay: with " + "fleet.relays = "
-                            + declared.fleet().relays() + " they are numbered from 0 to "
-                            + (declared.fleet().relays() - 1));
+                    declared.fleet().relayIndex() + " is beyond the last relay: with " + "fleet.relays = "
+                            + declared.fleet().size() + " they are numbered from 0 to "
+                            + (declared.fleet().size() - 1));
         }
     }
 
     /** Warns if the tenants' rates add up to less than the peak rate, since the excess counts as over quota. */
     private void checkTenantRates() {
         double tenantRates = declared.tenants().stream()
-                .mapToDouble(Declaration.Tenant::rate)
+                .mapToDouble(Declaration.Tenant::quotaPerSecond)
+                .sum();
+        double peakRate = declared.classes().stream()
+                .mapToDouble(MessageClass::peakRatePerSecond)
                 .sum();
-        double peakRate =
-                declared.classes().stream().mapToDouble(MessageClass::peakRate).sum();
         boolean allLimited =
-                !declared.tenants().isEmpty() && declared.tenants().stream().allMatch(t -> t.rate() > 0);
+                !declared.tenants().isEmpty() && declared.tenants().stream().allMatch(t -> t.quotaPerSecond() > 0);
         if (allLimited && tenantRates < peakRate) {
             warn(
-                    declared.tenants().get(0).at(),
+                    declared.tenants().get(0).table(),
                     "rate",
-                    "all tenants together have " + Units.ofRate(tenantRates) + ", and the classes'"
-                            + " peak-rate add up to " + Units.ofRate(peakRate)
+                    "all tenants together have " + Units.formatRate(tenantRates) + ", and the classes'"
+                            + " peak-rate add up to " + Units.formatRate(peakRate)
                             + ": what is beyond a share counts for less");
         }
     }
 
     private void checkUnusedKinds() {
         Set<String> used = new HashSet<>();
-        declared.partners().forEach(p -> used.add(p.kind()));
-        for (Declaration.Kind kind : declared.kinds()) {
-            if (!used.contains(kind.name()) && declared.discovery().agent() == null) {
-                warn(kind.at(), "name", "no partner is of kind " + kind.name());
+        declared.destinations().forEach(p -> used.add(p.kind()));
+        for (Declaration.DestinationKind kind : declared.kinds()) {
+            if (!used.contains(kind.name()) && declared.discovery().agentAddress() == null) {
+                warn(kind.table(), "name", "no partner is of kind " + kind.name());
             }
         }
     }
--- a/src/main/java/loftflow/config/plan/PartnerChecks.java
+++ b/src/main/java/loftflow/config/plan/PartnerChecks.java
@@ -6,8 +6,8 @@
 import java.util.stream.Collectors;
 import loftflow.config.file.Finding;
 import loftflow.config.file.Units;
+import loftflow.config.plan.Declaration.Destination;
 import loftflow.config.plan.Declaration.MessageClass;
-import loftflow.config.plan.Declaration.Partner;
 
 /** Checks partners and kinds, and whether rate limits suffice for the declared traffic. */
 final class PartnerChecks extends ConsistencyCheck {
@@ -26,42 +26,47 @@
     }
 
     private void checkPartners() {
-        boolean discovered = declared.discovery().agent() != null;
-        for (Partner partner : declared.partners()) {
+        boolean discovered = declared.discovery().agentAddress() != null;
+        for (Destination partner : declared.destinations()) {
             if (partner.endpoints().isEmpty() && !discovered) {
                 error(
-                        partner.at(),
+                        partner.table(),
                         "endpoint",
                         "none, and there is no discovery.agent to tell one; add a" + " [[partner.endpoint]]");
             }
             if (declared.classes().stream().noneMatch(c -> c.goesTo(partner))) {
-                warn(partner.at(), "kind", "no class goes to kind " + partner.kind());
+                warn(partner.table(), "kind", "no class goes to kind " + partner.kind());
             }
-            if (partner.at().has("limit") && partner.limit() <= 0) {
-                error(partner.at(), "limit", "0/s means that the partner takes nothing; leave it out if it is unknown");
+            if (partner.table().has("limit") && partner.limitPerSecond() <= 0) {
+                error(
+                        partner.table(),
+                        "limit",
+                        "0/s means that the partner takes nothing; leave it out if it is unknown");
             }
         }
     }
 
     private void checkKinds() {
-        for (Declaration.Kind kind : declared.kinds()) {
-            if (derived.idle() > kind.idle()) {
+        for (Declaration.DestinationKind kind : declared.kinds()) {
+            if (derived.upstreamIdleTimeoutMicros() > kind.idleTimeoutMicros()) {
                 derivedError(
                         "calls.idle",
-                        duration(derived.idle()) + " is longer than kind " + kind.name() + " keeps idle"
-                                + " connections (" + duration(kind.idle())
+                        duration(derived.upstreamIdleTimeoutMicros()) + " is longer than kind " + kind.name()
+                                + " keeps idle"
+                                + " connections (" + duration(kind.idleTimeoutMicros())
                                 + "): calls on them would end as resets; lower it");
             }
             long largest = declared.classes().stream()
-                    .filter(c -> c.to() == null || c.to().contains(kind.name()))
-                    .mapToLong(MessageClass::body)
+                    .filter(c ->
+                            c.destinationKinds() == null || c.destinationKinds().contains(kind.name()))
+                    .mapToLong(MessageClass::bodyBytes)
                     .max()
                     .orElse(0);
-            if (kind.batch() > 1 && largest * 4 / 3 > MAX_BATCH_BYTES) {
+            if (kind.maxBatchSize() > 1 && largest * 4 / 3 > MAX_BATCH_BYTES) {
                 warn(
-                        kind.at(),
+                        kind.table(),
                         "batch",
-                        kind.batch() + " messages of " + Units.ofSize(largest) + " don't fit into one"
+                        kind.maxBatchSize() + " messages of " + Units.formatSize(largest) + " don't fit into one"
                                 + " call of 64KiB, so that each travels alone");
             }
         }
@@ -75,36 +80,40 @@
         Set<Set<String>> kindSets = new LinkedHashSet<>();
         Set<String> all = new LinkedHashSet<>(declared.kindNames());
         for (MessageClass messageClass : declared.classes()) {
-            kindSets.add(messageClass.to() == null ? all : new LinkedHashSet<>(messageClass.to()));
+            kindSets.add(
+                    messageClass.destinationKinds() == null
+                            ? all
+                            : new LinkedHashSet<>(messageClass.destinationKinds()));
         }
         for (Set<String> kinds : kindSets) {
-            List<Partner> partners = declared.partners().stream()
+            List<Destination> partners = declared.destinations().stream()
                     .filter(p -> kinds.contains(p.kind()))
                     .toList();
             List<MessageClass> bound = declared.classes().stream()
-                    .filter(c -> kinds.containsAll(c.to() == null ? all : c.to()))
+                    .filter(c -> kinds.containsAll(c.destinationKinds() == null ? all : c.destinationKinds()))
                     .toList();
-            if (partners.isEmpty() || partners.stream().anyMatch(p -> p.limit() <= 0)) {
+            if (partners.isEmpty() || partners.stream().anyMatch(p -> p.limitPerSecond() <= 0)) {
                 continue;
             }
             double limit = partners.stream()
-                    .mapToDouble(p -> p.limit() * maxBatchSize(p))
+                    .mapToDouble(p -> p.limitPerSecond() * maxBatchSize(p))
                     .sum();
-            double rate = bound.stream().mapToDouble(MessageClass::peakRate).sum();
+            double rate =
+                    bound.stream().mapToDouble(MessageClass::peakRatePerSecond).sum();
             if (rate > limit) {
                 error(
-                        bound.get(0).at(),
+                        bound.get(0).table(),
                         "peak-rate",
                         "at their peak, "
                                 + bound.stream().map(MessageClass::name).collect(Collectors.joining(", ")) + " bring "
-                                + Units.ofRate(rate) + " together, and the"
-                                + " partners that they go to take " + Units.ofRate(limit)
+                                + Units.formatRate(rate) + " together, and the"
+                                + " partners that they go to take " + Units.formatRate(limit)
                                 + "; lower the rate or raise a limit");
             }
         }
     }
 
-    private int maxBatchSize(Partner partner) {
-        return declared.kindOf(partner).batch();
+    private int maxBatchSize(Destination partner) {
+        return declared.kindOf(partner).maxBatchSize();
     }
 }
--- a/src/main/java/loftflow/config/plan/Planner.java
+++ b/src/main/java/loftflow/config/plan/Planner.java
@@ -130,7 +130,7 @@
 
     private int connections(int calls, int sockets) {
         int endpoints = declared.endpoints().size();
-        int lateResponses = declared.undeliverable().keep()
+        int lateResponses = declared.deadLetters().isEnabled()
                 ? Math.max(MIN_LATE_RESPONSE_CONNECTIONS, calls / LATE_RESPONSE_DIVISOR)
                 : 0;
         reasons.put(
@@ -153,34 +153,41 @@
 
     private long connectTimeoutMicros() {
         long shortestMicros = declared.classes().stream()
-                .mapToLong(Declaration.MessageClass::deadline)
+                .mapToLong(Declaration.MessageClass::deadlineMicros)
                 .min()
                 .orElse(MAX_CONNECT_TIMEOUT_MICROS * CONNECT_TIMEOUT_DIVISOR);
         reasons.put(
                 "calls.connect-timeout",
-                text("an eighth of the shortest deadline (%s), 1.5s at the most", Units.ofSpan(shortestMicros)));
+                text(
+                        "an eighth of the shortest deadline (%s), 1.5s at the most",
+                        Units.formatDuration(shortestMicros)));
         long wholeMillis = shortestMicros / CONNECT_TIMEOUT_DIVISOR / MICROS_PER_MILLI * MICROS_PER_MILLI;
         return Math.max(MIN_CONNECT_TIMEOUT_MICROS, Math.min(MAX_CONNECT_TIMEOUT_MICROS, wholeMillis));
     }
 
     private long idleMicros() {
         reasons.put("calls.idle", "the shortest after which a kind of partner closes idle connections");
-        return declared.kinds().stream().mapToLong(Declaration.Kind::idle).min().orElse(DEFAULT_IDLE_MICROS);
+        return declared.kinds().stream()
+                .mapToLong(Declaration.DestinationKind::idleTimeoutMicros)
+                .min()
+                .orElse(DEFAULT_IDLE_MICROS);
     }
 
     private boolean secondCopies() {
-        boolean copies = declared.classes().stream().anyMatch(Declaration.MessageClass::secondCopies);
+        boolean copies = declared.classes().stream().anyMatch(Declaration.MessageClass::isHedged);
         reasons.put("calls.second-copies", copies ? "a class asks for them" : "no class asks for them");
         return copies;
     }
 
     private long journalBytes(int messages) {
-        boolean storesDeadLetters = declared.undeliverable().keep();
-        long deadLetterBytes = storesDeadLetters ? declared.undeliverable().limit() : 0;
-        long seenIdBytes =
-                declared.takesAmqp() ? declared.amqp().duplicates().entries() * SizingModel.DISK_BYTES_PER_SEEN_ID : 0;
-        long snapshotBytes = declared.memory().keep() ? declared.memory().limit() : 0;
-        long machineBytes = declared.machine().disk();
+        boolean storesDeadLetters = declared.deadLetters().isEnabled();
+        long deadLetterBytes = storesDeadLetters ? declared.deadLetters().limitBytes() : 0;
+        long seenIdBytes = declared.takesAmqp()
+                ? declared.amqp().deduplication().maxEntries() * SizingModel.DISK_BYTES_PER_SEEN_ID
+                : 0;
+        long snapshotBytes =
+                declared.warmStart().isEnabled() ? declared.warmStart().limitBytes() : 0;
+        long machineBytes = declared.machine().diskBytes();
         reasons.put(
                 "journal.limit",
                 text(
@@ -188,7 +195,7 @@
                                 + (seenIdBytes > 0 ? " less what duplicates.entries take" : "")
                                 + (snapshotBytes > 0 ? " less memory.limit" : "")
                                 + "; open messages may take %.0f%% of it and need %s",
-                        Units.ofSize(machineBytes),
+                        Units.formatSize(machineBytes),
                         SizingModel.OPEN_JOURNAL_SHARE * 100,
                         SizingModel.kib(
                                 SizingModel.bytesOf(declared, messages, SizingModel.JOURNAL_BYTES_PER_MESSAGE))));
@@ -198,16 +205,16 @@
 
     private long directBytes() {
         reasons.put("process.direct", "buffers of sockets");
-        return declared.machine().memory() >= SMALL_MACHINE_BYTES ? DIRECT_BYTES : SMALL_DIRECT_BYTES;
+        return declared.machine().memoryBytes() >= SMALL_MACHINE_BYTES ? DIRECT_BYTES : SMALL_DIRECT_BYTES;
     }
 
     private long heapBytes(long directBytes) {
-        long machineBytes = declared.machine().memory();
+        long machineBytes = declared.machine().memoryBytes();
         reasons.put(
                 "process.heap",
                 text(
                         "machine.memory (%s) less direct memory and %s for the JVM itself, 1GiB at the most",
-                        Units.ofSize(machineBytes), Units.ofSize(SizingModel.JVM_BYTES)));
+                        Units.formatSize(machineBytes), Units.formatSize(SizingModel.JVM_BYTES)));
         long wholeMib = (machineBytes - directBytes - SizingModel.JVM_BYTES) / BYTES_PER_MIB * BYTES_PER_MIB;
         return Math.max(MIN_HEAP_BYTES, Math.min(MAX_HEAP_BYTES, wholeMib));
     }
@@ -220,7 +227,7 @@
                     text(
                             "twice buffer.messages, since some are half read and some wait for their answer,"
                                     + " as far as a tenth of the heap holds them at %s each",
-                            Units.ofSize(SizingModel.HEAP_BYTES_PER_STREAM)));
+                            Units.formatSize(SizingModel.HEAP_BYTES_PER_STREAM)));
         }
         double fitting = heapBytes * SizingModel.STREAM_HEAP_SHARE / 2 / SizingModel.HEAP_BYTES_PER_STREAM;
         return count(Math.max(MIN_STREAMS, Math.min(2.0 * messages, fitting)));
@@ -237,14 +244,15 @@
 
     /** The limit on concurrent streams that a listener advertises to each connection. */
     public static int streams(Declaration.Http2 listener, DerivedSettings settings) {
-        return listener.streams() > 0
-                ? listener.streams()
-                : Math.min(MAX_STREAMS_PER_CONNECTION, Math.min(settings.messages(), settings.streams()));
+        return listener.maxStreams() > 0
+                ? listener.maxStreams()
+                : Math.min(
+                        MAX_STREAMS_PER_CONNECTION, Math.min(settings.maxOpenMessages(), settings.maxHttp2Streams()));
     }
 
     private static long fallback(String key) {
         String text = Schema.RELAY.of(key).orElseThrow().fallback();
-        return text.matches("\\d+") ? Long.parseLong(text) : Units.span(text);
+        return text.matches("\\d+") ? Long.parseLong(text) : Units.parseDurationMicros(text);
     }
 
     private static double fraction(String key) {
@@ -264,7 +272,7 @@
                     case "rules.drain-grace" -> "stop-time";
                     default -> "descriptors";
                 };
-        return declared.machine().at().at(name);
+        return declared.machine().table().at(name);
     }
 
     private static int count(double value) {
--- a/src/main/java/loftflow/config/plan/SizingModel.java
+++ b/src/main/java/loftflow/config/plan/SizingModel.java
@@ -39,23 +39,23 @@
     /** Messages that may be open at the same time: the peak rate of each class for the time until its deadline. */
     static double openMessages(Declaration declared) {
         return declared.classes().stream()
-                .mapToDouble(c -> c.peakRate() * c.deadline() / MICROS_PER_SECOND)
+                .mapToDouble(c -> c.peakRatePerSecond() * c.deadlineMicros() / MICROS_PER_SECOND)
                 .sum();
     }
 
     /** Calls in flight by Little's law: rate times response time at the slowest partner of each class. */
     static double concurrentCalls(Declaration declared) {
         return declared.classes().stream()
-                .mapToDouble(c -> c.peakRate() * slowestResponseMicros(declared, c) / MICROS_PER_SECOND)
+                .mapToDouble(c -> c.peakRatePerSecond() * slowestResponseMicros(declared, c) / MICROS_PER_SECOND)
                 .sum();
     }
 
     /** The latency objective stands in for the response time of partners that only discovery knows. */
     private static long slowestResponseMicros(Declaration declared, Declaration.MessageClass messageClass) {
         return declared.partnersOf(messageClass).stream()
-                .mapToLong(Declaration.Partner::response)
+                .mapToLong(Declaration.Destination::responseTimeMicros)
                 .max()
-                .orElse(messageClass.wanted());
+                .orElse(messageClass.latencyObjectiveMicros());
     }
 
     /** Bytes of a number of open messages, mixed as declared, with some bytes for each beside its body. */
@@ -66,7 +66,10 @@
 
     private static double openBytes(Declaration declared, long bytesBesideBody) {
         return declared.classes().stream()
-                .mapToDouble(c -> c.peakRate() * c.deadline() / MICROS_PER_SECOND * (c.body() + bytesBesideBody))
+                .mapToDouble(c -> c.peakRatePerSecond()
+                        * c.deadlineMicros()
+                        / MICROS_PER_SECOND
+                        * (c.bodyBytes() + bytesBesideBody))
                 .sum();
     }
 
--- a/src/main/java/loftflow/config/plan/StorageChecks.java
+++ b/src/main/java/loftflow/config/plan/StorageChecks.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import loftflow.config.file.Finding;
 import loftflow.config.file.Units;
+import loftflow.config.plan.Declaration.Destination;
 import loftflow.config.plan.Declaration.MessageClass;
-import loftflow.config.plan.Declaration.Partner;
 
 /** Checks the dead-letter store and the endpoint snapshots against disk and deadlines. */
 final class StorageChecks extends ConsistencyCheck {
@@ -21,76 +21,81 @@
     }
 
     private void checkDeadLetters() {
-        Declaration.Undeliverable kept = declared.undeliverable();
-        if (!kept.keep()) {
+        Declaration.DeadLetters kept = declared.deadLetters();
+        if (!kept.isEnabled()) {
             return;
         }
         for (MessageClass messageClass : declared.classes()) {
-            if (messageClass.shelfLife() < messageClass.deadline()) {
+            if (messageClass.deadLetterRetentionMicros() < messageClass.deadlineMicros()) {
                 error(
-                        messageClass.at(),
+                        messageClass.table(),
                         "shelf-life",
-                        duration(messageClass.shelfLife()) + " is shorter than deadline = "
-                                + duration(messageClass.deadline())
+                        duration(messageClass.deadLetterRetentionMicros()) + " is shorter than deadline = "
+                                + duration(messageClass.deadlineMicros())
                                 + ": a message would be too old as soon as it is kept; raise it");
             }
         }
-        if (kept.low() >= kept.high()) {
+        if (kept.resumeShare() >= kept.fullShare()) {
             error(
-                    kept.at(),
+                    kept.table(),
                     "low",
-                    kept.low() + " is no lower than undeliverable.high = " + kept.high()
+                    kept.resumeShare() + " is no lower than undeliverable.high = " + kept.fullShare()
                             + ": the store would be full and not full at once; lower it");
         }
-        if (kept.limit() + derived.journal() > declared.machine().disk()) {
+        if (kept.limitBytes() + derived.journalBytes() > declared.machine().diskBytes()) {
             error(
-                    kept.at(),
+                    kept.table(),
                     "limit",
-                    Units.ofSize(kept.limit()) + " and the journal's " + Units.ofSize(derived.journal())
+                    Units.formatSize(kept.limitBytes()) + " and the journal's "
+                            + Units.formatSize(derived.journalBytes())
                             + " share a folder with machine.disk = "
-                            + Units.ofSize(declared.machine().disk())
+                            + Units.formatSize(declared.machine().diskBytes())
                             + "; lower one or raise that");
         }
-        for (Partner partner : declared.partners()) {
-            if (partner.limit() > 0 && kept.pace() > partner.limit()) {
+        for (Destination partner : declared.destinations()) {
+            if (partner.limitPerSecond() > 0 && kept.redrivesPerSecond() > partner.limitPerSecond()) {
                 error(
-                        kept.at(),
+                        kept.table(),
                         "pace",
-                        Units.ofRate(kept.pace()) + " is above the limit of partner " + partner.name() + ", "
-                                + Units.ofRate(partner.limit()) + "; lower it");
+                        Units.formatRate(kept.redrivesPerSecond()) + " is above the limit of partner " + partner.name()
+                                + ", " + Units.formatRate(partner.limitPerSecond()) + "; lower it");
             }
         }
     }
 
     private void checkWarmStart() {
-        Declaration.Memory memory = declared.memory();
-        if (!memory.keep()) {
+        Declaration.WarmStart memory = declared.warmStart();
+        if (!memory.isEnabled()) {
             return;
         }
-        long kept = declared.undeliverable().keep() ? declared.undeliverable().limit() : 0;
-        if (memory.limit() + kept + derived.journal() > declared.machine().disk()) {
+        long kept = declared.deadLetters().isEnabled() ? declared.deadLetters().limitBytes() : 0;
+        if (memory.limitBytes() + kept + derived.journalBytes()
+                > declared.machine().diskBytes()) {
             error(
-                    memory.at(),
+                    memory.table(),
                     "limit",
-                    Units.ofSize(memory.limit()) + " and " + Units.ofSize(derived.journal() + kept)
+                    Units.formatSize(memory.limitBytes()) + " and " + Units.formatSize(derived.journalBytes() + kept)
                             + " for the journal and what is kept share a folder with machine.disk = "
-                            + Units.ofSize(declared.machine().disk()) + "; lower one or raise that");
+                            + Units.formatSize(declared.machine().diskBytes()) + "; lower one or raise that");
         }
         long snapshotBytes = declared.endpoints().size() * SizingModel.SNAPSHOT_BYTES_PER_ENDPOINT;
-        if (snapshotBytes > memory.limit() * SizingModel.SNAPSHOT_SHARE) {
+        if (snapshotBytes > memory.limitBytes() * SizingModel.SNAPSHOT_SHARE) {
             error(
-                    memory.at(),
+                    memory.table(),
                     "limit",
                     text(
                             "%d endpoints take some %s, and one picture may take three tenths of %s;" + " raise it",
-                            declared.endpoints().size(), SizingModel.kib(snapshotBytes), Units.ofSize(memory.limit())));
+                            declared.endpoints().size(),
+                            SizingModel.kib(snapshotBytes),
+                            Units.formatSize(memory.limitBytes())));
         }
-        if (declared.discovery().agent() != null && memory.settle() >= memory.halfLife()) {
+        if (declared.discovery().agentAddress() != null
+                && memory.listConfirmationMicros() >= memory.trustHalfLifeMicros()) {
             error(
-                    memory.at(),
+                    memory.table(),
                     "settle",
-                    duration(memory.settle()) + " is no shorter than memory.half-life = "
-                            + duration(memory.halfLife())
+                    duration(memory.listConfirmationMicros()) + " is no shorter than memory.half-life = "
+                            + duration(memory.trustHalfLifeMicros())
                             + ": what discovery leaves out would be too old to be believed before it is"
                             + " gone; lower it");
         }
--- a/src/main/java/loftflow/config/schema/Addresses.java
+++ b/src/main/java/loftflow/config/schema/Addresses.java
@@ -2,8 +2,8 @@
 
 /** Addresses in digits with a port, kept as text. */
 public final class Addresses {
-    private static final int LARGEST_PORT = 65_535;
-    private static final int LARGEST_BYTE = 255;
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_BYTE = 255;
 
     private Addresses() {}
 
@@ -17,7 +17,7 @@
         String host = host(text);
         if (colon < 0
                 || !text.substring(colon + 1).matches("\\d{1,5}")
-                || Integer.parseInt(text.substring(colon + 1)) > LARGEST_PORT) {
+                || Integer.parseInt(text.substring(colon + 1)) > MAX_PORT) {
             throw new IllegalArgumentException(
                     "\"" + text + "\" has no port from 0 to 65535: write it like" + " 127.0.0.1:8080");
         }
@@ -29,7 +29,7 @@
                     + " address in digits, like 127.0.0.1:8080");
         }
         for (String part : host.split("\\.")) {
-            if (Integer.parseInt(part) > LARGEST_BYTE) {
+            if (Integer.parseInt(part) > MAX_BYTE) {
                 throw new IllegalArgumentException("\"" + host + "\" is no address: " + part + " is above 255");
             }
         }
--- a/src/main/java/loftflow/config/schema/Catalog.java
+++ b/src/main/java/loftflow/config/schema/Catalog.java
@@ -196,9 +196,9 @@
 
     static String inUnit(Setting setting, double value) {
         return switch (setting.type()) {
-            case SPAN -> Units.ofSpan((long) value);
-            case SIZE -> Units.ofSize((long) value);
-            case RATE -> Units.ofRate(value);
+            case SPAN -> Units.formatDuration((long) value);
+            case SIZE -> Units.formatSize((long) value);
+            case RATE -> Units.formatRate(value);
             case WHOLE -> Long.toString((long) value);
             default -> Double.toString(value).replaceFirst("\\.0$", "");
         };
--- a/src/main/java/loftflow/config/schema/TableReader.java
+++ b/src/main/java/loftflow/config/schema/TableReader.java
@@ -187,9 +187,9 @@
                             + ", not " + node.kind());
         }
         return switch (type) {
-            case SPAN -> Units.span(text);
-            case SIZE -> Units.size(text);
-            case RATE -> Units.rate(text);
+            case SPAN -> Units.parseDurationMicros(text);
+            case SIZE -> Units.parseSizeBytes(text);
+            case RATE -> Units.parseRatePerSecond(text);
             case ADDRESS -> Addresses.literal(text);
             case WORD -> oneOf(words, text);
             case TEXT -> matching(
--- a/src/main/java/loftflow/config/tool/CheckedFile.java
+++ b/src/main/java/loftflow/config/tool/CheckedFile.java
@@ -49,7 +49,7 @@
                 findings.addAll(ConsistencyChecks.of(declared, figures, surroundings));
             }
         }
-        findings.sort(Finding.IN_ORDER);
+        findings.sort(Finding.BY_POSITION);
         return new CheckedFile(kind, node, declared, figures, List.copyOf(findings));
     }
 
--- a/src/main/java/loftflow/config/tool/ConfigTool.java
+++ b/src/main/java/loftflow/config/tool/ConfigTool.java
@@ -18,7 +18,7 @@
 
     /** Checks a file of any of the three kinds. A file in JSON is a platform's. */
     public static List<Finding> check(Path file) throws SourceFile.UnreadableException {
-        String text = SourceFile.text(file);
+        String text = SourceFile.readText(file);
         if (text.stripLeading().startsWith("{")) {
             return PlatformFile.check(file.toString(), text);
         }
@@ -52,7 +52,7 @@
     public static Outcome write(Path application, Path folder, boolean force)
             throws SourceFile.UnreadableException, IOException {
         CheckedFile checked = CheckedFile.of(
-                application.toString(), SourceFile.text(application), LocalMachineInspector.of(Map.of()));
+                application.toString(), SourceFile.readText(application), LocalMachineInspector.of(Map.of()));
         if (!checked.isClean()) {
             return new Outcome(Written.REFUSED, null, checked.findings(), null, null, null);
         }
@@ -70,7 +70,7 @@
         Planner.Plan plan = Planner.plan(checked.declared());
         String text = RelayFileText.of(checked.node(), name, plan);
         Path file = folder.resolve(name);
-        String before = Files.exists(file) ? SourceFile.text(file) : null;
+        String before = Files.exists(file) ? SourceFile.readText(file) : null;
         Written written = Written.NEW;
         if (text.equals(before)) {
             written = Written.UNCHANGED;
--- a/src/main/java/loftflow/config/tool/PlatformFile.java
+++ b/src/main/java/loftflow/config/tool/PlatformFile.java
@@ -43,7 +43,7 @@
     static List<Finding> check(String file, String text) {
         PlatformFile check = new PlatformFile(file);
         check.read(text);
-        check.findings.sort(Finding.IN_ORDER);
+        check.findings.sort(Finding.BY_POSITION);
         return check.findings;
     }
 
@@ -110,8 +110,9 @@
         if (settings.rules().drainGraceMicros() >= EARLIEST_KILL_MICROS) {
             warn(
                     "settings.contract.drain-grace-s",
-                    Units.ofSpan(settings.rules().drainGraceMicros()) + " is no shorter than "
-                            + Units.ofSpan(EARLIEST_KILL_MICROS) + ", after which a stopped relay may be killed");
+                    Units.formatDuration(settings.rules().drainGraceMicros()) + " is no shorter than "
+                            + Units.formatDuration(EARLIEST_KILL_MICROS)
+                            + ", after which a stopped relay may be killed");
         }
         for (int i = 0; i < settings.classes().size(); i++) {
             RequestClass type = settings.classes().get(i);
@@ -119,15 +120,17 @@
             if (type.deadlineMicros() <= limits.connectTimeoutMicros()) {
                 warn(
                         key + "." + PlatformSettingsProtocol.DEADLINE_SECONDS,
-                        Units.ofSpan(type.deadlineMicros()) + " is no longer than"
-                                + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeoutMicros()));
+                        Units.formatDuration(type.deadlineMicros()) + " is no longer than"
+                                + " settings.limits.connect-timeout-s, "
+                                + Units.formatDuration(limits.connectTimeoutMicros()));
             }
             if (type.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
                     && type.keyWindowMicros() <= limits.connectTimeoutMicros()) {
                 warn(
                         key + "." + PlatformSettingsProtocol.KEY_WINDOW_SECONDS,
-                        Units.ofSpan(type.keyWindowMicros()) + " is no longer than"
-                                + " settings.limits.connect-timeout-s, " + Units.ofSpan(limits.connectTimeoutMicros())
+                        Units.formatDuration(type.keyWindowMicros()) + " is no longer than"
+                                + " settings.limits.connect-timeout-s, "
+                                + Units.formatDuration(limits.connectTimeoutMicros())
                                 + ": no retry could be made");
             }
         }
--- a/src/main/java/loftflow/config/tool/RelayFile.java
+++ b/src/main/java/loftflow/config/tool/RelayFile.java
@@ -59,7 +59,7 @@
 
     private static Config read(Path file) throws Config.BadConfigException {
         try {
-            String text = SourceFile.text(file);
+            String text = SourceFile.readText(file);
             CheckedFile checked = CheckedFile.of(file.toString(), text, LocalMachineInspector.of(System.getenv()));
             if (!checked.isClean()) {
                 throw new Config.BadConfigException(checked.findings().stream()
@@ -85,23 +85,23 @@
     static Config config(Declaration declared, DerivedSettings figures, byte[] source)
             throws Config.BadConfigException {
         Declaration.Discovery discovery = declared.discovery();
-        boolean whole = discovery.agent() == null;
+        boolean whole = discovery.agentAddress() == null;
         List<Endpoint> known = targets(declared);
         return new Config(
-                declared.fronts().stream()
+                declared.listeners().stream()
                         .filter(f -> f.protocol() == Declaration.Protocol.HTTP)
                         .map(f -> Endpoint.address(f.listen()))
                         .toList(),
-                addressOrNull(discovery.agent()),
-                addressOrNull(discovery.notices()),
+                addressOrNull(discovery.agentAddress()),
+                addressOrNull(discovery.completionAddress()),
                 Path.of(declared.machine().folder()),
-                figures.clients(),
-                figures.connections(),
-                figures.journal(),
+                figures.maxClientConnections(),
+                figures.maxUpstreamConnections(),
+                figures.journalBytes(),
                 settings(declared, figures),
-                figures.round(),
-                figures.idle(),
-                figures.reports(),
+                figures.roundPeriodMicros(),
+                figures.upstreamIdleTimeoutMicros(),
+                figures.areLoadReportsEnabled(),
                 whole ? EndpointListKind.FULL : EndpointListKind.CACHED,
                 whole ? 0 : -1,
                 known,
@@ -125,9 +125,10 @@
                 fronts,
                 queues,
                 mappings(declared),
-                figures.clients() / Math.max(1, declared.fronts().size()),
-                declared.amqp().duplicates().span(),
-                declared.amqp().duplicates().entries());
+                figures.maxClientConnections()
+                        / Math.max(1, declared.listeners().size()),
+                declared.amqp().deduplication().windowMicros(),
+                declared.amqp().deduplication().maxEntries());
     }
 
     private static Map<String, Config.Login> logins(Declaration declared) throws Config.BadConfigException {
@@ -139,7 +140,7 @@
                             broker.user(),
                             broker.passwordFile() == null ? USUAL_PASSWORD : password(broker.passwordFile()),
                             broker.virtualHost(),
-                            seconds(broker.heartbeat()),
+                            seconds(broker.heartbeatMicros()),
                             broker.tls(),
                             broker.trustFile() == null ? null : Path.of(broker.trustFile()),
                             broker.tlsName()));
@@ -162,18 +163,18 @@
     private static List<Config.AmqpListenerOptions> amqpListeners(Declaration declared)
             throws Config.BadConfigException {
         List<Config.AmqpListenerOptions> listeners = new ArrayList<>();
-        for (Declaration.Front front : declared.fronts()) {
-            if (front.amqp()) {
+        for (Declaration.Listener front : declared.listeners()) {
+            if (front.isAmqp()) {
                 listeners.add(new Config.AmqpListenerOptions(
                         front.name(),
                         Endpoint.address(front.listen()),
                         front.exchange(),
                         front.user(),
                         front.passwordFile() == null ? null : password(front.passwordFile()),
-                        seconds(front.heartbeat()),
-                        front.channels(),
-                        (int) front.frame(),
-                        front.replyHold()));
+                        seconds(front.heartbeatMicros()),
+                        front.maxChannels(),
+                        (int) front.maxFrameBytes(),
+                        front.replyRetentionMicros()));
             }
         }
         return listeners;
@@ -188,7 +189,7 @@
                         queue.queue(),
                         queue.prefetch(),
                         queue.autoAcknowledge(),
-                        queue.ends(),
+                        queue.completionReplies(),
                         queue.replyQueue()))
                 .toList();
     }
@@ -197,12 +198,12 @@
         return declared.amqp().mappings().stream()
                 .map(mapping -> new Config.MappingRule(
                         mapping.contentType(),
-                        mapping.id(),
+                        mapping.messageId(),
                         mapping.requestClass(),
                         mapping.tenant(),
                         mapping.key(),
                         mapping.destination(),
-                        mapping.budget()))
+                        mapping.timeBudget()))
                 .toList();
     }
 
@@ -211,15 +212,17 @@
                 .map(f -> new Config.Http2ListenerOptions(
                         Endpoint.address(f.listen()),
                         Planner.streams(f.http2(), figures),
-                        (int) f.http2().headerList(),
-                        (int) f.http2().window(),
-                        f.http2().idle(),
-                        f.http2().age(),
-                        f.http2().stall(),
-                        f.http2().resets(),
-                        f.http2().drain()))
+                        (int) f.http2().maxHeaderListBytes(),
+                        (int) f.http2().windowBytes(),
+                        f.http2().idleTimeoutMicros(),
+                        f.http2().maxAgeMicros(),
+                        f.http2().stallTimeoutMicros(),
+                        f.http2().maxResetsPerSecond(),
+                        f.http2().drainMicros()))
                 .toList();
-        return fronts.isEmpty() ? null : new Config.Http2(fronts, figures.streams(), figures.buffer());
+        return fronts.isEmpty()
+                ? null
+                : new Config.Http2(fronts, figures.maxHttp2Streams(), figures.http2BodyBufferBytes());
     }
 
     private static int seconds(long micros) {
@@ -235,37 +238,38 @@
     }
 
     private static Config.DeadLetterOptions keeping(Declaration declared) {
-        Declaration.Undeliverable u = declared.undeliverable();
-        return !u.keep()
+        Declaration.DeadLetters u = declared.deadLetters();
+        return !u.isEnabled()
                 ? null
                 : new Config.DeadLetterOptions(
-                        u.limit(),
-                        u.entries(),
-                        u.high(),
-                        u.low(),
-                        u.refuseWhenFull(),
-                        u.age(),
-                        u.pace(),
-                        u.pause(),
-                        u.clockMargin(),
-                        u.listenOn(),
+                        u.limitBytes(),
+                        u.maxEntries(),
+                        u.fullShare(),
+                        u.resumeShare(),
+                        u.rejectsWhenFull(),
+                        u.retentionMicros(),
+                        u.redrivesPerSecond(),
+                        u.redriveBackoffMicros(),
+                        u.clockMarginMicros(),
+                        u.lateAnswerMicros(),
                         declared.classes().stream()
                                 .collect(Collectors.toMap(
-                                        Declaration.MessageClass::name, Declaration.MessageClass::shelfLife)));
+                                        Declaration.MessageClass::name,
+                                        Declaration.MessageClass::deadLetterRetentionMicros)));
     }
 
     private static Config.WarmStartConfig memory(Declaration declared) {
-        Declaration.Memory m = declared.memory();
-        return !m.keep()
+        Declaration.WarmStart m = declared.warmStart();
+        return !m.isEnabled()
                 ? null
                 : new Config.WarmStartConfig(
-                        declared.name() + "#" + declared.fleet().number(),
-                        m.limit(),
-                        m.rate(),
-                        m.halfLife(),
-                        m.settle(),
-                        m.margin(),
-                        m.sync());
+                        declared.name() + "#" + declared.fleet().relayIndex(),
+                        m.limitBytes(),
+                        m.writeBytesPerSecond(),
+                        m.trustHalfLifeMicros(),
+                        m.listConfirmationMicros(),
+                        m.retryAfterMarginMicros(),
+                        m.isSyncedToDisk());
     }
 
     private static InetSocketAddress addressOrNull(String address) {
@@ -274,16 +278,16 @@
 
     private static List<Endpoint> targets(Declaration declared) {
         List<Endpoint> targets = new ArrayList<>();
-        for (Declaration.Partner partner : declared.partners()) {
+        for (Declaration.Destination partner : declared.destinations()) {
             for (Declaration.Endpoint endpoint : partner.endpoints()) {
                 targets.add(new Endpoint(
                         new EndpointEntry(
                                 endpoint.id(),
                                 partner.number(),
                                 partner.kind(),
-                                endpoint.building(),
+                                endpoint.zone(),
                                 Availability.LISTED,
-                                partner.limit()),
+                                partner.limitPerSecond()),
                         Endpoint.address(endpoint.address())));
             }
         }
@@ -292,35 +296,42 @@
 
     private static PolicySettings settings(Declaration declared, DerivedSettings f) {
         Set<String> buildings = new LinkedHashSet<>();
-        buildings.add(declared.machine().building());
-        declared.partners().forEach(p -> p.endpoints().forEach(e -> buildings.add(e.building())));
+        buildings.add(declared.machine().zone());
+        declared.destinations().forEach(p -> p.endpoints().forEach(e -> buildings.add(e.zone())));
         // A limit of 0 is one that nobody knows: a hint would then be worse than none.
-        boolean limits = declared.partners().stream().allMatch(p -> p.limit() > 0);
+        boolean limits = declared.destinations().stream().allMatch(p -> p.limitPerSecond() > 0);
         return new PolicySettings(
                 seed(declared),
-                declared.fleet().number(),
-                declared.fleet().relays(),
-                declared.machine().building(),
+                declared.fleet().relayIndex(),
+                declared.fleet().size(),
+                declared.machine().zone(),
                 declared.classes().stream().map(RelayFile::requestClass).toList(),
                 declared.tenants().stream()
-                        .map(t -> new Tenant(t.name(), t.rate()))
+                        .map(t -> new Tenant(t.name(), t.quotaPerSecond()))
                         .toList(),
                 declared.kinds().stream()
-                        .map(k -> new DestinationKind(k.name(), k.routesApart(), k.batch()))
+                        .map(k -> new DestinationKind(k.name(), k.hasIndependentRoutes(), k.maxBatchSize()))
                         .toList(),
                 buildings.stream().map(b -> new Zone(b, 0)).toList(),
                 new RelayLimits(
-                        f.slots(),
-                        f.messages(),
-                        f.attempts(),
-                        f.cancel(),
-                        f.probes(),
+                        f.maxConcurrentCalls(),
+                        f.maxOpenMessages(),
+                        f.maxAttempts(),
+                        f.isCancellationEnabled(),
+                        f.areProbesEnabled(),
                         false,
-                        f.secondCopies(),
+                        f.areHedgedAttemptsEnabled(),
                         true,
-                        f.connectTimeout()),
+                        f.connectTimeoutMicros()),
                 new ServiceRules(
-                        0, f.drainGrace(), f.fallMultiple(), f.fallSpan(), f.coldFrom(), f.warmUp(), 0, f.orderPause()),
+                        0,
+                        f.drainGraceMicros(),
+                        f.overloadMultiple(),
+                        f.overloadWindowMicros(),
+                        f.coldCapacityShare(),
+                        f.warmUpMicros(),
+                        0,
+                        f.orderingPauseMicros()),
                 1,
                 false,
                 false,
@@ -330,28 +341,28 @@
 
     /** New with each start, so that relays that start together don't act in step. */
     private static long seed(Declaration declared) {
-        return System.nanoTime() * 31 + declared.fleet().number();
+        return System.nanoTime() * 31 + declared.fleet().relayIndex();
     }
 
     /** The policy's term for what an application file declares of a class. */
-    public static Idempotency idempotency(Declaration.Repeat repeat) {
+    public static Idempotency idempotency(Declaration.Idempotency repeat) {
         return switch (repeat) {
-            case REPEATABLE -> Idempotency.IDEMPOTENT;
-            case BY_KEY -> Idempotency.IDEMPOTENT_BY_KEY;
-            case ONCE -> Idempotency.NON_IDEMPOTENT;
+            case IDEMPOTENT -> Idempotency.IDEMPOTENT;
+            case IDEMPOTENT_BY_KEY -> Idempotency.IDEMPOTENT_BY_KEY;
+            case NON_IDEMPOTENT -> Idempotency.NON_IDEMPOTENT;
         };
     }
 
     private static RequestClass requestClass(Declaration.MessageClass c) {
         return new RequestClass(
                 c.name(),
-                idempotency(c.repeat()),
-                c.keysByBuilding() ? KeyScope.ZONE : KeyScope.ALL,
-                c.keyWindow(),
-                c.wanted(),
-                c.deadline(),
-                c.worth(),
-                c.lateWorth(),
-                c.inOrder());
+                idempotency(c.idempotency()),
+                c.isKeyScopedToZone() ? KeyScope.ZONE : KeyScope.ALL,
+                c.keyWindowMicros(),
+                c.latencyObjectiveMicros(),
+                c.deadlineMicros(),
+                c.priorityWeight(),
+                c.lateWeight(),
+                c.isOrdered());
     }
 }
--- a/src/main/java/loftflow/deadletter/store/SqliteSession.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteSession.java
@@ -33,7 +33,7 @@
                 throw e;
             }
         } catch (SQLException e) {
-            throw new DeadLetterStoreException("the store fails: " + e.getMessage(), e);
+            throw new DeadLetterStoreException("undeliverable: the store fails: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/loftflow/experiment/RegressionCases.java
+++ b/src/main/java/loftflow/experiment/RegressionCases.java
@@ -61,7 +61,7 @@
         if (rule.isEmpty()) {
             throw new IOException(file + ": a case's name is RULE-SEED-NAME.toml, such as overrun-7-quiet-day.toml");
         }
-        ScenarioReader.ReadResult result = ScenarioFiles.read(file.toString(), SourceFile.text(file));
+        ScenarioReader.ReadResult result = ScenarioFiles.read(file.toString(), SourceFile.readText(file));
         if (result.scenario() == null) {
             throw new IOException(result.findings().stream()
                     .filter(Finding::isError)
--- a/src/main/java/loftflow/experiment/loopback/ApplicationFile.java
+++ b/src/main/java/loftflow/experiment/loopback/ApplicationFile.java
@@ -106,13 +106,13 @@
                 messageClass.name(),
                 messageClass.idempotency().settingName(),
                 messageClass.keysByZone() ? "building" : "all",
-                Units.ofSpan(messageClass.latencyObjectiveMicros()),
-                Units.ofSpan(messageClass.deadlineMicros()),
+                Units.formatDuration(messageClass.latencyObjectiveMicros()),
+                Units.formatDuration(messageClass.deadlineMicros()),
                 messageClass.priorityWeight(),
                 messageClass.lateWeight(),
-                Units.ofRate(Math.max(MIN_DECLARED_RATE, messageClass.ratePerSecond() * declaredShare))));
+                Units.formatRate(Math.max(MIN_DECLARED_RATE, messageClass.ratePerSecond() * declaredShare))));
         if (messageClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
-            addQuoted("key-window", Units.ofSpan(messageClass.keyWindowMicros()));
+            addQuoted("key-window", Units.formatDuration(messageClass.keyWindowMicros()));
         }
         if (messageClass.destinationKinds() != null) {
             text.append("to = [\"")
@@ -124,7 +124,7 @@
     private void addTenant(Scenario.Tenant tenant) {
         text.append("[[tenant]]\n");
         addQuoted("name", tenant.name());
-        addQuoted("rate", Units.ofRate(tenant.quotaPerSecond()));
+        addQuoted("rate", Units.formatRate(tenant.quotaPerSecond()));
     }
 
     private void addKinds() {
@@ -140,7 +140,7 @@
         addQuoted("name", "p" + partner.number());
         text.append("number = ").append(partner.number()).append('\n');
         addQuoted("kind", partner.group().kind());
-        addQuoted("response", Units.ofSpan(partner.group().responseMicros()));
+        addQuoted("response", Units.formatDuration(partner.group().responseMicros()));
     }
 
     private void addQuoted(String key, String value) {
--- a/src/main/java/loftflow/experiment/loopback/RelayFileWriter.java
+++ b/src/main/java/loftflow/experiment/loopback/RelayFileWriter.java
@@ -44,7 +44,7 @@
         text = withSetting(text, "messages", fleet.bufferedMessages());
         text = withSetting(text, "connections", fleet.concurrentCalls());
         text = withSetting(text, "descriptors", ApplicationFile.BASE_DESCRIPTORS + fleet.concurrentCalls());
-        return withSetting(text, "round", "\"" + Units.ofSpan(fleet.roundMicros()) + "\"");
+        return withSetting(text, "round", "\"" + Units.formatDuration(fleet.roundMicros()) + "\"");
     }
 
     private static String withSetting(String text, String name, Object value) {
--- a/src/main/java/loftflow/experiment/scenario/FailureReader.java
+++ b/src/main/java/loftflow/experiment/scenario/FailureReader.java
@@ -108,25 +108,26 @@
     }
 
     private void checkTimes() {
-        String endOfRun = " (span = " + Units.ofSpan(runDurationMicros) + ")";
+        String endOfRun = " (span = " + Units.formatDuration(runDurationMicros) + ")";
         boolean restartsRelays = kind == FailureKind.RELAY_CRASH || kind == FailureKind.ROLLING_RESTART;
         if (restartsRelays && restartMicros >= runDurationMicros) {
             error(
                     "kind",
-                    "relays that end are back after " + Units.ofSpan(restartMicros)
+                    "relays that end are back after " + Units.formatDuration(restartMicros)
                             + " (fleet.restart), when nothing is handed in any more" + endOfRun);
         }
         long endMicros = table.whole("at") + table.whole("lasts");
         if (kind == FailureKind.ROLLING_RESTART && endMicros > runDurationMicros) {
             error(
                     "lasts",
-                    "ends at " + Units.ofSpan(endMicros) + ", when nothing is handed in any more" + endOfRun
+                    "ends at " + Units.formatDuration(endMicros) + ", when nothing is handed in any more" + endOfRun
                             + ": the last tenths would be restarted for nobody");
         }
         if (table.whole("at") >= runDurationMicros) {
             error(
                     "at",
-                    "begins at " + Units.ofSpan(table.whole("at")) + ", when nothing is handed in any more" + endOfRun);
+                    "begins at " + Units.formatDuration(table.whole("at")) + ", when nothing is handed in any more"
+                            + endOfRun);
         }
     }
 }
--- a/src/main/java/loftflow/experiment/scenario/ScenarioReader.java
+++ b/src/main/java/loftflow/experiment/scenario/ScenarioReader.java
@@ -56,7 +56,7 @@
                 scenario = new ScenarioReader(top, findings).scenario();
             }
         }
-        findings.sort(Finding.IN_ORDER);
+        findings.sort(Finding.BY_POSITION);
         boolean hasError = findings.stream().anyMatch(Finding::isError);
         return new ReadResult(hasError ? null : scenario, List.copyOf(findings));
     }
@@ -178,9 +178,9 @@
         double limit = table.number("limit");
         if (limit > capacity) {
             findings.add(table.at("limit")
-                    .warning("a limit of " + Units.ofRate(limit) + " never binds: "
+                    .warning("a limit of " + Units.formatRate(limit) + " never binds: "
                             + (independentRoutes ? "an endpoint" : "a partner") + " can do "
-                            + Units.ofRate(capacity)));
+                            + Units.formatRate(capacity)));
         }
         if (table.flag("told") && limit == 0) {
             findings.add(table.at("told").error("there is no limit to tell: set limit"));
@@ -194,8 +194,9 @@
         Idempotency idempotency = Idempotency.ofSettingName(table.text("repeat"));
         if (table.whole("deadline") <= table.whole("wanted")) {
             findings.add(table.at("deadline")
-                    .error(Units.ofSpan(table.whole("deadline")) + " is no longer than wanted = "
-                            + Units.ofSpan(table.whole("wanted")) + ": a message would be given up before it is late"));
+                    .error(Units.formatDuration(table.whole("deadline")) + " is no longer than wanted = "
+                            + Units.formatDuration(table.whole("wanted"))
+                            + ": a message would be given up before it is late"));
         }
         if (idempotency == Idempotency.IDEMPOTENT_BY_KEY && !table.has("key-window")) {
             findings.add(table.at("key-window")
@@ -230,8 +231,8 @@
                 .filter(group -> group.responseMicros() > table.whole("deadline"))
                 .findFirst()
                 .ifPresent(group -> findings.add(table.at("deadline")
-                        .error(Units.ofSpan(table.whole("deadline")) + " is shorter than group " + group.name()
-                                + "'s response of " + Units.ofSpan(group.responseMicros())
+                        .error(Units.formatDuration(table.whole("deadline")) + " is shorter than group " + group.name()
+                                + "'s response of " + Units.formatDuration(group.responseMicros())
                                 + ": no partner of it could deliver in time")));
     }
 
--- a/src/main/java/loftflow/experiment/scenario/ScenarioWriter.java
+++ b/src/main/java/loftflow/experiment/scenario/ScenarioWriter.java
@@ -140,11 +140,11 @@
     }
 
     private void duration(String key, long micros) {
-        quoted(key, Units.ofSpan(micros));
+        quoted(key, Units.formatDuration(micros));
     }
 
     private void rate(String key, double ratePerSecond) {
-        quoted(key, Units.ofRate(ratePerSecond));
+        quoted(key, Units.formatRate(ratePerSecond));
     }
 
     private void number(String key, double value) {
--- a/src/test/java/loftflow/config/WrittenFilesPropertyTest.java
+++ b/src/test/java/loftflow/config/WrittenFilesPropertyTest.java
@@ -165,8 +165,9 @@
             try (FakeClient client = relay.client()) {
                 assertTrue(client.isReady());
                 for (var type : app.declared().classes()) {
-                    var partner = app.declared().partners().stream()
-                            .filter(p -> type.to() == null || type.to().contains(p.kind()))
+                    var partner = app.declared().destinations().stream()
+                            .filter(p -> type.destinationKinds() == null
+                                    || type.destinationKinds().contains(p.kind()))
                             .findFirst()
                             .orElseThrow();
                     ids.add(type.name());
@@ -179,7 +180,7 @@
                                             null,
                                             "k-" + type.name(),
                                             partner.number(),
-                                            type.deadline() / 1000,
+                                            type.deadlineMicros() / 1000,
                                             "body")
                                     == 202;
                         } catch (IOException e) {
