--- a/src/main/java/loftflow/config/plan/AmqpChecks.java
+++ b/src/main/java/loftflow/config/plan/AmqpChecks.java
@@ -161,7 +161,7 @@
                         "content-type",
                         "is never reached: the mapping in line "
                                 + catchAll.table().place().line()
-                                + " is for every content messageClass; put that one last");
+                                + " is for every content type; put that one last");
             } else if (mapping.contentType() == null) {
                 catchAll = mapping;
             } else if (!seen.add(mapping.contentType())) {
--- a/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
+++ b/src/main/java/loftflow/experiment/emulator/EmulatedRelay.java
@@ -16,8 +16,8 @@
 
 /** One relay: an engine with its decision module, which crashes and restarts with the contents of its journal. */
 final class EmulatedRelay {
-    /** Part of the engine's log line for an exception of the decision module. */
-    private static final String ROUND_FAILED = "round failed";
+    /** How the engine's log line for an exception of the decision module begins. */
+    private static final String ROUND_FAILED = "a round failed";
 
     /** The relay's surroundings. */
     interface Environment {
@@ -114,7 +114,7 @@
 
         /** Aborts the run on an exception of the decision module, which would otherwise only show as poor service. */
         private void failOnPolicyError(String line) {
-            if (line.contains(ROUND_FAILED)) {
+            if (line.startsWith(ROUND_FAILED)) {
                 throw new IllegalStateException("relay " + number + " at " + time.micros() + " us: " + line);
             }
         }
--- a/src/main/java/loftflow/journal/Journal.java
+++ b/src/main/java/loftflow/journal/Journal.java
@@ -258,8 +258,11 @@
             message.attempts().get(ended.number()).outcome(ended.outcome());
         } else if (update instanceof MessageUpdate.CompletionDecided decided) {
             message.complete(decided.completion());
-        } else {
+        } else if (update instanceof MessageUpdate.Done) {
             removeOpen(message.number());
+        } else {
+            throw new IllegalStateException(
+                    "record of message " + message.number() + " has an unknown update: " + update);
         }
     }
 
--- a/src/main/java/loftflow/policy/Dispatcher.java
+++ b/src/main/java/loftflow/policy/Dispatcher.java
@@ -75,7 +75,7 @@
         }
         PriorityQueue<Candidate> candidates = new PriorityQueue<>(GREATEST_LOSS_FIRST);
         coordinator.issuePermits();
-        for (Destination destination : messages.copyOfBusyDestinations()) {
+        for (Destination destination : List.copyOf(messages.busyDestinations())) {
             probes.probeRoutes(destination);
             addCandidate(destination, candidates);
         }
@@ -92,9 +92,11 @@
         if (destination.waitingMessages.isEmpty()) {
             return;
         }
-        destination.routes.values().forEach(circuitBreaker::openIfUnresponsive);
         List<Route> usable = new ArrayList<>(destination.routes.values());
-        usable.removeIf(route -> !availability.isUsable(route));
+        usable.removeIf(route -> {
+            circuitBreaker.openIfUnresponsive(route);
+            return !availability.isUsable(route);
+        });
         if (usable.isEmpty()) {
             return;
         }
--- a/src/test/java/loftflow/ArchitectureTest.java
+++ b/src/test/java/loftflow/ArchitectureTest.java
@@ -94,7 +94,7 @@
                 "engine | loftflow.policy.api loftflow.engine loftflow.log loftflow.protocol",
                 "listener | loftflow.listener",
                 "listener.connection | loftflow.engine loftflow.listener.connection loftflow.log",
-                "listener.request | loftflow.protocol loftflow.engine loftflow.listener.request loftflow.http",
+                "listener.request | loftflow.protocol loftflow.engine loftflow.listener.request",
                 "listener.http | loftflow.protocol loftflow.listener loftflow.engine loftflow.listener.http loftflow.listener.connection loftflow.listener.request loftflow.http",
                 "listener.http2 | loftflow.protocol loftflow.listener loftflow.engine loftflow.listener.http2.. loftflow.listener.connection "
                         + "loftflow.listener.request loftflow.http",
@@ -102,7 +102,7 @@
                 "listener.amqp | loftflow.protocol loftflow.listener loftflow.listener.amqp loftflow.listener.connection loftflow.engine loftflow.amqp.. loftflow.deduplication "
                         + "loftflow.log",
                 "upstream.amqp | loftflow.protocol loftflow.policy.api loftflow.engine loftflow.upstream.amqp loftflow.amqp.codec loftflow.amqp.link "
-                        + "loftflow.amqp.confirm loftflow.http loftflow.log",
+                        + "loftflow.amqp.confirm loftflow.log",
                 "deduplication | loftflow.deduplication loftflow.recordfile loftflow.log",
                 "recordfile | loftflow.recordfile",
                 "upstream.http | loftflow.protocol loftflow.policy.api loftflow.json loftflow.engine loftflow.upstream.http loftflow.http loftflow.log",
@@ -143,9 +143,9 @@
                 "experiment.results | loftflow.experiment.results loftflow.experiment.scenario loftflow.experiment.history loftflow.experiment.evaluation "
                         + "loftflow.recordfile",
                 "experiment.loopback | loftflow.protocol loftflow.policy.api loftflow.experiment.loopback loftflow.experiment.scenario loftflow.experiment.history loftflow.experiment.emulator "
-                        + "loftflow.experiment.evaluation loftflow.config.tool loftflow.config.file loftflow.fake loftflow.http",
+                        + "loftflow.experiment.evaluation loftflow.config.tool loftflow.config.file loftflow.fake",
                 "experiment | loftflow.policy loftflow.policy.api loftflow.experiment.. loftflow.engine loftflow.config.file loftflow.fake",
-                "fake | loftflow.protocol loftflow.fake loftflow.http loftflow.amqp.."
+                "fake | loftflow.protocol loftflow.fake loftflow.amqp.."
             })
     void packageUsesOnlyWhatItSays(String name, String allowed) {
         classes()
@@ -215,7 +215,8 @@
                 .that()
                 .haveNameMatching(".*\\.(UpstreamConnection|UpstreamCall|ResponseDecoder)(\\$.*)?")
                 .should()
-                .dependOnClassesThat(nameMatching(".*\\.HttpUpstreamClient(\\$.*)?"))
+                .dependOnClassesThat(
+                        nameMatching(".*\\.(HttpUpstreamClient|HostConnectionPool|ConnectionRegistry)(\\$.*)?"))
                 .check(ALL);
         noClasses()
                 .that()
