--- a/src/main/java/loftflow/amqp/link/AmqpConnection.java
+++ b/src/main/java/loftflow/amqp/link/AmqpConnection.java
@@ -34,6 +34,9 @@
         public void release(int bytes) {}
     };
 
+    /** The reply code of a regular close. */
+    public static final int REPLY_SUCCESS = 200;
+
     /** Time that the peer has to answer {@code connection.close} before the socket is closed. */
     private static final long CLOSE_TIMEOUT_MILLIS = 2_000;
     /** Characters of a {@code reply-text}; longer texts are truncated to fit a short string of 255 bytes. */
@@ -217,11 +220,6 @@
         sentSinceTick = false;
     }
 
-    /** Returns the negotiated size of the largest frame, in bytes. */
-    public final int frameMax() {
-        return frameMax;
-    }
-
     /** Sends a method without content; the future succeeds once its bytes are written to the socket. */
     public final ChannelFuture send(int channel, Method method) {
         ByteBuf out = context.alloc().buffer();
--- a/src/main/java/loftflow/policy/CallEvaluator.java
+++ b/src/main/java/loftflow/policy/CallEvaluator.java
@@ -107,10 +107,10 @@
         countRejection(group, report);
         boolean unavailable = isUnavailable(group, retryAfterMicros, report);
         if (unavailable || !group.circuit.isClosed()) {
-            circuitBreaker.open(group.circuit, group, retryAfterMicros);
+            circuitBreaker.open(group.circuit, group, Circuit.Cause.REJECTIONS, retryAfterMicros);
         }
         if (call.isProbe && !route.circuit.isClosed()) {
-            circuitBreaker.open(route.circuit, group, retryAfterMicros);
+            circuitBreaker.open(route.circuit, group, Circuit.Cause.REJECTIONS, retryAfterMicros);
         }
         rateLimiter.onRejected(group, call.sentAtMicros);
         permits.report(group, PeerMessageType.REJECTED);
--- a/src/main/java/loftflow/policy/Circuit.java
+++ b/src/main/java/loftflow/policy/Circuit.java
@@ -11,13 +11,30 @@
         HALF_OPEN
     }
 
+    /** What an open circuit was opened by. */
+    enum Cause {
+        /** Calls that failed, or connections that could not be opened. */
+        FAILURES("failures"),
+        /** Rejections, or a Retry-After, that say that the destination is unavailable to all. */
+        REJECTIONS("rejections"),
+        /** Calls that stay unanswered though none failed. */
+        UNRESPONSIVE("unresponsive");
+
+        /** The cause as log lines have it. */
+        final String logName;
+
+        Cause(String logName) {
+            this.logName = logName;
+        }
+    }
+
     State state = State.CLOSED;
     int consecutiveFailures;
     long openedAtMicros;
     /** An open circuit becomes half-open no sooner than this. */
     long probeNotBeforeMicros;
-    /** Opened because calls stayed unanswered, not because any failed. */
-    boolean openedAsUnresponsive;
+    /** Null before it is opened for the first time. */
+    Cause openedBy;
     /** When the latest of the calls that failed had been sent. */
     long lastFailedCallSentAtMicros;
     /** Open only until a probe has shown that an address from before a restart still belongs to the route. */
--- a/src/main/java/loftflow/policy/CircuitBreaker.java
+++ b/src/main/java/loftflow/policy/CircuitBreaker.java
@@ -55,7 +55,8 @@
         }
         circuit.consecutiveFailures = 0;
         boolean sentBeforeOpening = call.sentAtMicros < circuit.openedAtMicros;
-        if (sentBeforeOpening && (!circuit.openedAsUnresponsive || outliers.isUnresponsive(route, 1))) {
+        if (sentBeforeOpening
+                && (circuit.openedBy != Circuit.Cause.UNRESPONSIVE || outliers.isUnresponsive(route, 1))) {
             return;
         }
         close(circuit, route, !sentBeforeOpening || hadFailures);
@@ -89,13 +90,13 @@
         boolean unhealthy =
                 route.circuit.consecutiveFailures >= failuresToOpen(group) || route.errorRate > MAX_ERROR_RATE;
         if (unhealthy || !route.circuit.isClosed() && call.isProbe) {
-            open(route.circuit, group, 0);
+            open(route.circuit, group, Circuit.Cause.FAILURES, 0);
         }
         if (group.circuit != route.circuit) {
             countFailure(group.circuit, call, weight);
             boolean noneClosed = group.routes.stream().noneMatch(other -> other.listed && other.circuit.isClosed());
             if (group.circuit.consecutiveFailures >= FAILURES_TO_OPEN || noneClosed) {
-                open(group.circuit, group, 0);
+                open(group.circuit, group, Circuit.Cause.FAILURES, 0);
             }
         }
     }
@@ -109,25 +110,20 @@
     void openIfUnresponsive(Route route) {
         boolean enough = route.callsInFlight.size() >= Math.min(2, failuresToOpen(route.group));
         if (enough && route.circuit.isClosed() && outliers.isUnresponsive(route, 1)) {
-            open(route.circuit, route.group, true, 0);
+            open(route.circuit, route.group, Circuit.Cause.UNRESPONSIVE, 0);
         }
     }
 
     /** Opens a circuit, or keeps it open, for at least as long as the destination's Retry-After. */
-    void open(Circuit circuit, LimitGroup group, long retryAfterMicros) {
-        open(circuit, group, false, retryAfterMicros);
-    }
-
-    private void open(Circuit circuit, LimitGroup group, boolean unresponsive, long retryAfterMicros) {
+    void open(Circuit circuit, LimitGroup group, Circuit.Cause cause, long retryAfterMicros) {
         if (circuit.isClosed()) {
             circuit.openedAtMicros = context.now();
-            circuit.openedAsUnresponsive = unresponsive;
+            circuit.openedBy = cause;
             if (circuit == group.circuit) {
                 if (!ramp.isActive(group)) {
                     group.usualRatePerSecond = group.sentCalls.extrapolatedRatePerSecond(context.now());
                 }
-                String cause = unresponsive ? "unresponsive" : "failures";
-                context.actions().log("circuit: opened route=" + group.routes.get(0).name + " cause=" + cause);
+                context.actions().log("circuit: opened route=" + group.routes.get(0).name + " cause=" + cause.logName);
             }
         }
         circuit.state = Circuit.State.OPEN;
--- a/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerConnection.java
@@ -14,6 +14,7 @@
 import loftflow.amqp.codec.MethodType;
 import loftflow.amqp.confirm.PublisherConfirms;
 import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.amqp.link.AmqpConnection;
 import loftflow.engine.Endpoint;
 import loftflow.engine.Message;
 import loftflow.engine.UpstreamClient.OutboundAttempt;
@@ -46,9 +47,6 @@
     }
 
     private static final int CHANNEL = 1;
-    /** The AMQP reply code of a regular close. */
-    private static final int REPLY_SUCCESS = 200;
-
     private static final int MAX_BODY_BYTES = 1 << 20;
     /** The largest number of unconfirmed publishes; a connection that reaches it is closed. */
     private static final int MAX_UNCONFIRMED_PUBLISHES = 5_000;
@@ -169,7 +167,7 @@
                 && confirms.openCount() == 0
                 && unpublished.isEmpty()
                 && probeStarts.isEmpty()) {
-            connection.closeGracefully(REPLY_SUCCESS, "idle");
+            connection.closeGracefully(AmqpConnection.REPLY_SUCCESS, "idle");
         }
     }
 
@@ -244,7 +242,7 @@
     /** The broker blocks publishers, or accepts them again: while it blocks, unpublished attempts end as rejected. */
     @Override
     public void onPublishingChanged(String why) {
-        log(why, "");
+        log("publishing changed", " reason=" + why);
         if (isBlocked()) {
             endUnpublished(AttemptOutcome.REJECTED, BLOCKED_RETRY_AFTER_MICROS);
         }
@@ -345,7 +343,7 @@
                 isPublish && (code == AmqpException.NOT_FOUND || code == AmqpException.ACCESS_REFUSED);
         connection.send(CHANNEL, Method.of(MethodType.CHANNEL_CLOSE_OK));
         settleAll(isPublishAtFault);
-        connection.closeGracefully(REPLY_SUCCESS, "its channel was closed");
+        connection.closeGracefully(AmqpConnection.REPLY_SUCCESS, "its channel was closed");
     }
 
     private void settleAll(boolean isPublishAtFault) {
--- a/src/main/java/loftflow/warmstart/store/SnapshotStore.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotStore.java
@@ -166,7 +166,7 @@
             }
             if (endOfDeltas < bytes.length) {
                 // The process ended while it wrote the last delta, whose write was never acknowledged.
-                logLines.add("torn delta file truncated file=" + fileName + " bytes=" + (bytes.length - endOfDeltas));
+                logLines.add("torn delta skipped file=" + fileName + " bytes=" + (bytes.length - endOfDeltas));
                 return false;
             }
             currentDeltaBytes = bytes.length;
