--- a/src/main/java/loftflow/admin/AdminProtocol.java
+++ b/src/main/java/loftflow/admin/AdminProtocol.java
@@ -3,49 +3,49 @@
 import java.util.Locale;
 
 /** Names of the admin protocol: commands, members of requests and of responses. They never change. */
-final class AdminProtocol {
-    static final String COMMAND = "command";
+public final class AdminProtocol {
+    public static final String COMMAND = "command";
 
-    static final String COMMAND_LIST = "list";
-    static final String COMMAND_SHOW = "show";
-    static final String COMMAND_STATS = "stats";
-    static final String COMMAND_REDRIVE = "resend";
-    static final String COMMAND_CONFIRM = "confirm";
-    static final String COMMAND_DISCARD = "discard";
+    public static final String COMMAND_LIST = "list";
+    public static final String COMMAND_SHOW = "show";
+    public static final String COMMAND_STATS = "stats";
+    public static final String COMMAND_REDRIVE = "resend";
+    public static final String COMMAND_CONFIRM = "confirm";
+    public static final String COMMAND_DISCARD = "discard";
     static final String COMMAND_PAUSE = "pause";
     static final String COMMAND_RESUME = "go-on";
 
     /** Members of requests and of dead letters in responses. */
-    static final String ID = "id";
+    public static final String ID = "id";
 
-    static final String STATE = "state";
-    static final String CERTAINTY = "ran";
-    static final String DESTINATION = "destination";
-    static final String REQUEST_CLASS = "class";
-    static final String TENANT = "tenant";
-    static final String BODY = "body";
+    public static final String STATE = "state";
+    public static final String CERTAINTY = "ran";
+    public static final String DESTINATION = "destination";
+    public static final String REQUEST_CLASS = "class";
+    public static final String TENANT = "tenant";
+    public static final String BODY = "body";
 
     /** Members of requests only. */
-    static final String SINCE = "since";
+    public static final String SINCE = "since";
 
-    static final String UNTIL = "until";
-    static final String MAX_ENTRIES = "most";
-    static final String OPERATOR = "by";
-    static final String OPERATOR_REASON = "reason";
-    static final String DRY_RUN = "dry-run";
-    static final String CANCEL = "cancel";
+    public static final String UNTIL = "until";
+    public static final String MAX_ENTRIES = "most";
+    public static final String OPERATOR = "by";
+    public static final String OPERATOR_REASON = "reason";
+    public static final String DRY_RUN = "dry-run";
+    public static final String CANCEL = "cancel";
 
     /** Members of responses only. */
-    static final String ERROR = "error";
+    public static final String ERROR = "error";
 
-    static final String MESSAGE_ID = "ref";
+    public static final String MESSAGE_ID = "ref";
     static final String KEY = "key";
-    static final String STORED_AT = "kept";
+    public static final String STORED_AT = "kept";
     static final String DEADLINE = "deadline";
-    static final String REASON = "why";
+    public static final String REASON = "why";
     static final String CLIENT_REPLY = "told";
     static final String REDRIVES = "resends";
-    static final String DECISION = "verdict";
+    public static final String DECISION = "verdict";
     static final String CONFIRMATION = "word";
     static final String ATTEMPTS = "tries";
     static final String ROUTE = "route";
@@ -55,8 +55,8 @@
     static final String AUDIT = "audit";
     static final String DONE = "done";
     static final String PAUSED = "paused";
-    static final String ENTRIES = "entries";
-    static final String BYTES = "bytes";
+    public static final String ENTRIES = "entries";
+    public static final String BYTES = "bytes";
     static final String LOST = "lost";
 
     private AdminProtocol() {}
--- a/src/main/java/loftflow/amqp/codec/Property.java
+++ b/src/main/java/loftflow/amqp/codec/Property.java
@@ -5,7 +5,7 @@
     CONTENT_TYPE("content-type", ValueType.SHORTSTR),
     CONTENT_ENCODING("content-encoding", ValueType.SHORTSTR),
     HEADERS("headers", ValueType.TABLE),
-    /** 1 for transient messages, 2 for persistent ones. */
+    /** 1 for transient messages, {@link #PERSISTENT_DELIVERY_MODE} for persistent ones. */
     DELIVERY_MODE("delivery-mode", ValueType.OCTET),
     PRIORITY("priority", ValueType.OCTET),
     CORRELATION_ID("correlation-id", ValueType.SHORTSTR),
@@ -19,6 +19,9 @@
     APP_ID("app-id", ValueType.SHORTSTR),
     CLUSTER_ID("cluster-id", ValueType.SHORTSTR);
 
+    /** The delivery mode of a message that the broker stores. */
+    public static final int PERSISTENT_DELIVERY_MODE = 2;
+
     private final String label;
     private final ValueType valueType;
 
--- a/src/main/java/loftflow/cli/CapacityCommand.java
+++ b/src/main/java/loftflow/cli/CapacityCommand.java
@@ -77,10 +77,7 @@
     }
 
     private void say(String who, Scenario scenario, CapacitySearch found) {
-        double rate = scenario.classes().stream()
-                        .mapToDouble(Scenario.MessageClass::ratePerSecond)
-                        .sum()
-                * scenario.loadFactor();
+        double rate = scenario.ratePerSecond();
         out().println(String.format(
                 Locale.ROOT,
                 "%s: highest load that held: %.3f (%.1f messages a second); lowest that did not:" + " %.3f; %d runs",
--- a/src/main/java/loftflow/cli/DeadLetterCommand.java
+++ b/src/main/java/loftflow/cli/DeadLetterCommand.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.Callable;
 import java.util.function.Consumer;
 import loftflow.admin.AdminClient;
+import loftflow.admin.AdminProtocol;
 import loftflow.admin.DeadLetterSelection;
 import loftflow.admin.JsonLines;
 import loftflow.deadletter.DeadLetter;
@@ -84,9 +85,9 @@
 
         /** Prints what a line says, or the error that it holds. */
         private void take(String line, Consumer<String> lines) {
-            if (line.startsWith("{\"error\":")) {
+            if (line.startsWith("{\"" + AdminProtocol.ERROR + "\":")) {
                 failed = true;
-                spec.commandLine().getErr().println("loftflow: " + member(line, "error"));
+                spec.commandLine().getErr().println("loftflow: " + member(line, AdminProtocol.ERROR));
             } else {
                 lines.accept(line);
             }
@@ -133,6 +134,19 @@
         }
     }
 
+    /** The request that records an operator's decision on one entry. */
+    private static Map<String, String> decision(String command, String id, String by, String reason) {
+        return Map.of(
+                AdminProtocol.COMMAND,
+                command,
+                AdminProtocol.ID,
+                id,
+                AdminProtocol.OPERATOR,
+                by,
+                AdminProtocol.OPERATOR_REASON,
+                reason);
+    }
+
     static String member(String line, String name) {
         try (JsonParser parser = new JsonFactory().createParser(line)) {
             parser.nextToken();
@@ -171,15 +185,15 @@
 
         Map<String, String> request(String command) {
             Map<String, String> request = new LinkedHashMap<>();
-            request.put("command", command);
-            put(request, "destination", destination);
-            put(request, "class", type);
-            put(request, "tenant", tenant);
-            put(request, "state", state);
-            put(request, "ran", ran);
-            put(request, "since", since);
-            put(request, "until", until);
-            put(request, "most", most);
+            request.put(AdminProtocol.COMMAND, command);
+            put(request, AdminProtocol.DESTINATION, destination);
+            put(request, AdminProtocol.REQUEST_CLASS, type);
+            put(request, AdminProtocol.TENANT, tenant);
+            put(request, AdminProtocol.STATE, state);
+            put(request, AdminProtocol.CERTAINTY, ran);
+            put(request, AdminProtocol.SINCE, since);
+            put(request, AdminProtocol.UNTIL, until);
+            put(request, AdminProtocol.MAX_ENTRIES, most);
             return request;
         }
     }
@@ -202,21 +216,23 @@
         @Override
         public Integer call() throws IOException {
             List<String> rows = new ArrayList<>();
-            Map<String, String> request = which.request("list");
+            Map<String, String> request = which.request(AdminProtocol.COMMAND_LIST);
             Consumer<String> take = json ? out()::println : rows::add;
             int code = ask(request, take, () -> fromFile(request, take));
             if (!json) {
                 out().printf(WIDE, "id", "kept", "class", "dest", "state", "ran", "ref", "verdict");
                 rows.forEach(r -> out().printf(
                                 WIDE,
-                                member(r, "id"),
-                                member(r, "kept"),
-                                member(r, "class"),
-                                member(r, "destination"),
-                                member(r, "state"),
-                                member(r, "ran"),
-                                member(r, "ref"),
-                                member(r, "verdict").equals("-") ? member(r, "why") : member(r, "verdict")));
+                                member(r, AdminProtocol.ID),
+                                member(r, AdminProtocol.STORED_AT),
+                                member(r, AdminProtocol.REQUEST_CLASS),
+                                member(r, AdminProtocol.DESTINATION),
+                                member(r, AdminProtocol.STATE),
+                                member(r, AdminProtocol.CERTAINTY),
+                                member(r, AdminProtocol.MESSAGE_ID),
+                                member(r, AdminProtocol.DECISION).equals("-")
+                                        ? member(r, AdminProtocol.REASON)
+                                        : member(r, AdminProtocol.DECISION)));
                 out().println(rows.size() + " entries");
                 out().flush();
             }
@@ -238,9 +254,10 @@
 
         @Override
         public Integer call() throws IOException {
-            Map<String, String> request = new LinkedHashMap<>(Map.of("command", "show", "id", id));
+            Map<String, String> request = new LinkedHashMap<>(
+                    Map.of(AdminProtocol.COMMAND, AdminProtocol.COMMAND_SHOW, AdminProtocol.ID, id));
             if (body) {
-                request.put("body", "yes");
+                request.put(AdminProtocol.BODY, "yes");
             }
             return ask(request, out()::println, () -> {
                 try (DeadLetterStore shelf = file()) {
@@ -263,9 +280,9 @@
 
         @Override
         public Integer call() throws IOException {
-            Map<String, String> request = which.request("list");
+            Map<String, String> request = which.request(AdminProtocol.COMMAND_LIST);
             if (body) {
-                request.put("body", "yes");
+                request.put(AdminProtocol.BODY, "yes");
             }
             return ask(request, out()::println, () -> fromFile(request, out()::println));
         }
@@ -301,15 +318,15 @@
 
         @Override
         public Integer call() throws IOException {
-            Map<String, String> request = which.request("resend");
+            Map<String, String> request = which.request(AdminProtocol.COMMAND_REDRIVE);
             // Guards against a slip that would send everything again.
             if (id == null && request.size() == 1 && !all) {
                 throw new CommandLine.ParameterException(spec().commandLine(), "an ID, a filter or --all is needed");
             }
-            put(request, "id", id);
-            put(request, "by", by);
-            put(request, "dry-run", dryRun ? "yes" : null);
-            put(request, "cancel", cancel ? "yes" : null);
+            put(request, AdminProtocol.ID, id);
+            put(request, AdminProtocol.OPERATOR, by);
+            put(request, AdminProtocol.DRY_RUN, dryRun ? "yes" : null);
+            put(request, AdminProtocol.CANCEL, cancel ? "yes" : null);
             return ask(request, out()::println, null);
         }
     }
@@ -335,7 +352,7 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask(Map.of("command", "confirm", "id", id, "by", by, "reason", reason), out()::println, null);
+            return ask(decision(AdminProtocol.COMMAND_CONFIRM, id, by, reason), out()::println, null);
         }
     }
 
@@ -356,7 +373,7 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask(Map.of("command", "discard", "id", id, "by", by, "reason", reason), out()::println, null);
+            return ask(decision(AdminProtocol.COMMAND_DISCARD, id, by, reason), out()::println, null);
         }
     }
 
@@ -365,10 +382,11 @@
     static final class Stats extends Asking {
         @Override
         public Integer call() throws IOException {
-            return ask(Map.of("command", "stats"), out()::println, () -> {
+            return ask(Map.of(AdminProtocol.COMMAND, AdminProtocol.COMMAND_STATS), out()::println, () -> {
                 try (DeadLetterStore shelf = file()) {
                     DeadLetterStore.Size size = shelf.size();
-                    out().println(JsonLines.object(Map.of("entries", size.entries(), "bytes", size.bytes())));
+                    out().println(JsonLines.object(
+                            Map.of(AdminProtocol.ENTRIES, size.entries(), AdminProtocol.BYTES, size.bytes())));
                 }
             });
         }
@@ -381,7 +399,7 @@
 
         @Override
         public Integer call() throws IOException {
-            return ask(Map.of("command", spec().name(), "by", by), out()::println, null);
+            return ask(Map.of(AdminProtocol.COMMAND, spec().name(), AdminProtocol.OPERATOR, by), out()::println, null);
         }
     }
 
--- a/src/main/java/loftflow/cli/TraceCommand.java
+++ b/src/main/java/loftflow/cli/TraceCommand.java
@@ -311,8 +311,7 @@
                                     c.maxBodyBytes(),
                                     c.deadlineMicros(),
                                     declared.destinations().stream()
-                                            .filter(p -> c.destinationKinds() == null
-                                                    || c.destinationKinds().contains(p.kind()))
+                                            .filter(p -> c.goesTo(p.kind()))
                                             .map(Declaration.Destination::number)
                                             .toList()))
                             .toList(),
--- a/src/main/java/loftflow/config/PlatformConfigReader.java
+++ b/src/main/java/loftflow/config/PlatformConfigReader.java
@@ -16,6 +16,7 @@
 import loftflow.json.MalformedInputException;
 import loftflow.policy.api.EndpointListKind;
 import loftflow.policy.api.PolicySettings;
+import loftflow.protocol.PlatformSettingsProtocol;
 import loftflow.settings.PlatformSettingsReader;
 
 /**
@@ -43,7 +44,6 @@
         static final String DISCOVERY = "discovery";
         static final String SETTINGS = "settings";
         static final String SETTINGS_PERIOD = "period-s";
-        static final String SETTINGS_LIMITS = "limits";
         static final String SETTINGS_LIMITS_IDLE_TIMEOUT = "conn-idle-s";
         static final String SETTINGS_LOAD_REPORTS = "stats";
         static final String SETTINGS_LOAD_REPORTS_HOW = "how";
@@ -169,7 +169,9 @@
                 (long) (limits.number(Member.LIMITS_DISK_MIB) * BYTES_PER_MIB),
                 settings,
                 settingsJson.secondsAsMicros(Member.SETTINGS_PERIOD, 0),
-                settingsJson.object(Member.SETTINGS_LIMITS).secondsAsMicros(Member.SETTINGS_LIMITS_IDLE_TIMEOUT),
+                settingsJson
+                        .object(PlatformSettingsProtocol.LIMITS)
+                        .secondsAsMicros(Member.SETTINGS_LIMITS_IDLE_TIMEOUT),
                 isLoadReportEnabled,
                 EndpointListKind.CACHED,
                 knownListVersion,
--- a/src/main/java/loftflow/config/plan/Declaration.java
+++ b/src/main/java/loftflow/config/plan/Declaration.java
@@ -26,7 +26,7 @@
         WarmStart warmStart,
         Amqp amqp) {
     /** After how long destinations close idle connections if nothing else is declared. */
-    private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 10_000_000;
+    static final long DEFAULT_IDLE_TIMEOUT_MICROS = 10_000_000;
 
     /** How often a message of a class may take effect. */
     public enum Idempotency {
@@ -155,7 +155,12 @@
             double redrivesPerSecond,
             long redriveBackoffMicros,
             long clockMarginMicros,
-            long lateAnswerMicros) {}
+            long lateAnswerMicros) {
+        /** The disk space that is set aside for it; 0 where it is off. */
+        long reservedBytes() {
+            return isEnabled ? limitBytes : 0;
+        }
+    }
 
     /** What is stored of endpoints over a restart. */
     public record WarmStart(
@@ -166,7 +171,12 @@
             long trustHalfLifeMicros,
             long listConfirmationMicros,
             long retryAfterMarginMicros,
-            boolean isSyncedToDisk) {}
+            boolean isSyncedToDisk) {
+        /** The disk space that is set aside for it; 0 where it is off. */
+        long reservedBytes() {
+            return isEnabled ? limitBytes : 0;
+        }
+    }
 
     /** A tenant, for whom messages are sent. */
     public record Tenant(TableReader table, String name, double quotaPerSecond) {}
@@ -191,8 +201,8 @@
             long deadLetterRetentionMicros,
             List<String> destinationKinds) {
         /** True where messages of the class go to destinations of that kind. */
-        boolean goesTo(Destination partner) {
-            return destinationKinds == null || destinationKinds.contains(partner.kind());
+        public boolean goesTo(String kind) {
+            return destinationKinds == null || destinationKinds.contains(kind);
         }
     }
 
@@ -437,7 +447,9 @@
 
     /** The partners that a class goes to. */
     List<Destination> partnersOf(MessageClass type) {
-        return destinations.stream().filter(type::goesTo).toList();
+        return destinations.stream()
+                .filter(destination -> type.goesTo(destination.kind()))
+                .toList();
     }
 
     /** Messages a second of all classes at their peak. */
--- a/src/main/java/loftflow/config/plan/DeduplicationChecks.java
+++ b/src/main/java/loftflow/config/plan/DeduplicationChecks.java
@@ -58,8 +58,8 @@
         Declaration.Deduplication deduplication = declared.amqp().deduplication();
         long disk = deduplication.maxEntries() * SizingModel.DISK_BYTES_PER_SEEN_ID;
         long others = derived.journalBytes()
-                + (declared.deadLetters().isEnabled() ? declared.deadLetters().limitBytes() : 0)
-                + (declared.warmStart().isEnabled() ? declared.warmStart().limitBytes() : 0);
+                + declared.deadLetters().reservedBytes()
+                + declared.warmStart().reservedBytes();
         if (others + disk > declared.machine().diskBytes()) {
             error(
                     deduplication.table(),
--- a/src/main/java/loftflow/config/plan/MessageClassChecks.java
+++ b/src/main/java/loftflow/config/plan/MessageClassChecks.java
@@ -125,9 +125,7 @@
             return;
         }
         for (Declaration.DestinationKind kind : declared.kinds()) {
-            if (kind.maxBatchSize() > 1
-                    && (messageClass.destinationKinds() == null
-                            || messageClass.destinationKinds().contains(kind.name()))) {
+            if (kind.maxBatchSize() > 1 && messageClass.goesTo(kind.name())) {
                 error(
                         messageClass.table(),
                         "in-order",
--- a/src/main/java/loftflow/config/plan/NameChecks.java
+++ b/src/main/java/loftflow/config/plan/NameChecks.java
@@ -8,7 +8,6 @@
 import java.util.function.Function;
 import loftflow.config.file.Finding;
 import loftflow.config.file.Units;
-import loftflow.config.plan.Declaration.MessageClass;
 import loftflow.config.schema.TableReader;
 
 /** Checks that what is needed is declared, that names are unique, and that kinds are used. */
@@ -84,9 +83,7 @@
         double tenantRates = declared.tenants().stream()
                 .mapToDouble(Declaration.Tenant::quotaPerSecond)
                 .sum();
-        double peakRate = declared.classes().stream()
-                .mapToDouble(MessageClass::peakRatePerSecond)
-                .sum();
+        double peakRate = declared.peakRate();
         boolean allLimited =
                 !declared.tenants().isEmpty() && declared.tenants().stream().allMatch(t -> t.quotaPerSecond() > 0);
         if (allLimited && tenantRates < peakRate) {
--- a/src/main/java/loftflow/config/plan/PartnerChecks.java
+++ b/src/main/java/loftflow/config/plan/PartnerChecks.java
@@ -34,7 +34,7 @@
                         "endpoint",
                         "none, and there is no discovery.agent to tell one; add a" + " [[partner.endpoint]]");
             }
-            if (declared.classes().stream().noneMatch(c -> c.goesTo(partner))) {
+            if (declared.classes().stream().noneMatch(c -> c.goesTo(partner.kind()))) {
                 warn(partner.table(), "kind", "no class goes to kind " + partner.kind());
             }
             if (partner.table().has("limit") && partner.limitPerSecond() <= 0) {
@@ -57,8 +57,7 @@
                                 + "): calls on them would end as resets; lower it");
             }
             long largest = declared.classes().stream()
-                    .filter(c ->
-                            c.destinationKinds() == null || c.destinationKinds().contains(kind.name()))
+                    .filter(c -> c.goesTo(kind.name()))
                     .mapToLong(MessageClass::bodyBytes)
                     .max()
                     .orElse(0);
--- a/src/main/java/loftflow/config/plan/Planner.java
+++ b/src/main/java/loftflow/config/plan/Planner.java
@@ -29,7 +29,6 @@
     private static final long MIN_CONNECT_TIMEOUT_MICROS = 50_000;
     private static final int CONNECT_TIMEOUT_DIVISOR = 8;
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final long DEFAULT_IDLE_MICROS = 10_000_000;
     private static final double JOURNAL_DISK_SHARE = 0.8;
     private static final long MIN_JOURNAL_BYTES = 256 << 10;
     private static final long BYTES_PER_KIB = 1 << 10;
@@ -170,7 +169,7 @@
         return declared.kinds().stream()
                 .mapToLong(Declaration.DestinationKind::idleTimeoutMicros)
                 .min()
-                .orElse(DEFAULT_IDLE_MICROS);
+                .orElse(Declaration.DEFAULT_IDLE_TIMEOUT_MICROS);
     }
 
     private boolean secondCopies() {
@@ -181,12 +180,11 @@
 
     private long journalBytes(int messages) {
         boolean storesDeadLetters = declared.deadLetters().isEnabled();
-        long deadLetterBytes = storesDeadLetters ? declared.deadLetters().limitBytes() : 0;
+        long deadLetterBytes = declared.deadLetters().reservedBytes();
         long seenIdBytes = declared.takesAmqp()
                 ? declared.amqp().deduplication().maxEntries() * SizingModel.DISK_BYTES_PER_SEEN_ID
                 : 0;
-        long snapshotBytes =
-                declared.warmStart().isEnabled() ? declared.warmStart().limitBytes() : 0;
+        long snapshotBytes = declared.warmStart().reservedBytes();
         long machineBytes = declared.machine().diskBytes();
         reasons.put(
                 "journal.limit",
--- a/src/main/java/loftflow/config/plan/StorageChecks.java
+++ b/src/main/java/loftflow/config/plan/StorageChecks.java
@@ -68,7 +68,7 @@
         if (!memory.isEnabled()) {
             return;
         }
-        long kept = declared.deadLetters().isEnabled() ? declared.deadLetters().limitBytes() : 0;
+        long kept = declared.deadLetters().reservedBytes();
         if (memory.limitBytes() + kept + derived.journalBytes()
                 > declared.machine().diskBytes()) {
             error(
--- a/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
@@ -32,8 +32,8 @@
     private static final String DELIVERED = quoted(DeadLetter.State.DELIVERED);
     private static final String DISCARDED = quoted(DeadLetter.State.DISCARDED);
     /** Outcomes that prove whether an attempt was executed; they are not replaced by later ones. */
-    private static final String PROVEN_OUTCOMES = Stream.of(
-                    AttemptOutcome.OK, AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
+    private static final String PROVEN_OUTCOMES = Stream.of(AttemptOutcome.values())
+            .filter(outcome -> ExecutionCertainty.of(outcome) != ExecutionCertainty.UNKNOWN)
             .map(outcome -> "'" + outcome.code() + "'")
             .collect(Collectors.joining(", ", "(", ")"));
 
--- a/src/main/java/loftflow/discovery/AgentConnection.java
+++ b/src/main/java/loftflow/discovery/AgentConnection.java
@@ -60,7 +60,7 @@
     }
 
     /** A connection whose sockets a factory creates, which may fail. */
-    public AgentConnection(EventLoop loop, InetSocketAddress agent, ChannelFactory<Channel> sockets) {
+    AgentConnection(EventLoop loop, InetSocketAddress agent, ChannelFactory<Channel> sockets) {
         this.loop = loop;
         this.agent = agent;
         bootstrap = new Bootstrap()
--- a/src/main/java/loftflow/discovery/EndpointListCodec.java
+++ b/src/main/java/loftflow/discovery/EndpointListCodec.java
@@ -146,15 +146,7 @@
                     case DiscoveryProtocol.STATE_REMOVED -> Availability.REMOVED;
                     default -> entry.availability();
                 };
-        return new Endpoint(
-                new EndpointEntry(
-                        entry.route(),
-                        entry.destination(),
-                        entry.kind(),
-                        entry.zone(),
-                        availability,
-                        entry.ratePerSecond()),
-                endpoint.address());
+        return new Endpoint(entry.withAvailability(availability), endpoint.address());
     }
 
     private static Endpoint readEntry(JsonFields fields) {
--- a/src/main/java/loftflow/engine/AttemptDispatcher.java
+++ b/src/main/java/loftflow/engine/AttemptDispatcher.java
@@ -100,14 +100,14 @@
     void onAttemptCompleted(
             Message.Attempt attempt,
             AttemptOutcome outcome,
-            boolean isFinal,
+            boolean messageClosed,
             long retryAfterMicros,
             LimitReport limitReport) {
         Message message = attempt.message();
         attempt.outcome(outcome);
         message.attemptEnded();
         attemptsInFlight--;
-        applyOutcome(attempt, isFinal);
+        applyOutcome(attempt, messageClosed);
         events.add(new AttemptCompleted(
                 message.number(),
                 attempt.number(),
@@ -121,17 +121,17 @@
     }
 
     /** Ends the message where the attempt's outcome decides it; otherwise records the outcome in the journal. */
-    private void applyOutcome(Message.Attempt attempt, boolean isFinal) {
+    private void applyOutcome(Message.Attempt attempt, boolean messageClosed) {
         Message message = attempt.message();
         boolean isDelivered = attempt.outcome() == AttemptOutcome.OK;
         if (isDelivered && context.nowMicros() > message.content().deadlineMicros()) {
             // The client counts a delivery after its deadline as none.
             context.journal().recordOutcome(attempt);
             lifecycle.fail(message.number());
-        } else if (isFinal && message.isRedrive() && message.isOpen()) {
+        } else if (messageClosed && message.isRedrive() && message.isOpen()) {
             context.journal().recordOutcome(attempt);
             lifecycle.endRedrive(message);
-        } else if (isFinal && message.isOpen()) {
+        } else if (messageClosed && message.isOpen()) {
             lifecycle.finish(message, isDelivered);
         } else if (!message.isDone()) {
             context.journal().recordOutcome(attempt);
--- a/src/main/java/loftflow/engine/DeliveryEngine.java
+++ b/src/main/java/loftflow/engine/DeliveryEngine.java
@@ -224,10 +224,10 @@
     public void onAttemptCompleted(
             Message.Attempt attempt,
             AttemptOutcome outcome,
-            boolean isFinal,
+            boolean messageClosed,
             long retryAfterMicros,
             LimitReport limitReport) {
-        dispatcher.onAttemptCompleted(attempt, outcome, isFinal, retryAfterMicros, limitReport);
+        dispatcher.onAttemptCompleted(attempt, outcome, messageClosed, retryAfterMicros, limitReport);
     }
 
     @Override
--- a/src/main/java/loftflow/engine/Message.java
+++ b/src/main/java/loftflow/engine/Message.java
@@ -76,7 +76,7 @@
      * @param retryAfterMicros microseconds after which the client may send a rejected message again; 0 where not known
      */
     public record Completion(Kind kind, long retryAfterMicros) {
-        /** The ordinals are stored in the journal. */
+        /** What became of the message. */
         public enum Kind {
             /** Not delivered as far as is known; whether it took effect is not known. */
             FAILED,
@@ -86,11 +86,6 @@
             DELIVERED
         }
 
-        /** A completion as failed or rejected. */
-        public Completion(boolean isRejected, long retryAfterMicros) {
-            this(isRejected ? Kind.REJECTED : Kind.FAILED, retryAfterMicros);
-        }
-
         /** The value of the protocol's {@code result} field. */
         public String result() {
             return switch (kind) {
--- a/src/main/java/loftflow/experiment/loopback/EndpointServer.java
+++ b/src/main/java/loftflow/experiment/loopback/EndpointServer.java
@@ -126,7 +126,7 @@
         try (JsonParser json = JSON.createParser(body)) {
             while (json.nextToken() != null) {
                 if (json.currentToken() == JsonToken.FIELD_NAME
-                        && json.currentName().equals("id")) {
+                        && json.currentName().equals(HostProtocol.MESSAGE_ID_FIELD)) {
                     ids.add(json.nextTextValue());
                 }
             }
@@ -183,7 +183,8 @@
 
     private static String batchBody(List<String> ids) {
         return ids.stream()
-                .map(id -> "{\"id\":\"" + id + "\",\"state\":\"done\"}")
+                .map(id -> "{\"" + HostProtocol.MESSAGE_ID_FIELD + "\":\"" + id + "\",\"" + HostProtocol.STATE_FIELD
+                        + "\":\"" + HostProtocol.STATE_DELIVERED + "\"}")
                 .collect(Collectors.joining(",", "[", "]"));
     }
 
@@ -212,7 +213,7 @@
     private String limitReport() {
         return String.format(
                 Locale.ROOT,
-                "x0=%.3f, x1=%.3f",
+                HostProtocol.REMAINING_SHARE_FIELD + "=%.3f, " + HostProtocol.LIMIT_PER_SECOND_FIELD + "=%.3f",
                 endpoint.limit().remainingShare(),
                 endpoint.limit().ratePerSecond());
     }
--- a/src/main/java/loftflow/experiment/results/RunReport.java
+++ b/src/main/java/loftflow/experiment/results/RunReport.java
@@ -8,14 +8,13 @@
 import loftflow.experiment.history.MessageHistory;
 import loftflow.experiment.history.RunHistory;
 import loftflow.experiment.scenario.FaultSchedule;
+import loftflow.experiment.scenario.RuleLimits;
 import loftflow.experiment.scenario.Scenario;
 
 /** The HTML report of one run: its figures, plots over time, and the faults. */
 public final class RunReport {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final double MICROS_PER_MILLI = 1_000.0;
-    /** The load under which a recovering endpoint collapses; plots of the load reach at least this far. */
-    private static final double COLLAPSE_LOAD = 2.5;
 
     private final HtmlPage page;
     private final Scenario scenario;
@@ -95,7 +94,7 @@
         plot.add("Longest time to a delivery, ms", maximum(totals.latencyMillis), s -> totals.latencyMillis[s]);
         plot.add(
                 "Highest load of an endpoint beside what it can do then",
-                Math.max(COLLAPSE_LOAD, maximum(totals.load)),
+                Math.max(RuleLimits.STANDARD.collapseLoadFactor(), maximum(totals.load)),
                 s -> totals.load[s],
                 s -> 1);
     }
--- a/src/main/java/loftflow/fake/FakeBroker.java
+++ b/src/main/java/loftflow/fake/FakeBroker.java
@@ -78,7 +78,6 @@
     static final int MAX_BODY_BYTES = 1 << 20;
     private static final int MAX_BIND_ATTEMPTS = 250;
     static final String DEAD_LETTERS = "dead-letters";
-    static final String KEY = "Idempotency-Key";
 
     private final MultiThreadIoEventLoopGroup group;
     final EventLoop loop;
--- a/src/main/java/loftflow/fake/FakeBrokerSession.java
+++ b/src/main/java/loftflow/fake/FakeBrokerSession.java
@@ -17,6 +17,7 @@
 import loftflow.amqp.codec.Property;
 import loftflow.amqp.link.AmqpConnection;
 import loftflow.amqp.link.AmqpServerConnection;
+import loftflow.protocol.MessageHeaders;
 
 /** One client connection of a {@link FakeBroker}. Runs on the broker's event loop. */
 final class FakeBrokerSession implements AmqpServerConnection.Listener {
@@ -300,7 +301,7 @@
 
     private static FakeBroker.Posting posting(Command command, String queue) {
         Properties properties = command.properties();
-        Object key = properties.headers().get(FakeBroker.KEY);
+        Object key = properties.headers().get(MessageHeaders.IDEMPOTENCY_KEY);
         return new FakeBroker.Posting(
                 properties.text(Property.MESSAGE_ID),
                 key == null ? null : key.toString(),
--- a/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
+++ b/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
@@ -54,10 +54,10 @@
                         text(DiscoveryProtocol.ADDRESS, address),
                         text(DiscoveryProtocol.ZONE, building),
                         text(DiscoveryProtocol.KIND, kind),
-                        number(DiscoveryProtocol.DESTINATION, destination),
+                        member(DiscoveryProtocol.DESTINATION, destination),
                         text(DiscoveryProtocol.STATE, state),
-                        number(DiscoveryProtocol.RATE_PER_SECOND, rate),
-                        number(DiscoveryProtocol.STARTED_AT_MILLIS, 0))
+                        member(DiscoveryProtocol.RATE_PER_SECOND, rate),
+                        member(DiscoveryProtocol.STARTED_AT_MILLIS, 0))
                 + "}";
     }
 
@@ -65,7 +65,7 @@
         return "\"" + name + "\":\"" + value + "\"";
     }
 
-    private static String number(String name, Object value) {
+    private static String member(String name, Object value) {
         return "\"" + name + "\":" + value;
     }
 
@@ -102,8 +102,7 @@
     }
 
     private synchronized String whole() {
-        return ScriptedPeer.answer(
-                200, "{\"rev\":" + revision + ",\"all\":true,\"targets\":[" + String.join(",", entries) + "]}");
+        return list(true, String.join(",", entries));
     }
 
     private synchronized String changes(long after, long waitMillis) {
@@ -117,9 +116,13 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return revision > after
-                ? whole()
-                : ScriptedPeer.answer(200, "{\"rev\":" + revision + ",\"all\":false,\"targets\":[]}");
+        return revision > after ? whole() : list(false, "");
+    }
+
+    private String list(boolean isFull, String listed) {
+        String members = member(DiscoveryProtocol.REVISION, revision) + "," + member(DiscoveryProtocol.IS_FULL, isFull);
+        return ScriptedPeer.answer(
+                200, "{" + members + "," + member(DiscoveryProtocol.ENDPOINTS, "[" + listed + "]") + "}");
     }
 
     @Override
--- a/src/main/java/loftflow/journal/JournalRecordCodec.java
+++ b/src/main/java/loftflow/journal/JournalRecordCodec.java
@@ -33,6 +33,9 @@
     /** Accepted with an ordering key other than the idempotency key. */
     private static final int ACCEPTED_WITH_ORDERING_KEY = 8;
 
+    /** Space for the header, which {@link RecordFile#seal} fills in. */
+    private static final byte[] EMPTY_HEADER = new byte[RecordFile.HEADER_BYTES];
+
     private static final int COMPLETION_FAILED = 0;
     private static final int COMPLETION_REJECTED = 1;
     private static final int COMPLETION_DELIVERED = 2;
@@ -130,8 +133,8 @@
 
     private static byte[] record(int type, Message message, PayloadWriter payload) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        bytes.writeBytes(new byte[RecordFile.HEADER_BYTES]);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
+            out.write(EMPTY_HEADER);
             out.writeByte(type);
             out.writeLong(message.number());
             payload.write(out);
--- a/src/main/java/loftflow/listener/amqp/AmqpListener.java
+++ b/src/main/java/loftflow/listener/amqp/AmqpListener.java
@@ -23,6 +23,7 @@
 import loftflow.listener.Listener;
 import loftflow.listener.connection.Acceptor;
 import loftflow.log.Log;
+import loftflow.protocol.ClientProtocol;
 
 /**
  * Listens for programs that publish to the relay directly. Publishes are accepted in confirm mode only: an ack means
@@ -57,7 +58,6 @@
             Deduplicator deduplicator,
             Options options) {}
 
-    private static final int MAX_BODY_BYTES = 64 << 10;
     /** The bytes of partly received bodies that all connections may hold together. */
     private static final int MAX_BUFFERED_BYTES = 4 << 20;
 
@@ -131,7 +131,7 @@
     private void onAccepted(Channel channel) {
         PublisherSession session = new PublisherSession(this, context);
         AmqpServerConnection connection =
-                new AmqpServerConnection(context.options().offer(), MAX_BODY_BYTES, bodyBuffer, session);
+                new AmqpServerConnection(context.options().offer(), ClientProtocol.MAX_BODY_BYTES, bodyBuffer, session);
         session.attach(connection);
         if (sessions.size() >= context.options().maxConnections() && !evictOldestInHandshake()) {
             channel.close();
--- a/src/main/java/loftflow/listener/amqp/PublishHandler.java
+++ b/src/main/java/loftflow/listener/amqp/PublishHandler.java
@@ -99,8 +99,8 @@
             return;
         }
         MessageMapping.Result mapped = map(command);
-        if (mapped instanceof MessageMapping.Rejected misfit) {
-            String reason = "PRECONDITION_FAILED - " + misfit.reason();
+        if (mapped instanceof MessageMapping.Rejected rejected) {
+            String reason = "PRECONDITION_FAILED - " + rejected.reason();
             refuse(channel, tag, command, AmqpException.PRECONDITION_FAILED, reason);
         } else {
             submit(channel, tag, command, (MessageMapping.Accepted) mapped);
--- a/src/main/java/loftflow/listener/amqp/QueueConsumer.java
+++ b/src/main/java/loftflow/listener/amqp/QueueConsumer.java
@@ -14,6 +14,7 @@
 import loftflow.amqp.codec.Properties;
 import loftflow.amqp.codec.Property;
 import loftflow.amqp.link.AmqpClientConnection;
+import loftflow.amqp.link.AmqpConnection;
 import loftflow.amqp.mapping.GeneratedIds;
 import loftflow.amqp.mapping.MessageMapping;
 import loftflow.deduplication.Deduplicator;
@@ -24,6 +25,7 @@
 import loftflow.engine.MessageAcceptor;
 import loftflow.listener.Listener;
 import loftflow.log.Log;
+import loftflow.protocol.ClientProtocol;
 
 /**
  * Consumes a queue of a broker. A delivery is acknowledged once its message is accepted, requeued where it is rejected
@@ -52,9 +54,9 @@
          * @throws IllegalArgumentException where the value is unknown
          */
         public static ReplyMode ofSetting(String value) {
-            for (ReplyMode tells : values()) {
-                if (tells.setting.equals(value)) {
-                    return tells;
+            for (ReplyMode mode : values()) {
+                if (mode.setting.equals(value)) {
+                    return mode;
                 }
             }
             throw new IllegalArgumentException(
@@ -77,17 +79,13 @@
             String queue,
             int prefetch,
             boolean isAutoAcknowledge,
-            ReplyMode tells,
+            ReplyMode replyMode,
             String replyQueue,
             long connectTimeoutMicros) {}
 
     private static final int CONSUMER_CHANNEL = 1;
     private static final int REPLY_CHANNEL = 2;
     private static final String CONSUMER_TAG = "relay";
-    /** The AMQP reply code of a regular close. */
-    private static final int REPLY_SUCCESS = 200;
-
-    private static final int MAX_BODY_BYTES = 64 << 10;
     private static final long MIN_RECONNECT_PAUSE_MILLIS = 100;
     private static final long MAX_RECONNECT_PAUSE_MILLIS = 10_000;
     /** The shortest time before a rejected delivery is requeued; the broker redelivers it at once. */
@@ -206,13 +204,13 @@
             return;
         }
         connection = AmqpClientConnection.connect(
-                loop, options.broker(), MAX_BODY_BYTES, options.connectTimeoutMicros(), this);
+                loop, options.broker(), ClientProtocol.MAX_BODY_BYTES, options.connectTimeoutMicros(), this);
     }
 
     @Override
     public void onOpened() {
         connection.openChannel(CONSUMER_CHANNEL);
-        if (options.tells() != ReplyMode.NEVER) {
+        if (options.replyMode() != ReplyMode.NEVER) {
             connection.openChannel(REPLY_CHANNEL);
         }
     }
@@ -229,7 +227,7 @@
             case BASIC_ACK, BASIC_NACK -> replyPublisher.onConfirm(method);
             case BASIC_RETURN -> replyPublisher.onReturn(command);
             case BASIC_CANCEL_OK -> {}
-            case BASIC_CANCEL -> connection.closeGracefully(REPLY_SUCCESS, "the queue is gone");
+            case BASIC_CANCEL -> connection.closeGracefully(AmqpConnection.REPLY_SUCCESS, "the queue is gone");
             case CHANNEL_CLOSE -> onChannelClosed(command.channel(), method);
             default -> throw new AmqpException(AmqpException.COMMAND_INVALID, method.type() + " was not asked for");
         }
@@ -266,7 +264,7 @@
         Log.line("amqp: channel closed by the broker queue=" + options.queue() + " channel=" + channel + " code="
                 + method.number("reply-code") + " reason=" + method.text("reply-text"));
         connection.send(channel, Method.of(MethodType.CHANNEL_CLOSE_OK));
-        connection.closeGracefully(REPLY_SUCCESS, "a channel was closed");
+        connection.closeGracefully(AmqpConnection.REPLY_SUCCESS, "a channel was closed");
     }
 
     // ---- inbound messages
@@ -274,12 +272,12 @@
     private void onDelivery(Command command) {
         long tag = command.method().number("delivery-tag");
         MessageMapping.Result mapped = map(command);
-        if (mapped instanceof MessageMapping.Rejected misfit) {
-            rejectForGood(tag, misfit.reason());
+        if (mapped instanceof MessageMapping.Rejected rejected) {
+            rejectForGood(tag, rejected.reason());
             return;
         }
-        MessageMapping.Accepted fits = (MessageMapping.Accepted) mapped;
-        Message.Content content = fits.content();
+        MessageMapping.Accepted accepted = (MessageMapping.Accepted) mapped;
+        Message.Content content = accepted.content();
         if (deduplicator.contains(content.messageId())) {
             // A redelivery of an accepted message whose ack was lost; its completion is owed once.
             answer(Method.of(MethodType.BASIC_ACK, tag, false));
@@ -288,7 +286,7 @@
         } else if (content.deadlineMicros() <= clock.micros()) {
             rejectForGood(tag, "its time is over");
         } else {
-            submit(tag, fits);
+            submit(tag, accepted);
         }
     }
 
@@ -316,7 +314,7 @@
     }
 
     private String replyQueue(String requestedQueue) {
-        return switch (options.tells()) {
+        return switch (options.replyMode()) {
             case NEVER -> null;
             case ON_REQUEST -> requestedQueue;
             case ALWAYS -> requestedQueue != null ? requestedQueue : options.replyQueue();
@@ -409,7 +407,7 @@
     public void stopListening() {
         isStopped = true;
         if (connection != null) {
-            connection.closeGracefully(REPLY_SUCCESS, "the relay ends");
+            connection.closeGracefully(AmqpConnection.REPLY_SUCCESS, "the relay ends");
         }
     }
 }
--- a/src/main/java/loftflow/listener/amqp/ReplyBody.java
+++ b/src/main/java/loftflow/listener/amqp/ReplyBody.java
@@ -12,7 +12,6 @@
 
 /** Encodes replies: the completion of a message, with the same names as in notices over HTTP and in files. */
 final class ReplyBody {
-    private static final int PERSISTENT_DELIVERY_MODE = 2;
     private static final long MICROS_PER_MILLI = 1_000;
     private static final String CONTENT_TYPE = "application/json";
     /** Suffix of the message id, which makes the reply's id; a redelivered reply has the same id. */
@@ -31,7 +30,7 @@
                 .with(Property.CORRELATION_ID, correlationId == null ? messageId : correlationId)
                 .with(Property.TYPE, message.completion().result())
                 .with(Property.CONTENT_TYPE, CONTENT_TYPE)
-                .with(Property.DELIVERY_MODE, PERSISTENT_DELIVERY_MODE);
+                .with(Property.DELIVERY_MODE, Property.PERSISTENT_DELIVERY_MODE);
     }
 
     /** The body of a reply, a JSON object. */
--- a/src/main/java/loftflow/listener/http/HttpRequestReader.java
+++ b/src/main/java/loftflow/listener/http/HttpRequestReader.java
@@ -11,11 +11,12 @@
 import loftflow.engine.Message;
 import loftflow.listener.request.ClientResponse;
 import loftflow.listener.request.MessageRequest;
+import loftflow.protocol.ClientProtocol;
 
 /** A request while it is received: validates its head, buffers its body and parses its message. */
 final class HttpRequestReader {
     private final HttpRequest head;
-    private final ByteBuf body = Unpooled.buffer(0, MessageRequest.MAX_BODY_BYTES);
+    private final ByteBuf body = Unpooled.buffer(0, ClientProtocol.MAX_BODY_BYTES);
     private long arrivedAtMicros;
 
     HttpRequestReader(HttpRequest head) {
@@ -43,7 +44,7 @@
             return ClientResponse.MALFORMED;
         }
         // The decoder has verified that a length is a number.
-        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > MessageRequest.MAX_BODY_BYTES
+        return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > ClientProtocol.MAX_BODY_BYTES
                 ? ClientResponse.TOO_LARGE
                 : null;
     }
--- a/src/main/java/loftflow/listener/http2/FrameListener.java
+++ b/src/main/java/loftflow/listener/http2/FrameListener.java
@@ -12,7 +12,7 @@
 import loftflow.listener.http2.flowcontrol.FrameBudget;
 import loftflow.listener.http2.flowcontrol.StreamLifecycle;
 import loftflow.listener.request.ClientResponse;
-import loftflow.listener.request.MessageRequest;
+import loftflow.protocol.ClientProtocol;
 
 /**
  * Dispatches the received frames of one connection. Frames that carry no message count against {@link FrameBudget}, and
@@ -85,7 +85,7 @@
         if (stream == null || !stream.isReading()) {
             return allBytes;
         }
-        if (stream.bodyBytes() + dataBytes > MessageRequest.MAX_BODY_BYTES) {
+        if (stream.bodyBytes() + dataBytes > ClientProtocol.MAX_BODY_BYTES) {
             streams.reject(stream, ClientResponse.TOO_LARGE);
             return allBytes;
         }
--- a/src/main/java/loftflow/listener/http2/Http2Listener.java
+++ b/src/main/java/loftflow/listener/http2/Http2Listener.java
@@ -23,7 +23,7 @@
 import loftflow.listener.connection.ConnectionLimiter;
 import loftflow.listener.http2.flowcontrol.ConcurrentStreamLimit;
 import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
-import loftflow.listener.request.MessageRequest;
+import loftflow.protocol.ClientProtocol;
 
 /** Listens for HTTP/2 clients without TLS, and divides the relay's capacity among their connections. */
 public final class Http2Listener implements Listener {
@@ -106,7 +106,7 @@
                 protocol -> AsciiString.contentEquals(Http2CodecUtil.HTTP_UPGRADE_PROTOCOL_NAME, protocol)
                         ? new Http2ServerUpgradeCodec(session)
                         : null,
-                MessageRequest.MAX_BODY_BYTES);
+                ClientProtocol.MAX_BODY_BYTES);
         channel.pipeline()
                 .addLast(
                         new CleartextHttp2ServerUpgradeHandler(http1Codec, upgradeHandler, session),
--- a/src/main/java/loftflow/listener/http2/SessionFlowControl.java
+++ b/src/main/java/loftflow/listener/http2/SessionFlowControl.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http2.Http2Stream;
 import loftflow.listener.connection.RequestBufferPool;
 import loftflow.listener.http2.flowcontrol.ReceiveWindowAllocator;
-import loftflow.listener.request.MessageRequest;
+import loftflow.protocol.ClientProtocol;
 
 /**
  * The receive windows of one connection. A stream starts with a small window, which is extended as bytes are allocated
@@ -19,7 +19,7 @@
      * The largest window of a stream: one byte more than any body may have, so that a body of unknown length is found
      * to be too large.
      */
-    static final int MAX_STREAM_WINDOW_BYTES = MessageRequest.MAX_BODY_BYTES + 1;
+    static final int MAX_STREAM_WINDOW_BYTES = ClientProtocol.MAX_BODY_BYTES + 1;
     /** The steps in which windows of bodies of unknown length, and of the connection, change. */
     static final int STEP_BYTES = 16 << 10;
 
--- a/src/main/java/loftflow/listener/http2/StreamTable.java
+++ b/src/main/java/loftflow/listener/http2/StreamTable.java
@@ -21,6 +21,7 @@
 import loftflow.listener.http2.flowcontrol.StreamLifecycle;
 import loftflow.listener.request.ClientResponse;
 import loftflow.listener.request.MessageRequest;
+import loftflow.protocol.ClientProtocol;
 
 /** The open streams of one connection: begins requests, sends the one response of each, and ends them. */
 final class StreamTable {
@@ -103,7 +104,7 @@
         if (hasRepeatedPseudoHeader(head)) {
             throw Http2Exception.streamError(http2Stream.id(), Http2Error.PROTOCOL_ERROR, "two of a pseudo header");
         }
-        if (stream.contentLength() > MessageRequest.MAX_BODY_BYTES) {
+        if (stream.contentLength() > ClientProtocol.MAX_BODY_BYTES) {
             reject(stream, ClientResponse.TOO_LARGE);
         } else {
             awaitBody(stream, head);
--- a/src/main/java/loftflow/listener/request/ClientResponse.java
+++ b/src/main/java/loftflow/listener/request/ClientResponse.java
@@ -2,6 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Locale;
+import loftflow.protocol.ClientProtocol;
 
 /** Every response that a client may get (PROTOCOL, "Clients to relays"). None has a body. */
 public enum ClientResponse {
@@ -21,7 +22,7 @@
     WRONG_METHOD(HttpResponseStatus.METHOD_NOT_ALLOWED),
     /** The request is malformed, or a header is missing or invalid. */
     MALFORMED(HttpResponseStatus.BAD_REQUEST),
-    /** The body exceeds {@link MessageRequest#MAX_BODY_BYTES}. */
+    /** The body exceeds {@link ClientProtocol#MAX_BODY_BYTES}. */
     TOO_LARGE(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE),
     /** The request was not received whole in time. */
     REQUEST_TIMEOUT(HttpResponseStatus.REQUEST_TIMEOUT),
--- a/src/main/java/loftflow/listener/request/MessageRequest.java
+++ b/src/main/java/loftflow/listener/request/MessageRequest.java
@@ -7,8 +7,6 @@
 
 /** Parses the message in a request from its path, headers and body. */
 public final class MessageRequest {
-    /** The largest body of a message. */
-    public static final int MAX_BODY_BYTES = 64 << 10;
     /** The longest time from the first byte of a request to its last; for the first request, from connecting. */
     public static final long READ_TIMEOUT_MILLIS = 2500;
 
--- a/src/main/java/loftflow/policy/DefaultDeliveryPolicy.java
+++ b/src/main/java/loftflow/policy/DefaultDeliveryPolicy.java
@@ -57,10 +57,9 @@
         OutlierDetector outliers = new OutlierDetector(context, responseTimes);
         CircuitBreaker circuitBreaker = new CircuitBreaker(context, ramp, outliers);
         SendRateLimiter rateLimiter = new SendRateLimiter(context, limits, ramp);
-        peers = new PeerChannel(context);
+        peers = new PeerChannel(context, this::onPeerMessage);
         permits = new SendPermits(context, peers);
         coordinator = new SendPermitCoordinator(context, peers, limits, ramp, rateLimiter, permits);
-        peers.receiveBy(this::onPeerMessage);
         ConcurrencyLimiter concurrency = new ConcurrencyLimiter(context, outliers);
         RouteAvailability availability = new RouteAvailability(context, rateLimiter, outliers, permits, concurrency);
         RetryPolicy retryPolicy = new RetryPolicy(context);
--- a/src/main/java/loftflow/policy/EndpointRegistry.java
+++ b/src/main/java/loftflow/policy/EndpointRegistry.java
@@ -86,7 +86,9 @@
         boolean independent = kind != null && kind.independentRoutes();
         int groupId = independent ? entry.route().hashCode() : entry.destination();
         LimitGroup group = groups.computeIfAbsent(groupId, LimitGroup::new);
-        Route route = new Route(entry, destination, group, kind, scorer.localityBonus(entry.zone()));
+        Circuit circuit = independent ? group.circuit : new Circuit();
+        int maxBatchSize = kind == null ? 1 : kind.maxBatchSize();
+        Route route = new Route(entry, destination, group, circuit, maxBatchSize, scorer.localityBonus(entry.zone()));
         group.routes.add(route);
         destination.routes.put(route.name, route);
         return route;
--- a/src/main/java/loftflow/policy/KeyOrder.java
+++ b/src/main/java/loftflow/policy/KeyOrder.java
@@ -6,7 +6,7 @@
 
 /**
  * Whose turn is it among messages of one ordering key? Messages with equal keys are sent one at a time in the order
- * accepted: nothing is sent for one while an earlier one is unfinished, and after an attempt whose outcome is unknown
+ * accepted: nothing is sent for one while an earlier one is not settled, and after an attempt whose outcome is unknown
  * the key pauses for the time that the service rules name. Messages of classes without an order always have their turn.
  */
 final class KeyOrder {
--- a/src/main/java/loftflow/policy/LimitGroup.java
+++ b/src/main/java/loftflow/policy/LimitGroup.java
@@ -31,11 +31,13 @@
 
     // Recovery, see RecoveryRamp.
     /**
-     * This relay's calls a second before the latest outage or restart; 0 where neither occurred, or the limit is known.
+     * This relay's calls a second before the latest outage; 0 before the first, and after a restart with a known limit.
      */
     double usualRatePerSecond;
 
     long recoveredAtMicros = Long.MIN_VALUE / 2;
+
+    // Concurrency, see ConcurrencyLimiter.
     int callsInFlight;
 
     // Permits shared with peers, see SendPermits and SendPermitCoordinator.
--- a/src/main/java/loftflow/policy/PeerChannel.java
+++ b/src/main/java/loftflow/policy/PeerChannel.java
@@ -17,15 +17,11 @@
     private static final int MESSAGE_BYTES = Byte.BYTES + Integer.BYTES;
 
     private final RoundContext context;
-    private Receiver receiver;
+    private final Receiver receiver;
 
-    PeerChannel(RoundContext context) {
+    PeerChannel(RoundContext context, Receiver receiver) {
         this.context = context;
-    }
-
-    /** Sets who receives messages; once, before the first is sent or received. */
-    void receiveBy(Receiver messages) {
-        receiver = messages;
+        this.receiver = receiver;
     }
 
     void send(int relay, PeerMessageType type, int groupId) {
--- a/src/main/java/loftflow/policy/PendingMessages.java
+++ b/src/main/java/loftflow/policy/PendingMessages.java
@@ -1,10 +1,8 @@
 package loftflow.policy;
 
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
@@ -138,9 +136,4 @@
     Set<Destination> busyDestinations() {
         return busyDestinations;
     }
-
-    /** As {@link #busyDestinations}, unaffected by later changes. */
-    List<Destination> copyOfBusyDestinations() {
-        return new ArrayList<>(busyDestinations);
-    }
 }
--- a/src/main/java/loftflow/policy/Route.java
+++ b/src/main/java/loftflow/policy/Route.java
@@ -1,7 +1,6 @@
 package loftflow.policy;
 
 import java.util.ArrayDeque;
-import loftflow.policy.api.DestinationKind;
 import loftflow.policy.api.EndpointEntry;
 
 /** One endpoint of a destination and what this relay has observed of it. */
@@ -34,14 +33,19 @@
     /** Calls without an outcome, oldest first. */
     final ArrayDeque<Call> callsInFlight = new ArrayDeque<>();
 
-    Route(EndpointEntry entry, Destination destination, LimitGroup group, DestinationKind kind, double localityBonus) {
+    Route(
+            EndpointEntry entry,
+            Destination destination,
+            LimitGroup group,
+            Circuit circuit,
+            int maxBatchSize,
+            double localityBonus) {
         name = entry.route();
         zone = entry.zone();
         this.destination = destination;
         this.group = group;
+        this.circuit = circuit;
+        this.maxBatchSize = maxBatchSize;
         this.localityBonus = localityBonus;
-        boolean independent = kind != null && kind.independentRoutes();
-        circuit = independent ? group.circuit : new Circuit();
-        maxBatchSize = kind == null ? 1 : kind.maxBatchSize();
     }
 }
--- a/src/main/java/loftflow/policy/api/EndpointEntry.java
+++ b/src/main/java/loftflow/policy/api/EndpointEntry.java
@@ -10,4 +10,9 @@
  * @param ratePerSecond calls a second for all relays together, as far as the settings' {@link RateHint} trusts it
  */
 public record EndpointEntry(
-        String route, int destination, String kind, String zone, Availability availability, double ratePerSecond) {}
+        String route, int destination, String kind, String zone, Availability availability, double ratePerSecond) {
+    /** The same endpoint with another availability. */
+    public EndpointEntry withAvailability(Availability newAvailability) {
+        return new EndpointEntry(route, destination, kind, zone, newAvailability, ratePerSecond);
+    }
+}
--- a/src/main/java/loftflow/protocol/ClientProtocol.java
+++ b/src/main/java/loftflow/protocol/ClientProtocol.java
@@ -9,6 +9,8 @@
 public final class ClientProtocol {
     /** Path of a message; {@code /api/KEY} also gives it an ordering key. */
     public static final String MESSAGE_PATH = "/api";
+    /** The largest body of a message. */
+    public static final int MAX_BODY_BYTES = 64 << 10;
     /** Path of the readiness check. */
     public static final String READINESS_PATH = "/-/ready";
 
--- a/src/main/java/loftflow/protocol/HostProtocol.java
+++ b/src/main/java/loftflow/protocol/HostProtocol.java
@@ -16,7 +16,7 @@
 
     /** Content type of the body of a batch. */
     public static final String BATCH_CONTENT_TYPE = "application/json";
-    /** Largest request body that a host accepts, and largest response body that the relay reads. */
+    /** Largest request body that a host accepts. */
     public static final int MAX_BODY_BYTES = 64 << 10;
 
     /** Request header: the message's id. */
--- a/src/main/java/loftflow/server/WarmStartModule.java
+++ b/src/main/java/loftflow/server/WarmStartModule.java
@@ -164,7 +164,7 @@
 
     private void poll() {
         long nowMicros = clock.micros();
-        snapshotWriter.retryLostDeltas(nowMicros);
+        snapshotWriter.recordLostDeltas(nowMicros);
         if (history.nextReleaseMicros() <= nowMicros) {
             apply(history.releaseDue(nowMicros));
         }
--- a/src/main/java/loftflow/upstream/amqp/BrokerOutcomes.java
+++ b/src/main/java/loftflow/upstream/amqp/BrokerOutcomes.java
@@ -17,9 +17,9 @@
         };
     }
 
-    /** The outcome of an attempt that was not published when its connection ended. */
-    static AttemptOutcome ofUnpublished(boolean wasReady) {
-        return wasReady ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED;
+    /** The outcome of an attempt that ends unpublished, by its timeout, a cancellation or the end of its connection. */
+    static AttemptOutcome ofUnpublished(boolean isChannelReady) {
+        return isChannelReady ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED;
     }
 
     /** The outcome of a probe without an answer when its connection ended. */
--- a/src/main/java/loftflow/upstream/amqp/PublishProperties.java
+++ b/src/main/java/loftflow/upstream/amqp/PublishProperties.java
@@ -10,7 +10,6 @@
 
 /** The AMQP properties of a published message. */
 final class PublishProperties {
-    private static final int PERSISTENT_DELIVERY_MODE = 2;
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MIN_EXPIRATION_MILLIS = 1;
@@ -31,7 +30,7 @@
         long leftMillis = Math.max(MIN_EXPIRATION_MILLIS, (content.deadlineMicros() - nowMicros) / MICROS_PER_MILLI);
         return Properties.NONE
                 .with(Property.HEADERS, headers)
-                .with(Property.DELIVERY_MODE, PERSISTENT_DELIVERY_MODE)
+                .with(Property.DELIVERY_MODE, Property.PERSISTENT_DELIVERY_MODE)
                 .with(Property.EXPIRATION, Long.toString(leftMillis))
                 .with(Property.MESSAGE_ID, content.messageId())
                 .with(Property.TIMESTAMP, nowMicros / MICROS_PER_SECOND)
--- a/src/main/java/loftflow/upstream/http/UpstreamCall.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamCall.java
@@ -87,6 +87,9 @@
     /** The longest back-off that is honored. */
     private static final long MAX_RETRY_AFTER_MILLIS = 3_600_000;
 
+    /** Largest response body that is read. */
+    private static final int MAX_RESPONSE_BODY_BYTES = 64 << 10;
+
     private static final long MICROS_PER_MILLI = 1000;
     private static final String WHOLE_MILLIS_PATTERN = "\\d{1,9}";
 
@@ -123,7 +126,7 @@
     /** The timed-out attempt whose late response is awaited; null where there is none. */
     private Message.Attempt lateAttempt;
 
-    private final ByteBuf responseBody = Unpooled.buffer(0, HostProtocol.MAX_BODY_BYTES);
+    private final ByteBuf responseBody = Unpooled.buffer(0, MAX_RESPONSE_BODY_BYTES);
 
     /** Creates a call for one or more attempts, and starts their timeouts. */
     UpstreamCall(Owner owner, List<UpstreamClient.OutboundAttempt> outboundAttempts) {
@@ -269,7 +272,7 @@
 
     /** Appends a chunk of the response's body; returns false where the body exceeds its maximum size. */
     boolean onBody(ByteBuf chunk) {
-        if (responseBody.readableBytes() + chunk.readableBytes() > HostProtocol.MAX_BODY_BYTES) {
+        if (responseBody.readableBytes() + chunk.readableBytes() > MAX_RESPONSE_BODY_BYTES) {
             return false;
         }
         responseBody.writeBytes(chunk);
--- a/src/main/java/loftflow/warmstart/EndpointHistory.java
+++ b/src/main/java/loftflow/warmstart/EndpointHistory.java
@@ -312,13 +312,14 @@
             boolean isStrike,
             boolean isUnexpected,
             long nowMicros) {
-        if (!isListed(id)) {
+        KnownEndpoint known = endpoints.get(id);
+        if (known == null || !known.isListed()) {
             return HistoryUpdate.NOTHING;
         }
         EndpointObservation observation = observationOf(id);
         List<SnapshotDelta> deltas = new ArrayList<>();
         recordRetryAfter(id, retryAfterMicros, deltas, nowMicros);
-        KnownEndpoint endpoint = observation.recordOutcome(endpoints.get(id), outcome, deltas, nowMicros);
+        KnownEndpoint endpoint = observation.recordOutcome(known, outcome, deltas, nowMicros);
         endpoints.put(id, endpoint);
         if (confirmedIds.contains(id)) {
             return HistoryUpdate.ofDeltas(deltas);
--- a/src/main/java/loftflow/warmstart/EndpointListReconciler.java
+++ b/src/main/java/loftflow/warmstart/EndpointListReconciler.java
@@ -288,7 +288,7 @@
     }
 
     /** True where an endpoint is listed as in service and not held back. */
-    public boolean isInService(String id) {
+    boolean isInService(String id) {
         Member member = members.get(id);
         return member != null && member.isInService && member.listing.isInService();
     }
--- a/src/main/java/loftflow/warmstart/ListedEndpoint.java
+++ b/src/main/java/loftflow/warmstart/ListedEndpoint.java
@@ -20,14 +20,6 @@
 
     /** The same endpoint, marked as removed. */
     ListedEndpoint removed() {
-        return new ListedEndpoint(
-                new EndpointEntry(
-                        entry.route(),
-                        entry.destination(),
-                        entry.kind(),
-                        entry.zone(),
-                        Availability.REMOVED,
-                        entry.ratePerSecond()),
-                address);
+        return new ListedEndpoint(entry.withAvailability(Availability.REMOVED), address);
     }
 }
--- a/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
@@ -254,10 +254,10 @@
     }
 
     /**
-     * Records that deltas were lost, at most once a second. This is not charged to the budget: it is a few bytes, and
-     * all that stands for what was not written.
+     * Records that deltas were lost, at most once a second; called each second, as the record may fail. This is not
+     * charged to the budget: it is a few bytes, and all that stands for what was not written.
      */
-    private void recordLostDeltas(long nowMicros) {
+    public void recordLostDeltas(long nowMicros) {
         if (lostDeltas == null
                 || areLostDeltasRecorded
                 || nowMicros - lostDeltasTriedMicros < LOST_DELTA_INTERVAL_MICROS) {
@@ -276,11 +276,6 @@
         Log.line(LOG_PREFIX + "delta write failed error=\"" + failure.getMessage() + "\"");
     }
 
-    /** Called each second: records lost deltas that could not be recorded when they were lost. */
-    public void retryLostDeltas(long nowMicros) {
-        recordLostDeltas(nowMicros);
-    }
-
     /** Waits, for a bounded time, until the snapshot that is being written is done. */
     @Override
     public void close() {
--- a/src/main/java/loftflow/warmstart/store/StoredCodes.java
+++ b/src/main/java/loftflow/warmstart/store/StoredCodes.java
@@ -1,5 +1,6 @@
 package loftflow.warmstart.store;
 
+import java.util.function.ToIntFunction;
 import loftflow.policy.api.Availability;
 import loftflow.warmstart.KnownEndpoint;
 import loftflow.warmstart.SnapshotDelta;
@@ -36,33 +37,24 @@
     }
 
     static Availability availability(byte code) throws SnapshotCodec.UnreadableException {
-        for (Availability availability : Availability.values()) {
-            if (of(availability) == code) {
-                return availability;
-            }
-        }
-        throw unknown("availability", code);
+        return find(Availability.values(), StoredCodes::of, "availability", code);
     }
 
     static KnownEndpoint.State state(byte code) throws SnapshotCodec.UnreadableException {
-        for (KnownEndpoint.State state : KnownEndpoint.State.values()) {
-            if (of(state) == code) {
-                return state;
-            }
-        }
-        throw unknown("endpoint state", code);
+        return find(KnownEndpoint.State.values(), StoredCodes::of, "endpoint state", code);
     }
 
     static SnapshotDelta.Kind kind(byte code) throws SnapshotCodec.UnreadableException {
-        for (SnapshotDelta.Kind kind : SnapshotDelta.Kind.values()) {
-            if (of(kind) == code) {
-                return kind;
-            }
-        }
-        throw unknown("delta kind", code);
+        return find(SnapshotDelta.Kind.values(), StoredCodes::of, "delta kind", code);
     }
 
-    private static SnapshotCodec.UnreadableException unknown(String what, byte code) {
-        return new SnapshotCodec.UnreadableException("unknown " + what + " code " + code);
+    private static <E> E find(E[] values, ToIntFunction<E> codeOf, String what, byte code)
+            throws SnapshotCodec.UnreadableException {
+        for (E value : values) {
+            if (codeOf.applyAsInt(value) == code) {
+                return value;
+            }
+        }
+        throw new SnapshotCodec.UnreadableException("unknown " + what + " code " + code);
     }
 }
--- a/src/test/java/loftflow/completion/HttpCompletionNotifierTest.java
+++ b/src/test/java/loftflow/completion/HttpCompletionNotifierTest.java
@@ -168,7 +168,7 @@
 
     private static Message completed(long number) {
         Message message = new Message(number, new Message.Content("m" + number, "safe", null, null, 0, 7, new byte[0]));
-        message.complete(new Message.Completion(false, 0));
+        message.complete(new Message.Completion(Message.Completion.Kind.FAILED, 0));
         return message;
     }
 }
--- a/src/test/java/loftflow/journal/JournalTest.java
+++ b/src/test/java/loftflow/journal/JournalTest.java
@@ -82,7 +82,7 @@
             rejected.outcome(AttemptOutcome.REJECTED);
             journal.recordOutcome(rejected);
             assertTrue(journal.recordAttempt(first.addAttempt("r2", 60)));
-            second.complete(new Message.Completion(true, 5));
+            second.complete(new Message.Completion(Message.Completion.Kind.REJECTED, 5));
             journal.recordCompletion(second);
             journal.recordDone(message(3, 0));
         }
@@ -95,7 +95,9 @@
         assertEquals(AttemptOutcome.REJECTED, first.attempts().get(0).outcome());
         assertEquals("r2", first.attempts().get(1).route());
         assertNull(first.attempts().get(1).outcome());
-        assertEquals(new Message.Completion(true, 5), open.get(1).completion());
+        assertEquals(
+                new Message.Completion(Message.Completion.Kind.REJECTED, 5),
+                open.get(1).completion());
     }
 
     /** The records behind a whole one of an unknown type are replayed; its own message may have been sent. */
--- a/src/test/java/loftflow/policy/PolicyTestBase.java
+++ b/src/test/java/loftflow/policy/PolicyTestBase.java
@@ -49,7 +49,7 @@
     }
 
     static byte[] peerMessageBytes(PeerMessageType word, int number) {
-        return ByteBuffer.allocate(5).put((byte) word.ordinal()).putInt(number).array();
+        return ByteBuffer.allocate(5).put((byte) word.code()).putInt(number).array();
     }
 
     /** Serves enough calls on route c that it counts as called often. */
--- a/src/test/java/loftflow/stored/StoredCompletionLogTest.java
+++ b/src/test/java/loftflow/stored/StoredCompletionLogTest.java
@@ -34,7 +34,8 @@
     }
 
     private static Message late(long number) {
-        return completed(number, "late-" + number, null, new Message.Completion(true, 1_000_000));
+        return completed(
+                number, "late-" + number, null, new Message.Completion(Message.Completion.Kind.REJECTED, 1_000_000));
     }
 
     private static String lateLine(long number) {
--- a/src/test/java/loftflow/warmstart/store/SnapshotWriterTest.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotWriterTest.java
@@ -194,7 +194,7 @@
         long maxBytes = 0;
         for (long second = 0; second < HOUR_SECONDS; second++) {
             long now = second * SECOND;
-            writer.retryLostDeltas(now);
+            writer.recordLostDeltas(now);
             save(5_000, now);
             List<SnapshotDelta> deltas = new ArrayList<>();
             for (int i = 0; i < 600; i++) {
@@ -227,11 +227,11 @@
         }
         SnapshotStore.LoadedState loaded = load();
         for (int i = 2; i < 100; i++) {
-            writer.retryLostDeltas(i * SECOND);
+            writer.recordLostDeltas(i * SECOND);
         }
         long bytesBefore = disk.bytesWritten;
         for (int i = 100; i < 200; i++) {
-            writer.retryLostDeltas(i * SECOND);
+            writer.recordLostDeltas(i * SECOND);
         }
         assertEquals(bytesBefore, disk.bytesWritten, "the loss is recorded once");
         SnapshotDelta last = loaded.deltas().get(loaded.deltas().size() - 1);
