--- a/src/main/java/loftflow/deadletter/package-info.java
+++ b/src/main/java/loftflow/deadletter/package-info.java
@@ -3,6 +3,6 @@
  * sent again, and which operator confirmed what. Free of I/O, clocks and threads: storage is behind
  * {@link loftflow.deadletter.DeadLetterStore}.
  *
- * <p>May use: the engine and the decision module's types.
+ * <p>May use: the engine, the policy's types and the log.
  */
 package loftflow.deadletter;
--- a/src/main/java/loftflow/experiment/loopback/package-info.java
+++ b/src/main/java/loftflow/experiment/loopback/package-info.java
@@ -4,6 +4,6 @@
  *
  * <p>May use: {@code experiment.scenario}, {@code experiment.history}, {@code experiment.emulator},
  * {@code experiment.evaluation}, {@code config.tool}, {@code config.file},
- * {@code fake}, {@code http}, {@code policy.api}, Netty, Jackson.
+ * {@code fake}, {@code protocol}, {@code policy.api}, Netty, Jackson.
  */
 package loftflow.experiment.loopback;
--- a/src/main/java/loftflow/http/package-info.java
+++ b/src/main/java/loftflow/http/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What listeners and upstream clients share for HTTP: header names, the timer of a connection, and reading what has
- * arrived on one.
+ * What listeners and upstream clients share for HTTP: the timer of a connection, and reading what has arrived on one.
  *
  * <p>May use: Netty.
  */
--- a/src/main/java/loftflow/listener/amqp/package-info.java
+++ b/src/main/java/loftflow/listener/amqp/package-info.java
@@ -3,6 +3,7 @@
  * {@link loftflow.listener.amqp.QueueConsumer}, which consumes a queue of a broker. Both reply with the completion of a
  * message where its client requested that.
  *
- * <p>May use: {@code listener}, the engine, {@code amqp}, {@code deduplication}, the log, Jackson and Netty.
+ * <p>May use: {@code listener}, the engine, {@code amqp}, {@code deduplication}, {@code protocol}, the log, Jackson and
+ * Netty.
  */
 package loftflow.listener.amqp;
--- a/src/main/java/loftflow/listener/http2/package-info.java
+++ b/src/main/java/loftflow/listener/http2/package-info.java
@@ -7,7 +7,7 @@
  * streams), {@code SessionFlowControl} (receive windows) and {@code ConnectionTerminator} (GOAWAY and close). What a
  * connection may cost is decided in {@code listener.http2.flowcontrol}.
  *
- * <p>May use: the engine, {@code listener.connection}, {@code listener.request}, header names and Netty; not the
- * upstream clients, the journal or discovery.
+ * <p>May use: the engine, {@code listener.connection}, {@code listener.request}, {@code http}, {@code protocol} and
+ * Netty; not the upstream clients, the journal or discovery.
  */
 package loftflow.listener.http2;
--- a/src/main/java/loftflow/listener/request/package-info.java
+++ b/src/main/java/loftflow/listener/request/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Requests of clients over HTTP, independent of the version: parsing a message from headers and body, the responses,
- * and the names of the client protocol in {@code ClientProtocol}.
+ * Requests of clients over HTTP, independent of the version: parsing a message from headers and body, and the
+ * responses.
  *
- * <p>May use: the engine's port for messages, header names and Netty's status codes.
+ * <p>May use: the engine's port for messages, {@code protocol} and Netty's status codes.
  */
 package loftflow.listener.request;
--- a/src/main/java/loftflow/server/package-info.java
+++ b/src/main/java/loftflow/server/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The program: assembles the parts of a relay, starts them, shuts them down and handles signals.
  *
- * <p>May use: every other package; nothing uses this one.
+ * <p>May use: every other package; only the command line uses this one.
  */
 package loftflow.server;
--- a/src/main/java/loftflow/upstream/amqp/package-info.java
+++ b/src/main/java/loftflow/upstream/amqp/package-info.java
@@ -5,6 +5,6 @@
  *
  * <p>Start with {@link loftflow.upstream.amqp.BrokerClient}.
  *
- * <p>May use: the policy's types, the engine's ports, {@code amqp}, header names, the log, and Netty.
+ * <p>May use: the policy's types, the engine's ports, {@code amqp}, {@code protocol}, the log, and Netty.
  */
 package loftflow.upstream.amqp;
--- a/src/test/java/loftflow/admin/DeadLetterFilterReaderTest.java
+++ b/src/test/java/loftflow/admin/DeadLetterSelectionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests and responses as the command line of any version knows them. */
-class DeadLetterFilterReaderTest {
+class DeadLetterSelectionTest {
     private static String error(String member, String value) {
         return assertThrows(IllegalArgumentException.class, () -> DeadLetterSelection.of(Map.of(member, value)))
                 .getMessage();
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
@@ -124,7 +124,7 @@
             }
             try {
                 due.task().run();
-            } catch (CrashError deadLetter) {
+            } catch (CrashError e) {
                 restart();
             }
         }
@@ -151,19 +151,19 @@
         try {
             journal.close();
             store.close();
-        } catch (IOException deadLetter) {
-            throw new AssertionError(deadLetter);
+        } catch (IOException e) {
+            throw new AssertionError(e);
         }
         advanceWithoutRelay(nowMicros + random.nextInt(3_000_000));
         while (true) {
             try {
                 start();
                 return;
-            } catch (CrashError deadLetter) {
+            } catch (CrashError e) {
                 crashes++;
                 process++;
-            } catch (IOException deadLetter) {
-                throw new AssertionError(deadLetter);
+            } catch (IOException e) {
+                throw new AssertionError(e);
             }
         }
     }
@@ -190,7 +190,8 @@
         engine = new DeliveryEngine(timers, clock, settings, 5_000, new KillableJournal(), DefaultDeliveryPolicy::new);
         Map<String, RedriveClass> redriveClasses = new HashMap<>();
         settings.classes()
-                .forEach(attempt -> redriveClasses.put(attempt.name(), new RedriveClass(attempt, 60 * SECOND_MICROS)));
+                .forEach(requestClass ->
+                        redriveClasses.put(requestClass.name(), new RedriveClass(requestClass, 60 * SECOND_MICROS)));
         service = new DeadLetterService(
                 timers,
                 clock,
@@ -279,10 +280,10 @@
     /** Runs store tasks later, in order, and rejects some. */
     private final class VirtualStoreQueue implements DeadLetterStoreQueue {
         private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
-        private final int process;
+        private final int owner;
 
         VirtualStoreQueue(int owner) {
-            this.process = owner;
+            this.owner = owner;
         }
 
         @Override
@@ -295,9 +296,9 @@
                 schedule(
                         random.nextInt(2_000),
                         () -> then.accept(ignoresUnknownOutcomes ? withoutUnknownOutcomes(result) : result),
-                        process);
+                        owner);
             });
-            schedule(random.nextInt(3_000), () -> tasks.poll().run(), process);
+            schedule(random.nextInt(3_000), () -> tasks.poll().run(), owner);
             return true;
         }
     }
@@ -337,11 +338,11 @@
 
     /** Endpoints that answer, reject, reset before and after the last byte, hang and answer late. */
     private final class FaultyUpstream implements UpstreamClient {
-        private final int process;
+        private final int owner;
         private final Set<Message.Attempt> inFlight = new HashSet<>();
 
         FaultyUpstream(int owner) {
-            this.process = owner;
+            this.owner = owner;
         }
 
         @Override
@@ -364,20 +365,20 @@
             Message.Content content = attempt.message().content();
             int zone = route.charAt(route.length() - 1) - '0';
             long delay = 10_000 + random.nextInt(150_000);
-            schedule(outgoingAttempt.timeoutMicros(), () -> complete(attempt, AttemptOutcome.TIMEOUT, false), process);
+            schedule(outgoingAttempt.timeoutMicros(), () -> complete(attempt, AttemptOutcome.TIMEOUT, false), owner);
             int outcome = random.nextInt(isOutage ? 10 : 20);
             if (outcome < 2) {
-                schedule(delay, () -> complete(attempt, AttemptOutcome.CONNECT_FAILED, false), process);
+                schedule(delay, () -> complete(attempt, AttemptOutcome.CONNECT_FAILED, false), owner);
             } else if (outcome < 4) {
-                schedule(delay, () -> complete(attempt, AttemptOutcome.REJECTED, false), process);
+                schedule(delay, () -> complete(attempt, AttemptOutcome.REJECTED, false), owner);
             } else if (outcome < 5) {
-                schedule(delay, () -> complete(attempt, AttemptOutcome.RESET, false), process);
+                schedule(delay, () -> complete(attempt, AttemptOutcome.RESET, false), owner);
             } else if (outcome < 8) {
                 // It is executed at some time; the connection breaks, or the answer is late or missing.
                 long executionDelayMicros = random.nextInt(6_000_000);
                 scheduleExecution(content, zone, executionDelayMicros);
                 if (outcome == 5) {
-                    schedule(delay, () -> complete(attempt, AttemptOutcome.RESET, false), process);
+                    schedule(delay, () -> complete(attempt, AttemptOutcome.RESET, false), owner);
                 } else if (outcome == 6) {
                     schedule(
                             Math.max(
@@ -388,13 +389,13 @@
                                     engine.onLateDelivery(attempt);
                                 }
                             },
-                            process);
+                            owner);
                 }
             } else if (outcome < 9) {
                 return;
             } else {
                 scheduleExecution(content, zone, delay);
-                schedule(delay + 1, () -> complete(attempt, AttemptOutcome.OK, true), process);
+                schedule(delay + 1, () -> complete(attempt, AttemptOutcome.OK, true), owner);
             }
         }
 
--- a/src/test/java/loftflow/interop/InteropBenchmark.java
+++ b/src/test/java/loftflow/interop/InteropBenchmark.java
@@ -35,7 +35,7 @@
  * Measurements of HTTP and AMQP, each a command: {@code pairs CORE} (messages a second and p99 of the four pairs in
  * turn,
  * the relay on one core), {@code channels} (resident memory with 100 channels), {@code codec} (frames a second),
- * {@code standing} (a listener and a stand-in broker, for src/test/js/amqplib.js, until it is ended).
+ * {@code standing} (a listener and a fake broker, for src/test/js/amqplib.js, until it is ended).
  */
 public final class InteropBenchmark {
     private static final int RATE = 200;
--- a/src/test/java/loftflow/listener/http2/RawHttp2Client.java
+++ b/src/test/java/loftflow/listener/http2/RawHttp2Client.java
@@ -19,7 +19,6 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.CopyOnWriteArrayList;
-import loftflow.listener.http2.RawClient.Condition;
 import loftflow.server.KernelSocketState;
 
 /**
@@ -27,6 +26,11 @@
  * reads only while a caller waits for something, so that a client without a caller does not read.
  */
 public final class RawHttp2Client implements AutoCloseable {
+    /** The condition that a caller waits for. */
+    public interface Condition {
+        boolean isMet();
+    }
+
     static final int DATA = 0;
     static final int HEADERS = 1;
     static final int PRIORITY = 2;
--- a/src/test/js/amqplib.js
+++ b/src/test/js/amqplib.js
@@ -1,5 +1,5 @@
-// Publishes, confirms and consumes with amqplib at a listener or at the stand-in broker: npm install amqplib, then
-// node amqplib.js listener PORT, or broker PORT; the ports are those that loftflow.interop.Measure standing prints.
+// Publishes, confirms and consumes with amqplib at a listener or at the fake broker: npm install amqplib, then
+// node amqplib.js listener PORT, or broker PORT; the ports are those that loftflow.interop.InteropBenchmark standing prints.
 const amqp = require("amqplib");
 const [,, kind, port] = process.argv;
 (async () => {
