--- a/src/main/java/loftflow/config/Config.java
+++ b/src/main/java/loftflow/config/Config.java
@@ -90,7 +90,7 @@
      * @param redriveBackoffMicros the shortest time between redrives of one entry
      * @param clockMarginMicros how far clocks may differ
      * @param lateResponseWindowMicros how long a late response is waited for after a timeout; 0 for not at all
-     * @param retentionMicrosByClass how long messages may be redriven, by request class
+     * @param redriveWindowMicrosByClass how long messages may be redriven, by request class
      */
     public record DeadLetterOptions(
             long limitBytes,
@@ -103,7 +103,7 @@
             long redriveBackoffMicros,
             long clockMarginMicros,
             long lateResponseWindowMicros,
-            Map<String, Long> retentionMicrosByClass) {}
+            Map<String, Long> redriveWindowMicrosByClass) {}
 
     /**
      * AMQP 0-9-1: brokers as upstreams, and AMQP clients and queues as sources of messages.
--- a/src/main/java/loftflow/config/plan/AmqpChecks.java
+++ b/src/main/java/loftflow/config/plan/AmqpChecks.java
@@ -1,6 +1,5 @@
 package loftflow.config.plan;
 
-import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -130,19 +129,17 @@
 
     /** A heartbeat interval beyond a deadline detects a dead connection only after its messages have expired. */
     private void checkHeartbeat(TableReader table, long heartbeatMicros) {
-        declared.classes().stream()
-                .min(Comparator.comparingLong(MessageClass::deadlineMicros))
-                .ifPresent(messageClass -> {
-                    if (heartbeatMicros > messageClass.deadlineMicros()) {
-                        error(
-                                table,
-                                "heartbeat",
-                                duration(heartbeatMicros) + " is longer than the deadline of class "
-                                        + messageClass.name() + ", "
-                                        + duration(messageClass.deadlineMicros())
-                                        + ": a dead connection would be found when its messages are over; lower it");
-                    }
-                });
+        declared.shortestDeadlineClass().ifPresent(messageClass -> {
+            if (heartbeatMicros > messageClass.deadlineMicros()) {
+                error(
+                        table,
+                        "heartbeat",
+                        duration(heartbeatMicros) + " is longer than the deadline of class "
+                                + messageClass.name() + ", "
+                                + duration(messageClass.deadlineMicros())
+                                + ": a dead connection would be found when its messages are over; lower it");
+            }
+        });
     }
 
     private void checkReadable(TableReader table, String key, String file) {
--- a/src/main/java/loftflow/config/plan/Declaration.java
+++ b/src/main/java/loftflow/config/plan/Declaration.java
@@ -1,10 +1,12 @@
 package loftflow.config.plan;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import loftflow.config.schema.TableReader;
 
 /**
@@ -151,7 +153,7 @@
             double fullShare,
             double resumeShare,
             boolean rejectsWhenFull,
-            long retentionMicros,
+            long maxClosedAgeMicros,
             double redrivesPerSecond,
             long redriveBackoffMicros,
             long clockMarginMicros,
@@ -198,7 +200,7 @@
             double meanRatePerSecond,
             long bodyBytes,
             long maxBodyBytes,
-            long deadLetterRetentionMicros,
+            long redriveWindowMicros,
             List<String> destinationKinds) {
         /** True where messages of the class go to destinations of that kind. */
         public boolean goesTo(String kind) {
@@ -457,6 +459,11 @@
         return classes.stream().mapToDouble(MessageClass::peakRatePerSecond).sum();
     }
 
+    /** The class whose messages have the least time. */
+    Optional<MessageClass> shortestDeadlineClass() {
+        return classes.stream().min(Comparator.comparingLong(MessageClass::deadlineMicros));
+    }
+
     /** The endpoints of all partners. */
     public List<Endpoint> endpoints() {
         return destinations.stream().flatMap(p -> p.endpoints().stream()).toList();
--- a/src/main/java/loftflow/config/plan/Http2Checks.java
+++ b/src/main/java/loftflow/config/plan/Http2Checks.java
@@ -2,7 +2,6 @@
 
 import static loftflow.config.plan.SizingModel.text;
 
-import java.util.Comparator;
 import java.util.List;
 import loftflow.config.file.Finding;
 import loftflow.config.file.Units;
@@ -72,20 +71,18 @@
                             + duration(declared.machine().stopTimeMicros())
                             + ": the process would be ended before its streams are; lower it");
         }
-        declared.classes().stream()
-                .min(Comparator.comparingLong(MessageClass::deadlineMicros))
-                .ifPresent(messageClass -> {
-                    if (http2.stallTimeoutMicros() > messageClass.deadlineMicros()) {
-                        warn(
-                                front.table(),
-                                "stall",
-                                duration(http2.stallTimeoutMicros()) + " is longer than the deadline of class "
-                                        + messageClass.name()
-                                        + ", "
-                                        + duration(messageClass.deadlineMicros())
-                                        + ": programs would hear of refusals when there is no time left");
-                    }
-                });
+        declared.shortestDeadlineClass().ifPresent(messageClass -> {
+            if (http2.stallTimeoutMicros() > messageClass.deadlineMicros()) {
+                warn(
+                        front.table(),
+                        "stall",
+                        duration(http2.stallTimeoutMicros()) + " is longer than the deadline of class "
+                                + messageClass.name()
+                                + ", "
+                                + duration(messageClass.deadlineMicros())
+                                + ": programs would hear of refusals when there is no time left");
+            }
+        });
     }
 
     private void checkStreams() {
--- a/src/main/java/loftflow/config/plan/StorageChecks.java
+++ b/src/main/java/loftflow/config/plan/StorageChecks.java
@@ -26,11 +26,11 @@
             return;
         }
         for (MessageClass messageClass : declared.classes()) {
-            if (messageClass.deadLetterRetentionMicros() < messageClass.deadlineMicros()) {
+            if (messageClass.redriveWindowMicros() < messageClass.deadlineMicros()) {
                 error(
                         messageClass.table(),
                         "shelf-life",
-                        duration(messageClass.deadLetterRetentionMicros()) + " is shorter than deadline = "
+                        duration(messageClass.redriveWindowMicros()) + " is shorter than deadline = "
                                 + duration(messageClass.deadlineMicros())
                                 + ": a message would be too old as soon as it is kept; raise it");
             }
--- a/src/main/java/loftflow/config/tool/RelayFile.java
+++ b/src/main/java/loftflow/config/tool/RelayFile.java
@@ -247,7 +247,7 @@
                         u.fullShare(),
                         u.resumeShare(),
                         u.rejectsWhenFull(),
-                        u.retentionMicros(),
+                        u.maxClosedAgeMicros(),
                         u.redrivesPerSecond(),
                         u.redriveBackoffMicros(),
                         u.clockMarginMicros(),
@@ -255,7 +255,7 @@
                         declared.classes().stream()
                                 .collect(Collectors.toMap(
                                         Declaration.MessageClass::name,
-                                        Declaration.MessageClass::deadLetterRetentionMicros)));
+                                        Declaration.MessageClass::redriveWindowMicros)));
     }
 
     private static Config.WarmStartConfig memory(Declaration declared) {
--- a/src/main/java/loftflow/deadletter/DeadLetterService.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterService.java
@@ -32,7 +32,7 @@
      * @param maxEntries number of dead letters from which it is full
      * @param refuseWhenFull while the store is full, new messages of a class that has failed meanwhile are refused;
      *     otherwise they are accepted, and those that fail are logged as lost
-     * @param retentionMicros time after which delivered and discarded dead letters are removed
+     * @param maxClosedAgeMicros time after which delivered and discarded dead letters are removed
      */
     public record Options(
             Map<String, RedriveClass> redriveClasses,
@@ -42,7 +42,7 @@
             long lowWatermarkBytes,
             long maxEntries,
             boolean refuseWhenFull,
-            long retentionMicros) {}
+            long maxClosedAgeMicros) {}
 
     private static final long POLL_INTERVAL_MICROS = 100_000;
     /** The poll interval doubles with each poll that finds nothing, up to this many times. */
@@ -201,7 +201,7 @@
         boolean isQueued = submit(
                 store -> {
                     // Reports the size after a removal, since a full store may not be full any more.
-                    int removed = store.removeSettled(nowMicros - options.retentionMicros(), MAX_REMOVED_PER_POLL);
+                    int removed = store.removeSettled(nowMicros - options.maxClosedAgeMicros(), MAX_REMOVED_PER_POLL);
                     DeadLetterStore.Size sizeAfterRemoval = removed > 0 ? store.size() : null;
                     List<DeadLetter> due = store.findDue(nowMicros, lastPolledDestination, MAX_DUE_PER_POLL);
                     return new PollResult(due, sizeAfterRemoval);
--- a/src/main/java/loftflow/server/DeadLetterModule.java
+++ b/src/main/java/loftflow/server/DeadLetterModule.java
@@ -48,7 +48,7 @@
 
     private static DeadLetterService.Options serviceOptions(Config config, Config.DeadLetterOptions options) {
         return new DeadLetterService.Options(
-                retentionByClass(config),
+                redriveClasses(config),
                 new RedrivePolicy(options.clockMarginMicros(), options.redriveBackoffMicros()),
                 options.redrivesPerSecond(),
                 (long) (options.limitBytes() * options.highWatermark()),
@@ -58,14 +58,14 @@
                 options.maxClosedAgeMicros());
     }
 
-    private static Map<String, RedriveClass> retentionByClass(Config config) {
-        Map<String, Long> retentionMicros = config.deadLetters().retentionMicrosByClass();
-        Map<String, RedriveClass> retentions = new HashMap<>();
+    private static Map<String, RedriveClass> redriveClasses(Config config) {
+        Map<String, Long> windowsMicros = config.deadLetters().redriveWindowMicrosByClass();
+        Map<String, RedriveClass> redriveClasses = new HashMap<>();
         for (RequestClass requestClass : config.settings().classes()) {
             String name = requestClass.name();
-            retentions.put(name, new RedriveClass(requestClass, retentionMicros.get(name)));
+            redriveClasses.put(name, new RedriveClass(requestClass, windowsMicros.get(name)));
         }
-        return retentions;
+        return redriveClasses;
     }
 
     /** Starts redrives; on the event loop. */
