--- a/src/main/java/loftflow/upstream/http/BatchCodec.java
+++ b/src/main/java/loftflow/upstream/http/BatchCodec.java
@@ -15,15 +15,15 @@
 import loftflow.json.MalformedInputException;
 import loftflow.protocol.HostProtocol;
 
-/** Encodes the body of a call that carries several messages, and decodes the body of its response. */
+/** Encodes the request body of a batch call and decodes its response body. */
 final class BatchCodec {
     private static final JsonFactory JSON = new JsonFactory().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
-    /** Bytes of field names, quotes and separators around one message. */
+    /** Approximate number of bytes that field names, quotes and separators add to each message. */
     private static final int ENTRY_OVERHEAD_BYTES = 40;
 
     private BatchCodec() {}
 
-    /** The approximate number of bytes that a message takes in a batch. */
+    /** Returns the approximate encoded size of a message in a batch. */
     static int encodedSizeBytes(Message message) {
         Message.Content content = message.content();
         int keyBytes = content.key() == null ? 0 : content.key().length();
@@ -31,7 +31,7 @@
         return base64Bytes + content.messageId().length() + keyBytes + ENTRY_OVERHEAD_BYTES;
     }
 
-    /** Encodes the messages of some attempts, in their order. */
+    /** Encodes the messages of the given attempts, in iteration order. */
     static byte[] encode(Collection<Message.Attempt> attempts) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = JSON.createGenerator(bytes)) {
@@ -54,27 +54,27 @@
     }
 
     /**
-     * Decodes the state of each message that a response names, by message id.
+     * Decodes a response body and returns the reported state of each message, by message id.
      *
-     * @throws IOException where the body is no JSON, or has a field twice in an entry
-     * @throws MalformedInputException where it is no array of entries, or names a message twice
+     * @throws IOException if the body is not valid JSON or an entry repeats a field
+     * @throws MalformedInputException if the body is not an array of entries or repeats a message id
      */
     static Map<String, String> decodeStates(String body) throws IOException {
         Map<String, String> states = new HashMap<>();
         try (JsonParser parser = JSON.createParser(body)) {
             parser.nextToken();
             if (!(JsonFields.read(parser) instanceof List<?> entries)) {
-                throw new MalformedInputException("the body is not an array");
+                throw new MalformedInputException("the response body is not an array");
             }
             for (Object json : entries) {
-                JsonFields entry = JsonFields.ofObject("answer", json);
+                JsonFields entry = JsonFields.ofObject("entry", json);
                 String messageId = entry.text(HostProtocol.MESSAGE_ID_FIELD);
                 if (states.put(messageId, entry.text(HostProtocol.STATE_FIELD)) != null) {
-                    throw new MalformedInputException("a message is named twice");
+                    throw new MalformedInputException("duplicate message id");
                 }
             }
             if (parser.nextToken() != null) {
-                throw new MalformedInputException("more follows the array");
+                throw new MalformedInputException("unexpected data after the array");
             }
         }
         return states;
--- a/src/main/java/loftflow/upstream/http/ConnectionRegistry.java
+++ b/src/main/java/loftflow/upstream/http/ConnectionRegistry.java
@@ -6,33 +6,33 @@
 import java.util.Set;
 
 /**
- * The connections to all hosts and the limit on their number. When the limit is reached, idle connections are evicted,
- * then those that only await a late response; pools that still get none are starved until a connection closes. For use
- * on the event loop only.
+ * Tracks the connections to all hosts and limits their number. At the limit, idle connections are evicted first, then
+ * those that only await a late response. A pool that cannot open a connection even so is starved until one closes. Must
+ * be used on the event loop.
  */
 final class ConnectionRegistry {
-    /** One connection in so many may await a late response. */
+    /** At most the connection limit divided by this number may await a late response at the same time. */
     private static final int LATE_RESPONSE_DIVISOR = 4;
 
     private final int maxConnections;
     private final Set<UpstreamConnection> open = new HashSet<>();
-    /** Idle and settling connections of all hosts, the one that has been idle longest first. */
+    /** Idle and settling connections of all hosts, longest idle first. */
     private final Set<UpstreamConnection> idle = new LinkedHashSet<>();
-    /** Connections that await a late response, the one that has waited longest first. */
+    /** Connections that await a late response, longest waiting first. */
     private final Set<UpstreamConnection> awaitingLateResponse = new LinkedHashSet<>();
-    /** Pools whose calls wait until a connection closes, since the limit is reached. */
+    /** Pools with queued calls that cannot open a connection until another one closes. */
     private final Set<HostConnectionPool> starvedPools = new LinkedHashSet<>();
 
     ConnectionRegistry(int maxConnections) {
         this.maxConnections = maxConnections;
     }
 
-    /** Returns true where calls to some host wait because the limit is reached. */
+    /** Returns whether the limit prevents any pool from opening a connection that it needs. */
     boolean hasStarvedPools() {
         return !starvedPools.isEmpty();
     }
 
-    /** Returns true where one more connection may await a late response, without delaying calls that are in time. */
+    /** Returns whether one more connection may await a late response without delaying queued calls. */
     boolean canAwaitLateResponse() {
         return !hasStarvedPools() && awaitingLateResponse.size() < Math.max(1, maxConnections / LATE_RESPONSE_DIVISOR);
     }
@@ -49,19 +49,22 @@
         idle.remove(connection);
     }
 
-    /** The connection can carry no calls any more; it counts against the limit until its channel has closed. */
+    /**
+     * Removes a connection that can no longer carry calls from the candidates for eviction. It counts against the limit
+     * until its channel has closed.
+     */
     void removeUnusable(UpstreamConnection connection) {
         idle.remove(connection);
         awaitingLateResponse.remove(connection);
     }
 
     /**
-     * Makes a connection possible within the limit, where necessary by evictions.
+     * Makes room for one more connection, evicting others if necessary.
      *
-     * @return false where the limit is reached; the pool is then called back once a connection has closed
+     * @return false if the limit leaves no room; the pool then retries once a connection has closed
      */
     boolean tryReserve(HostConnectionPool pool) {
-        // An evicted connection may go to a pool that was starved before, so that one eviction may not be enough.
+        // A starved pool may take the place of an evicted connection, so one eviction may not be enough.
         while (open.size() >= maxConnections && hasEvictable()) {
             Set<UpstreamConnection> evictable = idle.isEmpty() ? awaitingLateResponse : idle;
             evictable.iterator().next().close();
@@ -81,7 +84,7 @@
         open.add(connection);
     }
 
-    /** A connection's channel has closed, or never came up: starved pools may connect. */
+    /** Releases a connection whose channel has closed or was never established, and lets starved pools connect. */
     void onChannelClosed(UpstreamConnection connection) {
         if (open.remove(connection)) {
             for (HostConnectionPool pool : List.copyOf(starvedPools)) {
--- a/src/main/java/loftflow/upstream/http/HostConnectionPool.java
+++ b/src/main/java/loftflow/upstream/http/HostConnectionPool.java
@@ -21,18 +21,18 @@
 import loftflow.policy.api.LimitReport;
 
 /**
- * A listed host with its connections and the calls that wait for one. A call takes an idle connection, or else the
- * first that becomes reusable or comes up. For use on the event loop only.
+ * Pools the connections to one host and queues the calls that wait for one. A call uses an idle connection if there is
+ * one, otherwise the first that becomes reusable or is established. Must be used on the event loop.
  */
 final class HostConnectionPool implements UpstreamCall.Owner, UpstreamConnection.Owner {
     /**
-     * What the pools of all hosts share.
+     * Dependencies and settings shared by the pools of all hosts.
      *
-     * @param bootstrap connects sockets, within the time for a connection
-     * @param connectTimeoutMicros how long a connection may take to come up, and a handshake after that
-     * @param idleTimeoutMicros how long a connection may be idle and still carry a call
-     * @param lateResponseMicros how long a late response is awaited after a timeout; 0 for not at all
-     * @param openCalls the call of every attempt that has no outcome yet
+     * @param bootstrap connects sockets, with the connect timeout
+     * @param connectTimeoutMicros the time allowed for establishing a connection, and again for a handshake on it
+     * @param idleTimeoutMicros the idle time after which a connection is closed and no longer used
+     * @param lateResponseMicros how long a late response is awaited after a timeout; 0 to not await it
+     * @param openCalls the call of each attempt without an outcome
      */
     record Environment(
             EventLoop loop,
@@ -45,12 +45,15 @@
             Map<Message.Attempt, UpstreamCall> openCalls,
             UpstreamClient.ResultListener results) {}
 
-    /** Until when a destination, or an independent route, wants no calls; shared by the pools of a destination. */
+    /**
+     * The end of the back-off that a destination or an independent route requested. The pools of a destination share it
+     * unless its routes are independent.
+     */
     static final class RetryAfterDeadline {
         private long notBeforeMicros;
 
-        private void extend(long micros) {
-            notBeforeMicros = Math.max(notBeforeMicros, micros);
+        private void extendTo(long untilMicros) {
+            notBeforeMicros = Math.max(notBeforeMicros, untilMicros);
         }
 
         private boolean isInForce(long nowMicros) {
@@ -63,7 +66,7 @@
     private final RetryAfterDeadline retryAfter;
     private final int maxBatchSize;
     private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
-    /** Connections within the settle time of their last response, the one that has settled longest first. */
+    /** Connections within the settle time after their last response, in order of response. */
     private final ArrayDeque<UpstreamConnection> settling = new ArrayDeque<>();
     /** Calls that wait for a connection, oldest first. */
     private final Set<UpstreamCall> queue = new LinkedHashSet<>();
@@ -107,19 +110,22 @@
         return maxBatchSize;
     }
 
-    /** Returns true where new calls may be sent to the host. */
+    /** Returns whether new calls may be sent to the host. */
     boolean isListed() {
         return endpoint.entry().availability() == Availability.LISTED;
     }
 
-    /** Returns true where another entry names the same place, so that connections and back-off stay valid. */
-    boolean isAt(Endpoint other) {
+    /**
+     * Returns whether another entry has the same address, destination and kind, so that the pool's connections and
+     * back-off remain valid for it.
+     */
+    boolean matches(Endpoint other) {
         return endpoint.address().equals(other.address())
                 && endpoint.entry().destination() == other.entry().destination()
                 && endpoint.entry().kind().equals(other.entry().kind());
     }
 
-    /** Replaces the entry of the host by one at the same place. */
+    /** Replaces the host's entry with one that {@link #matches}. */
     void update(Endpoint updated) {
         endpoint = updated;
         if (!isListed()) {
@@ -127,13 +133,13 @@
         }
     }
 
-    /** Stops sending for good: the host is gone, or another pool takes its place. */
+    /** Stops sending permanently, because the host was removed or another pool replaces this one. */
     void remove() {
         isRemoved = true;
         stopSending();
     }
 
-    /** Ends queued calls, so that no call to a host that drains or is gone begins to be sent. */
+    /** Ends queued calls and closes idle connections, so that nothing new is sent to a draining or removed host. */
     private void stopSending() {
         List.copyOf(queue).forEach(call -> {
             queue.remove(call);
@@ -171,7 +177,7 @@
 
     @Override
     public void onRetryAfter(long retryAfterMicros) {
-        retryAfter.extend(nowMicros() + retryAfterMicros);
+        retryAfter.extendTo(nowMicros() + retryAfterMicros);
         environment.results().onRetryAfter(route(), retryAfterMicros);
     }
 
@@ -186,8 +192,9 @@
     }
 
     /**
-     * Closes idle connections after a call was reset or timed out: a later call on one that died with it would end as a
-     * reset, while the failure of a new connection proves that the call never ran.
+     * Closes idle connections after a call was reset or timed out, since they may have failed as well. A call on a
+     * failed connection would end as a reset and might have run, whereas a failed connect proves that the call did not
+     * run.
      */
     @Override
     public void closeIdle() {
@@ -207,7 +214,7 @@
         return environment.lateResponseMicros();
     }
 
-    /** Gives the connection to the oldest queued call, pools it, or closes it where it may not stay idle. */
+    /** Assigns the connection to the oldest queued call, else pools it, or closes it if it may not stay idle. */
     @Override
     public void onReusable(UpstreamConnection connection) {
         if (!queue.isEmpty()) {
@@ -244,24 +251,23 @@
         environment.connections().removeUnusable(connection);
     }
 
-    /** Writes a call to a connection, unless it may not be sent any more. */
+    /** Sends a call on a connection, unless a back-off or the latest arrival of its attempts now forbids it. */
     private void begin(UpstreamConnection connection, UpstreamCall call) {
         // The destination may have requested a back-off while the call waited for its connection.
         if (retryAfter.isInForce(nowMicros())) {
             call.end(AttemptOutcome.NOT_SENT);
         }
-        // The first call on a connection arrives only after a handshake, as with TLS, which may take as long as the
-        // settings allow for a connection.
+        // A handshake such as TLS may delay the first call on a connection by up to the connect timeout.
         long handshakeMicros = connection.isNew() ? environment.connectTimeoutMicros() : 0;
         call.endAttemptsPastLatestArrival(nowMicros() + handshakeMicros);
         if (call.isCompleted()) {
             onReusable(connection);
         } else {
-            connection.carry(call);
+            connection.send(call);
         }
     }
 
-    /** Removes and returns the most recently used idle connection that can carry a call; null where there is none. */
+    /** Removes and returns the most recently used idle connection that is usable; null if there is none. */
     private UpstreamConnection pollIdle() {
         for (UpstreamConnection next = idle.pollLast(); next != null; next = idle.pollLast()) {
             environment.connections().removeIdle(next);
@@ -273,7 +279,7 @@
         return null;
     }
 
-    /** Sends a call on an idle connection, or on one that is opened for it. */
+    /** Sends a call on an idle connection, or queues it and opens a connection. */
     void start(UpstreamCall call) {
         while (!settling.isEmpty() && settling.peekFirst().isSettled()) {
             idle.addLast(settling.pollFirst());
@@ -284,7 +290,7 @@
             return;
         }
         queue.add(call);
-        // The call goes to whichever is ready first: a connection that is still settling, or a new one.
+        // The call is sent on whichever is ready first: a settling connection or a new one.
         UpstreamConnection nextSettled = settling.pollFirst();
         if (nextSettled != null) {
             environment.connections().removeIdle(nextSettled);
@@ -293,7 +299,7 @@
         connect();
     }
 
-    /** Opens a connection for each queued call that no connection attempt serves yet. */
+    /** Opens connections until there is one connection attempt for each queued call, as far as the limit allows. */
     void connectForQueuedCalls() {
         for (int missing = queue.size() - connecting; missing > 0; missing--) {
             connect();
@@ -324,7 +330,7 @@
                 connecting--;
                 onReusable(connection);
             } else {
-                // The failure of a socket that could not be opened is reported on another thread.
+                // If the socket could not be created, Netty reports the failure on another thread.
                 environment.loop().execute(() -> onConnectFailed(connection));
             }
         });
--- a/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
+++ b/src/main/java/loftflow/upstream/http/HttpUpstreamClient.java
@@ -25,24 +25,24 @@
 import loftflow.protocol.HostProtocol;
 
 /**
- * Calls hosts over pooled HTTP/1.1 connections and reports the outcome of each attempt. It retries nothing: a call is
- * written once, to one connection. For use on the event loop only.
+ * Calls hosts over pooled HTTP/1.1 connections and reports the outcome of each attempt. It does not retry: a call is
+ * written at most once, to one connection. Must be used on the event loop.
  */
 public final class HttpUpstreamClient implements UpstreamClient {
     private static final long PROBE_TIMEOUT_MICROS = 1_500_000;
-    /** A connection is closed by this much before the host's idle timeout, or at half of it if that is later. */
+    /** Idle connections are closed this long before the host's idle timeout, or at half of it if that is later. */
     private static final long MAX_IDLE_MARGIN_MICROS = 1_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
     private static final int DEFAULT_MAX_BATCH_SIZE = 1;
 
     /**
-     * How hosts are called.
+     * Options of the client.
      *
-     * @param hasLoadReports whether responses may carry load reports, so that a probe requests one
-     * @param hostIdleTimeoutMicros after how long a host closes an idle connection, at the latest
+     * @param hasLoadReports whether hosts report their load, so that probes request a load report
+     * @param hostIdleTimeoutMicros the idle time after which a host closes a connection
      * @param maxConnections the limit on the number of connections to all hosts
-     * @param lateResponseMicros how long a late response is awaited after a timeout; 0 for not at all
+     * @param lateResponseMicros how long a late response is awaited after a timeout; 0 to not await it
      */
     public record Options(
             boolean hasLoadReports, long hostIdleTimeoutMicros, int maxConnections, long lateResponseMicros) {}
@@ -55,13 +55,13 @@
     private final Map<Integer, HostConnectionPool.RetryAfterDeadline> retryAfterByDestination = new HashMap<>();
     private final Map<Message.Attempt, UpstreamCall> openCalls = new HashMap<>();
 
-    /** Creates a client on an event loop; the settings hold the kinds of hosts and the time for a connection. */
+    /** Creates a client on an event loop; the settings provide the destination kinds and the connect timeout. */
     public HttpUpstreamClient(
             EventLoop loop, Clock clock, PolicySettings settings, Options options, ResultListener results) {
         this(loop, clock, settings, options, results, NioSocketChannel::new);
     }
 
-    /** Creates a client whose sockets are made by a factory. */
+    /** Creates a client that obtains its sockets from a factory. */
     HttpUpstreamClient(
             EventLoop loop,
             Clock clock,
@@ -91,7 +91,10 @@
                 results);
     }
 
-    /** A call on a connection that the host is closing would end as a reset, so the relay closes it earlier. */
+    /**
+     * Returns the relay's idle timeout, which is below the host's: a call on a connection that the host is closing
+     * would end as a reset.
+     */
     private static long idleTimeoutMicros(long hostIdleTimeoutMicros) {
         return Math.max(hostIdleTimeoutMicros / 2, hostIdleTimeoutMicros - MAX_IDLE_MARGIN_MICROS);
     }
@@ -114,7 +117,7 @@
     private void addOrReplace(Endpoint endpoint) {
         HostConnectionPool previous = pools.get(endpoint.entry().route());
         boolean isRemoval = endpoint.entry().availability() == Availability.REMOVED;
-        if (previous != null && !isRemoval && previous.isAt(endpoint)) {
+        if (previous != null && !isRemoval && previous.matches(endpoint)) {
             previous.update(endpoint);
             return;
         }
@@ -126,7 +129,11 @@
         }
     }
 
-    /** Adds a pool; one that replaces another of an independent route inherits its back-off. */
+    /**
+     * Adds a pool for an endpoint.
+     *
+     * @param previous the pool that it replaces, whose back-off it inherits if routes are independent; null for none
+     */
     private void add(Endpoint endpoint, HostConnectionPool previous) {
         DestinationKind kind = kinds.get(endpoint.entry().kind());
         HostConnectionPool.RetryAfterDeadline retryAfter;
--- a/src/main/java/loftflow/upstream/http/LoadReportParser.java
+++ b/src/main/java/loftflow/upstream/http/LoadReportParser.java
@@ -9,9 +9,10 @@
     private LoadReportParser() {}
 
     /**
-     * Parses a report such as {@code TEXT x0=0.4, x1=25}; a field that is malformed counts as absent.
+     * Parses a report such as {@code TEXT x0=0.4, x1=25}; malformed fields are treated as absent.
      *
-     * @param text the report; null where there is none
+     * @param text the report; may be null
+     * @return {@link LimitReport#NONE} if the text is null
      */
     static LimitReport parse(String text) {
         if (text == null) {
--- a/src/main/java/loftflow/upstream/http/OutcomeTable.java
+++ b/src/main/java/loftflow/upstream/http/OutcomeTable.java
@@ -4,31 +4,31 @@
 import loftflow.protocol.HostProtocol;
 
 /**
- * The table of outcomes (PROTOCOL, "Relays to hosts"): which response means what for the attempts of a call.
+ * Maps complete responses of hosts to the outcomes of the attempts in a call.
  *
  * <table>
  * <caption>Failures without a complete response, which {@link UpstreamCall} maps itself</caption>
- * <tr><td>no connection, or the connection broke before the request was written</td><td>CONNECT_FAILED</td></tr>
- * <tr><td>the connection broke after that</td><td>RESET</td></tr>
- * <tr><td>the response is malformed or does not end</td><td>ERROR</td></tr>
- * <tr><td>no response in time</td><td>TIMEOUT</td></tr>
+ * <tr><td>no connection, or connection lost before the request was written</td><td>CONNECT_FAILED</td></tr>
+ * <tr><td>connection lost after the request was written</td><td>RESET</td></tr>
+ * <tr><td>malformed or unterminated response</td><td>ERROR</td></tr>
+ * <tr><td>no response before the timeout</td><td>TIMEOUT</td></tr>
  * </table>
  */
 final class OutcomeTable {
     /**
-     * The outcome of an attempt.
+     * The outcome of an attempt and its effect on the message.
      *
-     * @param attempt what became of the attempt
-     * @param isMessageCompleted true where nothing more is owed for the message
+     * @param attemptOutcome the outcome of the attempt
+     * @param isMessageCompleted whether the message needs no further attempt
      */
-    record Outcome(AttemptOutcome attempt, boolean isMessageCompleted) {}
+    record Outcome(AttemptOutcome attemptOutcome, boolean isMessageCompleted) {}
 
     private static final Outcome DELIVERED = new Outcome(AttemptOutcome.OK, true);
-    /** The message was withdrawn or is past its deadline. */
+    /** The message was withdrawn or its deadline has passed. */
     private static final Outcome EXPIRED = new Outcome(AttemptOutcome.NOT_SENT, true);
     /** The attempt never ran, and the host is not overloaded. */
     private static final Outcome NOT_SENT = new Outcome(AttemptOutcome.NOT_SENT, false);
-    /** The attempt never ran, as the host is overloaded. */
+    /** The attempt never ran because the host is overloaded. */
     private static final Outcome REJECTED = new Outcome(AttemptOutcome.REJECTED, false);
     /** The attempt may have run. */
     private static final Outcome ERROR = new Outcome(AttemptOutcome.ERROR, false);
@@ -36,9 +36,9 @@
     private OutcomeTable() {}
 
     /**
-     * The outcome of every attempt of a call whose response is complete.
+     * Returns the outcome of the attempt of a single-message call, by the status of its complete response.
      *
-     * @param isConcurrencyLimited whether a 503 was due to this relay's own number of concurrent calls
+     * @param isConcurrencyLimited whether a 503 was caused by the number of this relay's own concurrent calls
      */
     static Outcome ofStatus(int status, boolean isConcurrencyLimited) {
         return switch (status) {
@@ -52,15 +52,15 @@
     }
 
     /**
-     * The outcome of every attempt of a batch whose response is complete and holds no states. A message ends by
-     * its state alone, so a status that ends one proves nothing for a batch.
+     * Returns the outcome of all attempts of a batch whose complete response reports no message states. Only a state
+     * completes a message of a batch, so a status that completes a single message is mapped to an error.
      */
     static Outcome ofBatchStatus(int status, boolean isConcurrencyLimited) {
         Outcome outcome = ofStatus(status, isConcurrencyLimited);
         return outcome.isMessageCompleted() ? ERROR : outcome;
     }
 
-    /** The outcome of one message of a batch, by the state that the response reports for it. */
+    /** Returns the outcome of one message of a batch, by the state that the response reports for it. */
     static Outcome ofMessageState(String state) {
         return switch (state) {
             case HostProtocol.STATE_DELIVERED -> DELIVERED;
@@ -71,7 +71,7 @@
         };
     }
 
-    /** The outcome of a probe whose response is complete. */
+    /** Returns the outcome of a probe, by the status of its complete response. */
     static AttemptOutcome ofProbeStatus(int status) {
         return switch (status) {
             case 200 -> AttemptOutcome.OK;
--- a/src/main/java/loftflow/upstream/http/RequestFactory.java
+++ b/src/main/java/loftflow/upstream/http/RequestFactory.java
@@ -11,7 +11,7 @@
 import loftflow.engine.Message;
 import loftflow.protocol.HostProtocol;
 
-/** Creates the requests of calls; the caller adds the timeout. An authority is the host's address and port. */
+/** Creates the requests of calls, without the timeout header. An authority is the host's address and port. */
 final class RequestFactory {
     private static final byte[] EMPTY_BODY = new byte[0];
 
--- a/src/main/java/loftflow/upstream/http/ResponseHeadScanner.java
+++ b/src/main/java/loftflow/upstream/http/ResponseHeadScanner.java
@@ -6,28 +6,28 @@
 import java.util.regex.Pattern;
 
 /**
- * Scans the raw bytes of a response's head. It reads the status as soon as the status line has been received, and finds
- * the lines that Netty's decoder accepts although they do not follow the grammar of HTTP/1.1 (RFC 9112): other status
- * lines, and field lines that are folded.
+ * Scans the raw bytes of a response's head. It reads the status as soon as the status line has been received, and
+ * detects lines that violate the grammar of HTTP/1.1 (RFC 9112) but are accepted by Netty's decoder: malformed status
+ * lines and folded field lines.
  */
 final class ResponseHeadScanner {
-    /** The {@link #status} before the status line has been received. */
+    /** The {@link #status} until the status line has been received. */
     static final int STATUS_UNKNOWN = 0;
-    /** The {@link #status} where the status line is malformed. */
+    /** The {@link #status} if the status line is malformed. */
     static final int STATUS_MALFORMED = -1;
 
     private static final int MAX_STATUS_LINE_CHARS = 1024;
     private static final String STATUS_LINE_PREFIX = "HTTP/1.";
-    /** The reason phrase holds no control characters but tabs. */
+    /** The reason phrase may contain no control characters except tabs. */
     private static final Pattern STATUS_LINE =
             Pattern.compile("HTTP/1\\.[01] (\\d{3})(?: [\t\\x20-\\x7e\\x80-\\xff]*)?");
 
-    /** The part of the head that the next byte belongs to. */
+    /** The part of the head to which the next byte belongs. */
     private enum Part {
         STATUS_LINE,
         INFORMATIONAL_FIELDS,
         FIELDS,
-        /** The head is complete, or nothing in it can be told any more. */
+        /** The head is complete, or scanning stopped at a malformed status line. */
         END
     }
 
@@ -37,7 +37,7 @@
     private int status;
     private boolean hasFoldedLine;
 
-    /** Starts over with the next response on the connection. */
+    /** Prepares for the next response on the connection. */
     void reset() {
         part = Part.STATUS_LINE;
         statusLine.setLength(0);
@@ -46,22 +46,25 @@
         hasFoldedLine = false;
     }
 
-    /** The status in the first line of the response; 1xx responses ahead of it are skipped. */
+    /**
+     * Returns the status of the response, skipping 1xx responses before it; {@link #STATUS_UNKNOWN} or
+     * {@link #STATUS_MALFORMED} if there is none.
+     */
     int status() {
         return status;
     }
 
-    /** Returns true where bytes of the response, or of a 1xx response ahead of it, have been received. */
+    /** Returns whether bytes of the response, or of a 1xx response before it, have been received. */
     boolean hasBegun() {
         return part != Part.STATUS_LINE || !statusLine.isEmpty();
     }
 
-    /** Returns true where a line of the head, or of a 1xx response's head ahead of it, is malformed. */
+    /** Returns whether a malformed line was found in the head, or in the head of a 1xx response before it. */
     boolean isMalformed() {
         return hasFoldedLine || status == STATUS_MALFORMED;
     }
 
-    /** Scans the readable bytes up to the end of the head; they stay readable. */
+    /** Scans the readable bytes up to the end of the head, without consuming them. */
     void scan(ByteBuf bytes) {
         for (int index = bytes.readerIndex(); index < bytes.writerIndex() && part != Part.END; index++) {
             scan((char) (bytes.getByte(index) & 0xff));
@@ -83,7 +86,7 @@
             return;
         }
         statusLine.append(next);
-        // A line longer than the prefix was compared with it when it was as long.
+        // A line longer than the prefix was already compared with it.
         boolean isPlausible = statusLine.length() > STATUS_LINE_PREFIX.length()
                 || STATUS_LINE_PREFIX.startsWith(withoutCarriageReturn(statusLine.toString()));
         if (!isPlausible || statusLine.length() > MAX_STATUS_LINE_CHARS) {
@@ -96,7 +99,7 @@
     }
 
     private void parseStatusLine(String line) {
-        // Empty lines ahead of a status line are ignored.
+        // Empty lines before a status line are ignored.
         if (line.isEmpty()) {
             return;
         }
@@ -106,7 +109,7 @@
             return;
         }
         int code = Integer.parseInt(matcher.group(1));
-        // Behind 101 (Switching Protocols) there is no further response.
+        // No other response follows 101 (Switching Protocols).
         boolean isInformational = code / 100 == 1 && code != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
         part = isInformational ? Part.INFORMATIONAL_FIELDS : Part.FIELDS;
         status = isInformational ? STATUS_UNKNOWN : code;
--- a/src/main/java/loftflow/upstream/http/UpstreamCall.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamCall.java
@@ -21,18 +21,18 @@
 import loftflow.protocol.HostProtocol;
 
 /**
- * One call to a host: for one message, for a batch, or a probe. It is written at most once and reports one outcome for
- * each of its attempts. For use on the event loop only.
+ * A call to a host that carries one message, a batch or a probe. It is written at most once and reports one outcome for
+ * each of its attempts. Must be used on the event loop.
  */
 final class UpstreamCall {
-    /** Owns a call: the connection pool of the host that it goes to. */
+    /** The owner of a call, which is the connection pool of the called host. */
     interface Owner {
         String route();
 
-        /** The host's address and port, for the {@code Host} header. */
+        /** Returns the host's address and port, for the {@code Host} header. */
         String authority();
 
-        /** The time in microseconds, on the clock of message deadlines. */
+        /** Returns the current time in microseconds, on the clock of message deadlines. */
         long nowMicros();
 
         /** Schedules a task on the event loop. */
@@ -41,7 +41,7 @@
         /**
          * Reports the outcome of an attempt.
          *
-         * @param isMessageCompleted whether nothing more is owed for the message
+         * @param isMessageCompleted whether the message needs no further attempt
          * @param retryAfterMicros the back-off that the host requested; 0 for none
          */
         void onAttemptCompleted(
@@ -55,39 +55,41 @@
         void onProbeCompleted(UpstreamCall call, AttemptOutcome outcome, long retryAfterMicros, LimitReport report);
 
         /**
-         * Removes a call that is abandoned before it has a connection, and returns its outcome, which says whether the
-         * host is the cause.
+         * Removes a call that is abandoned while it waits for a connection.
+         *
+         * @return {@link AttemptOutcome#CONNECT_FAILED} if a connection to the host was being opened, otherwise
+         *     {@link AttemptOutcome#NOT_SENT}
          */
         AttemptOutcome removeFromQueue(UpstreamCall call);
 
-        /** Reports that the host wants no calls for a time. */
+        /** Reports that the host requested a back-off, in microseconds from now. */
         void onRetryAfter(long retryAfterMicros);
 
-        /** Reports that an attempt that ended as timed out has turned out to be delivered. */
+        /** Reports that a late response proved the delivery of an attempt that had timed out. */
         void onLateDelivery(Message.Attempt attempt);
 
-        /** Returns true where a connection may stay open for the late response of a call. */
+        /** Returns whether a connection may stay open to await the late response of a call. */
         boolean canAwaitLateResponse();
 
-        /** Closes idle connections to the host, as they can no longer be relied on. */
+        /** Closes idle connections to the host, which may have failed together with the connection of this call. */
         void closeIdle();
     }
 
-    /** The connection that carries a call. */
-    interface Carrier {
+    /** The connection on which a call is sent. */
+    interface Connection {
         void close();
 
-        /** Stays open for the late response of the current call and carries no other. */
+        /** Stays open only for the late response of the current call. */
         void awaitLateResponse();
 
-        /** Reads the bytes that the kernel has received and that the event loop has not read yet. */
+        /** Reads bytes that the kernel has received but the event loop has not read. */
         void readPending();
     }
 
-    /** The longest back-off that is honored. */
+    /** The maximum back-off; longer requested back-offs are capped. */
     private static final long MAX_RETRY_AFTER_MILLIS = 3_600_000;
 
-    /** Largest response body that is read. */
+    /** The maximum size of a response body. */
     private static final int MAX_RESPONSE_BODY_BYTES = 64 << 10;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -96,8 +98,8 @@
     /**
      * An attempt without an outcome.
      *
-     * @param timeoutAtMicros when the relay stops waiting for its response
-     * @param latestArrivalMicros when the host may receive it at the latest
+     * @param timeoutAtMicros the time at which the relay stops waiting for the response
+     * @param latestArrivalMicros the latest time at which the host may receive the attempt
      */
     private record PendingAttempt(
             Message.Attempt attempt, long timeoutAtMicros, long latestArrivalMicros, Future<?> timeout) {}
@@ -105,25 +107,25 @@
     private final Owner owner;
     private final long startedAtMicros;
     /**
-     * The deadline of the whole call is the earliest one of its messages. A host drops the call at that time, so a
-     * later "delivered" in a batch response proves nothing for the other messages, which would be lost. The cost: in a
-     * slow batch, messages that have much time left end together with those that have little.
+     * The earliest deadline of the call's messages, which applies to the whole call. A host drops the call at that
+     * time, so trusting a batch response that reports delivery afterwards could lose messages with a later deadline. As
+     * a consequence, all messages of a slow batch time out together with the one that has the least time left.
      */
     private final long deadlineMicros;
-    /** The path of a probe; null for a call with attempts. */
+    /** The path of a probe; null for a call that carries messages. */
     private final String probePath;
 
     private final Map<Message.Attempt, PendingAttempt> pendingAttempts = new LinkedHashMap<>();
     private final boolean isBatch;
     private final Future<?> probeTimeout;
-    private Carrier connection;
+    private Connection connection;
     private boolean isSent;
     private boolean isProbeCompleted;
     private int status;
     private LimitReport report = LimitReport.NONE;
     private long retryAfterMicros;
     private boolean isConcurrencyLimited;
-    /** The timed-out attempt whose late response is awaited; null where there is none. */
+    /** The timed-out attempt whose late response is awaited; null if there is none. */
     private Message.Attempt lateAttempt;
 
     private final ByteBuf responseBody = Unpooled.buffer(0, MAX_RESPONSE_BODY_BYTES);
@@ -166,7 +168,7 @@
         }
     }
 
-    /** Returns true for a call with several messages, whose ends its response tells one by one. */
+    /** Returns whether the call carries several messages, whose states are reported one by one in its response. */
     boolean isBatch() {
         return isBatch;
     }
@@ -180,8 +182,8 @@
     }
 
     /**
-     * Ends, as not sent, the attempts whose latest arrival has passed: their destination may have forgotten the
-     * idempotency key by then.
+     * Ends the attempts whose latest arrival is not after the given time as not sent. By then, their destination may
+     * have discarded the idempotency key.
      */
     void endAttemptsPastLatestArrival(long arrivalMicros) {
         List.copyOf(pendingAttempts.values()).stream()
@@ -189,26 +191,26 @@
                 .forEach(pending -> endAttempt(pending.attempt(), AttemptOutcome.NOT_SENT, false));
     }
 
-    /** Returns true where nothing waits for this call's response. */
+    /** Returns whether every attempt of this call, or its probe, has an outcome. */
     boolean isCompleted() {
         return isProbe() ? isProbeCompleted : pendingAttempts.isEmpty();
     }
 
-    /** Returns true once the whole request has been written to the socket. */
+    /** Returns whether the whole request has been written to the socket. */
     boolean isSent() {
         return isSent;
     }
 
-    /** Binds the call to the connection that carries it. */
-    void onConnectionAssigned(Carrier carrier) {
-        connection = carrier;
+    /** Binds the call to the connection on which it is sent. */
+    void onConnectionAssigned(Connection assigned) {
+        connection = assigned;
     }
 
     void onSent() {
         isSent = true;
     }
 
-    /** Builds the request, with the time that is left as its timeout. */
+    /** Creates the request, with the remaining time as its timeout unless it is a probe. */
     FullHttpRequest createRequest() {
         if (isProbe()) {
             return RequestFactory.createProbe(owner.authority(), probePath);
@@ -231,8 +233,8 @@
     }
 
     /**
-     * Applies the back-off in a complete response head. It is binding even where the rest of the response is cut off,
-     * malformed or endless, or where the call has been abandoned.
+     * Applies the back-off in a complete response head. It applies even if the rest of the response is truncated,
+     * malformed or never completes, and even if the call has been abandoned.
      */
     void onRetryAfter(HttpResponse response) {
         retryAfterMicros = parseRetryAfterMicros(response.headers().get(HostProtocol.RETRY_AFTER_MILLIS_HEADER));
@@ -248,7 +250,7 @@
         return Math.min(MAX_RETRY_AFTER_MILLIS, Long.parseLong(millis)) * MICROS_PER_MILLI;
     }
 
-    /** Stores the head of a response; it takes effect once the response is complete. */
+    /** Stores the head of a response, which takes effect once the response is complete. */
     void onHead(HttpResponse response) {
         status = response.status().code();
         report = LoadReportParser.parse(response.headers().get(HostProtocol.LOAD_REPORT_HEADER));
@@ -256,7 +258,10 @@
                 response.headers().get(HostProtocol.CONCURRENCY_LIMITED_HEADER));
     }
 
-    /** Applies the status line of a response: a single message with status 200 is delivered, whatever follows. */
+    /**
+     * Applies the status line of a response. Status 200 completes a single message as delivered, even if the rest of
+     * the response is malformed or missing.
+     */
     void onStatusLine(int code) {
         if (!isProbe() && !isBatch && code == HttpResponseStatus.OK.code()) {
             endAll(AttemptOutcome.OK, true);
@@ -268,7 +273,7 @@
         }
     }
 
-    /** Ends a call whose response is malformed or does not end: the host may have run it. */
+    /** Ends a call whose response is malformed or does not complete. The host may have executed the call. */
     void onMalformedResponse(int code) {
         Log.line("upstream: malformed response route=" + owner.route() + " status=" + code + " attempts="
                 + pendingAttempts.size());
@@ -277,7 +282,11 @@
         end(AttemptOutcome.ERROR);
     }
 
-    /** Appends a chunk of the response's body; returns false where the body exceeds its maximum size. */
+    /**
+     * Appends a chunk of the response body.
+     *
+     * @return false if the body exceeds its maximum size
+     */
     boolean onBody(ByteBuf chunk) {
         if (responseBody.readableBytes() + chunk.readableBytes() > MAX_RESPONSE_BODY_BYTES) {
             return false;
@@ -286,7 +295,7 @@
         return true;
     }
 
-    /** Ends the call by its complete response. */
+    /** Ends the call according to its complete response. */
     void onResponseComplete() {
         if (lateAttempt != null) {
             onStatusLine(status);
@@ -295,14 +304,14 @@
         } else if (isBatch && isPastDeadline()) {
             end(AttemptOutcome.TIMEOUT);
         } else if (isBatch && status == HttpResponseStatus.OK.code()) {
-            endEachByState();
-            // A message that the response leaves out may have run.
+            endEachByReportedState();
+            // Messages that the response does not mention may have been executed.
             end(AttemptOutcome.ERROR);
         } else {
             OutcomeTable.Outcome outcome = isBatch
                     ? OutcomeTable.ofBatchStatus(status, isConcurrencyLimited)
                     : OutcomeTable.ofStatus(status, isConcurrencyLimited);
-            endAll(outcome.attempt(), outcome.isMessageCompleted());
+            endAll(outcome.attemptOutcome(), outcome.isMessageCompleted());
         }
     }
 
@@ -313,12 +322,15 @@
         endProbe(OutcomeTable.ofProbeStatus(status));
     }
 
-    /** The response may be read before the timers that are due in the same iteration of the event loop have run. */
+    /**
+     * Returns whether the deadline of the call has passed. Its timers may not have run yet, because the event loop
+     * reads sockets before it runs the timers that are due in the same iteration.
+     */
     private boolean isPastDeadline() {
         return owner.nowMicros() >= deadlineMicros;
     }
 
-    private void endEachByState() {
+    private void endEachByReportedState() {
         Map<String, String> states;
         try {
             states = BatchCodec.decodeStates(responseBody.toString(StandardCharsets.UTF_8));
@@ -330,17 +342,17 @@
             String messageId = attempt.message().content().messageId();
             String state = states.getOrDefault(messageId, HostProtocol.STATE_FAILED);
             OutcomeTable.Outcome outcome = OutcomeTable.ofMessageState(state);
-            endAttempt(attempt, outcome.attempt(), outcome.isMessageCompleted());
+            endAttempt(attempt, outcome.attemptOutcome(), outcome.isMessageCompleted());
         }
     }
 
-    /** Ends a call whose connection closed before the response was complete. */
+    /** Ends a call whose connection was lost before the response was complete. */
     void onConnectionLost() {
         owner.closeIdle();
         end(isSent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 
-    /** Ends every attempt that has no outcome yet with the same one. */
+    /** Ends every attempt that has no outcome yet, or the probe, with the given one. */
     void end(AttemptOutcome outcome) {
         endAll(outcome, false);
     }
@@ -371,8 +383,9 @@
     }
 
     /**
-     * Stops waiting for one attempt. With the last attempt the connection closes too, so that the host does not count
-     * a call as open for which nobody waits.
+     * Stops waiting for one attempt, unless its response has already been received. With the last attempt of the call,
+     * the connection is closed as well, so that the host does not continue to count the call as open, unless a late
+     * response is awaited.
      */
     void abandon(Message.Attempt attempt, AttemptOutcome outcome) {
         readPending();
@@ -382,19 +395,19 @@
         if (pendingAttempts.size() == 1) {
             abandonCall(outcome);
         } else {
-            // Once the call has a connection, the message is still written with the rest of the batch and may run.
+            // Once the call has a connection, the message is sent with the rest of the batch and may be executed.
             endAttempt(attempt, connection == null ? AttemptOutcome.CONNECT_FAILED : outcome, false);
         }
     }
 
-    /** Reads a response, or a back-off in it, that was received while the event loop was busy. */
+    /** Reads and applies a response that the kernel received while the event loop was busy. */
     private void readPending() {
         if (connection != null) {
             connection.readPending();
         }
     }
 
-    /** Abandons the whole call. A request that was not written whole has not run. */
+    /** Abandons the whole call. A request that was not completely written has not been executed. */
     private void abandonCall(AttemptOutcome outcome) {
         if (connection == null) {
             end(owner.removeFromQueue(this));
--- a/src/main/java/loftflow/upstream/http/UpstreamConnection.java
+++ b/src/main/java/loftflow/upstream/http/UpstreamConnection.java
@@ -20,57 +20,57 @@
 import loftflow.http.UnreadBytes;
 
 /**
- * One connection to a host. It carries one call at a time and is reused only after a complete response with nothing
- * behind it.
+ * A connection to a host. It carries one call at a time and is reused only after a complete response that is followed
+ * by no other bytes.
  */
-final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements UpstreamCall.Carrier {
-    /** Owns a connection: the connection pool of one host. */
+final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements UpstreamCall.Connection {
+    /** The owner of a connection, which is the connection pool of its host. */
     interface Owner {
-        /** The number of times that idle connections to the host were found unreliable and closed. */
+        /** Returns how many times the idle connections to the host have been closed as unreliable. */
         int idleClosures();
 
-        /** The connection can carry another call. */
+        /** Reports that the connection can carry another call. */
         void onReusable(UpstreamConnection connection);
 
         /**
-         * The connection can carry another call after its settle time.
+         * Offers a connection that can carry another call after its settle time.
          *
-         * @return false where a call waits for the connection, or where it may not stay idle
+         * @return false if the connection is not pooled, because a call waits for it or it may not stay idle
          */
         boolean offerSettling(UpstreamConnection connection);
 
-        /** The connection has closed. */
+        /** Reports that the connection is closing or has closed. */
         void onClosed(UpstreamConnection connection);
 
         /** Schedules a task on the event loop. */
         Future<?> schedule(long delayMicros, Runnable task);
 
-        /** The connection awaits a late response from now on; returns for how many microseconds. */
+        /** Reports that the connection now awaits a late response, and returns for how many microseconds. */
         long onAwaitingLateResponse(UpstreamConnection connection);
     }
 
-    /** The longest time from the first byte of a response to its last; hosts write theirs at once. */
+    /** The longest time from the first byte of a response to its last. Hosts write a whole response at once. */
     private static final long MAX_RESPONSE_MICROS = 500_000;
     /**
-     * The settle time after a response. Bytes that follow within it, such as a second copy of the response, close the
-     * connection before they can be taken for the response to the next call.
+     * The settle time after a response. Bytes that arrive during it, such as a duplicate response, close the
+     * connection, so that they are not read as the response to the next call.
      */
     private static final long SETTLE_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
     private final Owner owner;
     private final ResponseDecoder decoder = new ResponseDecoder();
     private ChannelHandlerContext context;
-    /** The call without a complete response; null where there is none. */
+    /** The call that awaits its complete response; null if there is none. */
     private UpstreamCall call;
 
     private boolean isReusable;
     private boolean isInformational;
     private boolean isResponseComplete;
-    /** The call has timed out; only its late response is awaited. */
+    /** True if the call has timed out and the connection only awaits its late response. */
     private boolean isAwaitingLateResponse;
 
     private long settledAtNanos;
-    /** When the last byte was sent or received, or the connection came up: the host's idle timeout runs from there. */
+    /** The last time a byte was sent or received; initially the creation time. The host's idle timeout starts there. */
     private long idleSinceNanos = System.nanoTime();
 
     private final ConnectionTimer timer;
@@ -81,7 +81,7 @@
         timer = new ConnectionTimer((nanos, task) -> owner.schedule(TimeUnit.NANOSECONDS.toMicros(nanos), task));
     }
 
-    /** The handlers of the channel's pipeline, in order. */
+    /** Returns the handlers of the channel's pipeline, in order. */
     ChannelHandler[] handlers() {
         return new ChannelHandler[] {new HttpRequestEncoder(), decoder, this};
     }
@@ -91,13 +91,13 @@
         context = ctx;
     }
 
-    /** Returns true until the connection has carried a call. */
+    /** Returns whether the connection has not carried any call. */
     boolean isNew() {
         return isNew;
     }
 
-    /** Writes a call. It counts as sent, and may have run, once its last byte is written. */
-    void carry(UpstreamCall next) {
+    /** Writes a call. It counts as sent, and may be executed, once its last byte has been written. */
+    void send(UpstreamCall next) {
         timer.stop();
         call = next;
         isNew = false;
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Closes the connection once it has been idle for a time. A call that takes it and is not sent in the end does not
-     * restart that time.
+     * Closes the connection once it has been idle for the given time. A call that is assigned to the connection but not
+     * sent does not restart the idle time.
      */
     void closeAfterIdle(long idleTimeoutMicros) {
         long leftNanos = idleSinceNanos + TimeUnit.MICROSECONDS.toNanos(idleTimeoutMicros) - System.nanoTime();
@@ -130,8 +130,9 @@
     }
 
     /**
-     * Returns true where a call may be written. The check does not rely on the idle timer, which may be late, and reads
-     * a pending end of the connection first: a call that crosses that end is reset and may have run.
+     * Returns whether a call may be sent. The check does not rely on the idle timer, which may be late. It reads a
+     * pending end of stream first, because a call sent while the host closes the connection ends as a reset and may
+     * have been executed.
      */
     boolean isUsable(long idleTimeoutMicros) {
         readPending();
@@ -144,12 +145,12 @@
         UnreadBytes.read(context.channel());
     }
 
-    /** Returns true where the settle time after the last response is over. */
+    /** Returns whether the settle time after the last response is over. */
     boolean isSettled() {
         return System.nanoTime() - settledAtNanos >= 0;
     }
 
-    /** Offers itself for the next call as soon as its settle time is over. */
+    /** Reports the connection as reusable once its settle time is over. */
     void becomeReusableOnceSettled() {
         int idleClosures = owner.idleClosures();
         long leftNanos = Math.max(0, settledAtNanos - System.nanoTime());
@@ -158,7 +159,7 @@
 
     @Override
     public void close() {
-        // The owner is notified first, so that it does not select the connection while the close is in progress.
+        // Notify the owner first, so that it does not select the connection while it is being closed.
         owner.onClosed(this);
         context.close();
     }
@@ -166,7 +167,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         idleSinceNanos = System.nanoTime();
-        // Bytes that no call awaits make it impossible to tell where a later response begins.
+        // After unexpected bytes, the start of a later response cannot be determined.
         if (call == null) {
             ctx.close();
             return;
@@ -174,7 +175,7 @@
         if (message instanceof HttpResponse response && response.decoderResult().isSuccess()) {
             call.onRetryAfter(response);
         }
-        // A request that was not written whole when its response came has not run.
+        // A request that was not completely written when its response arrived has not been executed.
         if (!call.isSent()) {
             fail(UpstreamCall::onConnectionLost);
             return;
@@ -191,12 +192,12 @@
         }
     }
 
-    /** Reads the head of a response; returns false where the call has failed by it. */
+    /** Reads the head of a response; returns false if it made the call fail. */
     private boolean readHead(HttpResponse response) {
         isInformational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        // A head that began before the call was written is no response to it.
+        // A head that began before the call was written is not a response to it.
         boolean isAwaited = isInformational || response.status().code() == decoder.status();
-        if (!isAwaited || !isReadable(response)) {
+        if (!isAwaited || !hasSupportedFraming(response)) {
             fail(this::endAsMalformed);
             return false;
         }
@@ -219,14 +220,16 @@
     }
 
     /**
-     * Returns false for a response whose transfer coding is not known, for one that leaves HTTP, and for one that tells
-     * the end of each message by a body that only the end of the connection delimits: that end counts as a reset.
+     * Returns whether the end of a response can be determined. It cannot for an unknown transfer coding, for a protocol
+     * switch, and for a body with message states that is delimited only by the end of the connection, which counts as a
+     * reset.
      */
-    private boolean isReadable(HttpResponse response) {
+    private boolean hasSupportedFraming(HttpResponse response) {
         boolean isDelimited = response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 || response.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-        boolean isWhole = isDelimited || !call.isBatch() || !response.status().equals(HttpResponseStatus.OK);
-        return isWhole
+        boolean hasUndelimitedStates =
+                !isDelimited && call.isBatch() && response.status().equals(HttpResponseStatus.OK);
+        return !hasUndelimitedStates
                 && StrictResponseDecoder.isTransferCodingKnown(response)
                 && !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
     }
@@ -235,7 +238,7 @@
         malformed.onMalformedResponse(decoder.status());
     }
 
-    /** Closes the connection, after its call, if any, has been ended in the given way. */
+    /** Ends the current call, if any, in the given way and closes the connection. */
     private void fail(Consumer<UpstreamCall> endCall) {
         UpstreamCall failed = call;
         call = null;
@@ -261,7 +264,7 @@
     }
 
     private void reuseOrClose(ChannelHandlerContext ctx) {
-        // Leftover bytes arrived with the response and do not belong to it.
+        // Leftover bytes arrived with the response but are not part of it.
         if (!isReusable || isAwaitingLateResponse || decoder.hasLeftover()) {
             ctx.close();
             return;
@@ -272,7 +275,7 @@
         }
     }
 
-    /** Offers itself for the next call, unless idle connections to the host were found unreliable meanwhile. */
+    /** Reports the connection as reusable, unless the idle connections to the host were closed in the meantime. */
     private void becomeReusable(int idleClosuresBefore) {
         if (idleClosuresBefore != owner.idleClosures()) {
             context.close();
@@ -289,8 +292,8 @@
     }
 
     /**
-     * A connection that is reset has not ended a response, as one that is closed may do. A response that has begun
-     * shows that the host was reached, which a reset in its place does not.
+     * Ends the call after a connection error. Unlike a regular close, a reset never delimits a response body. If a
+     * response had begun, the call ends as malformed, since the host was reached; otherwise as a lost connection.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/main/java/loftflow/upstream/http/package-info.java
+++ b/src/main/java/loftflow/upstream/http/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Calls to hosts over HTTP/1.1, behind {@link loftflow.engine.UpstreamClient}: connection pools, calls and the table of
- * outcomes. Nothing is retried here.
+ * An implementation of {@link loftflow.engine.UpstreamClient} over HTTP/1.1: connection pools, calls and the mapping of
+ * responses to outcomes. It does not retry.
  *
- * <p>Start with {@link loftflow.upstream.http.HttpUpstreamClient}. {@code protocol.HostProtocol} holds the protocol's
- * names, {@code OutcomeTable} says which response means which outcome.
+ * <p>{@link loftflow.upstream.http.HttpUpstreamClient} is the entry point. {@code protocol.HostProtocol} defines the
+ * names of the protocol, {@code OutcomeTable} the outcome of each response.
  *
  * <p>May use: the engine, the policy's types, {@code protocol}, {@code json}, {@code http}, the log, Netty and Jackson;
  * not the listeners, the journal or discovery.
--- a/src/test/java/loftflow/upstream/http/BatchCallTestBase.java
+++ b/src/test/java/loftflow/upstream/http/BatchCallTestBase.java
@@ -39,19 +39,19 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** An upstream client on an event loop of its own, and one host that takes batches of up to four messages. */
+/** Provides an upstream client with its own event loop, and one host that accepts batches of up to four messages. */
 abstract class BatchCallTestBase implements UpstreamClient.ResultListener {
     static final long MILLI_MICROS = 1_000;
     static final long SECOND_MICROS = 1_000_000;
 
-    /** More than the settle time of a connection. */
+    /** Longer than the settle time of a connection. */
     private static final long SETTLE_MILLIS = 5;
 
     private static final int MAX_BATCH_SIZE = 4;
-    /** The outcomes of an attempt that may have run and is not known to be delivered. */
-    static final Set<AttemptOutcome> MAY_HAVE_RUN = EnumSet.of(AttemptOutcome.ERROR, AttemptOutcome.RESET);
+    /** Outcomes of an attempt that may have been executed but is not known to be delivered. */
+    static final Set<AttemptOutcome> UNCERTAIN_OUTCOMES = EnumSet.of(AttemptOutcome.ERROR, AttemptOutcome.RESET);
 
-    /** What the client reported for an attempt, and whether it said that nothing more is owed for the message. */
+    /** The outcome that the client reported for an attempt, and whether it reported the message as completed. */
     record Result(AttemptOutcome outcome, boolean isMessageCompleted) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -60,10 +60,10 @@
     final Map<String, Result> results = new ConcurrentHashMap<>();
     HttpUpstreamClient client;
     ScriptedPeer host;
-    /** Whether connections read one byte at a time, as if each came in a segment of its own. */
+    /** Whether new connections read one byte at a time, as if each byte arrived in its own segment. */
     volatile boolean readsSingleBytes;
 
-    private int sent;
+    private int nextMessageNumber;
 
     @BeforeEach
     void start() throws IOException {
@@ -74,14 +74,14 @@
                 UpstreamSettings.withMaxBatchSize(MAX_BATCH_SIZE),
                 new HttpUpstreamClient.Options(false, 2 * SECOND_MICROS, MAX_BATCH_SIZE, 0),
                 this,
-                this::socket);
+                this::createSocket);
         Endpoint endpoint = new Endpoint(
                 new EndpointEntry("r", 1, "k", "b0", Availability.LISTED, 0), Endpoint.address(host.address()));
         onLoop(() -> client.onEndpointList(EndpointListKind.FULL, List.of(endpoint)));
     }
 
-    /** A socket that gives the decoder one byte with each read, where the test asks for it. */
-    private Channel socket() {
+    /** Creates a socket, which reads one byte at a time if {@link #readsSingleBytes} is set. */
+    private Channel createSocket() {
         NioSocketChannel channel = new NioSocketChannel();
         if (readsSingleBytes) {
             channel.config().setRecvByteBufAllocator(new FixedRecvByteBufAllocator(1).maxMessagesPerRead(1));
@@ -103,18 +103,20 @@
         }
     }
 
-    /** An attempt for a message with the next id, such as {@code m0}. */
-    UpstreamClient.OutboundAttempt attempt(long timeoutMicros, long deadlineMicros) {
-        Message.Content content = new Message.Content("m" + sent, "unsafe", null, null, deadlineMicros, 1, new byte[5]);
-        Message message = new Message(sent, content);
-        sent++;
+    /** Creates an attempt for a message with the next id, such as {@code m0}. */
+    UpstreamClient.OutboundAttempt createAttempt(long timeoutMicros, long deadlineMicros) {
+        Message.Content content =
+                new Message.Content("m" + nextMessageNumber, "unsafe", null, null, deadlineMicros, 1, new byte[5]);
+        Message message = new Message(nextMessageNumber, content);
+        nextMessageNumber++;
         return new UpstreamClient.OutboundAttempt(
                 message.addAttempt("r", clock.micros()), timeoutMicros, Long.MAX_VALUE);
     }
 
-    /** Sends messages with the next ids in one call; returns the ids. */
+    /** Sends messages with the next ids in one call, and returns the ids. */
     List<String> send(int count, long timeoutMicros, long deadlineMicros) {
-        List<UpstreamClient.OutboundAttempt> attempts = Stream.generate(() -> attempt(timeoutMicros, deadlineMicros))
+        List<UpstreamClient.OutboundAttempt> attempts = Stream.generate(
+                        () -> createAttempt(timeoutMicros, deadlineMicros))
                 .limit(count)
                 .toList();
         onLoop(() -> client.send("r", attempts));
@@ -123,28 +125,30 @@
                 .toList();
     }
 
-    /** Sends messages that have plenty of time, and waits for the result of each. */
+    /** Sends messages with a distant timeout and deadline in one call, and waits for the result of each. */
     List<String> sendAndAwait(int count) {
         List<String> ids = send(count, 30 * SECOND_MICROS, clock.micros() + 30 * SECOND_MICROS);
         await(() -> results.keySet().containsAll(ids));
         return ids;
     }
 
-    /** The body of a batch response that reports messages {@code m<first>} and up as delivered. */
-    static String delivered(int first, int count) {
+    /** Returns the body of a batch response that reports the messages from {@code m<first>} on as delivered. */
+    static String bodyReportingDelivered(int first, int count) {
         return IntStream.range(first, first + count)
                 .mapToObj(i -> "{\"id\":\"m" + i + "\",\"state\":\"done\"}")
                 .collect(Collectors.joining(",", "[", "]"));
     }
 
-    /** A response that can be read to its end and reports every message of a request as delivered. */
-    static String deliverAll(ScriptedPeer.Request request) {
+    /**
+     * Returns a well-formed response that reports as delivered the message of a single call, or m2 and m3 of a batch.
+     */
+    static String respondWithAllDelivered(ScriptedPeer.Request request) {
         return request.line().contains("many")
-                ? ScriptedPeer.answer(200, delivered(2, 2))
+                ? ScriptedPeer.answer(200, bodyReportingDelivered(2, 2))
                 : ScriptedPeer.answer(200, "");
     }
 
-    /** The connection that the host accepted last. */
+    /** Returns the connection that the host accepted last. */
     Socket latestConnection() {
         return host.connections.get(host.connections.size() - 1);
     }
@@ -158,8 +162,8 @@
         }
     }
 
-    /** Makes the connection that the host accepted last end by a reset. */
-    void resetAtClose() {
+    /** Makes the connection that the host accepted last be reset when the host closes it. */
+    void resetLatestConnectionOnClose() {
         try {
             latestConnection().setSoLinger(true, 0);
         } catch (IOException e) {
@@ -167,20 +171,22 @@
         }
     }
 
-    /** Sends m0 and m1 in one call that is responded to as given. */
-    void batchOfTwo(Function<ScriptedPeer.Request, String> response) {
+    /** Sends m0 and m1 in one call and lets the host respond as given. */
+    void sendBatchOfTwo(Function<ScriptedPeer.Request, String> response) {
         host.answer(response);
         sendAndAwait(2);
         assertEquals(1, host.requests.size(), "one call");
         assertTrue(host.requests.get(0).line().contains("many"));
     }
 
-    /** Asserts that m0 and m1 may have run and are still owed, and that their connection carries no other call. */
-    void assertNotDelivered() {
+    /** Asserts that m0 and m1 may have been executed but are not completed, and that their connection is not reused. */
+    void assertExecutionUncertain() {
         for (String id : List.of("m0", "m1")) {
             Result result = results.get(id);
-            assertFalse(result.isMessageCompleted(), id + " is not delivered, yet ended as " + result);
-            assertTrue(MAY_HAVE_RUN.contains(result.outcome()), id + " may have run, yet ended as " + result);
+            assertFalse(result.isMessageCompleted(), id + " is not known to be delivered, but ended as " + result);
+            assertTrue(
+                    UNCERTAIN_OUTCOMES.contains(result.outcome()),
+                    id + " may have been executed, but ended as " + result);
         }
         assertConnectionIsNotReused();
     }
@@ -191,16 +197,16 @@
         }
     }
 
-    /** Waits until the settle time after a response is over, before which no connection carries the next call. */
+    /** Waits for the settle time after a response, during which the connection is not reused. */
     static void awaitSettled() {
         RelayProcess.blockThread(SETTLE_MILLIS);
     }
 
-    /** Asserts that the client closes the first connection, and sends the next call on another. */
+    /** Asserts that the client closes the first connection and sends the next call on another one. */
     void assertConnectionIsNotReused() {
         awaitSettled();
         readsSingleBytes = false;
-        host.answer(BatchCallTestBase::deliverAll);
+        host.answer(BatchCallTestBase::respondWithAllDelivered);
         sendAndAwait(2);
         assertEquals(2, host.connections.size(), "connections");
         await(() -> host.connections.get(0).isClosed());
@@ -216,22 +222,22 @@
             long retryAfterMicros,
             LimitReport report) {
         Result earlier = results.put(attempt.message().content().messageId(), new Result(outcome, isMessageCompleted));
-        assertEquals(null, earlier, "one result for each attempt");
+        assertEquals(null, earlier, "earlier result of the attempt");
     }
 
     @Override
     public void onRetryAfter(String route, long retryAfterMicros) {
-        throw new AssertionError("no back-off is requested");
+        throw new AssertionError("unexpected back-off");
     }
 
     @Override
     public void onLateDelivery(Message.Attempt attempt) {
-        throw new AssertionError("no late responses are expected");
+        throw new AssertionError("unexpected late response");
     }
 
     @Override
     public void onProbeCompleted(
             String route, AttemptOutcome outcome, long retryAfterMicros, long elapsedMicros, LimitReport report) {
-        throw new AssertionError("no probes are sent");
+        throw new AssertionError("unexpected probe result");
     }
 }
--- a/src/test/java/loftflow/upstream/http/BatchResponseOrderTest.java
+++ b/src/test/java/loftflow/upstream/http/BatchResponseOrderTest.java
@@ -18,22 +18,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Responses to a batch that arrive around the end of their own call, or of another call on the connection. */
+/** Tests batch responses that arrive close to the end of their call, or during another call on the connection. */
 @Timeout(60)
 class BatchResponseOrderTest extends BatchCallTestBase {
-    private static final String GOOD = ScriptedPeer.answer(200, delivered(0, 2));
+    private static final String ALL_DELIVERED = ScriptedPeer.answer(200, bodyReportingDelivered(0, 2));
     private static final long LONG_MICROS = 30 * SECOND_MICROS;
-    /** Longer than a call takes to arrive, also on a busy machine. */
+    /** Longer than a call takes to reach the host, even on a busy machine. */
     private static final long SHORT_MILLIS = 2_000;
 
-    /** Sends m0 and m1 to a host that stays silent, and waits until the call has arrived. */
-    private void sendUnanswered(long timeoutMicros, long timeToDeadlineMicros) {
+    /** Sends m0 and m1 to a host that does not respond, and waits until it has received the call. */
+    private void sendAndAwaitRequest(long timeoutMicros, long timeToDeadlineMicros) {
         send(2, timeoutMicros, clock.micros() + timeToDeadlineMicros);
         await(() -> host.requests.size() == 1);
     }
 
-    /** On the event loop: the bytes arrive after the given time, and before the loop reads its sockets again. */
-    private void writeBehind(long blockedMillis, String bytes) {
+    /** Blocks the event loop for a time, then writes bytes and waits until they can be read in its next iteration. */
+    private void writeAfterBlocking(long blockedMillis, String bytes) {
         onLoop(() -> {
             RelayProcess.blockThread(blockedMillis);
             write(bytes);
@@ -41,74 +41,76 @@
         });
     }
 
-    private void assertBoth(AttemptOutcome outcome) {
+    private void assertBothEndedAs(AttemptOutcome outcome) {
         await(() -> results.size() == 2);
         assertEquals(new Result(outcome, outcome == AttemptOutcome.OK), results.get("m0"));
         assertEquals(new Result(outcome, outcome == AttemptOutcome.OK), results.get("m1"));
     }
 
-    /** The whole response, or its last byte, arrives in the iteration in which the messages' time is up. */
+    /** The response, or its last byte, arrives in the event-loop iteration in which the deadline passes. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void responseAtTheDeadlineDeliversNothing(boolean isLastByteOnly) {
-        sendUnanswered(LONG_MICROS, SHORT_MILLIS * MILLI_MICROS);
-        int split = isLastByteOnly ? GOOD.length() - 1 : 0;
-        write(GOOD.substring(0, split));
-        writeBehind(SHORT_MILLIS, GOOD.substring(split));
-        assertBoth(AttemptOutcome.TIMEOUT);
+    void responseAtTheDeadlineEndsAsTimeout(boolean isLastByteOnly) {
+        sendAndAwaitRequest(LONG_MICROS, SHORT_MILLIS * MILLI_MICROS);
+        int split = isLastByteOnly ? ALL_DELIVERED.length() - 1 : 0;
+        write(ALL_DELIVERED.substring(0, split));
+        writeAfterBlocking(SHORT_MILLIS, ALL_DELIVERED.substring(split));
+        assertBothEndedAs(AttemptOutcome.TIMEOUT);
     }
 
-    /** The same at the timeout of the attempts, when their messages have time left: the response is whole, and counts. */
+    /** A complete response at the timeout of the attempts applies if the deadline of their messages has not passed. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void wholeResponseAtTheTimeoutDelivers(boolean isLastByteOnly) {
-        sendUnanswered(SHORT_MILLIS * MILLI_MICROS, LONG_MICROS);
-        int split = isLastByteOnly ? GOOD.length() - 1 : 0;
-        write(GOOD.substring(0, split));
-        writeBehind(SHORT_MILLIS, GOOD.substring(split));
-        assertBoth(AttemptOutcome.OK);
+    void completeResponseAtTheTimeoutDelivers(boolean isLastByteOnly) {
+        sendAndAwaitRequest(SHORT_MILLIS * MILLI_MICROS, LONG_MICROS);
+        int split = isLastByteOnly ? ALL_DELIVERED.length() - 1 : 0;
+        write(ALL_DELIVERED.substring(0, split));
+        writeAfterBlocking(SHORT_MILLIS, ALL_DELIVERED.substring(split));
+        assertBothEndedAs(AttemptOutcome.OK);
     }
 
-    /** All but the last byte has arrived at the timeout; the last one comes behind it. */
+    /** At the timeout, all bytes of the response except the last have arrived. */
     @Test
-    void responseWithoutItsLastByteAtTheTimeoutDeliversNothing() {
-        sendUnanswered(200 * MILLI_MICROS, LONG_MICROS);
-        write(GOOD.substring(0, GOOD.length() - 1));
-        assertBoth(AttemptOutcome.TIMEOUT);
+    void incompleteResponseAtTheTimeoutEndsAsTimeout() {
+        sendAndAwaitRequest(200 * MILLI_MICROS, LONG_MICROS);
+        write(ALL_DELIVERED.substring(0, ALL_DELIVERED.length() - 1));
+        assertBothEndedAs(AttemptOutcome.TIMEOUT);
         await(() -> host.connections.get(0).isClosed());
         assertConnectionIsNotReused();
     }
 
-    /** The response does not end within the time for one: its call ends before its last byte arrives. */
+    /** The last byte of the response does not arrive within the maximum duration of a response. */
     @Test
-    void responseThatStallsDeliversNothing() {
-        sendUnanswered(LONG_MICROS, LONG_MICROS);
-        write(GOOD.substring(0, GOOD.length() - 1));
+    void stalledResponseLeavesExecutionUncertain() {
+        sendAndAwaitRequest(LONG_MICROS, LONG_MICROS);
+        write(ALL_DELIVERED.substring(0, ALL_DELIVERED.length() - 1));
         await(() -> results.size() == 2);
-        assertNotDelivered();
+        assertExecutionUncertain();
     }
 
-    /** A message that was given up keeps that outcome, though the response reports it as delivered. */
+    /** A cancelled attempt keeps its outcome although the response reports its message as delivered. */
     @Test
-    void responseDeliversOnlyWhatStillWaits() {
-        UpstreamClient.OutboundAttempt first = attempt(LONG_MICROS, clock.micros() + LONG_MICROS);
-        UpstreamClient.OutboundAttempt second = attempt(LONG_MICROS, clock.micros() + LONG_MICROS);
+    void responseAppliesOnlyToPendingAttempts() {
+        UpstreamClient.OutboundAttempt first = createAttempt(LONG_MICROS, clock.micros() + LONG_MICROS);
+        UpstreamClient.OutboundAttempt second = createAttempt(LONG_MICROS, clock.micros() + LONG_MICROS);
         onLoop(() -> client.send("r", List.of(first, second)));
         await(() -> host.requests.size() == 1);
         onLoop(() -> client.cancel(first.attempt()));
         assertEquals(new Result(AttemptOutcome.CANCELLED, false), results.get("m0"));
-        write(GOOD);
+        write(ALL_DELIVERED);
         await(() -> results.containsKey("m1"));
         assertEquals(new Result(AttemptOutcome.OK, true), results.get("m1"));
         assertEquals(new Result(AttemptOutcome.CANCELLED, false), results.get("m0"));
     }
 
-    /** A response is written right behind the end of its call: the connection is gone, and no later call reads it. */
+    /**
+     * A response is written right after its call was cancelled. The connection is closed, so no later call reads it.
+     */
     @Test
-    void responseBehindTheEndOfItsCallDeliversNothing() {
+    void responseAfterCancellationIsIgnored() {
         CountDownLatch isWritten = new CountDownLatch(1);
         host.answer(request -> {
-            // The host does not read the end of the connection before it has responded.
+            // Keeps the host from reading the end of the connection before the response has been written.
             try {
                 isWritten.await();
             } catch (InterruptedException e) {
@@ -117,29 +119,29 @@
             return ScriptedPeer.SILENCE;
         });
         List<UpstreamClient.OutboundAttempt> both = Stream.generate(
-                        () -> attempt(LONG_MICROS, clock.micros() + LONG_MICROS))
+                        () -> createAttempt(LONG_MICROS, clock.micros() + LONG_MICROS))
                 .limit(2)
                 .toList();
         onLoop(() -> client.send("r", both));
         await(() -> host.requests.size() == 1);
         onLoop(() -> {
             both.forEach(outbound -> client.cancel(outbound.attempt()));
-            write(GOOD);
+            write(ALL_DELIVERED);
         });
         isWritten.countDown();
-        assertBoth(AttemptOutcome.CANCELLED);
+        assertBothEndedAs(AttemptOutcome.CANCELLED);
         assertConnectionIsNotReused();
     }
 
-    /** A second response lies unread as the next call is about to be written: that call takes another connection. */
+    /** A second response is still unread when the next call is sent: that call uses another connection. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
-    void secondResponseUnreadBeforeTheNextCall(int firstReported) {
-        batchOfTwo(request -> GOOD);
+    void unreadSecondResponseIsNotReadByTheNextCall(int firstReported) {
+        sendBatchOfTwo(request -> ALL_DELIVERED);
         assertDelivered();
         awaitSettled();
-        host.answer(BatchCallTestBase::deliverAll);
-        String second = ScriptedPeer.answer(200, delivered(2 * firstReported, 2));
+        host.answer(BatchCallTestBase::respondWithAllDelivered);
+        String second = ScriptedPeer.answer(200, bodyReportingDelivered(2 * firstReported, 2));
         onLoop(() -> {
             write(second);
             KernelSocketState.ofPeer(host.connections.get(0)).awaitUnread(second.length());
@@ -150,17 +152,17 @@
         assertEquals(new Result(AttemptOutcome.OK, true), results.get("m2"));
     }
 
-    /** A second response to the first call arrives when the next call is out: it names none of its messages. */
+    /** A second response to the first call arrives during the next call and reports none of its messages. */
     @Test
-    void secondResponseDuringTheNextCallDeliversNothing() {
-        batchOfTwo(request -> GOOD);
+    void secondResponseDuringTheNextCallLeavesExecutionUncertain() {
+        sendBatchOfTwo(request -> ALL_DELIVERED);
         awaitSettled();
-        host.answer(request -> GOOD);
+        host.answer(request -> ALL_DELIVERED);
         List<String> next = sendAndAwait(2);
-        assertEquals(1, host.connections.size(), "the case needs one connection");
+        assertEquals(1, host.connections.size(), "both calls use one connection");
         for (String id : next) {
             assertFalse(results.get(id).isMessageCompleted());
-            assertTrue(MAY_HAVE_RUN.contains(results.get(id).outcome()));
+            assertTrue(UNCERTAIN_OUTCOMES.contains(results.get(id).outcome()));
         }
     }
 }
--- a/src/test/java/loftflow/upstream/http/BatchResponseTest.java
+++ b/src/test/java/loftflow/upstream/http/BatchResponseTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Responses to a batch call. Only a whole, well-formed response proves anything about the messages; after any other one
- * they may have run, and the connection carries no other call.
+ * Tests responses to a batch call. Only a complete, well-formed response reports message states; after any other
+ * response, the messages may have been executed and the connection is not reused.
  */
 @Timeout(60)
 class BatchResponseTest extends BatchCallTestBase {
-    private static final String BODY = delivered(0, 2);
+    private static final String BODY = bodyReportingDelivered(0, 2);
 
-    /** A response with status 200, given header lines and the body that reports both messages as delivered. */
+    /** Returns a response with status 200, the given header lines and a body that reports m0 and m1 as delivered. */
     private static String response(String headerLines) {
         return response(headerLines, BODY);
     }
@@ -32,46 +32,46 @@
         return Integer.toHexString(content.length()) + "\r\n" + content + "\r\n";
     }
 
-    private static String length() {
+    private static String contentLengthLine() {
         return "Content-Length: " + BODY.length() + "\r\n";
     }
 
-    /** A header line that HTTP does not allow stands in the head. */
+    /** The head contains a header line that HTTP does not allow. */
     @ParameterizedTest
     @ValueSource(strings = {"no colon here", "X A: 1", "X-A : 1", "X-A: 1\r\n folded", "X-A: 1\r\n\tfolded"})
-    void malformedHeaderLineProvesNothing(String line) {
-        batchOfTwo(request -> response(line + "\r\n" + length()));
-        assertNotDelivered();
+    void malformedHeaderLineLeavesExecutionUncertain(String line) {
+        sendBatchOfTwo(request -> response(line + "\r\n" + contentLengthLine()));
+        assertExecutionUncertain();
     }
 
-    /** The same behind the length, as the last line of the head. */
+    /** The malformed header line is the last line of the head, after the length. */
     @ParameterizedTest
     @ValueSource(strings = {"no colon here", "X A: 1", "X-A : 1", "X-A: 1\r\n folded"})
-    void malformedLastHeaderLineProvesNothing(String line) {
-        batchOfTwo(request -> response(length() + line + "\r\n"));
-        assertNotDelivered();
+    void malformedLastHeaderLineLeavesExecutionUncertain(String line) {
+        sendBatchOfTwo(request -> response(contentLengthLine() + line + "\r\n"));
+        assertExecutionUncertain();
     }
 
-    /** The line that gives the length of the body is malformed itself. */
+    /** The header line with the length of the body is malformed. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length : %d", "Content-Length\t: %d"})
-    void malformedLengthProvesNothing(String line) {
-        batchOfTwo(request -> response(line.formatted(BODY.length()) + "\r\n"));
-        assertNotDelivered();
+    void malformedContentLengthLeavesExecutionUncertain(String line) {
+        sendBatchOfTwo(request -> response(line.formatted(BODY.length()) + "\r\n"));
+        assertExecutionUncertain();
     }
 
-    /** A transfer coding other than chunked, so that the head does not say where the body ends. */
+    /** With a transfer coding other than chunked, the head does not determine the end of the body. */
     @ParameterizedTest
     @ValueSource(strings = {"identity", "gzip", "x-unknown"})
-    void unknownTransferCodingProvesNothing(String coding) {
-        batchOfTwo(request -> {
+    void unknownTransferCodingLeavesExecutionUncertain(String coding) {
+        sendBatchOfTwo(request -> {
             write(response("Transfer-Encoding: " + coding + "\r\n"));
             return ScriptedPeer.CLOSE;
         });
-        assertNotDelivered();
+        assertExecutionUncertain();
     }
 
-    /** A line in place of the status line that only resembles one; it arrives in one segment with the rest. */
+    /** The first line only resembles a status line; it arrives in one segment with the rest of the response. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -89,40 +89,41 @@
                 " HTTP/1.1 200 OK",
                 "HTTP/1.1 200 O\u0000K",
             })
-    void malformedStatusLineProvesNothing(String line) {
-        batchOfTwo(request -> line + "\r\n" + length() + "\r\n" + BODY);
-        assertNotDelivered();
+    void malformedStatusLineLeavesExecutionUncertain(String line) {
+        sendBatchOfTwo(request -> line + "\r\n" + contentLengthLine() + "\r\n" + BODY);
+        assertExecutionUncertain();
     }
 
-    /** HTTP/1.0 allows no other reading of two lengths than HTTP/1.1 does. */
+    /** Conflicting lengths are an error in HTTP/1.0 as well as in HTTP/1.1. */
     @ParameterizedTest
     @ValueSource(ints = {-1, 1})
-    void conflictingLengthsProveNothing(int difference) {
-        batchOfTwo(request -> "HTTP/1.0 200 OK\r\n" + length() + "Content-Length: " + (BODY.length() + difference)
-                + "\r\n\r\n" + BODY);
-        assertNotDelivered();
+    void conflictingContentLengthsLeaveExecutionUncertain(int difference) {
+        sendBatchOfTwo(request -> "HTTP/1.0 200 OK\r\n" + contentLengthLine() + "Content-Length: "
+                + (BODY.length() + difference) + "\r\n\r\n" + BODY);
+        assertExecutionUncertain();
     }
 
     /**
-     * The body is whole, and the trailers behind its last chunk are malformed. A folded one is left out: it is read in
-     * one way only (RFC 9112, 5.2), and says nothing about where the body ends.
+     * The body is complete, but a trailer after its last chunk is malformed. A folded trailer is not tested, since it
+     * is unambiguous (RFC 9112, 5.2) and does not affect the end of the body.
      */
     @ParameterizedTest
     @ValueSource(strings = {"no colon here", "X A: 1", "X-A : 1"})
-    void malformedTrailerProvesNothing(String line) {
-        batchOfTwo(request -> response("Transfer-Encoding: chunked\r\n", chunk(BODY) + "0\r\n" + line + "\r\n\r\n"));
-        assertNotDelivered();
+    void malformedTrailerLeavesExecutionUncertain(String line) {
+        sendBatchOfTwo(
+                request -> response("Transfer-Encoding: chunked\r\n", chunk(BODY) + "0\r\n" + line + "\r\n\r\n"));
+        assertExecutionUncertain();
     }
 
-    /** The body has been encoded in a way that was not offered, before it was split into chunks. */
+    /** A coding that the client does not support was applied to the body before it was split into chunks. */
     @ParameterizedTest
     @ValueSource(strings = {"gzip, chunked", "identity, chunked", "identity\r\nTransfer-Encoding: chunked"})
-    void unknownTransferCodingOfChunksProvesNothing(String coding) {
-        batchOfTwo(request -> response("Transfer-Encoding: " + coding + "\r\n", chunk(BODY) + "0\r\n\r\n"));
-        assertNotDelivered();
+    void unknownTransferCodingBeforeChunkedLeavesExecutionUncertain(String coding) {
+        sendBatchOfTwo(request -> response("Transfer-Encoding: " + coding + "\r\n", chunk(BODY) + "0\r\n\r\n"));
+        assertExecutionUncertain();
     }
 
-    /** An informational response ahead of a good one is malformed: where the good one begins is a guess. */
+    /** After a malformed informational response, the start of the final response cannot be determined. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -135,45 +136,45 @@
                 "HTTP/1.1  103 X",
                 "HTTP/2.0 103 X"
             })
-    void malformedInformationalResponseProvesNothing(String head) {
-        batchOfTwo(request -> head + "\r\n\r\n" + response(length()));
-        assertNotDelivered();
+    void malformedInformationalResponseLeavesExecutionUncertain(String head) {
+        sendBatchOfTwo(request -> head + "\r\n\r\n" + response(contentLengthLine()));
+        assertExecutionUncertain();
     }
 
-    /** The end of the connection is the end of the body, and the connection is reset: bytes may be missing. */
+    /** The body is delimited by the end of the connection, which is reset, so bytes may be missing. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void resetIsNotTheEndOfABody(boolean afterTheBodyWasRead) {
-        batchOfTwo(request -> {
+    void resetDoesNotDelimitABatchBody(boolean isBodyReadBeforeReset) {
+        sendBatchOfTwo(request -> {
             write(response(""));
-            if (afterTheBodyWasRead) {
+            if (isBodyReadBeforeReset) {
                 KernelSocketState relay = KernelSocketState.ofPeer(latestConnection());
                 await(() -> !relay.hasUnread());
             }
-            resetAtClose();
+            resetLatestConnectionOnClose();
             return ScriptedPeer.CLOSE;
         });
-        assertNotDelivered();
+        assertExecutionUncertain();
     }
 
-    /** A status that PROTOCOL does not allow for a batch, so it tells nothing about the end of each message. */
+    /** Hosts do not respond to a batch with status 410, so it does not complete the messages. */
     @Test
-    void goneDoesNotCompleteABatch() {
-        batchOfTwo(request -> ScriptedPeer.status(410));
+    void goneStatusDoesNotCompleteABatch() {
+        sendBatchOfTwo(request -> ScriptedPeer.status(410));
         for (String id : List.of("m0", "m1")) {
             assertFalse(results.get(id).isMessageCompleted(), id + " ended as " + results.get(id));
         }
     }
 
-    /** A field stands twice in an entry: which one counts is a guess. */
+    /** An entry repeats a field, so its meaning is ambiguous. */
     @ParameterizedTest
     @ValueSource(
             strings = {
                 "\"id\":\"m0\",\"state\":\"failed\",\"state\":\"done\"",
                 "\"id\":\"m9\",\"id\":\"m0\",\"state\":\"done\""
             })
-    void repeatedFieldOfAnEntryProvesNothing(String entry) {
-        batchOfTwo(request -> ScriptedPeer.answer(200, "[{" + entry + "},{\"id\":\"m1\",\"state\":\"done\"}]"));
+    void repeatedFieldOfAnEntryDoesNotCompleteAMessage(String entry) {
+        sendBatchOfTwo(request -> ScriptedPeer.answer(200, "[{" + entry + "},{\"id\":\"m1\",\"state\":\"done\"}]"));
         for (String id : List.of("m0", "m1")) {
             assertFalse(results.get(id).isMessageCompleted(), id + " ended as " + results.get(id));
         }
--- a/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
+++ b/src/test/java/loftflow/upstream/http/HttpUpstreamClientTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The HTTP client at its connection limit, and which connection a call takes. */
+/** Tests the connection limit of the HTTP client and the choice of the connection for a call. */
 @Timeout(60)
 class HttpUpstreamClientTest implements UpstreamClient.ResultListener {
     private static final long SECOND_MICROS = 1_000_000;
@@ -72,28 +72,28 @@
     }
 
     /**
-     * At the limit, each queued call to another host evicts one idle connection and no more, and no call waits for a
-     * connection while another one is idle.
+     * At the limit, each queued call to another host evicts exactly one idle connection, and no call waits for a
+     * connection while there is an idle one.
      */
     @Test
-    void oneIdleConnectionIsEvictedForEachQueuedCall() throws Exception {
+    void eachQueuedCallEvictsOneIdleConnection() throws Exception {
         send(0, MAX_CONNECTIONS);
         await("r0", MAX_CONNECTIONS);
         TimeUnit.MILLISECONDS.sleep(20);
         send(1, 1);
         await("r1", 1);
         assertEquals(MAX_CONNECTIONS, hosts.get(0).connections.size());
-        assertEquals(MAX_CONNECTIONS - 1, countOpen(0), "one of the idle connections is evicted");
+        assertEquals(MAX_CONNECTIONS - 1, countOpen(0), "open connections after one eviction");
         send(2, 3 * MAX_CONNECTIONS);
         await("r2", 3 * MAX_CONNECTIONS);
         assertTrue(
-                outcomes.values().stream().flatMap(List::stream).allMatch(r -> r == AttemptOutcome.OK),
+                outcomes.values().stream().flatMap(List::stream).allMatch(outcome -> outcome == AttemptOutcome.OK),
                 outcomes.toString());
-        assertEquals(0, countOpen(0), "the others are evicted for the queued calls");
+        assertEquals(0, countOpen(0), "open connections after an eviction for each queued call");
         assertTrue(hosts.get(2).connections.size() <= 3 * MAX_CONNECTIONS);
     }
 
-    /** Connections within their settle time carry calls as soon as it is over. */
+    /** Connections are reused as soon as their settle time is over. */
     @Test
     void connectionsAreReusedOnceTheyHaveSettled() throws Exception {
         for (int i = 1; i <= 40; i++) {
@@ -108,7 +108,7 @@
     }
 
     /**
-     * An attempt that still waits for its connection at its latest arrival is not sent; the next call takes the
+     * An attempt that still waits for its connection at its latest arrival is not sent, and the next call uses the
      * connection.
      */
     @Test
@@ -122,11 +122,11 @@
     }
 
     /**
-     * An attempt with a near latest arrival is sent on a used connection, and not as the first on a new one, where the
-     * handshake may delay it.
+     * An attempt whose latest arrival is near is sent on a connection that has already carried a call, but not on a new
+     * one, on which a handshake may delay it.
      */
     @Test
-    void attemptWithANearLatestArrivalTakesNoNewConnection() throws Exception {
+    void attemptWithANearLatestArrivalIsNotSentOnANewConnection() throws Exception {
         send(1, 1, clock.micros() + 4 * SECOND_MICROS);
         await("r1", 1);
         send(1, 1);
@@ -139,9 +139,11 @@
     }
 
     private long countOpen(int host) throws Exception {
-        // The host reads the end of a closed connection some time later.
+        // The host notices the close of a connection only after some time.
         TimeUnit.MILLISECONDS.sleep(50);
-        return hosts.get(host).connections.stream().filter(c -> !c.isClosed()).count();
+        return hosts.get(host).connections.stream()
+                .filter(connection -> !connection.isClosed())
+                .count();
     }
 
     private void send(int host, int calls) {
@@ -180,21 +182,26 @@
 
     @Override
     public void onAttemptCompleted(
-            Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
-        outcomes.computeIfAbsent(attempt.route(), r -> Collections.synchronizedList(new ArrayList<>()))
-                .add(result);
+            Message.Attempt attempt,
+            AttemptOutcome outcome,
+            boolean isMessageCompleted,
+            long retryAfterMicros,
+            LimitReport report) {
+        outcomes.computeIfAbsent(attempt.route(), route -> Collections.synchronizedList(new ArrayList<>()))
+                .add(outcome);
     }
 
     @Override
-    public void onRetryAfter(String route, long wait) {}
+    public void onRetryAfter(String route, long retryAfterMicros) {}
 
     @Override
     public void onLateDelivery(Message.Attempt attempt) {
-        throw new AssertionError("no late responses are expected");
+        throw new AssertionError("unexpected late response");
     }
 
     @Override
-    public void onProbeCompleted(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
-        throw new AssertionError("no probes are sent");
+    public void onProbeCompleted(
+            String route, AttemptOutcome outcome, long retryAfterMicros, long elapsedMicros, LimitReport report) {
+        throw new AssertionError("unexpected probe result");
     }
 }
--- a/src/test/java/loftflow/upstream/http/LoadReportParserTest.java
+++ b/src/test/java/loftflow/upstream/http/LoadReportParserTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Load reports, complete and malformed. */
+/** Tests the parsing of complete and malformed load reports. */
 class LoadReportParserTest {
     @ParameterizedTest
     @CsvSource(
@@ -20,7 +20,7 @@
                 "TEXT x0=many, x1=7 | NaN | 7",
                 "TEXT x0, x1=7, x2=9 | NaN | 7"
             })
-    void malformedFieldsCountAsAbsent(String text, double remainingShare, double limitPerSecond) {
+    void malformedFieldsAreTreatedAsAbsent(String text, double remainingShare, double limitPerSecond) {
         assertEquals(new LimitReport(remainingShare, limitPerSecond), LoadReportParser.parse(text));
     }
 
--- a/src/test/java/loftflow/upstream/http/OutcomeTableTest.java
+++ b/src/test/java/loftflow/upstream/http/OutcomeTableTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Every row of the protocol's table of outcomes. */
+/** Tests the outcome of every status and message state. */
 class OutcomeTableTest {
     @ParameterizedTest
     @CsvSource({
@@ -22,7 +22,7 @@
         "413, NOT_SENT, false",
         "302, ERROR, false"
     })
-    void statusDecidesTheOutcomeOfACall(int status, AttemptOutcome outcome, boolean isMessageCompleted) {
+    void statusDeterminesTheOutcomeOfACall(int status, AttemptOutcome outcome, boolean isMessageCompleted) {
         assertEquals(new OutcomeTable.Outcome(outcome, isMessageCompleted), OutcomeTable.ofStatus(status, false));
     }
 
@@ -40,13 +40,13 @@
         "used_up, NOT_SENT, false",
         "other, ERROR, false"
     })
-    void stateDecidesTheOutcomeOfAMessageInABatch(String state, AttemptOutcome outcome, boolean isMessageCompleted) {
+    void stateDeterminesTheOutcomeOfAMessageInABatch(String state, AttemptOutcome outcome, boolean isMessageCompleted) {
         assertEquals(new OutcomeTable.Outcome(outcome, isMessageCompleted), OutcomeTable.ofMessageState(state));
     }
 
     @ParameterizedTest
     @CsvSource({"200, OK", "503, REJECTED", "429, REJECTED", "404, ERROR"})
-    void statusDecidesTheOutcomeOfAProbe(int status, AttemptOutcome outcome) {
+    void statusDeterminesTheOutcomeOfAProbe(int status, AttemptOutcome outcome) {
         assertEquals(outcome, OutcomeTable.ofProbeStatus(status));
     }
 }
--- a/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
+++ b/src/test/java/loftflow/upstream/http/RaceConditionsTest.java
@@ -44,8 +44,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Calls to hosts where two events race; the event loop or the host is blocked so that the unfavorable order occurs
- * every time.
+ * Tests races between two events during calls to hosts. The event loop or the host is blocked, so that the unfavorable
+ * order occurs every time.
  */
 @Timeout(60)
 class RaceConditionsTest implements UpstreamClient.ResultListener {
@@ -61,7 +61,7 @@
     private final CountDownLatch hostMayRespond = new CountDownLatch(1);
     private HttpUpstreamClient client;
     private ScriptedPeer host;
-    private int sent;
+    private int nextMessageNumber;
 
     @BeforeEach
     void start() throws IOException {
@@ -72,18 +72,18 @@
                 UpstreamSettings.withMaxBatchSize(4),
                 new HttpUpstreamClient.Options(false, 2 * SECOND_MICROS, 4, 0),
                 this,
-                RaceConditionsTest::smallSocket);
-        list(host.address());
+                RaceConditionsTest::createSmallSocket);
+        listHost(host.address());
     }
 
-    /** A socket with a small send buffer, so that a write stays incomplete while the peer does not read. */
-    private static Channel smallSocket() {
+    /** Creates a socket with a small send buffer, so that a write remains incomplete while the peer does not read. */
+    private static Channel createSmallSocket() {
         NioSocketChannel channel = new NioSocketChannel();
         channel.config().setSendBufferSize(SMALL_BUFFER_BYTES);
         return channel;
     }
 
-    private void list(String address) {
+    private void listHost(String address) {
         onLoop(() -> client.onEndpointList(
                 EndpointListKind.FULL,
                 List.of(new Endpoint(
@@ -101,29 +101,29 @@
         loop.submit(task).syncUninterruptibly();
     }
 
-    private List<UpstreamClient.OutboundAttempt> messages(
-            int count, long timeoutMicros, long latestArrivalMicros, int bytes) {
+    private List<UpstreamClient.OutboundAttempt> createAttempts(
+            int count, long timeoutMicros, long latestArrivalMicros, int bodyBytes) {
         return IntStream.range(0, count)
                 .mapToObj(i -> {
                     Message message = new Message(
-                            sent,
+                            nextMessageNumber,
                             new Message.Content(
-                                    "m" + sent++,
+                                    "m" + nextMessageNumber++,
                                     "unsafe",
                                     null,
                                     null,
                                     clock.micros() + 30 * SECOND_MICROS,
                                     1,
-                                    new byte[bytes]));
+                                    new byte[bodyBytes]));
                     return new UpstreamClient.OutboundAttempt(
                             message.addAttempt("r", clock.micros()), timeoutMicros, latestArrivalMicros);
                 })
                 .toList();
     }
 
-    /** Sends one message with the next id, such as {@code m0}; on the event loop. */
+    /** Sends one message with the next id, such as {@code m0}. Must be called on the event loop. */
     private void send(long timeoutMicros) {
-        client.send("r", messages(1, timeoutMicros, Long.MAX_VALUE, 5));
+        client.send("r", createAttempts(1, timeoutMicros, Long.MAX_VALUE, 5));
     }
 
     private void sendAndAwait(String id, AttemptOutcome expected) {
@@ -134,21 +134,21 @@
 
     /**
      * One message of a batch is abandoned while the call is partly written. It is still sent with the other message and
-     * runs, so its outcome must not say that it never ran.
+     * executed, so its outcome must not exclude execution.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void messageAbandonedWhileItsBatchIsWrittenMayHaveRun(boolean cancelled) throws Exception {
+    void messageAbandonedWhileItsBatchIsWrittenMayHaveRun(boolean isCancelled) throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
             listener.setReceiveBufferSize(SMALL_BUFFER_BYTES);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            list("127.0.0.1:" + listener.getLocalPort());
+            listHost("127.0.0.1:" + listener.getLocalPort());
             List<UpstreamClient.OutboundAttempt> both = new ArrayList<>(
-                    messages(1, cancelled ? 30 * SECOND_MICROS : 50 * MILLI_MICROS, Long.MAX_VALUE, 20_000));
-            both.addAll(messages(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 20_000));
+                    createAttempts(1, isCancelled ? 30 * SECOND_MICROS : 50 * MILLI_MICROS, Long.MAX_VALUE, 20_000));
+            both.addAll(createAttempts(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 20_000));
             onLoop(() -> client.send("r", both));
             try (Socket socket = listener.accept()) {
-                if (cancelled) {
+                if (isCancelled) {
                     // Part of the request is sent, and the send buffer is full.
                     assertEquals('P', socket.getInputStream().read());
                     onLoop(() -> client.cancel(both.get(0).attempt()));
@@ -158,26 +158,26 @@
                 while (!received.toString().endsWith("}]")) {
                     byte[] chunk = new byte[SMALL_BUFFER_BYTES];
                     int bytes = socket.getInputStream().read(chunk);
-                    assertTrue(bytes > 0, "the call is still being sent");
+                    assertTrue(bytes > 0, "the connection was closed before the request was complete");
                     received.append(new String(chunk, 0, bytes, StandardCharsets.ISO_8859_1));
                 }
-                assertTrue(received.indexOf("\"m0\"") > 0, "it was in the batch, and ran");
-                assertEquals(cancelled ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT, outcomes.get("m0"));
+                assertTrue(received.indexOf("\"m0\"") > 0, "the abandoned message was sent with the batch");
+                assertEquals(isCancelled ? AttemptOutcome.CANCELLED : AttemptOutcome.TIMEOUT, outcomes.get("m0"));
             }
         }
     }
 
     /**
-     * The host responds while the call is partly written and the send buffer is full: the call never ran, and a
-     * back-off in the response applies.
+     * The host responds while the call is partly written and the send buffer is full. The call has not been executed,
+     * and a back-off in the response applies.
      */
     @Test
-    void responseBeforeTheRequestIsWrittenProvesThatItNeverRan() throws Exception {
+    void responseBeforeTheRequestIsWrittenEndsTheCallAsNotExecuted() throws Exception {
         try (ServerSocket listener = new ServerSocket()) {
             listener.setReceiveBufferSize(SMALL_BUFFER_BYTES);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            list("127.0.0.1:" + listener.getLocalPort());
-            onLoop(() -> client.send("r", messages(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 60_000)));
+            listHost("127.0.0.1:" + listener.getLocalPort());
+            onLoop(() -> client.send("r", createAttempts(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 60_000)));
             try (Socket socket = listener.accept()) {
                 assertEquals('P', socket.getInputStream().read());
                 socket.getOutputStream()
@@ -190,7 +190,7 @@
         }
     }
 
-    /** A response head requests a back-off, and the rest is cut off, malformed or missing. */
+    /** A response head requests a back-off, and the rest of the response is truncated or malformed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -198,7 +198,7 @@
                 "Transfer-Encoding: chunked\r\n\r\nnoise\r\n",
                 "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
             })
-    void retryAfterInAHeadAppliesWhateverFollows(String rest) {
+    void retryAfterInAHeadAppliesIfTheRestIsMalformed(String rest) {
         String head = "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\n";
         host.answer(request -> head + rest);
         onLoop(() -> send(30 * SECOND_MICROS));
@@ -206,12 +206,12 @@
         assertEquals(List.of(60 * SECOND_MICROS), retryAfters);
         sendAndAwait("m1", AttemptOutcome.NOT_SENT);
         await(() -> outcomes.containsKey("m0"));
-        assertEquals(AttemptOutcome.ERROR, outcomes.get("m0"), "whether it ran is not proven");
+        assertEquals(AttemptOutcome.ERROR, outcomes.get("m0"), "the message may have been executed");
         sendAndAwait("m2", AttemptOutcome.NOT_SENT);
         assertEquals(1, host.requests.size());
     }
 
-    /** The malformed line is read before the head is complete. */
+    /** The malformed header line is read before the head is complete. */
     @Test
     void retryAfterInAMalformedHeadThatArrivesInPartsApplies() {
         host.answer(request -> {
@@ -247,18 +247,18 @@
         sendAndAwait("m1", AttemptOutcome.NOT_SENT);
     }
 
-    /** A response is pending in the socket when its call times out: it counts, and so does a back-off in it. */
+    /** A response that is pending in the socket when its call times out applies, including a back-off in it. */
     @ParameterizedTest
     @ValueSource(ints = {200, 429})
-    void responsePendingAtTheTimeoutCounts(int status) throws Exception {
+    void responsePendingAtTheTimeoutApplies(int status) throws Exception {
         host.answer(request -> {
-            hold(hostMayRespond);
+            awaitLatch(hostMayRespond);
             return ScriptedPeer.status(status, "X-Come-Back-Ms: " + (status == 429 ? 60_000 : 0));
         });
         onLoop(() -> send(300 * MILLI_MICROS));
         await(() -> host.requests.size() == 1);
         loop.execute(() -> {
-            // Both timers are due before the loop runs them; the sockets are polled earlier, and hold nothing yet.
+            // Both timers are due when the event loop runs them. It polls the sockets before, without any response yet.
             loop.schedule(this::releaseHost, 0, TimeUnit.MILLISECONDS);
             RelayProcess.blockThread(400);
         });
@@ -272,7 +272,7 @@
         KernelSocketState.ofPeer(host.connections.get(0)).awaitUnread();
     }
 
-    private static void hold(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
@@ -281,30 +281,30 @@
     }
 
     /**
-     * A call that takes an idle connection and is not sent does not extend its idle time: the host counts from the last
-     * byte.
+     * A call that is assigned to an idle connection but not sent does not extend its idle time, which the host measures
+     * from the last byte.
      */
     @Test
     void unsentCallDoesNotExtendTheIdleTimeOfItsConnection() {
         sendAndAwait("m0", AttemptOutcome.OK);
-        long since = System.nanoTime();
-        while (!host.connections.get(0).isClosed() && System.nanoTime() - since < 3_000_000_000L) {
-            String id = "m" + sent;
-            onLoop(() -> client.send("r", messages(1, 30 * SECOND_MICROS, clock.micros(), 5)));
+        long startNanos = System.nanoTime();
+        while (!host.connections.get(0).isClosed() && System.nanoTime() - startNanos < 3_000_000_000L) {
+            String id = "m" + nextMessageNumber;
+            onLoop(() -> client.send("r", createAttempts(1, 30 * SECOND_MICROS, clock.micros(), 5)));
             await(() -> outcomes.containsKey(id));
         }
-        assertTrue(host.connections.get(0).isClosed(), "its idle timeout of a second is over");
+        assertTrue(host.connections.get(0).isClosed(), "the connection is closed after its idle timeout of one second");
         assertEquals(1, host.requests.size());
     }
 
     /**
-     * The idle timer of a connection is late, as the event loop was blocked; the host closes the connection as the next
-     * call is sent.
+     * The idle timer of a connection is late because the event loop was blocked. The host may close the connection
+     * while the next call is sent.
      */
     @Test
-    void connectionPastItsIdleTimeoutIsNotUsedThoughItsTimerIsLate() {
+    void connectionPastItsIdleTimeoutIsNotUsedIfItsTimerIsLate() {
         sendAndAwait("m0", AttemptOutcome.OK);
-        // The settle time of the connection is over.
+        // Wait for the settle time of the connection.
         RelayProcess.blockThread(5);
         onLoop(() -> {
             RelayProcess.blockThread(1100);
@@ -314,11 +314,11 @@
         assertEquals(2, host.connections.size());
     }
 
-    /** The end of an idle connection is pending in the socket when the next call is sent. */
+    /** The end of stream of an idle connection is pending in the socket when the next call is sent. */
     @Test
-    void connectionWithAPendingEndIsNotUsed() {
+    void connectionWithAPendingEndOfStreamIsNotUsed() {
         sendAndAwait("m0", AttemptOutcome.OK);
-        // The settle time of the connection is over.
+        // Wait for the settle time of the connection.
         RelayProcess.blockThread(5);
         onLoop(() -> {
             KernelSocketState relay = KernelSocketState.ofPeer(host.connections.get(0));
@@ -336,35 +336,39 @@
         assertFalse(outcomes.containsValue(AttemptOutcome.RESET));
     }
 
-    /** The host changes its address, or is removed and listed again, during a back-off: it is the destination's. */
+    /**
+     * The host changes its address, or is removed and listed again, during a back-off. The back-off remains in force,
+     * as it belongs to the destination.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void retryAfterOutlastsAChangeOfAddress(boolean removedMeanwhile) throws IOException {
+    void retryAfterAppliesAfterAChangeOfAddress(boolean isRemovedMeanwhile) throws IOException {
         host.answer(request -> ScriptedPeer.status(429, "X-Come-Back-Ms: 60000"));
         sendAndAwait("m0", AttemptOutcome.REJECTED);
         try (ScriptedPeer next = ScriptedPeer.always(ScriptedPeer.status(200))) {
-            if (removedMeanwhile) {
+            if (isRemovedMeanwhile) {
                 onLoop(() -> client.onEndpointList(EndpointListKind.FULL, List.of()));
             }
-            list(next.address());
+            listHost(next.address());
             sendAndAwait("m1", AttemptOutcome.NOT_SENT);
             assertEquals(0, next.requests.size());
         }
     }
 
     /**
-     * A connection comes up after its call was abandoned: that call never ran, and the next one uses the connection.
+     * A connection is established after its call was abandoned. That call is never sent, and the next one uses the
+     * connection.
      */
     @Test
-    void connectionOfAnAbandonedCallServesTheNextCall() {
-        List<UpstreamClient.OutboundAttempt> first = messages(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 5);
+    void connectionOfAnAbandonedCallIsUsedByTheNextCall() {
+        List<UpstreamClient.OutboundAttempt> first = createAttempts(1, 30 * SECOND_MICROS, Long.MAX_VALUE, 5);
         onLoop(() -> {
             client.send("r", first);
             client.cancel(first.get(0).attempt());
         });
         assertEquals(AttemptOutcome.CONNECT_FAILED, outcomes.get("m0"));
         await(() -> host.connections.size() == 1);
-        // Timers run after the sockets are polled, so the loop has the connection too.
+        // Timers run after the sockets are polled, so the client has noticed the connection as well.
         loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).syncUninterruptibly();
         sendAndAwait("m1", AttemptOutcome.OK);
         assertEquals(
@@ -373,9 +377,11 @@
         assertEquals(1, host.connections.size());
     }
 
-    /** A call still connects when its host starts to drain: it is never sent, and the connection is closed. */
+    /**
+     * The host starts to drain while a call waits for its connection: the call is not sent, the connection is closed.
+     */
     @Test
-    void callThatConnectsWhileItsHostDrainsIsNeverSent() {
+    void callWaitingForAConnectionIsNotSentOnceItsHostDrains() {
         onLoop(() -> {
             send(30 * SECOND_MICROS);
             client.onEndpointList(
@@ -391,22 +397,27 @@
 
     @Override
     public void onAttemptCompleted(
-            Message.Attempt attempt, AttemptOutcome result, boolean over, long wait, LimitReport report) {
-        outcomes.put(attempt.message().content().messageId(), result);
+            Message.Attempt attempt,
+            AttemptOutcome outcome,
+            boolean isMessageCompleted,
+            long retryAfterMicros,
+            LimitReport report) {
+        outcomes.put(attempt.message().content().messageId(), outcome);
     }
 
     @Override
-    public void onRetryAfter(String route, long wait) {
-        retryAfters.add(wait);
+    public void onRetryAfter(String route, long retryAfterMicros) {
+        retryAfters.add(retryAfterMicros);
     }
 
     @Override
     public void onLateDelivery(Message.Attempt attempt) {
-        throw new AssertionError("no late responses are expected");
+        throw new AssertionError("unexpected late response");
     }
 
     @Override
-    public void onProbeCompleted(String route, AttemptOutcome result, long wait, long elapsed, LimitReport report) {
-        throw new AssertionError("no probes are sent");
+    public void onProbeCompleted(
+            String route, AttemptOutcome outcome, long retryAfterMicros, long elapsedMicros, LimitReport report) {
+        throw new AssertionError("unexpected probe result");
     }
 }
--- a/src/test/java/loftflow/upstream/http/SingleResponseTest.java
+++ b/src/test/java/loftflow/upstream/http/SingleResponseTest.java
@@ -14,19 +14,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Malformed responses to a call for one message. A well-formed status line with 200 delivers it, whatever follows; any
- * other status counts only with a whole, well-formed response.
+ * Tests malformed responses to a call that carries one message. A well-formed status line with status 200 completes the
+ * message as delivered, whatever follows; any other status applies only if the whole response is well-formed.
  */
 @Timeout(60)
 class SingleResponseTest extends BatchCallTestBase {
-    private static final Result MAY_HAVE_RUN = new Result(AttemptOutcome.ERROR, false);
+    private static final Result UNCERTAIN_RESULT = new Result(AttemptOutcome.ERROR, false);
 
-    private Result resultOf(String response) {
+    private Result resultOfResponse(String response) {
         host.answer(request -> response);
         return results.get(sendAndAwait(1).get(0));
     }
 
-    /** A line in place of the status line that only resembles one; it arrives in one segment with the rest. */
+    /** The first line only resembles a status line; it arrives in one segment with the rest of the response. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -42,33 +42,35 @@
                 " HTTP/1.1 200 OK",
                 "\tHTTP/1.1 200 OK",
             })
-    void malformedStatusLineDeliversNothing(String line) {
-        assertEquals(MAY_HAVE_RUN, resultOf(line + "\r\nContent-Length: 0\r\n\r\n"));
+    void malformedStatusLineLeavesExecutionUncertain(String line) {
+        assertEquals(UNCERTAIN_RESULT, resultOfResponse(line + "\r\nContent-Length: 0\r\n\r\n"));
     }
 
-    /** A head that is malformed behind its status line: neither that the message is over nor that it never ran. */
+    /**
+     * With a malformed header line, the status proves neither completion of the message nor that it was not executed.
+     */
     @ParameterizedTest
     @ValueSource(ints = {410, 429, 503, 504, 404})
-    void statusOfAMalformedHeadProvesNothing(int status) {
+    void statusOfAMalformedHeadLeavesExecutionUncertain(int status) {
         for (String line : List.of("no colon here", "X A: 1", "X-A : 1", "X-A: 1\r\n folded")) {
             String response = "HTTP/1.1 " + status + " X\r\n" + line + "\r\nContent-Length: 0\r\n\r\n";
-            assertEquals(MAY_HAVE_RUN, resultOf(response), line);
+            assertEquals(UNCERTAIN_RESULT, resultOfResponse(response), line);
         }
     }
 
-    /** A status line that is malformed itself. */
+    /** The status line is malformed although it contains a status. */
     @ParameterizedTest
     @ValueSource(ints = {410, 429, 503, 504, 404})
-    void statusInAMalformedLineProvesNothing(int status) {
+    void statusInAMalformedStatusLineLeavesExecutionUncertain(int status) {
         for (String start : List.of("HTTP/1.1  ", "HTTP/1.1\t", "HTTP/2.0 ", "HTTP/1.1 0")) {
-            assertEquals(MAY_HAVE_RUN, resultOf(start + status + " X\r\nContent-Length: 0\r\n\r\n"), start);
+            assertEquals(UNCERTAIN_RESULT, resultOfResponse(start + status + " X\r\nContent-Length: 0\r\n\r\n"), start);
         }
     }
 
-    /** The head of a second response begins behind the first one, and ends only behind the next request. */
+    /** The head of a second response begins right after the first response and ends only after the next request. */
     @ParameterizedTest
     @ValueSource(ints = {200, 410})
-    void headThatBeganBeforeTheRequestProvesNothing(int status) {
+    void headThatBeganBeforeTheRequestDoesNotCompleteTheMessage(int status) {
         host.answer(request -> ScriptedPeer.status(200) + "HTTP/1.1 " + status + " X\r\nContent-Length: 0\r\n");
         sendAndAwait(1);
         awaitSettled();
@@ -80,16 +82,18 @@
         assertFalse(next.isMessageCompleted(), "ended as " + next);
     }
 
-    /** The host was reached and fails in its answers: the policy weighs that as an error, not as a lost connection. */
+    /**
+     * The host was reached and its response is incomplete, which the policy treats as an error, not a lost connection.
+     */
     @Test
-    void responseThatAResetCutsShortIsAnError() {
+    void responseTruncatedByAResetEndsAsAnError() {
         host.answer(request -> {
             write("HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nhalf");
             KernelSocketState relay = KernelSocketState.ofPeer(latestConnection());
             await(() -> !relay.hasUnread());
-            resetAtClose();
+            resetLatestConnectionOnClose();
             return ScriptedPeer.CLOSE;
         });
-        assertEquals(MAY_HAVE_RUN, results.get(sendAndAwait(1).get(0)));
+        assertEquals(UNCERTAIN_RESULT, results.get(sendAndAwait(1).get(0)));
     }
 }
--- a/src/test/java/loftflow/upstream/http/UpstreamSettings.java
+++ b/src/test/java/loftflow/upstream/http/UpstreamSettings.java
@@ -10,7 +10,7 @@
 import loftflow.policy.api.RequestClass;
 import loftflow.policy.api.ServiceRules;
 
-/** Settings with one class and one kind of destination, for tests of the HTTP client. */
+/** Creates settings with one request class and one destination kind, for tests of the HTTP client. */
 final class UpstreamSettings {
     private static final long SECOND_MICROS = 1_000_000;
 
