--- a/src/main/java/loftflow/engine/AttemptDispatcher.java
+++ b/src/main/java/loftflow/engine/AttemptDispatcher.java
@@ -10,8 +10,8 @@
 import loftflow.policy.api.MessageWithdrawn;
 
 /**
- * Starts attempts and processes their outcomes. An attempt is recorded in the journal before it is sent; the attempts
- * of one round are sent in one batch a route at the end of the round.
+ * Starts attempts and processes their outcomes. An attempt is recorded in the journal before it is sent; at the end of
+ * a round, the attempts of that round are sent in one batch per route.
  */
 final class AttemptDispatcher {
     private final EngineContext context;
@@ -34,10 +34,12 @@
     }
 
     /**
-     * Starts an attempt of an open message; it is sent by {@link #sendPending}.
+     * Starts an attempt of an open message, to be sent by the next {@link #sendPending}. Has no effect if the message
+     * is no longer in the table or its completion is decided.
      *
-     * @param timeoutMicros 0 where only the message's deadline bounds the attempt
-     * @param sendWithinMicros an attempt that has not been sent after so long ends as not sent; 0 for no bound
+     * @param timeoutMicros the attempt's time-out, in microseconds; 0 if only the message's deadline bounds the attempt
+     * @param sendWithinMicros if the attempt is not sent within this many microseconds, it ends as not sent; 0 for no
+     *     bound
      */
     void start(long number, String route, long timeoutMicros, long sendWithinMicros) {
         Message message = messages.find(number);
@@ -49,7 +51,7 @@
         message.attemptStarted();
         attemptsInFlight++;
         long remainingMicros = message.content().deadlineMicros() - nowMicros;
-        // An attempt that is not in the journal would be unknown after a restart, so it is not sent.
+        // An attempt missing from the journal would be unknown after a restart, so it must not be sent.
         if (remainingMicros <= 0 || !context.journal().recordAttempt(attempt)) {
             completeAsNotSent(attempt);
             return;
@@ -62,7 +64,7 @@
                         sendWithinMicros > 0 ? nowMicros + sendWithinMicros : Long.MAX_VALUE));
     }
 
-    /** Sends the attempts that were started since the last call. */
+    /** Sends the attempts that were started since the previous call. */
     void sendPending() {
         Map<String, List<UpstreamClient.OutboundAttempt>> batches = new LinkedHashMap<>(pendingByRoute);
         pendingByRoute.clear();
@@ -72,7 +74,7 @@
     private void sendBatch(String route, List<UpstreamClient.OutboundAttempt> batch) {
         List<UpstreamClient.OutboundAttempt> sendable = new ArrayList<>(batch.size());
         for (UpstreamClient.OutboundAttempt outbound : batch) {
-            // A message is done here already where its client disconnected before the 202 could be written.
+            // The message is already done if its client disconnected before the 202 response was written.
             if (outbound.attempt().message().isDone()) {
                 completeAsNotSent(outbound.attempt());
             } else {
@@ -88,7 +90,7 @@
         onAttemptCompleted(attempt, AttemptOutcome.NOT_SENT, false, 0, LimitReport.NONE);
     }
 
-    /** Cancels an attempt, by its number within its message; without effect where there is none. */
+    /** Cancels the attempt with the given number within its message; has no effect if there is no such attempt. */
     void cancel(long messageNumber, int attemptNumber) {
         Message message = messages.find(messageNumber);
         if (message != null && attemptNumber < message.attemptCount()) {
@@ -120,12 +122,12 @@
         messages.removeIfSettled(message);
     }
 
-    /** Ends the message where the attempt's outcome decides it; otherwise records the outcome in the journal. */
+    /** Ends the message if this outcome decides its completion; otherwise records the outcome in the journal. */
     private void applyOutcome(Message.Attempt attempt, boolean messageClosed) {
         Message message = attempt.message();
         boolean isDelivered = attempt.outcome() == AttemptOutcome.OK;
         if (isDelivered && context.nowMicros() > message.content().deadlineMicros()) {
-            // The client counts a delivery after its deadline as none.
+            // To the client, a delivery after the deadline counts as no delivery.
             context.journal().recordOutcome(attempt);
             lifecycle.fail(message.number());
         } else if (messageClosed && message.isRedrive() && message.isOpen()) {
@@ -155,7 +157,7 @@
         } else if (message.isRedrive()) {
             lifecycle.cancelRedrive(message);
         } else if (!message.isDone() && context.nowMicros() <= message.content().deadlineMicros()) {
-            // The message is delivered, so the policy must start no further attempt.
+            // The message has been delivered, so the policy must not start another attempt.
             events.add(new MessageWithdrawn(message.number()));
             lifecycle.finish(message, true);
         }
--- a/src/main/java/loftflow/engine/Clock.java
+++ b/src/main/java/loftflow/engine/Clock.java
@@ -2,18 +2,22 @@
 
 /** A clock that never runs backwards within a process. */
 public interface Clock {
-    /** The current time, in microseconds since the epoch. */
+    /** Returns the current time, in microseconds since the epoch. */
     long micros();
 
     /**
-     * The machine's clock: it starts at the wall-clock time, so that a deadline in the journal is meaningful to the
-     * next process, and advances by the monotonic clock.
+     * Returns the machine's clock. It starts at the wall-clock time, so that a deadline in the journal is still valid
+     * in the next process, and advances with the monotonic clock.
      */
     static Clock system() {
         return from(System.currentTimeMillis() * 1000);
     }
 
-    /** A clock that starts at a time, in microseconds since the epoch, and advances by the monotonic clock. */
+    /**
+     * Returns a clock that advances with the monotonic clock.
+     *
+     * @param startMicros its time at the call, in microseconds since the epoch
+     */
     static Clock from(long startMicros) {
         long startNanos = System.nanoTime();
         return () -> startMicros + (System.nanoTime() - startNanos) / 1000;
--- a/src/main/java/loftflow/engine/CompletionNotifier.java
+++ b/src/main/java/loftflow/engine/CompletionNotifier.java
@@ -1,13 +1,13 @@
 package loftflow.engine;
 
 /**
- * The port through which completions are notified: every end other than delivery, and every end of a message whose
- * client requested a reply. A notification is repeated until it is acknowledged.
+ * The port through which clients are notified of completions: of every completion other than delivery, and of every
+ * completion if the client requested a reply. A notice is repeated until it is acknowledged.
  */
 public interface CompletionNotifier {
     /**
-     * Notifies {@link Message#completion()}; {@link DeliveryEngine#onCompletionAcknowledged} is called, now or later,
-     * once it is acknowledged. To be called on the event loop.
+     * Sends the notice of {@link Message#completion()}. Once it is acknowledged, during this call or later, the
+     * implementation calls {@link DeliveryEngine#onCompletionAcknowledged}. To be called on the event loop.
      */
     void notifyCompletion(Message message);
 }
--- a/src/main/java/loftflow/engine/DeadLetterSink.java
+++ b/src/main/java/loftflow/engine/DeadLetterSink.java
@@ -4,12 +4,12 @@
 import loftflow.policy.api.EndpointListKind;
 
 /**
- * The port to the store of undeliverable messages, which may redrive them by {@link DeliveryEngine#redrive}. To be
- * called on the event loop. {@link DeliveryEngine#onDeadLetterStored} acknowledges {@link #store} and
- * {@link #onRedriveEnded}, during the call or later.
+ * The port to the dead-letter store, which may redrive its messages with {@link DeliveryEngine#redrive}. To be called
+ * on the event loop. An implementation acknowledges {@link #store} and {@link #onRedriveEnded} with
+ * {@link DeliveryEngine#onDeadLetterStored}, during the call or later.
  */
 public interface DeadLetterSink extends EndpointListListener {
-    /** Stores nothing. */
+    /** The sink of a relay without a dead-letter store: accepts and rejects nothing. */
     DeadLetterSink NONE = new DeadLetterSink() {
         @Override
         public boolean accepts(Message message) {
@@ -41,21 +41,23 @@
         public void onEndpointList(EndpointListKind kind, long version, List<Endpoint> endpoints) {}
     };
 
-    /** True where this message, whose client was notified of its acceptance, is to be stored if it ends undelivered. */
+    /** Returns whether this message, which was accepted towards its client, is to be stored if it is not delivered. */
     boolean accepts(Message message);
 
-    /** True where new messages of this class are to be rejected, since the store has no capacity for them. */
+    /** Returns whether new messages of this class are to be rejected because the store has no capacity for them. */
     boolean rejects(Message.Content content);
 
-    /** Stores a message that ended; {@link DeliveryEngine#onDeadLetterStored} is called once it is durable. */
+    /** Stores a failed message; {@link DeliveryEngine#onDeadLetterStored} is called once it is durable. */
     void store(Message message);
 
-    /** A message was resumed from the journal; called before any other method for that message. */
+    /** Called when a message was resumed from the journal, before any other call for that message. */
     void onMessageResumed(Message message);
 
-    /** A redrive ended; {@link DeliveryEngine#onDeadLetterStored} is called once its result is durable. */
+    /**
+     * Called when a redrive ended; {@link DeliveryEngine#onDeadLetterStored} is called once its result is durable.
+     */
     void onRedriveEnded(Message message);
 
-    /** An outcome was learned after the message of the attempt had ended or been stored. */
+    /** Called when an attempt's outcome arrived after its message had ended or been stored. */
     void onOutcomeLearned(Message.Attempt attempt);
 }
--- a/src/main/java/loftflow/engine/DeliveryEngine.java
+++ b/src/main/java/loftflow/engine/DeliveryEngine.java
@@ -18,9 +18,9 @@
 import loftflow.policy.api.RouteSnapshot;
 
 /**
- * Drives the delivery policy: collects events into rounds and carries out the actions that the policy requests. The
- * engine holds the messages; the policy decides what happens to them. Listeners, upstream clients, journal and
- * discovery are reached through ports only.
+ * Runs the delivery policy: collects events into rounds and carries out the actions that the policy requests. The
+ * engine owns the messages; the policy decides on their attempts and completions. The engine reaches listeners,
+ * upstream clients, the journal and discovery through ports only.
  *
  * <p>All methods are to be called on the event loop.
  */
@@ -38,9 +38,9 @@
     private final DeliveryRound round;
 
     /**
-     * An engine that has not started; {@link #attach} must be called before {@link #start}.
+     * Creates an engine that has not started; {@link #attach} must be called before {@link #start}.
      *
-     * @param roundPeriodMicros how long events are collected before the policy runs
+     * @param roundPeriodMicros how long events are collected before the policy runs, in microseconds
      * @param policyFactory creates the policy for the settings
      */
     public DeliveryEngine(
@@ -71,56 +71,59 @@
         round.run();
     }
 
-    /** Sets the ports to upstreams and for completions; once, before {@link #start}. */
+    /** Sets the ports to the upstreams and for completion notices; to be called once, before {@link #start}. */
     public void attach(UpstreamClient upstreamClient, CompletionNotifier completionNotifier) {
         context.setUpstreamClient(upstreamClient);
         context.setCompletionNotifier(completionNotifier);
     }
 
-    /** Sets the store for undeliverable messages, {@link DeadLetterSink#NONE} by default; once, before start. */
+    /** Sets the dead-letter store, by default {@link DeadLetterSink#NONE}; to be called at most once, before start. */
     public void setDeadLetterSink(DeadLetterSink deadLetterSink) {
         context.setDeadLetterSink(deadLetterSink);
     }
 
-    /** Sets who sees every event that the policy will receive; once, before {@link #start}. */
+    /**
+     * Sets an observer that receives every event added for the policy; to be called at most once, before
+     * {@link #start}.
+     */
     public void setEventObserver(Consumer<PolicyEvent> observer) {
         events.setObserver(observer);
     }
 
-    /** Sets the receiver of log lines in place of the operators' log; once, before {@link #start}. */
+    /** Replaces the operators' log as the receiver of log lines; to be called at most once, before {@link #start}. */
     public void setLogger(Consumer<String> logger) {
         context.setLogger(logger);
     }
 
     /**
-     * Treats the idempotency-key windows of all attempts of the previous process as expired, for when the clocks can't
-     * show how long ago it ended; before {@link #start}.
+     * Treats the key windows of all attempts of the previous process as expired, for use if the clocks can't show how
+     * long ago that process ended. To be called before {@link #start}.
      */
     public void treatKeyWindowsAsExpired() {
         recovery.treatKeyWindowsAsExpired();
     }
 
-    /** Passes to the policy what is known of routes from before a restart; after a list that names them. */
+    /** Passes the state of routes from before a restart to the policy, after an endpoint list that names them. */
     public void restoreRoutes(List<RouteRestored> routes) {
         routes.forEach(events::add);
     }
 
-    /** The state of each listed route that is to outlast a restart. */
+    /** Returns the state of each listed route that is to be restored after a restart. */
     public List<RouteSnapshot> routeSnapshots() {
         return policy.routeSnapshots(context.nowMicros());
     }
 
-    /** As the other {@code start}, with no restored routes. */
+    /** Starts as {@link #start(EndpointListKind, long, List, List)} does, with no restored routes. */
     public void start(EndpointListKind kind, long knownVersion, List<Endpoint> knownEndpoints) {
         start(kind, knownVersion, knownEndpoints, List.of());
     }
 
     /**
-     * Starts with the endpoints known so far and resumes the messages in the journal. The policy receives the restored
-     * routes before any attempt goes to them.
+     * Starts with the endpoints known so far and resumes the messages in the journal. The policy receives the state of
+     * the restored routes before any attempt is sent to them.
      *
-     * @param knownEndpoints empty where none are known
-     * @param routes what is known of these endpoints' routes from before a restart
+     * @param knownEndpoints empty if none are known
+     * @param routes the state from before a restart of the routes to these endpoints
      */
     public void start(
             EndpointListKind kind, long knownVersion, List<Endpoint> knownEndpoints, List<RouteRestored> routes) {
@@ -131,14 +134,18 @@
         recovery.run();
     }
 
-    /** Makes the policy wait for discovery's list, for so long at the most, before it sends; after the start. */
+    /**
+     * Makes the policy send nothing until discovery's endpoint list arrives or {@code maxWaitMicros} have passed. To be
+     * called after the start.
+     */
     public void holdUntilEndpointList(long maxWaitMicros) {
         events.add(new EndpointListPending(maxWaitMicros));
     }
 
     /**
-     * Starts no message and no attempt from now on, since an attempt that the end of the process cuts off may have
-     * been executed, and a message that is not idempotent could then not be retried. Open messages stay in the journal.
+     * Stops accepting messages and starting attempts. An attempt that is interrupted by the end of the process may have
+     * been executed, so a message that is not idempotent could not be retried after it. Open messages stay in the
+     * journal.
      */
     public void quiesce() {
         context.quiesce();
@@ -148,12 +155,12 @@
         return context.isQuiescing();
     }
 
-    /** True where no message is left, not even one whose completion is unacknowledged. */
+    /** Returns whether the engine holds no message, not even one whose completion is unacknowledged. */
     public boolean isIdle() {
         return messages.isEmpty();
     }
 
-    /** True where no attempt is in flight and no client waits for an answer. */
+    /** Returns whether no attempt is in flight and no client waits for an answer. */
     public boolean hasNothingInFlight() {
         return !dispatcher.hasAttemptsInFlight() && !admission.hasUnansweredClients();
     }
@@ -194,28 +201,28 @@
     }
 
     /**
-     * Sends a dead letter again. It is journaled like any other message, with its past attempts, and the policy handles
-     * it as one that was resumed after a restart.
+     * Redrives a dead letter. It is journaled like any other message, with its past attempts, and the policy handles it
+     * like a message that was resumed after a restart.
      *
-     * @param deadLetterId its entry in the dead-letter store, not 0
+     * @param deadLetterId the number of its entry in the dead-letter store; not 0
      * @param pastAttempts the attempts that may have been executed, in order
-     * @return the message, or null where it can't be accepted now; nothing has changed then
+     * @return the message, or null if it can't be accepted now, in which case nothing has changed
      */
     public Message redrive(long deadLetterId, Message.Content content, List<PastAttempt> pastAttempts) {
         return admission.redrive(deadLetterId, content, pastAttempts);
     }
 
-    /** Ends a redrive because an earlier attempt turned out to have taken effect. */
+    /** Ends a redrive because an earlier attempt proved to have been executed. */
     public void cancelRedrive(Message message) {
         lifecycle.cancelRedrive(message);
     }
 
-    /** The dead-letter sink has durably stored a dead letter or the result of a redrive. */
+    /** Called when the dead-letter sink has durably stored a dead letter or the result of a redrive. */
     public void onDeadLetterStored(Message message) {
         lifecycle.acknowledge(message);
     }
 
-    /** The completion that was passed to {@link CompletionNotifier} has been acknowledged. */
+    /** Called when the notice of a completion, sent by {@link CompletionNotifier}, has been acknowledged. */
     public void onCompletionAcknowledged(Message message) {
         lifecycle.acknowledge(message);
     }
--- a/src/main/java/loftflow/engine/DeliveryRound.java
+++ b/src/main/java/loftflow/engine/DeliveryRound.java
@@ -6,11 +6,11 @@
 import loftflow.policy.api.PolicyEvent;
 
 /**
- * One round: the policy processes the events since the last round, then the clients of accepted messages are answered,
- * then the attempts are sent.
+ * One run of the policy over the events since the previous round, after which the clients of newly accepted messages
+ * are answered and then the attempts are sent.
  */
 final class DeliveryRound {
-    /** How the log line of a round that threw begins; the emulator stops at such a line. */
+    /** The start of the log line for a round that threw an exception; the emulator stops at such a line. */
     private static final String ROUND_FAILED = "a round failed";
 
     private final EngineContext context;
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Runs one round. While the relay quiesces, the policy does not run and its events are dropped: outcomes are
-     * journaled as they arrive, and the next process resumes from the journal.
+     * Runs one round. While the relay quiesces, the policy does not run and its events are discarded: outcomes are
+     * journaled as they arrive, and the next process resumes the messages from the journal.
      */
     void run() {
         long nowMicros = context.nowMicros();
@@ -48,7 +48,7 @@
         dispatcher.sendPending();
     }
 
-    /** An error is logged and ends this round only: the relay goes on with the messages that it is responsible for. */
+    /** Runs the policy; an exception is logged and ends only this round, so that open messages are still processed. */
     private void runPolicy(long nowMicros, List<PolicyEvent> pendingEvents) {
         try {
             if (!context.isQuiescing()) {
--- a/src/main/java/loftflow/engine/DestinationRegistry.java
+++ b/src/main/java/loftflow/engine/DestinationRegistry.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import loftflow.policy.api.EndpointListKind;
 
-/** The destinations that endpoint lists have named so far, and whether a full list has been received. */
+/** Tracks the destinations that endpoint lists have named so far, and whether a full list has been received. */
 final class DestinationRegistry {
     private final Set<Integer> destinations = new HashSet<>();
     private boolean hasAnyList;
@@ -15,23 +15,23 @@
         endpoints.forEach(endpoint -> destinations.add(endpoint.entry().destination()));
     }
 
-    /** Records that a list of that kind is in force. A delta to a cached list does not make it a full one. */
+    /** Records that a list of this kind was received. A delta to a cached list does not make that a full list. */
     void markListReceived(EndpointListKind kind) {
         hasAnyList = true;
         hasFullList |= kind == EndpointListKind.FULL;
     }
 
-    /** True once any list, also a cached one, has been received. */
+    /** Returns whether any list, possibly a cached one, has been received. */
     boolean isReady() {
         return hasAnyList;
     }
 
-    /** True where a list names the destination. */
+    /** Returns whether a received list names the destination. */
     boolean contains(int destination) {
         return destinations.contains(destination);
     }
 
-    /** True where a list names the destination, or where the full list that might name it is still missing. */
+    /** Returns whether a received list names the destination, or no full list, which might name it, has arrived yet. */
     boolean mayContain(int destination) {
         return contains(destination) || !hasFullList;
     }
--- a/src/main/java/loftflow/engine/Endpoint.java
+++ b/src/main/java/loftflow/engine/Endpoint.java
@@ -9,22 +9,22 @@
 public record Endpoint(EndpointEntry entry, InetSocketAddress address) {
 
     /**
-     * Parses a numeric address with its port, such as {@code 127.0.0.1:8080} or {@code [::1]:8080}; host names are not
+     * Parses a numeric address with a port, such as {@code 127.0.0.1:8080} or {@code [::1]:8080}; host names are not
      * resolved.
      *
-     * @throws IllegalArgumentException where the text is anything else
+     * @throws IllegalArgumentException if the text is not a numeric address with a port
      */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:]+]")) {
-            throw new IllegalArgumentException("no address with a port: " + text);
+            throw new IllegalArgumentException("not a numeric address with a port: " + text);
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(InetAddress.getByName(host), port);
         } catch (NumberFormatException | UnknownHostException e) {
-            throw new IllegalArgumentException("no address with a port: " + text, e);
+            throw new IllegalArgumentException("not a numeric address with a port: " + text, e);
         }
     }
 }
--- a/src/main/java/loftflow/engine/EndpointListListener.java
+++ b/src/main/java/loftflow/engine/EndpointListListener.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import loftflow.policy.api.EndpointListKind;
 
-/** Receives the endpoint lists of discovery or of a file. */
+/** Receives the endpoint lists that come from discovery or from a file. */
 public interface EndpointListListener {
     /**
-     * A full list, or changes to it. To be called on the event loop.
+     * Called with a full list or with a delta to it, on the event loop.
      *
      * @param version the version of the list after this update
      */
--- a/src/main/java/loftflow/engine/EngineContext.java
+++ b/src/main/java/loftflow/engine/EngineContext.java
@@ -5,7 +5,7 @@
 import loftflow.policy.api.PolicySettings;
 
 /**
- * The ports and settings that the parts of one engine share. The ports without a constructor parameter are set once,
+ * The ports and settings shared by the parts of one engine. The ports without a constructor parameter are set once,
  * before the engine starts. To be used on the event loop only.
  */
 final class EngineContext {
@@ -30,7 +30,7 @@
         return timers;
     }
 
-    /** The current time, in microseconds since the epoch. */
+    /** Returns the current time, in microseconds since the epoch. */
     long nowMicros() {
         return clock.micros();
     }
@@ -76,7 +76,7 @@
         logger.accept(line);
     }
 
-    /** True once the relay shuts down and starts neither messages nor attempts. */
+    /** Returns whether the relay is shutting down and no longer accepts messages or starts attempts. */
     boolean isQuiescing() {
         return quiescing;
     }
--- a/src/main/java/loftflow/engine/JournalRecovery.java
+++ b/src/main/java/loftflow/engine/JournalRecovery.java
@@ -5,14 +5,14 @@
 import loftflow.policy.api.MessageResumed;
 import loftflow.policy.api.PastAttempt;
 
-/** Resumes the messages that the journal holds when the relay starts. */
+/** Resumes the messages in the journal when the relay starts. */
 final class JournalRecovery {
     private final EngineContext context;
     private final RequestClassRegistry requestClasses;
     private final MessageTable messages;
     private final PolicyEventQueue events;
     private final MessageLifecycle lifecycle;
-    private boolean areKeyWindowsExpired;
+    private boolean keyWindowsExpired;
 
     JournalRecovery(
             EngineContext context,
@@ -27,12 +27,12 @@
         this.lifecycle = lifecycle;
     }
 
-    /** Reports every past attempt to the policy as sent at time 0, so that its idempotency-key window is over. */
+    /** Reports every past attempt to the policy as sent at time 0, so that its key window has expired. */
     void treatKeyWindowsAsExpired() {
-        areKeyWindowsExpired = true;
+        keyWindowsExpired = true;
     }
 
-    /** Resumes every message that the journal holds as not done, in the order accepted. */
+    /** Resumes every message that is not done according to the journal, in order of acceptance. */
     void run() {
         List<Message> resumedMessages = context.journal().openMessages();
         logResumed(resumedMessages);
@@ -81,8 +81,9 @@
     }
 
     /**
-     * Ends a message whose class the settings no longer name: the policy can't process it, and an error would discard
-     * all other events of that round. It is rejected where surely no attempt of it was executed, else failed.
+     * Ends a message whose request class is no longer in the settings: the policy can't process it, and the resulting
+     * exception would discard all other events of that round. The message is rejected if all its attempts are proven
+     * not executed; otherwise it is failed.
      */
     private void endMessageOfUnknownClass(Message message) {
         context.log("engine: request class unknown message=" + message.content().messageId() + " class="
@@ -100,7 +101,7 @@
     private List<PastAttempt> pastAttempts(Message message) {
         return message.attempts().stream()
                 .map(attempt -> new PastAttempt(
-                        attempt.route(), areKeyWindowsExpired ? 0 : attempt.sentAtMicros(), attempt.outcome()))
+                        attempt.route(), keyWindowsExpired ? 0 : attempt.sentAtMicros(), attempt.outcome()))
                 .toList();
     }
 }
--- a/src/main/java/loftflow/engine/Message.java
+++ b/src/main/java/loftflow/engine/Message.java
@@ -8,31 +8,31 @@
 import loftflow.protocol.CompletionProtocol;
 
 /**
- * A message that a client sent, and the state of its delivery. Times are the {@link Clock}'s, in microseconds since the
- * epoch. Not thread-safe: to be used on the event loop only.
+ * A message from a client, and the state of its delivery. Times are those of the {@link Clock}, in microseconds since
+ * the epoch. Not thread-safe: to be used on the event loop only.
  */
 public final class Message {
     /**
-     * Where the completion of a message is to be sent, whatever it is.
+     * The destination of the completion notice, for a client that requested one for every completion.
      *
-     * @param listener the name of the listener that sends it
+     * @param listener the name of the listener that sends the notice
      * @param queue the queue that the client consumes
      * @param correlationId the client's own id of the message; may be null
      */
     public record Reply(String listener, String queue, String correlationId) {}
 
     /**
-     * What a client sent.
+     * The content of a message as the client sent it.
      *
      * @param messageId unique among the messages in the journal
-     * @param requestClass name of a class in the settings
+     * @param requestClass the name of a request class in the settings
      * @param tenant may be null
-     * @param key idempotency key; may be null
-     * @param deadlineMicros a delivery after this time counts as none
-     * @param body not copied; must not be changed
-     * @param reply null where the client requested none, and is notified of other ends than delivery by
-     *     {@link CompletionNotifier}
-     * @param orderingKey the ordering key where it is not {@code key}; else null
+     * @param key the idempotency key; may be null
+     * @param deadlineMicros a delivery after this time counts as no delivery
+     * @param body not copied; must not be modified
+     * @param reply null if the client requested no reply; {@link CompletionNotifier} then notifies it only of
+     *     completions other than delivery
+     * @param orderingKey the ordering key; null if it is the same as {@code key}
      */
     public record Content(
             String messageId,
@@ -44,7 +44,7 @@
             byte[] body,
             Reply reply,
             String orderingKey) {
-        /** A message that is ordered by its idempotency key, where its class is ordered. */
+        /** Creates the content of a message that is ordered by its idempotency key if its class is ordered. */
         public Content(
                 String messageId,
                 String requestClass,
@@ -57,7 +57,7 @@
             this(messageId, requestClass, tenant, key, deadlineMicros, destination, body, reply, null);
         }
 
-        /** A message whose client requested no reply. */
+        /** Creates the content of a message whose client requested no reply. */
         public Content(
                 String messageId,
                 String requestClass,
@@ -71,22 +71,22 @@
     }
 
     /**
-     * How a message ends, where that is to be notified.
+     * The final result of a message, if its client is to be notified of it.
      *
-     * @param retryAfterMicros microseconds after which the client may send a rejected message again; 0 where not known
+     * @param retryAfterMicros microseconds after which the client may send a rejected message again; 0 if not known
      */
     public record Completion(Kind kind, long retryAfterMicros) {
-        /** What became of the message. */
+        /** The result of a message. */
         public enum Kind {
-            /** Not delivered as far as is known; whether it took effect is not known. */
+            /** No delivery is known; the message may or may not have been executed. */
             FAILED,
-            /** Surely not executed; the client may send it again. */
+            /** Proven not executed; the client may send it again. */
             REJECTED,
             /** Delivered before its deadline. */
             DELIVERED
         }
 
-        /** The value of the protocol's {@code result} field. */
+        /** Returns the value of the protocol's {@code result} field. */
         public String result() {
             return switch (kind) {
                 case FAILED -> CompletionProtocol.RESULT_FAILED;
@@ -95,7 +95,7 @@
             };
         }
 
-        /** True where the message was surely not executed and may be sent again. */
+        /** Returns whether the message is proven not executed and may be sent again. */
         public boolean isRejected() {
             return kind == Kind.REJECTED;
         }
@@ -120,7 +120,7 @@
             return message;
         }
 
-        /** Its index within its message, from 0. */
+        /** Returns its index within its message, from 0. */
         public int number() {
             return number;
         }
@@ -133,14 +133,14 @@
             return sentAtMicros;
         }
 
-        /** Its outcome, or null while that is not known. */
+        /** Returns its outcome, or null while it is not known. */
         public AttemptOutcome outcome() {
             return outcome;
         }
 
         /** Sets its outcome. */
-        public void outcome(AttemptOutcome known) {
-            outcome = known;
+        public void outcome(AttemptOutcome knownOutcome) {
+            outcome = knownOutcome;
         }
     }
 
@@ -148,7 +148,7 @@
     private final Content content;
     private final long deadLetterId;
     private final List<Attempt> attempts = new ArrayList<>();
-    /** Null once the client has its answer. */
+    /** Null once the client has been answered. */
     private ClientReply clientReply;
 
     private Completion completion;
@@ -159,7 +159,7 @@
     private int attemptsInFlight;
 
     /**
-     * A message that a client sent.
+     * Creates a message from a client.
      *
      * @param number its sequence number in this relay's journal
      */
@@ -168,9 +168,9 @@
     }
 
     /**
-     * A message that is sent again from the dead-letter store.
+     * Creates a message from a client or a redrive from the dead-letter store.
      *
-     * @param deadLetterId its entry in the store; 0 for a message from a client
+     * @param deadLetterId the number of its entry in the dead-letter store; 0 for a message from a client
      */
     public Message(long number, Content content, long deadLetterId) {
         this.number = number;
@@ -178,22 +178,22 @@
         this.deadLetterId = deadLetterId;
     }
 
-    /** The dead-letter entry that this message redrives; 0 for a message from a client. */
+    /** Returns the number of the dead-letter entry that this message redrives; 0 for a message from a client. */
     public long deadLetterId() {
         return deadLetterId;
     }
 
-    /** True where this message redrives a dead letter. */
+    /** Returns whether this message redrives a dead letter. */
     boolean isRedrive() {
         return deadLetterId != 0;
     }
 
-    /** True where an attempt is known to have taken effect. */
+    /** Returns whether an attempt is known to have delivered it. */
     public boolean isDelivered() {
         return attempts.stream().anyMatch(attempt -> attempt.outcome == AttemptOutcome.OK);
     }
 
-    /** Its sequence number in this relay's journal. */
+    /** Returns its sequence number in this relay's journal. */
     public long number() {
         return number;
     }
@@ -202,7 +202,7 @@
         return content;
     }
 
-    /** All attempts so far, the first one first; an unmodifiable view. */
+    /** Returns an unmodifiable view of all attempts so far, in the order in which they were added. */
     public List<Attempt> attempts() {
         return Collections.unmodifiableList(attempts);
     }
@@ -219,29 +219,29 @@
         return attempts.get(attemptNumber);
     }
 
-    /** Adds an attempt that is about to be sent, or was sent before a restart. */
+    /** Adds an attempt that is about to be sent or that was sent before a restart. */
     public Attempt addAttempt(String route, long sentAtMicros) {
         Attempt attempt = new Attempt(this, attempts.size(), route, sentAtMicros);
         attempts.add(attempt);
         return attempt;
     }
 
-    /** How it ends, or null where that is not decided or is not to be notified. */
+    /** Returns its completion, or null if none has been decided or none is to be notified. */
     public Completion completion() {
         return completion;
     }
 
-    /** Sets how it ends. */
-    public void complete(Completion decided) {
-        completion = decided;
+    /** Sets its completion. */
+    public void complete(Completion decidedCompletion) {
+        completion = decidedCompletion;
     }
 
-    /** True until its completion is decided or nothing more is owed for it. */
+    /** Returns whether the relay still has to deliver it: its completion is not decided, and it is not done. */
     boolean isOpen() {
         return completion == null && !isDone;
     }
 
-    /** True once nothing more is owed for it, and the journal records it as done. */
+    /** Returns whether it is done: it needs no further attempt or notice, and is to be recorded so in the journal. */
     boolean isDone() {
         return isDone;
     }
@@ -250,7 +250,7 @@
         isDone = true;
     }
 
-    /** True where this process found it in the journal at its start. */
+    /** Returns whether this process read it from the journal when it started. */
     boolean isResumed() {
         return isResumed;
     }
@@ -260,7 +260,7 @@
     }
 
     /** Sets the client that waits for its answer. */
-    void awaitAnswer(ClientReply waitingClient) {
+    void setClientReply(ClientReply waitingClient) {
         clientReply = waitingClient;
     }
 
@@ -268,15 +268,15 @@
         return clientReply != null;
     }
 
-    /** Removes and returns the client that waits for its answer, or null. */
+    /** Removes and returns the client that waits for its answer; null if there is none. */
     ClientReply takeClientReply() {
         ClientReply waitingClient = clientReply;
         clientReply = null;
         return waitingClient;
     }
 
-    /** Sets the timer that ends the message should the policy leave it open. */
-    void startOverdueTimer(Timers.Timer timer) {
+    /** Sets the timer that fails the message if the policy leaves it open past its deadline. */
+    void setOverdueTimer(Timers.Timer timer) {
         overdueTimer = timer;
     }
 
@@ -284,12 +284,12 @@
         overdueTimer.cancel();
     }
 
-    /** Sets how many acknowledgements of its completion must arrive. */
+    /** Sets the number of acknowledgements of its completion that must arrive before it is done. */
     void expectAcknowledgements(int count) {
         acknowledgementsPending = count;
     }
 
-    /** Counts an acknowledgement of its completion; true where it was the last one expected. */
+    /** Counts an acknowledgement of its completion; returns whether it was the last one expected. */
     boolean acknowledge() {
         acknowledgementsPending--;
         return acknowledgementsPending == 0;
@@ -307,7 +307,7 @@
         return attemptsInFlight > 0;
     }
 
-    /** The event by which the policy learns of this message. */
+    /** Returns the event that passes this message to the policy. */
     MessageAccepted toAcceptedEvent() {
         return new MessageAccepted(
                 number,
@@ -318,19 +318,19 @@
                 content.destination());
     }
 
-    /** The answer that a client waits for after it has sent a message; exactly one method is called, once. */
+    /** Receives the answer to a client that has sent a message; exactly one method is called, once. */
     public interface ClientReply {
-        /** Accepted: the relay is responsible for the message from now on. */
+        /** The message was accepted: the relay is responsible for it from now on. */
         void accepted();
 
         /**
-         * Rejected: sending it again is safe.
+         * The message was rejected: it was not executed, and sending it again is safe.
          *
-         * @param retryAfterMicros microseconds after which to send it again; 0 where that is not known
+         * @param retryAfterMicros microseconds after which to send it again; 0 if not known
          */
         void rejected(long retryAfterMicros);
 
-        /** Failed: whether it took effect is not known. */
+        /** The message failed: it may or may not have been executed. */
         void failed();
     }
 }
--- a/src/main/java/loftflow/engine/MessageAdmission.java
+++ b/src/main/java/loftflow/engine/MessageAdmission.java
@@ -7,15 +7,15 @@
 import loftflow.policy.api.PastAttempt;
 
 /**
- * Decides which messages are accepted: those that clients send, and those that the dead-letter store sends again. A
- * message is in the journal and in the table before its client is answered.
+ * Accepts or rejects messages from clients and redrives from the dead-letter store. A message is in the journal and in
+ * the message table before its client is answered.
  */
 final class MessageAdmission {
-    /** A rejected client may retry after this long. */
+    /** The time after which the client of a rejected message is asked to retry. */
     private static final long RETRY_AFTER_MICROS = 1_000_000;
     /** Redrives are accepted while at most this share of the open-message limit is in use. */
     private static final double MAX_UTILIZATION_FOR_REDRIVE = 0.5;
-    /** A message that may have been unread for longer is rejected; clients wait 400 ms for their answer. */
+    /** A message that may have waited unread for longer is rejected: clients wait 400 ms for their answer. */
     private static final long MAX_UNREAD_MICROS = 400_000;
 
     private final EngineContext context;
@@ -23,7 +23,7 @@
     private final DestinationRegistry destinations;
     private final PolicyEventQueue events;
     private final MessageLifecycle lifecycle;
-    /** Accepted since the last round; their clients are answered at the end of the next one. */
+    /** The messages accepted since the last round, whose clients are answered at the end of the next round. */
     private List<Message> unanswered = new ArrayList<>();
 
     private long nextSequenceNumber;
@@ -49,23 +49,23 @@
             answerDuplicate(duplicate, clientReply);
             return null;
         }
-        // A cached list may lack a destination that exists by now, so this rejects the message instead of failing it.
-        boolean isReachable = destinations.contains(content.destination());
-        // A client whose message was unread for so long may have stopped waiting. The price is that a client that has
-        // only just connected is rejected too.
-        boolean isLate = context.nowMicros() - unreadSinceMicros > MAX_UNREAD_MICROS;
+        // A cached list may lack a destination that was added since, so the message is rejected rather than failed.
+        boolean isDestinationListed = destinations.contains(content.destination());
+        // The client may have stopped waiting by now. The bound on the arrival time is conservative, so a client that
+        // has only just connected is rejected too.
+        boolean mayHaveTimedOut = context.nowMicros() - unreadSinceMicros > MAX_UNREAD_MICROS;
         Message message = new Message(nextSequenceNumber, content);
         if (!destinations.isReady()
                 || context.isQuiescing()
-                || isLate
-                || !isReachable
+                || mayHaveTimedOut
+                || !isDestinationListed
                 || context.deadLetterSink().rejects(content)
                 || messages.openCount() >= context.maxOpenMessages()
                 || !context.journal().recordAccepted(message)) {
             clientReply.rejected(RETRY_AFTER_MICROS);
             return null;
         }
-        message.awaitAnswer(clientReply);
+        message.setClientReply(clientReply);
         unanswered.add(message);
         register(message);
         events.add(message.toAcceptedEvent());
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Answers a client that repeats a request, usually since its connection was closed. The repeat is accepted only
-     * where the first request has been answered, so that it can't be withdrawn any more, and its message is open.
+     * Answers a client that repeats a request, usually because its connection was closed. The repeat is accepted only
+     * if the first request has been answered, so that it can no longer be withdrawn, and its message is still open.
      */
     private static void answerDuplicate(Message duplicate, Message.ClientReply clientReply) {
         if (!duplicate.isClientWaiting() && duplicate.isOpen()) {
--- a/src/main/java/loftflow/engine/MessageLifecycle.java
+++ b/src/main/java/loftflow/engine/MessageLifecycle.java
@@ -4,13 +4,14 @@
 import loftflow.policy.api.MessageWithdrawn;
 
 /**
- * The end of a message's life: deciding its completion, notifying it, storing dead letters and removing the message.
+ * Completes messages: decides and notifies the completion, stores dead letters and removes the message.
  *
- * <p>A message is open until its completion is decided, by {@link Message#completion()} where it is to be notified, or
- * by {@link Message#isDone()} where it is not. It is done once every notice of its completion is acknowledged.
+ * <p>A message is open until its completion is decided. A completion to be notified is set as
+ * {@link Message#completion()}, and the message is done once every notice of it is acknowledged; a message without a
+ * notice is marked {@link Message#isDone()} at once.
  */
 final class MessageLifecycle {
-    /** A message that the policy leaves open is failed so long after its deadline. */
+    /** The time after its deadline at which a message that the policy left open is failed. */
     private static final long OVERDUE_GRACE_MICROS = 200_000;
 
     private static final Message.Completion FAILED = new Message.Completion(Message.Completion.Kind.FAILED, 0);
@@ -31,35 +32,42 @@
         this.events = events;
     }
 
-    /** Fails a message after its deadline should the policy leave it open, as it may after an error in a round. */
+    /**
+     * Starts the timer that fails a message after its deadline if the policy leaves it open, which can happen after an
+     * exception in a round.
+     */
     void startOverdueTimer(Message message) {
         long nowMicros = context.nowMicros();
         long dueMicros = Math.max(nowMicros, message.content().deadlineMicros()) + OVERDUE_GRACE_MICROS;
-        message.startOverdueTimer(
+        message.setOverdueTimer(
                 context.timers().schedule(dueMicros - nowMicros, () -> failOverdue(message, dueMicros)));
     }
 
-    /** The log line tells a loop that was late from a policy that left the message open. */
+    /** Fails an overdue message; the log line shows whether the event loop was late or the policy left it open. */
     private void failOverdue(Message message, long dueMicros) {
         long nowMicros = context.nowMicros();
         context.log("engine: message overdue message=" + message.content().messageId() + " pastDeadlineMillis="
                 + (nowMicros - message.content().deadlineMicros()) / 1000 + " timerLateMillis="
                 + (nowMicros - dueMicros) / 1000 + " attempts=" + message.attemptCount());
-        end(message.number(), FAILED);
+        endUndelivered(message.number(), FAILED);
     }
 
-    /** Fails an open message: whether it took effect is not known. */
+    /** Fails an open message, which may or may not have been executed. */
     void fail(long number) {
-        end(number, FAILED);
+        endUndelivered(number, FAILED);
     }
 
-    /** Rejects an open message, which surely took no effect; see {@link Message.Completion#retryAfterMicros}. */
+    /**
+     * Rejects an open message that is proven not executed.
+     *
+     * @param retryAfterMicros microseconds after which the client may send it again; 0 if not known
+     */
     void reject(long number, long retryAfterMicros) {
-        end(number, new Message.Completion(Message.Completion.Kind.REJECTED, retryAfterMicros));
+        endUndelivered(number, new Message.Completion(Message.Completion.Kind.REJECTED, retryAfterMicros));
     }
 
-    /** Ends a message that is still open, without delivery. */
-    private void end(long number, Message.Completion completion) {
+    /** Ends a message without delivery; has no effect if it is no longer open. */
+    private void endUndelivered(long number, Message.Completion completion) {
         Message message = messages.find(number);
         if (message == null || !message.isOpen()) {
             return;
@@ -84,7 +92,7 @@
                 + message.content().messageId() + " remainingMillis=" + remainingMillis);
     }
 
-    /** The client still waits for its first answer, which then carries the completion. */
+    /** Reports the completion in the answer that the client still waits for; no notice follows. */
     private void answerClient(Message message, Message.Completion completion) {
         message.complete(completion);
         Message.ClientReply clientReply = message.takeClientReply();
@@ -97,13 +105,13 @@
     }
 
     private void notifyUndelivered(Message message, Message.Completion completion) {
-        // A dead letter is retried from the store, so its client must not send it again: it is reported as failed.
+        // A dead letter may be redriven, so its client must not send it again: its completion is always "failed".
         boolean isDeadLetter = context.deadLetterSink().accepts(message);
         decideCompletion(message, isDeadLetter ? FAILED : completion);
         notifyCompletion(message);
     }
 
-    /** Notifies a decided completion; a failed message that the dead-letter sink accepts is stored as well. */
+    /** Notifies a decided completion, and stores a failed message that the dead-letter sink accepts. */
     void notifyCompletion(Message message) {
         boolean isDeadLetter = message.completion().kind() == Message.Completion.Kind.FAILED
                 && context.deadLetterSink().accepts(message);
@@ -114,7 +122,10 @@
         context.completionNotifier().notifyCompletion(message);
     }
 
-    /** The upstream needs nothing more: notifies the completion where the client asked for a reply, else closes. */
+    /**
+     * Ends a message for which the upstream needs no further attempt: notifies its completion if the client requested a
+     * reply, and closes it without a notice otherwise.
+     */
     void finish(Message message, boolean isDelivered) {
         if (message.content().reply() == null) {
             closeWithoutNotice(message);
@@ -126,9 +137,9 @@
         context.completionNotifier().notifyCompletion(message);
     }
 
-    /** Closes a message for which nothing more is owed, not even a notice. */
+    /** Closes a message that needs no further attempt and no notice. */
     void closeWithoutNotice(Message message) {
-        // The timer refers to the message, body included, until it fires or is cancelled.
+        // Until it fires or is cancelled, the timer keeps the message and its body reachable.
         message.cancelOverdueTimer();
         message.markDone();
         messages.decrementOpenCount();
@@ -136,13 +147,13 @@
         messages.removeIfSettled(message);
     }
 
-    /** Ends a redriven message; the dead-letter sink reads the result from its attempts. */
+    /** Ends a redrive; the dead-letter sink reads the result from the attempts of the message. */
     void endRedrive(Message message) {
         decideCompletion(message, FAILED);
         context.deadLetterSink().onRedriveEnded(message);
     }
 
-    /** Decides and records a completion that has still to be acknowledged. */
+    /** Decides a completion that is to be acknowledged, and records it in the journal. */
     private void decideCompletion(Message message, Message.Completion completion) {
         message.complete(completion);
         message.cancelOverdueTimer();
@@ -158,7 +169,7 @@
         }
     }
 
-    /** The completion notifier or the dead-letter sink has acknowledged a completion. */
+    /** Called when the completion notifier or the dead-letter sink has acknowledged a completion. */
     void acknowledge(Message message) {
         if (message.acknowledge()) {
             message.markDone();
--- a/src/main/java/loftflow/engine/MessageTable.java
+++ b/src/main/java/loftflow/engine/MessageTable.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * The messages that this relay is responsible for, by journal number and by message id, and how many of them are open.
- * A message is open until its completion is decided; it stays in the table until nothing more is owed for it and its
- * last attempt has ended.
+ * The messages that this relay is responsible for, by journal number and by message id, and the number of open ones. A
+ * message is open until its completion is decided; it stays in the table until it is done and its last attempt has
+ * ended.
  */
 final class MessageTable {
     private final Map<Long, Message> byNumber = new LinkedHashMap<>();
@@ -19,12 +19,12 @@
         byMessageId.put(message.content().messageId(), message);
     }
 
-    /** The message with that journal number, or null. */
+    /** Returns the message with this journal number, or null. */
     Message find(long number) {
         return byNumber.get(number);
     }
 
-    /** The message with that id, or null. */
+    /** Returns the message with this message id, or null. */
     Message findByMessageId(String messageId) {
         return byMessageId.get(messageId);
     }
@@ -37,7 +37,7 @@
         return byNumber.isEmpty();
     }
 
-    /** Removes a message for which nothing more is owed and that has no attempt in flight. */
+    /** Removes a message if it is done and has no attempt in flight. */
     void removeIfSettled(Message message) {
         if (message.isDone() && !message.hasAttemptsInFlight()) {
             byNumber.remove(message.number());
@@ -45,7 +45,7 @@
         }
     }
 
-    /** How many messages count towards the limit of open ones. */
+    /** Returns how many messages count towards the limit of open messages. */
     int openCount() {
         return openCount;
     }
--- a/src/main/java/loftflow/engine/PolicyActionExecutor.java
+++ b/src/main/java/loftflow/engine/PolicyActionExecutor.java
@@ -65,7 +65,7 @@
         context.upstreamClient().closeIdleConnections(route);
     }
 
-    /** Does nothing: served relays have no connection to each other. */
+    /** Does nothing: relays that serve clients have no connection to each other. */
     @Override
     public void sendToPeer(int relay, byte[] bytes) {}
 
--- a/src/main/java/loftflow/engine/PolicyEventQueue.java
+++ b/src/main/java/loftflow/engine/PolicyEventQueue.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import loftflow.policy.api.PolicyEvent;
 
-/** Collects events for the policy and schedules a round when the first one after a round arrives. */
+/** Collects events for the policy; the first event after a round schedules the next round. */
 final class PolicyEventQueue {
     private final Timers timers;
     private final long roundPeriodMicros;
@@ -15,10 +15,10 @@
     private boolean isRoundScheduled;
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
-     * @param roundPeriodMicros delay from the first event to its round
-     * @param round drains this queue
+     * @param roundPeriodMicros delay from the first event to its round, in microseconds
+     * @param round runs a round, which drains this queue
      */
     PolicyEventQueue(Timers timers, long roundPeriodMicros, Runnable round) {
         this.timers = timers;
@@ -26,7 +26,7 @@
         this.round = round;
     }
 
-    /** Sets who sees each event as it is added. */
+    /** Sets an observer that receives each event as it is added. */
     void setObserver(Consumer<PolicyEvent> eventObserver) {
         observer = eventObserver;
     }
@@ -36,8 +36,8 @@
         observer.accept(event);
         if (!isRoundScheduled) {
             isRoundScheduled = true;
-            // A whole period passes before a client is answered, so that a disconnect that is already in the socket
-            // buffer is read first.
+            // A client is answered only after a whole period, so that a disconnect that is already in the socket buffer
+            // is read first.
             timers.schedule(roundPeriodMicros, round);
         }
     }
--- a/src/main/java/loftflow/engine/RequestClassRegistry.java
+++ b/src/main/java/loftflow/engine/RequestClassRegistry.java
@@ -8,7 +8,7 @@
 import loftflow.policy.api.PolicySettings;
 import loftflow.policy.api.RequestClass;
 
-/** The request classes and tenants that the settings name. */
+/** The request classes and tenants in the settings. */
 final class RequestClassRegistry {
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
@@ -18,12 +18,12 @@
         settings.tenants().forEach(tenant -> tenants.add(tenant.name()));
     }
 
-    /** True where the settings name the class of a message. */
+    /** Returns whether the request class of a message is in the settings. */
     boolean contains(Message message) {
         return classes.containsKey(message.content().requestClass());
     }
 
-    /** True where class and tenant are known and the idempotency key is present if the class needs one. */
+    /** Returns whether class and tenant are known and the idempotency key is present if the class requires one. */
     boolean isValid(Message.Content content) {
         RequestClass requestClass = classes.get(content.requestClass());
         return requestClass != null
@@ -31,7 +31,7 @@
                 && (tenants.isEmpty() || tenants.contains(content.tenant()));
     }
 
-    /** True where messages of this class are delivered in order. */
+    /** Returns whether messages of its class are delivered in order. */
     boolean isOrdered(Message message) {
         RequestClass requestClass = classes.get(message.content().requestClass());
         return requestClass != null && requestClass.ordered();
--- a/src/main/java/loftflow/engine/Timers.java
+++ b/src/main/java/loftflow/engine/Timers.java
@@ -4,10 +4,10 @@
 public interface Timers {
     /** A scheduled task. */
     interface Timer {
-        /** Cancels the task; without effect once it has run. */
+        /** Cancels the task; has no effect once it has run. */
         void cancel();
     }
 
-    /** Runs a task once, after a delay in microseconds. */
+    /** Schedules a task to run once, after a delay in microseconds. */
     Timer schedule(long delayMicros, Runnable task);
 }
--- a/src/main/java/loftflow/engine/UpstreamClient.java
+++ b/src/main/java/loftflow/engine/UpstreamClient.java
@@ -6,19 +6,19 @@
 import loftflow.policy.api.LimitReport;
 
 /**
- * The port through which the engine calls upstreams of any protocol. Every attempt that is sent ends by exactly one
- * call of {@link ResultListener#onAttemptCompleted}, every probe by one of {@link ResultListener#onProbeCompleted};
- * both may be called before {@code send} or {@code probe} returns. An implementation never retries by itself. To be
- * called on the event loop.
+ * The port through which the engine calls upstreams of any protocol. Every attempt that is passed to {@link #send} is
+ * reported by exactly one call of {@link ResultListener#onAttemptCompleted}, and every probe by exactly one call of
+ * {@link ResultListener#onProbeCompleted}; both may be called before {@code send} or {@code probe} returns. An
+ * implementation never retries on its own. To be called on the event loop.
  */
 public interface UpstreamClient {
     /** Receives the results of attempts and probes, on the event loop. */
     interface ResultListener {
         /**
-         * An attempt ended.
+         * Called when an attempt ended.
          *
-         * @param messageClosed the upstream needs nothing more for its message
-         * @param retryAfterMicros how long the upstream requested to be sent nothing; 0 where it did not
+         * @param messageClosed whether the upstream needs no further attempt of the message
+         * @param retryAfterMicros the time for which the upstream asked to receive nothing, in microseconds; 0 if none
          */
         void onAttemptCompleted(
                 Message.Attempt attempt,
@@ -27,16 +27,20 @@
                 long retryAfterMicros,
                 LimitReport limitReport);
 
-        /** An upstream requested to be sent nothing for a while; the call that carried this ends separately. */
+        /**
+         * Called when an upstream asked to receive nothing for a time; the end of the call that carried the request is
+         * reported separately.
+         */
         void onRetryAfter(String route, long retryAfterMicros);
 
-        /** An upstream reported that a message took effect after its attempt had timed out. */
+        /** Called when an upstream reported a message as delivered after its attempt had timed out. */
         void onLateDelivery(Message.Attempt attempt);
 
         /**
-         * A probe ended.
+         * Called when a probe ended.
          *
-         * @param retryAfterMicros how long the upstream requested to be sent nothing; 0 where it did not
+         * @param retryAfterMicros the time for which the upstream asked to receive nothing, in microseconds; 0 if none
+         * @param elapsedMicros the duration of the probe, in microseconds
          */
         void onProbeCompleted(
                 String route,
@@ -50,22 +54,22 @@
      * An attempt to send.
      *
      * @param timeoutMicros how long to wait for the response, in microseconds
-     * @param latestArrivalMicros the latest time at which the upstream may receive it, on the {@link Clock}: an attempt
-     *     that can't arrive by then, because it waits for a connection or is the first on a new one, ends as not sent.
-     *     {@link Long#MAX_VALUE} for no bound
+     * @param latestArrivalMicros the latest time on the {@link Clock} at which the upstream may receive the attempt; an
+     *     attempt that can't arrive by then, because it waits for a connection or is the first on a new one, ends as
+     *     not sent; {@link Long#MAX_VALUE} for no bound
      */
     record OutboundAttempt(Message.Attempt attempt, long timeoutMicros, long latestArrivalMicros) {}
 
-    /** An endpoint list was received; endpoints that drain or are gone are sent nothing new from now on. */
+    /** Called when an endpoint list was received; draining and removed endpoints are sent no new attempt after it. */
     void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints);
 
     /** Sends the attempts of one round to one route, in as few calls as the protocol allows. */
     void send(String route, List<OutboundAttempt> attempts);
 
-    /** Cancels an attempt; without effect where it has ended. */
+    /** Cancels an attempt; has no effect if it has ended. */
     void cancel(Message.Attempt attempt);
 
-    /** Sends a health check to a route; it counts as a call there. */
+    /** Sends a probe to a route; it counts as a call towards the limits of that route. */
     void probe(String route);
 
     /** Closes idle connections to a route. */
