--- a/src/main/java/loftflow/journal/Journal.java
+++ b/src/main/java/loftflow/journal/Journal.java
@@ -17,34 +17,37 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * The write-ahead log of accepted messages in one segment of records, each with its length and checksum. When enough of
- * the segment belongs to finished messages, a compaction writes the records of open ones to a new segment that replaces
- * it.
+ * The write-ahead log of accepted messages: one segment of records, each with its length and checksum. Once the records
+ * of finished messages take enough of the segment, a compaction writes those of the open messages to a new segment that
+ * replaces it.
  *
- * <p>Invariants: the segment holds whole records only; each open message can be restored from it; the folder takes at
- * most half of the disk, plus a new segment during a compaction. Opening replays the segment and removes a torn tail.
- * Not safe for use by several threads.
+ * <p>Invariants: the segment contains only whole records; every open message can be restored from it; the folder uses
+ * at most half of the disk, plus a new segment during a compaction. Opening replays the segment and truncates a torn
+ * tail. Not thread-safe.
  */
 public final class Journal implements WriteAheadLog, AutoCloseable {
-    /** Share of the disk that the records of open messages may take when one more is accepted. */
+    /** Share of the disk that the records of open messages, including a new one, may use for it to be accepted. */
     private static final double MAX_OPEN_SHARE = 0.3;
-    /** Share of the disk that the records of finished messages may take before a compaction. */
+    /** Share of the disk that the records of finished messages may use before a compaction is due. */
     private static final double MAX_FINISHED_SHARE = 0.1;
-    /** Share of the disk that the segment may take by records that add work: accepted messages and attempts. */
+    /** Share of the disk up to which the segment takes records that add work: accepted messages and attempts. */
     private static final double MAX_SEGMENT_SHARE = 0.45;
-    /** Share of the disk that the segment may take in all, so that work can be completed without a compaction. */
+    /**
+     * Share of the disk up to which the segment takes outcomes, completions and done records. It is larger, so that
+     * work can be completed without a compaction.
+     */
     private static final double MAX_SEGMENT_SHARE_FOR_COMPLETION = 0.5;
 
     private static final long COMPACTION_RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** The route of an attempt that is known only to have been possible. */
+    /** The route of an attempt whose record is missing or unreadable. */
     private static final String UNKNOWN_ROUTE = "";
 
     private static final int MAX_ATTEMPTS = 10_000;
 
     private static final class OpenMessage {
         final Message message;
-        /** Bytes of all its records in the segment. */
+        /** Total size of its records in the segment, in bytes. */
         long recordBytes;
 
         OpenMessage(Message message, long recordBytes) {
@@ -55,21 +58,22 @@
 
     private final JournalFolder folder;
     private final long diskBytes;
-    /** By number, in the order accepted. */
+    /** By message number, in order of acceptance. */
     private final Map<Long, OpenMessage> openMessages = new LinkedHashMap<>();
 
     private JournalSegment segment;
     private long openBytes;
     private long lastNumber;
-    /** Set for good where a partly written record could not be removed. */
+    /** Set permanently if a partly written record could not be truncated: nothing more is appended then. */
     private boolean isBroken;
 
     private long nextCompactionNanos = System.nanoTime();
 
     /**
-     * Opens the journal of a folder, which is created where it is missing, and replays it.
+     * Opens and replays the journal in a folder; creates the folder if it does not exist.
      *
-     * @param diskBytes space of which the journal takes its shares
+     * @param diskBytes disk space, in bytes, of which the limits of the journal are shares
+     * @throws IOException if the folder or its segment can't be read or written
      */
     public Journal(Path folder, long diskBytes) throws IOException {
         this.folder = new JournalFolder(folder);
@@ -118,7 +122,7 @@
     public void recordDone(Message message) {
         boolean isRecorded = appendFor(message, JournalRecordCodec.done(message), MAX_SEGMENT_SHARE_FOR_COMPLETION);
         boolean wasOpen = removeOpen(message.number());
-        // A finished message without a record would be restored as open; a compaction leaves it out.
+        // A finished message whose done record was not written would be restored as open; a compaction removes it.
         boolean isCompactionDue =
                 wasOpen && !isRecorded || segment.sizeBytes() - openBytes > MAX_FINISHED_SHARE * diskBytes;
         if (isCompactionDue && System.nanoTime() - nextCompactionNanos >= 0) {
@@ -131,7 +135,7 @@
         segment.close();
     }
 
-    /** Appends a record of a message; false where the message is not open or the record is not written. */
+    /** Appends a record of a message; returns false if the message is not open or the record was not written. */
     private boolean appendFor(Message message, byte[] record, double maxShare) {
         OpenMessage open = openMessages.get(message.number());
         if (open == null || !append(record, maxShare)) {
@@ -161,7 +165,7 @@
         return true;
     }
 
-    /** Appends a record whole or, where the segment or the disk is full or the disk fails, not at all. */
+    /** Appends a whole record, or nothing if the segment or the disk is full or the write fails. */
     private boolean append(byte[] record, double maxShare) {
         if (isBroken || segment.sizeBytes() + record.length > maxShare * diskBytes) {
             return false;
@@ -185,7 +189,7 @@
         }
     }
 
-    /** Replaces the segment by one that holds the records of open messages only. */
+    /** Replaces the segment with one that contains only the records of open messages. */
     private void compact() {
         Map<OpenMessage, Integer> sizes = new LinkedHashMap<>();
         try {
@@ -222,7 +226,7 @@
         }
     }
 
-    /** Applies a whole record, or skips one that can't be read: the records behind it hold all the same. */
+    /** Applies a record, or skips it if its payload can't be decoded; the records after it remain valid. */
     private void replay(byte[] payload, long position) {
         long number = 0;
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(payload))) {
@@ -243,7 +247,8 @@
                     + " message=" + number + " error=" + e);
             OpenMessage open = openMessages.get(number);
             if (open != null) {
-                // The record may have been an attempt; without one, the message could be sent twice.
+                // The skipped record may have been of an attempt. Without that attempt, a message that is not
+                // idempotent could be sent twice.
                 open.message.addAttempt(UNKNOWN_ROUTE, 0);
             }
         }
@@ -253,7 +258,7 @@
         if (update instanceof MessageUpdate.AttemptStarted started) {
             applyAttemptStarted(started, message);
         } else if (update instanceof MessageUpdate.AttemptEnded ended) {
-            // An attempt whose time was up before it could be sent has an outcome and no other record.
+            // An attempt that was not sent because the deadline had passed has only an outcome record.
             addUnrecordedAttempts(message, ended.number() + 1, UNKNOWN_ROUTE, 0);
             message.attempts().get(ended.number()).outcome(ended.outcome());
         } else if (update instanceof MessageUpdate.CompletionDecided decided) {
@@ -275,8 +280,8 @@
     }
 
     /**
-     * Adds attempts that could not be recorded, as the disk failed, up to a count. They were not sent, but those behind
-     * them are recorded by their numbers.
+     * Adds attempts without a record, up to a count. They could not be recorded and therefore were not sent, but the
+     * numbers of later attempts include them.
      */
     private static void addUnrecordedAttempts(Message message, int count, String route, long sentAtMicros)
             throws IOException {
--- a/src/main/java/loftflow/journal/JournalFolder.java
+++ b/src/main/java/loftflow/journal/JournalFolder.java
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /**
- * The segment files of a journal. One segment is in use; during a compaction the next one is written beside it under
- * another name and gets its own in one step once it is whole, so the newest segment is whole at any time.
+ * The segment files of a journal. One segment is in use. A compaction writes the next one to a temporary file and
+ * renames it atomically once it is complete, so the newest segment is complete at any time.
  */
 final class JournalFolder {
     private static final String SEGMENT_NAME = "journal-%010d.log";
     private static final String SEGMENT_PATTERN = "journal-\\d{10}\\.log";
-    private static final String UNFINISHED_NAME = "journal.new";
+    private static final String TEMPORARY_NAME = "journal.new";
 
     private final Path folder;
 
@@ -23,15 +23,15 @@
         this.folder = folder;
     }
 
-    /** Opens the newest segment, or a first one. Older ones and an unfinished compaction are removed. */
+    /** Opens the newest segment, or creates the first one; deletes older segments and an unfinished compaction. */
     JournalSegment openNewest() throws IOException {
         Files.createDirectories(folder);
-        Files.deleteIfExists(unfinished());
+        Files.deleteIfExists(temporaryFile());
         List<Path> segments = segments();
         if (segments.isEmpty()) {
             return JournalSegment.open(segment(0), 0);
         }
-        // The process may have ended after a compaction and before the removal of the segment that it replaced.
+        // An older segment remains if the process ended between a compaction and the deletion of the replaced segment.
         Path newest = segments.get(segments.size() - 1);
         for (Path older : segments.subList(0, segments.size() - 1)) {
             Files.delete(older);
@@ -39,31 +39,31 @@
         return JournalSegment.open(newest, number(newest));
     }
 
-    /** Appends the whole content of a new segment. */
-    interface Content {
+    /** Appends the complete content of a new segment. */
+    interface ContentWriter {
         void writeTo(JournalSegment segment) throws IOException;
     }
 
     /**
-     * Writes the segment that is to replace another one.
+     * Writes the segment that is to replace the current one.
      *
-     * @throws IOException where the disk is full or fails; nothing of the new segment is left then
+     * @throws IOException if the disk is full or a write fails; no part of the new segment remains then
      */
-    JournalSegment writeNext(JournalSegment current, Content content) throws IOException {
+    JournalSegment writeNext(JournalSegment current, ContentWriter content) throws IOException {
         long number = current.number() + 1;
         FileChannel channel = FileChannel.open(
-                unfinished(),
+                temporaryFile(),
                 StandardOpenOption.CREATE,
                 StandardOpenOption.TRUNCATE_EXISTING,
                 StandardOpenOption.WRITE);
         try {
             JournalSegment next = new JournalSegment(channel, segment(number), number);
             content.writeTo(next);
-            Files.move(unfinished(), next.path(), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(temporaryFile(), next.path(), StandardCopyOption.ATOMIC_MOVE);
             return next;
         } catch (IOException e) {
             channel.close();
-            Files.deleteIfExists(unfinished());
+            Files.deleteIfExists(temporaryFile());
             throw e;
         }
     }
@@ -76,8 +76,8 @@
         }
     }
 
-    private Path unfinished() {
-        return folder.resolve(UNFINISHED_NAME);
+    private Path temporaryFile() {
+        return folder.resolve(TEMPORARY_NAME);
     }
 
     private Path segment(long number) {
--- a/src/main/java/loftflow/journal/JournalRecordCodec.java
+++ b/src/main/java/loftflow/journal/JournalRecordCodec.java
@@ -13,12 +13,12 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * The stored form of the journal's records. A payload begins with a byte for the record type and the number of the
- * message; strings are in the form of {@link DataOutputStream#writeUTF}, and each nullable one follows a boolean that
- * is true where it is present.
+ * Encodes and decodes the records of the journal. A payload begins with a byte for the record type and the number of
+ * the message. Strings are encoded by {@link DataOutputStream#writeUTF}; a nullable string follows a boolean that is
+ * true if it is present.
  *
- * <p>The forms, type codes and completion codes never change: a folder outlasts the build that wrote it, in both
- * directions.
+ * <p>The formats, type codes and completion codes must never change: a journal is read by newer and, after a downgrade,
+ * by older builds than the one that wrote it.
  */
 final class JournalRecordCodec {
     private static final int ACCEPTED = 1;
@@ -26,23 +26,23 @@
     private static final int ATTEMPT_ENDED = 3;
     private static final int COMPLETION_DECIDED = 4;
     private static final int DONE = 5;
-    /** A redriven dead letter. Holds its past attempts too, as one must not be stored without the others. */
+    /** A redriven dead letter with its past attempts, in one record so that neither is ever stored alone. */
     private static final int REDRIVEN = 6;
-    /** Accepted from a client that requested a reply; holds its destination. */
+    /** Accepted from a client that requested a reply; includes the {@link Message.Reply}. */
     private static final int ACCEPTED_FOR_REPLY = 7;
     /** Accepted with an ordering key other than the idempotency key. */
     private static final int ACCEPTED_WITH_ORDERING_KEY = 8;
 
-    /** Space for the header, which {@link RecordFile#seal} fills in. */
+    /** Placeholder for the header, which {@link RecordFile#seal} fills in. */
     private static final byte[] EMPTY_HEADER = new byte[RecordFile.HEADER_BYTES];
 
     private static final int COMPLETION_FAILED = 0;
     private static final int COMPLETION_REJECTED = 1;
     private static final int COMPLETION_DELIVERED = 2;
 
-    /** What every payload begins with. */
+    /** The start of every payload. */
     record Header(int type, long messageNumber) {
-        /** True where the record holds a whole message. */
+        /** Returns whether the record contains a whole message. */
         boolean isAccepted() {
             return type == ACCEPTED
                     || type == REDRIVEN
@@ -57,7 +57,7 @@
 
     private JournalRecordCodec() {}
 
-    /** The record of a message with its content and, for a redriven dead letter, its attempts so far. */
+    /** Returns the record of a message with its content and, for a redriven dead letter, its attempts so far. */
     static byte[] accepted(Message message) {
         int type = acceptedType(message);
         return record(type, message, out -> {
@@ -82,7 +82,7 @@
         return message.content().orderingKey() != null ? ACCEPTED_WITH_ORDERING_KEY : ACCEPTED;
     }
 
-    /** The record of an attempt that is about to be sent. */
+    /** Returns the record of an attempt that is about to be sent. */
     static byte[] attemptStarted(Message.Attempt attempt) {
         return record(ATTEMPT_STARTED, attempt.message(), out -> {
             out.writeInt(attempt.number());
@@ -91,7 +91,7 @@
         });
     }
 
-    /** The record of an attempt's outcome, which must be known. */
+    /** Returns the record of an attempt's outcome, which must not be null. */
     static byte[] attemptEnded(Message.Attempt attempt) {
         return record(ATTEMPT_ENDED, attempt.message(), out -> {
             out.writeInt(attempt.number());
@@ -99,7 +99,7 @@
         });
     }
 
-    /** The record of a message's completion, which must be decided. */
+    /** Returns the record of a message's completion, which must not be null. */
     static byte[] completionDecided(Message message) {
         return record(COMPLETION_DECIDED, message, out -> {
             out.writeByte(code(message.completion().kind()));
@@ -107,16 +107,16 @@
         });
     }
 
-    /** The record after which nothing is owed for a message. */
+    /** Returns the record that marks a message as done. */
     static byte[] done(Message message) {
         return record(DONE, message, out -> {});
     }
 
-    /** All records that together restore an open message, in order. */
+    /** Returns all records that are needed to restore an open message, in order. */
     static byte[] all(Message message) {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         records.writeBytes(accepted(message));
-        // The accepted record of a redriven dead letter holds its attempts.
+        // The accepted record of a redriven dead letter includes its attempts.
         if (message.deadLetterId() == 0) {
             for (Message.Attempt attempt : message.attempts()) {
                 records.writeBytes(attemptStarted(attempt));
@@ -180,9 +180,9 @@
     }
 
     /**
-     * Reads the start of a payload; the rest follows by {@link #readAccepted} or {@link #readUpdate}.
+     * Reads the start of a payload; {@link #readAccepted} or {@link #readUpdate} reads the rest.
      *
-     * @throws IOException where the payload is too short
+     * @throws IOException if the payload is too short
      */
     static Header readHeader(DataInputStream in) throws IOException {
         int type = in.readByte();
@@ -190,10 +190,10 @@
     }
 
     /**
-     * Reads the rest of a record that {@link Header#isAccepted holds a whole message}.
+     * Reads the rest of a record that {@link Header#isAccepted contains a whole message}.
      *
-     * @throws IOException where the payload is too short
-     * @throws IllegalArgumentException where the outcome of a past attempt is unknown
+     * @throws IOException if the payload is too short
+     * @throws IllegalArgumentException if the outcome code of a past attempt is unknown
      */
     static Message readAccepted(Header header, DataInputStream in) throws IOException {
         return switch (header.type()) {
@@ -211,10 +211,10 @@
     }
 
     /**
-     * Reads the rest of a record that changes a message.
+     * Reads the rest of a record that updates a message.
      *
-     * @throws IOException where the payload is too short, or its type or completion is unknown
-     * @throws IllegalArgumentException where the outcome of an attempt is unknown
+     * @throws IOException if the payload is too short, or its type or completion code is unknown
+     * @throws IllegalArgumentException if the outcome code of an attempt is unknown
      */
     static MessageUpdate readUpdate(Header header, DataInputStream in) throws IOException {
         return switch (header.type()) {
@@ -275,7 +275,7 @@
             case COMPLETION_FAILED -> Message.Completion.Kind.FAILED;
             case COMPLETION_REJECTED -> Message.Completion.Kind.REJECTED;
             case COMPLETION_DELIVERED -> Message.Completion.Kind.DELIVERED;
-            default -> throw new IOException("unknown completion " + code);
+            default -> throw new IOException("unknown completion code " + code);
         };
     }
 }
--- a/src/main/java/loftflow/journal/JournalSegment.java
+++ b/src/main/java/loftflow/journal/JournalSegment.java
@@ -8,8 +8,8 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * One file of the journal: records behind one another. Appending needs no sync: what was written outlasts the process,
- * and nothing outlasts the machine.
+ * One file of the journal: a sequence of records. Appending does not sync the file: what is written survives the end
+ * of the process, and the journal need not survive the loss of the machine.
  */
 final class JournalSegment implements AutoCloseable {
     private final FileChannel channel;
@@ -17,14 +17,14 @@
     private final long number;
     private long sizeBytes;
 
-    /** An empty segment, written by {@code channel}, whose file stands at {@code path} once it is in use. */
+    /** Creates an empty segment that is written through {@code channel}; its file is at {@code path} once in use. */
     JournalSegment(FileChannel channel, Path path, long number) {
         this.channel = channel;
         this.path = path;
         this.number = number;
     }
 
-    /** Opens a file, or creates an empty one. Its records count from {@link #readRecord} on. */
+    /** Opens or creates a file; its records count towards {@link #sizeBytes} once {@link #readRecord} has read them. */
     static JournalSegment open(Path path, long number) throws IOException {
         FileChannel channel =
                 FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
@@ -35,22 +35,22 @@
         return path;
     }
 
-    /** Counts the segments of a folder; each compaction begins the next one. */
+    /** Returns the number of the segment in its folder; each compaction starts the next one. */
     long number() {
         return number;
     }
 
-    /** Bytes of whole records. */
+    /** Returns the total size of the whole records that were read or appended, in bytes. */
     long sizeBytes() {
         return sizeBytes;
     }
 
-    /** Everything that the file holds, for {@link #readRecord}. */
+    /** Returns the content of the file, for {@link #readRecord}. */
     ByteBuffer readAll() throws IOException {
         return RecordFile.readAll(channel);
     }
 
-    /** The payload of the next whole record of {@link #readAll}, or null at the end and where a record is torn. */
+    /** Returns the payload of the next record of {@link #readAll}; null at the end or if the next record is torn. */
     byte[] readRecord(ByteBuffer all) {
         byte[] payload = RecordFile.readNext(all);
         if (payload != null) {
@@ -59,7 +59,7 @@
         return payload;
     }
 
-    /** Bytes in the file behind the last whole record. */
+    /** Returns the size of the part of the file after the last whole record, in bytes. */
     long tailBytes() throws IOException {
         return channel.size() - sizeBytes;
     }
@@ -67,7 +67,7 @@
     /**
      * Appends a record.
      *
-     * @throws IOException where the disk is full or fails; part of the record may then follow the whole ones until
+     * @throws IOException if the disk is full or the write fails; part of the record may then remain in the file until
      *     {@link #truncateTail}
      */
     void append(byte[] record) throws IOException {
@@ -75,7 +75,7 @@
         sizeBytes += record.length;
     }
 
-    /** Removes what stands behind the last whole record: records behind a torn one could not be replayed. */
+    /** Truncates the file after the last whole record: records after a torn one could not be replayed. */
     void truncateTail() throws IOException {
         channel.truncate(sizeBytes);
     }
--- a/src/test/java/loftflow/journal/JournalRecordCodecTest.java
+++ b/src/test/java/loftflow/journal/JournalRecordCodecTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The stored form of records; that of whole messages is covered by the tests of the journal. */
+/** Encoding and decoding of journal records; {@code JournalTest} covers records of whole messages. */
 class JournalRecordCodecTest {
     private static Message message() {
         return new Message(5, new Message.Content("id", "safe", null, null, 123, 7, new byte[2]));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void updatesAreReadAsTheyAreWritten() throws IOException {
+    void updatesAreReadAsWritten() throws IOException {
         Message message = message();
         Message.Attempt attempt = message.addAttempt("r1", 50);
         assertEquals(
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void unknownCodesAreRefused() {
+    void unknownCodesAreRejected() {
         Message message = message();
         message.complete(new Message.Completion(Message.Completion.Kind.FAILED, 0));
         byte[] unknownCompletion = JournalRecordCodec.completionDecided(message);
@@ -67,9 +67,9 @@
         assertThrows(IOException.class, () -> readUpdate(unknownType));
     }
 
-    /** A record of a redriven dead letter holds its attempts, so no others follow it. */
+    /** The accepted record of a redriven dead letter includes its attempts, so no attempt records follow it. */
     @Test
-    void allRecordsOfAMessageRestoreIt() {
+    void allReturnsEveryRecordOfAMessage() {
         Message redriven = new Message(5, message().content(), 42);
         redriven.addAttempt("r1", 50);
         assertEquals(1, recordsIn(JournalRecordCodec.all(redriven)));
--- a/src/test/java/loftflow/journal/JournalTest.java
+++ b/src/test/java/loftflow/journal/JournalTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void completionsAreRecordedWhereNoMoreAttemptsAre() throws IOException {
+    void completionsAreRecordedAfterTheLimitForAttemptsIsReached() throws IOException {
         try (Journal journal = new Journal(folder, DISK_BYTES)) {
             List<Message> messages = new ArrayList<>();
             for (int i = 1; i <= 100; i++) {
@@ -100,7 +100,10 @@
                 open.get(1).completion());
     }
 
-    /** The records behind a whole one of an unknown type are replayed; its own message may have been sent. */
+    /**
+     * A record of an unknown type is skipped, and the records after it are replayed. The message of the skipped record
+     * may have been sent, so it gets an attempt of unknown outcome.
+     */
     @Test
     void recordOfAnUnknownTypeIsSkipped() throws IOException {
         try (Journal journal = new Journal(folder, DISK_BYTES)) {
@@ -114,12 +117,12 @@
         List<Message> open = reopened();
         assertEquals(List.of(1L, 2L, 3L), open.stream().map(Message::number).toList());
         assertEquals(1, open.get(0).attempts().size());
-        assertNull(open.get(0).attempts().get(0).outcome(), "it may have been an attempt");
+        assertNull(open.get(0).attempts().get(0).outcome(), "the skipped record may have been an attempt");
         assertTrue(open.get(1).attempts().isEmpty());
     }
 
     @Test
-    void tornTailIsTruncatedAndAppendsGoOn() throws IOException {
+    void tornTailIsTruncatedAndLaterRecordsAreAppended() throws IOException {
         try (Journal journal = new Journal(folder, DISK_BYTES)) {
             journal.recordAccepted(message(1, 10));
             journal.recordAccepted(message(2, 1000));
@@ -145,7 +148,7 @@
     }
 
     @Test
-    void folderStaysWithinItsLimitWithTheLargestBodies() throws IOException {
+    void folderStaysWithinItsDiskShareWithTheLargestBodies() throws IOException {
         ArrayDeque<Message> open = new ArrayDeque<>();
         int rejected = 0;
         long maxBytes = 0;
@@ -163,7 +166,7 @@
             }
         }
         assertTrue(rejected > 100, "rejected: " + rejected);
-        // During a compaction the new segment, no larger than the records of open messages, is beside the old one.
+        // During a compaction, the folder also contains the new segment, which holds only records of open messages.
         assertTrue(maxBytes < 0.5 * DISK_BYTES, "bytes on disk: " + maxBytes);
         assertEquals(
                 open.stream().map(m -> m.number()).toList(),
@@ -171,7 +174,7 @@
     }
 
     @Test
-    void unrecordedAttemptLeavesTheNumbersOfLaterOnes() throws IOException {
+    void unrecordedAttemptDoesNotShiftTheNumbersOfLaterAttempts() throws IOException {
         try (Journal journal = new Journal(folder, DISK_BYTES)) {
             Message message = message(1, 10);
             journal.recordAccepted(message);
@@ -184,11 +187,11 @@
     }
 
     /**
-     * An attempt whose time is up before it is recorded has an outcome and no other record. The records behind it are
-     * replayed.
+     * An attempt that is not sent because the deadline has passed has only an outcome record. The records after it must
+     * still be replayed.
      */
     @Test
-    void recordsBehindTheOutcomeOfAnUnrecordedAttemptAreReplayed() throws IOException {
+    void recordsAfterTheOutcomeOfAnUnrecordedAttemptAreReplayed() throws IOException {
         try (Journal journal = new Journal(folder, DISK_BYTES)) {
             Message first = message(1, 10);
             assertTrue(journal.recordAccepted(first));
@@ -223,7 +226,7 @@
     }
 
     @Test
-    void messageIsRejectedWhereTheDiskIsFull() throws IOException {
+    void messageIsRejectedIfTheDiskIsFull() throws IOException {
         Path full = Path.of("/dev/full");
         assumeTrue(Files.exists(full));
         Files.createSymbolicLink(folder.resolve("journal-0000000000.log"), full);
@@ -265,6 +268,7 @@
                 }
             }
         }
-        assertTrue(!segment().getFileName().toString().equals("journal-0000000000.log"), "it was compacted");
+        assertTrue(
+                !segment().getFileName().toString().equals("journal-0000000000.log"), "the journal was not compacted");
     }
 }
