--- a/src/main/java/loftflow/completion/CompletionLog.java
+++ b/src/main/java/loftflow/completion/CompletionLog.java
@@ -15,13 +15,13 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * Reports completions other than delivery in a file of JSON Lines, for relays without a platform. Once the file has
- * half of its share of the disk it is renamed to {@code ends.jsonl.1}, in the place of an earlier one. A completion
- * that can't be written stays unacknowledged: it is written before the next one, or after a restart. To be called on
- * the event loop.
+ * Writes completions other than delivery to a file in JSON Lines format, for relays without a platform. Once the file
+ * uses half of the log's share of the disk, it is rotated to {@code ends.jsonl.1}, replacing the previous one. A
+ * completion that can't be written remains unacknowledged: it is written before the next one, or after a restart. To be
+ * called on the event loop.
  */
 public final class CompletionLog implements CompletionNotifier {
-    /** The part of the disk that both files together may take is one in so many. */
+    /** The fraction of the disk that both files together may use is 1 / {@value}. */
     public static final int DISK_DIVISOR = 20;
 
     private static final String NAME = "ends.jsonl";
@@ -34,10 +34,10 @@
     private final ArrayDeque<Message> unwritten = new ArrayDeque<>();
 
     /**
-     * A log in a folder.
+     * Creates a log in a folder.
      *
-     * @param maxBytes what the file and the rotated one may take together
-     * @param onAcknowledged receives each message once its completion is written
+     * @param maxBytes the total size that the file and the rotated file may reach, in bytes
+     * @param onAcknowledged receives each message once its completion has been written
      */
     public CompletionLog(Path folder, long maxBytes, Consumer<Message> onAcknowledged) {
         file = folder.resolve(NAME);
--- a/src/main/java/loftflow/completion/CompletionNoticeCodec.java
+++ b/src/main/java/loftflow/completion/CompletionNoticeCodec.java
@@ -10,20 +10,20 @@
 import loftflow.protocol.CompletionProtocol;
 
 /**
- * The protocol's form of a completion: one JSON object a line. A notice to the platform says which message ended and
- * how; a line of the completion log says of what class it was, for which destination and after how many attempts too.
- * A message must have its completion.
+ * Encodes completions as JSON objects, one per line. A notice to the platform contains the message id and the result; a
+ * line of the completion log also contains the request class, the destination and the number of attempts. The
+ * completion of the message must not be null.
  */
 final class CompletionNoticeCodec {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private interface Fields {
+    private interface FieldWriter {
         void write(JsonGenerator json) throws IOException;
     }
 
     private CompletionNoticeCodec() {}
 
-    /** A notice to the platform, with its line end. */
+    /** Returns a notice to the platform, including the line end. */
     static String notice(Message message) {
         return line(json -> {
             writeMessageId(json, message);
@@ -31,7 +31,7 @@
         });
     }
 
-    /** A line of the completion log, with its line end. */
+    /** Returns a line of the completion log, including the line end. */
     static String logLine(Message message) {
         return line(json -> {
             writeMessageId(json, message);
@@ -45,7 +45,7 @@
         });
     }
 
-    private static String line(Fields fields) {
+    private static String line(FieldWriter fields) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
--- a/src/main/java/loftflow/completion/HttpCompletionNotifier.java
+++ b/src/main/java/loftflow/completion/HttpCompletionNotifier.java
@@ -16,11 +16,11 @@
 import loftflow.protocol.CompletionProtocol;
 
 /**
- * Reports completions other than delivery to the platform, in batches and one request at a time, and retries each until
- * it is acknowledged. To be used on the event loop.
+ * Reports completions other than delivery to the platform, in batches and one request at a time, and retries each
+ * notice until it is acknowledged. To be used on the event loop.
  *
- * <p>The platform rejects a batch as a whole when it can't read one notice of it. The batch is then halved until the
- * notice is alone, which is dropped; successful requests double the batch again.
+ * <p>The platform rejects a whole batch if it can't parse one of its notices. The batch size is then halved until the
+ * malformed notice is alone in its batch and is dropped; each successful request doubles the batch size again.
  */
 public final class HttpCompletionNotifier implements CompletionNotifier {
     private static final int MAX_BATCH_SIZE = 100;
@@ -34,19 +34,19 @@
     private final AgentConnection connection;
     private final Consumer<Message> onAcknowledged;
     private final Runnable onUnreachable;
-    /** In the order completed; the first ones are those of the request that is out. */
+    /** In order of completion; while a request is in flight, its messages are the first ones. */
     private final ArrayDeque<Message> unacknowledged = new ArrayDeque<>();
 
-    /** True from the first message on until none is unacknowledged. */
+    /** True while any message is unacknowledged: a request is in flight, or the next one is scheduled. */
     private boolean isPosting;
 
     private int batchSize = MAX_BATCH_SIZE;
 
     /**
-     * A notifier that has no connection yet.
+     * Creates a notifier that has no connection yet.
      *
      * @param onAcknowledged receives each message once the platform has acknowledged its completion
-     * @param onUnreachable runs each {@value #CONNECTION_CHECK_MILLIS} ms while there is no connection to the platform
+     * @param onUnreachable runs every {@value #CONNECTION_CHECK_MILLIS} ms while there is no connection to the platform
      */
     public HttpCompletionNotifier(
             EventLoop loop, InetSocketAddress address, Consumer<Message> onAcknowledged, Runnable onUnreachable) {
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Holds a connection open from now on. An agent that is about to move serves the connections that it has and
-     * accepts no new one; a notice that had to wait for the new address would be late.
+     * Opens a connection and keeps it open. An agent that is about to move to another address still serves its open
+     * connections but accepts no new ones, and a notice that had to wait for the new address would be late.
      */
     public void start() {
         connection.open();
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Sends notices to another address from now on, also those that are not acknowledged yet. */
+    /** Changes the platform's address for all later requests, including those for unacknowledged notices. */
     public void moveTo(InetSocketAddress address) {
         connection.moveTo(address);
     }
@@ -104,21 +104,21 @@
 
     private void onResponse(List<Message> batch, int status) {
         boolean isAccepted = status / 100 == 2;
-        boolean isUnreadable = status == STATUS_BAD_REQUEST;
+        boolean isMalformed = status == STATUS_BAD_REQUEST;
         if (isAccepted) {
             batchSize = Math.min(MAX_BATCH_SIZE, 2 * batchSize);
             acknowledge(batch);
-        } else if (isUnreadable && batch.size() > 1) {
+        } else if (isMalformed && batch.size() > 1) {
             batchSize = batch.size() / 2;
-        } else if (isUnreadable) {
-            // Retried for ever, it would block all notices behind it.
+        } else if (isMalformed) {
+            // If it were retried, it would block all later notices.
             Log.line("completion: notice rejected and dropped message="
                     + batch.get(0).content().messageId());
             acknowledge(batch);
         }
         if (unacknowledged.isEmpty()) {
             isPosting = false;
-        } else if (isAccepted || isUnreadable) {
+        } else if (isAccepted || isMalformed) {
             post();
         } else {
             loop.schedule(this::post, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
@@ -130,7 +130,7 @@
         batch.forEach(this::reportAcknowledged);
     }
 
-    /** A failure of one message must not end the notices of all later ones. */
+    /** Reports an acknowledgement; an exception for one message must not stop the notices of later ones. */
     private void reportAcknowledged(Message message) {
         try {
             onAcknowledged.accept(message);
--- a/src/test/java/loftflow/completion/CompletionNoticeCodecTest.java
+++ b/src/test/java/loftflow/completion/CompletionNoticeCodecTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The protocol's form of completions (PROTOCOL, Notices). */
+/** The JSON encoding of completions: {@code ref}, {@code result} and, for a rejected message, {@code wait_ms}. */
 class CompletionNoticeCodecTest {
     private static Message completed(Message.Completion.Kind kind, long retryAfterMicros) {
         Message message =
@@ -16,7 +16,7 @@
         return message;
     }
 
-    /** Only a rejection holds a time to retry after. */
+    /** Only the notice of a rejected message contains a Retry-After time, in whole milliseconds. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -28,14 +28,14 @@
                 "REJECTED  | 500999 | \"result\":\"bounced\",\"wait_ms\":500",
                 "DELIVERED | 0       | \"result\":\"done\""
             })
-    void noticeHoldsMessageAndResult(Message.Completion.Kind kind, long retryAfterMicros, String result) {
+    void noticeContainsMessageIdAndResult(Message.Completion.Kind kind, long retryAfterMicros, String result) {
         assertEquals(
                 "{\"ref\":\"9b1f03aa5c7e2d41\"," + result + "}\n",
                 CompletionNoticeCodec.notice(completed(kind, retryAfterMicros)));
     }
 
     @Test
-    void logLineHoldsClassDestinationAndAttemptsToo() {
+    void logLineAlsoContainsClassDestinationAndAttempts() {
         Message message = completed(Message.Completion.Kind.REJECTED, 500_000);
         message.addAttempt("h1", 5);
         assertEquals(
--- a/src/test/java/loftflow/completion/HttpCompletionNotifierTest.java
+++ b/src/test/java/loftflow/completion/HttpCompletionNotifierTest.java
@@ -28,21 +28,21 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Notices to the platform, where it is unreachable, slow or can't read them. */
+/** Notices to a platform that is unreachable, slow or rejects a notice as malformed. */
 class HttpCompletionNotifierTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
 
     @AfterEach
-    void end() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private static InetSocketAddress at(ScriptedPeer peer) {
+    private static InetSocketAddress addressOf(ScriptedPeer peer) {
         return new InetSocketAddress("127.0.0.1", peer.port());
     }
 
-    /** A notifier that adds the id of each acknowledged message to a list. */
+    /** Creates a notifier that adds the id of each acknowledged message to a list. */
     private HttpCompletionNotifier notifier(InetSocketAddress platform, List<String> acknowledged) {
         return new HttpCompletionNotifier(
                 loop, platform, message -> acknowledged.add(message.content().messageId()), () -> {});
@@ -54,7 +54,7 @@
             List<String> acknowledged = new ArrayList<>();
             HttpCompletionNotifier notifier = new HttpCompletionNotifier(
                     loop,
-                    at(platform),
+                    addressOf(platform),
                     message -> {
                         if (message.number() == 1) {
                             throw new IllegalStateException("broken");
@@ -70,9 +70,9 @@
         }
     }
 
-    /** The platform can't read one notice of a batch: it is dropped, and the others are acknowledged. */
+    /** If the platform rejects a batch for one malformed notice, that one is dropped and the others acknowledged. */
     @Test
-    void unreadableNoticeIsDropped() throws Exception {
+    void malformedNoticeIsDropped() throws Exception {
         List<String> received = new CopyOnWriteArrayList<>();
         try (ScriptedPeer platform = new ScriptedPeer(request -> {
             if (request.body().contains("m17\"")) {
@@ -82,29 +82,29 @@
             return ScriptedPeer.status(204);
         })) {
             List<String> acknowledged = new CopyOnWriteArrayList<>();
-            HttpCompletionNotifier notifier = notifier(at(platform), acknowledged);
+            HttpCompletionNotifier notifier = notifier(addressOf(platform), acknowledged);
             loop.submit(() -> IntStream.range(0, 250).forEach(i -> notifier.notifyCompletion(completed(i))))
                     .sync();
             await(() -> acknowledged.size() == 250);
-            assertEquals(249, received.stream().distinct().count(), "all but one were read");
+            assertEquals(249, received.stream().distinct().count(), "the platform reads all other notices");
             assertFalse(received.contains("m17"));
-            assertEquals(250, acknowledged.stream().distinct().count(), "and none is retried for ever");
+            assertEquals(250, acknowledged.stream().distinct().count(), "the dropped notice is acknowledged too");
             assertTrue(platform.requests.size() < 40, "requests: " + platform.requests.size());
         }
     }
 
     /**
-     * Each iteration of the loop takes longer than the timeout of a notice, which has no connection yet: it is
-     * acknowledged all the same.
+     * A notice must be acknowledged even if there is no connection yet and each iteration of the event loop takes
+     * longer than the time-out of a notice.
      */
     @Test
-    void noticeIsAcknowledgedThoughEachLoopIterationExceedsItsTimeout() throws Exception {
+    void noticeIsAcknowledgedAlthoughEachLoopIterationExceedsItsTimeout() throws Exception {
         try (ScriptedPeer platform = ScriptedPeer.always(ScriptedPeer.status(204))) {
             List<String> acknowledged = new CopyOnWriteArrayList<>();
-            HttpCompletionNotifier notifier = notifier(at(platform), acknowledged);
+            HttpCompletionNotifier notifier = notifier(addressOf(platform), acknowledged);
             loop.submit(() -> {
                         notifier.notifyCompletion(completed(1));
-                        endIterationsLate(acknowledged);
+                        delayIterations(acknowledged);
                     })
                     .sync();
             await(() -> acknowledged.size() == 1);
@@ -112,18 +112,18 @@
     }
 
     /**
-     * Delays each iteration of the loop behind all its tasks, as for want of CPU, until a notice is acknowledged.
+     * Blocks the event loop at the end of each iteration, as a lack of CPU time would, until a notice is acknowledged.
      */
-    private void endIterationsLate(List<String> acknowledged) {
+    private void delayIterations(List<String> acknowledged) {
         loop.execute(() -> {
             RelayProcess.blockThread(150);
             if (acknowledged.isEmpty()) {
-                loop.schedule(() -> endIterationsLate(acknowledged), 0, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> delayIterations(acknowledged), 0, TimeUnit.MILLISECONDS);
             }
         });
     }
 
-    /** An agent that is about to move serves the connections that it has and accepts no new one. */
+    /** An agent that is about to move to another address serves its open connections but accepts no new ones. */
     @Test
     void noticeIsAcknowledgedWhileTheAgentAcceptsNoConnections() throws Exception {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -145,8 +145,8 @@
     }
 
     /**
-     * While there is no connection the callback runs, also without a notice to send, so that the configuration can be
-     * read for a new address.
+     * While there is no connection, the callback runs even if there is no notice to send, so that a new address can be
+     * read from the configuration.
      */
     @Test
     void unreachablePlatformIsReportedUntilAConnectionIsOpen() throws Exception {
@@ -160,7 +160,7 @@
                     loop, new InetSocketAddress("127.0.0.1", port), message -> {}, reports::incrementAndGet);
             loop.execute(notifier::start);
             await(() -> reports.get() >= 2);
-            loop.execute(() -> notifier.moveTo(at(next)));
+            loop.execute(() -> notifier.moveTo(addressOf(next)));
             await(() -> !next.connections.isEmpty());
             assertEquals(0, next.requests.size());
         }
