--- a/src/main/java/loftflow/http/ConnectionTimer.java
+++ b/src/main/java/loftflow/http/ConnectionTimer.java
@@ -5,8 +5,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one timer of a connection. It is started and stopped several times for each message and hardly ever fires, so
- * stopping leaves the scheduled wake-up in place, and starting schedules a new one only where the wake-up would be too
+ * The single timer of a connection. It is started and stopped several times per message and rarely fires, so stopping
+ * leaves the scheduled wake-up in place, and starting schedules a new wake-up only if the scheduled one would be too
  * late. A wake-up before the due time schedules the next one. To be used on the connection's event loop.
  */
 public final class ConnectionTimer {
@@ -21,25 +21,25 @@
     private final LongSupplier nanoClock;
     /** Null while the timer is stopped. */
     private Runnable task;
-    /** When the task is due. */
+    /** The time on {@link #nanoClock} at which the task is due. */
     private long dueAtNanos;
-    /** Null where no wake-up is scheduled. */
+    /** Null if no wake-up is scheduled. */
     private Future<?> wakeUp;
 
     private long wakeUpAtNanos;
 
-    /** A timer that is stopped. */
+    /** Creates a stopped timer. */
     public ConnectionTimer(Scheduler scheduler) {
         this(scheduler, System::nanoTime);
     }
 
-    /** A timer that is stopped, on a given clock. */
+    /** Creates a stopped timer with the given clock. */
     ConnectionTimer(Scheduler scheduler, LongSupplier nanoClock) {
         this.scheduler = scheduler;
         this.nanoClock = nanoClock;
     }
 
-    /** Runs a task once after a delay; replaces the task of an earlier start. */
+    /** Schedules a task to run once, after a delay; replaces the task of an earlier start. */
     public void start(long delay, TimeUnit unit, Runnable dueTask) {
         long delayNanos = unit.toNanos(delay);
         task = dueTask;
@@ -72,17 +72,20 @@
         }
     }
 
-    /** True where a task is to run. */
+    /** Returns whether a task is scheduled. */
     public boolean isRunning() {
         return task != null;
     }
 
-    /** Drops the task; the timer may be started again. */
+    /** Discards the task; the timer can be started again. */
     public void stop() {
         task = null;
     }
 
-    /** Stops and cancels the wake-up, which would keep the connection reachable; at the end of the connection. */
+    /**
+     * Stops the timer and cancels the wake-up, which would otherwise keep the connection reachable. To be called when
+     * the connection is closed.
+     */
     public void end() {
         task = null;
         if (wakeUp != null) {
--- a/src/main/java/loftflow/http/StrictResponseDecoder.java
+++ b/src/main/java/loftflow/http/StrictResponseDecoder.java
@@ -9,33 +9,33 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes responses, and finds the lines that do not follow the grammar of HTTP/1.1 (RFC 9112) although Netty accepts
- * them: status lines with another version or no three digits, field lines without a colon or with white space in or
- * behind the name, and more than one length.
+ * Decodes responses and detects violations of the HTTP/1.1 grammar (RFC 9112) that Netty accepts: a status line with
+ * another version or a status code that is not three digits, a field line without a colon or with white space in or
+ * after the name, and more than one field that determines the length of the body.
  */
 public class StrictResponseDecoder extends HttpResponseDecoder {
     private static final Pattern VERSION = Pattern.compile("HTTP/1\\.[01]");
     private static final Pattern STATUS = Pattern.compile("\\d{3}");
 
     private boolean hasMalformedLine;
-    /** The number of fields that say where the body ends. */
-    private int framingFields;
+    /** The number of fields that determine the length of the body: Content-Length and Transfer-Encoding. */
+    private int framingFieldCount;
 
-    /** Starts over: the next response on the connection is the awaited one. */
+    /** Resets the checks for the next response on the connection. */
     public void awaitResponse() {
         hasMalformedLine = false;
-        framingFields = 0;
+        framingFieldCount = 0;
     }
 
     /**
-     * Returns true where what has been decoded of the awaited response, or of a 1xx response ahead of it, is malformed.
-     * A 1xx response has no body, so a length in it counts as a second one.
+     * Returns whether the part decoded so far of the awaited response, or of a 1xx response before it, is malformed. A
+     * 1xx response has no body, so its framing fields count together with those of the awaited response.
      */
     public boolean isMalformed() {
-        return hasMalformedLine || framingFields > 1;
+        return hasMalformedLine || framingFieldCount > 1;
     }
 
-    /** Returns true for a response whose body is sent as it is, or in chunks: any other transfer coding is unknown. */
+    /** Returns whether the body of a response has no transfer coding or is chunked; all other codings are unknown. */
     public static boolean isTransferCodingKnown(HttpResponse response) {
         String coding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
         return coding == null || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(coding);
@@ -49,8 +49,8 @@
     }
 
     /**
-     * The name of a field, in a head or in a trailer. Netty takes white space for its end, and accepts a line without a
-     * colon then.
+     * Returns the name of a field in a header or trailer section. Netty also ends the name at white space, and then
+     * accepts a line without a colon.
      */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
@@ -58,11 +58,11 @@
         AsciiString name = super.splitHeaderName(line, start, length);
         boolean isFraming = name.contentEqualsIgnoreCase(HttpHeaderNames.CONTENT_LENGTH)
                 || name.contentEqualsIgnoreCase(HttpHeaderNames.TRANSFER_ENCODING);
-        framingFields += isFraming ? 1 : 0;
+        framingFieldCount += isFraming ? 1 : 0;
         return name;
     }
 
-    /** Retains both fields where a response has two conflicting lengths: by default Netty drops one. */
+    /** Keeps both fields of a response with Transfer-Encoding and Content-Length; Netty by default drops the latter. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {}
 }
--- a/src/main/java/loftflow/http/package-info.java
+++ b/src/main/java/loftflow/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What listeners and HTTP clients share: the timer of a connection, reading what has arrived on one, and the decoder
- * that finds malformed responses which Netty accepts.
+ * Code that listeners and HTTP clients share: the timer of a connection, reading bytes that have arrived on a
+ * connection, and the decoder that detects malformed responses accepted by Netty.
  *
  * <p>May use: Netty.
  */
--- a/src/main/java/loftflow/json/JsonFields.java
+++ b/src/main/java/loftflow/json/JsonFields.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 
 /**
- * Typed access to a JSON object, by member name, or to a JSON array, by index from 0. Every method that takes a
- * position, a {@link String} or an {@link Integer}, throws {@link MalformedInputException} where the value there is not
- * of the expected type; the error names the position. A JSON null counts as absent.
+ * Typed access to the values of a JSON object by member name, or of a JSON array by index from 0. A position is a
+ * {@link String} or an {@link Integer}. Unless stated otherwise, a method throws {@link MalformedInputException} if the
+ * value at the position is not of the expected type; the error names the position. A JSON null counts as absent.
  */
 public final class JsonFields {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The path to this object or array, for errors. */
+    /** The path to this object or array, for error messages. */
     private final String path;
 
     private final Map<?, ?> members;
@@ -29,11 +29,11 @@
     }
 
     /**
-     * Access to a JSON object.
+     * Returns access to a JSON object.
      *
-     * @param path what errors call it
-     * @param json a value as {@link #read} returns it
-     * @throws MalformedInputException where the value is not an object
+     * @param path its name in error messages
+     * @param json a value returned by {@link #read}
+     * @throws MalformedInputException if the value is not an object
      */
     public static JsonFields ofObject(String path, Object json) {
         if (json instanceof Map<?, ?> members) {
@@ -43,11 +43,11 @@
     }
 
     /**
-     * Access to a JSON array.
+     * Returns access to a JSON array.
      *
-     * @param path what errors call it
-     * @param json a value as {@link #read} returns it
-     * @throws MalformedInputException where the value is not an array
+     * @param path its name in error messages
+     * @param json a value returned by {@link #read}
+     * @throws MalformedInputException if the value is not an array
      */
     public static JsonFields ofArray(String path, Object json) {
         if (json instanceof List<?> values) {
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Access to an array whose first value is its name, which errors then call it.
+     * Returns access to an array whose first value is its name in error messages.
      *
-     * @throws MalformedInputException where the value is not an array that begins with a string
+     * @throws MalformedInputException if the value is not an array that begins with a string
      */
     public static JsonFields ofMessage(Object json) {
         JsonFields message = ofArray("message", json);
@@ -67,15 +67,15 @@
     }
 
     /**
-     * Reads the value that begins at the parser's current token, as a map, list, string, number, boolean or null.
+     * Reads the value that starts at the parser's current token, as a map, list, string, number, boolean or null.
      *
-     * @throws MalformedInputException where the input ends too early
-     * @throws IOException where the input is not JSON or can't be read
+     * @throws MalformedInputException if the input ends within the value
+     * @throws IOException if the input is not valid JSON or can't be read
      */
     public static Object read(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new MalformedInputException("the line ends early");
+            throw new MalformedInputException("unexpected end of JSON input");
         }
         return switch (token) {
             case START_ARRAY -> readArray(parser);
@@ -85,7 +85,7 @@
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new MalformedInputException("unexpected " + token);
+            default -> throw new MalformedInputException("unexpected JSON token " + token);
         };
     }
 
@@ -107,7 +107,7 @@
         return members;
     }
 
-    /** The value at a position, of any type; null where it is absent. */
+    /** Returns the value at a position, of any type; null if absent. */
     public Object value(Object position) {
         if (position instanceof Integer index) {
             return index < values.size() ? values.get(index) : null;
@@ -115,12 +115,12 @@
         return members.get(position);
     }
 
-    /** The object at a position, which must be present. */
+    /** Returns the object at a position, which must be present. */
     public JsonFields object(Object position) {
         return ofObject(path + "." + position, value(position));
     }
 
-    /** The array at a position; empty where it is absent. */
+    /** Returns the array at a position; empty if absent. */
     public List<?> listOrEmpty(Object position) {
         Object value = value(position);
         if (value == null) {
@@ -132,7 +132,7 @@
         throw wrongType(position, "an array");
     }
 
-    /** The string at a position, which must be present. */
+    /** Returns the string at a position, which must be present. */
     public String text(Object position) {
         if (value(position) instanceof String text) {
             return text;
@@ -140,12 +140,12 @@
         throw wrongType(position, "text");
     }
 
-    /** The string at a position; null where it is absent or of another type. */
+    /** Returns the string at a position; null if absent or of another type. */
     public String textOrNull(Object position) {
         return value(position) instanceof String text ? text : null;
     }
 
-    /** The number at a position, which must be present. */
+    /** Returns the number at a position, which must be present. */
     public double number(Object position) {
         if (value(position) instanceof Number number) {
             return number.doubleValue();
@@ -153,12 +153,12 @@
         throw wrongType(position, "a number");
     }
 
-    /** The number at a position, or a default where it is absent. */
+    /** Returns the number at a position, or a default if absent. */
     public double number(Object position, double defaultValue) {
         return value(position) == null ? defaultValue : number(position);
     }
 
-    /** The number at a position, which must be present; a fraction is cut off. */
+    /** Returns the number at a position, which must be present, truncated to a whole number. */
     public long wholeNumber(Object position) {
         if (value(position) instanceof Number number) {
             return number.longValue();
@@ -166,12 +166,12 @@
         throw wrongType(position, "a whole number");
     }
 
-    /** The number at a position, without its fraction, or a default where it is absent. */
+    /** Returns the number at a position, truncated to a whole number, or a default if absent. */
     public long wholeNumber(Object position, long defaultValue) {
         return value(position) == null ? defaultValue : wholeNumber(position);
     }
 
-    /** The boolean at a position; false where it is absent. */
+    /** Returns the boolean at a position; false if absent. */
     public boolean booleanOrFalse(Object position) {
         Object value = value(position);
         if (value == null) {
@@ -183,12 +183,12 @@
         throw wrongType(position, "true or false");
     }
 
-    /** The number of seconds at a position, which must be present, as microseconds. */
+    /** Returns the number of seconds at a position, which must be present, in microseconds. */
     public long secondsAsMicros(Object position) {
         return Math.round(number(position) * MICROS_PER_SECOND);
     }
 
-    /** The number of seconds at a position, as microseconds, or a default in microseconds where it is absent. */
+    /** Returns the number of seconds at a position, in microseconds, or a default in microseconds if absent. */
     public long secondsAsMicros(Object position, long defaultMicros) {
         return value(position) == null ? defaultMicros : secondsAsMicros(position);
     }
--- a/src/main/java/loftflow/json/MalformedInputException.java
+++ b/src/main/java/loftflow/json/MalformedInputException.java
@@ -1,6 +1,6 @@
 package loftflow.json;
 
-/** Input that can't be read as what is expected; the message says what is wrong and where. */
+/** Thrown if input does not have the expected structure; the message names the place and the fault. */
 public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loftflow/json/package-info.java
+++ b/src/main/java/loftflow/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Typed access to JSON from outside the program, with errors that say which member is wrong and why.
+ * Typed access to JSON input from outside the relay, with errors that name the malformed member and the fault.
  *
  * <p>May use: Jackson; nothing of the relay.
  */
--- a/src/main/java/loftflow/log/Log.java
+++ b/src/main/java/loftflow/log/Log.java
@@ -16,9 +16,10 @@
     private Log() {}
 
     /**
-     * Writes a line, unless this second's lines are used up: the writer must not block on a reader that is slower than
-     * what peers cause to be logged. The text is truncated to {@value #MAX_LINE_LENGTH} characters, and control
-     * characters are replaced, so that text from a peer stays within its line.
+     * Writes a line, unless {@value #MAX_LINES_PER_SECOND} lines have been written in the current second: peers can
+     * cause lines faster than standard error is read, and the caller must not block on it. The text is truncated to
+     * {@value #MAX_LINE_LENGTH} characters, and control characters are replaced, so that text from a peer can't start a
+     * new line.
      */
     public static void line(String text) {
         if (isAllowed(System.nanoTime() / NANOS_PER_SECOND)) {
@@ -26,7 +27,7 @@
         }
     }
 
-    /** Writes a line however many this second has: for the few that operators wait for, and that no peer can cause. */
+    /** Writes a line regardless of the rate limit; for the few lines that operators wait for and no peer can cause. */
     public static void essentialLine(String text) {
         write(text);
     }
--- a/src/main/java/loftflow/log/package-info.java
+++ b/src/main/java/loftflow/log/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The operators' log on standard error.
  *
- * <p>May use: nothing of the program.
+ * <p>May use: nothing of the relay.
  */
 package loftflow.log;
--- a/src/main/java/loftflow/protocol/CompletionProtocol.java
+++ b/src/main/java/loftflow/protocol/CompletionProtocol.java
@@ -1,29 +1,29 @@
 package loftflow.protocol;
 
-/** Names of completion notices (PROTOCOL, Notices), which stand in replies over AMQP and in the completion log too. */
+/** The names in completion notices to the platform, which replies over AMQP and the completion log use as well. */
 public final class CompletionProtocol {
-    /** Where the platform receives notices, by POST. */
+    /** Path to which notices are posted. */
     public static final String NOTICE_PATH = "/status";
 
-    /** The message's id. */
+    /** The message id. */
     public static final String MESSAGE_ID = "ref";
-    /** How the message ended, one of the {@code RESULT_} values. */
+    /** The result of the message, one of the {@code RESULT_} values. */
     public static final String RESULT = "result";
-    /** When a rejected message may be handed in again, in whole milliseconds. */
+    /** The time after which a rejected message may be sent again, in whole milliseconds. */
     public static final String RETRY_AFTER_MILLIS = "wait_ms";
 
-    /** The message failed; whether it took effect is not reported. */
+    /** The message failed; it may or may not have been executed. */
     public static final String RESULT_FAILED = "dead";
-    /** The message was rejected; handing it in again is safe. */
+    /** The message was rejected; sending it again is safe. */
     public static final String RESULT_REJECTED = "bounced";
     /** The message was delivered. */
     public static final String RESULT_DELIVERED = "done";
 
-    /** Completion log only: the message's class. */
+    /** Completion log only: the request class. */
     public static final String REQUEST_CLASS = "class";
-    /** Completion log only: the number of the message's destination. */
+    /** Completion log only: the number of the destination. */
     public static final String DESTINATION = "dest";
-    /** Completion log only: how many attempts were made. */
+    /** Completion log only: the number of attempts. */
     public static final String ATTEMPTS = "attempts";
 
     private CompletionProtocol() {}
--- a/src/main/java/loftflow/protocol/PlatformSettingsProtocol.java
+++ b/src/main/java/loftflow/protocol/PlatformSettingsProtocol.java
@@ -1,8 +1,8 @@
 package loftflow.protocol;
 
 /**
- * Names in the settings object that the simulator's first message and a platform's configuration share. Names in
- * {@code _SECONDS} are durations in seconds, with fractions.
+ * Field names of the settings object that is part of both the simulator's first message and a platform's configuration.
+ * The values of fields whose constants end in {@code _SECONDS} are durations in seconds and may have a fraction.
  */
 public final class PlatformSettingsProtocol {
     // Top level.
--- a/src/main/java/loftflow/protocol/package-info.java
+++ b/src/main/java/loftflow/protocol/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The names of the protocols that a relay speaks with clients, hosts and the platform, each protocol's in one class.
- * They are fixed by the given pages; nothing else spells them. The types that use them map them to the terms of the
- * code.
+ * The names in the protocols between relays and clients, hosts and the platform, with one class per protocol. They are
+ * fixed by the specifications of the protocols. Other classes use the constants, which are named in this project's
+ * terms, and never repeat the names.
  *
  * <p>May use: nothing of the relay.
  */
--- a/src/main/java/loftflow/recordfile/RecordFile.java
+++ b/src/main/java/loftflow/recordfile/RecordFile.java
@@ -6,12 +6,12 @@
 import java.util.zip.CRC32;
 
 /**
- * Framing of records in an append-only file. A record is a header of 8 bytes, the payload's length and its CRC-32 in
- * big-endian order, and the payload, which has at least one byte. A record that is cut short or whose checksum differs
- * is torn; nothing behind it can be read.
+ * Reads and writes the records of an append-only file. A record consists of an 8-byte header, which is the payload's
+ * length and its CRC-32 in big-endian order, and a payload of at least one byte. A record that is truncated or whose
+ * checksum does not match is torn; the records after it can't be read.
  */
 public final class RecordFile {
-    /** Bytes of a record's header. */
+    /** Size of a record's header, in bytes. */
     public static final int HEADER_BYTES = Integer.BYTES * 2;
 
     private RecordFile() {}
@@ -19,7 +19,7 @@
     /**
      * Fills in the header of a record.
      *
-     * @param record {@link #HEADER_BYTES} bytes for the header, then the payload; changed in place
+     * @param record {@link #HEADER_BYTES} bytes for the header, then the payload; modified in place
      * @return the same array
      */
     public static byte[] seal(byte[] record) {
@@ -31,20 +31,21 @@
     /**
      * Reads the next record.
      *
-     * @param all the content of a file; its position moves behind the record, or anywhere where null is returned
-     * @return the payload, or null at the end and where the record is torn
+     * @param content the content of a file; its position moves to the end of the record, and is undefined if null is
+     *     returned
+     * @return the payload, or null at the end of the content or if the record is torn
      */
-    public static byte[] readNext(ByteBuffer all) {
-        if (all.remaining() < HEADER_BYTES) {
+    public static byte[] readNext(ByteBuffer content) {
+        if (content.remaining() < HEADER_BYTES) {
             return null;
         }
-        int length = all.getInt();
-        int expectedChecksum = all.getInt();
-        if (length <= 0 || length > all.remaining()) {
+        int length = content.getInt();
+        int expectedChecksum = content.getInt();
+        if (length <= 0 || length > content.remaining()) {
             return null;
         }
         byte[] payload = new byte[length];
-        all.get(payload);
+        content.get(payload);
         return checksum(payload, 0, length) == expectedChecksum ? payload : null;
     }
 
@@ -54,7 +55,7 @@
         return (int) crc.getValue();
     }
 
-    /** Reads the whole content of a file, whatever the channel's position. */
+    /** Reads the whole content of a file, independent of the channel's position. */
     public static ByteBuffer readAll(FileChannel file) throws IOException {
         ByteBuffer content = ByteBuffer.allocate((int) Math.min(file.size(), Integer.MAX_VALUE - HEADER_BYTES));
         while (content.hasRemaining() && file.read(content, content.position()) >= 0) {
@@ -64,22 +65,24 @@
     }
 
     /**
-     * Writes all of some bytes at a position of a file.
+     * Writes an array of bytes to a file.
      *
-     * @throws IOException where the disk is full or fails; some of the bytes may be written then
+     * @param position the offset in the file at which to write
+     * @throws IOException if the disk is full or the write fails; part of the bytes may have been written then
      */
-    public static void writeFully(FileChannel file, byte[] bytes, long at) throws IOException {
+    public static void writeFully(FileChannel file, byte[] bytes, long position) throws IOException {
         ByteBuffer remaining = ByteBuffer.wrap(bytes);
         while (remaining.hasRemaining()) {
-            file.write(remaining, at + remaining.position());
+            file.write(remaining, position + remaining.position());
         }
     }
 
     /**
-     * Writes all of some bytes at the end of a file, or none of them.
+     * Appends all of an array of bytes to a file, or nothing.
      *
-     * @param end the file's size
-     * @throws IOException where the disk is full or fails; the file has its former size then, unless that fails too
+     * @param end the file's size, in bytes
+     * @throws IOException if the disk is full or the write fails; the file is then truncated to its former size, unless
+     *     that fails too
      */
     public static void append(FileChannel file, byte[] bytes, long end) throws IOException {
         try {
--- a/src/main/java/loftflow/recordfile/package-info.java
+++ b/src/main/java/loftflow/recordfile/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Framing of records, with length and checksum, in append-only files that outlast the process.
+ * Append-only files of records with length and checksum, which survive the process.
  *
  * <p>May use: nothing of the relay.
  */
--- a/src/main/java/loftflow/settings/PlatformSettingsReader.java
+++ b/src/main/java/loftflow/settings/PlatformSettingsReader.java
@@ -17,9 +17,8 @@
 import loftflow.protocol.PlatformSettingsProtocol;
 
 /**
- * Reads the settings object that the simulator's first message and a platform's configuration share, and maps its field
- * names
- * to the terms of {@code policy.api}. The names stand in {@link PlatformSettingsProtocol}.
+ * Reads the settings object that is part of both the simulator's first message and a platform's configuration, and maps
+ * it to the types of {@code policy.api}. The field names are defined in {@link PlatformSettingsProtocol}.
  */
 public final class PlatformSettingsReader {
     private PlatformSettingsReader() {}
@@ -27,9 +26,9 @@
     /**
      * Reads the settings of one relay.
      *
-     * @param seed of the policy's random source
+     * @param seed the seed of the policy's random source
      * @param params the settings object
-     * @throws MalformedInputException where a member is missing or malformed
+     * @throws MalformedInputException if a member is missing or malformed
      */
     public static PolicySettings read(long seed, JsonFields params) {
         JsonFields info = params.object(PlatformSettingsProtocol.DELIVERY_SETTINGS);
@@ -69,8 +68,8 @@
             JsonFields entry = JsonFields.ofObject(PlatformSettingsProtocol.CLASSES, json);
             classes.add(new RequestClass(
                     entry.text(PlatformSettingsProtocol.NAME),
-                    repeat(entry.text(PlatformSettingsProtocol.IDEMPOTENCY)),
-                    scope(entry),
+                    idempotency(entry.text(PlatformSettingsProtocol.IDEMPOTENCY)),
+                    keyScope(entry),
                     entry.secondsAsMicros(PlatformSettingsProtocol.KEY_WINDOW_SECONDS, 0),
                     entry.secondsAsMicros(PlatformSettingsProtocol.LATENCY_OBJECTIVE_SECONDS),
                     entry.secondsAsMicros(PlatformSettingsProtocol.DEADLINE_SECONDS),
@@ -81,24 +80,24 @@
         return classes;
     }
 
-    private static Idempotency repeat(String word) {
-        return switch (word) {
+    private static Idempotency idempotency(String value) {
+        return switch (value) {
             case PlatformSettingsProtocol.IDEMPOTENT -> Idempotency.IDEMPOTENT;
             case PlatformSettingsProtocol.IDEMPOTENT_BY_KEY -> Idempotency.IDEMPOTENT_BY_KEY;
             case PlatformSettingsProtocol.NON_IDEMPOTENT -> Idempotency.NON_IDEMPOTENT;
-            default -> throw new MalformedInputException("classes: unknown repeat " + word);
+            default -> throw new MalformedInputException("classes: unknown value of repeat: " + value);
         };
     }
 
-    private static KeyScope scope(JsonFields entry) {
-        String word = entry.textOrNull(PlatformSettingsProtocol.KEY_SCOPE);
-        return word == null
+    private static KeyScope keyScope(JsonFields entry) {
+        String value = entry.textOrNull(PlatformSettingsProtocol.KEY_SCOPE);
+        return value == null
                 ? KeyScope.ALL
-                : switch (word) {
+                : switch (value) {
                     case PlatformSettingsProtocol.KEY_SCOPE_ALL -> KeyScope.ALL;
                     case PlatformSettingsProtocol.KEY_SCOPE_ZONE -> KeyScope.ZONE;
                     case PlatformSettingsProtocol.KEY_SCOPE_CELL -> KeyScope.CELL;
-                    default -> throw new MalformedInputException("classes: unknown key-scope " + word);
+                    default -> throw new MalformedInputException("classes: unknown value of key-scope: " + value);
                 };
     }
 
@@ -115,24 +114,25 @@
 
     private static List<DestinationKind> kinds(JsonFields params, JsonFields info) {
         List<?> names = params.listOrEmpty(PlatformSettingsProtocol.KINDS);
-        List<?> apart = info.listOrEmpty(PlatformSettingsProtocol.INDEPENDENT_ROUTES);
-        List<?> batches = info.listOrEmpty(PlatformSettingsProtocol.MAX_BATCH_SIZES);
+        List<?> independentRoutes = info.listOrEmpty(PlatformSettingsProtocol.INDEPENDENT_ROUTES);
+        List<?> maxBatchSizes = info.listOrEmpty(PlatformSettingsProtocol.MAX_BATCH_SIZES);
         List<DestinationKind> kinds = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
-            int batch = i < batches.size() && batches.get(i) instanceof Number n ? n.intValue() : 1;
-            boolean separate = i < apart.size() && Boolean.TRUE.equals(apart.get(i));
-            kinds.add(new DestinationKind(String.valueOf(names.get(i)), separate, batch));
+            int maxBatchSize = i < maxBatchSizes.size() && maxBatchSizes.get(i) instanceof Number n ? n.intValue() : 1;
+            boolean hasIndependentRoutes =
+                    i < independentRoutes.size() && Boolean.TRUE.equals(independentRoutes.get(i));
+            kinds.add(new DestinationKind(String.valueOf(names.get(i)), hasIndependentRoutes, maxBatchSize));
         }
         return kinds;
     }
 
     private static List<Zone> zones(JsonFields params, JsonFields info) {
         List<?> names = params.listOrEmpty(PlatformSettingsProtocol.ZONES);
-        List<?> tolls = info.listOrEmpty(PlatformSettingsProtocol.ZONE_COSTS);
+        List<?> costs = info.listOrEmpty(PlatformSettingsProtocol.ZONE_COSTS);
         List<Zone> zones = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
-            double toll = i < tolls.size() && tolls.get(i) instanceof Number n ? n.doubleValue() : 0;
-            zones.add(new Zone(String.valueOf(names.get(i)), toll));
+            double cost = i < costs.size() && costs.get(i) instanceof Number n ? n.doubleValue() : 0;
+            zones.add(new Zone(String.valueOf(names.get(i)), cost));
         }
         return zones;
     }
@@ -150,15 +150,15 @@
                 limits.secondsAsMicros(PlatformSettingsProtocol.CONNECT_TIMEOUT_SECONDS, 0));
     }
 
-    private static ServiceRules rules(JsonFields contract) {
+    private static ServiceRules rules(JsonFields rules) {
         return new ServiceRules(
-                contract.secondsAsMicros(PlatformSettingsProtocol.COMPLETION_SLACK_SECONDS, 0),
-                contract.secondsAsMicros(PlatformSettingsProtocol.DRAIN_GRACE_SECONDS, 0),
-                contract.number(PlatformSettingsProtocol.OVERLOAD_MULTIPLE, 1),
-                contract.secondsAsMicros(PlatformSettingsProtocol.OVERLOAD_WINDOW_SECONDS, 0),
-                contract.number(PlatformSettingsProtocol.COLD_CAPACITY_SHARE, 0),
-                contract.secondsAsMicros(PlatformSettingsProtocol.WARM_UP_SECONDS, 0),
-                contract.secondsAsMicros(PlatformSettingsProtocol.WATCH_RENEWAL_SECONDS, 0),
-                contract.secondsAsMicros(PlatformSettingsProtocol.ORDERING_PAUSE_SECONDS, 0));
+                rules.secondsAsMicros(PlatformSettingsProtocol.COMPLETION_SLACK_SECONDS, 0),
+                rules.secondsAsMicros(PlatformSettingsProtocol.DRAIN_GRACE_SECONDS, 0),
+                rules.number(PlatformSettingsProtocol.OVERLOAD_MULTIPLE, 1),
+                rules.secondsAsMicros(PlatformSettingsProtocol.OVERLOAD_WINDOW_SECONDS, 0),
+                rules.number(PlatformSettingsProtocol.COLD_CAPACITY_SHARE, 0),
+                rules.secondsAsMicros(PlatformSettingsProtocol.WARM_UP_SECONDS, 0),
+                rules.secondsAsMicros(PlatformSettingsProtocol.WATCH_RENEWAL_SECONDS, 0),
+                rules.secondsAsMicros(PlatformSettingsProtocol.ORDERING_PAUSE_SECONDS, 0));
     }
 }
--- a/src/main/java/loftflow/settings/package-info.java
+++ b/src/main/java/loftflow/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings that the platform gives a relay, as the simulator's wire and the platform's configuration spell them.
+ * Reads the settings that a relay receives from the simulator or in the platform's configuration.
  *
  * <p>May use: {@code policy.api}, {@code protocol} and {@code json}.
  */
--- a/src/test/java/loftflow/http/ConnectionTimerTest.java
+++ b/src/test/java/loftflow/http/ConnectionTimerTest.java
@@ -13,33 +13,33 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The timer on a clock and an event loop of the test, which wakes up on time or late as the test says. */
+/** The timer with a simulated clock and a simulated event loop, which runs wake-ups on time or late. */
 class ConnectionTimerTest {
     private record WakeUp(long dueAtNanos, Runnable task, Promise<Void> promise) {}
 
     private final List<WakeUp> wakeUps = new ArrayList<>();
-    private final List<String> ran = new ArrayList<>();
+    private final List<String> completedTasks = new ArrayList<>();
     private final ConnectionTimer timer = new ConnectionTimer(this::schedule, () -> nowNanos());
     private long nowNanos = Long.MAX_VALUE - TimeUnit.MILLISECONDS.toNanos(30);
-    private int scheduled;
+    private int scheduledWakeUps;
 
     private long nowNanos() {
         return nowNanos;
     }
 
     private Future<?> schedule(long delayNanos, Runnable task) {
-        scheduled++;
+        scheduledWakeUps++;
         Promise<Void> promise = ImmediateEventExecutor.INSTANCE.newPromise();
         wakeUps.add(new WakeUp(nowNanos + delayNanos, task, promise));
         return promise;
     }
 
     private void start(long delayMillis, String name) {
-        timer.start(delayMillis, TimeUnit.MILLISECONDS, () -> ran.add(name));
+        timer.start(delayMillis, TimeUnit.MILLISECONDS, () -> completedTasks.add(name));
     }
 
-    /** Lets time pass while the loop runs each wake-up when it is due. */
-    private void passMillis(long millis) {
+    /** Advances the clock; the simulated event loop runs each wake-up when it is due. */
+    private void advanceMillis(long millis) {
         long end = nowNanos + TimeUnit.MILLISECONDS.toNanos(millis);
         for (WakeUp next = nextBefore(end); next != null; next = nextBefore(end)) {
             nowNanos = next.dueAtNanos();
@@ -48,8 +48,8 @@
         nowNanos = end;
     }
 
-    /** Lets time pass while the loop is busy; it runs what has become due at the end. */
-    private void passMillisLate(long millis) {
+    /** Advances the clock while the simulated event loop is blocked; it runs the overdue wake-ups at the end. */
+    private void advanceMillisWhileBlocked(long millis) {
         nowNanos += TimeUnit.MILLISECONDS.toNanos(millis);
         for (WakeUp next = nextBefore(nowNanos); next != null; next = nextBefore(nowNanos)) {
             run(next);
@@ -74,61 +74,61 @@
             timer.stop();
             start(60, "last");
         }
-        assertEquals(1, scheduled);
+        assertEquals(1, scheduledWakeUps);
     }
 
     /**
-     * However often the timer is restarted, one wake-up is scheduled, and a second one when that comes before the task is
-     * due; only the last task runs, not before it is due and not after.
+     * Any number of restarts schedules only one wake-up, which schedules a second one if the task is not due yet. Only
+     * the last task runs, exactly when it is due.
      */
     @Test
-    void restartSchedulesNoNewWakeUpAndOnlyTheLastTaskRuns() {
+    void restartsShareOneWakeUpAndOnlyTheLastTaskRuns() {
         startAndRestart();
-        passMillis(19);
-        assertEquals(1, scheduled);
-        passMillis(1);
-        assertEquals(2, scheduled);
-        passMillis(39);
-        assertEquals(List.of(), ran);
+        advanceMillis(19);
+        assertEquals(1, scheduledWakeUps);
+        advanceMillis(1);
+        assertEquals(2, scheduledWakeUps);
+        advanceMillis(39);
+        assertEquals(List.of(), completedTasks);
         assertTrue(timer.isRunning());
-        passMillis(1);
-        assertEquals(List.of("last"), ran);
-        assertEquals(2, scheduled);
+        advanceMillis(1);
+        assertEquals(List.of("last"), completedTasks);
+        assertEquals(2, scheduledWakeUps);
         assertFalse(timer.isRunning());
-        passMillis(1_000);
-        assertEquals(List.of("last"), ran);
-        assertEquals(2, scheduled);
+        advanceMillis(1_000);
+        assertEquals(List.of("last"), completedTasks);
+        assertEquals(2, scheduledWakeUps);
     }
 
-    /** A first wake-up that comes when the task is due already runs it, and schedules no other. */
+    /** A late first wake-up runs a task that is already due and schedules no second wake-up. */
     @Test
-    void lateWakeUpRunsTheTaskThatIsDue() {
+    void lateWakeUpRunsTheDueTask() {
         startAndRestart();
-        passMillisLate(70);
-        assertEquals(List.of("last"), ran);
-        assertEquals(1, scheduled);
+        advanceMillisWhileBlocked(70);
+        assertEquals(List.of("last"), completedTasks);
+        assertEquals(1, scheduledWakeUps);
     }
 
-    /** A task that is due before the scheduled wake-up is not delayed by it. */
+    /** A task that is due before the scheduled wake-up runs on time. */
     @Test
     void earlierTaskIsNotDelayedByTheScheduledWakeUp() {
         start(600_000, "late");
         start(1, "early");
         assertTrue(timer.isRunning());
-        passMillis(1);
-        assertEquals(List.of("early"), ran);
-        passMillis(600_000);
-        assertEquals(List.of("early"), ran);
+        advanceMillis(1);
+        assertEquals(List.of("early"), completedTasks);
+        advanceMillis(600_000);
+        assertEquals(List.of("early"), completedTasks);
     }
 
-    /** A timer that has ended runs nothing and leaves no wake-up. */
+    /** An ended timer runs no task and leaves no wake-up scheduled. */
     @Test
     void endedTimerRunsNothing() {
         start(1, "ended");
         timer.end();
         assertFalse(timer.isRunning());
         assertTrue(wakeUps.stream().allMatch(wakeUp -> wakeUp.promise().isCancelled()));
-        passMillis(20);
-        assertEquals(List.of(), ran);
+        advanceMillis(20);
+        assertEquals(List.of(), completedTasks);
     }
 }
--- a/src/test/java/loftflow/log/LogTest.java
+++ b/src/test/java/loftflow/log/LogTest.java
@@ -8,9 +8,9 @@
 
 class LogTest {
     @Test
-    void rateOfLinesIsBounded() {
+    void rateOfLinesIsLimited() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        PrintStream before = System.err;
+        PrintStream standardError = System.err;
         System.setErr(new PrintStream(bytes, true));
         try {
             for (int i = 0; i < 10_000; i++) {
@@ -18,9 +18,9 @@
             }
             Log.essentialLine("serving");
         } finally {
-            System.setErr(before);
+            System.setErr(standardError);
         }
         assertTrue(bytes.toString().lines().count() < 1_000, bytes.toString());
-        assertTrue(bytes.toString().contains("serving"), "an essential line is never dropped");
+        assertTrue(bytes.toString().contains("serving"), "the essential line was dropped");
     }
 }
--- a/src/test/java/loftflow/recordfile/RecordFileTest.java
+++ b/src/test/java/loftflow/recordfile/RecordFileTest.java
@@ -25,14 +25,14 @@
         return RecordFile.seal(record);
     }
 
-    /** The CRC-32 of one zero byte is d202ef8d. */
+    /** The CRC-32 of a single zero byte is d202ef8d. */
     @Test
-    void headerHoldsLengthAndChecksum() {
+    void headerContainsLengthAndChecksum() {
         assertArrayEquals(new byte[] {0, 0, 0, 1, (byte) 0xd2, 2, (byte) 0xef, (byte) 0x8d, 0}, record(0));
     }
 
     @Test
-    void recordsAreReadInTheOrderWritten() throws IOException {
+    void recordsAreReadInTheOrderOfWriting() throws IOException {
         try (FileChannel file = FileChannel.open(
                 folder.resolve("records"),
                 StandardOpenOption.CREATE,
@@ -52,7 +52,9 @@
     void tornRecordIsNotRead() {
         byte[] whole = record(1, 2, 3);
         for (int length = 0; length < whole.length; length++) {
-            assertNull(RecordFile.readNext(ByteBuffer.wrap(Arrays.copyOf(whole, length))), "cut at " + length);
+            assertNull(
+                    RecordFile.readNext(ByteBuffer.wrap(Arrays.copyOf(whole, length))),
+                    "read although truncated to " + length + " bytes");
         }
     }
 
