--- a/src/main/java/loftflow/policy/AttemptTimeouts.java
+++ b/src/main/java/loftflow/policy/AttemptTimeouts.java
@@ -3,16 +3,16 @@
 import loftflow.policy.api.Idempotency;
 
 /**
- * How long is one attempt waited for? Several times its route's usual response time, and long enough that slow calls
- * are not repeated; shorter for probes; until the message's deadline where no further attempt could follow.
- * Microseconds.
+ * Computes the timeout of each attempt: a multiple of its route's expected response time, with a minimum so that slow
+ * calls are not repeated; a shorter timeout for probes; the message's deadline if no further attempt could follow.
+ * Durations are in microseconds.
  */
 final class AttemptTimeouts {
     private static final long MIN_TIMEOUT_MICROS = 4_000_000;
     private static final long MIN_PROBE_TIMEOUT_MICROS = 1_500_000;
     private static final double PROBE_TIMEOUT_RATIO = 4;
 
-    /** Means until the message's deadline. */
+    /** Timeout value that stands for the message's deadline. */
     private static final long UNTIL_DEADLINE = 0;
 
     private final RoundContext context;
@@ -23,7 +23,7 @@
         this.responseTimes = responseTimes;
     }
 
-    /** The timeout of the attempt that was just added to a message. */
+    /** Returns the timeout of the attempt that was just added to a message. */
     long timeoutMicros(PendingMessage message, Call call) {
         boolean isLastAttempt = message.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
                 || message.attempts.size() >= context.settings().limits().maxAttempts();
--- a/src/main/java/loftflow/policy/Call.java
+++ b/src/main/java/loftflow/policy/Call.java
@@ -3,19 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One call to a route; it may carry several messages. */
+/** One call to a route, which may carry several messages. */
 final class Call {
-    /** Null for a call of before a restart whose route is not known any more. */
+    /** Null for a call made before a restart if its route is no longer known. */
     final Route route;
 
     final long sentAtMicros;
-    /** Sent to find out whether an open circuit may close. */
+    /** True if the call tests whether an open circuit may close. */
     final boolean isProbe;
 
     final List<PendingMessage> messages = new ArrayList<>(1);
-    /** Attempts of this call without an outcome. */
+    /** Number of attempts of this call without an outcome. */
     int pendingOutcomes;
-    /** Its outcome has been applied to its route and group; further messages of the call add nothing. */
+    /**
+     * True once its outcome has been applied to its route and group; outcomes of further messages are not applied
+     * again.
+     */
     boolean isEvaluated;
 
     boolean isCancelled;
--- a/src/main/java/loftflow/policy/CallEvaluator.java
+++ b/src/main/java/loftflow/policy/CallEvaluator.java
@@ -4,17 +4,18 @@
 import loftflow.policy.api.LimitReport;
 
 /**
- * What does the outcome of a call say of its route and its group? Errors, connection failures and timeouts count as
- * failures of the circuit; a rejection cuts the send rate instead, unless the destination rejects for so long that it
- * must be unavailable to all. Times are microseconds.
+ * Applies the outcome of a call to its route and limit group. Errors, connection failures and timeouts count as circuit
+ * failures. A rejection reduces the send rate instead, unless rejections continue for so long that the destination must
+ * be unavailable to all relays. Times are in microseconds.
  */
 final class CallEvaluator {
     /**
-     * A Retry-After longer than any window in which destinations count calls: the destination is unavailable to all.
+     * A longer Retry-After exceeds any window in which destinations count calls, which means that the destination is
+     * unavailable to all relays.
      */
     private static final long UNAVAILABLE_RETRY_AFTER_MICROS = 2_500_000;
 
-    /** Rejections without a served call for this long mean the same. */
+    /** Rejections without a served call for at least this long also mean that it is unavailable to all relays. */
     private static final long UNAVAILABLE_AFTER_REJECTIONS_MICROS = 1_000_000;
 
     private final RoundContext context;
@@ -43,10 +44,10 @@
     }
 
     /**
-     * Applies the outcome of a call, once a call.
+     * Applies the outcome of a call. Must be called once per call.
      *
-     * @param retryAfterMicros as the destination requested; 0 where it did not
-     * @param elapsedMicros since the call was sent
+     * @param retryAfterMicros Retry-After requested by the destination; 0 if none
+     * @param elapsedMicros time since the call was sent
      */
     void evaluate(Call call, AttemptOutcome outcome, long retryAfterMicros, long elapsedMicros, LimitReport report) {
         Route route = call.route;
@@ -65,7 +66,8 @@
         switch (outcome) {
             case OK -> onServed(call, elapsedMicros, report);
             case ERROR, TIMEOUT, CONNECT_FAILED, CANCELLED -> onFailed(call, 1);
-                // Connections may break while the route is sound; a failing route refuses new ones as well.
+                // A reset has no weight: connections also break while a route is healthy, and a failing route refuses
+                // new connections, which does count.
             case RESET -> onFailed(call, 0);
             case REJECTED -> onRejected(call, retryAfterMicros, report);
             case NOT_SENT -> {}
@@ -117,7 +119,7 @@
     }
 
     private void countRejection(LimitGroup group, LimitReport report) {
-        // A fleet that exceeds a limit sees nothing but rejections too, though the destination is available.
+        // A fleet that exceeds the limit may also receive only rejections, although the destination is available.
         boolean limitUsedUp =
                 limits.limitPerSecond(group) > 0 && report.remainingShare() < SendRateLimiter.SCARCE_REMAINING_SHARE;
         if (limitUsedUp && rateLimiter.exceedsFairShare(group)) {
@@ -129,13 +131,17 @@
         group.consecutiveRejections++;
     }
 
-    /** A destination that is unavailable to all rejects like one above its limit, but recovers cold. */
+    /**
+     * Returns whether the rejections mean that the destination is unavailable to all relays. It then rejects calls in
+     * the same way as above its limit, but recovers with reduced capacity.
+     */
     private boolean isUnavailable(LimitGroup group, long retryAfterMicros, LimitReport report) {
-        // With limit left, a rejection is suspicious; a single one proves nothing, as reports are some 100 ms old.
+        // A rejection while limit remains suggests unavailability, but a single one is no proof, as reports are about
+        // 100 ms old.
         boolean limitLeft = context.isLargeFleet() && report.remainingShare() >= SendRateLimiter.SCARCE_REMAINING_SHARE;
-        int enough = limitLeft ? CircuitBreaker.FAILURES_TO_OPEN - 1 : CircuitBreaker.FAILURES_TO_OPEN;
+        int rejectionsNeeded = limitLeft ? CircuitBreaker.FAILURES_TO_OPEN - 1 : CircuitBreaker.FAILURES_TO_OPEN;
         return retryAfterMicros > UNAVAILABLE_RETRY_AFTER_MICROS
-                || group.consecutiveRejections >= enough
+                || group.consecutiveRejections >= rejectionsNeeded
                         && context.now() - group.rejectedSinceMicros >= UNAVAILABLE_AFTER_REJECTIONS_MICROS;
     }
 }
--- a/src/main/java/loftflow/policy/CallSender.java
+++ b/src/main/java/loftflow/policy/CallSender.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Sends a call to a route: books it with the rate limit, permits and call slots, and fills it with further waiting
- * messages of the destination up to the route's batch size. Holds no decision of its own.
+ * Sends a call to a route: records it with the rate limiter, the permits and the concurrency limiter, and fills it with
+ * further waiting messages of the destination up to the route's batch size. Makes no decisions itself.
  */
 final class CallSender {
     private final RoundContext context;
@@ -35,7 +35,7 @@
         this.concurrency = concurrency;
     }
 
-    /** Sends a message; a probe carries it alone. */
+    /** Sends a message; a probe carries no further messages. */
     void send(PendingMessage message, Route route, boolean isProbe) {
         Call call = new Call(route, context.now(), isProbe);
         concurrency.onSent(call);
@@ -51,7 +51,7 @@
     private void fillBatch(Destination destination, Call call) {
         for (PendingMessage message : List.copyOf(destination.waitingMessages)) {
             if (call.pendingOutcomes < call.route.maxBatchSize
-                    && keyOrder.hasTurn(message)
+                    && keyOrder.isNextInOrder(message)
                     && retryPolicy.isAllowed(message, call.route)) {
                 addAttempt(message, call);
             }
@@ -59,13 +59,14 @@
     }
 
     private void addAttempt(PendingMessage message, Call call) {
-        // A repeat must not wait for a connection until its destination has forgotten the key.
-        long leaveWithinMicros = retryPolicy.keyWindowLeftMicros(message);
+        // A repeat must not wait for a connection beyond its key window, as the destination would then execute it
+        // again.
+        long sendTimeoutMicros = retryPolicy.keyWindowLeftMicros(message);
         messages.dequeue(message);
         message.attempts.add(new Attempt(call));
         message.attemptsInFlight++;
         call.pendingOutcomes++;
         call.messages.add(message);
-        context.actions().send(message.id, call.route.name, timeouts.timeoutMicros(message, call), leaveWithinMicros);
+        context.actions().send(message.id, call.route.name, timeouts.timeoutMicros(message, call), sendTimeoutMicros);
     }
 }
--- a/src/main/java/loftflow/policy/Circuit.java
+++ b/src/main/java/loftflow/policy/Circuit.java
@@ -1,26 +1,24 @@
 package loftflow.policy;
 
-/**
- * State of the circuit of one route, or of a whole {@link LimitGroup}; {@link CircuitBreaker} decides its transitions.
- */
+/** State of the circuit of a route or of a whole {@link LimitGroup}; {@link CircuitBreaker} decides its transitions. */
 final class Circuit {
-    /** Closed: calls pass. Open: none do. Half-open: one probe may pass. */
+    /** Closed: all calls pass. Open: no call passes. Half-open: one probe may pass. */
     enum State {
         CLOSED,
         OPEN,
         HALF_OPEN
     }
 
-    /** What an open circuit was opened by. */
+    /** Reason for which a circuit was opened. */
     enum Cause {
-        /** Calls that failed, or connections that could not be opened. */
+        /** Calls failed, or connections could not be established. */
         FAILURES("failures"),
-        /** Rejections, or a Retry-After, that say that the destination is unavailable to all. */
+        /** Rejections or a Retry-After showed that the destination is unavailable to all relays. */
         REJECTIONS("rejections"),
-        /** Calls that stay unanswered though none failed. */
+        /** Calls stayed unanswered, although none had failed. */
         UNRESPONSIVE("unresponsive");
 
-        /** The cause as log lines have it. */
+        /** The cause as written in log lines. */
         final String logName;
 
         Cause(String logName) {
@@ -31,13 +29,16 @@
     State state = State.CLOSED;
     int consecutiveFailures;
     long openedAtMicros;
-    /** An open circuit becomes half-open no sooner than this. */
+    /** Earliest time at which an open circuit becomes half-open. */
     long probeNotBeforeMicros;
-    /** Null before it is opened for the first time. */
+    /** Null until the circuit is first opened. */
     Cause openedBy;
-    /** When the latest of the calls that failed had been sent. */
+    /** Send time of the most recently sent call that failed. */
     long lastFailedCallSentAtMicros;
-    /** Open only until a probe has shown that an address from before a restart still belongs to the route. */
+    /**
+     * True if the circuit is open only until a probe confirms that an address from before a restart still belongs to
+     * the route.
+     */
     boolean awaitsAddressCheck;
 
     boolean probeInFlight;
@@ -46,7 +47,7 @@
         return state == State.CLOSED;
     }
 
-    /** True where it is open, or half-open, because of failures. */
+    /** Returns whether the circuit is open or half-open for another reason than a pending address check. */
     boolean isTripped() {
         return state != State.CLOSED && !awaitsAddressCheck;
     }
--- a/src/main/java/loftflow/policy/CircuitBreaker.java
+++ b/src/main/java/loftflow/policy/CircuitBreaker.java
@@ -1,28 +1,28 @@
 package loftflow.policy;
 
 /**
- * Closed, open or half-open: when does the circuit of a route, and of a group, move?
+ * Decides the transitions of circuits of routes and groups between closed, open and half-open.
  *
- * <p>A circuit opens after consecutive failures (fewer where a destination is called rarely), when its route's error
- * rate is too high, or when its route is unresponsive. An open circuit becomes half-open after a pause and lets one
- * probe pass. It closes when a call is served that was sent after the latest failure. A group's circuit covers all of
- * its routes; where a group is one independent route, both are the same circuit. Times are microseconds.
+ * <p>A circuit opens after consecutive failures (fewer if the destination is called rarely), if its route's error rate
+ * is too high, or if its route is unresponsive. After a pause, an open circuit becomes half-open and lets one probe
+ * pass. It closes when a call is served that was sent after the latest failed one. A group's circuit covers all of its
+ * routes; if the group is a single independent route, both share one circuit. Times are in microseconds.
  */
 final class CircuitBreaker {
     /** Consecutive failures that open a circuit. */
     static final int FAILURES_TO_OPEN = 3;
 
-    /** Between two probes of one destination where all relays of a fleet probe it. */
+    /** Interval between two probes of one destination if all relays of a fleet probe it. */
     static final long FLEET_PROBE_INTERVAL_MICROS = 1_000_000;
 
-    /** A route with a higher error rate is opened, and scored as unhealthy. */
+    /** Error rate above which a route's circuit opens and the route is scored as unhealthy. */
     static final double MAX_ERROR_RATE = 0.5;
 
-    /** Calls within the decay window for which one more failure is awaited before a circuit opens. */
-    private static final double CALLS_PER_AWAITED_FAILURE = 2;
+    /** Calls within the decay window per consecutive failure that is required to open a circuit. */
+    private static final double CALLS_PER_REQUIRED_FAILURE = 2;
 
-    /** The shortest pause before a probe. */
-    private static final long MIN_RECOVERY_MICROS = 2_000_000;
+    /** Minimum pause before a probe. */
+    private static final long MIN_PROBE_PAUSE_MICROS = 2_000_000;
 
     private final RoundContext context;
     private final RecoveryRamp ramp;
@@ -34,22 +34,22 @@
         this.outliers = outliers;
     }
 
-    /** A call was served: closes the circuits of its group and its route, as far as it proves that they are sound. */
+    /** Handles a served call: closes the circuits of its group and route as far as it proves them healthy. */
     void onServed(Call call) {
         Route route = call.route;
-        closeIfProven(call, route.group.circuit, route);
+        closeIfProvenHealthy(call, route.group.circuit, route);
         if (route.circuit != route.group.circuit) {
-            closeIfProven(call, route.circuit, route);
+            closeIfProvenHealthy(call, route.circuit, route);
         }
     }
 
-    private void closeIfProven(Call call, Circuit circuit, Route route) {
+    private void closeIfProvenHealthy(Call call, Circuit circuit, Route route) {
         boolean hadFailures = circuit.consecutiveFailures > 0;
         if (circuit.isClosed()) {
             circuit.consecutiveFailures = 0;
             return;
         }
-        // An answer to a call sent before the failure may come from the destination's queue and proves nothing.
+        // An answer to a call sent before the failed one may come from the destination's queue and proves nothing.
         if (call.sentAtMicros < circuit.lastFailedCallSentAtMicros) {
             return;
         }
@@ -78,9 +78,10 @@
     }
 
     /**
-     * A call failed: opens the circuits of its route and its group where that was one failure too many.
+     * Handles a failed call: opens the circuits of its route and group if they have reached their limits.
      *
-     * @param weight 1, or 0 for a failure that says nothing of the route's health but counts into its error rate
+     * @param weight 1, or 0 for a failure that does not indicate an unhealthy route and counts only towards its error
+     *     rate
      */
     void onFailed(Call call, int weight) {
         Route route = call.route;
@@ -106,15 +107,15 @@
         circuit.lastFailedCallSentAtMicros = Math.max(circuit.lastFailedCallSentAtMicros, weight * call.sentAtMicros);
     }
 
-    /** Opens the circuit of a route whose calls stay unanswered, well before their timeouts would. */
+    /** Opens the circuit of a route whose calls stay unanswered, well before those calls time out. */
     void openIfUnresponsive(Route route) {
-        boolean enough = route.callsInFlight.size() >= Math.min(2, failuresToOpen(route.group));
-        if (enough && route.circuit.isClosed() && outliers.isUnresponsive(route, 1)) {
+        boolean hasEnoughCalls = route.callsInFlight.size() >= Math.min(2, failuresToOpen(route.group));
+        if (hasEnoughCalls && route.circuit.isClosed() && outliers.isUnresponsive(route, 1)) {
             open(route.circuit, route.group, Circuit.Cause.UNRESPONSIVE, 0);
         }
     }
 
-    /** Opens a circuit, or keeps it open, for at least as long as the destination's Retry-After. */
+    /** Opens a circuit or keeps it open, at least for the duration of the destination's Retry-After. */
     void open(Circuit circuit, LimitGroup group, Circuit.Cause cause, long retryAfterMicros) {
         if (circuit.isClosed()) {
             circuit.openedAtMicros = context.now();
@@ -131,21 +132,24 @@
         circuit.probeNotBeforeMicros = context.now() + Math.max(retryAfterMicros, probePause(group));
     }
 
-    /** Starts a circuit as open after a restart; each relay of a fleet probes at a random time of its own. */
-    void startOpen(Circuit circuit, LimitGroup group, boolean onlyForAddressCheck) {
+    /**
+     * Opens a circuit at the start after a restart. If more than the address has to be verified, each relay of a fleet
+     * probes at a random time, so that they do not all probe at once.
+     */
+    void startOpen(Circuit circuit, LimitGroup group, boolean isAddressCheckOnly) {
         circuit.state = Circuit.State.OPEN;
         circuit.openedAtMicros = context.now();
-        circuit.awaitsAddressCheck = onlyForAddressCheck;
-        if (onlyForAddressCheck) {
+        circuit.awaitsAddressCheck = isAddressCheckOnly;
+        if (isAddressCheckOnly) {
             circuit.probeNotBeforeMicros = group.nextSendAtMicros;
             return;
         }
         double random = context.nextRandom();
-        long longest = Math.min(rampIntervalMicros(group), maxProbePauseMicros());
-        circuit.probeNotBeforeMicros = context.now() + (long) (random * longest);
+        long maxPause = Math.min(rampIntervalMicros(group), maxProbePauseMicros());
+        circuit.probeNotBeforeMicros = context.now() + (long) (random * maxPause);
     }
 
-    /** Makes an open circuit whose pause is over half-open; true where it may be probed now. */
+    /** Makes an open circuit half-open if its pause is over, and returns whether it may be probed now. */
     boolean admitsProbe(Circuit circuit) {
         if (circuit.state == Circuit.State.OPEN && context.now() >= circuit.probeNotBeforeMicros) {
             circuit.state = Circuit.State.HALF_OPEN;
@@ -154,11 +158,13 @@
     }
 
     /**
-     * The probes of a whole fleet stay within what a cold destination can take; who calls it rarely probes it rarely.
+     * Returns the pause before the next probe: the call interval of the recovery ramp, with jitter. It keeps the probes
+     * of a whole fleet within the capacity of a cold destination, and a relay that calls a destination rarely probes it
+     * rarely.
      */
     private long probePause(LimitGroup group) {
         long pause = Math.min(rampIntervalMicros(group), maxProbePauseMicros());
-        return context.withJitter(Math.max(MIN_RECOVERY_MICROS, pause));
+        return context.withJitter(Math.max(MIN_PROBE_PAUSE_MICROS, pause));
     }
 
     private long rampIntervalMicros(LimitGroup group) {
@@ -169,9 +175,12 @@
         return context.settings().fleetSize() * FLEET_PROBE_INTERVAL_MICROS;
     }
 
-    /** Where a group is called rarely, fewer failures open a circuit, since three would take too long to occur. */
+    /**
+     * Returns the number of consecutive failures that open a circuit. It is lower for a rarely called group, in which
+     * three failures would take too long to occur.
+     */
     private static int failuresToOpen(LimitGroup group) {
-        double awaited = group.sentCalls.countAtLastEvent() / CALLS_PER_AWAITED_FAILURE;
-        return (int) Math.max(1, Math.min(FAILURES_TO_OPEN, awaited));
+        double required = group.sentCalls.countAtLastEvent() / CALLS_PER_REQUIRED_FAILURE;
+        return (int) Math.max(1, Math.min(FAILURES_TO_OPEN, required));
     }
 }
--- a/src/main/java/loftflow/policy/ConcurrencyLimiter.java
+++ b/src/main/java/loftflow/policy/ConcurrencyLimiter.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 
 /**
- * How many calls may be in flight, at once and to one group? The relay's limit bounds all of them; a single group gets
- * a share of that, a small one while its route is slow or few slots are left, so that no destination occupies every
- * slot.
+ * Limits the calls in flight, in total and per group. The relay's limit bounds the total. A single group gets a share
+ * of it, which is smaller while its route is slow or few slots are free, so that no destination occupies every slot.
  */
 final class ConcurrencyLimiter {
+    /** Share of the call slots that one group may use. */
     private static final double GROUP_SHARE = 0.5;
 
     /** Share of a group with a slow route, and of every group while slots are scarce. */
     private static final double SCARCE_GROUP_SHARE = 0.2;
 
-    /** Slots are scarce when more than this share of them is in use. */
+    /** Slots are scarce if more than this share of them is in use. */
     private static final double SCARCE_FROM_SHARE = 0.75;
 
     private final RoundContext context;
@@ -44,7 +44,7 @@
         return callsInFlight.size() < context.settings().limits().maxConcurrentCalls();
     }
 
-    /** True where the route's group has used up its share of the slots. */
+    /** Returns whether the route's group has used up its share of the call slots. */
     boolean isGroupAtLimit(Route route) {
         int slots = context.settings().limits().maxConcurrentCalls();
         boolean slow =
@@ -54,7 +54,11 @@
         return route.group.callsInFlight >= (int) Math.ceil(slots * share);
     }
 
-    /** Cancels overdue calls, the oldest first, so that as many slots become free as messages need one. */
+    /**
+     * Cancels overdue calls, the oldest first, to free call slots.
+     *
+     * @param slotsNeeded number of messages that found no free slot
+     */
     void cancelOverdueCalls(int slotsNeeded) {
         if (slotsNeeded == 0 || !context.settings().limits().cancellation()) {
             return;
@@ -80,9 +84,9 @@
         }
     }
 
-    /** When the next call in flight becomes overdue; {@code otherwise} where that is earlier, or none will. */
-    long nextOverdueAtMicros(long otherwise) {
-        long next = otherwise;
+    /** Returns when the next call in flight becomes overdue, or {@code latestMicros} if that is earlier. */
+    long nextOverdueAtMicros(long latestMicros) {
+        long next = latestMicros;
         for (Call call : callsInFlight) {
             long overdueAt = outliers.overdueAt(call);
             next = overdueAt > context.now() ? Math.min(next, overdueAt) : next;
--- a/src/main/java/loftflow/policy/DecayingCounter.java
+++ b/src/main/java/loftflow/policy/DecayingCounter.java
@@ -1,34 +1,33 @@
 package loftflow.policy;
 
-/** Counts events with exponential decay, so that its value reflects roughly the last {@link #WINDOW_MICROS}. */
+/** Counts events with exponential decay, so that the count covers roughly the last {@link #WINDOW_MICROS}. */
 final class DecayingCounter {
-    /** The decay's time constant; a relay may call a quiet destination only once in this time. */
+    /** Time constant of the decay; a relay may call a rarely used destination only once in this time. */
     static final long WINDOW_MICROS = 10_000_000;
 
-    /** A rate is not extrapolated from a shorter observation than this. */
+    /** Minimum observation time for extrapolating a rate. */
     private static final long MIN_OBSERVED_MICROS = 2_500_000;
 
-    /** A rate is not extrapolated from fewer events than this. */
+    /** Minimum number of events for extrapolating a rate. */
     private static final double MIN_EVENTS = 12;
 
     private double count;
     private long lastEventAtMicros;
-    /** When the first event was counted; 0 where none was. */
+    /** Time of the first event; 0 before it. */
     private long firstEventAtMicros;
 
-    /** Counts one event. */
     void increment(long now) {
         firstEventAtMicros = firstEventAtMicros == 0 ? now : firstEventAtMicros;
         count = 1 + count * Math.exp((lastEventAtMicros - now) / (double) WINDOW_MICROS);
         lastEventAtMicros = now;
     }
 
-    /** The decayed count as of the latest event. */
+    /** Returns the decayed count as of the latest event. */
     double countAtLastEvent() {
         return count;
     }
 
-    /** Events a second over the window. */
+    /** Returns the events per second over the window. */
     double ratePerSecond(long now) {
         return count
                 * Math.exp((lastEventAtMicros - now) / (double) WINDOW_MICROS)
@@ -36,13 +35,16 @@
                 / WINDOW_MICROS;
     }
 
-    /** Events a second; a counter younger than its window is extrapolated where it {@link #isSignificant}. */
+    /**
+     * Returns the events per second. The rate of a counter younger than its window is extrapolated if it {@link
+     * #isSignificant}.
+     */
     double extrapolatedRatePerSecond(long now) {
         return ratePerSecond(now)
                 / (isSignificant(now) ? 1 - Math.exp((firstEventAtMicros - now) / (double) WINDOW_MICROS) : 1);
     }
 
-    /** True where enough was counted over a long enough time to be extrapolated. */
+    /** Returns whether enough events were counted over a long enough time to extrapolate the rate. */
     boolean isSignificant(long now) {
         return count >= MIN_EVENTS && now - firstEventAtMicros >= MIN_OBSERVED_MICROS;
     }
--- a/src/main/java/loftflow/policy/DefaultDeliveryPolicy.java
+++ b/src/main/java/loftflow/policy/DefaultDeliveryPolicy.java
@@ -24,9 +24,9 @@
 import loftflow.policy.api.TimerFired;
 
 /**
- * The delivery policy of a relay: absorbs the events of a round in order of arrival, ends what has expired, sends what
- * may be sent, and sets the timer for the next round. The decisions themselves stand in the other classes of this
- * package, one rule a class; docs/design.md explains the mechanism. Not thread-safe.
+ * The delivery policy of a relay. In each round it applies the events in order of arrival, ends expired messages, sends
+ * what may be sent, and sets the timer for the next round. The other classes of this package make the decisions, one
+ * rule per class; docs/design.md explains the mechanism. Not thread-safe.
  */
 public final class DefaultDeliveryPolicy implements DeliveryPolicy {
     private final RoundContext context;
@@ -44,7 +44,7 @@
     private final Dispatcher dispatcher;
     private final WakeUpTimer wakeUpTimer;
 
-    /** A policy that knows only its settings; the seed in them determines every random choice. */
+    /** Creates a policy without knowledge of any route; the seed in the settings determines every random choice. */
     public DefaultDeliveryPolicy(PolicySettings settings) {
         context = new RoundContext(settings);
         ResponseTimes responseTimes = new ResponseTimes(context);
@@ -102,24 +102,24 @@
         context.startRound(now, actions);
         subscription.ensureSubscribed();
         for (PolicyEvent event : events) {
-            absorb(event);
+            apply(event);
         }
         completer.endExpired();
-        if (!events.stream().allMatch(DefaultDeliveryPolicy::onlyRestrains)) {
+        if (!events.stream().allMatch(DefaultDeliveryPolicy::isCongestionNotice)) {
             dispatcher.dispatch();
             wakeUpTimer.arm();
         }
     }
 
     /**
-     * A congestion notice enables nothing, so a round of notices alone, which reach every relay of a fleet, is cut
-     * short.
+     * Returns whether the event is a congestion notice. A notice allows no new sending and reaches every relay of a
+     * fleet, so a round with notices alone skips the dispatch.
      */
-    private static boolean onlyRestrains(PolicyEvent event) {
+    private static boolean isCongestionNotice(PolicyEvent event) {
         return event instanceof PeerMessage message && PeerChannel.typeOf(message) == PeerMessageType.CONGESTION_NOTICE;
     }
 
-    private void absorb(PolicyEvent event) {
+    private void apply(PolicyEvent event) {
         if (event instanceof MessageAccepted accepted) {
             messages.add(accepted);
             loadShedder.shedIfFull();
@@ -151,8 +151,9 @@
     }
 
     /**
-     * Attempts of before a restart count on. One without a known outcome counts as a reset, which may have executed.
-     * Where its route is not listed, a keyed message is allowed nowhere and waits until its deadline.
+     * Adds a message from before a restart with its earlier attempts, which count. An attempt without a known outcome
+     * counts as a reset, which may have executed. If the route of that attempt is not listed, a message with a key that
+     * only that route or its zone recognizes is allowed at no route and waits until its deadline.
      */
     private void resume(MessageResumed event) {
         PendingMessage message = messages.add(event.message());
@@ -191,7 +192,9 @@
         }
     }
 
-    /** A restart found a message whose completion is not acknowledged: later ones of its ordering key wait for that. */
+    /**
+     * Blocks later messages of an ordering key until the completion of a message from before a restart is acknowledged.
+     */
     private void onCompletionPending(CompletionPending event) {
         PendingMessage message = messages.addFinished(event.message());
         // The outcome of its last attempt may be unknown.
@@ -201,7 +204,7 @@
     private void onCompletionAcknowledged(long id) {
         PendingMessage message = messages.find(id);
         if (message != null) {
-            messages.completionAcknowledged(message);
+            messages.onCompletionAcknowledged(message);
         }
     }
 
--- a/src/main/java/loftflow/policy/DiscoverySubscription.java
+++ b/src/main/java/loftflow/policy/DiscoverySubscription.java
@@ -1,14 +1,14 @@
 package loftflow.policy;
 
 /**
- * Subscribes to changes of the endpoint list, where the settings require it, and again some time after a subscription
+ * Subscribes to changes of the endpoint list if the settings require it, and again some time after a subscription
  * failed.
  */
 final class DiscoverySubscription {
-    /** The name of the timer after which a failed subscription is repeated. */
+    /** Id of the timer that triggers a new subscription after a failure. */
     static final long TIMER_ID = 2;
 
-    /** Well within the time in which the service rules require a renewal. */
+    /** Delay before a new subscription; well within the renewal period that the service rules require. */
     private static final long RETRY_MICROS = 3_000_000;
 
     private final RoundContext context;
@@ -18,7 +18,7 @@
         this.context = context;
     }
 
-    /** Subscribes, once. */
+    /** Subscribes if the settings require it and no subscription was made yet. */
     void ensureSubscribed() {
         if (context.settings().mustSubscribe() && !subscribed) {
             subscribed = true;
@@ -26,12 +26,12 @@
         }
     }
 
-    /** A subscription or a request for the list failed. */
+    /** Handles a failed subscription or list request: schedules a new subscription. */
     void onFailed() {
         context.actions().setTimer(TIMER_ID, context.withJitter(RETRY_MICROS));
     }
 
-    /** The timer fired: subscribes again. */
+    /** Handles the timer: subscribes again. */
     void onTimer() {
         subscribed = !context.settings().mustSubscribe();
         ensureSubscribed();
--- a/src/main/java/loftflow/policy/Dispatcher.java
+++ b/src/main/java/loftflow/policy/Dispatcher.java
@@ -6,12 +6,12 @@
 import java.util.PriorityQueue;
 
 /**
- * In which order are waiting messages sent in a round? First probes of circuits that admit one; then, while call slots
- * are free, the message of any destination that would lose most by being deferred. Last, overdue calls give up their
- * slots to messages that found none, and permits are requested where they are required.
+ * Sends the waiting messages of a round in order. Circuits that admit a probe are probed first. Then, while call slots
+ * are free, the message of any destination that would lose the most value by being deferred is sent. Finally, overdue
+ * calls are cancelled in favour of messages that found no slot, and permits are requested if they are required.
  */
 final class Dispatcher {
-    /** The message of a destination that goes next, and its route. */
+    /** The next message of a destination, its route, and the value lost by deferring it. */
     private record Candidate(PendingMessage message, Route route, double lossIfDeferred) {}
 
     private static final Comparator<Candidate> GREATEST_LOSS_FIRST = Comparator.comparingDouble(
@@ -68,9 +68,12 @@
         this.sender = sender;
     }
 
-    /** Sends what may be sent; nothing by a list of before a restart, on which a draining host may stand as listed. */
+    /**
+     * Sends the messages that may be sent. Sends nothing while a list from before a restart awaits a newer one, as it
+     * may still name a draining host as listed.
+     */
     void dispatch() {
-        if (endpoints.awaitsList()) {
+        if (endpoints.isAwaitingList()) {
             return;
         }
         PriorityQueue<Candidate> candidates = new PriorityQueue<>(GREATEST_LOSS_FIRST);
@@ -85,7 +88,7 @@
             addCandidate(next.message.destination, candidates);
         }
         concurrency.cancelOverdueCalls(candidates.size());
-        messages.busyDestinations().forEach(permits::requestWhereRequired);
+        messages.busyDestinations().forEach(permits::requestIfRequired);
     }
 
     private void addCandidate(Destination destination, PriorityQueue<Candidate> candidates) {
@@ -116,7 +119,7 @@
     }
 
     private boolean maySendNow(PendingMessage message, List<Route> usable) {
-        return keyOrder.hasTurn(message)
+        return keyOrder.isNextInOrder(message)
                 && canBeAnsweredInTime(message, usable.get(0))
                 && retryPolicy.isAllowedAtAny(message, usable);
     }
--- a/src/main/java/loftflow/policy/EndpointRegistry.java
+++ b/src/main/java/loftflow/policy/EndpointRegistry.java
@@ -12,9 +12,9 @@
 import loftflow.policy.api.EndpointListReceived;
 
 /**
- * Which routes exist? The routes, limit groups and destinations that discovery has listed. A route that is not listed
- * any more takes nothing new, and is forgotten once no call to it is in flight and no Retry-After of it applies;
- * messages keep what they need of it.
+ * Holds the routes, limit groups and destinations that discovery has listed. A route that is no longer listed accepts
+ * no new messages; it is removed once no call to it is in flight and no Retry-After applies. Messages keep their
+ * references to removed routes.
  */
 final class EndpointRegistry {
     private final RoundContext context;
@@ -23,7 +23,7 @@
     private final Map<String, Route> routes = new LinkedHashMap<>();
     private final Map<Integer, Destination> destinations = new LinkedHashMap<>();
     private final Map<Integer, LimitGroup> groups = new HashMap<>();
-    private long awaitsListUntilMicros;
+    private long awaitListUntilMicros;
 
     EndpointRegistry(RoundContext context, RouteScorer scorer) {
         this.context = context;
@@ -31,7 +31,7 @@
         context.settings().kinds().forEach(kind -> kinds.put(kind.name(), kind));
     }
 
-    /** Null where there is none of this name. */
+    /** Returns the route with a name, or null if there is none. */
     Route route(String name) {
         return routes.get(name);
     }
@@ -40,33 +40,34 @@
         return routes.values();
     }
 
-    /** Null where there is none of this id. */
+    /** Returns the group with an id, or null if there is none. */
     LimitGroup group(int id) {
         return groups.get(id);
     }
 
+    /** Returns the destination with a number, and creates it if necessary. */
     Destination destination(int number) {
         return destinations.computeIfAbsent(number, key -> new Destination());
     }
 
     /**
-     * The list in force is from before a restart: nothing is sent by it until a newer one arrives, or a time is over.
+     * Suspends sending until a newer list arrives or the wait is over, as the list in force is from before a restart.
      */
     void awaitList(long maxWaitMicros) {
-        awaitsListUntilMicros = context.now() + maxWaitMicros;
+        awaitListUntilMicros = context.now() + maxWaitMicros;
     }
 
-    boolean awaitsList() {
-        return context.now() < awaitsListUntilMicros;
+    boolean isAwaitingList() {
+        return context.now() < awaitListUntilMicros;
     }
 
-    long awaitsListUntilMicros() {
-        return awaitsListUntilMicros;
+    long awaitListUntilMicros() {
+        return awaitListUntilMicros;
     }
 
-    /** Applies a whole list, or changes of it. */
+    /** Applies a complete list or a delta. */
     void apply(EndpointListReceived list) {
-        awaitsListUntilMicros = context.now();
+        awaitListUntilMicros = context.now();
         if (list.kind() != EndpointListKind.DELTA) {
             routes.values().forEach(route -> route.listed = false);
         }
@@ -77,7 +78,7 @@
             route.addressUnverified &= list.kind() == EndpointListKind.CACHED;
             route.lastResort &= route.addressUnverified;
         }
-        List.copyOf(routes.values()).forEach(this::forgetIfGone);
+        List.copyOf(routes.values()).forEach(this::removeIfUnused);
     }
 
     private Route newRoute(EndpointEntry entry) {
@@ -94,7 +95,8 @@
         return route;
     }
 
-    void forgetIfGone(Route route) {
+    /** Removes a route if it is not listed, no call to it is in flight and no Retry-After applies. */
+    void removeIfUnused(Route route) {
         LimitGroup group = route.group;
         if (route.listed || !route.callsInFlight.isEmpty() || context.now() < group.retryNotBeforeMicros) {
             return;
--- a/src/main/java/loftflow/policy/HalfOpenProbe.java
+++ b/src/main/java/loftflow/policy/HalfOpenProbe.java
@@ -5,9 +5,9 @@
 import loftflow.policy.api.KeyScope;
 
 /**
- * Which message or health check probes a route whose circuit is not closed? One at a time, when the circuit's pause is
- * over: the waiting message that loses least by a failed attempt, or a health check where a message might be left
- * without any route to go to.
+ * Probes routes whose circuit is not closed, one probe at a time and only after the circuit's pause. A probe is the
+ * waiting message with the lowest cost of failure; or a health check, where these are allowed, if the route's address
+ * is not verified or if a failed attempt could leave that message without any route to go to.
  */
 final class HalfOpenProbe {
     private static final int COST_PER_IDEMPOTENCY_LEVEL = 100;
@@ -38,7 +38,7 @@
         this.sender = sender;
     }
 
-    /** Probes every route of a destination whose circuit admits it. */
+    /** Probes every route of a destination whose circuit admits a probe. */
     void probeRoutes(Destination destination) {
         for (Route route : destination.routes.values()) {
             boolean groupNotClosed = !route.group.circuit.isClosed();
@@ -46,7 +46,7 @@
             boolean hasBetterSibling = groupNotClosed && hasSiblingWithFewerFailures(route);
             if (route.listed
                     && !hasBetterSibling
-                    && !isNotNeeded(route)
+                    && !isUnneededLastResort(route)
                     && circuitBreaker.admitsProbe(circuit)
                     && context.now() >= route.group.retryNotBeforeMicros
                     && concurrency.hasFreeSlot()) {
@@ -55,15 +55,21 @@
         }
     }
 
-    /** A group is not probed time and again by its one dead route. */
+    /**
+     * Returns whether another route of the group has fewer consecutive failures. That route is probed instead, so that
+     * a group is not probed repeatedly by its one failed route.
+     */
     private static boolean hasSiblingWithFewerFailures(Route route) {
         return route.group.routes.stream()
                 .anyMatch(
                         other -> other.listed && other.circuit.consecutiveFailures < route.circuit.consecutiveFailures);
     }
 
-    /** A last-resort route is left alone while its destination has one that has not failed. */
-    private static boolean isNotNeeded(Route route) {
+    /**
+     * Returns whether the route is a last resort and its destination lists a regular route that is closed or has not
+     * failed.
+     */
+    private static boolean isUnneededLastResort(Route route) {
         return route.lastResort
                 && route.destination.routes.values().stream()
                         .anyMatch(other -> other.listed
@@ -72,7 +78,7 @@
     }
 
     private void probe(Destination destination, Route route, Circuit circuit) {
-        PendingMessage message = cheapestMessage(destination, route);
+        PendingMessage message = messageWithLowestCost(destination, route);
         if (message == null) {
             return;
         }
@@ -86,10 +92,13 @@
         }
     }
 
-    /** The message that loses least, among those with time enough for a probe's timeout; null where there is none. */
-    private PendingMessage cheapestMessage(Destination destination, Route route) {
+    /**
+     * Returns the message with the lowest cost of failure among those that may be sent to the route and have enough
+     * time left for a probe's timeout; null if there is none.
+     */
+    private PendingMessage messageWithLowestCost(Destination destination, Route route) {
         return destination.waitingMessages.stream()
-                .filter(message -> keyOrder.hasTurn(message)
+                .filter(message -> keyOrder.isNextInOrder(message)
                         && retryPolicy.isAllowed(message, route)
                         && message.deadlineMicros - context.now() >= timeouts.probeTimeoutMicros(route))
                 .min(Comparator.comparingInt(HalfOpenProbe::costOfFailure))
--- a/src/main/java/loftflow/policy/KeyOrder.java
+++ b/src/main/java/loftflow/policy/KeyOrder.java
@@ -5,9 +5,9 @@
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * Whose turn is it among messages of one ordering key? Messages with equal keys are sent one at a time in the order
- * accepted: nothing is sent for one while an earlier one is not settled, and after an attempt whose outcome is unknown
- * the key pauses for the time that the service rules name. Messages of classes without an order always have their turn.
+ * Keeps messages with the same ordering key in order. They are sent one at a time in the order accepted: a message is
+ * not sent while an earlier one is unsettled, and after an attempt of unknown outcome the key pauses for the time that
+ * the service rules specify. Messages of unordered classes are never held back.
  */
 final class KeyOrder {
     private final RoundContext context;
@@ -26,7 +26,8 @@
         }
     }
 
-    boolean hasTurn(PendingMessage message) {
+    /** Returns whether the order of its key allows a message to be sent now; true if it has no key. */
+    boolean isNextInOrder(PendingMessage message) {
         if (message.orderingKey == null) {
             return true;
         }
@@ -35,7 +36,7 @@
                 && (!message.attempts.isEmpty() || queue.pausedUntilMicros <= context.now());
     }
 
-    /** Pauses the key of a message where an attempt ended and may still take effect. */
+    /** Pauses the key of a message if an attempt with this outcome may still take effect. */
     void pauseAfter(PendingMessage message, AttemptOutcome outcome) {
         boolean answered = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.ERROR;
         if (message.orderingKey != null && !answered && !outcome.isProvenNotExecuted()) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Drops the queues of keys that have neither messages nor a pause. */
+    /** Removes the queues of keys that have neither messages nor a pause. */
     void removeObsoleteQueues() {
         queues.values().removeIf(this::isObsolete);
     }
--- a/src/main/java/loftflow/policy/KnownLimits.java
+++ b/src/main/java/loftflow/policy/KnownLimits.java
@@ -1,11 +1,11 @@
 package loftflow.policy;
 
 /**
- * How many calls a second does a group take from all relays together? The limit that the destination reported, else the
- * one that discovery lists, as far as the settings trust it; 0 where neither is known.
+ * Provides the limit of a group in calls per second of all relays together: the limit reported by the destination, else
+ * the one listed by discovery as far as the settings trust it; 0 if neither is known.
  */
 final class KnownLimits {
-    /** A rough listed rate may be too high by up to this factor. */
+    /** Factor by which a rough listed rate may be too high. */
     private static final double ROUGH_RATE_DIVISOR = 1.5;
 
     private final RoundContext context;
--- a/src/main/java/loftflow/policy/LimitGroup.java
+++ b/src/main/java/loftflow/policy/LimitGroup.java
@@ -3,9 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What shares one rate limit: a single route where routes are independent, else all routes of a destination. */
+/**
+ * Routes that share one rate limit: a single route if routes are independent, otherwise all routes of a destination.
+ */
 final class LimitGroup {
-    /** The same at every relay of a fleet, so that peers can name the group. */
+    /** Identical at every relay of a fleet, so that peers can refer to the group. */
     final int id;
 
     final Circuit circuit = new Circuit();
@@ -15,23 +17,24 @@
 
     // Send rate limit, see SendRateLimiter.
     double sendRatePerSecond = Double.POSITIVE_INFINITY;
-    /** No limit is known and the rate was cut once: the true limit may be far above or below the rate. */
+    /** True after the first rate cut if no limit is known: the true limit may be far above or below the rate. */
     boolean probingForCapacity;
 
     long nextSendAtMicros;
-    /** Nothing is sent before this: a destination's Retry-After. */
+    /** Nothing is sent before this time, according to a Retry-After of the destination. */
     long retryNotBeforeMicros;
 
     long lastCutAtMicros = Long.MIN_VALUE / 2;
     long lastGrowthAtMicros;
     int consecutiveRejections;
     long rejectedSinceMicros;
-    /** The limit for all relays together as the destination reported it; 0 where it has not. */
+    /** Limit for all relays together as reported by the destination; 0 if not reported. */
     double reportedLimitPerSecond;
 
     // Recovery, see RecoveryRamp.
     /**
-     * This relay's calls a second before the latest outage; 0 before the first, and after a restart with a known limit.
+     * This relay's calls per second before the latest outage; 0 before the first outage, and after a restart if a limit
+     * is known.
      */
     double usualRatePerSecond;
 
@@ -42,7 +45,7 @@
 
     // Permits shared with peers, see SendPermits and SendPermitCoordinator.
     boolean permitRequested;
-    /** The next outcome is reported to the coordinator, as it is that of a probe that it permitted. */
+    /** True if the next outcome is reported to the coordinator, because it belongs to a probe that it permitted. */
     boolean reportsNextOutcome;
 
     long permitRequestedAtMicros;
--- a/src/main/java/loftflow/policy/LoadShedder.java
+++ b/src/main/java/loftflow/policy/LoadShedder.java
@@ -3,9 +3,10 @@
 import java.util.Comparator;
 
 /**
- * What is rejected when there is too much? Where the buffer of open messages is full, the waiting message of the lowest
- * current value among those that may safely be rejected, so that a higher-value arrival is still admitted. Messages
- * that a restart found untried stay: a rejected arrival can go to another relay, these cannot.
+ * Rejects messages when the buffer of open messages is full: the waiting message of the lowest current value among
+ * those that may safely be rejected, so that an arrival of higher value is still admitted. Messages resumed after a
+ * restart without any attempt are exempt, because another relay can accept a rejected arrival but cannot deliver a
+ * resumed message.
  */
 final class LoadShedder {
     private final RoundContext context;
@@ -27,7 +28,7 @@
         this.completer = completer;
     }
 
-    /** Rejects one message where the buffer is full. */
+    /** Rejects one message if the buffer is full. */
     void shedIfFull() {
         if (messages.openCount() < context.settings().limits().maxOpenMessages()) {
             return;
--- a/src/main/java/loftflow/policy/MessageCompleter.java
+++ b/src/main/java/loftflow/policy/MessageCompleter.java
@@ -1,8 +1,8 @@
 package loftflow.policy;
 
 /**
- * How does a message end that is not delivered? It is rejected where handing it in again cannot cause a second effect,
- * with a Retry-After where clients are given one, and failed otherwise. Every message gets exactly one final answer.
+ * Ends messages that are not delivered. A message is rejected if handing it in again cannot cause a second effect, with
+ * a Retry-After if clients are given one; otherwise it fails. Every message gets exactly one final answer.
  */
 final class MessageCompleter {
     private static final long DEFAULT_RETRY_AFTER_MICROS = RoundContext.MICROS_PER_SECOND;
@@ -21,7 +21,7 @@
         this.availability = availability;
     }
 
-    /** Lets a message without an attempt in flight wait for another attempt, or ends it where none is allowed. */
+    /** Queues a message without an attempt in flight for another attempt, or ends it if none is allowed. */
     void retryOrEnd(PendingMessage message) {
         if (retryPolicy.mayRetry(message)) {
             messages.enqueue(message);
@@ -30,18 +30,21 @@
         }
     }
 
-    /** Ends a message that has no attempt in flight, undelivered. */
+    /** Ends a message without an attempt in flight as undelivered. */
     void endUndelivered(PendingMessage message) {
         if (retryPolicy.isSafeToReject(message)) {
-            boolean advises = context.settings().limits().retryAfter();
-            context.actions().reject(message.id, advises ? retryAfterMicros(message) : 0);
+            boolean suppliesRetryAfter = context.settings().limits().retryAfter();
+            context.actions().reject(message.id, suppliesRetryAfter ? retryAfterMicros(message) : 0);
         } else {
             context.actions().fail(message.id);
         }
         messages.finish(message);
     }
 
-    /** Ends messages whose deadline has passed; one with an attempt in flight ends with that attempt's outcome. */
+    /**
+     * Ends messages whose deadline has passed; a message with an attempt in flight ends with the outcome of that
+     * attempt.
+     */
     void endExpired() {
         for (PendingMessage message = messages.pollExpired(); message != null; message = messages.pollExpired()) {
             if (message.attemptsInFlight == 0) {
@@ -51,7 +54,7 @@
         }
     }
 
-    /** When a route of the message's destination may be usable again. */
+    /** Returns the time until a route of the message's destination may be usable again. */
     private long retryAfterMicros(PendingMessage message) {
         long nextUseAt = message.destination.routes.values().stream()
                 .filter(route -> route.listed)
--- a/src/main/java/loftflow/policy/MessageValue.java
+++ b/src/main/java/loftflow/policy/MessageValue.java
@@ -3,21 +3,24 @@
 import loftflow.policy.api.RequestClass;
 
 /**
- * What is a message worth if it is delivered at a time, and what is lost by deferring it? Its class's priority weight
- * within the latency objective, then less and less until the deadline. Values are in units of the priority weight,
- * times microseconds.
+ * Computes the value of delivering a message at a given time, and the loss of value by deferring it. The value is the
+ * class's priority weight within the latency objective and decreases from there to the deadline. Values are in units of
+ * the priority weight, times are in microseconds.
  */
 final class MessageValue {
-    /** How much longer a message that is deferred now may have to wait. */
+    /** Additional wait that is assumed for a message deferred now. */
     private static final long DEFERRAL_MICROS = 2_000_000;
 
-    /** A destination is overloaded when more than this share of its messages expires. */
+    /** Share of expiring messages above which a destination is overloaded. */
     private static final double OVERLOAD_EXPIRED_SHARE = 0.02;
 
-    /** Fewer expirations within the decay window do not count as overload. */
+    /** Minimum number of expirations within the decay window for a destination to be overloaded. */
     private static final double MIN_EXPIRATIONS = 3;
 
-    /** Above any class's weight: resumed messages without an attempt go first, as no other relay can deliver them. */
+    /**
+     * Exceeds the weight of any class: resumed messages without an attempt go first, as no other relay can deliver
+     * them.
+     */
     private static final double RESUMED_UNTRIED_BONUS = 1e9;
 
     private final RoundContext context;
@@ -28,26 +31,31 @@
         this.responseTimes = responseTimes;
     }
 
-    /** The value of a delivery at a time. */
+    /** Returns the value of delivering a message at a given time. */
     double valueAt(PendingMessage message, long deliveredAtMicros) {
-        RequestClass type = message.requestClass;
+        RequestClass requestClass = message.requestClass;
         long age = deliveredAtMicros - message.acceptedAtMicros;
-        if (age <= type.latencyObjectiveMicros()) {
-            return type.priorityWeight();
+        if (age <= requestClass.latencyObjectiveMicros()) {
+            return requestClass.priorityWeight();
         }
         if (deliveredAtMicros >= message.deadlineMicros) {
             return 0;
         }
-        double late = age - type.latencyObjectiveMicros();
+        double lateMicros = age - requestClass.latencyObjectiveMicros();
         double remainingShare = context.settings().halvingDecay()
-                ? Math.max(type.lateWeight(), Math.pow(0.5, late / Math.max(1, type.latencyObjectiveMicros())))
-                : 1 - (1 - type.lateWeight()) * late / (type.deadlineMicros() - type.latencyObjectiveMicros());
-        return type.priorityWeight() * remainingShare;
+                ? Math.max(
+                        requestClass.lateWeight(),
+                        Math.pow(0.5, lateMicros / Math.max(1, requestClass.latencyObjectiveMicros())))
+                : 1
+                        - (1 - requestClass.lateWeight())
+                                * lateMicros
+                                / (requestClass.deadlineMicros() - requestClass.latencyObjectiveMicros());
+        return requestClass.priorityWeight() * remainingShare;
     }
 
     /**
-     * What is lost if other messages go first. At an overloaded destination a message that waits is lost whole: to send
-     * the oldest first would deliver all of them late.
+     * Returns the value lost if other messages go first. At an overloaded destination a deferred message counts as lost
+     * entirely, because sending the oldest first would deliver all of them late.
      */
     double lossIfDeferred(PendingMessage message, Route route) {
         long deliveredAt = context.now() + (long) responseTimes.expectedMicros(route);
--- a/src/main/java/loftflow/policy/OutcomeProcessor.java
+++ b/src/main/java/loftflow/policy/OutcomeProcessor.java
@@ -5,8 +5,8 @@
 import loftflow.policy.api.ProbeCompleted;
 
 /**
- * Books the outcomes of attempts and probes: ends calls, applies Retry-After, has each call evaluated once, and lets
- * its messages finish or wait for another attempt.
+ * Records the outcomes of attempts and probes: ends calls, applies Retry-After, has each call evaluated once, and
+ * finishes its messages or queues them for another attempt.
  */
 final class OutcomeProcessor {
     private final RoundContext context;
@@ -37,7 +37,7 @@
         this.completer = completer;
     }
 
-    /** An attempt ended; one that is unknown, or has ended before, is ignored. */
+    /** Handles the end of an attempt; ignores an attempt that is unknown or has already ended. */
     void onAttemptCompleted(AttemptCompleted event) {
         PendingMessage message = messages.find(event.id());
         if (message == null || event.attempt() >= message.attempts.size()) {
@@ -51,10 +51,10 @@
         message.attemptsInFlight--;
         Call call = attempt.call;
         endCall(call, event);
-        endpoints.forgetIfGone(call.route);
+        endpoints.removeIfUnused(call.route);
         keyOrder.pauseAfter(message, event.outcome());
         if (message.isFinished) {
-            messages.forgetIfSettled(message);
+            messages.removeIfSettled(message);
         } else if (event.messageClosed()) {
             messages.finish(message);
         } else if (message.attemptsInFlight == 0) {
@@ -67,7 +67,7 @@
         if (call.pendingOutcomes == 0) {
             concurrency.onEnded(call);
         }
-        // Any message of a call may be the one whose answer carries the Retry-After.
+        // The answer to any message of a call may carry the Retry-After.
         applyRetryAfter(call.route.group, event.retryAfterMicros());
         if (!call.isEvaluated) {
             call.isEvaluated = true;
@@ -80,14 +80,17 @@
         }
     }
 
-    /** A message sent shortly before its deadline times out early, which says nothing of the route. */
+    /**
+     * Returns the outcome that counts for the route. A message sent shortly before its deadline times out early, which
+     * indicates nothing about the route.
+     */
     private AttemptOutcome outcomeForRoute(Call call, AttemptCompleted event) {
         boolean timedOutEarly = event.outcome() == AttemptOutcome.TIMEOUT
                 && event.elapsedMicros() < timeouts.probeTimeoutMicros(call.route);
         return timedOutEarly ? AttemptOutcome.NOT_SENT : event.outcome();
     }
 
-    /** A health check ended; it counts like a probing call. */
+    /** Handles the end of a health check, which counts like a probing call. */
     void onProbeCompleted(ProbeCompleted event) {
         Route route = endpoints.route(event.route());
         if (route != null) {
@@ -98,7 +101,7 @@
         }
     }
 
-    /** A destination requested that nothing be sent for a while. */
+    /** Handles a Retry-After that arrived outside the outcome of an attempt or health check. */
     void onRetryAfter(String routeName, long retryAfterMicros) {
         Route route = endpoints.route(routeName);
         if (route != null) {
--- a/src/main/java/loftflow/policy/OutlierDetector.java
+++ b/src/main/java/loftflow/policy/OutlierDetector.java
@@ -1,12 +1,12 @@
 package loftflow.policy;
 
 /**
- * Which route is unresponsive though no call to it has failed yet? A call is overdue once it has been out for several
- * times the route's usual response time; a route is unresponsive when its oldest call is overdue and nothing sent since
- * was answered. Times are microseconds.
+ * Detects routes that are unresponsive before any call to them has failed. A call is overdue once it has been in flight
+ * for several times the route's usual response time. A route is unresponsive if its oldest call is overdue and no call
+ * sent since then has been answered. Times are in microseconds.
  */
 final class OutlierDetector {
-    /** No call is overdue earlier than this. */
+    /** Minimum time in flight of an overdue call. */
     private static final long MIN_OVERDUE_MICROS = 2_500_000;
 
     /** Multiple of the expected response time after which an answer is unlikely. */
@@ -20,19 +20,21 @@
         this.responseTimes = responseTimes;
     }
 
-    /** When a call becomes overdue. */
+    /** Returns when a call becomes overdue. */
     long overdueAt(Call call) {
         return call.sentAtMicros
                 + (long) Math.max(MIN_OVERDUE_MICROS, OVERDUE_RATIO * responseTimes.expectedMicros(call.route));
     }
 
     /**
-     * True where the oldest call that a later answer does not account for has been out for a share of its time to
-     * become overdue; 1 means that it is overdue.
+     * Returns whether the oldest call that no later answer accounts for has been in flight for a share of the time
+     * after which it is overdue.
+     *
+     * @param share 1 if the call must be overdue
      */
     boolean isUnresponsive(Route route, double share) {
         for (Call call : route.callsInFlight) {
-            // A call sent before one that was answered may still stand in the destination's queue.
+            // A call sent before one that was answered may still be in the destination's queue.
             if (call.sentAtMicros >= route.answeredCallSentAtMicros) {
                 return context.now() - call.sentAtMicros >= share * (overdueAt(call) - call.sentAtMicros);
             }
@@ -40,7 +42,10 @@
         return false;
     }
 
-    /** True where several calls are out and an answer is half overdue: further calls would likely hang too. */
+    /**
+     * Returns whether several calls are in flight and the oldest has reached half the time after which it is overdue:
+     * further calls would likely stay unanswered too.
+     */
     boolean isSuspect(Route route) {
         return route.callsInFlight.size() >= 2 && isUnresponsive(route, 0.5);
     }
--- a/src/main/java/loftflow/policy/PeerChannel.java
+++ b/src/main/java/loftflow/policy/PeerChannel.java
@@ -4,11 +4,11 @@
 import loftflow.policy.api.PeerMessage;
 
 /**
- * Messages between the relays of a fleet: their encoding, and the delivery of those that a relay sends to itself. A
- * message is a byte with the code of its type and the id of its group in four bytes, big-endian.
+ * Encodes and decodes the messages between the relays of a fleet, and delivers directly those that a relay sends to
+ * itself. A message is one byte with the code of its type, followed by the id of its group in four bytes, big-endian.
  */
 final class PeerChannel {
-    /** Receives messages of peers and of this relay itself. */
+    /** Receives the messages of peers and of this relay itself. */
     interface Receiver {
         void onPeerMessage(int sender, PeerMessageType type, int groupId);
     }
@@ -38,7 +38,7 @@
         send(EVERY_RELAY, type, groupId);
     }
 
-    /** Decodes a message and hands it to the receiver; one of another length is ignored. */
+    /** Decodes a message and passes it to the receiver; ignores a message of any other length. */
     void receive(PeerMessage message) {
         if (message.payload().length == MESSAGE_BYTES) {
             ByteBuffer bytes = ByteBuffer.wrap(message.payload());
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The type of a message, by its first byte. */
+    /** Returns the type of a message according to its first byte. */
     static PeerMessageType typeOf(PeerMessage message) {
         return message.payload().length == 0 ? PeerMessageType.UNKNOWN : PeerMessageType.ofCode(message.payload()[0]);
     }
--- a/src/main/java/loftflow/policy/PeerMessageType.java
+++ b/src/main/java/loftflow/policy/PeerMessageType.java
@@ -1,8 +1,8 @@
 package loftflow.policy;
 
 /**
- * Types of the messages between relays of one fleet. Their codes travel on the wire, so that relays of different builds
- * understand each other during an upgrade: a code never changes its meaning.
+ * Types of the messages between relays of one fleet. Relays of different builds exchange them during an upgrade, so the
+ * meaning of a code never changes.
  */
 enum PeerMessageType {
     /** A type that this build does not know; ignored. */
@@ -17,9 +17,9 @@
     SERVED(4),
     /** The receiver may send one call. */
     PERMIT(5),
-    /** The receiver may send one call to a group that fails, and reports its outcome. */
+    /** The receiver may send one call to a failing group and reports its outcome. */
     PROBE_PERMIT(6),
-    /** Every receiver needs permits for a while. */
+    /** Every receiver requires permits for a limited time. */
     CONGESTION_NOTICE(7);
 
     private final int code;
--- a/src/main/java/loftflow/policy/PendingMessage.java
+++ b/src/main/java/loftflow/policy/PendingMessage.java
@@ -5,11 +5,14 @@
 import loftflow.policy.api.MessageAccepted;
 import loftflow.policy.api.RequestClass;
 
-/** A message that was accepted, and how far its delivery has come. */
+/** An accepted message and the state of its delivery. */
 final class PendingMessage {
     final long id;
     final RequestClass requestClass;
-    /** Messages with equal keys are sent one at a time, in the order accepted; null where the class has no order. */
+    /**
+     * Messages with equal keys are sent one at a time, in the order accepted; null if the class is unordered or the
+     * message has no key.
+     */
     final String orderingKey;
 
     final long acceptedAtMicros;
@@ -17,11 +20,11 @@
     final Destination destination;
     final List<Attempt> attempts = new ArrayList<>();
     int attemptsInFlight;
-    /** It has its final answer. */
+    /** True once the message has its final answer. */
     boolean isFinished;
-    /** Finished, but whoever is to be notified of that has not acknowledged it. */
+    /** True if the message is finished but its completion notice has not been acknowledged. */
     boolean completionUnacknowledged;
-    /** It was accepted before a restart. */
+    /** True if the message was accepted before a restart. */
     boolean resumed;
 
     PendingMessage(MessageAccepted event, RequestClass requestClass, Destination destination) {
@@ -33,17 +36,17 @@
         this.destination = destination;
     }
 
-    /** True where a restart found it without any attempt: no other relay will deliver it. */
+    /** Returns whether a restart found the message without any attempt; no other relay will deliver it. */
     boolean isResumedUntried() {
         return resumed && attempts.isEmpty();
     }
 
-    /** The route of the latest attempt; null where there was none, or its route is not known any more. */
+    /** Returns the route of the latest attempt, or null if there was none or its route is no longer known. */
     Route lastRoute() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1).call.route;
     }
 
-    /** The earliest attempt that may have taken effect; null where all are proven not to have executed. */
+    /** Returns the earliest attempt that may have taken effect, or null if all are proven not to have executed. */
     Attempt firstAttemptThatMayHaveExecuted() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveExecuted()) {
--- a/src/main/java/loftflow/policy/PendingMessages.java
+++ b/src/main/java/loftflow/policy/PendingMessages.java
@@ -10,9 +10,9 @@
 import loftflow.policy.api.RequestClass;
 
 /**
- * The messages that this relay owes an answer, which of them wait to be sent, and which deadline is next. A message
- * waits, or has attempts in flight, or is finished; a finished one is forgotten once no attempt is in flight and its
- * completion is acknowledged. Holds no decision.
+ * Holds the messages that need a final answer, those that wait to be sent, and their deadlines. A message waits, has
+ * attempts in flight, or is finished; a finished message is removed once no attempt is in flight and its completion is
+ * acknowledged. Makes no decisions.
  */
 final class PendingMessages {
     private final RoundContext context;
@@ -23,7 +23,10 @@
     private final TreeSet<PendingMessage> byDeadline =
             new TreeSet<>(Comparator.<PendingMessage>comparingLong(message -> message.deadlineMicros)
                     .thenComparingLong(message -> message.id));
-    /** Destinations with waiting messages: a round costs what these cost, however many are known. */
+    /**
+     * Destinations with waiting messages; they determine the cost of a round, regardless of how many destinations are
+     * known.
+     */
     private final Set<Destination> busyDestinations = new LinkedHashSet<>();
 
     private int openCount;
@@ -32,23 +35,23 @@
         this.context = context;
         this.endpoints = endpoints;
         this.keyOrder = keyOrder;
-        context.settings().classes().forEach(type -> classes.put(type.name(), type));
+        context.settings().classes().forEach(requestClass -> classes.put(requestClass.name(), requestClass));
     }
 
-    /** Null where there is none, or it is forgotten. */
+    /** Returns the message with an id, or null if there is none or it was removed. */
     PendingMessage find(long id) {
         return messages.get(id);
     }
 
-    /** Messages that are owed an answer. */
+    /** Returns the number of messages without a final answer. */
     int openCount() {
         return openCount;
     }
 
     /**
-     * Adds an accepted message, which waits to be sent.
+     * Adds an accepted message and queues it for sending.
      *
-     * @throws IllegalArgumentException where the settings do not name its class
+     * @throws IllegalArgumentException if the settings do not define its class
      */
     PendingMessage add(MessageAccepted event) {
         PendingMessage message = register(event);
@@ -59,7 +62,10 @@
         return message;
     }
 
-    /** Adds a message whose completion a restart has still to report: it only blocks later ones of its ordering key. */
+    /**
+     * Adds a message that finished before a restart and whose completion is not acknowledged. It only blocks later
+     * messages of its ordering key.
+     */
     PendingMessage addFinished(MessageAccepted event) {
         PendingMessage message = register(event);
         message.isFinished = true;
@@ -68,24 +74,24 @@
     }
 
     private PendingMessage register(MessageAccepted event) {
-        RequestClass type = classes.get(event.requestClass());
-        if (type == null) {
+        RequestClass requestClass = classes.get(event.requestClass());
+        if (requestClass == null) {
             throw new IllegalArgumentException("message " + event.id() + ": unknown request class "
-                    + event.requestClass() + ", known are " + classes.keySet());
+                    + event.requestClass() + ", known classes: " + classes.keySet());
         }
-        PendingMessage message = new PendingMessage(event, type, endpoints.destination(event.destination()));
+        PendingMessage message = new PendingMessage(event, requestClass, endpoints.destination(event.destination()));
         messages.put(message.id, message);
         keyOrder.add(message);
         return message;
     }
 
-    /** Lets a message wait to be sent. */
+    /** Queues a message for sending. */
     void enqueue(PendingMessage message) {
         message.destination.waitingMessages.add(message);
         busyDestinations.add(message.destination);
     }
 
-    /** Takes a message out of those that wait. */
+    /** Removes a message from those that wait to be sent. */
     void dequeue(PendingMessage message) {
         message.destination.waitingMessages.remove(message);
         if (message.destination.waitingMessages.isEmpty()) {
@@ -93,7 +99,7 @@
         }
     }
 
-    /** Nothing more is owed for a message. Later ones of its ordering key wait until its completion is acknowledged. */
+    /** Marks a message as finished. Later messages of its ordering key wait until its completion is acknowledged. */
     void finish(PendingMessage message) {
         message.isFinished = true;
         message.completionUnacknowledged =
@@ -101,15 +107,16 @@
         openCount--;
         dequeue(message);
         byDeadline.remove(message);
-        forgetIfSettled(message);
+        removeIfSettled(message);
     }
 
-    void completionAcknowledged(PendingMessage message) {
+    void onCompletionAcknowledged(PendingMessage message) {
         message.completionUnacknowledged = false;
-        forgetIfSettled(message);
+        removeIfSettled(message);
     }
 
-    void forgetIfSettled(PendingMessage message) {
+    /** Removes a finished message once no attempt is in flight and its completion is acknowledged. */
+    void removeIfSettled(PendingMessage message) {
         if (!message.isFinished || message.attemptsInFlight > 0 || message.completionUnacknowledged) {
             return;
         }
@@ -123,7 +130,7 @@
         return expired ? byDeadline.pollFirst() : null;
     }
 
-    /** The earliest deadline, in microseconds; {@link Long#MAX_VALUE} where no message is open. */
+    /** Returns the earliest deadline in microseconds, or {@link Long#MAX_VALUE} if no message is open. */
     long nextDeadlineMicros() {
         return byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.first().deadlineMicros;
     }
@@ -132,7 +139,10 @@
         return !busyDestinations.isEmpty();
     }
 
-    /** Destinations with waiting messages, in the order in which they began to wait; not to be changed meanwhile. */
+    /**
+     * Returns the destinations with waiting messages, in the order in which their messages began to wait. The set is
+     * live: messages must not be queued or removed while it is iterated.
+     */
     Set<Destination> busyDestinations() {
         return busyDestinations;
     }
--- a/src/main/java/loftflow/policy/PermitLedger.java
+++ b/src/main/java/loftflow/policy/PermitLedger.java
@@ -3,11 +3,11 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What the relay that coordinates a group's permits knows of it; unused at all other relays. */
+/** State of a group's permits at the relay that coordinates them; unused at all other relays. */
 final class PermitLedger {
     /** Relays that wait for a permit, in the order of their requests. */
     final Set<Integer> requesters = new LinkedHashSet<>();
-    /** Correction of the known limit, learned from rejections. */
+    /** Factor that corrects the known limit according to rejections. */
     double rateFactor = 1;
 
     int consecutiveFailures;
--- a/src/main/java/loftflow/policy/RecoveryRamp.java
+++ b/src/main/java/loftflow/policy/RecoveryRamp.java
@@ -1,16 +1,16 @@
 package loftflow.policy;
 
 /**
- * How fast may this relay send to a group that has just recovered from an outage (slow start)? A destination returns
- * cold and reaches its full capacity over the warm-up time of the service rules; sent more than the overload multiple
- * of what it can take meanwhile, it fails again. The ramp stays below that multiple. Rates are calls a second of this
- * relay.
+ * Limits the send rate to a group that has just recovered from an outage (slow start). A destination recovers with
+ * reduced capacity and reaches its full capacity over the warm-up time of the service rules. If its load exceeds the
+ * overload multiple of its current capacity in this time, it fails again; the ramp stays below that multiple. Rates are
+ * calls per second of this relay.
  */
 final class RecoveryRamp {
-    /** Share of the overload multiple that is used, to leave room for chance. */
+    /** Share of the overload multiple that is used, as a margin for random variation. */
     private static final double SAFETY_SHARE = 0.9;
 
-    /** The rate of all relays together where nothing else is known. */
+    /** Minimum rate of all relays together, which applies if no other rate is known. */
     private static final double MIN_FLEET_RATE_PER_SECOND = 0.75;
 
     private final RoundContext context;
@@ -21,21 +21,21 @@
         this.limits = limits;
     }
 
-    /** True while the group warms up. */
+    /** Returns whether the group is warming up after an outage. */
     boolean isActive(LimitGroup group) {
         return context.now() - group.recoveredAtMicros
                 < context.settings().rules().warmUpMicros();
     }
 
-    /** The multiple of its usual calls that a destination can take now, having recovered at a time. */
+    /** Returns the multiple of its usual calls that a destination can take now if it recovered at a given time. */
     double sustainableShare(long recoveredAtMicros) {
-        double warm = (context.now() - recoveredAtMicros)
+        double warmUpShare = (context.now() - recoveredAtMicros)
                 / (double) Math.max(1, context.settings().rules().warmUpMicros());
-        double capacityShare = context.settings().rules().coldCapacityShare() * (1 - warm) + warm;
+        double capacityShare = context.settings().rules().coldCapacityShare() * (1 - warmUpShare) + warmUpShare;
         return SAFETY_SHARE * context.settings().rules().overloadMultiple() * capacityShare;
     }
 
-    /** The most calls a second for this relay now, the group having recovered at a time. */
+    /** Returns the maximum calls per second of this relay now if the group recovered at a given time. */
     double ratePerSecond(LimitGroup group, long recoveredAtMicros) {
         double usual = Math.max(
                 group.usualRatePerSecond,
@@ -45,7 +45,7 @@
                 sustainableShare(recoveredAtMicros) * usual);
     }
 
-    /** A failure during the ramp restarts it, as the outage may go on. */
+    /** Restarts the ramp after a failure during it, as the outage may continue. */
     void restartIfActive(LimitGroup group) {
         if (isActive(group)) {
             group.recoveredAtMicros = context.now();
--- a/src/main/java/loftflow/policy/ResponseTimes.java
+++ b/src/main/java/loftflow/policy/ResponseTimes.java
@@ -1,14 +1,14 @@
 package loftflow.policy;
 
 /**
- * How long does a route take to answer? An exponentially weighted mean of the response times of its served calls, in
- * microseconds. A route that has not answered lately gets the initial estimate again, so that it is tried again.
+ * Estimates the response time of a route as the exponentially weighted mean over its served calls, in microseconds. A
+ * route that has not answered recently gets the initial estimate again, so that it is selected again.
  */
 final class ResponseTimes {
-    /** Assumed before the first answer. */
+    /** Estimate before the first answer. */
     static final long INITIAL_ESTIMATE_MICROS = 400_000;
 
-    /** Weight of the latest call; about the last five count. */
+    /** Weight of the latest call; the mean covers about the last five calls. */
     static final double LATEST_CALL_WEIGHT = 0.2;
 
     private static final long STALE_AFTER_MICROS = 5_000_000;
--- a/src/main/java/loftflow/policy/RetryPolicy.java
+++ b/src/main/java/loftflow/policy/RetryPolicy.java
@@ -5,10 +5,10 @@
 import loftflow.policy.api.KeyScope;
 
 /**
- * May this message be attempted again, and where? An idempotent message may always be. A non-idempotent one only while
- * every attempt is proven not to have executed. One that is idempotent by key may be repeated at routes that share the
- * key with the first attempt that may have executed, until its key window has passed. Attempts are bounded by the
- * relay's limits, and none starts after the deadline. Times are microseconds.
+ * Decides whether a message may be attempted again and at which routes. An idempotent message always may; a
+ * non-idempotent one only while every attempt is proven not to have executed. One that is idempotent by key may be
+ * repeated at routes that share the key with the first attempt that may have executed, until its key window has passed.
+ * The relay's limits bound the number of attempts, and none starts after the deadline. Times are in microseconds.
  */
 final class RetryPolicy {
     private final RoundContext context;
@@ -18,8 +18,8 @@
     }
 
     /**
-     * True where a message without an attempt in flight may be attempted again. Says nothing of routes: a message that
-     * is allowed at none, such as a keyed one whose window has passed, waits until its deadline.
+     * Returns whether a message without an attempt in flight may be attempted again. Routes are not considered: a
+     * message that no route is allowed for, such as one whose key window has passed, waits until its deadline.
      */
     boolean mayRetry(PendingMessage message) {
         boolean attemptsExhausted =
@@ -29,7 +29,7 @@
         return context.now() < message.deadlineMicros && !attemptsExhausted && !repeatForbidden;
     }
 
-    /** True where the message may be sent to the route now. */
+    /** Returns whether the message may be sent to the route now. */
     boolean isAllowed(PendingMessage message, Route route) {
         Attempt first = message.firstAttemptThatMayHaveExecuted();
         Idempotency idempotency = message.requestClass.idempotency();
@@ -56,7 +56,7 @@
         return false;
     }
 
-    /** How long the key of a repeat is still remembered by its destination; 0 where that bounds nothing. */
+    /** Returns how long the destination still recognizes the key of a repeat; 0 if no key window applies. */
     long keyWindowLeftMicros(PendingMessage message) {
         if (message.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY) {
             return 0;
@@ -65,7 +65,7 @@
         return first == null ? 0 : first.call.sentAtMicros + message.requestClass.keyWindowMicros() - context.now();
     }
 
-    /** True where the client may hand the message in again without the risk of a second effect. */
+    /** Returns whether the client may hand the message in again without the risk of a second effect. */
     boolean isSafeToReject(PendingMessage message) {
         return switch (message.requestClass.idempotency()) {
             case IDEMPOTENT -> true;
--- a/src/main/java/loftflow/policy/Route.java
+++ b/src/main/java/loftflow/policy/Route.java
@@ -3,30 +3,30 @@
 import java.util.ArrayDeque;
 import loftflow.policy.api.EndpointEntry;
 
-/** One endpoint of a destination and what this relay has observed of it. */
+/** One endpoint of a destination and the observations of this relay about it. */
 final class Route {
     final String name;
     final String zone;
     final Destination destination;
     final LimitGroup group;
     final Circuit circuit;
-    /** The most messages that travel in one call. */
+    /** Maximum number of messages per call. */
     final int maxBatchSize;
-    /** Preference for a near or cheap zone, added to the score. */
+    /** Score bonus of a near or cheap zone. */
     final double localityBonus;
-    /** True while discovery lists it as taking new work. */
+    /** True while discovery lists it as accepting new work. */
     boolean listed;
-    /** Known only from a list of before a restart; a probe precedes any message. */
+    /** True if it is known only from a list from before a restart; a probe precedes any message. */
     boolean addressUnverified;
-    /** Unverified, and tried only where its destination has nothing else. */
+    /** True if it is unverified and used only if its destination has no other route. */
     boolean lastResort;
 
     double listedRatePerSecond;
-    /** Exponentially weighted share of calls that failed. */
+    /** Exponentially weighted share of failed calls. */
     double errorRate;
     /** Exponentially weighted response time; 0 before the first answer. */
     double responseTimeMicros;
-    /** When the latest of the calls that were answered had been sent. */
+    /** Send time of the most recently sent call that was answered. */
     long answeredCallSentAtMicros;
 
     long lastAnswerAtMicros;
--- a/src/main/java/loftflow/policy/RouteAvailability.java
+++ b/src/main/java/loftflow/policy/RouteAvailability.java
@@ -1,9 +1,9 @@
 package loftflow.policy;
 
 /**
- * May a message be sent to a route now, and if not, when? A route is usable while discovery lists it, no Retry-After
- * applies, its group is within the send rate limit and holds a permit where one is required, circuits are closed, it is
- * not suspected to be unresponsive, and its group has a free call slot.
+ * Decides whether a message may be sent to a route now, and otherwise when. A route is usable if discovery lists it, no
+ * Retry-After applies, its group is within the send rate limit and holds a permit if one is required, its circuits are
+ * closed, it is not suspected of being unresponsive, and its group has a free call slot.
  */
 final class RouteAvailability {
     private final RoundContext context;
@@ -25,7 +25,7 @@
         this.concurrency = concurrency;
     }
 
-    /** True where a message may be sent to the route now. */
+    /** Returns whether a message may be sent to the route now. */
     boolean isUsable(Route route) {
         LimitGroup group = route.group;
         return route.listed
@@ -38,7 +38,10 @@
                 && !concurrency.isGroupAtLimit(route);
     }
 
-    /** When the route may be used or probed next, if only time stands in the way; else {@link Long#MAX_VALUE}. */
+    /**
+     * Returns the time at which the route may next be used or probed if only time limits prevent it now, otherwise
+     * {@link Long#MAX_VALUE}.
+     */
     long nextUseAtMicros(Route route) {
         LimitGroup group = route.group;
         long at = Math.max(
--- a/src/main/java/loftflow/policy/RouteScorer.java
+++ b/src/main/java/loftflow/policy/RouteScorer.java
@@ -3,11 +3,11 @@
 import loftflow.policy.api.Zone;
 
 /**
- * How good is a route? A score of 0 to about 130 points (see the design page): full marks, less for errors, consecutive
- * failures and slow answers, more for quick answers and for a near or cheap zone.
+ * Scores routes from 0 to about 130 points (see docs/design.md): a full score, reduced for errors, consecutive failures
+ * and slow answers, and increased for quick answers and for a near or cheap zone.
  */
 final class RouteScorer {
-    /** A response time above this counts as slow. */
+    /** Response time above which a route is slow. */
     static final long SLOW_RESPONSE_MICROS = 5_000_000;
 
     private static final double FULL_SCORE = 100;
@@ -18,10 +18,10 @@
     private static final double QUICK_BONUS = 20;
     private static final long QUICK_RESPONSE_MICROS = 1_000_000;
 
-    /** A response time above this multiple of the destination's best counts as slow too. */
+    /** Multiple of the destination's best response time above which a route is slow too. */
     private static final double SLOW_RATIO = 3;
 
-    /** Small enough that locality decides only between routes that are about equally good. */
+    /** Small, so that locality decides only between routes of about equal quality. */
     private static final double LOCALITY_BONUS = 8;
 
     private final RoundContext context;
@@ -32,19 +32,19 @@
         this.responseTimes = responseTimes;
     }
 
-    /** The score of a route, given the best expected response time among the candidates. */
+    /** Returns the score of a route, given the best expected response time among the candidates. */
     double score(Route route, double bestResponseMicros) {
         double response = responseTimes.expectedMicros(route);
-        double slowest = SLOW_RATIO * Math.max(ResponseTimes.INITIAL_ESTIMATE_MICROS, bestResponseMicros);
+        double maxRelativeResponse = SLOW_RATIO * Math.max(ResponseTimes.INITIAL_ESTIMATE_MICROS, bestResponseMicros);
         double score =
                 FULL_SCORE - route.errorRate * ERROR_RATE_PENALTY - route.circuit.consecutiveFailures * FAILURE_PENALTY;
         score -= route.errorRate > CircuitBreaker.MAX_ERROR_RATE ? UNHEALTHY_PENALTY : 0;
         score += response < QUICK_RESPONSE_MICROS ? QUICK_BONUS : 0;
-        score -= response > Math.min(SLOW_RESPONSE_MICROS, slowest) ? SLOW_PENALTY : 0;
+        score -= response > Math.min(SLOW_RESPONSE_MICROS, maxRelativeResponse) ? SLOW_PENALTY : 0;
         return Math.max(0, score + route.localityBonus);
     }
 
-    /** The bonus of a zone: by cost where zones differ in cost, else for this relay's own zone. */
+    /** Returns the bonus of a zone: by cost if zones have costs, otherwise a fixed bonus for this relay's own zone. */
     double localityBonus(String zoneName) {
         double highestCost = context.settings().zones().stream()
                 .mapToDouble(Zone::cost)
--- a/src/main/java/loftflow/policy/RouteSelector.java
+++ b/src/main/java/loftflow/policy/RouteSelector.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Which route does a message take? One drawn among the usable routes whose score is near the best, with probabilities
- * in proportion to their scores; not the route of its previous attempt where there is another.
+ * Selects the route of a message by a random draw among the usable routes whose score is near the best, with
+ * probabilities in proportion to their scores. Avoids the route of the previous attempt if there is another.
  */
 final class RouteSelector {
-    /** Routes within this many points of the best score take part in the draw. */
+    /** Maximum distance from the best score, in points, of a route that takes part in the draw. */
     private static final double NEAR_BEST_POINTS = 20;
 
     private final RoundContext context;
@@ -23,7 +23,7 @@
         this.retryPolicy = retryPolicy;
     }
 
-    /** Draws a route; at least one of {@code usable} must be allowed for the message. */
+    /** Selects a route; at least one of {@code usable} must be allowed for the message. */
     Route select(PendingMessage message, List<Route> usable) {
         List<Route> candidates = new ArrayList<>(usable);
         candidates.removeIf(route -> !retryPolicy.isAllowed(message, route));
--- a/src/main/java/loftflow/policy/SendPermitCoordinator.java
+++ b/src/main/java/loftflow/policy/SendPermitCoordinator.java
@@ -4,22 +4,25 @@
 import java.util.Set;
 
 /**
- * How do relays that share a group's limit take turns? The coordinator of a group (one relay of the fleet, derived from
- * the group's id) collects what all relays observe of it and issues permits one at a time: probes while the group
- * fails, else as many calls a second as the group takes, corrected by the rejections that were reported. Times are
- * microseconds.
+ * Coordinates the sending of relays that share a group's limit. The coordinator of a group (one relay of the fleet,
+ * derived from the group's id) collects the observations of all relays and issues permits one at a time: probe permits
+ * while the group fails, otherwise as many per second as the group takes, corrected by the reported rejections. Times
+ * are in microseconds.
  */
 final class SendPermitCoordinator {
-    /** Gentle, as the coordinator receives the rejections of all relays. */
+    /**
+     * Factor on the permit rate after a rejection; close to 1, because the coordinator receives the rejections of all
+     * relays.
+     */
     private static final double RATE_FACTOR_AFTER_REJECTION = 0.8;
 
-    /** A rough listed rate may be too low by up to this factor. */
+    /** Factor by which a rough listed rate may be too low. */
     private static final double MAX_RATE_FACTOR = 2;
 
-    /** Permits that are due but were not issued, as no round ran, lapse after this long. */
+    /** Time after which permits lapse that were due but not issued because no round ran. */
     private static final long MAX_CATCH_UP_MICROS = RoundContext.MICROS_PER_SECOND / 2;
 
-    /** A notice is repeated this long before the previous one expires. */
+    /** Time before the expiry of a congestion notice at which it may be repeated. */
     private static final long NOTICE_OVERLAP_MICROS = RoundContext.MICROS_PER_SECOND;
 
     private final RoundContext context;
@@ -46,7 +49,7 @@
         this.permits = permits;
     }
 
-    /** A relay reported an observation of a group, or requested a permit. */
+    /** Handles an observation of a group or a permit request, as reported by a relay. */
     void onReport(LimitGroup group, int relay, PeerMessageType observation) {
         PermitLedger ledger = group.permitLedger;
         if (observation == PeerMessageType.SERVED) {
@@ -119,11 +122,11 @@
                         : Math.min(ledger.rateFactor, ramp.sustainableShare(ledger.recoveredAtMicros)));
     }
 
-    /** When the next permit is due; {@code otherwise} where none is requested. */
-    long nextPermitAtMicros(long otherwise) {
+    /** Returns when the next permit is due, or {@code defaultMicros} if none is requested. */
+    long nextPermitAtMicros(long defaultMicros) {
         return groupsWithRequests.stream()
                 .mapToLong(group -> group.permitLedger.nextPermitAtMicros)
                 .min()
-                .orElse(otherwise);
+                .orElse(defaultMicros);
     }
 }
--- a/src/main/java/loftflow/policy/SendPermits.java
+++ b/src/main/java/loftflow/policy/SendPermits.java
@@ -1,17 +1,17 @@
 package loftflow.policy;
 
 /**
- * May this relay send to a group that its peers share with it? Where relays may exchange messages, a group that is
- * congested or fails is put under permits: each relay reports what it observes to the group's coordinator, which all
- * relays derive from the group's id, and sends once it holds a permit. A lost message or a dead coordinator costs
- * {@link #PERMIT_TIMEOUT_MICROS}; after that the relay falls back to its own rate limit. Relays on sockets exchange no
- * messages, so permits take effect in the simulator alone. Times are microseconds.
+ * Decides whether this relay may send to a group that its peers share. If relays may exchange messages, a congested or
+ * failing group requires permits: each relay reports its observations to the group's coordinator, which all relays
+ * derive from the group's id, and sends once it holds a permit. A lost message or a failed coordinator delays the relay
+ * by {@link #PERMIT_TIMEOUT_MICROS}; after that, it falls back to its own rate limit. Relays that use sockets exchange
+ * no messages, so permits take effect only in the simulator. Times are in microseconds.
  */
 final class SendPermits {
-    /** How long a congestion notice makes every relay require permits. */
+    /** Time for which a congestion notice makes every relay require permits. */
     static final long PERMITS_REQUIRED_MICROS = 10_000_000;
 
-    /** A permit that has not arrived after this long is treated as lost. */
+    /** Time after which a requested permit is considered lost. */
     private static final long PERMIT_TIMEOUT_MICROS = 8_000_000;
 
     private static final long PERMIT_VALIDITY_MICROS = RoundContext.MICROS_PER_SECOND;
@@ -24,26 +24,28 @@
         this.peers = peers;
     }
 
-    /** True where no permit is required, this relay holds one, or the permit that it requested has timed out. */
+    /** Returns whether no permit is required, this relay holds one, or the permit that it requested has timed out. */
     boolean maySend(LimitGroup group) {
         long now = context.now();
         return now >= group.permitsRequiredUntilMicros
                 || now < group.permitValidUntilMicros
-                || group.permitRequested && !isAwaited(group);
+                || group.permitRequested && !isPermitPending(group);
     }
 
-    private boolean isAwaited(LimitGroup group) {
+    private boolean isPermitPending(LimitGroup group) {
         return group.permitRequested && context.now() < group.permitRequestedAtMicros + PERMIT_TIMEOUT_MICROS;
     }
 
-    /** When permits no longer stand in the way of sending, if no message arrives meanwhile. */
+    /** Returns when permits cease to prevent sending if no message arrives in the meantime. */
     long unrestrictedAtMicros(LimitGroup group) {
         return Math.min(
                 group.permitsRequiredUntilMicros,
                 group.permitRequested ? group.permitRequestedAtMicros + PERMIT_TIMEOUT_MICROS : Long.MAX_VALUE);
     }
 
-    /** Reports an observation to the group's coordinator; anything but a served call requests a permit too. */
+    /**
+     * Reports an observation to the group's coordinator. Every observation except a served call also requests a permit.
+     */
     void report(LimitGroup group, PeerMessageType observation) {
         if (!context.settings().limits().peerMessages()) {
             return;
@@ -56,21 +58,24 @@
         peers.send(coordinator, observation, group.id);
     }
 
-    /** Requests permits for the routes of a destination with waiting messages, where they are required. */
-    void requestWhereRequired(Destination destination) {
+    /** Requests permits for the routes of a destination with waiting messages, if they are required. */
+    void requestIfRequired(Destination destination) {
         long now = context.now();
         for (Route route : destination.routes.values()) {
             LimitGroup group = route.group;
             if (route.listed
                     && now < group.permitsRequiredUntilMicros
-                    && !isAwaited(group)
+                    && !isPermitPending(group)
                     && now >= group.permitValidUntilMicros) {
                 report(group, PeerMessageType.PERMIT_REQUEST);
             }
         }
     }
 
-    /** A permit arrived; one for a probe lets open circuits be probed at once and their outcome be reported. */
+    /**
+     * Handles a permit: messages may be sent and open circuits probed at once. The outcome of a probe permit's call is
+     * reported.
+     */
     void onPermit(LimitGroup group, boolean forProbe) {
         long now = context.now();
         group.permitRequested = false;
@@ -81,12 +86,12 @@
         group.routes.forEach(route -> route.circuit.probeNotBeforeMicros = now);
     }
 
-    /** The coordinator announced congestion. */
+    /** Handles a congestion notice of the coordinator. */
     void onCongestionNotice(LimitGroup group) {
         group.permitsRequiredUntilMicros = context.now() + PERMITS_REQUIRED_MICROS;
     }
 
-    /** A call used the permit. */
+    /** Uses up the permit for a call. */
     void onSent(LimitGroup group) {
         group.permitValidUntilMicros = context.now();
     }
--- a/src/main/java/loftflow/policy/SendRateLimiter.java
+++ b/src/main/java/loftflow/policy/SendRateLimiter.java
@@ -1,43 +1,43 @@
 package loftflow.policy;
 
 /**
- * How fast may this relay send to a limit group? No limit applies until the group rejects a call. Then the rate is cut,
- * to this relay's share of a burst or to half of what was served, and is halved by later rejections. It grows by a
- * tenth a second while calls are served; after a first cut without a known limit it is doubled until the next
- * rejection, to probe for capacity. Where destinations report how much of their limit is left, a large fleet lets that
- * report steer growth and cuts. Rates are calls a second of this relay.
+ * Limits the rate at which this relay sends to a limit group. No limit applies until the group rejects a call. The rate
+ * is then cut to this relay's share of a burst or to half of the served rate, and is halved by later rejections. It
+ * grows by a tenth per second while calls are served; after a first cut without a known limit it is doubled until the
+ * next rejection, to probe for capacity. If destinations report how much of their limit remains, growth and cuts follow
+ * that report in a large fleet. Rates are calls per second of this relay.
  */
 final class SendRateLimiter {
-    /** Assumed for all relays together where no limit is known. */
+    /** Limit assumed for all relays together if none is known. */
     static final double ASSUMED_FLEET_LIMIT_PER_SECOND = 3;
 
-    /** Less than this share of the limit left: it is used up faster than it is replenished. */
+    /** Remaining share of the limit below which the limit is used up faster than it is replenished. */
     static final double SCARCE_REMAINING_SHARE = 0.5;
 
-    /** Rejections so soon after a cut answer calls that were sent before it. */
+    /** Minimum time between two cuts; rejections within it answer calls sent before the cut. */
     static final long MIN_CUT_INTERVAL_MICROS = 500_000;
 
-    /** Growth of the rate in a second while calls are served. */
+    /** Growth of the rate per second while calls are served. */
     private static final double GROWTH_PER_SECOND = 0.1;
 
-    /** Growth in a second where a report says that all of the limit is left. */
+    /** Growth per second if a report says that the whole limit remains. */
     private static final double REPORTED_GROWTH_PER_SECOND = 0.3;
 
-    /** Growth while probing for capacity, over {@link #PROBING_GROWTH_INTERVAL_MICROS} at the least. */
+    /** Growth factor while probing for capacity, reached over at least {@link #PROBING_GROWTH_INTERVAL_MICROS}. */
     private static final double PROBING_GROWTH_FACTOR = 2;
 
     private static final long PROBING_GROWTH_INTERVAL_MICROS = 500_000;
 
-    /** One served call accounts for no more growth than that of this time. */
+    /** Maximum time whose growth one served call accounts for. */
     private static final long MAX_GROWTH_WINDOW_MICROS = 5_000_000;
 
-    /** The rate is multiplied by this after a rejection. */
+    /** Factor on the rate after a rejection. */
     private static final double RATE_FACTOR_AFTER_REJECTION = 0.5;
 
-    /** The rate is multiplied by this while the limit is scarce; gentler, as no rejection has occurred yet. */
+    /** Factor on the rate while the limit is scarce; closer to 1, because no rejection has occurred yet. */
     private static final double RATE_FACTOR_WHEN_SCARCE = 0.9;
 
-    /** Rounds are no longer than this where the relay has CPU time. */
+    /** Maximum time between rounds if the relay is not short of CPU time. */
     private static final long MAX_ROUND_MICROS = 10_000;
 
     private final RoundContext context;
@@ -50,12 +50,15 @@
         this.ramp = ramp;
     }
 
-    /** True where the rate lets a call leave now. */
+    /** Returns whether the rate allows a call to be sent now. */
     boolean isDue(LimitGroup group) {
         return context.now() >= group.nextSendAtMicros;
     }
 
-    /** A call leaves now: the next one is due an interval later; a slow round may catch up what it missed. */
+    /**
+     * Schedules the next call one interval after the call sent now; after a slow round, calls may catch up on at most
+     * {@link #MAX_ROUND_MICROS}.
+     */
     void onSent(LimitGroup group) {
         long earliest = Math.max(group.nextSendAtMicros, context.now() - MAX_ROUND_MICROS);
         group.nextSendAtMicros = earliest + RoundContext.intervalMicros(effectiveRate(group));
@@ -68,7 +71,8 @@
     }
 
     /**
-     * A destination reported its limit: in a large fleet the rate follows it, as this relay rarely sees a rejection.
+     * Handles a limit reported by the destination. In a large fleet the rate changes in proportion to it, as this relay
+     * rarely receives a rejection.
      */
     void onLimitReported(LimitGroup group, double limitPerSecond) {
         if (context.isLargeFleet() && group.reportedLimitPerSecond > 0) {
@@ -78,9 +82,9 @@
     }
 
     /**
-     * A call was served.
+     * Handles a served call.
      *
-     * @param remainingShare of the limit, as reported with the answer; NaN where it was not
+     * @param remainingShare remaining share of the limit, as reported with the answer; NaN if not reported
      */
     void onServed(LimitGroup group, double remainingShare) {
         if (context.isLargeFleet() && remainingShare < SCARCE_REMAINING_SHARE) {
@@ -98,7 +102,8 @@
     }
 
     /**
-     * Rejected calls may use up the limit too, so a fleet that grows until it is rejected might never be served again.
+     * Cuts the rate before any rejection. Rejected calls may use up the limit too, so a fleet that grows until it is
+     * rejected might never be served again.
      */
     private void cutBeforeRejection(LimitGroup group) {
         if (context.now() - group.lastCutAtMicros >= MIN_CUT_INTERVAL_MICROS) {
@@ -109,7 +114,10 @@
         }
     }
 
-    /** A report describes all relays, and the whole time since this one was served last. */
+    /**
+     * Grows the rate by the reported remaining share. Unlike a served call, a report describes all relays and the whole
+     * time since this relay was last served, so the growth is not limited in time.
+     */
     private void growAsReported(LimitGroup group, double remainingShare) {
         double spare = (remainingShare - SCARCE_REMAINING_SHARE) / (1 - SCARCE_REMAINING_SHARE);
         double seconds = (context.now() - group.lastGrowthAtMicros) / (double) RoundContext.MICROS_PER_SECOND;
@@ -117,13 +125,13 @@
         group.sendRatePerSecond = Math.max(fairShare(group), group.sendRatePerSecond * growth);
     }
 
-    /** The factor by which a rate grows from a time until now. */
+    /** Returns the factor by which a rate grows from a given time until now. */
     double growthSince(long sinceMicros) {
         long window = Math.min(MAX_GROWTH_WINDOW_MICROS, context.now() - sinceMicros);
         return Math.pow(1 + GROWTH_PER_SECOND, window / (double) RoundContext.MICROS_PER_SECOND);
     }
 
-    /** A call was rejected: cuts the rate once for all rejections of calls that were sent before the cut. */
+    /** Handles a rejected call: cuts the rate once for all rejections of calls that were sent before the cut. */
     void onRejected(LimitGroup group, long callSentAtMicros) {
         if (callSentAtMicros >= group.lastCutAtMicros
                 && context.now() - group.lastCutAtMicros >= MIN_CUT_INTERVAL_MICROS) {
@@ -134,7 +142,7 @@
         group.nextSendAtMicros = Math.max(group.nextSendAtMicros, earliest + context.withJitter(interval));
     }
 
-    /** The first cut of an unlimited rate starts from what the group may take; later ones halve the rate. */
+    /** Cuts an unlimited rate to an estimate of what the group may take, and halves a limited one. */
     private void cut(LimitGroup group) {
         group.lastCutAtMicros = context.now();
         group.lastGrowthAtMicros = context.now();
@@ -146,9 +154,9 @@
     }
 
     /**
-     * A share that lets a relay with a burst send it, as few relays have one at a time, or half of what was served
-     * lately, whichever is higher. Where the limit is known, the share is held to half of what this relay really sends,
-     * or the cut might change nothing.
+     * Returns the rate after the first rejection: a share that lets a relay send a burst, as few relays have one at the
+     * same time, or half of the recently served rate, whichever is higher. If the limit is known, that share is reduced
+     * to half of this relay's actual send rate, since the cut might otherwise change nothing.
      */
     private double rateAfterFirstRejection(LimitGroup group) {
         int fleetSize = context.settings().fleetSize();
@@ -162,16 +170,17 @@
     }
 
     /**
-     * True where the rate is above this relay's share, so that a rejection may only mean that the limit is exceeded.
+     * Returns whether the rate is above this relay's share, so that a rejection may only mean that the limit is
+     * exceeded.
      */
     boolean exceedsFairShare(LimitGroup group) {
         return group.sendRatePerSecond > fairShare(group);
     }
 
     /**
-     * This relay's share of the group's limit: an equal one, or in a large fleet what its own clients need, as far as
-     * even a cold destination can take it. Counted in calls: where a call carries several messages, as many as full
-     * calls need.
+     * Returns this relay's share of the group's limit: an equal share, or in a large fleet the rate that its own
+     * clients need, as far as even a cold destination can take it. The share is in calls: if a call may carry several
+     * messages, it is the number of full calls that are needed.
      */
     private double fairShare(LimitGroup group) {
         double limit = limits.limitPerSecond(group);
@@ -188,7 +197,7 @@
                 .count();
         double needed = destination.arrivals.extrapolatedRatePerSecond(context.now()) / groups;
         if (first.maxBatchSize > 1 && destination.arrivals.isSignificant(context.now())) {
-            // Relays with few messages would otherwise spend the limit on calls that carry one each.
+            // Otherwise relays with few messages would use up the limit with calls that carry one message each.
             return Math.max(equalShare, needed) / first.maxBatchSize;
         }
         double sustainable = Math.min(1, ramp.sustainableShare(context.now()));
--- a/src/main/java/loftflow/policy/WakeUpTimer.java
+++ b/src/main/java/loftflow/policy/WakeUpTimer.java
@@ -1,10 +1,8 @@
 package loftflow.policy;
 
-/**
- * When is the next round needed if no event arrives? Keeps one timer set to the earliest time at which anything is due.
- */
+/** Keeps one timer set to the earliest time at which a round is needed without an event. */
 final class WakeUpTimer {
-    /** The name of the timer. */
+    /** Id of the timer. */
     static final long TIMER_ID = 1;
 
     private final RoundContext context;
@@ -13,8 +11,8 @@
     private final RouteAvailability availability;
     private final ConcurrencyLimiter concurrency;
     private final SendPermitCoordinator coordinator;
-    /** {@link Long#MAX_VALUE} while no timer is set. */
-    private long setForMicros = Long.MAX_VALUE;
+    /** Time at which the timer fires; {@link Long#MAX_VALUE} while none is set. */
+    private long firesAtMicros = Long.MAX_VALUE;
 
     WakeUpTimer(
             RoundContext context,
@@ -31,23 +29,23 @@
         this.coordinator = coordinator;
     }
 
-    /** A timer of this name fired; it may be an earlier one than the latest that was set. */
+    /** Handles a timer of this id, which may be an earlier one than the latest that was set. */
     void onTimer() {
-        setForMicros = context.now() >= setForMicros ? Long.MAX_VALUE : setForMicros;
+        firesAtMicros = context.now() >= firesAtMicros ? Long.MAX_VALUE : firesAtMicros;
     }
 
-    /** Sets the timer where something is due before it would fire. */
+    /** Sets the timer if something is due before it would fire. */
     void arm() {
         long next = nextDueMicros();
-        if (next < setForMicros) {
-            setForMicros = Math.max(next, context.now() + 1);
-            context.actions().setTimer(TIMER_ID, setForMicros - context.now());
+        if (next < firesAtMicros) {
+            firesAtMicros = Math.max(next, context.now() + 1);
+            context.actions().setTimer(TIMER_ID, firesAtMicros - context.now());
         }
     }
 
     private long nextDueMicros() {
         long next = messages.nextDeadlineMicros();
-        next = endpoints.awaitsList() ? Math.min(next, endpoints.awaitsListUntilMicros()) : next;
+        next = endpoints.isAwaitingList() ? Math.min(next, endpoints.awaitListUntilMicros()) : next;
         next = Math.min(next, coordinator.nextPermitAtMicros(next));
         for (Destination destination : messages.busyDestinations()) {
             for (Route route : destination.routes.values()) {
--- a/src/main/java/loftflow/policy/WarmStart.java
+++ b/src/main/java/loftflow/policy/WarmStart.java
@@ -6,13 +6,13 @@
 import loftflow.policy.api.TrustLevel;
 
 /**
- * What is known of a route from before a restart, and how far does it count? A restored route starts at this relay's
- * share of what all may send, so that a fleet that restarts at once does not flood it. One whose circuit was open, or
- * that is not fully trusted, starts with an open circuit and is probed first; where health checks are allowed, every
- * restored address is.
+ * Restores the state of routes from before a restart as far as it is trusted. A restored route starts at this relay's
+ * share of the rate of all relays, so that a fleet that restarts at once does not overload it. A route whose circuit
+ * was open, or that is not fully trusted, starts with an open circuit and is probed first; if health checks are
+ * allowed, so is every restored address.
  */
 final class WarmStart {
-    /** Width of the random reduction of a restored rate, so that a fleet does not act in step. */
+    /** Width of the random reduction of a restored rate, so that relays do not act in step. */
     private static final double START_JITTER_SHARE = 0.2;
 
     private final RoundContext context;
@@ -27,7 +27,7 @@
         this.circuitBreaker = circuitBreaker;
     }
 
-    /** Restores a route that the list in force names; another one is ignored. */
+    /** Restores a route that the list in force names; ignores any other. */
     void restore(RouteRestored event) {
         RouteSnapshot snapshot = event.snapshot();
         Route route = endpoints.route(snapshot.route());
@@ -35,15 +35,16 @@
             return;
         }
         LimitGroup group = route.group;
-        boolean isSound = event.trust() == TrustLevel.AS_LISTED && !snapshot.circuitOpen();
+        boolean isTrustedAndClosed = event.trust() == TrustLevel.AS_LISTED && !snapshot.circuitOpen();
         restoreObservations(route, snapshot);
-        route.addressUnverified = !isSound || context.settings().limits().probes();
+        route.addressUnverified =
+                !isTrustedAndClosed || context.settings().limits().probes();
         route.lastResort = event.trust() == TrustLevel.LAST_RESORT;
         restoreRate(group, snapshot);
         if (route.addressUnverified) {
-            startOpen(route, isSound);
+            startOpen(route, isTrustedAndClosed);
         }
-        if (isSound && snapshot.warmUpRemainingMicros() > 0) {
+        if (isTrustedAndClosed && snapshot.warmUpRemainingMicros() > 0) {
             long warmUp = context.settings().rules().warmUpMicros();
             group.recoveredAtMicros = context.now() - warmUp + snapshot.warmUpRemainingMicros();
         }
@@ -62,7 +63,7 @@
     private void restoreRate(LimitGroup group, RouteSnapshot snapshot) {
         int fleetSize = context.settings().fleetSize();
         double limit = limits.limitPerSecond(group);
-        // Where the limit is known, the usual rates of all relays may add up to more than it allows.
+        // The usual rates of all relays may add up to more than a known limit allows, so the ramp ignores them.
         group.usualRatePerSecond = limit > 0 ? 0 : Math.max(group.usualRatePerSecond, snapshot.usualRatePerSecond());
         double minRate = limit > 0
                 ? limit / fleetSize
@@ -75,16 +76,16 @@
         group.nextSendAtMicros = Math.max(group.nextSendAtMicros, firstSendAt);
     }
 
-    private void startOpen(Route route, boolean onlyForAddressCheck) {
+    private void startOpen(Route route, boolean isAddressCheckOnly) {
         LimitGroup group = route.group;
-        circuitBreaker.startOpen(route.circuit, group, onlyForAddressCheck);
+        circuitBreaker.startOpen(route.circuit, group, isAddressCheckOnly);
         if (group.routes.stream().noneMatch(other -> other.circuit.isClosed())) {
             boolean allAwaitCheck = group.routes.stream().allMatch(other -> other.circuit.awaitsAddressCheck);
             circuitBreaker.startOpen(group.circuit, group, allAwaitCheck);
         }
     }
 
-    /** What is worth storing of each listed route. */
+    /** Returns the state of each listed route that is worth storing. */
     List<RouteSnapshot> snapshots() {
         return endpoints.routes().stream()
                 .filter(route -> route.listed)
--- a/src/main/java/loftflow/policy/api/AttemptOutcome.java
+++ b/src/main/java/loftflow/policy/api/AttemptOutcome.java
@@ -1,22 +1,22 @@
 package loftflow.policy.api;
 
-/** How an attempt to deliver a message ended. */
+/** Outcome of an attempt to deliver a message. */
 public enum AttemptOutcome {
     /** The destination has accepted the message. */
     OK("OK"),
     /** The destination answered with an error; the message may have taken effect. */
     ERROR("ERROR"),
-    /** The destination answered that it is above its limit or closed; the message has had no effect. */
+    /** The destination answered that its limit is exceeded or that it is closed; the message has had no effect. */
     REJECTED("FULL"),
-    /** No answer came in time; the message may have taken effect, or may yet. */
+    /** No answer arrived in time; the message may have taken effect or may still do so. */
     TIMEOUT("TIMEOUT"),
-    /** No connection came up; the message has had no effect. */
+    /** No connection could be established; the message has had no effect. */
     CONNECT_FAILED("CONNECT_FAILED"),
-    /** The connection broke after the call's last byte; the message may have taken effect. */
+    /** The connection was lost after the last byte of the call was sent; the message may have taken effect. */
     RESET("RESET"),
-    /** This relay stopped waiting; the message may have taken effect. */
+    /** This relay stopped waiting for the answer; the message may have taken effect. */
     CANCELLED("CANCELLED"),
-    /** The call never left this relay; the message has had no effect. */
+    /** The call was not sent; the message has had no effect. */
     NOT_SENT("NOT_SENT");
 
     private final String code;
@@ -25,18 +25,15 @@
         this.code = code;
     }
 
-    /**
-     * The name under which the journal, the dead-letter store and the admin protocol know this outcome; it never
-     * changes.
-     */
+    /** Returns the stable identifier of this outcome in the journal, the dead-letter store and the admin protocol. */
     public String code() {
         return code;
     }
 
     /**
-     * The outcome that a {@link #code} stands for.
+     * Returns the outcome with a {@link #code}.
      *
-     * @throws IllegalArgumentException where no outcome has this code
+     * @throws IllegalArgumentException if no outcome has this code
      */
     public static AttemptOutcome ofCode(String code) {
         for (AttemptOutcome outcome : values()) {
@@ -47,7 +44,7 @@
         throw new IllegalArgumentException("unknown attempt outcome: " + code);
     }
 
-    /** True where the attempt surely had no effect at the destination. */
+    /** Returns whether the attempt is certain to have had no effect at the destination. */
     public boolean isProvenNotExecuted() {
         return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
     }
--- a/src/main/java/loftflow/policy/api/Availability.java
+++ b/src/main/java/loftflow/policy/api/Availability.java
@@ -1,11 +1,11 @@
 package loftflow.policy.api;
 
-/** State of an endpoint in a list. */
+/** Availability of an endpoint in a list. */
 public enum Availability {
-    /** Takes new work. */
+    /** Accepts new work. */
     LISTED,
-    /** Finishes what it has and takes nothing new. */
+    /** Completes work in progress and accepts no new work. */
     DRAINING,
-    /** Is gone; appears among changes only. */
+    /** No longer exists; appears only in a {@link EndpointListKind#DELTA}. */
     REMOVED
 }
--- a/src/main/java/loftflow/policy/api/CompletionAcknowledged.java
+++ b/src/main/java/loftflow/policy/api/CompletionAcknowledged.java
@@ -1,8 +1,8 @@
 package loftflow.policy.api;
 
 /**
- * The completion of an ordered message, for which {@link PolicyActions#isCompletionAcknowledged} was false, was
- * acknowledged.
+ * The completion notice of an ordered message was acknowledged. Follows a {@link CompletionPending}, or the end of a
+ * message for which {@link PolicyActions#isCompletionAcknowledged} returned false.
  *
  * @param id the message
  */
--- a/src/main/java/loftflow/policy/api/CompletionPending.java
+++ b/src/main/java/loftflow/policy/api/CompletionPending.java
@@ -1,7 +1,7 @@
 package loftflow.policy.api;
 
 /**
- * A restart found a message that is finished, while the notification of that is not acknowledged: later messages of its
+ * A message finished before a restart, and its completion notice is not acknowledged yet: later messages of its
  * ordering key wait for {@link CompletionAcknowledged}.
  */
 public record CompletionPending(MessageAccepted message) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/DestinationKind.java
+++ b/src/main/java/loftflow/policy/api/DestinationKind.java
@@ -3,7 +3,7 @@
 /**
  * A kind of destination.
  *
- * @param independentRoutes each endpoint is a route with a limit, a circuit and outages of its own
- * @param maxBatchSize the most messages that travel in one call, 1 or more
+ * @param independentRoutes true if each endpoint is a route with its own limit, circuit and outages
+ * @param maxBatchSize maximum number of messages per call, 1 or more
  */
 public record DestinationKind(String name, boolean independentRoutes, int maxBatchSize) {}
--- a/src/main/java/loftflow/policy/api/EndpointEntry.java
+++ b/src/main/java/loftflow/policy/api/EndpointEntry.java
@@ -1,17 +1,18 @@
 package loftflow.policy.api;
 
 /**
- * An endpoint as discovery lists it.
+ * An endpoint as listed by discovery.
  *
- * @param route the endpoint's name, the same at every relay
- * @param destination the number of the destination that it belongs to
- * @param kind the name of the destination's kind; unknown names are allowed
- * @param zone the name of the zone in which it stands
- * @param ratePerSecond calls a second for all relays together, as far as the settings' {@link RateHint} trusts it
+ * @param route name of the endpoint, identical at every relay
+ * @param destination number of the destination that the endpoint belongs to
+ * @param kind name of the destination's kind; may be unknown to the settings
+ * @param zone name of the endpoint's zone
+ * @param ratePerSecond calls per second for all relays together, trusted as far as the {@link RateHint} of the settings
+ *     allows
  */
 public record EndpointEntry(
         String route, int destination, String kind, String zone, Availability availability, double ratePerSecond) {
-    /** The same endpoint with another availability. */
+    /** Returns a copy of this entry with another availability. */
     public EndpointEntry withAvailability(Availability newAvailability) {
         return new EndpointEntry(route, destination, kind, zone, newAvailability, ratePerSecond);
     }
--- a/src/main/java/loftflow/policy/api/EndpointListKind.java
+++ b/src/main/java/loftflow/policy/api/EndpointListKind.java
@@ -1,13 +1,13 @@
 package loftflow.policy.api;
 
-/** What an endpoint list holds. */
+/** Kind of an endpoint list. */
 public enum EndpointListKind {
-    /** The whole list as it is now; endpoints that it does not name are gone. */
+    /** The complete current list; endpoints that it does not name no longer exist. */
     FULL,
-    /** The whole list as this relay last had it, possibly out of date. */
+    /** The complete list as last known to this relay, possibly out of date. */
     CACHED,
     /** Changed entries only. */
     DELTA,
-    /** Nothing: the request for the list, or the subscription to it, failed. */
+    /** No list: the request for it, or the subscription to it, failed. */
     FAILED
 }
--- a/src/main/java/loftflow/policy/api/EndpointListReceived.java
+++ b/src/main/java/loftflow/policy/api/EndpointListReceived.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The endpoint list, or changes of it, arrived, or a request for it failed.
+ * An endpoint list arrived, or a request for it failed.
  *
- * @param version of the list; 0 where it has none
- * @param entries empty where the request failed
+ * @param version version of the list; 0 if it has none
+ * @param entries empty if the request failed
  */
 public record EndpointListReceived(EndpointListKind kind, long version, List<EndpointEntry> entries)
         implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/Idempotency.java
+++ b/src/main/java/loftflow/policy/api/Idempotency.java
@@ -1,10 +1,10 @@
 package loftflow.policy.api;
 
-/** How often a message of a class may take effect. */
+/** Idempotency of the messages of a request class. */
 public enum Idempotency {
     /** May be delivered any number of times. */
     IDEMPOTENT("repeatable"),
-    /** Carries a key by which destinations drop a repeat within the class's key window. */
+    /** Carries a key by which destinations discard repeats within the key window of the class. */
     IDEMPOTENT_BY_KEY("by-key"),
     /** Must never take effect twice. */
     NON_IDEMPOTENT("once");
@@ -15,15 +15,15 @@
         this.settingName = settingName;
     }
 
-    /** The name that settings and scenario files give it. */
+    /** Returns the name of this value in settings and scenario files. */
     public String settingName() {
         return settingName;
     }
 
     /**
-     * What a {@link #settingName} stands for.
+     * Returns the value with a {@link #settingName}.
      *
-     * @throws IllegalArgumentException where no value has this name
+     * @throws IllegalArgumentException if no value has this name
      */
     public static Idempotency ofSettingName(String name) {
         for (Idempotency idempotency : values()) {
--- a/src/main/java/loftflow/policy/api/KeyScope.java
+++ b/src/main/java/loftflow/policy/api/KeyScope.java
@@ -1,11 +1,11 @@
 package loftflow.policy.api;
 
-/** Which routes of a destination drop a repeat with the same key. */
+/** The routes of a destination that discard a repeat with the same key. */
 public enum KeyScope {
-    /** All of them. */
+    /** All routes. */
     ALL,
-    /** Those in the zone of the first attempt. */
+    /** The routes in the zone of the first attempt. */
     ZONE,
-    /** The route of the first attempt alone. */
+    /** Only the route of the first attempt. */
     CELL
 }
--- a/src/main/java/loftflow/policy/api/LimitReport.java
+++ b/src/main/java/loftflow/policy/api/LimitReport.java
@@ -1,10 +1,10 @@
 package loftflow.policy.api;
 
 /**
- * What a destination reported of its rate limit.
+ * State of a rate limit as reported by the destination.
  *
- * @param remainingShare of the limit, 0 to 1; NaN where it was not reported
- * @param limitPerSecond calls a second for all relays together; NaN where it was not reported
+ * @param remainingShare remaining share of the limit, 0 to 1; NaN if not reported
+ * @param limitPerSecond calls per second for all relays together; NaN if not reported
  */
 public record LimitReport(double remainingShare, double limitPerSecond) {
     /** Nothing was reported. */
--- a/src/main/java/loftflow/policy/api/MessageResumed.java
+++ b/src/main/java/loftflow/policy/api/MessageResumed.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A message that was accepted before a restart is still owed its answer.
+ * A message accepted before a restart still needs its final answer.
  *
- * @param attempts made before the restart, the first one first
+ * @param attempts attempts made before the restart, oldest first
  */
 public record MessageResumed(MessageAccepted message, List<PastAttempt> attempts) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/MessageWithdrawn.java
+++ b/src/main/java/loftflow/policy/api/MessageWithdrawn.java
@@ -1,7 +1,7 @@
 package loftflow.policy.api;
 
 /**
- * Nothing is owed for a message any more: its client gave it up, or it turned out to be delivered.
+ * A message no longer needs a final answer: its client withdrew it, or it turned out to be delivered.
  *
  * @param id the message
  */
--- a/src/main/java/loftflow/policy/api/PeerMessage.java
+++ b/src/main/java/loftflow/policy/api/PeerMessage.java
@@ -3,7 +3,7 @@
 /**
  * A message from another relay of the fleet arrived.
  *
- * @param sender the index of the relay
- * @param payload as given to {@link PolicyActions#sendToPeer}
+ * @param sender index of the sending relay
+ * @param payload as passed to {@link PolicyActions#sendToPeer}
  */
 public record PeerMessage(int sender, byte[] payload) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/PolicyActions.java
+++ b/src/main/java/loftflow/policy/api/PolicyActions.java
@@ -1,47 +1,47 @@
 package loftflow.policy.api;
 
 /**
- * What a policy may do in a round. Each call takes effect at the time of the round, in the order of the calls.
- * Durations are microseconds.
+ * Actions that a policy may take in a round. Each call takes effect at the time of the round, in the order of the
+ * calls. Durations are in microseconds.
  */
 public interface PolicyActions {
     /**
      * Starts the next attempt of a message.
      *
      * @param id the message
-     * @param route the endpoint that it goes to
-     * @param timeoutMicros how long an answer is waited for; 0 means until the message's deadline
-     * @param leaveWithinMicros an attempt whose first byte has not left after this long ends as not sent; 0 means no
-     *     bound
+     * @param route name of the route that the attempt takes
+     * @param timeoutMicros maximum wait for an answer; 0 means until the message's deadline
+     * @param sendTimeoutMicros maximum wait until the first byte is sent, after which the attempt ends as not sent; 0
+     *     means no limit
      */
-    void send(long id, String route, long timeoutMicros, long leaveWithinMicros);
+    void send(long id, String route, long timeoutMicros, long sendTimeoutMicros);
 
-    /** Stops waiting for an attempt. */
+    /** Cancels an attempt: its answer is no longer awaited. */
     void cancel(long id, int attempt);
 
     /**
-     * Ends a message as one that may safely be handed in again.
+     * Ends a message as rejected: it may safely be handed in again.
      *
-     * @param retryAfterMicros when the client had better do so; 0 where that is not known
+     * @param retryAfterMicros recommended wait before handing it in again; 0 if unknown
      */
     void reject(long id, long retryAfterMicros);
 
-    /** Ends a message as failed; whether it took effect is not reported. */
+    /** Ends a message as failed, without reporting whether it took effect. */
     void fail(long id);
 
     /**
-     * Sets a timer, in addition to those that are set.
+     * Sets a timer in addition to those already set.
      *
-     * @param timer the name that {@link TimerFired} will carry
+     * @param timer id that {@link TimerFired} carries
      */
     void setTimer(long timer, long delayMicros);
 
-    /** Sends a health check to a route; it counts as a call there. */
+    /** Sends a health check to a route; it counts as a call at the destination. */
     void probe(String route);
 
     /**
-     * True where whoever is to be notified of a message's completion has acknowledged it; until then later messages of
-     * its ordering key wait.
+     * Returns whether the completion notice of a message has been acknowledged; until then later messages of its
+     * ordering key wait.
      */
     default boolean isCompletionAcknowledged(long id) {
         return true;
@@ -53,14 +53,18 @@
     /**
      * Sends a message to another relay of the fleet.
      *
-     * @param relay its index; all relays where negative
+     * @param relay index of the receiving relay; negative for all relays
      */
     void sendToPeer(int relay, byte[] payload);
 
-    /** Subscribes to changes of the endpoint list, or ends the subscription. */
+    /**
+     * Subscribes to changes of the endpoint list, or ends the subscription.
+     *
+     * @param on true to subscribe, false to end the subscription
+     */
     void subscribe(boolean on);
 
-    /** Requests the whole endpoint list once. */
+    /** Requests the complete endpoint list once. */
     void fetchEndpointList();
 
     /** Writes a line to the operators' log. */
--- a/src/main/java/loftflow/policy/api/PolicyEvent.java
+++ b/src/main/java/loftflow/policy/api/PolicyEvent.java
@@ -1,6 +1,6 @@
 package loftflow.policy.api;
 
-/** Something that happened since the last round; a relay hands a policy the events of one round in order of arrival. */
+/** An event since the last round; a relay passes the events of a round to the policy in order of arrival. */
 public sealed interface PolicyEvent
         permits AttemptCompleted,
                 CompletionAcknowledged,
--- a/src/main/java/loftflow/policy/api/PolicySettings.java
+++ b/src/main/java/loftflow/policy/api/PolicySettings.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What a policy is given at its start.
+ * Settings of a policy, fixed for its lifetime.
  *
  * @param seed determines every random choice
- * @param relayIndex of this relay in its fleet, from 0
- * @param fleetSize how many relays share the destinations, 1 or more
- * @param zone where this relay stands
- * @param overQuotaWeight share of a message's weight that counts beyond its tenant's quota
- * @param halvingDecay weights halve with each further latency objective, in place of falling evenly to the deadline
- * @param mustSubscribe the policy has to subscribe to the endpoint list
- * @param crossZoneCost of an attempt in another zone
+ * @param relayIndex index of this relay in its fleet, from 0
+ * @param fleetSize number of relays that share the destinations, 1 or more
+ * @param zone name of this relay's zone
+ * @param overQuotaWeight factor on the weight of messages beyond their tenant's quota
+ * @param halvingDecay true if weights halve with each further latency objective, false if they fall linearly to the
+ *     deadline
+ * @param mustSubscribe true if the policy has to subscribe to the endpoint list
+ * @param crossZoneCost cost of an attempt in another zone
  */
 public record PolicySettings(
         long seed,
@@ -31,9 +32,9 @@
         RateHint rateHint,
         double crossZoneCost) {
     /**
-     * Checks the settings.
+     * Validates the settings.
      *
-     * @throws IllegalArgumentException where one is out of its bounds
+     * @throws IllegalArgumentException if a setting is out of bounds
      */
     public PolicySettings {
         Preconditions.require(!classes.isEmpty(), "classes: at least one is needed");
--- a/src/main/java/loftflow/policy/api/Preconditions.java
+++ b/src/main/java/loftflow/policy/api/Preconditions.java
@@ -1,14 +1,14 @@
 package loftflow.policy.api;
 
-/** Checks of constructor arguments. */
+/** Validation of constructor arguments. */
 final class Preconditions {
     private Preconditions() {}
 
     /**
-     * Throws where a condition does not hold.
+     * Throws an exception if a condition does not hold.
      *
-     * @param message names the argument and says what is allowed
-     * @throws IllegalArgumentException where {@code condition} is false
+     * @param message names the argument and its permitted values
+     * @throws IllegalArgumentException if {@code condition} is false
      */
     static void require(boolean condition, String message) {
         if (!condition) {
--- a/src/main/java/loftflow/policy/api/ProbeCompleted.java
+++ b/src/main/java/loftflow/policy/api/ProbeCompleted.java
@@ -1,9 +1,9 @@
 package loftflow.policy.api;
 
 /**
- * A health check ended; the fields are those of {@link AttemptCompleted}.
+ * A health check ended; the components have the meaning of those of {@link AttemptCompleted}.
  *
- * @param retryAfterMicros 0 where the destination did not ask to be left alone
+ * @param retryAfterMicros Retry-After requested by the destination; 0 if none
  */
 public record ProbeCompleted(
         String route, AttemptOutcome outcome, long retryAfterMicros, long elapsedMicros, LimitReport limitReport)
--- a/src/main/java/loftflow/policy/api/RateHint.java
+++ b/src/main/java/loftflow/policy/api/RateHint.java
@@ -1,11 +1,11 @@
 package loftflow.policy.api;
 
-/** How far the rates that discovery lists are to be trusted. */
+/** How far the rates listed by discovery are trusted. */
 public enum RateHint {
-    /** Not at all. */
+    /** Listed rates are ignored. */
     NONE,
-    /** They are exact. */
+    /** Listed rates are exact. */
     NOMINAL,
-    /** They may be up to half too high or too low. */
+    /** Listed rates may be too high or too low by up to half. */
     ROUGH
 }
--- a/src/main/java/loftflow/policy/api/RelayLimits.java
+++ b/src/main/java/loftflow/policy/api/RelayLimits.java
@@ -1,17 +1,17 @@
 package loftflow.policy.api;
 
 /**
- * What this relay may do.
+ * Limits and capabilities of this relay.
  *
- * @param maxConcurrentCalls calls in flight at once, 1 or more
- * @param maxOpenMessages messages that are owed an answer at once, 1 or more
- * @param maxAttempts for one message, 1 or more
+ * @param maxConcurrentCalls maximum number of calls in flight, 1 or more
+ * @param maxOpenMessages maximum number of messages without a final answer, 1 or more
+ * @param maxAttempts maximum number of attempts per message, 1 or more
  * @param cancellation attempts may be cancelled
  * @param probes health checks may be sent
  * @param peerMessages relays of a fleet may send messages to each other
  * @param hedgedAttempts a second attempt may be made while the first is in flight; the default policy makes none
- * @param retryAfter a rejected client is given a Retry-After
- * @param connectTimeoutMicros 0 where the settings name none
+ * @param retryAfter a rejected client receives a Retry-After
+ * @param connectTimeoutMicros connect timeout; 0 if the settings specify none
  */
 public record RelayLimits(
         int maxConcurrentCalls,
@@ -24,9 +24,9 @@
         boolean retryAfter,
         long connectTimeoutMicros) {
     /**
-     * Checks the limits.
+     * Validates the limits.
      *
-     * @throws IllegalArgumentException where one is out of its bounds
+     * @throws IllegalArgumentException if a limit is out of bounds
      */
     public RelayLimits {
         Preconditions.require(
--- a/src/main/java/loftflow/policy/api/RequestClass.java
+++ b/src/main/java/loftflow/policy/api/RequestClass.java
@@ -3,12 +3,12 @@
 /**
  * A class of messages.
  *
- * @param keyScope which routes drop a repeat, for a class that is idempotent by key
- * @param keyWindowMicros how long they do
- * @param latencyObjectiveMicros a delivery within it earns the full weight
- * @param deadlineMicros after which a message is given up; above the latency objective
- * @param priorityWeight what a timely delivery earns
- * @param lateWeight share of the weight that is left at the deadline, 0 to 1
+ * @param keyScope routes that discard a repeat, for a class that is idempotent by key
+ * @param keyWindowMicros how long they discard it
+ * @param latencyObjectiveMicros a delivery within this time earns the full weight
+ * @param deadlineMicros time after which a message is given up; above the latency objective
+ * @param priorityWeight value of a delivery within the latency objective
+ * @param lateWeight share of the weight that remains at the deadline, 0 to 1
  * @param ordered messages with equal keys are sent one at a time, in the order accepted
  */
 public record RequestClass(
@@ -22,9 +22,9 @@
         double lateWeight,
         boolean ordered) {
     /**
-     * Checks the class.
+     * Validates the class.
      *
-     * @throws IllegalArgumentException where a duration is out of its bounds
+     * @throws IllegalArgumentException if a duration is out of bounds
      */
     public RequestClass {
         Preconditions.require(
--- a/src/main/java/loftflow/policy/api/ResponseStarted.java
+++ b/src/main/java/loftflow/policy/api/ResponseStarted.java
@@ -1,7 +1,7 @@
 package loftflow.policy.api;
 
 /**
- * The answer of an attempt has begun to arrive; its timeout no longer applies.
+ * The answer to an attempt has begun to arrive; the attempt's timeout no longer applies.
  *
  * @param id the message
  */
--- a/src/main/java/loftflow/policy/api/RetryAfterReceived.java
+++ b/src/main/java/loftflow/policy/api/RetryAfterReceived.java
@@ -1,8 +1,8 @@
 package loftflow.policy.api;
 
 /**
- * A destination asked to be left alone; the call that it answered may be over or go on.
+ * A destination sent a Retry-After; the call that received it may have ended or may continue.
  *
- * @param retryAfterMicros for how long, from now
+ * @param retryAfterMicros duration from now
  */
 public record RetryAfterReceived(String route, long retryAfterMicros) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/RouteRestored.java
+++ b/src/main/java/loftflow/policy/api/RouteRestored.java
@@ -1,4 +1,4 @@
 package loftflow.policy.api;
 
-/** A listed route is known from before a restart. Comes with the list, before anything is sent to the route. */
+/** The state of a listed route from before a restart. Arrives with the list, before anything is sent to the route. */
 public record RouteRestored(TrustLevel trust, RouteSnapshot snapshot) implements PolicyEvent {}
--- a/src/main/java/loftflow/policy/api/RouteSnapshot.java
+++ b/src/main/java/loftflow/policy/api/RouteSnapshot.java
@@ -1,15 +1,15 @@
 package loftflow.policy.api;
 
 /**
- * What a policy knows of a route, as stored over a restart. Durations in microseconds from now, rates in calls a
- * second; 0 where unknown.
+ * State of a route as stored across a restart. Durations are in microseconds from now, rates in calls per second; 0
+ * means unknown.
  *
- * @param retryAfterRemainingMicros how much longer a Retry-After applies
- * @param limitPerSecond the limit for all relays together, as the destination reported it
- * @param usualRatePerSecond this relay's calls while nothing disturbed it
- * @param responseTimeMicros of a served call
- * @param circuitOpen its circuit, or its group's, is not closed
- * @param warmUpRemainingMicros how much longer it warms up after an outage
+ * @param retryAfterRemainingMicros remaining duration of a Retry-After
+ * @param limitPerSecond limit for all relays together, as reported by the destination
+ * @param usualRatePerSecond call rate of this relay outside outages and warm-up
+ * @param responseTimeMicros response time of a served call
+ * @param circuitOpen true if the circuit of the route or of its group is not closed
+ * @param warmUpRemainingMicros remaining duration of the warm-up after an outage
  */
 public record RouteSnapshot(
         String route,
--- a/src/main/java/loftflow/policy/api/ServiceRules.java
+++ b/src/main/java/loftflow/policy/api/ServiceRules.java
@@ -1,16 +1,17 @@
 package loftflow.policy.api;
 
 /**
- * Figures of the service rules, which bind every relay.
+ * Parameters of the service rules, which apply to every relay.
  *
- * @param completionSlackMicros how long after its deadline a message may still get its answer
- * @param drainGraceMicros how long after a drain notice calls to the endpoint may still begin
- * @param overloadMultiple of its capacity at the moment that makes a recovering destination fail again; above 0
- * @param overloadWindowMicros for how long it has to be exceeded
- * @param coldCapacityShare share of its capacity with which a destination returns from an outage
- * @param warmUpMicros until it has its full capacity again
- * @param watchRenewalMicros within which a subscription to the endpoint list has to be renewed
- * @param orderingPauseMicros how long an ordering key pauses after an attempt of unknown outcome; 0 where no class is
+ * @param completionSlackMicros how long after its deadline a message may still get its final answer
+ * @param drainGraceMicros how long after a drain notice new calls to the endpoint may still start
+ * @param overloadMultiple a recovering destination fails again if its load exceeds this multiple of its current
+ *     capacity; above 0
+ * @param overloadWindowMicros how long that load must last
+ * @param coldCapacityShare share of its capacity that a destination has at the end of an outage
+ * @param warmUpMicros time from then until the destination has its full capacity
+ * @param watchRenewalMicros maximum time between renewals of a subscription to the endpoint list
+ * @param orderingPauseMicros how long an ordering key pauses after an attempt of unknown outcome; 0 if no class is
  *     ordered
  */
 public record ServiceRules(
@@ -23,9 +24,9 @@
         long watchRenewalMicros,
         long orderingPauseMicros) {
     /**
-     * Checks the figures.
+     * Validates the parameters.
      *
-     * @throws IllegalArgumentException where one is out of its bounds
+     * @throws IllegalArgumentException if a parameter is out of bounds
      */
     public ServiceRules {
         Preconditions.require(
--- a/src/main/java/loftflow/policy/api/TrustLevel.java
+++ b/src/main/java/loftflow/policy/api/TrustLevel.java
@@ -1,11 +1,11 @@
 package loftflow.policy.api;
 
-/** How far a route from a list of before a restart is trusted. */
+/** Trust in a route that is known from a list from before a restart. */
 public enum TrustLevel {
-    /** Like one that was just listed. */
+    /** Trusted like a newly listed route. */
     AS_LISTED,
-    /** After a successful probe. */
+    /** Used after a successful probe. */
     PROBE_FIRST,
-    /** After a successful probe, and only where its destination has nothing else. */
+    /** Used after a successful probe, and only if its destination has no other route. */
     LAST_RESORT
 }
--- a/src/main/java/loftflow/policy/package-info.java
+++ b/src/main/java/loftflow/policy/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The delivery decisions of a relay: which route, when, how long, and whether to hold, reject or fail. Times are
- * microseconds
- * on the clock of the rounds. One instance belongs to one thread; instances share nothing.
+ * The delivery decisions of a relay: the route, time and timeout of each attempt, and whether a message is held back,
+ * rejected or failed. Times are in microseconds on the clock of the rounds. An instance belongs to one thread;
+ * instances share no state.
  *
  * <p>May use: {@code policy.api}; no socket, file, clock or thread.
  */
