--- a/src/main/java/loftflow/admin/AdminClient.java
+++ b/src/main/java/loftflow/admin/AdminClient.java
@@ -16,17 +16,17 @@
     private AdminClient() {}
 
     /**
-     * Sends a request and passes on each line of the response.
+     * Sends a request and passes each line of the response to a consumer.
      *
-     * @param folder the relay's state folder
-     * @return false where no relay listens there
-     * @throws IOException where the connection breaks
+     * @param stateFolder the state folder of the relay
+     * @return false if no relay listens on the socket in the folder
+     * @throws IOException if the connection fails after it was established
      */
-    public static boolean request(Path folder, Map<String, String> request, Consumer<String> responseLines)
+    public static boolean request(Path stateFolder, Map<String, String> request, Consumer<String> responseLines)
             throws IOException {
         SocketChannel channel;
         try {
-            channel = SocketChannel.open(UnixDomainSocketAddress.of(folder.resolve(AdminServer.SOCKET_NAME)));
+            channel = SocketChannel.open(UnixDomainSocketAddress.of(stateFolder.resolve(AdminServer.SOCKET_NAME)));
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/loftflow/admin/AdminProtocol.java
+++ b/src/main/java/loftflow/admin/AdminProtocol.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** Names of the admin protocol: commands, members of requests and of responses. They never change. */
+/**
+ * Names of the admin protocol: commands, and members of requests and responses. They must not change, because a client
+ * and a relay of different versions may communicate.
+ */
 public final class AdminProtocol {
     public static final String COMMAND = "command";
 
@@ -15,7 +18,7 @@
     static final String COMMAND_PAUSE = "pause";
     static final String COMMAND_RESUME = "go-on";
 
-    /** Members of requests and of dead letters in responses. */
+    /** Members of requests, and of dead letters in responses. */
     public static final String ID = "id";
 
     public static final String STATE = "state";
@@ -61,7 +64,7 @@
 
     private AdminProtocol() {}
 
-    /** The form in which a stored code, such as that of a dead letter's state, stands in the protocol. */
+    /** Returns the protocol name of a stored code, such as the code of a dead letter's state. */
     static String nameOf(String code) {
         return code.toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/loftflow/admin/AdminServer.java
+++ b/src/main/java/loftflow/admin/AdminServer.java
@@ -23,38 +23,43 @@
 import java.util.function.Consumer;
 import loftflow.log.Log;
 
-/** Serves the admin socket, one request at a time, on a thread of its own. */
+/** Serves the admin socket on its own thread, one request at a time. */
 public final class AdminServer implements AutoCloseable {
     /** Name of the socket in the state folder. */
     public static final String SOCKET_NAME = "admin.sock";
 
     private static final int MAX_REQUEST_CHARACTERS = 64 << 10;
 
-    /** Executes requests. Called on the thread of the server. */
+    /** Executes requests. Called on the server thread. */
     public interface Commands {
         /**
          * Executes a request.
          *
-         * @param request its members, among them {@code command}
-         * @param out receives each line of the response, without its line end
-         * @throws IllegalArgumentException where the request is invalid; its message is the response
+         * @param request the members of the request, including {@code command}
+         * @param out receives each line of the response, without a line terminator
+         * @throws IllegalArgumentException if the request is invalid or can't be executed; the message is sent to the
+         *     client as an error
          */
         void execute(Map<String, String> request, Consumer<String> out) throws InterruptedException;
     }
 
     private final Commands commands;
-    private final Path file;
+    private final Path socketFile;
     private final ServerSocketChannel listener;
 
-    /** Starts to listen in a folder. Only the user of the relay can connect. */
-    public AdminServer(Path folder, Commands commands) throws IOException {
+    /**
+     * Starts to listen on a socket in the state folder, to which only the user of the relay process can connect.
+     *
+     * @throws IOException if the socket can't be bound
+     */
+    public AdminServer(Path stateFolder, Commands commands) throws IOException {
         this.commands = commands;
-        file = folder.resolve(SOCKET_NAME);
-        // Removes the socket of a process that was killed; binding would fail otherwise.
-        Files.deleteIfExists(file);
+        socketFile = stateFolder.resolve(SOCKET_NAME);
+        // A process that was killed leaves its socket behind, and binding would fail.
+        Files.deleteIfExists(socketFile);
         listener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-        listener.bind(UnixDomainSocketAddress.of(file));
-        Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
+        listener.bind(UnixDomainSocketAddress.of(socketFile));
+        Files.setPosixFilePermissions(socketFile, PosixFilePermissions.fromString("rw-------"));
         Thread thread = new Thread(this::acceptConnections, "admin");
         thread.setDaemon(true);
         thread.start();
@@ -79,7 +84,7 @@
                 new InputStreamReader(Channels.newInputStream(connection), StandardCharsets.UTF_8),
                 MAX_REQUEST_CHARACTERS);
         Writer writer = new OutputStreamWriter(Channels.newOutputStream(connection), StandardCharsets.UTF_8);
-        Consumer<String> lines = line -> {
+        Consumer<String> out = line -> {
             try {
                 writer.write(line + "\n");
             } catch (IOException e) {
@@ -87,9 +92,9 @@
             }
         };
         try {
-            commands.execute(parseRequest(reader.readLine()), lines);
+            commands.execute(parseRequest(reader.readLine()), out);
         } catch (IllegalArgumentException e) {
-            lines.accept(JsonLines.error(e.getMessage()));
+            out.accept(JsonLines.error(e.getMessage()));
         }
         writer.flush();
     }
@@ -98,17 +103,17 @@
         Map<String, String> members = new LinkedHashMap<>();
         try (JsonParser parser = new JsonFactory().createParser(line == null ? "" : line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new IllegalArgumentException("a request is one line with a JSON object");
+                throw new IllegalArgumentException("a request must be a JSON object on a single line");
             }
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String name = parser.currentName();
                 if (parser.nextToken() != JsonToken.VALUE_STRING) {
-                    throw new IllegalArgumentException(name + ": text is needed");
+                    throw new IllegalArgumentException(name + ": a string is needed");
                 }
                 members.put(name, parser.getText());
             }
         } catch (IOException e) {
-            throw new IllegalArgumentException("a request is one line with a JSON object", e);
+            throw new IllegalArgumentException("a request must be a JSON object on a single line", e);
         }
         if (!members.containsKey(AdminProtocol.COMMAND)) {
             throw new IllegalArgumentException(AdminProtocol.COMMAND + " is missing");
@@ -120,7 +125,7 @@
     public void close() {
         try {
             listener.close();
-            Files.deleteIfExists(file);
+            Files.deleteIfExists(socketFile);
         } catch (IOException e) {
             Log.line("admin: socket close failed error=\"" + e.getMessage() + "\"");
         }
--- a/src/main/java/loftflow/admin/DeadLetterCommands.java
+++ b/src/main/java/loftflow/admin/DeadLetterCommands.java
@@ -20,8 +20,8 @@
 import loftflow.engine.Clock;
 
 /**
- * The operators' commands on dead letters: list, show, redrive, confirm, discard, pause. A confirmation, a redrive and
- * a discard are in the audit trail before they take effect.
+ * Executes the operators' commands on dead letters: list, show, stats, redrive, confirm, discard, pause and resume.
+ * Every command that changes something is written to the audit trail before it takes effect.
  */
 public final class DeadLetterCommands implements AdminServer.Commands {
     private static final int PAGE_SIZE = 500;
@@ -34,15 +34,15 @@
     private static final String AUDIT_REDRIVE = "resend";
     private static final String AUDIT_CONFIRM = "confirm not posted";
     private static final String AUDIT_DISCARD = "discard";
-    /** The id under which the audit trail has what concerns no single dead letter. */
-    private static final long NO_ID = 0;
+    /** Id in the audit trail of actions that do not concern a single dead letter. */
+    private static final long NO_DEAD_LETTER_ID = 0;
 
     private final DeadLetterService service;
     private final DeadLetterStoreQueue storeQueue;
     private final Clock clock;
     private final Executor eventLoop;
 
-    /** Commands on a service and its store; the service runs on the event loop. */
+    /** Creates the commands for a service, which runs on the event loop, and its store. */
     public DeadLetterCommands(
             DeadLetterService service, DeadLetterStoreQueue storeQueue, Clock clock, Executor eventLoop) {
         this.service = service;
@@ -67,36 +67,38 @@
         }
     }
 
-    private <T> T await(CompletableFuture<T> result) throws InterruptedException {
+    private <T> T awaitResult(CompletableFuture<T> result) throws InterruptedException {
         try {
             return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalArgumentException("the store does not answer; see the relay's log", e);
+            throw new IllegalArgumentException(
+                    "the command failed or timed out after " + TIMEOUT_SECONDS + " s; see the relay's log", e);
         }
     }
 
-    private <T> T inStore(Function<DeadLetterStore, T> task) throws InterruptedException {
+    private <T> T runInStore(Function<DeadLetterStore, T> task) throws InterruptedException {
         CompletableFuture<T> result = new CompletableFuture<>();
-        Runnable failed = () -> result.completeExceptionally(new IllegalStateException("the store task failed"));
-        if (!storeQueue.submit(task, result::complete, failed)) {
-            throw new IllegalArgumentException("the store is busy; try again");
+        Runnable onFailure =
+                () -> result.completeExceptionally(new IllegalStateException("dead-letter store task failed"));
+        if (!storeQueue.submit(task, result::complete, onFailure)) {
+            throw new IllegalArgumentException("the queue of the dead-letter store is full; try again later");
         }
-        return await(result);
+        return awaitResult(result);
     }
 
-    private <T> T onEventLoop(Supplier<T> task) throws InterruptedException {
+    private <T> T runOnEventLoop(Supplier<T> task) throws InterruptedException {
         CompletableFuture<T> result = new CompletableFuture<>();
         eventLoop.execute(() -> result.complete(task.get()));
-        return await(result);
+        return awaitResult(result);
     }
 
-    private interface Action {
+    private interface DeadLetterAction {
         void accept(DeadLetter deadLetter) throws InterruptedException;
     }
 
-    /** Runs an action for each selected dead letter, in pages: a large store is not read into memory as a whole. */
-    private void forEach(DeadLetterSelection selection, Action action) throws InterruptedException {
-        // A single dead letter is the first from its id on, if the filter selects it at all.
+    /** Runs an action on each selected dead letter. Reads the store in pages, since it may not fit into memory. */
+    private void forEachSelected(DeadLetterSelection selection, DeadLetterAction action) throws InterruptedException {
+        // A dead letter that is selected by id is the first result from that id on, unless the filter excludes it.
         boolean isSingle = selection.id() != 0;
         long fromId = selection.id();
         long remaining = isSingle ? Math.min(1, selection.maxEntries()) : selection.maxEntries();
@@ -104,7 +106,7 @@
             long pageStart = fromId;
             int pageSize = (int) Math.min(PAGE_SIZE, remaining);
             List<DeadLetter> page =
-                    inStore(store -> store.list(selection.filter(), pageStart, pageSize, selection.withBodies()));
+                    runInStore(store -> store.list(selection.filter(), pageStart, pageSize, selection.withBodies()));
             for (DeadLetter deadLetter : page) {
                 if (!isSingle || deadLetter.id() == selection.id()) {
                     action.accept(deadLetter);
@@ -117,12 +119,12 @@
 
     private DeadLetter find(Map<String, String> request) throws InterruptedException {
         long id = DeadLetterSelection.id(request);
-        Optional<DeadLetter> deadLetter = inStore(store -> store.get(id));
+        Optional<DeadLetter> deadLetter = runInStore(store -> store.get(id));
         return deadLetter.orElseThrow(() -> new IllegalArgumentException("there is no entry " + id));
     }
 
     private RedrivePolicy.Decision decide(DeadLetter deadLetter) throws InterruptedException {
-        return onEventLoop(() -> service.decide(deadLetter));
+        return runOnEventLoop(() -> service.decide(deadLetter));
     }
 
     private static String describe(RedrivePolicy.Decision decision) {
@@ -140,7 +142,7 @@
 
     private void list(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         DeadLetterSelection selection = DeadLetterSelection.of(request);
-        forEach(
+        forEachSelected(
                 selection,
                 deadLetter -> out.accept(JsonLines.deadLetter(
                         deadLetter, selection.withBodies(), describe(decide(deadLetter)), List.of())));
@@ -148,15 +150,15 @@
 
     private void show(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         DeadLetter deadLetter = find(request);
-        List<String> audits = inStore(store -> store.auditTrail(deadLetter.id()));
+        List<String> auditTrail = runInStore(store -> store.auditTrail(deadLetter.id()));
         boolean withBody = request.containsKey(AdminProtocol.BODY);
-        out.accept(JsonLines.deadLetter(deadLetter, withBody, describe(decide(deadLetter)), audits));
+        out.accept(JsonLines.deadLetter(deadLetter, withBody, describe(decide(deadLetter)), auditTrail));
     }
 
     private String stats() throws InterruptedException {
-        DeadLetterStore.Size size = inStore(DeadLetterStore::size);
-        long lostCount = onEventLoop(service::lostCount);
-        boolean isPaused = onEventLoop(service::isPaused);
+        DeadLetterStore.Size size = runInStore(DeadLetterStore::size);
+        long lostCount = runOnEventLoop(service::lostCount);
+        boolean isPaused = runOnEventLoop(service::isPaused);
         return JsonLines.object(Map.of(
                 AdminProtocol.ENTRIES,
                 size.entries(),
@@ -171,7 +173,7 @@
     private static String operator(Map<String, String> request) {
         String operator = request.getOrDefault(AdminProtocol.OPERATOR, "").strip();
         if (operator.isEmpty()) {
-            throw new IllegalArgumentException("by whom? --by NAME is needed");
+            throw new IllegalArgumentException("the operator's name is needed: --by NAME");
         }
         return operator;
     }
@@ -179,7 +181,7 @@
     private static String operatorReason(Map<String, String> request) {
         String reason = request.getOrDefault(AdminProtocol.OPERATOR_REASON, "").strip();
         if (reason.isEmpty()) {
-            throw new IllegalArgumentException("why? --reason TEXT is needed");
+            throw new IllegalArgumentException("a reason is needed: --reason TEXT");
         }
         return reason;
     }
@@ -188,18 +190,21 @@
         String operator = operator(request);
         String detail = request.getOrDefault(AdminProtocol.OPERATOR_REASON, "");
         long nowMicros = clock.micros();
-        inStore(store -> {
+        runInStore(store -> {
             store.appendAudit(nowMicros, operator, action, id, detail);
             return null;
         });
     }
 
-    /** Makes dead letters due, so that their destinations' pace applies to them too; or not due any more. */
+    /**
+     * Makes the selected dead letters due, or cancels that. They are not sent here, so that the redrive rate of their
+     * destinations applies to them too.
+     */
     private void redrive(Map<String, String> request, Consumer<String> out) throws InterruptedException {
         operator(request);
         boolean isDryRun = request.containsKey(AdminProtocol.DRY_RUN);
         boolean isCancel = request.containsKey(AdminProtocol.CANCEL);
-        forEach(DeadLetterSelection.of(request), deadLetter -> {
+        forEachSelected(DeadLetterSelection.of(request), deadLetter -> {
             if (deadLetter.state() != DeadLetter.State.STORED) {
                 return;
             }
@@ -223,7 +228,7 @@
     private boolean setDue(long id, boolean isCancel, Map<String, String> request) throws InterruptedException {
         audit(request, isCancel ? AUDIT_CANCEL : AUDIT_REDRIVE, id);
         long dueMicros = isCancel ? DeadLetter.NEVER_DUE : clock.micros();
-        return inStore(store -> store.transition(id, DeadLetter.State.STORED, DeadLetter.State.STORED, dueMicros));
+        return runInStore(store -> store.transition(id, DeadLetter.State.STORED, DeadLetter.State.STORED, dueMicros));
     }
 
     private void confirm(Map<String, String> request, Consumer<String> out) throws InterruptedException {
@@ -241,8 +246,8 @@
         long nowMicros = clock.micros();
         DeadLetter.Confirmation confirmation = new DeadLetter.Confirmation(
                 operator, reason, deadLetter.attempts().size(), nowMicros);
-        boolean isDone = inStore(store -> store.recordConfirmation(deadLetter.id(), confirmation, nowMicros));
-        out.accept(done(deadLetter.id(), isDone));
+        boolean isDone = runInStore(store -> store.recordConfirmation(deadLetter.id(), confirmation, nowMicros));
+        out.accept(resultLine(deadLetter.id(), isDone));
     }
 
     private void discard(Map<String, String> request, Consumer<String> out) throws InterruptedException {
@@ -250,19 +255,19 @@
         operatorReason(request);
         DeadLetter deadLetter = find(request);
         audit(request, AUDIT_DISCARD, deadLetter.id());
-        boolean isDone = inStore(store -> store.transition(
+        boolean isDone = runInStore(store -> store.transition(
                 deadLetter.id(), DeadLetter.State.STORED, DeadLetter.State.DISCARDED, DeadLetter.NEVER_DUE));
-        out.accept(done(deadLetter.id(), isDone));
+        out.accept(resultLine(deadLetter.id(), isDone));
     }
 
-    private static String done(long id, boolean isDone) {
+    private static String resultLine(long id, boolean isDone) {
         return JsonLines.object(Map.of(AdminProtocol.ID, id, AdminProtocol.DONE, isDone));
     }
 
     private void setPaused(boolean isPaused, Map<String, String> request, Consumer<String> out)
             throws InterruptedException {
-        audit(request, isPaused ? AUDIT_PAUSE : AUDIT_RESUME, NO_ID);
-        onEventLoop(() -> {
+        audit(request, isPaused ? AUDIT_PAUSE : AUDIT_RESUME, NO_DEAD_LETTER_ID);
+        runOnEventLoop(() -> {
             service.setPaused(isPaused);
             return null;
         });
--- a/src/main/java/loftflow/admin/DeadLetterSelection.java
+++ b/src/main/java/loftflow/admin/DeadLetterSelection.java
@@ -12,19 +12,19 @@
 import loftflow.deadletter.ExecutionCertainty;
 
 /**
- * The dead letters that a request selects.
+ * The selection of dead letters in a request.
  *
- * @param id the id of a single one; 0 for any
- * @param maxEntries how many at most
- * @param withBodies whether their bodies are requested too
+ * @param id the id of a single dead letter; 0 for no restriction
+ * @param maxEntries the maximum number of dead letters
+ * @param withBodies whether the response includes their bodies
  */
 public record DeadLetterSelection(DeadLetterStore.Filter filter, long id, long maxEntries, boolean withBodies) {
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * Reads the selection of a request.
+     * Parses the selection in a request.
      *
-     * @throws IllegalArgumentException where a member is invalid; the message names it
+     * @throws IllegalArgumentException if a member is invalid; the message names the member
      */
     public static DeadLetterSelection of(Map<String, String> request) {
         DeadLetterStore.Filter filter = new DeadLetterStore.Filter(
@@ -58,7 +58,7 @@
         return Long.parseLong(text);
     }
 
-    /** The value with the code that a member names, in any case; null where the request has no such member. */
+    /** Returns the value whose code a member contains, ignoring case; null if the request has no such member. */
     private static <E> E code(Map<String, String> request, String member, E[] values, Function<E, String> codeOf) {
         String text = request.get(member);
         if (text == null) {
@@ -75,7 +75,9 @@
         throw new IllegalArgumentException(member + ": \"" + text + "\" is none of " + names);
     }
 
-    /** Microseconds since the epoch of a time such as {@code 2026-12-01T08:00:00Z}; 0 where there is none. */
+    /**
+     * Parses a time such as {@code 2026-12-01T08:00:00Z} to microseconds since the epoch; 0 if the member is missing.
+     */
     private static long timeMicros(Map<String, String> request, String member) {
         String text = request.get(member);
         if (text == null) {
--- a/src/main/java/loftflow/admin/JsonLines.java
+++ b/src/main/java/loftflow/admin/JsonLines.java
@@ -11,7 +11,7 @@
 import loftflow.deadletter.DeadLetter;
 import loftflow.engine.Message;
 
-/** Lines of JSON of the admin protocol. */
+/** Writes the JSON lines of the admin protocol. */
 public final class JsonLines {
     private static final JsonFactory JSON = new JsonFactory();
     private static final long MICROS_PER_MILLI = 1_000;
@@ -38,7 +38,7 @@
         return line(json -> json.writeStringField(AdminProtocol.ERROR, reason));
     }
 
-    /** An object whose members are strings, integers and booleans. */
+    /** Returns a JSON object whose members are strings, integers and booleans. */
     public static String object(Map<String, ?> members) {
         return line(json -> {
             for (Map.Entry<String, ?> member : members.entrySet()) {
@@ -48,13 +48,13 @@
     }
 
     /**
-     * A dead letter.
+     * Returns a dead letter as a JSON object.
      *
-     * @param withBody whether its body is included, in Base64
-     * @param decision the redrive decision; null leaves it out
-     * @param audits lines of its audit trail; left out where there are none
+     * @param withBody whether the body is included, in Base64
+     * @param decision the redrive decision; omitted if null
+     * @param auditTrail the lines of its audit trail; omitted if empty
      */
-    public static String deadLetter(DeadLetter deadLetter, boolean withBody, String decision, List<String> audits) {
+    public static String deadLetter(DeadLetter deadLetter, boolean withBody, String decision, List<String> auditTrail) {
         return line(json -> {
             json.writeNumberField(AdminProtocol.ID, deadLetter.id());
             writeContent(json, deadLetter);
@@ -71,7 +71,7 @@
                 writeAttempt(json, attempt);
             }
             json.writeEndArray();
-            writeAudits(json, audits);
+            writeAuditTrail(json, auditTrail);
             if (withBody) {
                 json.writeBinaryField(AdminProtocol.BODY, deadLetter.content().body());
             }
@@ -85,8 +85,8 @@
         json.writeStringField(AdminProtocol.TENANT, content.tenant());
         json.writeStringField(AdminProtocol.KEY, content.key());
         json.writeNumberField(AdminProtocol.DESTINATION, content.destination());
-        json.writeStringField(AdminProtocol.STORED_AT, time(deadLetter.storedAtMicros()));
-        json.writeStringField(AdminProtocol.DEADLINE, time(content.deadlineMicros()));
+        json.writeStringField(AdminProtocol.STORED_AT, formatTime(deadLetter.storedAtMicros()));
+        json.writeStringField(AdminProtocol.DEADLINE, formatTime(content.deadlineMicros()));
     }
 
     private static void writeDelivery(JsonGenerator json, DeadLetter deadLetter) throws IOException {
@@ -104,7 +104,7 @@
         json.writeStartObject();
         json.writeStringField(AdminProtocol.ROUTE, attempt.route());
         json.writeStringField(AdminProtocol.ZONE, attempt.zone());
-        json.writeStringField(AdminProtocol.SENT_AT, time(attempt.sentAtMicros()));
+        json.writeStringField(AdminProtocol.SENT_AT, formatTime(attempt.sentAtMicros()));
         json.writeStringField(
                 AdminProtocol.OUTCOME,
                 attempt.outcome() == null ? null : attempt.outcome().code());
@@ -114,18 +114,18 @@
         json.writeEndObject();
     }
 
-    private static void writeAudits(JsonGenerator json, List<String> audits) throws IOException {
-        if (audits.isEmpty()) {
+    private static void writeAuditTrail(JsonGenerator json, List<String> auditTrail) throws IOException {
+        if (auditTrail.isEmpty()) {
             return;
         }
         json.writeArrayFieldStart(AdminProtocol.AUDIT);
-        for (String audit : audits) {
-            json.writeString(audit);
+        for (String auditLine : auditTrail) {
+            json.writeString(auditLine);
         }
         json.writeEndArray();
     }
 
-    private static String time(long micros) {
+    private static String formatTime(long micros) {
         return Instant.ofEpochMilli(micros / MICROS_PER_MILLI).toString();
     }
 }
--- a/src/main/java/loftflow/server/AmqpModule.java
+++ b/src/main/java/loftflow/server/AmqpModule.java
@@ -26,8 +26,8 @@
 import loftflow.upstream.amqp.BrokerDestination;
 
 /**
- * Assembles AMQP 0-9-1: brokers as upstreams, listeners for AMQP clients, and consumers of queues. The class is not
- * loaded where AMQP is off.
+ * Assembles the AMQP 0-9-1 components: clients for upstream brokers, listeners for AMQP clients, and queue consumers.
+ * The class is not loaded if AMQP is not configured.
  */
 final class AmqpModule {
     private final EventLoop eventLoop;
@@ -35,15 +35,19 @@
     private final EventLoopLag eventLoopLag;
     private final DeliveryEngine engine;
     private final Config config;
-    /** For completions that are not replied over AMQP. */
+    /** Receives completions that are not sent as an AMQP reply. */
     private final CompletionNotifier defaultNotifier;
 
     private final List<AmqpListener> amqpListeners = new ArrayList<>();
     private final List<QueueConsumer> consumers = new ArrayList<>();
-    /** By the name that a message's {@link Message.Reply#listener} refers to. */
+    /** Keyed by the name in {@link Message.Reply#listener}. */
     private final Map<String, CompletionReplier> repliers = new HashMap<>();
 
-    /** Listeners and consumers that have not started. */
+    /**
+     * Creates the listeners and consumers without starting them.
+     *
+     * @throws IOException if the deduplication file or a file of trusted certificates can't be read
+     */
     AmqpModule(
             EventLoop eventLoop,
             Clock clock,
@@ -72,8 +76,8 @@
     }
 
     /**
-     * Opens the file of known message ids and adds the ids of the messages in the journal: a process that was killed
-     * may have written a message to the journal but not yet its id to the file.
+     * Opens the file of known message ids and adds the ids of all messages in the journal. A process that was killed
+     * may have written a message to the journal without having written its id to the file.
      */
     private Deduplicator openDeduplicator(WriteAheadLog journal) throws IOException {
         DeduplicationFile deduplicator = new DeduplicationFile(
@@ -125,8 +129,9 @@
     }
 
     /**
-     * Notifies a completion whose reply can't be delivered. The platform is not notified of deliveries, so a delivery
-     * counts as acknowledged where completions go there; a file records it.
+     * Handles a completion whose AMQP reply can't be delivered. If completions are sent to the platform, a delivery is
+     * acknowledged without a notice, because the platform is notified of failures only. The completion log records
+     * deliveries too.
      */
     private void notifyWithoutReply(Message message) {
         if (message.completion().kind() == Message.Completion.Kind.DELIVERED && config.completionAddress() != null) {
@@ -136,7 +141,11 @@
         }
     }
 
-    /** A client for all upstreams: brokers over AMQP, all others by {@code httpClient}. */
+    /**
+     * Returns a client for all upstreams, which calls brokers over AMQP and all others through {@code httpClient}.
+     *
+     * @throws IOException if a file of trusted certificates can't be read
+     */
     UpstreamClient upstreamClient(UpstreamClient httpClient) throws IOException {
         Map<String, BrokerDestination> brokers = new HashMap<>();
         for (Map.Entry<String, Config.BrokerRoute> route :
@@ -150,7 +159,10 @@
                 httpClient, new BrokerClient(eventLoop, clock, connectTimeoutMicros(), brokers, engine));
     }
 
-    /** Replies over AMQP where a reply was requested, and notifies as usual where not. */
+    /**
+     * Returns a notifier that replies over AMQP if the client requested a reply, and uses the default notifier
+     * otherwise.
+     */
     CompletionNotifier completionNotifier() {
         return message -> {
             Message.Reply reply = message.content().reply();
@@ -165,23 +177,25 @@
         };
     }
 
-    /** How many listeners share the connection limit; consumers open connections themselves. */
+    /**
+     * Returns the number of listeners that share the connection limit. Consumers are not counted, as they are clients.
+     */
     int listenerCount() {
         return amqpListeners.size();
     }
 
-    /** Listeners and consumers. */
+    /** Returns all listeners and consumers. */
     List<Listener> listeners() {
         List<Listener> listeners = new ArrayList<>(amqpListeners);
         listeners.addAll(consumers);
         return listeners;
     }
 
-    /** Listens and starts to consume; returns once every listener is bound. */
+    /** Starts the listeners and consumers; returns once every listener is bound. */
     void start() throws InterruptedException {
         for (int i = 0; i < amqpListeners.size(); i++) {
             InetSocketAddress address = config.amqp().listeners().get(i).listenAddress();
-            ListenerAddress.awaitAndLog(amqpListeners.get(i).listen(eventLoop, address), "serving AMQP on");
+            ListenerBinding.awaitAndLog(amqpListeners.get(i).listen(eventLoop, address), "serving AMQP on");
         }
         consumers.forEach(consumer -> eventLoop.execute(consumer::start));
     }
--- a/src/main/java/loftflow/server/AmqpOptions.java
+++ b/src/main/java/loftflow/server/AmqpOptions.java
@@ -15,12 +15,12 @@
 import loftflow.policy.api.RequestClass;
 import loftflow.upstream.amqp.BrokerDestination;
 
-/** Maps the AMQP part of the configuration to the options of the AMQP classes. */
+/** Converts the AMQP section of the configuration to the options of the AMQP classes. */
 final class AmqpOptions {
-    /** The product name that the relay states to AMQP clients. */
+    /** The product name in the server properties that AMQP clients receive. */
     private static final String PRODUCT = "loftflow";
 
-    /** Where a message's parts are found if the configuration has no mapping. */
+    /** Applies if the configuration has no mapping. */
     private static final Config.MappingRule DEFAULT_MAPPING = new Config.MappingRule(
             null,
             "property:message-id",
@@ -64,7 +64,7 @@
                 listener.replyHoldMicros());
     }
 
-    /** @throws IOException where the file of trusted certificates can't be read */
+    /** @throws IOException if the file of trusted certificates can't be read */
     static QueueConsumer.Options consumer(Config.AmqpConsumerOptions queue, long connectTimeoutMicros)
             throws IOException {
         Config.Login login = queue.login();
@@ -80,7 +80,7 @@
                 connectTimeoutMicros);
     }
 
-    /** @throws IOException where the file of trusted certificates can't be read */
+    /** @throws IOException if the file of trusted certificates can't be read */
     static BrokerDestination destination(Config.BrokerRoute route) throws IOException {
         Config.Login login = route.login();
         return new BrokerDestination(
@@ -92,7 +92,7 @@
                 login.user(), login.password(), login.virtualHost(), login.heartbeatSeconds());
     }
 
-    /** Null where the connection uses no TLS. */
+    /** Returns the TLS context of a connection; null if it does not use TLS. */
     private static SslContext tlsContext(Config.Login login) throws IOException {
         if (!login.tls()) {
             return null;
@@ -102,7 +102,8 @@
             try {
                 builder.trustManager(login.trustedCertificates().toFile());
             } catch (IllegalArgumentException e) {
-                throw new IOException(login.trustedCertificates() + " holds no certificates: " + e.getMessage(), e);
+                throw new IOException(
+                        login.trustedCertificates() + " contains no valid certificates: " + e.getMessage(), e);
             }
         }
         return builder.build();
--- a/src/main/java/loftflow/server/ConfigReloader.java
+++ b/src/main/java/loftflow/server/ConfigReloader.java
@@ -11,11 +11,11 @@
 import sun.misc.Signal;
 
 /**
- * Reloads the configuration: at each SIGHUP, and when its file has changed while discovery is unresponsive. A reload
- * that fails is retried, since the file may be in the middle of being written.
+ * Reloads the configuration on each SIGHUP, and when its file has changed while discovery is unresponsive. A reload
+ * after a SIGHUP that fails is retried, since the file may not be written completely yet.
  *
- * <p>Files are read on a single thread of this class, off the event loop, so that an older file can't overtake a newer
- * one. All state but the constants is confined to that thread.
+ * <p>Files are read on a single thread owned by this class, off the event loop, so that the content of an older file
+ * can't replace that of a newer one. All mutable state is confined to that thread.
  */
 final class ConfigReloader {
     static final int RETRY_INTERVAL_MILLIS = 100;
@@ -29,35 +29,36 @@
     });
     /** Null until {@link #start}. */
     private Consumer<Config> listener;
-    /** The content of the file that the configuration in force was read from. */
-    private byte[] contentInForce;
-    /** How many signals there were; only the newest one's reload is retried. */
-    private long newestSignal;
+    /** The file content from which the active configuration was read. */
+    private byte[] activeContent;
+    /** Number of the most recent signal, counted from 1; only its reload is retried. 0 if there was none. */
+    private long latestSignal;
 
     private ConfigReloader(Config.Source source) {
         this.source = source;
     }
 
-    /** Handles SIGHUP from now on; a signal before {@link #start} takes effect then. */
-    static ConfigReloader onHangUp(Config.Source source) {
+    /** Installs a handler for SIGHUP. A signal that arrives before {@link #start} is applied by {@code start}. */
+    static ConfigReloader installSighupHandler(Config.Source source) {
         ConfigReloader reloader = new ConfigReloader(source);
         Signal.handle(new Signal("HUP"), signal -> reloader.executor.execute(reloader::onSignal));
         return reloader;
     }
 
     /**
-     * Reports new configurations from now on, and at once where the file was replaced since it was read.
+     * Starts to report new configurations. If the file was replaced after the initial configuration was read, reports
+     * its new content immediately.
      *
-     * @param configInForce the configuration that the relay started with
-     * @param configListener receives what replaces it, on this object's thread
+     * @param initialConfig the configuration with which the relay started
+     * @param configListener receives each new configuration, on the reload thread
      */
-    void start(Config configInForce, Consumer<Config> configListener) {
+    void start(Config initialConfig, Consumer<Config> configListener) {
         executor.execute(() -> {
-            contentInForce = configInForce.sourceBytes();
+            activeContent = initialConfig.sourceBytes();
             listener = configListener;
-            if (newestSignal > 0) {
-                // The signal came too early to be acted on; its file may still be incomplete, so it is retried.
-                reload(newestSignal, 1);
+            if (latestSignal > 0) {
+                // A signal arrived before the listener was set. The file may still be incomplete, so use the retries.
+                reload(latestSignal, 1);
             } else {
                 reloadIfChanged();
             }
@@ -65,21 +66,21 @@
     }
 
     /**
-     * Reloads the configuration if its file has changed. Called while discovery is unresponsive, which may be because
-     * its address has changed and the signal was lost or came before the file.
+     * Schedules a reload if the configuration file has changed. Called while discovery is unresponsive: the address of
+     * the agent may have changed, and the signal may have been lost or sent before the file was written.
      */
-    void compareWithFile() {
+    void scheduleReloadIfChanged() {
         executor.execute(this::reloadIfChanged);
     }
 
-    /** Handles a SIGHUP. */
+    /** Reloads the configuration after a SIGHUP. */
     void onSignal() {
-        newestSignal++;
-        reload(newestSignal, 1);
+        latestSignal++;
+        reload(latestSignal, 1);
     }
 
     private void reload(long signal, int attempt) {
-        if (listener == null || signal != newestSignal) {
+        if (listener == null || signal != latestSignal) {
             return;
         }
         try {
@@ -97,7 +98,7 @@
 
     private void reloadIfChanged() {
         try {
-            if (listener != null && !Arrays.equals(source.bytes(), contentInForce)) {
+            if (listener != null && !Arrays.equals(source.bytes(), activeContent)) {
                 apply(source.read());
             }
         } catch (Config.BadConfigException | IOException | RuntimeException e) {
@@ -107,6 +108,6 @@
 
     private void apply(Config config) {
         listener.accept(config);
-        contentInForce = config.sourceBytes();
+        activeContent = config.sourceBytes();
     }
 }
--- a/src/main/java/loftflow/server/DeadLetterModule.java
+++ b/src/main/java/loftflow/server/DeadLetterModule.java
@@ -18,13 +18,20 @@
 import loftflow.engine.Timers;
 import loftflow.policy.api.RequestClass;
 
-/** Assembles the dead-letter store, its service and the admin socket. The class is not loaded where they are off. */
+/**
+ * Assembles the dead-letter store, its service and the admin socket. The class is not loaded if the dead-letter store
+ * is not configured.
+ */
 final class DeadLetterModule {
     private final DeadLetterService service;
     private final DeadLetterExecutor executor;
     private final AdminServer adminServer;
 
-    /** Opens the store, makes it the engine's dead-letter sink and listens on the admin socket. */
+    /**
+     * Opens the store, registers the service as the engine's dead-letter sink and listens on the admin socket.
+     *
+     * @throws IOException if the store can't be opened or the socket can't be bound
+     */
     DeadLetterModule(EventLoop eventLoop, Timers timers, Clock clock, DeliveryEngine engine, Config config)
             throws IOException {
         Config.DeadLetterOptions options = config.deadLetters();
@@ -68,7 +75,7 @@
         return redriveClasses;
     }
 
-    /** Starts redrives; on the event loop. */
+    /** Starts redrives. To be called on the event loop. */
     void start() {
         service.start();
     }
--- a/src/main/java/loftflow/server/EventLoopTimers.java
+++ b/src/main/java/loftflow/server/EventLoopTimers.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import loftflow.engine.Timers;
 
-/** Timers that run on a Netty event loop. */
+/** Timers whose tasks run on a Netty event loop. */
 record EventLoopTimers(EventLoop eventLoop) implements Timers {
     @Override
     public Timer schedule(long delayMicros, Runnable task) {
--- a/src/main/java/loftflow/server/GracefulShutdown.java
+++ b/src/main/java/loftflow/server/GracefulShutdown.java
@@ -8,26 +8,33 @@
 import loftflow.listener.Listener;
 
 /**
- * What happens on SIGTERM. For a moment the relay serves as usual; then its listeners drain, and close connections that
- * stay idle; then the policy starts no attempt any more; the process ends once nothing is in flight, or from a deadline
- * on as soon as no client waits for an answer. Messages that are open at the end are in the journal, and the next
- * process resumes them.
+ * The graceful shutdown that SIGTERM starts. Its phases, with all times counted from the signal:
  *
- * <p>All times count from the signal. The process is killed 3.7 s after it at the earliest.
+ * <ol>
+ *   <li>The relay serves as usual, because clients still open connections.
+ *   <li>The listeners drain.
+ *   <li>Idle connections are closed. From now on the process ends once nothing is in flight.
+ *   <li>The relay quiesces: it accepts no message, and the policy starts no attempt.
+ *   <li>After the deadline the process ends as soon as no client is waiting for a response.
+ * </ol>
+ *
+ * <p>Messages that are still open at the end are in the journal, and the next process resumes them. The process is
+ * killed no earlier than 3.7 s after the signal.
  */
 final class GracefulShutdown {
-    /** Until then the relay serves as usual, since clients still open connections. */
+    /** Start of the drain. Until then the relay serves as usual, because clients still open connections. */
     private static final long DRAIN_AFTER_MILLIS = 500;
     /**
-     * Connections that have been idle since the drain began are closed then, and the process may end. A client that
-     * uses its connection more often learns of the close from a response, which no request of its own can cross.
+     * Time at which connections that have been idle since the start of the drain are closed, and from which on the
+     * process may end. A client that sends requests more often is told in a response that the connection closes, so
+     * that none of its requests can cross the close.
      */
     private static final long CLOSE_IDLE_AFTER_MILLIS = 1000;
-    /** From then on no message is accepted and the policy starts no attempt; one takes about a second. */
+    /** Time from which on no message is accepted and no attempt is started. An attempt takes about a second. */
     private static final long QUIESCE_AFTER_MILLIS = 2200;
-    /** From then on only answers that clients wait for delay the end. */
+    /** Time from which on only requests that clients have sent in full and that have no response delay the end. */
     private static final long DEADLINE_MILLIS = 3200;
-    /** Interval at which the relay looks whether it may end. */
+    /** Interval between checks whether the process may end. */
     private static final long CHECK_INTERVAL_MILLIS = 20;
 
     private final EventLoop eventLoop;
@@ -38,9 +45,9 @@
     private long deadlineNanos;
 
     /**
-     * A shutdown that has not begun.
+     * Creates a shutdown; {@link #run} starts it.
      *
-     * @param closeStores closes the stores that outlast the process; runs on the event loop after the listeners stop
+     * @param closeStores closes the persistent stores; runs on the event loop after the listeners have stopped
      */
     GracefulShutdown(EventLoop eventLoop, DeliveryEngine engine, List<Listener> listeners, Runnable closeStores) {
         this.eventLoop = eventLoop;
@@ -49,12 +56,12 @@
         this.closeStores = closeStores;
     }
 
-    /** Shuts the relay down; returns when the process may end. Not to be called on the event loop. */
+    /** Shuts the relay down and returns when the process may end. Must not be called on the event loop. */
     void run() {
         deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(DEADLINE_MILLIS);
         eventLoop.schedule(engine::quiesce, QUIESCE_AFTER_MILLIS, TimeUnit.MILLISECONDS);
         eventLoop.schedule(() -> listeners.forEach(Listener::drain), DRAIN_AFTER_MILLIS, TimeUnit.MILLISECONDS);
-        eventLoop.schedule(this::closeIdleAndFinish, CLOSE_IDLE_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::closeIdleConnectionsAndFinish, CLOSE_IDLE_AFTER_MILLIS, TimeUnit.MILLISECONDS);
         try {
             finished.await();
         } catch (InterruptedException e) {
@@ -62,28 +69,28 @@
         }
     }
 
-    private void closeIdleAndFinish() {
+    private void closeIdleConnectionsAndFinish() {
         listeners.forEach(Listener::closeIdle);
-        finishWhenIdle();
+        finishOrReschedule();
     }
 
-    private void finishWhenIdle() {
-        // A request that arrived since the last pass read its sockets is still answered, if only as rejected.
+    private void finishOrReschedule() {
+        // Requests that have arrived since the sockets were last read still get a response, even if it is a rejection.
         listeners.forEach(Listener::readPending);
-        if (mayEnd()) {
+        if (canFinish()) {
             listeners.forEach(Listener::closeIdle);
         }
-        // The close may have read a request.
-        if (mayEnd()) {
+        // Closing the idle connections may have read another request.
+        if (canFinish()) {
             listeners.forEach(Listener::stopListening);
             closeStores.run();
             finished.countDown();
         } else {
-            eventLoop.schedule(this::finishWhenIdle, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+            eventLoop.schedule(this::finishOrReschedule, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private boolean mayEnd() {
+    private boolean canFinish() {
         boolean isPastDeadline = System.nanoTime() - deadlineNanos >= 0;
         return isIdle() || isPastDeadline && listeners.stream().noneMatch(Listener::hasRequestInProgress);
     }
--- a/src/main/java/loftflow/server/Http2Module.java
+++ b/src/main/java/loftflow/server/Http2Module.java
@@ -17,9 +17,9 @@
 import loftflow.listener.request.MessageRequest;
 import loftflow.policy.api.RequestClass;
 
-/** Assembles the HTTP/2 listeners. The class is not loaded where HTTP/2 is off. */
+/** Assembles the HTTP/2 listeners. The class is not loaded if HTTP/2 is not configured. */
 final class Http2Module {
-    /** The concurrent-stream limit that every connection is given, however busy the relay is. */
+    /** The lowest concurrent-stream limit of a connection, regardless of load. */
     private static final int MIN_STREAMS_PER_CONNECTION = 2;
 
     private final EventLoop eventLoop;
@@ -27,9 +27,9 @@
     private final List<Http2Listener> listeners = new ArrayList<>();
 
     /**
-     * Listeners that are not bound yet.
+     * Creates the listeners without binding them.
      *
-     * @param maxConnections connection limit of each listener
+     * @param maxConnections the connection limit of each listener
      */
     Http2Module(
             EventLoop eventLoop,
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The share of each class in the sum of priority weights; 0 for all where every weight is 0. */
+    /** Returns the share of each class in the sum of priority weights; all shares are 0 if the sum is 0. */
     private static Map<String, Double> bufferShareByClass(List<RequestClass> classes) {
         double totalWeight =
                 classes.stream().mapToDouble(RequestClass::priorityWeight).sum();
@@ -85,11 +85,11 @@
         return List.copyOf(listeners);
     }
 
-    /** Listens; returns once every listener is bound. */
+    /** Starts the listeners; returns once all are bound. */
     void start() throws InterruptedException {
         for (int i = 0; i < listeners.size(); i++) {
             InetSocketAddress address = config.http2().listeners().get(i).listenAddress();
-            ListenerAddress.awaitAndLog(listeners.get(i).listen(eventLoop, address), "serving HTTP/2 on");
+            ListenerBinding.awaitAndLog(listeners.get(i).listen(eventLoop, address), "serving HTTP/2 on");
         }
     }
 }
--- a/src/main/java/loftflow/server/MillisecondIoHandler.java
+++ b/src/main/java/loftflow/server/MillisecondIoHandler.java
@@ -9,41 +9,41 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Netty's NIO handler, except that it waits for the next timer in whole milliseconds, rounded up. A selector can't wait
- * for less than a millisecond, and Netty's own handler rounds to the nearest one, so that it polls the selector in a
- * busy loop for up to half a millisecond before each timer. With a timer for each call that is most of the time. The
- * price is that timers fire up to a millisecond late.
+ * Wraps Netty's NIO handler and rounds the wait for the next timer up to whole milliseconds. A selector can't wait for
+ * less than a millisecond, and Netty's handler rounds to the nearest millisecond, so that it polls the selector in a
+ * busy loop for up to half a millisecond before each timer. With one timer per call, the loop would be busy most of the
+ * time. The cost of rounding up is that timers fire up to a millisecond late.
  */
 final class MillisecondIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
 
-    private final IoHandler nio;
+    private final IoHandler delegate;
 
-    private MillisecondIoHandler(IoHandler nio) {
-        this.nio = nio;
+    private MillisecondIoHandler(IoHandler delegate) {
+        this.delegate = delegate;
     }
 
-    /** A factory for the handlers of event loops. */
+    /** Returns a factory that creates one handler per event loop. */
     static IoHandlerFactory newFactory() {
-        IoHandlerFactory nio = NioIoHandler.newFactory();
-        return executor -> new MillisecondIoHandler(nio.newHandler(executor));
+        IoHandlerFactory nioFactory = NioIoHandler.newFactory();
+        return executor -> new MillisecondIoHandler(nioFactory.newHandler(executor));
     }
 
-    /** A delay in nanoseconds, rounded up to whole milliseconds. */
-    static long wholeMillis(long delayNanos) {
-        // Without a timer the delay is Long.MAX_VALUE, which would overflow.
+    /** Returns a delay in nanoseconds, rounded up to whole milliseconds. */
+    static long roundUpToMillis(long delayNanos) {
+        // The delay is Long.MAX_VALUE if no timer is set; rounding it up would overflow.
         boolean isRoundable = delayNanos > 0 && delayNanos <= Long.MAX_VALUE - NANOS_PER_MILLI;
         return isRoundable ? (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI : delayNanos;
     }
 
     @Override
     public void initialize() {
-        nio.initialize();
+        delegate.initialize();
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        return nio.run(new IoHandlerContext() {
+        return delegate.run(new IoHandlerContext() {
             @Override
             public boolean canBlock() {
                 return context.canBlock();
@@ -51,7 +51,7 @@
 
             @Override
             public long delayNanos(long nowNanos) {
-                return wholeMillis(context.delayNanos(nowNanos));
+                return roundUpToMillis(context.delayNanos(nowNanos));
             }
 
             @Override
@@ -73,26 +73,26 @@
 
     @Override
     public void prepareToDestroy() {
-        nio.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        nio.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return nio.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        nio.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> type) {
-        return nio.isCompatible(type);
+        return delegate.isCompatible(type);
     }
 }
--- a/src/main/java/loftflow/server/RelayMain.java
+++ b/src/main/java/loftflow/server/RelayMain.java
@@ -5,23 +5,23 @@
 import java.io.IOException;
 import loftflow.config.Config;
 
-/** Starts a relay that serves until the process receives a signal to end. */
+/** Starts a relay that serves until the process receives SIGTERM or SIGINT. */
 public final class RelayMain {
     private RelayMain() {}
 
     /**
-     * Starts a relay; returns once it serves. From then on SIGTERM and SIGINT end it by a {@link GracefulShutdown}, and
-     * SIGHUP reloads its configuration by a {@link ConfigReloader}.
+     * Starts a relay and returns once it serves. From then on, SIGTERM and SIGINT start a {@link GracefulShutdown}, and
+     * SIGHUP reloads the configuration through a {@link ConfigReloader}.
      *
-     * @throws Config.BadConfigException where the configuration is missing or invalid
-     * @throws IOException where a file can't be used or an address is taken
+     * @throws Config.BadConfigException if the configuration is missing or invalid
+     * @throws IOException if a file can't be used or an address is already in use
      */
     public static void start(Config.Source source) throws Config.BadConfigException, IOException {
-        // The signal handler comes first: by default SIGHUP ends the process.
-        ConfigReloader reloader = ConfigReloader.onHangUp(source);
+        // Installed before anything else, because SIGHUP ends the process by default.
+        ConfigReloader reloader = ConfigReloader.installSighupHandler(source);
         Config config = source.read();
         EventLoop eventLoop = (EventLoop) new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.newFactory()).next();
-        RelayServer relay = new RelayServer(eventLoop, config, reloader::compareWithFile);
+        RelayServer relay = new RelayServer(eventLoop, config, reloader::scheduleReloadIfChanged);
         relay.start();
         reloader.start(config, relay::reload);
         Runtime.getRuntime().addShutdownHook(new Thread(relay::shutDown, "stop"));
--- a/src/main/java/loftflow/server/RelayServer.java
+++ b/src/main/java/loftflow/server/RelayServer.java
@@ -24,38 +24,42 @@
 import loftflow.policy.DefaultDeliveryPolicy;
 import loftflow.upstream.http.HttpUpstreamClient;
 
-/** The whole relay: assembles its parts, starts them, reloads addresses and shuts down. */
+/** Assembles the components of the relay, starts them, applies reloaded addresses and shuts them down. */
 final class RelayServer {
-    /** Pause between requests to a discovery agent that fails, where it is on this machine. */
+    /**
+     * Delay before a failed request to the discovery agent is retried, or the initial delay of an exponential backoff.
+     * It is short because the agent runs on the same machine.
+     */
     private static final long DISCOVERY_RETRY_MILLIS = 100;
 
     private final EventLoop eventLoop;
     private final Config config;
     private final Runnable onDiscoveryUnresponsive;
-    /** Null where warm start is off. */
+    /** Null if warm start is off. */
     private final WarmStartModule warmStart;
 
     private final Clock clock;
     private final EventLoopLag eventLoopLag;
     private final DeliveryEngine engine;
-    /** Null where completions are written to a file. */
+    /** Null if completions are written to a file. */
     private final HttpCompletionNotifier httpCompletionNotifier;
-    /** Null where there is no dead-letter store. */
+    /** Null if there is no dead-letter store. */
     private final DeadLetterModule deadLetters;
-    /** Null where the full endpoint list is in the configuration. */
+    /** Null if the configuration contains the full endpoint list. */
     private final EndpointWatcher endpointWatcher;
-    /** Null where AMQP is off. */
+    /** Null if AMQP is off. */
     private final AmqpModule amqp;
-    /** Null where HTTP/2 is off. */
+    /** Null if HTTP/2 is off. */
     private final Http2Module http2;
 
     private final List<HttpListener> httpListeners = new ArrayList<>();
     private final List<Listener> listeners = new ArrayList<>();
 
     /**
-     * A relay that has not started; its files are open.
+     * Creates a relay and opens its files; {@link #start} starts it.
      *
-     * @param onDiscoveryUnresponsive runs on the event loop when the discovery agent does not answer
+     * @param onDiscoveryUnresponsive called on the event loop when the discovery agent does not respond
+     * @throws IOException if a file can't be opened
      */
     RelayServer(EventLoop eventLoop, Config config, Runnable onDiscoveryUnresponsive) throws IOException {
         this.eventLoop = eventLoop;
@@ -132,7 +136,7 @@
                 backoff);
     }
 
-    /** The limit for each listener, by which all together stay within the limit for clients. */
+    /** Returns each listener's equal share of the limit on client connections; at least 1. */
     private int maxConnectionsPerListener() {
         int listenerCount = config.listenAddresses().size()
                 + (amqp == null ? 0 : amqp.listenerCount())
@@ -150,17 +154,21 @@
         }
     }
 
-    /** Resumes the messages in the journal, then listens; returns once every listener is bound. */
+    /**
+     * Resumes the messages in the journal and starts the listeners; returns once every listener is bound.
+     *
+     * @throws IOException if the thread is interrupted; a failure to bind is rethrown unchanged
+     */
     void start() throws IOException {
         try {
-            eventLoop.submit(this::startParts).sync();
+            eventLoop.submit(this::startComponents).sync();
             startListeners();
         } catch (InterruptedException e) {
             throw new IOException("interrupted while starting", e);
         }
     }
 
-    private void startParts() {
+    private void startComponents() {
         eventLoopLag.start();
         if (httpCompletionNotifier != null) {
             httpCompletionNotifier.start();
@@ -188,7 +196,7 @@
     private void startListeners() throws InterruptedException {
         for (int i = 0; i < httpListeners.size(); i++) {
             InetSocketAddress address = config.listenAddresses().get(i);
-            ListenerAddress.awaitAndLog(httpListeners.get(i).listen(eventLoop, address), "serving on");
+            ListenerBinding.awaitAndLog(httpListeners.get(i).listen(eventLoop, address), "serving on");
         }
         if (http2 != null) {
             http2.start();
@@ -199,8 +207,8 @@
     }
 
     /**
-     * Applies the addresses of a new configuration, for discovery and for completions; everything else is applied by a
-     * restart only. May be called on any thread.
+     * Applies the addresses of the discovery agent and of the completion receiver from a new configuration. All other
+     * settings take effect at a restart only. May be called on any thread.
      */
     void reload(Config newConfig) {
         eventLoop.execute(() -> {
@@ -221,7 +229,7 @@
         }
     }
 
-    /** Shuts down as described by {@link GracefulShutdown}; returns when the process may end. */
+    /** Shuts the relay down gracefully and returns when the process may end. */
     void shutDown() {
         new GracefulShutdown(eventLoop, engine, listeners, this::closeStores).run();
     }
--- a/src/main/java/loftflow/server/RoutingUpstreamClient.java
+++ b/src/main/java/loftflow/server/RoutingUpstreamClient.java
@@ -8,7 +8,7 @@
 import loftflow.policy.api.EndpointListKind;
 import loftflow.upstream.amqp.BrokerClient;
 
-/** Passes each call to the client that speaks the protocol of its route: AMQP for brokers, else HTTP. */
+/** Delegates each call to the client for the protocol of its route: AMQP for brokers, HTTP for all others. */
 final class RoutingUpstreamClient implements UpstreamClient {
     private final UpstreamClient httpClient;
     private final BrokerClient brokerClient;
@@ -18,7 +18,7 @@
         this.brokerClient = brokerClient;
     }
 
-    private UpstreamClient clientOf(String route) {
+    private UpstreamClient clientFor(String route) {
         return brokerClient.hasRoute(route) ? brokerClient : httpClient;
     }
 
@@ -36,21 +36,21 @@
 
     @Override
     public void send(String route, List<OutboundAttempt> attempts) {
-        clientOf(route).send(route, attempts);
+        clientFor(route).send(route, attempts);
     }
 
     @Override
     public void cancel(Message.Attempt attempt) {
-        clientOf(attempt.route()).cancel(attempt);
+        clientFor(attempt.route()).cancel(attempt);
     }
 
     @Override
     public void probe(String route) {
-        clientOf(route).probe(route);
+        clientFor(route).probe(route);
     }
 
     @Override
     public void closeIdleConnections(String route) {
-        clientOf(route).closeIdleConnections(route);
+        clientFor(route).closeIdleConnections(route);
     }
 }
--- a/src/main/java/loftflow/server/WarmStartModule.java
+++ b/src/main/java/loftflow/server/WarmStartModule.java
@@ -28,20 +28,20 @@
 import loftflow.warmstart.store.SystemClocks;
 
 /**
- * Assembles the warm start: restores the endpoints from the snapshot of an earlier process, passes discovery's lists to
- * the engine once they are reconciled with it, and saves new snapshots. The class is not loaded where warm start is
- * off. All methods but the constructor are to be called on the event loop.
+ * Assembles the warm start: restores the endpoints from the snapshot of an earlier process, reconciles the lists from
+ * discovery with it before the engine receives them, and saves new snapshots. The class is not loaded if warm start is
+ * off. All methods except the constructor must be called on the event loop.
  */
 final class WarmStartModule implements EndpointListListener {
-    /** Interval at which the module looks for work that is due. */
+    /** Interval between checks for endpoint releases, list requests and snapshots that are due. */
     private static final long POLL_INTERVAL_MILLIS = 1_000;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** A difference to the wall clock beyond this is logged. */
-    private static final long MAX_UNREPORTED_CLOCK_DIFFERENCE_MICROS = MICROS_PER_SECOND;
+    /** A larger difference between the wall clock and the relay time is logged. */
+    private static final long CLOCK_DIFFERENCE_LOG_THRESHOLD_MICROS = MICROS_PER_SECOND;
     /**
-     * Interval between snapshots where only routes' rates have changed. A change of the endpoint list is saved at the
-     * next poll.
+     * Interval between snapshots if only the rates of routes have changed. A change of the endpoint list is saved at
+     * the next poll.
      */
     private static final long SAVE_INTERVAL_MICROS = 30 * MICROS_PER_SECOND;
 
@@ -49,11 +49,11 @@
     private final Config config;
     private final SnapshotWriter snapshotWriter;
     private final EndpointHistory history;
-    /** What the earlier process saved. */
+    /** The snapshot and deltas that the earlier process saved. */
     private final LoadedSnapshot saved;
 
     private final ClockReading startedAt;
-    /** True where the clocks can't show how long the relay was down. */
+    /** True if the clocks do not show how long the relay was down. */
     private final boolean isDowntimeUnknown;
 
     private final Clock clock;
@@ -85,7 +85,7 @@
         history = new EndpointHistory(historyRules(config), options.owner());
     }
 
-    /** The time of the relay's own clock at its start, in microseconds since the epoch. */
+    /** Returns the relay time at the start of this process, in microseconds since the epoch. */
     private static long relayTimeMicros(LoadedSnapshot saved, ClockReading now) {
         return saved.snapshot() == null
                 ? now.wallMicros()
@@ -94,7 +94,7 @@
     }
 
     private static void logClockDifference(long differenceMicros) {
-        if (Math.abs(differenceMicros) > MAX_UNREPORTED_CLOCK_DIFFERENCE_MICROS) {
+        if (Math.abs(differenceMicros) > CLOCK_DIFFERENCE_LOG_THRESHOLD_MICROS) {
             Log.line("warmstart: wall clock differs from relay time seconds=" + differenceMicros / MICROS_PER_SECOND);
         }
     }
@@ -110,7 +110,7 @@
                 isListFixed);
     }
 
-    /** The relay's own clock, which is continuous over a restart even where the wall clock is set. */
+    /** Returns the relay clock, which continues over a restart even if the wall clock has been set. */
     Clock clock() {
         return clock;
     }
@@ -120,25 +120,28 @@
      *
      * @param fullListRequest requests the full endpoint list from discovery
      */
-    void start(DeliveryEngine startingEngine, Runnable fullListRequest) {
-        engine = startingEngine;
+    void start(DeliveryEngine deliveryEngine, Runnable fullListRequest) {
+        engine = deliveryEngine;
         requestFullList = fullListRequest;
         ListUpdate configuredList = config.knownEndpoints().isEmpty()
                 ? null
                 : listUpdate(config.knownListKind(), config.knownListVersion(), config.knownEndpoints());
-        RestoredState opening = history.restore(
+        RestoredState restored = history.restore(
                 saved.snapshot(), saved.deltas(), saved.isComplete(), configuredList, startedAt, clock.micros());
-        opening.logLines().forEach(Log::line);
+        restored.logLines().forEach(Log::line);
         if (isDowntimeUnknown) {
             engine.treatKeyWindowsAsExpired();
         }
         engine.setEventObserver(event -> apply(history.onPolicyEvent(event, clock.micros())));
         engine.start(
-                config.knownListKind(), opening.revision(), endpoints(opening.endpoints()), opening.restoredRoutes());
+                config.knownListKind(),
+                restored.revision(),
+                endpoints(restored.endpoints()),
+                restored.restoredRoutes());
         poll();
     }
 
-    /** The address of the discovery agent has changed. */
+    /** Called when the address of the discovery agent has changed. */
     void onDiscoveryMoved() {
         history.onDiscoveryReplaced();
     }
@@ -153,7 +156,7 @@
         snapshotWriter.writeDeltas(result.deltas(), clock.micros());
         fullListDueMicros = Math.min(fullListDueMicros, result.refreshAtMicros());
         if (result.listUpdate() != null) {
-            // This may be called by the engine while it processes an event, so the list is passed on afterwards.
+            // The engine may be processing an event in a caller of this method; it receives the list afterwards.
             eventLoop.execute(() -> {
                 ListUpdate update = result.listUpdate();
                 engine.onEndpointList(update.kind(), update.revision(), endpoints(update.entries()));
@@ -194,7 +197,7 @@
         }
     }
 
-    /** Saves a last snapshot; at a graceful shutdown. */
+    /** Saves a last snapshot and closes the writer, at a graceful shutdown. */
     void close() {
         save(clock.micros());
         snapshotWriter.close();
--- a/src/main/java/loftflow/server/package-info.java
+++ b/src/main/java/loftflow/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program: assembles the parts of a relay, starts them, shuts them down and handles signals.
+ * Assembles the components of a relay, starts them, shuts them down and handles signals.
  *
  * <p>May use: every other package; only the command line uses this one.
  */
--- a/src/test/java/loftflow/admin/DeadLetterSelectionTest.java
+++ b/src/test/java/loftflow/admin/DeadLetterSelectionTest.java
@@ -11,29 +11,29 @@
 import loftflow.policy.api.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Requests and responses as the command line of any version knows them. */
+/** The names in admin requests and responses, on which command lines of other versions rely. */
 class DeadLetterSelectionTest {
-    private static String error(String member, String value) {
+    private static String errorFor(String member, String value) {
         return assertThrows(IllegalArgumentException.class, () -> DeadLetterSelection.of(Map.of(member, value)))
                 .getMessage();
     }
 
     @Test
-    void statesAndCertaintiesAreReadByTheirProtocolNames() {
+    void statesAndCertaintiesAreParsedFromTheirProtocolNames() {
         DeadLetterSelection selection = DeadLetterSelection.of(Map.of("state", "resending", "ran", "did"));
         assertEquals(DeadLetter.State.REDRIVING, selection.filter().state());
         assertEquals(ExecutionCertainty.EXECUTED, selection.filter().certainty());
     }
 
     @Test
-    void unknownNamesAreAnsweredWithTheAllowedOnes() {
-        assertEquals("state: \"lost\" is none of [kept, resending, delivered, discarded]", error("state", "lost"));
-        assertEquals("ran: \"executed\" is none of [never, maybe, did]", error("ran", "executed"));
-        assertEquals("most: a number is needed, not \"many\"", error("most", "many"));
+    void errorListsTheAllowedNames() {
+        assertEquals("state: \"lost\" is none of [kept, resending, delivered, discarded]", errorFor("state", "lost"));
+        assertEquals("ran: \"executed\" is none of [never, maybe, did]", errorFor("ran", "executed"));
+        assertEquals("most: a number is needed, not \"many\"", errorFor("most", "many"));
     }
 
     @Test
-    void responseHasTheProtocolsMembers() {
+    void deadLetterIsWrittenWithTheProtocolNames() {
         DeadLetter deadLetter = new DeadLetter(
                 12,
                 new Message.Content("m1", "unsafe", "acme", "k", 2_000_000, 7, new byte[] {1, 2, 3}),
--- a/src/test/java/loftflow/server/EarlySignalTest.java
+++ b/src/test/java/loftflow/server/EarlySignalTest.java
@@ -12,7 +12,7 @@
     @Test
     void incompleteFileAtASignalBeforeTheStartIsRetried() {
         AtomicInteger reads = new AtomicInteger();
-        ConfigReloader reloader = ConfigReloader.onHangUp(new Config.Source() {
+        ConfigReloader reloader = ConfigReloader.installSighupHandler(new Config.Source() {
             @Override
             public Config read() throws Config.BadConfigException {
                 reads.incrementAndGet();
--- a/src/test/java/loftflow/server/MillisecondIoHandlerTest.java
+++ b/src/test/java/loftflow/server/MillisecondIoHandlerTest.java
@@ -25,7 +25,7 @@
         "9223372036854775807, 9223372036854775807"
     })
     void delaysAreRoundedUpToWholeMilliseconds(long nanos, long waited) {
-        assertEquals(waited, MillisecondIoHandler.wholeMillis(nanos));
+        assertEquals(waited, MillisecondIoHandler.roundUpToMillis(nanos));
     }
 
     /** A loop with a timer every 400 microseconds sleeps between them; with Netty's own handler it would be busy. */
