--- a/src/main/java/loftflow/completion/CompletionLog.java
+++ b/src/main/java/loftflow/completion/CompletionLog.java
@@ -24,8 +24,8 @@
     /** The fraction of the disk that both files together may use is 1 / {@value}. */
     public static final int DISK_DIVISOR = 20;
 
-    private static final String NAME = "ends.jsonl";
-    private static final String ROTATED_NAME = NAME + ".1";
+    private static final String FILE_NAME = "ends.jsonl";
+    private static final String ROTATED_FILE_NAME = FILE_NAME + ".1";
 
     private final Path file;
     private final Path rotatedFile;
@@ -40,8 +40,8 @@
      * @param onAcknowledged receives each message once its completion has been written
      */
     public CompletionLog(Path folder, long maxBytes, Consumer<Message> onAcknowledged) {
-        file = folder.resolve(NAME);
-        rotatedFile = folder.resolve(ROTATED_NAME);
+        file = folder.resolve(FILE_NAME);
+        rotatedFile = folder.resolve(ROTATED_FILE_NAME);
         maxFileBytes = maxBytes / 2;
         this.onAcknowledged = onAcknowledged;
     }
--- a/src/main/java/loftflow/http/ConnectionTimer.java
+++ b/src/main/java/loftflow/http/ConnectionTimer.java
@@ -13,7 +13,7 @@
     /** Schedules a task on the event loop of the connection. */
     public interface Scheduler {
         /** Runs a task after a delay in nanoseconds. */
-        Future<?> after(long delayNanos, Runnable task);
+        Future<?> schedule(long delayNanos, Runnable task);
     }
 
     private final Scheduler scheduler;
@@ -54,7 +54,7 @@
             wakeUp.cancel(false);
         }
         wakeUpAtNanos = nanoClock.getAsLong() + delayNanos;
-        wakeUp = scheduler.after(delayNanos, this::onWakeUp);
+        wakeUp = scheduler.schedule(delayNanos, this::onWakeUp);
     }
 
     private void onWakeUp() {
--- a/src/main/java/loftflow/journal/Journal.java
+++ b/src/main/java/loftflow/journal/Journal.java
@@ -43,6 +43,7 @@
     /** The route of an attempt whose record is missing or unreadable. */
     private static final String UNKNOWN_ROUTE = "";
 
+    /** A replayed record with a higher attempt number is skipped as malformed. */
     private static final int MAX_ATTEMPTS = 10_000;
 
     private static final class OpenMessage {
@@ -195,7 +196,7 @@
         try {
             JournalSegment next = folder.writeNext(segment, target -> {
                 for (OpenMessage open : openMessages.values()) {
-                    byte[] records = JournalRecordCodec.all(open.message);
+                    byte[] records = JournalRecordCodec.allRecords(open.message);
                     target.append(records);
                     sizes.put(open, records.length);
                 }
@@ -213,9 +214,9 @@
     }
 
     private void replay() throws IOException {
-        ByteBuffer all = segment.readAll();
+        ByteBuffer content = segment.readAll();
         long position = 0;
-        for (byte[] payload = segment.readRecord(all); payload != null; payload = segment.readRecord(all)) {
+        for (byte[] payload = segment.readRecord(content); payload != null; payload = segment.readRecord(content)) {
             replay(payload, position);
             position = segment.sizeBytes();
         }
--- a/src/main/java/loftflow/journal/JournalRecordCodec.java
+++ b/src/main/java/loftflow/journal/JournalRecordCodec.java
@@ -113,7 +113,7 @@
     }
 
     /** Returns all records that are needed to restore an open message, in order. */
-    static byte[] all(Message message) {
+    static byte[] allRecords(Message message) {
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         records.writeBytes(accepted(message));
         // The accepted record of a redriven dead letter includes its attempts.
--- a/src/main/java/loftflow/journal/JournalSegment.java
+++ b/src/main/java/loftflow/journal/JournalSegment.java
@@ -51,10 +51,10 @@
     }
 
     /** Returns the payload of the next record of {@link #readAll}; null at the end or if the next record is torn. */
-    byte[] readRecord(ByteBuffer all) {
-        byte[] payload = RecordFile.readNext(all);
+    byte[] readRecord(ByteBuffer content) {
+        byte[] payload = RecordFile.readNext(content);
         if (payload != null) {
-            sizeBytes = all.position();
+            sizeBytes = content.position();
         }
         return payload;
     }
--- a/src/main/java/loftflow/recordfile/RecordFile.java
+++ b/src/main/java/loftflow/recordfile/RecordFile.java
@@ -80,15 +80,15 @@
     /**
      * Appends all of an array of bytes to a file, or nothing.
      *
-     * @param end the file's size, in bytes
+     * @param fileSizeBytes the current size of the file, in bytes
      * @throws IOException if the disk is full or the write fails; the file is then truncated to its former size, unless
      *     that fails too
      */
-    public static void append(FileChannel file, byte[] bytes, long end) throws IOException {
+    public static void append(FileChannel file, byte[] bytes, long fileSizeBytes) throws IOException {
         try {
-            writeFully(file, bytes, end);
+            writeFully(file, bytes, fileSizeBytes);
         } catch (IOException e) {
-            file.truncate(end);
+            file.truncate(fileSizeBytes);
             throw e;
         }
     }
--- a/src/main/java/loftflow/settings/PlatformSettingsReader.java
+++ b/src/main/java/loftflow/settings/PlatformSettingsReader.java
@@ -27,32 +27,33 @@
      * Reads the settings of one relay.
      *
      * @param seed the seed of the policy's random source
-     * @param params the settings object
+     * @param settings the settings object
      * @throws MalformedInputException if a member is missing or malformed
      */
-    public static PolicySettings read(long seed, JsonFields params) {
-        JsonFields info = params.object(PlatformSettingsProtocol.DELIVERY_SETTINGS);
+    public static PolicySettings read(long seed, JsonFields settings) {
+        JsonFields deliverySettings = settings.object(PlatformSettingsProtocol.DELIVERY_SETTINGS);
         return new PolicySettings(
                 seed,
-                (int) params.wholeNumber(PlatformSettingsProtocol.RELAY_INDEX),
-                (int) params.wholeNumber(PlatformSettingsProtocol.FLEET_SIZE),
-                params.text(PlatformSettingsProtocol.ZONE),
-                classes(params),
-                tenants(params),
-                kinds(params, info),
-                zones(params, info),
-                limits(params.object(PlatformSettingsProtocol.LIMITS), info),
-                rules(params.object(PlatformSettingsProtocol.SERVICE_RULES)),
-                params.number(PlatformSettingsProtocol.OVER_QUOTA_WEIGHT, 1),
-                PlatformSettingsProtocol.DECAY_BY_HALF.equals(info.textOrNull(PlatformSettingsProtocol.DECAY)),
+                (int) settings.wholeNumber(PlatformSettingsProtocol.RELAY_INDEX),
+                (int) settings.wholeNumber(PlatformSettingsProtocol.FLEET_SIZE),
+                settings.text(PlatformSettingsProtocol.ZONE),
+                classes(settings),
+                tenants(settings),
+                kinds(settings, deliverySettings),
+                zones(settings, deliverySettings),
+                limits(settings.object(PlatformSettingsProtocol.LIMITS), deliverySettings),
+                rules(settings.object(PlatformSettingsProtocol.SERVICE_RULES)),
+                settings.number(PlatformSettingsProtocol.OVER_QUOTA_WEIGHT, 1),
+                PlatformSettingsProtocol.DECAY_BY_HALF.equals(
+                        deliverySettings.textOrNull(PlatformSettingsProtocol.DECAY)),
                 PlatformSettingsProtocol.DISCOVERY_MODE_SUBSCRIBE.equals(
-                        params.textOrNull(PlatformSettingsProtocol.DISCOVERY_MODE)),
-                rateHint(params),
-                params.object(PlatformSettingsProtocol.COSTS).number(PlatformSettingsProtocol.CROSS_ZONE_COST, 0));
+                        settings.textOrNull(PlatformSettingsProtocol.DISCOVERY_MODE)),
+                rateHint(settings),
+                settings.object(PlatformSettingsProtocol.COSTS).number(PlatformSettingsProtocol.CROSS_ZONE_COST, 0));
     }
 
-    private static RateHint rateHint(JsonFields params) {
-        String source = params.textOrNull(PlatformSettingsProtocol.LISTED_RATE_SOURCE);
+    private static RateHint rateHint(JsonFields settings) {
+        String source = settings.textOrNull(PlatformSettingsProtocol.LISTED_RATE_SOURCE);
         return source == null
                 ? RateHint.NONE
                 : switch (source) {
@@ -62,9 +63,9 @@
                 };
     }
 
-    private static List<RequestClass> classes(JsonFields params) {
+    private static List<RequestClass> classes(JsonFields settings) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Object json : params.listOrEmpty(PlatformSettingsProtocol.CLASSES)) {
+        for (Object json : settings.listOrEmpty(PlatformSettingsProtocol.CLASSES)) {
             JsonFields entry = JsonFields.ofObject(PlatformSettingsProtocol.CLASSES, json);
             classes.add(new RequestClass(
                     entry.text(PlatformSettingsProtocol.NAME),
@@ -101,9 +102,9 @@
                 };
     }
 
-    private static List<Tenant> tenants(JsonFields params) {
+    private static List<Tenant> tenants(JsonFields settings) {
         List<Tenant> tenants = new ArrayList<>();
-        for (Object json : params.listOrEmpty(PlatformSettingsProtocol.TENANTS)) {
+        for (Object json : settings.listOrEmpty(PlatformSettingsProtocol.TENANTS)) {
             JsonFields entry = JsonFields.ofObject(PlatformSettingsProtocol.TENANTS, json);
             tenants.add(new Tenant(
                     entry.text(PlatformSettingsProtocol.NAME),
@@ -112,10 +113,10 @@
         return tenants;
     }
 
-    private static List<DestinationKind> kinds(JsonFields params, JsonFields info) {
-        List<?> names = params.listOrEmpty(PlatformSettingsProtocol.KINDS);
-        List<?> independentRoutes = info.listOrEmpty(PlatformSettingsProtocol.INDEPENDENT_ROUTES);
-        List<?> maxBatchSizes = info.listOrEmpty(PlatformSettingsProtocol.MAX_BATCH_SIZES);
+    private static List<DestinationKind> kinds(JsonFields settings, JsonFields deliverySettings) {
+        List<?> names = settings.listOrEmpty(PlatformSettingsProtocol.KINDS);
+        List<?> independentRoutes = deliverySettings.listOrEmpty(PlatformSettingsProtocol.INDEPENDENT_ROUTES);
+        List<?> maxBatchSizes = deliverySettings.listOrEmpty(PlatformSettingsProtocol.MAX_BATCH_SIZES);
         List<DestinationKind> kinds = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             int maxBatchSize = i < maxBatchSizes.size() && maxBatchSizes.get(i) instanceof Number n ? n.intValue() : 1;
@@ -126,9 +127,9 @@
         return kinds;
     }
 
-    private static List<Zone> zones(JsonFields params, JsonFields info) {
-        List<?> names = params.listOrEmpty(PlatformSettingsProtocol.ZONES);
-        List<?> costs = info.listOrEmpty(PlatformSettingsProtocol.ZONE_COSTS);
+    private static List<Zone> zones(JsonFields settings, JsonFields deliverySettings) {
+        List<?> names = settings.listOrEmpty(PlatformSettingsProtocol.ZONES);
+        List<?> costs = deliverySettings.listOrEmpty(PlatformSettingsProtocol.ZONE_COSTS);
         List<Zone> zones = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             double cost = i < costs.size() && costs.get(i) instanceof Number n ? n.doubleValue() : 0;
@@ -137,9 +138,9 @@
         return zones;
     }
 
-    private static RelayLimits limits(JsonFields limits, JsonFields info) {
+    private static RelayLimits limits(JsonFields limits, JsonFields deliverySettings) {
         return new RelayLimits(
-                (int) info.wholeNumber(PlatformSettingsProtocol.MAX_CONCURRENT_CALLS),
+                (int) deliverySettings.wholeNumber(PlatformSettingsProtocol.MAX_CONCURRENT_CALLS),
                 (int) limits.wholeNumber(PlatformSettingsProtocol.MAX_OPEN_MESSAGES),
                 (int) limits.wholeNumber(PlatformSettingsProtocol.MAX_ATTEMPTS),
                 limits.booleanOrFalse(PlatformSettingsProtocol.CANCELLATION),
--- a/src/test/java/loftflow/journal/JournalRecordCodecTest.java
+++ b/src/test/java/loftflow/journal/JournalRecordCodecTest.java
@@ -69,21 +69,21 @@
 
     /** The accepted record of a redriven dead letter includes its attempts, so no attempt records follow it. */
     @Test
-    void allReturnsEveryRecordOfAMessage() {
+    void allRecordsOfAMessageAreReturned() {
         Message redriven = new Message(5, message().content(), 42);
         redriven.addAttempt("r1", 50);
-        assertEquals(1, recordsIn(JournalRecordCodec.all(redriven)));
+        assertEquals(1, countRecords(JournalRecordCodec.allRecords(redriven)));
         Message attempted = message();
         attempted.addAttempt("r1", 50).outcome(AttemptOutcome.OK);
         attempted.addAttempt("r2", 60);
         attempted.complete(new Message.Completion(Message.Completion.Kind.DELIVERED, 0));
-        assertEquals(5, recordsIn(JournalRecordCodec.all(attempted)));
+        assertEquals(5, countRecords(JournalRecordCodec.allRecords(attempted)));
     }
 
-    private static int recordsIn(byte[] records) {
-        ByteBuffer all = ByteBuffer.wrap(records);
+    private static int countRecords(byte[] records) {
+        ByteBuffer content = ByteBuffer.wrap(records);
         int count = 0;
-        while (RecordFile.readNext(all) != null) {
+        while (RecordFile.readNext(content) != null) {
             count++;
         }
         return count;
--- a/src/test/java/loftflow/journal/JournalTest.java
+++ b/src/test/java/loftflow/journal/JournalTest.java
@@ -26,16 +26,18 @@
     @TempDir
     Path folder;
 
-    private static Message message(long number, int bytes) {
-        return new Message(number, new Message.Content("id" + number, "safe", "acme", null, 123, 7, new byte[bytes]));
+    private static Message message(long number, int bodyBytes) {
+        byte[] body = new byte[bodyBytes];
+        return new Message(number, new Message.Content("id" + number, "safe", "acme", null, 123, 7, body));
     }
 
-    private List<Message> reopened() throws IOException {
+    private List<Message> openMessagesAfterReopening() throws IOException {
         try (Journal journal = new Journal(folder, DISK_BYTES)) {
             return journal.openMessages();
         }
     }
 
+    /** Returns the space that the files use on a disk with sectors of 512 bytes. */
     private long usedBytes() throws IOException {
         try (var files = Files.list(folder)) {
             return files.mapToLong(file -> (file.toFile().length() + 511) / 512 * 512)
@@ -66,7 +68,7 @@
                     Integer.parseInt(segment().getFileName().toString().replaceAll("\\D", ""));
             assertTrue(compactions < 10, "compactions: " + compactions);
         }
-        assertTrue(reopened().isEmpty());
+        assertTrue(openMessagesAfterReopening().isEmpty());
     }
 
     @Test
@@ -86,7 +88,7 @@
             journal.recordCompletion(second);
             journal.recordDone(message(3, 0));
         }
-        List<Message> open = reopened();
+        List<Message> open = openMessagesAfterReopening();
         assertEquals(2, open.size());
         Message first = open.get(0);
         assertEquals("id1", first.content().messageId());
@@ -114,7 +116,7 @@
         try (Journal journal = new Journal(folder, DISK_BYTES)) {
             assertTrue(journal.recordAccepted(message(3, 10)));
         }
-        List<Message> open = reopened();
+        List<Message> open = openMessagesAfterReopening();
         assertEquals(List.of(1L, 2L, 3L), open.stream().map(Message::number).toList());
         assertEquals(1, open.get(0).attempts().size());
         assertNull(open.get(0).attempts().get(0).outcome(), "the skipped record may have been an attempt");
@@ -133,7 +135,9 @@
             assertEquals(1, journal.openMessages().size());
             assertTrue(journal.recordAccepted(message(3, 10)));
         }
-        assertEquals(List.of(1L, 3L), reopened().stream().map(m -> m.number()).toList());
+        assertEquals(
+                List.of(1L, 3L),
+                openMessagesAfterReopening().stream().map(Message::number).toList());
     }
 
     @Test
@@ -144,7 +148,7 @@
         byte[] bytes = Files.readAllBytes(segment());
         bytes[bytes.length - 1] ^= 1;
         Files.write(segment(), bytes, StandardOpenOption.TRUNCATE_EXISTING);
-        assertTrue(reopened().isEmpty());
+        assertTrue(openMessagesAfterReopening().isEmpty());
     }
 
     @Test
@@ -169,8 +173,8 @@
         // During a compaction, the folder also contains the new segment, which holds only records of open messages.
         assertTrue(maxBytes < 0.5 * DISK_BYTES, "bytes on disk: " + maxBytes);
         assertEquals(
-                open.stream().map(m -> m.number()).toList(),
-                reopened().stream().map(m -> m.number()).toList());
+                open.stream().map(Message::number).toList(),
+                openMessagesAfterReopening().stream().map(Message::number).toList());
     }
 
     @Test
@@ -181,7 +185,7 @@
             message.addAttempt("lost", 1);
             journal.recordAttempt(message.addAttempt("r1", 2));
         }
-        Message open = reopened().get(0);
+        Message open = openMessagesAfterReopening().get(0);
         assertEquals(AttemptOutcome.NOT_SENT, open.attempts().get(0).outcome());
         assertEquals("r1", open.attempts().get(1).route());
     }
@@ -201,7 +205,7 @@
             assertTrue(journal.recordAttempt(first.addAttempt("r2", 60)));
             assertTrue(journal.recordAccepted(message(2, 0)));
         }
-        List<Message> replayed = reopened();
+        List<Message> replayed = openMessagesAfterReopening();
         assertEquals(List.of(1L, 2L), replayed.stream().map(Message::number).toList());
         assertEquals(
                 List.of(AttemptOutcome.NOT_SENT),
@@ -221,7 +225,7 @@
             journal.recordAccepted(message(1, 10));
         }
         Files.writeString(folder.resolve("journal.new"), "half");
-        assertEquals(1, reopened().size());
+        assertEquals(1, openMessagesAfterReopening().size());
         assertFalse(Files.exists(folder.resolve("journal.new")));
     }
 
@@ -249,7 +253,7 @@
             journal.recordOutcome(redriven.attempts().get(2));
         }
         for (int compactions = 0; compactions < 2; compactions++) {
-            Message replayed = reopened().get(0);
+            Message replayed = openMessagesAfterReopening().get(0);
             assertEquals(42, replayed.deadLetterId());
             assertEquals("id1", replayed.content().messageId());
             assertEquals(
--- a/src/test/java/loftflow/recordfile/RecordFileTest.java
+++ b/src/test/java/loftflow/recordfile/RecordFileTest.java
@@ -40,11 +40,11 @@
                 StandardOpenOption.WRITE)) {
             RecordFile.append(file, record(1, 2), 0);
             RecordFile.append(file, record(3), file.size());
-            ByteBuffer all = RecordFile.readAll(file);
-            assertArrayEquals(new byte[] {1, 2}, RecordFile.readNext(all));
-            assertArrayEquals(new byte[] {3}, RecordFile.readNext(all));
-            assertNull(RecordFile.readNext(all));
-            assertEquals(file.size(), all.position());
+            ByteBuffer content = RecordFile.readAll(file);
+            assertArrayEquals(new byte[] {1, 2}, RecordFile.readNext(content));
+            assertArrayEquals(new byte[] {3}, RecordFile.readNext(content));
+            assertNull(RecordFile.readNext(content));
+            assertEquals(file.size(), content.position());
         }
     }
 
