--- a/src/main/java/loftflow/engine/Message.java
+++ b/src/main/java/loftflow/engine/Message.java
@@ -188,7 +188,7 @@
         return deadLetterId != 0;
     }
 
-    /** Returns whether an attempt is known to have delivered it. */
+    /** Returns whether any attempt has the outcome {@link AttemptOutcome#OK}. */
     public boolean isDelivered() {
         return attempts.stream().anyMatch(attempt -> attempt.outcome == AttemptOutcome.OK);
     }
--- a/src/main/java/loftflow/engine/UpstreamClient.java
+++ b/src/main/java/loftflow/engine/UpstreamClient.java
@@ -60,7 +60,7 @@
      */
     record OutboundAttempt(Message.Attempt attempt, long timeoutMicros, long latestArrivalMicros) {}
 
-    /** Called when an endpoint list was received; draining and removed endpoints are sent no new attempt after it. */
+    /** Called when an endpoint list was received; from then on, draining and removed endpoints get no new attempts. */
     void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints);
 
     /** Sends the attempts of one round to one route, in as few calls as the protocol allows. */
@@ -69,7 +69,7 @@
     /** Cancels an attempt; has no effect if it has ended. */
     void cancel(Message.Attempt attempt);
 
-    /** Sends a probe to a route; it counts as a call towards the limits of that route. */
+    /** Sends a probe to a route, where it counts as a call. */
     void probe(String route);
 
     /** Closes idle connections to a route. */
--- a/src/main/java/loftflow/protocol/HostProtocol.java
+++ b/src/main/java/loftflow/protocol/HostProtocol.java
@@ -32,7 +32,7 @@
     /** Response header: the host's load report. */
     public static final String LOAD_REPORT_HEADER = MessageHeaders.LOAD_REPORT;
 
-    /** Value of {@link #CONCURRENCY_LIMITED_HEADER} if this relay had no concurrent call left. */
+    /** Value of {@link #CONCURRENCY_LIMITED_HEADER} if this relay had used up its concurrent calls. */
     public static final String CONCURRENCY_LIMITED = "1";
 
     /** Batch field: the message id, in requests and responses. */
