--- a/src/main/java/loftflow/policy/AttemptTimeouts.java
+++ b/src/main/java/loftflow/policy/AttemptTimeouts.java
@@ -3,7 +3,7 @@
 import loftflow.policy.api.Idempotency;
 
 /**
- * Computes the timeout of each attempt: a multiple of its route's expected response time, with a minimum so that slow
+ * Computes the timeout of each attempt: several times its route's expected response time, with a minimum so that slow
  * calls are not repeated; a shorter timeout for probes; the message's deadline if no further attempt could follow.
  * Durations are in microseconds.
  */
--- a/src/main/java/loftflow/policy/Dispatcher.java
+++ b/src/main/java/loftflow/policy/Dispatcher.java
@@ -6,9 +6,9 @@
 import java.util.PriorityQueue;
 
 /**
- * Sends the waiting messages of a round in order. Circuits that admit a probe are probed first. Then, while call slots
- * are free, the message of any destination that would lose the most value by being deferred is sent. Finally, overdue
- * calls are cancelled in favour of messages that found no slot, and permits are requested if they are required.
+ * Sends the waiting messages of a round. First it probes the circuits that admit a probe. Then, while call slots are
+ * free, it sends the message of any destination that would lose the most value by being deferred. Finally it cancels
+ * overdue calls in favour of messages that found no slot, and requests permits if they are required.
  */
 final class Dispatcher {
     /** The next message of a destination, its route, and the value lost by deferring it. */
--- a/src/main/java/loftflow/policy/HalfOpenProbe.java
+++ b/src/main/java/loftflow/policy/HalfOpenProbe.java
@@ -6,8 +6,8 @@
 
 /**
  * Probes routes whose circuit is not closed, one probe at a time and only after the circuit's pause. A probe is the
- * waiting message with the lowest cost of failure; or a health check, where these are allowed, if the route's address
- * is not verified or if a failed attempt could leave that message without any route to go to.
+ * waiting message with the lowest cost of failure. If health checks are allowed, one is sent instead if the route's
+ * address is not verified or if a failed attempt could leave that message without any permitted route.
  */
 final class HalfOpenProbe {
     private static final int COST_PER_IDEMPOTENCY_LEVEL = 100;
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns whether the route is a last resort and its destination lists a regular route that is closed or has not
-     * failed.
+     * Returns whether the route is a last resort and its destination lists another route that is not, and whose circuit
+     * is closed or which has not failed.
      */
     private static boolean isUnneededLastResort(Route route) {
         return route.lastResort
--- a/src/main/java/loftflow/policy/SendPermitCoordinator.java
+++ b/src/main/java/loftflow/policy/SendPermitCoordinator.java
@@ -19,7 +19,7 @@
     /** Factor by which a rough listed rate may be too low. */
     private static final double MAX_RATE_FACTOR = 2;
 
-    /** Time after which permits lapse that were due but not issued because no round ran. */
+    /** Permits that were due this long ago but not issued, because no round ran, lapse. */
     private static final long MAX_CATCH_UP_MICROS = RoundContext.MICROS_PER_SECOND / 2;
 
     /** Time before the expiry of a congestion notice at which it may be repeated. */
--- a/src/main/java/loftflow/policy/SendRateLimiter.java
+++ b/src/main/java/loftflow/policy/SendRateLimiter.java
@@ -2,10 +2,10 @@
 
 /**
  * Limits the rate at which this relay sends to a limit group. No limit applies until the group rejects a call. The rate
- * is then cut to this relay's share of a burst or to half of the served rate, and is halved by later rejections. It
- * grows by a tenth per second while calls are served; after a first cut without a known limit it is doubled until the
- * next rejection, to probe for capacity. If destinations report how much of their limit remains, growth and cuts follow
- * that report in a large fleet. Rates are calls per second of this relay.
+ * is then cut to this relay's share of a burst or to half of the served rate, and later rejections halve it. It grows
+ * by a tenth per second while calls are served; after a first cut without a known limit it doubles until the next
+ * rejection, to probe for capacity. If destinations report how much of their limit remains, a large fleet bases growth
+ * and cuts on these reports. Rates are calls per second of this relay.
  */
 final class SendRateLimiter {
     /** Limit assumed for all relays together if none is known. */
