--- a/src/test/java/loftflow/soak/SoakMutantTest.java
+++ b/src/test/java/loftflow/soak/SoakMutantTest.java
@@ -53,8 +53,9 @@
                     "ran though rejected"),
             new Mutant(
                     "engine/MessageLifecycle",
-                    "        context.completionNotifier().notifyCompletion(message);\n    }\n\n    /** The upstream",
-                    "    }\n\n    /** The upstream",
+                    "            context.deadLetterSink().store(message);\n        }\n"
+                            + "        context.completionNotifier().notifyCompletion(message);",
+                    "            context.deadLetterSink().store(message);\n        }",
                     "lost"),
             new Mutant(
                     "upstream/http/UpstreamCall",
