--- a/src/main/java/loftflow/listener/Listener.java
+++ b/src/main/java/loftflow/listener/Listener.java
@@ -1,22 +1,28 @@
 package loftflow.listener;
 
-/** An inbound endpoint for messages, as the shutdown of the relay sees it. For use on the event loop only. */
+/** The shutdown operations of a server endpoint that receives messages. For use on the event loop only. */
 public interface Listener {
-    /** Starts a graceful shutdown: new work goes to other relays where clients can, begun requests are answered. */
+    /**
+     * Starts a graceful shutdown: requests that have begun are answered, and clients are told to send new ones to other
+     * relays if their protocol allows it.
+     */
     void drain();
 
-    /** Closes connections on which clients have no request; during a drain, where their protocol has no other way. */
+    /**
+     * Closes connections without a request in progress. Used during a drain for protocols that cannot ask clients to
+     * reconnect elsewhere; the default does nothing.
+     */
     default void closeIdle() {}
 
-    /** Reads pending bytes from sockets, and accepts pending connections. */
+    /** Reads pending bytes from the sockets and accepts pending connections. */
     default void readPending() {}
 
-    /** Returns true where every request that was begun has its response. */
+    /** Returns whether every request that has begun has its response. */
     boolean isIdle();
 
-    /** Returns true while a request that was received whole has no response yet. */
+    /** Returns whether a completely received request has no response yet. */
     boolean hasRequestInProgress();
 
-    /** Accepts nothing from now on. */
+    /** Stops accepting connections; established connections stay open. */
     void stopListening();
 }
--- a/src/main/java/loftflow/listener/connection/Acceptor.java
+++ b/src/main/java/loftflow/listener/connection/Acceptor.java
@@ -17,21 +17,25 @@
 import loftflow.log.Log;
 
 /**
- * A listening socket. It also bounds how long an accepted connection, and the bytes on it, may have been pending.
+ * A listening socket. It also tracks the earliest time at which an accepted connection, and bytes that are read from
+ * it, can have arrived.
  */
 public final class Acceptor {
     private static final int BACKLOG_CONNECTIONS = 1024;
-    /** How long accepting pauses after a failure. */
+    /** The pause after a failure to accept a connection. */
     private static final long PAUSE_MILLIS = 50;
 
     private final EventLoopLag eventLoopLag;
     private final Consumer<Channel> initializer;
     private Channel listener;
-    /** Since when connections may be pending that the last iteration of the event loop did not accept. */
+    /**
+     * The earliest arrival time of connections that the last event-loop iteration left in the backlog;
+     * {@link Long#MAX_VALUE} if it left none.
+     */
     private long backlogSinceMicros = Long.MAX_VALUE;
 
     /**
-     * Creates an acceptor that does not listen yet.
+     * Creates an acceptor, which listens once {@link #open} is called.
      *
      * @param initializer receives each accepted channel, with an empty pipeline
      */
@@ -40,7 +44,7 @@
         this.initializer = initializer;
     }
 
-    /** Listens at an address. */
+    /** Starts to listen at an address. */
     public ChannelFuture open(EventLoop loop, InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -60,7 +64,7 @@
         return bound;
     }
 
-    /** Accepts connections from the kernel's backlog, which the end of the process would reset. */
+    /** Accepts the connections in the kernel's backlog, which are reset when the process exits. */
     public void acceptPending() {
         ((AbstractNioChannel.NioUnsafe) listener.unsafe()).read();
     }
@@ -70,23 +74,23 @@
         listener.close();
     }
 
-    /** The earliest time at which a connection that is accepted now can have arrived, in microseconds. */
-    public long acceptableSince() {
+    /** Returns the earliest time at which a connection that is accepted now can have arrived, in microseconds. */
+    public long earliestConnectionArrivalMicros() {
         return Math.min(backlogSinceMicros, eventLoopLag.unreadSinceMicros());
     }
 
-    /** The earliest time at which bytes that are read now can have arrived, in microseconds. */
-    public long unreadSince() {
+    /** Returns the earliest time at which bytes that are read now can have arrived, in microseconds. */
+    public long earliestByteArrivalMicros() {
         return eventLoopLag.unreadSinceMicros();
     }
 
     /**
-     * Tracks connections that stay pending over several iterations of the event loop, as one iteration accepts a
+     * Tracks whether connections stay in the backlog over several event-loop iterations. One iteration accepts a
      * bounded number.
      */
     private final class BacklogTracker extends ChannelInboundHandlerAdapter {
         private int accepted;
-        private long sinceMicros;
+        private long iterationSinceMicros;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object child) {
@@ -97,21 +101,21 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             boolean isBacklogEmpty = accepted < ctx.channel().metadata().defaultMaxMessagesPerRead();
-            sinceMicros = acceptableSince();
-            backlogSinceMicros = isBacklogEmpty ? Long.MAX_VALUE : sinceMicros;
+            iterationSinceMicros = earliestConnectionArrivalMicros();
+            backlogSinceMicros = isBacklogEmpty ? Long.MAX_VALUE : iterationSinceMicros;
             accepted = 0;
             ctx.fireChannelReadComplete();
         }
 
         /**
-         * Pauses accepting where it fails, which is mostly a temporary lack of file descriptors or memory. The
-         * exception ends here: Netty would log it, which opens files, and the event loop would end. Connections stay
-         * pending meanwhile.
+         * Pauses accepting after a failure, which usually is a temporary lack of file descriptors or memory.
+         * Connections stay in the backlog during the pause. The exception is not passed on: Netty would log it, which
+         * opens files, and a failure of that would terminate the event loop.
          */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             Log.line("listener: accept failed cause=" + cause);
-            backlogSinceMicros = sinceMicros;
+            backlogSinceMicros = iterationSinceMicros;
             ctx.channel().config().setAutoRead(false);
             ctx.executor()
                     .schedule(() -> ctx.channel().config().setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
+++ b/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
@@ -13,15 +13,15 @@
 import loftflow.engine.Clock;
 
 /**
- * The connections of a listener and the limit on their number. At the limit, a new connection evicts one that no client
- * works with: in this order one that has its last response, one whose request has been incomplete for too long, one
- * that has sent nothing yet, and one that has been idle for long. Where there is none, the new connection itself is
- * evicted.
+ * Tracks the connections of a listener and limits their number. At the limit, a new connection evicts one that is not
+ * in use. Candidates are, in this order: a connection that has its last response, one whose request has been incomplete
+ * for {@link #MIN_INCOMPLETE_MICROS}, one that has sent nothing yet, and one that has been idle for the minimum idle
+ * time. If there is no candidate, the new connection is evicted.
  *
- * @param <C> a connection
+ * @param <C> the type of a connection
  */
 public final class ConnectionLimiter<C> {
-    /** A client waits so long for its response (PROTOCOL, "Clients to relays"); nobody waits for an older request. */
+    /** The minimum age of an incomplete request for eviction: clients time out after 400 ms without a response. */
     public static final long MIN_INCOMPLETE_MICROS = TimeUnit.MILLISECONDS.toMicros(400);
 
     private final int maxConnections;
@@ -30,22 +30,22 @@
     private final Consumer<C> readPending;
     private final Consumer<C> evict;
     private final Set<C> connections = new HashSet<>();
-    /** Connections that have their last response and are not closed yet, oldest first. */
+    /** Open connections that have their last response, in the order of those responses. */
     private final Set<C> finished = new LinkedHashSet<>();
-    /** Connections with a part of a request, and the time of its start; oldest first. */
+    /** The start times of partly received requests by connection, oldest first. */
     private final Map<C, Long> incomplete = new LinkedHashMap<>();
-    /** Connections that have sent no request yet, oldest first. */
+    /** Connections that have sent nothing yet, oldest first. */
     private final Set<C> unused = new LinkedHashSet<>();
-    /** Connections that are idle, and the time of their last response; oldest first. */
+    /** The times of the latest responses of idle connections, oldest first. */
     private final Map<C, Long> idle = new LinkedHashMap<>();
 
     /**
      * Creates a limiter without connections.
      *
-     * @param minIdleMicros how long a connection has to be idle since its last response before it may be evicted; a
-     *     client that uses it more often may have written its next request
+     * @param minIdleMicros the minimum time since the latest response of a connection before it may be evicted; a
+     *     client that uses it more often may already have written its next request
      * @param readPending reads the bytes that are pending on a connection
-     * @param evict closes a connection; a request that arrives meanwhile must not be lost
+     * @param evict closes a connection without losing a request that arrives at the same time
      */
     public ConnectionLimiter(
             int maxConnections, long minIdleMicros, Clock clock, Consumer<C> readPending, Consumer<C> evict) {
@@ -56,7 +56,7 @@
         this.evict = evict;
     }
 
-    /** Adds a new connection. At the limit it evicts another one, or is evicted where there is none. */
+    /** Adds a connection. At the limit, evicts another one, or the new one if no other can be evicted. */
     public void onOpened(C connection) {
         if (connections.size() >= maxConnections) {
             evictOne();
@@ -75,13 +75,13 @@
             if (candidate == null) {
                 return;
             }
-            // A request that is pending in the socket would get no response.
+            // Closing the connection would leave a request that is pending in the socket without a response.
             readPending.accept(candidate);
             if (connections.size() < maxConnections) {
                 return;
             }
             if (candidate.equals(firstEvictable())) {
-                // The channel reports its close later, and more connections may be accepted before that.
+                // Removed at once, as more connections may be accepted before the channel reports its close.
                 onClosed(candidate);
                 evict.accept(candidate);
                 return;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Returns null where a client may be working with every connection. */
+    /** Returns the next connection to evict; null if every connection may be in use. */
     private C firstEvictable() {
         if (!finished.isEmpty()) {
             return finished.iterator().next();
@@ -111,21 +111,21 @@
         return clock.micros() - oldest.getValue() >= minAgeMicros ? oldest.getKey() : null;
     }
 
-    /** The first bytes of a request have arrived, or those of the next one while the response was awaited. */
+    /** Records that a request is partly received, and no earlier request awaits its response. */
     public void onRequestStarted(C connection) {
         removeState(connection);
-        // An evicted connection may deliver bytes after its removal.
+        // An evicted connection may still deliver bytes.
         if (connections.contains(connection)) {
             incomplete.put(connection, clock.micros());
         }
     }
 
-    /** The connection has a request in progress that needs no more bytes. */
+    /** Records that a completely received request is in progress. */
     public void onRequestReceived(C connection) {
         removeState(connection);
     }
 
-    /** The connection has a response, and no request is in progress. */
+    /** Records that no request is in progress. The idle time starts now. */
     public void onIdle(C connection) {
         incomplete.remove(connection);
         idle.remove(connection);
@@ -134,7 +134,7 @@
         }
     }
 
-    /** The connection has its last response: nothing more is owed to its client. */
+    /** Records that the last response has been sent; the connection is about to close. */
     public void onFinished(C connection) {
         removeState(connection);
         if (connections.contains(connection)) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /** The connection is gone. */
+    /** Records that the connection is closed. */
     public void onClosed(C connection) {
         connections.remove(connection);
         removeState(connection);
@@ -155,7 +155,7 @@
         idle.remove(connection);
     }
 
-    /** The connections without a request in progress. */
+    /** Returns the connections without a request in progress. */
     public List<C> inactive() {
         List<C> inactive = new ArrayList<>(finished);
         inactive.addAll(unused);
@@ -163,7 +163,7 @@
         return inactive;
     }
 
-    /** Returns true where every connection is inactive, or has its last response by the given predicate. */
+    /** Returns whether every connection is inactive or, according to a predicate, has its last response. */
     public boolean isIdle(Predicate<C> isFinished) {
         return connections.stream()
                 .allMatch(connection -> finished.contains(connection)
@@ -172,12 +172,12 @@
                         || isFinished.test(connection));
     }
 
-    /** A copy of the connections, in no particular order. */
+    /** Returns a copy of the connections, in no particular order. */
     public List<C> all() {
         return List.copyOf(connections);
     }
 
-    /** The number of connections. */
+    /** Returns the number of connections. */
     public int size() {
         return connections.size();
     }
--- a/src/main/java/loftflow/listener/connection/package-info.java
+++ b/src/main/java/loftflow/listener/connection/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Connection handling that every listener shares: accepting sockets, the connection limit, the memory bound of partly
- * received requests, and the age of pending bytes.
+ * Connection handling that all listeners share: accepting connections, the connection limit, the memory limit of partly
+ * received requests, and the arrival time of pending bytes.
  *
  * <p>May use: the engine's clock and event-loop lag, the log and Netty.
  */
--- a/src/main/java/loftflow/listener/http/HttpClientConnection.java
+++ b/src/main/java/loftflow/listener/http/HttpClientConnection.java
@@ -23,7 +23,7 @@
 import loftflow.engine.MessageAcceptor;
 import loftflow.http.ConnectionTimer;
 import loftflow.http.UnreadBytes;
-import loftflow.listener.connection.UnreadSince;
+import loftflow.listener.connection.ArrivalTimeBound;
 import loftflow.listener.request.ClientResponse;
 import loftflow.listener.request.Exchange;
 import loftflow.listener.request.MessageRequest;
@@ -51,7 +51,7 @@
     /** The context of the encoder: bytes that are written from there are sent unchanged. */
     private ChannelHandlerContext encoder;
 
-    private UnreadSince unreadSince;
+    private ArrivalTimeBound arrivalTimeBound;
     private long earliestArrivalMicros;
     private boolean isIdle = true;
     private boolean hasResponded;
@@ -144,7 +144,7 @@
                 ReferenceCountUtil.release(bytes);
                 return;
             }
-            earliestArrivalMicros = unreadSince.earliestArrivalMicros();
+            earliestArrivalMicros = arrivalTimeBound.earliestArrivalMicros();
             if (isIdle) {
                 isIdle = false;
                 listener.connections().onRequestStarted(HttpClientConnection.this);
@@ -158,7 +158,7 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (ctx.channel().config().isAutoRead()) {
-                unreadSince.onReadCaughtUp();
+                arrivalTimeBound.onReadCaughtUp();
             }
             ctx.fireChannelReadComplete();
         }
@@ -174,7 +174,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
         context = ctx;
         encoder = ctx.pipeline().context(HttpResponseEncoder.class);
-        unreadSince = new UnreadSince(listener.acceptor(), clock.micros());
+        arrivalTimeBound = new ArrivalTimeBound(listener.acceptor(), clock.micros());
         startReadTimeout();
         listener.connections().onOpened(this);
     }
@@ -214,7 +214,7 @@
         pipelined.clear();
         reading = null;
         listener.connections().onClosed(this);
-        listener.bufferPool().release(reservedBytes);
+        listener.bufferBudget().release(reservedBytes);
         reservedBytes = 0;
         withdraw();
     }
@@ -265,7 +265,7 @@
             reject(ClientResponse.MALFORMED);
         } else if (!reading.append(content.content())) {
             reject(ClientResponse.TOO_LARGE);
-        } else if (!listener.bufferPool().tryReserve(bytes, reading.bodyBytes())) {
+        } else if (!listener.bufferBudget().tryReserve(bytes, reading.bodyBytes())) {
             reject(ClientResponse.OVERLOADED);
         } else {
             reservedBytes += bytes;
@@ -284,7 +284,7 @@
         boolean isFull =
                 pipelined.size() >= MAX_PIPELINED_REQUESTS || !context.channel().isWritable();
         if (isFull) {
-            unreadSince.onReadPaused();
+            arrivalTimeBound.onReadPaused();
         }
         context.channel().config().setAutoRead(!isFull);
     }
@@ -312,7 +312,7 @@
             HttpRequestReader next = pipelined.poll();
             handle(next);
             reservedBytes -= next.bodyBytes();
-            listener.bufferPool().release(next.bodyBytes());
+            listener.bufferBudget().release(next.bodyBytes());
         }
         isHandling = false;
         if (rejection != null && !isAwaitingResponse && !isClosing) {
@@ -331,7 +331,7 @@
                 head.uri(),
                 listener.isDraining(),
                 request::parseMessage,
-                listener.acceptor().unreadSince());
+                listener.acceptor().earliestByteArrivalMicros());
     }
 
     private void respond(ClientResponse response, long retryAfterMicros) {
--- a/src/main/java/loftflow/listener/http/HttpListener.java
+++ b/src/main/java/loftflow/listener/http/HttpListener.java
@@ -10,7 +10,7 @@
 import loftflow.listener.Listener;
 import loftflow.listener.connection.Acceptor;
 import loftflow.listener.connection.ConnectionLimiter;
-import loftflow.listener.connection.RequestBufferPool;
+import loftflow.listener.connection.RequestBufferBudget;
 
 /** Listens for HTTP/1.1 clients, with a limit on their connections and on the memory of their partial requests. */
 public final class HttpListener implements Listener {
@@ -19,7 +19,7 @@
 
     private final Acceptor acceptor;
     private final ConnectionLimiter<HttpClientConnection> connections;
-    private final RequestBufferPool bufferPool = new RequestBufferPool();
+    private final RequestBufferBudget bufferBudget = new RequestBufferBudget();
     private boolean isDraining;
 
     /** Creates a listener with a connection limit that does not listen yet. */
@@ -43,8 +43,8 @@
         return connections;
     }
 
-    RequestBufferPool bufferPool() {
-        return bufferPool;
+    RequestBufferBudget bufferBudget() {
+        return bufferBudget;
     }
 
     /**
--- a/src/main/java/loftflow/listener/http2/ClientSession.java
+++ b/src/main/java/loftflow/listener/http2/ClientSession.java
@@ -15,7 +15,7 @@
 import loftflow.engine.Clock;
 import loftflow.engine.MessageAcceptor;
 import loftflow.http.UnreadBytes;
-import loftflow.listener.connection.UnreadSince;
+import loftflow.listener.connection.ArrivalTimeBound;
 import loftflow.listener.http2.flowcontrol.AcknowledgedStreamLimit;
 import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 import loftflow.listener.http2.flowcontrol.FrameBudget;
@@ -46,7 +46,7 @@
     private final ConnectionExpiry expiry;
     private final GracefulGoAway goAway = new GracefulGoAway();
     private final SessionFlowControl flowControl;
-    private final UnreadSince unreadSince;
+    private final ArrivalTimeBound arrivalTimeBound;
     private final AcknowledgedStreamLimit streamLimit;
     private final StreamTable streams;
     private final ConnectionTerminator terminator;
@@ -76,7 +76,7 @@
         frameBudget = new FrameBudget(listener.options().resetsPerSecond());
         expiry = new ConnectionExpiry(listener.options().expiry(), clock.micros(), ageJitter);
         flowControl = new SessionFlowControl(this, listener.receiveWindows());
-        unreadSince = new UnreadSince(listener.acceptor(), clock.micros());
+        arrivalTimeBound = new ArrivalTimeBound(listener.acceptor(), clock.micros());
         streamLimit =
                 new AcknowledgedStreamLimit(settings.maxConcurrentStreams().intValue());
         streams = new StreamTable(this, listener.streamCapacity(), flowControl, messageAcceptor);
@@ -161,7 +161,7 @@
     public void channelWritabilityChanged(ChannelHandlerContext ctx) throws Exception {
         super.channelWritabilityChanged(ctx);
         if (!channel.isWritable()) {
-            unreadSince.onReadPaused();
+            arrivalTimeBound.onReadPaused();
         }
         channel.config().setAutoRead(channel.isWritable());
     }
@@ -169,7 +169,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
         if (channel.config().isAutoRead()) {
-            unreadSince.onReadCaughtUp();
+            arrivalTimeBound.onReadCaughtUp();
         }
         super.channelReadComplete(ctx);
     }
@@ -227,8 +227,8 @@
     void handle(RequestStream stream) {
         stream.onComplete(
                 listener.isDraining(),
-                unreadSince.earliestArrivalMicros(),
-                listener.acceptor().unreadSince());
+                arrivalTimeBound.earliestArrivalMicros(),
+                listener.acceptor().earliestByteArrivalMicros());
     }
 
     void writeHeaders(int streamId, Http2Headers headers, boolean isEndOfStream) {
--- a/src/main/java/loftflow/listener/http2/Http2Listener.java
+++ b/src/main/java/loftflow/listener/http2/Http2Listener.java
@@ -148,7 +148,8 @@
     private void check(EventLoop loop) {
         loop.schedule(() -> check(loop), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         long nowMicros = clock.micros();
-        streamCapacity.observe(messageAcceptor.utilization(), nowMicros - acceptor.unreadSince(), nowMicros);
+        streamCapacity.observe(
+                messageAcceptor.utilization(), nowMicros - acceptor.earliestByteArrivalMicros(), nowMicros);
         int offeredStreams = streamCapacity.perConnection();
         connections.all().forEach(session -> session.check(nowMicros, offeredStreams));
         receiveWindows.reclaimForWaiting(nowMicros);
--- a/src/main/java/loftflow/listener/http2/SessionFlowControl.java
+++ b/src/main/java/loftflow/listener/http2/SessionFlowControl.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http2.DefaultHttp2LocalFlowController;
 import io.netty.handler.codec.http2.Http2Exception;
 import io.netty.handler.codec.http2.Http2Stream;
-import loftflow.listener.connection.RequestBufferPool;
+import loftflow.listener.connection.RequestBufferBudget;
 import loftflow.listener.http2.flowcontrol.ReceiveWindowAllocator;
 import loftflow.protocol.ClientProtocol;
 
@@ -14,7 +14,7 @@
  */
 final class SessionFlowControl {
     /** The window of a new stream; a body that fits needs no allocation. */
-    static final int INITIAL_STREAM_WINDOW_BYTES = RequestBufferPool.GUARANTEED_REQUEST_BYTES;
+    static final int INITIAL_STREAM_WINDOW_BYTES = RequestBufferBudget.GUARANTEED_REQUEST_BYTES;
     /**
      * The largest window of a stream: one byte more than any body may have, so that a body of unknown length is found
      * to be too large.
--- a/src/main/java/loftflow/listener/package-info.java
+++ b/src/main/java/loftflow/listener/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The interface of every inbound endpoint, whichever protocol its clients speak.
+ * The interface that the listeners of all client protocols implement.
  *
  * <p>May use: nothing of the relay.
  */
--- a/src/main/java/loftflow/listener/request/Exchange.java
+++ b/src/main/java/loftflow/listener/request/Exchange.java
@@ -5,14 +5,14 @@
 import loftflow.engine.MessageAcceptor;
 import loftflow.protocol.ClientProtocol;
 
-/** One request and its one response, independent of the version of HTTP. For use on the event loop only. */
+/** A request and its response, independent of the HTTP version. For use on the event loop only. */
 public abstract class Exchange implements Message.ClientReply {
     private static final String POST = "POST";
 
     private final MessageAcceptor messageAcceptor;
     private Message message;
 
-    /** Creates an exchange that submits messages to an acceptor. */
+    /** Creates an exchange that submits its message to an acceptor. */
     protected Exchange(MessageAcceptor messageAcceptor) {
         this.messageAcceptor = messageAcceptor;
     }
@@ -20,16 +20,16 @@
     /**
      * Sends the response.
      *
-     * @param retryAfterMicros when to resubmit; 0 where that is not known
+     * @param retryAfterMicros the delay in microseconds after which to resubmit; 0 for no {@code Retry-After}
      */
     protected abstract void respond(ClientResponse response, long retryAfterMicros);
 
     /**
-     * Handles a complete request; the response may be sent at once or later.
+     * Handles a complete request. The response may be sent before this method returns, or later.
      *
      * @param isDraining whether the listener is shutting down
-     * @param content supplies the message in the request, or null where it is malformed
-     * @param unreadSinceMicros since when the bytes may have been pending
+     * @param content supplies the message in the request, or null if the request is malformed
+     * @param unreadSinceMicros the earliest time at which bytes that are read now can have arrived, in microseconds
      */
     public final void handle(
             CharSequence method,
@@ -59,12 +59,12 @@
         }
     }
 
-    /** Returns true where a submitted message awaits its response. */
+    /** Returns whether a submitted message awaits its response. */
     public final boolean isAwaitingResponse() {
         return message != null;
     }
 
-    /** Returns and forgets the message that awaits its response; null where there is none. */
+    /** Detaches the message that awaits its response, and returns it; null if there is none. */
     public final Message releaseMessage() {
         Message released = message;
         message = null;
--- a/src/main/java/loftflow/listener/request/MessageRequest.java
+++ b/src/main/java/loftflow/listener/request/MessageRequest.java
@@ -7,7 +7,10 @@
 
 /** Parses the message in a request from its path, headers and body. */
 public final class MessageRequest {
-    /** The longest time from the first byte of a request to its last; for the first request, from connecting. */
+    /**
+     * The maximum time from the first byte of a request to its last. For the first HTTP/1.1 request on a connection it
+     * starts when the connection is accepted.
+     */
     public static final long READ_TIMEOUT_MILLIS = 2500;
 
     private static final int MAX_TOKEN_CHARS = 200;
@@ -15,15 +18,15 @@
     private static final long MICROS_PER_MILLI = 1000;
     private static final Pattern DESTINATION = Pattern.compile(ClientProtocol.DESTINATION_PATTERN);
 
-    /** Looks up headers of a request. */
+    /** Looks up the headers of a request. */
     public interface Lookup {
-        /** The first value of a header of {@link ClientProtocol}; null where it is absent. */
+        /** Returns the first value of a header that {@link ClientProtocol} defines; null if the header is absent. */
         CharSequence get(String name);
     }
 
     private MessageRequest() {}
 
-    /** Returns true for the path of messages: by itself, or followed by the ordering key of the message. */
+    /** Returns whether a path is the message path, optionally followed by a slash and an ordering key. */
     static boolean isMessagePath(CharSequence path) {
         String prefix = ClientProtocol.MESSAGE_PATH;
         return prefix.contentEquals(path)
@@ -33,12 +36,13 @@
     }
 
     /**
-     * Parses the message in a request. Its deadline counts from when the client sent it, so that time in which its
-     * bytes were pending is subtracted.
+     * Parses the message in a request. The timeout starts when the client sent the message, so the time for which its
+     * bytes were pending unread is deducted.
      *
      * @param path a path for which {@link #isMessagePath} is true
-     * @param arrivedAtMicros the earliest time at which the last byte can have arrived, by the engine's clock
-     * @return null where a header is missing or invalid
+     * @param arrivedAtMicros the earliest time at which the last byte can have arrived, in microseconds on the engine's
+     *     clock
+     * @return the message; null if a header is missing or invalid
      */
     public static Message.Content parse(CharSequence path, Lookup headers, long arrivedAtMicros, byte[] body) {
         String orderingKey = orderingKey(path);
@@ -76,7 +80,7 @@
     }
 
     private static String destination(String header) {
-        // The common case, a single field, avoids the cost of a regular expression for each message.
+        // Fast path: nearly every header has only this field, for which no regular expression is needed.
         int valueStart = ClientProtocol.DESTINATION_FIELD.length();
         if (header.startsWith(ClientProtocol.DESTINATION_FIELD) && isNumber(header, valueStart)) {
             return header.substring(valueStart);
@@ -85,7 +89,7 @@
         return matcher.matches() ? matcher.group(1) : null;
     }
 
-    /** Returns true for 1 to {@link #MAX_TOKEN_CHARS} characters of printable ASCII without spaces. */
+    /** Returns whether a text consists of 1 to {@link #MAX_TOKEN_CHARS} printable ASCII characters without spaces. */
     private static boolean isToken(CharSequence text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
@@ -95,7 +99,7 @@
         return text.length() >= 1 && text.length() <= MAX_TOKEN_CHARS;
     }
 
-    /** Returns true where the text from an index on is 1 to {@link #MAX_DIGITS} digits. */
+    /** Returns whether the text from an index to its end consists of 1 to {@link #MAX_DIGITS} digits. */
     private static boolean isNumber(String text, int from) {
         for (int i = from; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
--- a/src/main/java/loftflow/listener/request/package-info.java
+++ b/src/main/java/loftflow/listener/request/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests of clients over HTTP, independent of the version: parsing a message from headers and body, and the
- * responses.
+ * Requests and responses of HTTP clients, independent of the HTTP version, and the parsing of messages from headers and
+ * body.
  *
  * <p>May use: the engine's port for messages, {@code protocol} and Netty's status codes.
  */
--- a/src/test/java/loftflow/listener/FakeMessageAcceptor.java
+++ b/src/test/java/loftflow/listener/FakeMessageAcceptor.java
@@ -9,22 +9,28 @@
 import loftflow.engine.Message;
 import loftflow.engine.MessageAcceptor;
 
-/** A message acceptor whose responses the test controls, or that accepts everything at once. */
+/** A message acceptor that accepts every message at once, or leaves the responses to the test. */
 public final class FakeMessageAcceptor implements MessageAcceptor {
-    /** A submitted message, and its client. */
+    /** A submitted message and the reply port of its client. */
     public record Submission(Message message, Message.ClientReply client) {}
 
-    /** Every submission; read by one thread while the event loop adds in constant time, as floods are counted here. */
+    /**
+     * Every submission, in order. The event loop appends while the test thread reads; an append takes constant time, so
+     * that tests can send floods of messages.
+     */
     public final List<Submission> submissions = Collections.synchronizedList(new ArrayList<>());
 
+    /** The ids of messages that were withdrawn. */
     public final Set<String> withdrawn = ConcurrentHashMap.newKeySet();
+
     private final AtomicLong nextNumber = new AtomicLong();
-    /** Messages that go on without their client. */
+    /** The ids of messages whose client disconnected and that continue without it. */
     public final Set<String> disconnected = ConcurrentHashMap.newKeySet();
 
     public volatile double utilization;
+    /** Whether every message is accepted at once; otherwise the test responds to it. */
     public volatile boolean acceptsAll = true;
-    /** Runs while a message is being accepted. */
+    /** A hook that runs at the start of each {@link #accept}. */
     public volatile Runnable onAccept = () -> {};
 
     @Override
@@ -69,7 +75,7 @@
         return utilization;
     }
 
-    /** The ids of all submissions, in order. */
+    /** Returns the message ids of all submissions, in order. */
     public List<String> messageIds() {
         synchronized (submissions) {
             return submissions.stream()
--- a/src/test/java/loftflow/listener/connection/ConnectionLimiterTest.java
+++ b/src/test/java/loftflow/listener/connection/ConnectionLimiterTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Which connection is evicted at the limit, also where bytes are pending on one. */
+/** Tests the choice of the connection to evict at the limit, also while bytes are pending on a connection. */
 class ConnectionLimiterTest {
     private final List<String> closed = new ArrayList<>();
     private final Map<String, Runnable> pending = new HashMap<>();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void newConnectionIsClosedWhereAllHaveRequestsInProgress() {
+    void newConnectionIsEvictedIfAllOthersHaveRequestsInProgress() {
         limiter.onOpened("a");
         limiter.onOpened("b");
         pending.put("a", () -> limiter.onRequestStarted("a"));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void pendingEndOfAConnectionReplacesAnEviction() {
+    void pendingCloseOfAConnectionMakesEvictionUnnecessary() {
         limiter.onOpened("a");
         limiter.onOpened("b");
         pending.put("a", () -> limiter.onClosed("a"));
@@ -71,9 +71,9 @@
         assertEquals(List.of("b", "c"), limiter.inactive());
     }
 
-    /** A connection that is answered at once is idle for the shortest time, and none is considered twice. */
+    /** A pending request that is answered while it is read makes its connection the most recently used one. */
     @Test
-    void connectionThatIsAnsweredAtOnceIsEvictedLast() {
+    void connectionWithAPendingRequestThatIsAnsweredAtOnceIsEvictedLast() {
         limiter.onOpened("a");
         limiter.onOpened("b");
         pending.put("a", () -> {
@@ -84,9 +84,9 @@
         assertEquals(List.of("b"), closed);
     }
 
-    /** A client that has used its connection just now may have written its next request. */
+    /** The client of a recently used connection may already have written its next request. */
     @Test
-    void connectionInUseIsNotEvictedForANewOne() {
+    void recentlyUsedConnectionIsNotEvicted() {
         ConnectionLimiter<String> strict = limiter(1_000);
         for (String connection : List.of("a", "b")) {
             strict.onOpened(connection);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void connectionIsIdleSinceItsLatestResponse() {
+    void idleTimeStartsAtTheLatestResponse() {
         ConnectionLimiter<String> strict = limiter(1_000);
         strict.onOpened("a");
         strict.onIdle("a");
@@ -116,7 +116,10 @@
         assertEquals(List.of("c"), closed);
     }
 
-    /** A request that has been incomplete for so long has no client that waits; one that is read on is not evicted. */
+    /**
+     * The client of a request that has been incomplete for the minimum time has timed out. A request whose remaining
+     * bytes are pending is read and not evicted.
+     */
     @Test
     void longestIncompleteRequestIsEvictedBeforeUnusedAndIdleConnections() {
         limiter.onOpened("a");
@@ -148,7 +151,7 @@
     }
 
     @Test
-    void evictedConnectionDoesNotReturn() {
+    void eventsOfAnEvictedConnectionAreIgnored() {
         limiter.onOpened("a");
         limiter.onOpened("b");
         limiter.onOpened("c");
