--- a/src/main/java/loftflow/listener/Listener.java
+++ b/src/main/java/loftflow/listener/Listener.java
@@ -23,6 +23,6 @@
     /** Returns whether a completely received request has no response yet. */
     boolean hasRequestInProgress();
 
-    /** Stops accepting connections; established connections stay open. */
+    /** Stops accepting connections. */
     void stopListening();
 }
--- a/src/main/java/loftflow/listener/http/HttpClientConnection.java
+++ b/src/main/java/loftflow/listener/http/HttpClientConnection.java
@@ -29,39 +29,41 @@
 import loftflow.listener.request.MessageRequest;
 
 /**
- * The connection of one client: reads its requests, answers them in order, and closes it where the client stalls. Every
- * request that was received whole gets exactly one response, unless the connection breaks.
+ * A client connection: reads requests, responds to them in order, and closes the connection if the client stalls. Every
+ * completely received request gets exactly one response, unless the connection is lost.
  */
 final class HttpClientConnection extends SimpleChannelInboundHandler<HttpObject> {
-    /** Pipelined requests that are buffered; reading pauses at that number. */
+    /** The number of buffered pipelined requests at which reading pauses. */
     private static final int MAX_PIPELINED_REQUESTS = 8;
 
     private static final long IDLE_TIMEOUT_MILLIS = 10_000;
-    /** How long the connection stays half-closed after its last response, for the client to read it. */
+    /** The time for which the connection stays half-closed after its last response, so that the client can read it. */
     private static final long LINGER_MILLIS = 2000;
 
     private final HttpListener listener;
     private final MessageAcceptor messageAcceptor;
     private final Clock clock;
-    /** Complete requests that wait for the response to an earlier one. */
+    /** Completely received requests that wait for the response to an earlier one, in order. */
     private final ArrayDeque<HttpRequestReader> pipelined = new ArrayDeque<>();
 
     private final Exchange exchange;
     private ChannelHandlerContext context;
-    /** The context of the encoder: bytes that are written from there are sent unchanged. */
+    /** The context of the HTTP encoder. Writes through it bypass the encoder and are sent unchanged. */
     private ChannelHandlerContext encoder;
 
     private ArrivalTimeBound arrivalTimeBound;
     private long earliestArrivalMicros;
     private boolean isIdle = true;
+    /** Whether a response other than the last one has been sent. */
     private boolean hasResponded;
+
     private boolean isKeepAlive;
     /** The request that is being received; null between requests. */
     private HttpRequestReader reading;
 
-    private boolean isHandling;
+    private boolean isHandlingPipelined;
     private boolean isAwaitingResponse;
-    /** The last response, to a request that is not acceptable; nothing after that request is read. */
+    /** The response to a rejected request, which is the last one on the connection; null if none was rejected. */
     private ClientResponse rejection;
 
     private boolean isClosing;
@@ -81,17 +83,17 @@
         };
     }
 
-    /** The handlers of the channel's pipeline, in order. */
+    /** Returns the handlers of the channel's pipeline, in order. */
     ChannelHandler[] handlers() {
         return new ChannelHandler[] {new ActivityTracker(), new Decoder(), new HttpResponseEncoder(), this};
     }
 
-    /** Returns true while a request that was received whole has no response yet. */
+    /** Returns whether a completely received request has no response yet. */
     boolean hasRequestInProgress() {
         return isAwaitingResponse;
     }
 
-    /** Returns true where the last response has been written. */
+    /** Returns whether the last response has been written, or the connection is being evicted. */
     boolean isClosing() {
         return isClosing;
     }
@@ -101,14 +103,15 @@
     }
 
     /**
-     * Closes the connection at the connection limit. A client that has no response yet is rejected, whether its request
-     * is incomplete or still on its way: without a response a request that was written whole would be lost.
+     * Closes the connection at the connection limit. Responds with {@link ClientResponse#OVERLOADED} unless the
+     * connection is idle after a response: a request that the client has completely written, but that has not arrived
+     * yet, would be lost without a response.
      */
     void evict() {
         boolean isRejected = !isClosing && !(isIdle && hasResponded);
         isClosing = true;
         if (isRejected) {
-            // Closing with unread bytes resets the connection; they are discarded from here on.
+            // Closing with unread bytes would reset the connection. Bytes that are read from here on are discarded.
             readPending();
             context.writeAndFlush(ResponseFactory.create(ClientResponse.OVERLOADED, 0, true));
         }
@@ -122,7 +125,7 @@
         }
     }
 
-    /** Reads pending bytes, and closes the connection unless they begin a request or a response is still unsent. */
+    /** Reads pending bytes, then closes the connection unless a request has begun or a response is still unsent. */
     void closeIfIdle() {
         readPending();
         if (isIdle && !isClosing && isFlushed()) {
@@ -130,13 +133,16 @@
         }
     }
 
-    /** Returns true where the kernel has taken every response. */
+    /** Returns whether every response has been written to the socket. */
     boolean isFlushed() {
         ChannelOutboundBuffer buffer = context.channel().unsafe().outboundBuffer();
         return buffer == null || buffer.isEmpty();
     }
 
-    /** Tracks the first byte of a request and the age of pending bytes, and discards bytes after the last request. */
+    /**
+     * Tracks the first byte of each request and the arrival time of received bytes. Discards bytes after the last
+     * request.
+     */
     private final class ActivityTracker extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
@@ -164,7 +170,10 @@
         }
     }
 
-    /** Retains both headers where a request has two conflicting lengths, so that it can be rejected. */
+    /**
+     * Keeps Content-Length in a request that also has Transfer-Encoding, which Netty's decoder would remove, so that
+     * the request can be rejected.
+     */
     private static final class Decoder extends HttpRequestDecoder {
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage request) {}
@@ -184,8 +193,8 @@
     }
 
     /**
-     * Closes the connection of a client that sends nothing, and rejects a request that does not end. Bytes that have
-     * arrived since the event loop last read the socket count as received in time.
+     * Closes the connection if the client has sent nothing, or rejects its incomplete request. Bytes that have arrived
+     * since the event loop last read the socket count as received in time.
      */
     private void onReadTimeout() {
         readPending();
@@ -200,7 +209,7 @@
         }
     }
 
-    /** Closes the connection of a client that has sent nothing since its last response. */
+    /** Closes the connection if the client has sent nothing since its latest response. */
     private void onIdleTimeout() {
         readPending();
         if (isIdle && !timer.isRunning()) {
@@ -219,7 +228,7 @@
         withdraw();
     }
 
-    /** Withdraws the message that awaits its response: its client may resubmit it under another id. */
+    /** Withdraws the message that awaits its response, as its client may resubmit it under another id. */
     private void withdraw() {
         Message message = exchange.releaseMessage();
         if (message != null) {
@@ -245,7 +254,7 @@
         }
     }
 
-    /** Begins a request; returns false where it is rejected. */
+    /** Begins a request; returns false if the request is rejected. */
     private boolean readHead(ChannelHandlerContext ctx, HttpRequest head) {
         reading = new HttpRequestReader(head);
         ClientResponse headRejection = reading.rejection();
@@ -279,14 +288,14 @@
         }
     }
 
-    /** Pauses reading while many requests are buffered, or while the client does not read its responses. */
+    /** Pauses reading while too many requests are buffered or the client does not read its responses. */
     private void updateAutoRead() {
-        boolean isFull =
+        boolean shouldPause =
                 pipelined.size() >= MAX_PIPELINED_REQUESTS || !context.channel().isWritable();
-        if (isFull) {
+        if (shouldPause) {
             arrivalTimeBound.onReadPaused();
         }
-        context.channel().config().setAutoRead(!isFull);
+        context.channel().config().setAutoRead(!shouldPause);
     }
 
     @Override
@@ -296,7 +305,7 @@
         }
     }
 
-    /** Rejects the request that is being received, after the responses to all earlier ones, and reads no further. */
+    /** Stops reading, and rejects the request that is being received once all earlier ones have their responses. */
     private void reject(ClientResponse response) {
         reading = null;
         rejection = response;
@@ -304,17 +313,17 @@
     }
 
     private void handlePipelined() {
-        if (isHandling) {
+        if (isHandlingPipelined) {
             return;
         }
-        isHandling = true;
+        isHandlingPipelined = true;
         while (!isAwaitingResponse && !pipelined.isEmpty()) {
             HttpRequestReader next = pipelined.poll();
             handle(next);
             reservedBytes -= next.bodyBytes();
             listener.bufferBudget().release(next.bodyBytes());
         }
-        isHandling = false;
+        isHandlingPipelined = false;
         if (rejection != null && !isAwaitingResponse && !isClosing) {
             isKeepAlive = false;
             respond(rejection, 0);
@@ -383,8 +392,8 @@
     }
 
     /**
-     * Half-closes the connection after its last response and reads on: closing it with unread bytes would reset it, and
-     * the client might lose the response.
+     * Half-closes the connection after its last response and continues to read: a close with unread bytes would reset
+     * the connection, and the client might lose the response.
      */
     private void linger() {
         if (!context.channel().isActive()) {
--- a/src/main/java/loftflow/listener/http/HttpListener.java
+++ b/src/main/java/loftflow/listener/http/HttpListener.java
@@ -12,9 +12,9 @@
 import loftflow.listener.connection.ConnectionLimiter;
 import loftflow.listener.connection.RequestBufferBudget;
 
-/** Listens for HTTP/1.1 clients, with a limit on their connections and on the memory of their partial requests. */
+/** Serves HTTP/1.1 clients, with limits on their connections and on the memory for partly received requests. */
 public final class HttpListener implements Listener {
-    /** A connection may be evicted once it has had no request in progress for so long. */
+    /** The minimum time without a request in progress after which a connection may be evicted. */
     static final long MIN_IDLE_MICROS = TimeUnit.SECONDS.toMicros(2);
 
     private final Acceptor acceptor;
@@ -22,7 +22,7 @@
     private final RequestBufferBudget bufferBudget = new RequestBufferBudget();
     private boolean isDraining;
 
-    /** Creates a listener with a connection limit that does not listen yet. */
+    /** Creates a listener with a connection limit, which listens once {@link #listen} is called. */
     public HttpListener(MessageAcceptor messageAcceptor, Clock clock, EventLoopLag eventLoopLag, int maxConnections) {
         acceptor = new Acceptor(eventLoopLag, channel -> channel.pipeline()
                 .addLast(new HttpClientConnection(this, messageAcceptor, clock).handlers()));
@@ -30,7 +30,7 @@
                 maxConnections, MIN_IDLE_MICROS, clock, HttpClientConnection::readPending, HttpClientConnection::evict);
     }
 
-    /** Listens for clients at an address. */
+    /** Starts to listen at an address. */
     public ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
         return acceptor.open(loop, address);
     }
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Closes each connection with its next response, which says so. One that is closed from here while its client uses
-     * it may cut off a request that has just been written.
+     * Closes each connection with its next response, which carries {@code Connection: close}. Closing connections here
+     * could cut off a request that a client has just written.
      */
     @Override
     public void drain() {
@@ -57,14 +57,16 @@
         readPending();
     }
 
-    /** Each connection is closed right after its pending bytes were read: no other work lies between. */
+    /** Closes each connection right after reading its pending bytes, before the next connection is handled. */
     @Override
     public void closeIdle() {
         acceptor.acceptPending();
         connections.inactive().forEach(HttpClientConnection::closeIfIdle);
     }
 
-    /** Also reads from inactive connections: one that closes with a pending request would leave it unanswered. */
+    /**
+     * Also reads from inactive connections, as closing one with a pending request would leave it without a response.
+     */
     @Override
     public void readPending() {
         acceptor.acceptPending();
@@ -75,7 +77,7 @@
         return isDraining;
     }
 
-    /** Also requires that the kernel has taken every response. */
+    /** Also requires that every response has been written to its socket. */
     @Override
     public boolean isIdle() {
         return connections.isIdle(HttpClientConnection::isClosing)
--- a/src/main/java/loftflow/listener/http/HttpRequestReader.java
+++ b/src/main/java/loftflow/listener/http/HttpRequestReader.java
@@ -13,7 +13,7 @@
 import loftflow.listener.request.MessageRequest;
 import loftflow.protocol.ClientProtocol;
 
-/** A request while it is received: validates its head, buffers its body and parses its message. */
+/** A request that is being received: validates its head, buffers its body and parses its message. */
 final class HttpRequestReader {
     private final HttpRequest head;
     private final ByteBuf body = Unpooled.buffer(0, ClientProtocol.MAX_BODY_BYTES);
@@ -27,29 +27,29 @@
         return head;
     }
 
-    /** The response to a request whose head is not acceptable; null where it is. */
+    /** Returns the response that rejects the request because of its head; null if the head is acceptable. */
     ClientResponse rejection() {
         if (head.decoderResult().isFailure()) {
             return ClientResponse.MALFORMED;
         }
-        // In HTTP/1.0 the decoder accepts repeated lengths and uses the first.
+        // For HTTP/1.0, the decoder accepts repeated Content-Length headers and uses the first one.
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             return ClientResponse.WRONG_VERSION;
         }
         List<String> lengths = head.headers().getAll(HttpHeaderNames.CONTENT_LENGTH);
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        // With an ambiguous length, an intermediary may see a second request within the body (request smuggling).
+        // If the length is ambiguous, an intermediary may see a second request within the body (request smuggling).
         if (lengths.size() + codings.size() > 1
                 || codings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
             return ClientResponse.MALFORMED;
         }
-        // The decoder has verified that a length is a number.
+        // The decoder has verified that Content-Length is a number.
         return lengths.size() == 1 && Long.parseLong(lengths.get(0)) > ClientProtocol.MAX_BODY_BYTES
                 ? ClientResponse.TOO_LARGE
                 : null;
     }
 
-    /** Appends a chunk of the body; returns false where the body exceeds its maximum size. */
+    /** Appends a chunk of the body; returns false if the body would exceed its maximum size. */
     boolean append(ByteBuf chunk) {
         if (chunk.readableBytes() > body.maxWritableBytes()) {
             return false;
@@ -58,7 +58,7 @@
         return true;
     }
 
-    /** The request is complete; its last byte can have arrived no earlier than the given time. */
+    /** Records the earliest time, in microseconds, at which the last byte of the complete request can have arrived. */
     void onComplete(long earliestArrivalMicros) {
         arrivedAtMicros = earliestArrivalMicros;
     }
@@ -67,7 +67,7 @@
         return body.readableBytes();
     }
 
-    /** Parses the message in the request; null where a header is missing or invalid. */
+    /** Parses the message in the request; returns null if a header is missing or invalid. */
     Message.Content parseMessage() {
         return MessageRequest.parse(head.uri(), head.headers()::get, arrivedAtMicros, ByteBufUtil.getBytes(body));
     }
--- a/src/main/java/loftflow/listener/http/ResponseFactory.java
+++ b/src/main/java/loftflow/listener/http/ResponseFactory.java
@@ -32,21 +32,21 @@
         return Unpooled.unreleasableBuffer(Unpooled.copiedBuffer(head, StandardCharsets.US_ASCII));
     }
 
-    /** The encoded bytes of a response without further headers, which is nearly every one; they are encoded once. */
+    /** Returns the pre-encoded bytes of a response without optional headers, which is the common case. */
     static ByteBuf encoded(ClientResponse response) {
         return ENCODED.get(response).duplicate();
     }
 
-    /** The interim response that lets a client send its body. */
+    /** Creates the interim response 100 (Continue), after which a client sends its body. */
     static FullHttpResponse createContinue() {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER);
     }
 
     /**
-     * Creates a response with headers.
+     * Creates a response with optional headers.
      *
-     * @param retryAfterMicros the value of {@code Retry-After}; 0 for none
-     * @param isLast whether the connection closes after it
+     * @param retryAfterMicros the value of {@code Retry-After} in microseconds; 0 for no such header
+     * @param isLast whether the connection is closed after the response
      */
     static FullHttpResponse create(ClientResponse response, long retryAfterMicros, boolean isLast) {
         FullHttpResponse created =
--- a/src/main/java/loftflow/listener/http/package-info.java
+++ b/src/main/java/loftflow/listener/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Clients over HTTP/1.1: reads requests within bounds, submits messages through
- * {@link loftflow.engine.MessageAcceptor} and responds. Start with {@link loftflow.listener.http.HttpListener}.
+ * The HTTP/1.1 listener: reads requests within limits, submits messages through
+ * {@link loftflow.engine.MessageAcceptor} and responds. The entry point is {@link loftflow.listener.http.HttpListener}.
  *
  * <p>May use: the engine, {@code listener.connection}, {@code listener.request}, {@code http} and Netty; not the
  * upstream clients, the journal or discovery.
--- a/src/test/java/loftflow/listener/http/AmbiguousRequestTest.java
+++ b/src/test/java/loftflow/listener/http/AmbiguousRequestTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Requests that two readers may read differently (RFC 9112), such as the relay and a front before it. One that is not
- * well-formed is rejected and ends its connection, since nothing behind it can be attributed; one that is well-formed
- * is accepted with exactly its body, and the next request is read behind it.
+ * Tests requests that two implementations, such as the relay and a proxy in front of it, may parse differently (RFC
+ * 9112). A malformed request is rejected and its connection closed, since the start of the next request is unknown. A
+ * well-formed one is accepted with exactly its body, and the next request on the connection is parsed after it.
  */
 @Timeout(60)
 class AmbiguousRequestTest extends HttpListenerTestBase {
@@ -33,7 +33,7 @@
     private static final String LENGTH = "Content-Length: 1\r\n";
     private static final String CHUNKED = "Transfer-Encoding: chunked\r\n";
 
-    /** The bytes of a request, and the rule that decides what is owed. */
+    /** The bytes of a request, and the rule that determines the expected response. */
     private record Case(String rule, String bytes) {
         @Override
         public String toString() {
@@ -57,7 +57,7 @@
                 + "\r\nX-Call-Class: safe\r\nX-Budget-Ms: 20000\r\nX-Consignee: dest=7\r\n";
     }
 
-    /** A well-formed request with the body {@code x}. */
+    /** Returns a well-formed request with the body {@code x}. */
     private static String request(String id) {
         return REQUEST_LINE + fields(id) + LENGTH + "\r\nx";
     }
@@ -66,12 +66,12 @@
         return new Case(rule, request("m").replace(REQUEST_LINE, line));
     }
 
-    /** A request with a line ahead of its length. */
+    /** Returns a request with an additional line before Content-Length. */
     private static Case withField(String rule, String line) {
         return new Case(rule, request("m").replace(LENGTH, line + "\r\n" + LENGTH));
     }
 
-    /** A request with other lines in place of its length; its body holds a second request. */
+    /** Returns a request with other lines in place of Content-Length, whose body contains a second request. */
     private static Case withLength(String rule, String lines) {
         String body = "0\r\n\r\n" + request("smuggled");
         return new Case(
@@ -82,15 +82,15 @@
         return new Case(rule, REQUEST_LINE + fields("m") + CHUNKED + "\r\n" + chunks + request("smuggled"));
     }
 
-    // ---- what is owed
+    // ---- expected responses
 
-    /** RFC 9112, sections 2.2, 3, 5 and 6.3: 400, or any other error, and the end of the connection. */
+    /** RFC 9112, sections 2.2, 3, 5 and 6.3: an error status, usually 400, and the close of the connection. */
     static Stream<Case> malformed() {
         String fieldLine = "RFC 9112, 5: field-line = field-name \":\" OWS field-value OWS";
         String space = "RFC 9112, 5.1: white space before the colon is answered 400";
         String value = "RFC 9110, 5.5: CR, LF and NUL in a value are invalid";
         String length = "RFC 9112, 6.3: an invalid Content-Length is answered 400";
-        String coding = "RFC 9112, 6.1 and 6.3: a coding other than chunked leaves the length open";
+        String coding = "RFC 9112, 6.1 and 6.3: a final coding other than chunked leaves the length undefined";
         String chunk = "RFC 9112, 7.1: chunk = chunk-size [ chunk-ext ] CRLF chunk-data CRLF";
         String line = "RFC 9112, 3: request-line = method SP request-target SP HTTP-version";
         return Stream.of(
@@ -166,7 +166,7 @@
                 withRequestLine("HTTP/1.0 with two lengths", "POST /api HTTP/1.0\r\nContent-Length: 9\r\n"));
     }
 
-    /** PROTOCOL, "Clients to relays": one id, key, budget, class and destination; none of them is a list. */
+    /** A message has one id, key, timeout, class and destination; none of these headers may hold a list. */
     static Stream<Case> repeatedFields() {
         String rule = "RFC 9110, 5.2: the value of a field that stands twice is the list of both";
         return Stream.of(
@@ -183,7 +183,7 @@
                 new Case(rule, request("m").replace("Host: app.svc\r\n", "")), withField(rule, "Host: other.svc"));
     }
 
-    /** RFC 9112, 2.2: rejected, or the line is skipped; the space must not make it a field. */
+    /** RFC 9112, 2.2: the request is rejected or the line is skipped; the line must not be parsed as a header field. */
     static Stream<Case> spaceBeforeTheFirstField() {
         String rule = "RFC 9112, 2.2: white space before the first field";
         return Stream.of(
@@ -193,11 +193,12 @@
                 withRequestLine(rule, REQUEST_LINE + " \r\n"));
     }
 
-    /** A server may reject these, or read them as described. */
+    /** Requests that a server may either reject or parse as described by the rule. */
     static Stream<Case> tolerable() {
-        String fold = "RFC 9112, 5.2: a folded line is rejected, or its fold read as a space";
-        String lineFeed = "RFC 9112, 2.2: LF alone may end a line of the head";
-        String chunkLine = "RFC 9112, 7.1: LF alone ends no line of a chunk, but nothing may be read differently";
+        String fold = "RFC 9112, 5.2: a folded line is rejected, or the fold is parsed as a space";
+        String lineFeed = "RFC 9112, 2.2: a bare LF may end a line of the head";
+        String chunkLine =
+                "RFC 9112, 7.1: a bare LF does not end a chunk line; accepting it must not change the message";
         String space = "RFC 9112, 3: any white space may separate the parts of the request line";
         return Stream.of(
                 withRequestLine(space, "POST  /api HTTP/1.1\r\n"),
@@ -221,7 +222,7 @@
                 new Case(chunkLine, REQUEST_LINE + fields("m") + CHUNKED + "\r\n1 \r\nx\r\n0\r\n\r\n"));
     }
 
-    static Stream<Case> cutShort() {
+    static Stream<Case> truncated() {
         String rule = "RFC 9112, 8";
         String chunks = REQUEST_LINE + fields("m") + CHUNKED + "\r\n";
         return Stream.of(
@@ -244,7 +245,7 @@
         String head = REQUEST_LINE + fields("m") + CHUNKED + "\r\n";
         return Stream.of(
                 new Case("usual", request("m")),
-                new Case("RFC 9112, 2.2: an empty line ahead of a request is ignored", "\r\n" + request("m")),
+                new Case("RFC 9112, 2.2: an empty line before a request is ignored", "\r\n" + request("m")),
                 withField("RFC 9110, 5.6.3: optional white space", "X-A:\t 1 \t"),
                 new Case("RFC 9110, 5.6.3", request("m").replace(LENGTH, "Content-Length:\t1 \r\n")),
                 new Case(
@@ -277,17 +278,17 @@
         }
     }
 
-    /** RFC 9112, 2.3: the name of the protocol is case-sensitive. */
+    /** RFC 9112, 2.3: the protocol name is case-sensitive. */
     @Tag("known-red")
     @Test
     void requestWithTheVersionInLowerCaseIsRejected() throws IOException {
         assertRejected(withRequestLine("RFC 9112, 2.3", "POST /api http/1.1\r\n"));
     }
 
-    /** RFC 9112, 8: a request that the end of its connection cuts is incomplete. */
+    /** RFC 9112, 8: a request is incomplete if its connection closes before its end. */
     @ParameterizedTest
-    @MethodSource("cutShort")
-    void requestThatIsCutIsNotAccepted(Case request) throws IOException {
+    @MethodSource("truncated")
+    void truncatedRequestIsNotAccepted(Case request) throws IOException {
         try (Socket client = connect()) {
             send(client, request.bytes());
             client.shutdownOutput();
@@ -305,19 +306,19 @@
 
     @ParameterizedTest
     @MethodSource("spaceBeforeTheFirstField")
-    void lineThatBeginsWithASpaceIsNoField(Case request) throws IOException {
+    void lineBeginningWithWhiteSpaceIsNotParsedAsAField(Case request) throws IOException {
         assertRejectedOrReadExactly(request);
     }
 
     @ParameterizedTest
     @MethodSource("tolerable")
-    void tolerableRequestIsRejectedOrReadExactly(Case request) throws IOException {
+    void tolerableRequestIsRejectedOrParsedExactly(Case request) throws IOException {
         assertRejectedOrReadExactly(request);
     }
 
     @ParameterizedTest
     @MethodSource("wellFormed")
-    void wellFormedRequestIsReadExactly(Case request) throws IOException {
+    void wellFormedRequestIsParsedExactly(Case request) throws IOException {
         try (Socket client = connect()) {
             send(client, request.bytes());
             assertEquals(ACCEPTED, readStatus(client));
@@ -349,14 +350,14 @@
         }
     }
 
-    /** The message was read with its own id and body, and the next request is read behind it. */
+    /** Asserts that the message was accepted with its own id and body, and the next request after it. */
     private void assertReadExactly(Socket client) throws IOException {
         send(client, request("next"));
-        assertEquals(ACCEPTED, readStatus(client), "the next request");
+        assertEquals(ACCEPTED, readStatus(client), "status of the next request");
         assertEquals(List.of("m=x", "next=x"), accepted());
     }
 
-    /** The id and the body of each accepted message. */
+    /** Returns the id and the body of each accepted message. */
     private List<String> accepted() {
         return List.copyOf(messageAcceptor.submissions).stream()
                 .map(submission -> submission.message().content())
@@ -371,7 +372,7 @@
         return client;
     }
 
-    /** Reads a response, which has no body; returns its status, or {@link #NO_RESPONSE} where the connection ends. */
+    /** Reads a response, which has no body; returns its status, or {@link #NO_RESPONSE} if the connection closes. */
     private static int readStatus(Socket client) throws IOException {
         StringBuilder response = new StringBuilder();
         try {
@@ -383,7 +384,7 @@
                 response.append((char) next);
             }
         } catch (SocketTimeoutException e) {
-            throw new AssertionError("neither a response nor the end of the connection came", e);
+            throw new AssertionError("received neither a response nor the close of the connection", e);
         } catch (SocketException e) {
             return NO_RESPONSE;
         }
--- a/src/test/java/loftflow/listener/http/ConnectionEvictionTest.java
+++ b/src/test/java/loftflow/listener/http/ConnectionEvictionTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Requests that arrive as their connection is evicted at the connection limit: each gets a response. The order of events
- * is forced on the event loop.
+ * Tests that every request that arrives while its connection is evicted at the connection limit gets a response. Tests
+ * in which the order of events matters control it by running on the event loop.
  */
 @Timeout(60)
 class ConnectionEvictionTest extends HttpListenerTestBase {
     private static final int MAX_CONNECTIONS = 4;
-    private static final int HALF = REQUEST.length() / 2;
+    private static final int HALF_LENGTH = REQUEST.length() / 2;
     private static final String ACCEPTED = "http/1.1 202";
     private static final String REJECTED = "http/1.1 503";
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /** A connection that the relay has accepted. */
+    /** Opens a connection and returns once the relay has accepted it. */
     private Socket open() throws Exception {
         Socket client = connect();
         clients.add(client);
@@ -51,22 +51,21 @@
     private Socket openAndUse() throws Exception {
         Socket client = open();
         assertServes(client);
-        // The response is received before the relay counts its connection as idle, which is the time that elapses
-        // later.
+        // The client may receive the response before the relay records the start of the idle time.
         loop.submit(() -> {}).sync();
         return client;
     }
 
     private Socket openWithHalfARequest() throws Exception {
         Socket client = open();
-        send(client, REQUEST.substring(0, HALF));
+        send(client, REQUEST.substring(0, HALF_LENGTH));
         awaitRead();
         return client;
     }
 
-    /** Returns once the relay has read what was written before. */
+    /** Returns once the relay has read all bytes that were written before the call. */
     private void awaitRead() throws Exception {
-        // Bytes over loopback have arrived when they are written; the next iteration of the event loop reads them.
+        // Bytes on the loopback interface arrive as they are written; the next event-loop iteration reads them.
         loop.submit(() -> {}).sync();
         loop.submit(() -> listener.connections().all().forEach(HttpClientConnection::readPending))
                 .sync();
@@ -74,80 +73,82 @@
 
     private static void assertServes(Socket client) throws IOException {
         sendRequest(client);
-        assertTrue(readResponse(client).startsWith(ACCEPTED), "no response");
+        assertTrue(readResponse(client).startsWith(ACCEPTED), "request was not accepted");
     }
 
     private static void assertRejected(Socket client) throws IOException {
         String response = readResponse(client);
-        assertTrue(response.startsWith(REJECTED), "no response but: " + response);
+        assertTrue(response.startsWith(REJECTED), "expected 503, got: " + response);
         assertTrue(response.contains("connection: close"), response);
     }
 
-    private void elapse(long micros) {
+    private void advanceClock(long micros) {
         nowMicros.addAndGet(micros);
     }
 
-    /** Guards against connections in use that are closed, under their next request, for others with half a request. */
+    /**
+     * Guards against evicting a recently used connection, with its next request in transit, for incomplete requests.
+     */
     @Test
-    void connectionInUseOutlastsACrowdOfIncompleteRequests() throws Exception {
+    void connectionsInUseSurviveAFloodOfIncompleteRequests() throws Exception {
         List<Socket> inUse = List.of(openAndUse(), openAndUse());
-        List<Socket> crowd = List.of(openWithHalfARequest(), openWithHalfARequest());
-        elapse(ConnectionLimiter.MIN_INCOMPLETE_MICROS);
+        List<Socket> incomplete = List.of(openWithHalfARequest(), openWithHalfARequest());
+        advanceClock(ConnectionLimiter.MIN_INCOMPLETE_MICROS);
         openWithHalfARequest();
         openWithHalfARequest();
         openWithHalfARequest();
         for (Socket client : inUse) {
             assertServes(client);
         }
-        for (Socket client : crowd) {
+        for (Socket client : incomplete) {
             assertRejected(client);
         }
     }
 
     @Test
-    void requestThatArrivesAsItsUnusedConnectionIsEvictedIsRejected() throws Exception {
+    void requestArrivingDuringEvictionOfItsUnusedConnectionIsRejected() throws Exception {
         Socket evicted = open();
         for (int i = 1; i < MAX_CONNECTIONS; i++) {
             open();
         }
-        evictOneThen(() -> sendRequest(evicted));
+        evictOneAndRun(() -> sendRequest(evicted));
         assertRejected(evicted);
         assertEquals(0, messageAcceptor.submissions.size());
     }
 
     @Test
-    void requestWhoseEndArrivesAsItsConnectionIsEvictedIsRejected() throws Exception {
+    void requestCompletedDuringEvictionOfItsConnectionIsRejected() throws Exception {
         Socket evicted = openWithHalfARequest();
         for (int i = 1; i < MAX_CONNECTIONS; i++) {
             openAndUse();
         }
         int accepted = messageAcceptor.submissions.size();
-        elapse(ConnectionLimiter.MIN_INCOMPLETE_MICROS);
-        evictOneThen(() -> send(evicted, REQUEST.substring(HALF)));
+        advanceClock(ConnectionLimiter.MIN_INCOMPLETE_MICROS);
+        evictOneAndRun(() -> send(evicted, REQUEST.substring(HALF_LENGTH)));
         assertRejected(evicted);
         assertEquals(accepted, messageAcceptor.submissions.size());
     }
 
-    /** Opens one connection more than the limit, and runs what follows before the event loop reads again. */
-    private void evictOneThen(Runnable then) throws Exception {
+    /** Exceeds the limit by one connection, and runs a task before the event loop reads again. */
+    private void evictOneAndRun(Runnable task) throws Exception {
         loop.submit(() -> {
                     clients.add(connect());
                     listener.acceptor().acceptPending();
-                    then.run();
+                    task.run();
                     return null;
                 })
                 .sync();
     }
 
     @Test
-    void endOfARequestThatIsPendingAtTheEvictionIsRead() throws Exception {
+    void requestWhoseLastBytesArePendingIsReadBeforeEviction() throws Exception {
         Socket incomplete = openWithHalfARequest();
         for (int i = 1; i < MAX_CONNECTIONS; i++) {
             openAndUse();
         }
-        elapse(ConnectionLimiter.MIN_INCOMPLETE_MICROS);
+        advanceClock(ConnectionLimiter.MIN_INCOMPLETE_MICROS);
         loop.submit(() -> {
-                    sendUnread(incomplete, REQUEST.substring(HALF));
+                    sendUnread(incomplete, REQUEST.substring(HALF_LENGTH));
                     clients.add(connect());
                     listener.acceptor().acceptPending();
                     return null;
@@ -156,14 +157,14 @@
         assertTrue(readResponse(incomplete).startsWith(ACCEPTED));
     }
 
-    /** Guards against new connections that are closed without a response to a request that was written to them. */
+    /** Guards against closing a new connection without a response to the request that was written to it. */
     @Test
-    void requestOnANewConnectionIsRejectedWhereAllOthersAreInUse() throws Exception {
+    void requestOnANewConnectionIsRejectedIfAllOthersAreInUse() throws Exception {
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
             openAndUse();
         }
         int accepted = messageAcceptor.submissions.size();
-        elapse(HttpListener.MIN_IDLE_MICROS - 1);
+        advanceClock(HttpListener.MIN_IDLE_MICROS - 1);
         List<Socket> inUse = List.copyOf(clients);
         Socket withRequest = loop.submit(() -> {
                     Socket client = connect();
@@ -180,9 +181,9 @@
     }
 
     @Test
-    void connectionThatHasBeenIdleForLongIsClosed() throws Exception {
+    void connectionIdleForTheMinimumIdleTimeIsClosed() throws Exception {
         Socket idle = openAndUse();
-        elapse(HttpListener.MIN_IDLE_MICROS);
+        advanceClock(HttpListener.MIN_IDLE_MICROS);
         for (int i = 1; i < MAX_CONNECTIONS; i++) {
             openAndUse();
         }
--- a/src/test/java/loftflow/listener/http/HttpListenerTestBase.java
+++ b/src/test/java/loftflow/listener/http/HttpListenerTestBase.java
@@ -16,7 +16,7 @@
 import loftflow.server.KernelSocketState;
 import org.junit.jupiter.api.AfterEach;
 
-/** A listener for HTTP/1.1 clients, and clients that write to its sockets and read from them byte by byte. */
+/** Runs an HTTP/1.1 listener, and provides clients that send and receive over plain sockets. */
 abstract class HttpListenerTestBase {
     static final String REQUEST = "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: m\r\nX-Call-Class: safe\r\n"
             + "X-Budget-Ms: 20000\r\nX-Consignee: dest=7\r\nContent-Length: 1\r\n\r\nx";
@@ -28,12 +28,12 @@
     HttpListener listener;
     InetSocketAddress address;
 
-    /** Starts the listener with the machine's clock and a connection limit that the test does not reach. */
+    /** Starts the listener with the system clock and a connection limit that the tests do not reach. */
     void listen() throws InterruptedException {
         listen(Clock.system(), 8);
     }
 
-    /** Starts the listener. */
+    /** Starts the listener with a clock and a connection limit. */
     void listen(Clock clock, int maxConnections) throws InterruptedException {
         EventLoopLag eventLoopLag = new EventLoopLag((micros, task) -> () -> {}, clock);
         listener = new HttpListener(messageAcceptor, clock, eventLoopLag, maxConnections);
@@ -44,7 +44,7 @@
     }
 
     @AfterEach
-    void end() {
+    void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
@@ -54,7 +54,10 @@
         return client;
     }
 
-    /** Writes a request from the event loop, which does not read it; returns when it has arrived. */
+    /**
+     * Sends a request and returns once it is pending in the relay's socket. Called on the event loop, which therefore
+     * does not read the request meanwhile.
+     */
     static void sendUnread(Socket client) {
         sendUnread(client, REQUEST);
     }
@@ -76,7 +79,10 @@
         }
     }
 
-    /** Reads one response, which has no body; empty where the connection ended without one. */
+    /**
+     * Reads one response, which has no body, and returns it in lower case; empty if the connection closed without a
+     * response.
+     */
     static String readResponse(Socket client) throws IOException {
         StringBuilder response = new StringBuilder();
         try {
--- a/src/test/java/loftflow/listener/http/IdleCloseTest.java
+++ b/src/test/java/loftflow/listener/http/IdleCloseTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests that arrive just before the relay closes an idle connection. */
+/** Tests that requests that arrive just before the relay closes an idle connection get a response. */
 @Timeout(60)
 class IdleCloseTest extends HttpListenerTestBase {
     @BeforeEach
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Guards against idle connections that are all read before the first of them is closed: while a later one's request
-     * is handled, an earlier one is closed already, or what arrives on it is answered.
+     * Guards against reading all idle connections before closing the first: a request that arrives on an earlier
+     * connection while a later one's request is handled would get no response.
      */
     @Test
     void idleConnectionIsClosedBeforeTheNextOneIsRead() throws Exception {
@@ -51,11 +51,13 @@
                     })
                     .sync();
             assertTrue(readResponse(second).startsWith("http/1.1 202"));
-            assertTrue(isFirstClosed[0] || readResponse(first).startsWith("http/1.1 202"), "no response");
+            assertTrue(
+                    isFirstClosed[0] || readResponse(first).startsWith("http/1.1 202"),
+                    "no response on the first connection");
         }
     }
 
-    /** Returns true where the end of the stream has arrived. */
+    /** Returns whether the end of the stream has arrived. */
     private static boolean isClosed(Socket client) {
         try {
             client.setSoTimeout(100);
@@ -67,15 +69,15 @@
         }
     }
 
-    /** Connections without a request are closed, and one with a part of a request is not. */
+    /** Connections without a request are closed; one with a partly received request stays open. */
     @Test
-    void idleConnectionsAreClosedAndBegunRequestsAreAnswered() throws Exception {
+    void idleConnectionsAreClosedAndPartlyReceivedRequestsAreAnswered() throws Exception {
         try (Socket idle = connect();
                 Socket unused = connect();
-                Socket begun = connect()) {
+                Socket partial = connect()) {
             sendRequest(idle);
             assertTrue(readResponse(idle).startsWith("http/1.1 202"));
-            begun.getOutputStream().write(REQUEST.substring(0, 10).getBytes(StandardCharsets.US_ASCII));
+            partial.getOutputStream().write(REQUEST.substring(0, 10).getBytes(StandardCharsets.US_ASCII));
             loop.submit(() -> {
                         listener.drain();
                         listener.closeIdle();
@@ -83,30 +85,30 @@
                     .sync();
             assertEquals("", readResponse(idle));
             assertEquals("", readResponse(unused));
-            begun.getOutputStream().write(REQUEST.substring(10).getBytes(StandardCharsets.US_ASCII));
-            assertTrue(readResponse(begun).startsWith("http/1.1 202"));
+            partial.getOutputStream().write(REQUEST.substring(10).getBytes(StandardCharsets.US_ASCII));
+            assertTrue(readResponse(partial).startsWith("http/1.1 202"));
         }
     }
 
     /**
-     * Guards against timeouts that close an idle connection without a last read: a request that arrives while the event
-     * loop is busy as the timeout becomes due is answered, on a used and on an unused connection.
+     * Guards against timeouts that close an idle connection without a final read: a request that arrives while the
+     * event loop is blocked and the timeout becomes due is answered, on a used and on an unused connection.
      */
     @ParameterizedTest
     @CsvSource({"true, 10000", "false, 2500"})
-    void requestThatArrivesAsTheTimeoutBecomesDueIsAnswered(boolean used, long timeoutMillis) throws Exception {
+    void requestArrivingAsTheTimeoutBecomesDueIsAnswered(boolean isUsed, long timeoutMillis) throws Exception {
         try (Socket client = connect()) {
-            if (used) {
+            if (isUsed) {
                 sendRequest(client);
                 assertTrue(readResponse(client).startsWith("http/1.1 202"));
             } else {
                 loop.submit(listener::readPending).sync();
             }
-            // The loop is blocked until the timeout is past; the request arrives behind that, in the pass of the
-            // timeout.
+            // The loop is blocked until the timeout has expired. The request then arrives in the same event-loop
+            // iteration that runs the timeout.
             loop.schedule(() -> RelayProcess.blockThread(200), timeoutMillis - 100, TimeUnit.MILLISECONDS);
             loop.schedule(() -> sendUnread(client), timeoutMillis - 50, TimeUnit.MILLISECONDS);
-            assertTrue(readResponse(client).startsWith("http/1.1 202"), "the connection ended without a response");
+            assertTrue(readResponse(client).startsWith("http/1.1 202"), "connection closed without a response");
         }
     }
 }
--- a/src/test/java/loftflow/listener/http/UnreadResponsesTest.java
+++ b/src/test/java/loftflow/listener/http/UnreadResponsesTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client that sends requests on one connection and does not read the responses. */
+/** Tests clients that send requests on one connection without reading the responses. */
 @Timeout(60)
 class UnreadResponsesTest extends HttpListenerTestBase {
     private static final String ACCEPTED_RESPONSE = "HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
-    private static final int BATCH = 8;
-    /** More responses than the relay buffers before it stops reading requests. */
+    private static final int BATCH_SIZE = 8;
+    /** An upper bound on the responses that the relay buffers before it pauses reading. */
     private static final int MAX_BUFFERED_RESPONSES = 1000;
 
     private SocketChannel client;
@@ -41,7 +41,7 @@
         client.close();
     }
 
-    private <T> T on(Callable<T> task) {
+    private <T> T onLoop(Callable<T> task) {
         try {
             return loop.submit(task).get();
         } catch (InterruptedException | ExecutionException e) {
@@ -50,7 +50,7 @@
     }
 
     private boolean isFlushed() {
-        return on(() -> listener.connections().all().stream().allMatch(HttpClientConnection::isFlushed));
+        return onLoop(() -> listener.connections().all().stream().allMatch(HttpClientConnection::isFlushed));
     }
 
     private static ByteBuffer bytes(String text) {
@@ -58,13 +58,17 @@
     }
 
     private int sendBatch() throws IOException {
-        for (ByteBuffer batch = bytes(REQUEST.repeat(BATCH)); batch.hasRemaining(); ) {
+        for (ByteBuffer batch = bytes(REQUEST.repeat(BATCH_SIZE)); batch.hasRemaining(); ) {
             client.write(batch);
         }
-        return BATCH;
+        return BATCH_SIZE;
     }
 
-    /** Sends messages until responses are buffered in the relay, and returns their number; all have been read. */
+    /**
+     * Sends messages until the relay buffers responses. The relay has read all of them on return.
+     *
+     * @return the number of messages
+     */
     private int sendUntilResponsesAreBuffered() throws Exception {
         int sent = 0;
         while (isFlushed()) {
@@ -76,13 +80,13 @@
         return sent;
     }
 
-    /** Reads responses until the end of the connection, or the given number of bytes. */
-    private long read(long awaited) throws IOException {
+    /** Reads responses until a number of bytes is received or the connection closes; returns the bytes received. */
+    private long read(long maxBytes) throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate(1 << 16);
         long read = 0;
-        while (read < awaited) {
+        while (read < maxBytes) {
             buffer.clear();
-            buffer.limit((int) Math.min(buffer.capacity(), awaited - read));
+            buffer.limit((int) Math.min(buffer.capacity(), maxBytes - read));
             int received = client.read(buffer);
             if (received < 0) {
                 return read;
@@ -92,16 +96,16 @@
         return read;
     }
 
-    /** Reading pauses until the client reads, which bounds the memory for responses. Nothing is lost by that. */
+    /** The relay pauses reading until the client reads, which bounds the memory for responses; no request is lost. */
     @Test
-    void readingPausesForAClientThatReadsNoResponse() throws Exception {
+    void readingPausesWhileTheClientReadsNoResponses() throws Exception {
         int before = sendUntilResponsesAreBuffered();
-        int sent = before + on(this::sendUntilReadingPauses);
+        int sent = before + onLoop(this::sendUntilReadingPauses);
         int read = messageAcceptor.submissions.size();
         assertTrue(
                 read < sent && read < before + MAX_BUFFERED_RESPONSES,
-                read + " of " + sent + " were read, " + before + " of them before");
-        // The loop polls its sockets at least once, and the pending bytes stay there.
+                read + " of " + sent + " requests were read, " + before + " of them before any response was buffered");
+        // The loop polls its sockets at least once and leaves the pending bytes unread.
         loop.submit(() -> {}).sync();
         loop.submit(() -> {}).sync();
         assertEquals(read, messageAcceptor.submissions.size());
@@ -109,7 +113,7 @@
         assertEquals(sent, messageAcceptor.submissions.size());
     }
 
-    /** Blocks the loop and reads pending bytes by hand, until some of them are left in the socket. */
+    /** Sends and reads batches on the blocked event loop until the relay leaves bytes in the socket. */
     private int sendUntilReadingPauses() throws IOException {
         KernelSocketState relay = KernelSocketState.ofPeer(client.socket());
         int sent = 0;
@@ -124,22 +128,22 @@
     }
 
     /**
-     * While the relay drains, a connection stays open until its responses are sent, and the relay is not idle before.
+     * During a drain, a connection stays open, and the listener counts as busy, until the buffered responses are sent.
      */
     @Test
     void bufferedResponsesAreSentDuringTheDrain() throws Exception {
         int sent = sendUntilResponsesAreBuffered();
         loop.submit(listener::drain).sync();
-        assertFalse(on(listener::isIdle));
+        assertFalse(onLoop(listener::isIdle));
         assertEquals((long) sent * ACCEPTED_RESPONSE.length(), read((long) sent * ACCEPTED_RESPONSE.length()));
-        await(() -> on(listener::isIdle));
+        await(() -> onLoop(listener::isIdle));
     }
 
-    /** A client that never reads its last response is closed after ten seconds. */
+    /** The connection of a client that never reads its last response is closed after ten seconds. */
     @Test
-    void clientThatNeverReadsItsLastResponseIsClosed() throws Exception {
+    void connectionWhoseLastResponseIsNeverReadIsClosed() throws Exception {
         sendUntilResponsesAreBuffered();
         client.write(bytes(REQUEST.replace("Host", "Connection: close\r\nHost")));
-        await(() -> on(() -> listener.connections().size()) == 0);
+        await(() -> onLoop(() -> listener.connections().size()) == 0);
     }
 }
