--- a/src/main/java/loftflow/listener/http2/ClientSession.java
+++ b/src/main/java/loftflow/listener/http2/ClientSession.java
@@ -22,17 +22,18 @@
 import loftflow.listener.http2.flowcontrol.GracefulGoAway;
 
 /**
- * The connection of one client, from its handshake to its end. It applies what {@code listener.http2.flowcontrol}
- * decides; streams, windows and frames have classes of their own. For use on the event loop only.
+ * An HTTP/2 client connection: handshake, time limits, graceful shutdown and close. It carries out the decisions of
+ * {@code listener.http2.flowcontrol}; streams, receive windows and received frames are handled by other classes of this
+ * package. For use on the event loop only.
  */
 final class ClientSession extends Http2ConnectionHandler {
-    /** The payload of the PING behind the first GOAWAY: "goodbye" in ASCII. */
+    /** The payload of the PING that follows the first GOAWAY: "goodbye" in ASCII. */
     private static final long GO_AWAY_PING_PAYLOAD = 0x676f6f64627965L;
 
-    /** The id of the stream that an upgrade from HTTP/1.1 begins with. */
+    /** The id of the stream that carries the request of an upgrade from HTTP/1.1 (RFC 7540, section 3.2). */
     private static final int UPGRADE_STREAM_ID = 1;
 
-    // Debug data of GOAWAY, which clients may log.
+    // Debug data of GOAWAY frames, which clients may log.
     private static final String EVICTED = "others come";
     private static final String GOING_AWAY = "going";
     private static final String FLOOD_PREFIX = "too many: ";
@@ -51,12 +52,12 @@
     private final StreamTable streams;
     private final ConnectionTerminator terminator;
 
-    /** Null until the handler is added to the pipeline, which an upgrade from HTTP/1.1 does. */
+    /** Null until this handler is added to the pipeline, after the preface or an upgrade from HTTP/1.1. */
     private ChannelHandlerContext context;
 
     private boolean isHandshakeComplete;
     private boolean isFlushScheduled;
-    /** The last frame has been written, or the channel is closed. */
+    /** Whether the last frame has been written or the channel is closed. */
     private boolean isFinished;
 
     ClientSession(
@@ -68,7 +69,8 @@
             Clock clock,
             Channel channel,
             double ageJitter) {
-        // Netty does not close the channel after a GOAWAY of its own: this class decides about the end.
+        // Decouples close and GOAWAY: Netty sends no GOAWAY when the channel is closed. This class controls the
+        // shutdown.
         super(decoder, encoder, settings, true);
         this.listener = listener;
         this.clock = clock;
@@ -106,7 +108,7 @@
         return clock.micros();
     }
 
-    // ---- Netty's events
+    // ---- Netty events
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) throws Exception {
@@ -122,7 +124,7 @@
         super.userEventTriggered(ctx, event);
     }
 
-    /** Handles the request with the upgrade, which is complete (RFC 7540, section 3.2). */
+    /** Handles the complete HTTP/1.1 request that asked for the upgrade (RFC 7540, section 3.2). */
     private void onUpgrade(FullHttpRequest request) throws Http2Exception {
         request.headers().set(HttpConversionUtil.ExtensionHeaderNames.SCHEME.text(), "http");
         Http2Headers head = HttpConversionUtil.toHttp2Headers(request, true);
@@ -156,7 +158,7 @@
         super.onStreamError(ctx, outbound, cause, error);
     }
 
-    /** Pauses reading from a client that does not read its responses. */
+    /** Pauses reading while the client does not read its responses. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) throws Exception {
         super.channelWritabilityChanged(ctx);
@@ -176,19 +178,19 @@
 
     // ---- handshake
 
-    /** Returns true where the client has acknowledged SETTINGS. */
+    /** Returns whether the client has acknowledged the first SETTINGS. */
     boolean isHandshakeComplete() {
         return isHandshakeComplete;
     }
 
     /**
-     * The client has acknowledged SETTINGS. With the first ones the handshake is complete, and the connection's window
-     * is extended; until then the client may have as much in transit as the initial window allows.
+     * Handles the acknowledgement of SETTINGS. The first one completes the handshake and extends the connection's
+     * window; until then, the client can send only what the initial window allows.
      */
     void onSettingsAcknowledged() {
         streamLimit.onSettingsAcknowledged();
-        // Netty does not create a stream beyond the limit, and ends the connection for the DATA on it. Streams beyond
-        // the limit are created and refused here.
+        // If Netty enforced the limit, it would not create a stream beyond it, and DATA on that stream would end the
+        // connection. So Netty creates every stream, and this class refuses those beyond the limit.
         connection().remote().maxActiveStreams(Integer.MAX_VALUE);
         if (isFinished || isHandshakeComplete) {
             return;
@@ -208,7 +210,7 @@
 
     // ---- streams
 
-    /** Returns true where this connection may open a stream in addition to those that are open. */
+    /** Returns whether the client may open another stream on this connection. */
     boolean acceptsNewStream(int openStreams) {
         return !goAway.rejectsNewStreams() && streamLimit.allowsNewStream(openStreams);
     }
@@ -235,12 +237,12 @@
         encoder().writeHeaders(context, streamId, headers, 0, isEndOfStream, context.newPromise());
     }
 
-    /** Resets a stream whose response has been written, without an error. */
+    /** Resets a stream with NO_ERROR after its response has been written. */
     void resetStream(int streamId) {
         resetStream(context, streamId, Http2Error.NO_ERROR.code(), context.newPromise());
     }
 
-    /** Flushes once for all responses of an iteration of the event loop, which takes a single system call. */
+    /** Schedules one flush for all responses of an event-loop iteration, so that they take a single system call. */
     void flushSoon() {
         if (!isFlushScheduled) {
             isFlushScheduled = true;
@@ -251,24 +253,24 @@
         }
     }
 
-    /** Returns true where a complete request has no response yet. */
+    /** Returns whether a completely received request has no response yet. */
     boolean hasRequestInProgress() {
         return !isFinished && streams.hasRequestInProgress();
     }
 
-    /** Reads pending bytes. */
+    /** Reads the bytes that are pending in the socket. */
     void readPending() {
         UnreadBytes.read(channel);
     }
 
-    // ---- the end of the connection
+    // ---- shutdown and close
 
-    /** Returns true where the last frame has been written. */
+    /** Returns whether the last frame has been written or the channel is closed. */
     boolean isFinished() {
         return isFinished;
     }
 
-    /** Counts a frame; returns false where the connection has ended, as it does by a flood of frames. */
+    /** Counts a frame against the budget; returns false if the connection has ended, possibly because of this frame. */
     boolean tryConsume(FrameBudget.Kind kind) {
         if (isFinished) {
             return false;
@@ -280,8 +282,8 @@
         return false;
     }
 
-    /** Applies time limits, and sends a changed offer of streams; to be called periodically. */
-    void check(long nowMicros, int offeredStreams) {
+    /** Applies the time limits, and sends a changed stream limit to the client; to be called periodically. */
+    void check(long nowMicros, int currentStreamLimit) {
         if (isFinished) {
             return;
         }
@@ -295,11 +297,11 @@
         if (goAway.hasBegun()) {
             boolean hasUnsentBytes =
                     channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
-            perform(goAway.check(nowMicros, streams.openStreams(), hasUnsentBytes));
+            apply(goAway.check(nowMicros, streams.openStreams(), hasUnsentBytes));
         } else if (isHandshakeComplete
                 && !isFinished
-                && listener.streamCapacity().shouldAnnounce(streamLimit.lastSent(), offeredStreams)) {
-            sendStreamLimit(offeredStreams);
+                && listener.streamCapacity().shouldAnnounce(streamLimit.lastSent(), currentStreamLimit)) {
+            sendStreamLimit(currentStreamLimit);
         }
     }
 
@@ -309,7 +311,7 @@
         flushSoon();
     }
 
-    /** Shuts down gracefully, by a deadline. */
+    /** Starts a graceful shutdown, which closes the connection at the deadline at the latest. */
     void drain(long deadlineMicros) {
         if (isFinished) {
             return;
@@ -317,18 +319,18 @@
         if (!isHandshakeComplete && streams.openStreams() == 0) {
             evict();
         } else {
-            perform(goAway.begin(clock.micros(), deadlineMicros));
+            apply(goAway.begin(clock.micros(), deadlineMicros));
         }
     }
 
-    /** The client has acknowledged a PING. */
+    /** Handles the acknowledgement of a PING. */
     void onPingAcknowledged(long payload) {
         if (payload == GO_AWAY_PING_PAYLOAD && !isFinished) {
-            perform(goAway.onPingAcknowledged(clock.micros()));
+            apply(goAway.onPingAcknowledged(clock.micros()));
         }
     }
 
-    private void perform(GracefulGoAway.Step step) {
+    private void apply(GracefulGoAway.Step step) {
         switch (step) {
             case ANNOUNCE -> {
                 terminator.writeGoAway(Integer.MAX_VALUE, Http2Error.NO_ERROR, GOING_AWAY);
@@ -344,12 +346,12 @@
         }
     }
 
-    /** Ends at once, as the connection limit is reached or there is nothing to wait for. */
+    /** Ends the connection at once because of the connection limit, or during a drain because it has no stream. */
     void evict() {
         terminate(Http2Error.NO_ERROR, EVICTED);
     }
 
-    /** Sends GOAWAY and ends; messages that were accepted go on. */
+    /** Sends GOAWAY and closes the connection. Accepted messages are still processed. */
     private void terminate(Http2Error error, String debugData) {
         if (isFinished) {
             return;
@@ -368,7 +370,7 @@
         terminator.close();
     }
 
-    /** The channel is closed. */
+    /** Handles the close of the channel. */
     void onChannelClosed() {
         isFinished = true;
         listener.connections().onClosed(this);
--- a/src/main/java/loftflow/listener/http2/ClientSessionBuilder.java
+++ b/src/main/java/loftflow/listener/http2/ClientSessionBuilder.java
@@ -14,8 +14,8 @@
 import loftflow.engine.MessageAcceptor;
 
 /**
- * Builds sessions. Netty's own limits are off where {@code listener.http2.flowcontrol} has one, and stay where it has
- * none.
+ * Builds client sessions. Disables those of Netty's limits that {@code listener.http2.flowcontrol} replaces, and keeps
+ * the others.
  */
 final class ClientSessionBuilder extends AbstractHttp2ConnectionHandlerBuilder<ClientSession, ClientSessionBuilder> {
     private static final int MAX_SMALL_CONTINUATION_FRAMES = 10;
@@ -27,7 +27,11 @@
     private final Channel channel;
     private final double ageJitter;
 
-    /** Prepares the session of a channel; its maximum age is shortened by a jitter from 0 to 1. */
+    /**
+     * Prepares the session of a channel.
+     *
+     * @param ageJitter how far the maximum age of the connection is shortened, from 0 to 1
+     */
     ClientSessionBuilder(
             Http2Listener listener, MessageAcceptor messageAcceptor, Clock clock, Channel channel, double ageJitter) {
         this.listener = listener;
@@ -36,7 +40,7 @@
         this.channel = channel;
         this.ageJitter = ageJitter;
         Http2Connection connection = new DefaultHttp2Connection(true, 0);
-        // Responses have no DATA, so that the simplest order of writing is enough.
+        // Responses have no DATA, so the simplest distribution of bytes to streams is sufficient.
         connection
                 .remote()
                 .flowController(
@@ -52,7 +56,7 @@
         decoderEnforceMaxConsecutiveEmptyDataFrames(0);
         decoderEnforceMaxSmallContinuationFrames(MAX_SMALL_CONTINUATION_FRAMES);
         encoderEnforceMaxQueuedControlFrames(MAX_QUEUED_CONTROL_FRAMES);
-        // The session replaces it by its own.
+        // A placeholder that the builder requires; the session installs its own listener.
         frameListener(new Http2EventAdapter());
     }
 
--- a/src/main/java/loftflow/listener/http2/ConnectionTerminator.java
+++ b/src/main/java/loftflow/listener/http2/ConnectionTerminator.java
@@ -10,9 +10,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** Writes GOAWAY and closes a connection after its last frame. */
+/** Writes GOAWAY, and closes a connection after its last frame. */
 final class ConnectionTerminator {
-    /** How long the connection stays half-closed, for the client to read its last frames. */
+    /** The time for which the connection stays half-closed, so that the client can read the last frames. */
     private static final long LINGER_MILLIS = 1_000;
 
     private final ClientSession session;
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Writes GOAWAY, bypassing Netty's connection state: once Netty knows of a GOAWAY, DATA on a later stream ends the
-     * connection, and with it the streams that are open.
+     * Writes GOAWAY without updating Netty's connection state. Once Netty has recorded a GOAWAY, DATA on a stream above
+     * its last stream id would end the connection and with it all open streams.
      *
-     * @param debugData the reason, for the client's log
+     * @param debugData the reason in ASCII, which the client may log
      */
     void writeGoAway(int lastStreamId, Http2Error error, String debugData) {
         session.encoder()
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Flushes, half-closes the connection and discards what the client still sends: closing it with unread bytes would
-     * reset it, and the client might lose the last frames.
+     * Flushes, half-closes the connection and discards further bytes from the client: a close with unread bytes would
+     * reset the connection, and the client might lose the last frames. Closes at once if the client does not read.
      */
     void close() {
         ChannelHandlerContext context = session.context();
--- a/src/main/java/loftflow/listener/http2/FrameListener.java
+++ b/src/main/java/loftflow/listener/http2/FrameListener.java
@@ -16,7 +16,7 @@
 
 /**
  * Dispatches the received frames of one connection. Frames that carry no message count against {@link FrameBudget}, and
- * nothing is processed after the connection's last GOAWAY.
+ * frames received after the connection's last GOAWAY was sent are ignored.
  */
 final class FrameListener extends Http2EventAdapter {
     private final ClientSession session;
@@ -64,42 +64,46 @@
         if (stream == null) {
             stream = streams.begin(session.connection().stream(streamId), head);
         } else if (!isEndOfStream) {
-            throw Http2Exception.streamError(streamId, Http2Error.PROTOCOL_ERROR, "a second head");
+            throw Http2Exception.streamError(
+                    streamId, Http2Error.PROTOCOL_ERROR, "HEADERS without END_STREAM on an open stream");
         }
         if (isEndOfStream && stream.isReading()) {
             streams.onRequestComplete(stream);
         }
     }
 
-    /** Returns the number of bytes that Netty counts as processed; those of partly received bodies are not. */
+    /**
+     * Handles DATA, and returns the number of bytes that Netty may count as processed. The bytes of partly received
+     * bodies count as processed once the body is complete.
+     */
     @Override
     public int onDataRead(ChannelHandlerContext ctx, int streamId, ByteBuf data, int padding, boolean isEndOfStream)
             throws Http2Exception {
         int dataBytes = data.readableBytes();
-        int allBytes = dataBytes + padding;
+        int frameBytes = dataBytes + padding;
         boolean isEmpty = dataBytes == 0 && !isEndOfStream;
         if (session.isFinished() || isEmpty && !session.tryConsume(FrameBudget.Kind.EMPTY_DATA)) {
-            return allBytes;
+            return frameBytes;
         }
         RequestStream stream = streams.get(streamId);
         if (stream == null || !stream.isReading()) {
-            return allBytes;
+            return frameBytes;
         }
         if (stream.bodyBytes() + dataBytes > ClientProtocol.MAX_BODY_BYTES) {
             streams.reject(stream, ClientResponse.TOO_LARGE);
-            return allBytes;
+            return frameBytes;
         }
         stream.append(data);
         if (isEndOfStream) {
             flowControl.consume(stream, stream.bodyBytes() - dataBytes);
             streams.onRequestComplete(stream);
-            return allBytes;
+            return frameBytes;
         }
         if (stream.needsLargerWindow()) {
-            int leftBytes = SessionFlowControl.MAX_STREAM_WINDOW_BYTES - stream.windowBytes();
-            stream.requestWindow(Math.min(SessionFlowControl.STEP_BYTES, leftBytes));
+            int remainingBytes = SessionFlowControl.MAX_STREAM_WINDOW_BYTES - stream.windowBytes();
+            stream.requestWindow(Math.min(SessionFlowControl.STEP_BYTES, remainingBytes));
         }
-        flowControl.compensate(stream, dataBytes);
+        flowControl.compensateConnectionWindow(stream, dataBytes);
         return padding;
     }
 
--- a/src/main/java/loftflow/listener/http2/Http2Listener.java
+++ b/src/main/java/loftflow/listener/http2/Http2Listener.java
@@ -25,20 +25,20 @@
 import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 import loftflow.protocol.ClientProtocol;
 
-/** Listens for HTTP/2 clients without TLS, and divides the relay's capacity among their connections. */
+/** Serves HTTP/2 clients over cleartext TCP, and divides the relay's capacity among their connections. */
 public final class Http2Listener implements Listener {
     /**
      * The settings of a listener.
      *
-     * @param maxConnections the limit on connections
+     * @param maxConnections the maximum number of connections
      * @param streams the limits on concurrent streams
-     * @param maxHeaderListBytes the largest list of headers
-     * @param windowBytes the receive window of a connection, as far as the pool allows
-     * @param poolBytes what partly received bodies may take together
-     * @param classShares the shares of classes in the reserved half of the pool
-     * @param resetsPerSecond RST_STREAM frames that one connection may send
+     * @param maxHeaderListBytes the maximum size of the header list of a request
+     * @param windowBytes the receive window of a connection, if the pool allows it
+     * @param poolBytes the maximum size of all partly received bodies together
+     * @param classShares the share of each request class in the reserved half of the pool
+     * @param resetsPerSecond the rate limit on RST_STREAM frames from one connection
      * @param expiry the time limits of a connection
-     * @param drainTimeoutMicros how long the last responses may take once a connection shuts down
+     * @param drainTimeoutMicros the maximum time from the start of a connection's shutdown to its last response
      */
     public record Options(
             int maxConnections,
@@ -51,18 +51,20 @@
             ConnectionExpiry.TimeLimits expiry,
             long drainTimeoutMicros) {}
 
-    /** GOAWAY tells a client which of its streams were not accepted, however recently it used its connection. */
+    /**
+     * Recently used connections may be evicted too, as GOAWAY tells the client which of its streams were not accepted.
+     */
     private static final long NO_MIN_IDLE_MICROS = 0;
 
     private static final long CHECK_INTERVAL_MILLIS = 50;
-    /** The send buffer of a socket, which bounds what the kernel holds for a client that does not read. */
+    /** The send buffer of a socket, which limits the kernel memory for a client that does not read its responses. */
     private static final int SEND_BUFFER_BYTES = 64 << 10;
-    /** Multiples of the golden ratio, modulo 1, are spread evenly however many there are. */
+    /** The increment of the age jitter: any number of multiples of the golden ratio is spread evenly modulo 1. */
     private static final double GOLDEN_RATIO = 0.618034;
 
     /**
-     * Netty logs a line for each frame on a closed stream, so its logger is off. The reference is needed, as loggers
-     * are held weakly otherwise.
+     * The logger of Netty's HTTP/2 codec, which is switched off because it logs each frame on a closed stream. The
+     * reference keeps it from being garbage-collected, as the log manager holds loggers weakly.
      */
     private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty.handler.codec.http2");
 
@@ -80,7 +82,7 @@
     private long acceptedConnections;
     private boolean isDraining;
 
-    /** Creates a listener that does not listen yet. */
+    /** Creates a listener, which listens once {@link #listen} is called. */
     public Http2Listener(MessageAcceptor messageAcceptor, Clock clock, EventLoopLag eventLoopLag, Options options) {
         this.messageAcceptor = messageAcceptor;
         this.clock = clock;
@@ -96,7 +98,7 @@
         receiveWindows = new ReceiveWindowPool(clock, connections::all, options.poolBytes(), options.classShares());
     }
 
-    /** Listens for clients at an address. */
+    /** Starts to listen at an address. */
     public ChannelFuture listen(EventLoop loop, InetSocketAddress address) {
         loop.schedule(() -> check(loop), CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         return acceptor.open(loop, address);
@@ -150,18 +152,18 @@
         long nowMicros = clock.micros();
         streamCapacity.observe(
                 messageAcceptor.utilization(), nowMicros - acceptor.earliestByteArrivalMicros(), nowMicros);
-        int offeredStreams = streamCapacity.perConnection();
-        connections.all().forEach(session -> session.check(nowMicros, offeredStreams));
+        int streamLimit = streamCapacity.perConnection();
+        connections.all().forEach(session -> session.check(nowMicros, streamLimit));
         receiveWindows.reclaimForWaiting(nowMicros);
     }
 
-    /** Shuts every connection down gracefully, also those that come later; open streams finish. */
+    /** Starts a graceful shutdown of every connection, including those accepted later. Open streams finish. */
     @Override
     public void drain() {
         drain(options.drainTimeoutMicros());
     }
 
-    /** Shuts every connection down gracefully, with a time limit in microseconds for open streams. */
+    /** Starts a graceful shutdown of every connection, with a time limit in microseconds for open streams. */
     public void drain(long timeoutMicros) {
         isDraining = true;
         readPending();
@@ -169,7 +171,9 @@
         connections.all().forEach(session -> session.drain(deadlineMicros));
     }
 
-    /** Also reads from connections in their handshake: their streams may be pending, and they got no GOAWAY yet. */
+    /**
+     * Also reads from connections in their handshake: they may have pending streams and have received no GOAWAY yet.
+     */
     @Override
     public void readPending() {
         acceptor.acceptPending();
@@ -177,8 +181,9 @@
     }
 
     /**
-     * Reads from a connection in its handshake: if it has received nothing, it would end without a GOAWAY. Later,
-     * GOAWAY carries the last accepted stream, and the client sends those behind it elsewhere.
+     * Reads pending bytes if the connection is in its handshake, as a connection that has received nothing ends without
+     * a GOAWAY. After the handshake this is not needed: GOAWAY carries the id of the last accepted stream, and the
+     * client resubmits later streams elsewhere.
      */
     private static void readPendingHandshake(ClientSession session) {
         if (!session.isHandshakeComplete()) {
--- a/src/main/java/loftflow/listener/http2/ReceiveWindowPool.java
+++ b/src/main/java/loftflow/listener/http2/ReceiveWindowPool.java
@@ -7,9 +7,12 @@
 import loftflow.engine.Clock;
 import loftflow.listener.http2.flowcontrol.ReceiveWindowAllocator;
 
-/** The receive windows of all connections of a listener, and the streams that wait for a larger one. */
+/** Manages the receive windows of all connections of a listener, and the streams that wait for a larger window. */
 final class ReceiveWindowPool {
-    /** How long a body waits for a window before slower bodies are to release theirs. */
+    /**
+     * The time after which a body that waits for a window may make a slower body release its bytes. It is also the
+     * minimum age of that slower body.
+     */
     private static final long RECLAIM_AFTER_MICROS = 500_000;
 
     private final Clock clock;
@@ -18,7 +21,7 @@
     /** Streams whose bodies wait for a larger window, in the order of their requests. */
     private final ArrayDeque<RequestStream> waiting = new ArrayDeque<>();
 
-    private boolean isServingWaiting;
+    private boolean isRetryingWaiting;
 
     ReceiveWindowPool(Clock clock, Supplier<List<ClientSession>> sessions, long poolBytes, Map<String, Double> shares) {
         this.clock = clock;
@@ -30,25 +33,28 @@
         return allocator;
     }
 
-    /** A stream waits for bytes. */
+    /** Adds a stream that waits for bytes. */
     void await(RequestStream stream) {
         waiting.add(stream);
     }
 
-    /** Bytes have been released: every waiting stream tries again, as classes have reservations of their own. */
+    /**
+     * Repeats the requests of all waiting streams after a release of bytes. Each class has its own reservation, so a
+     * request may succeed although an earlier one does not.
+     */
     void onReleased() {
-        // A stream that tries again may cause further releases, which the loop below covers.
-        if (isServingWaiting) {
+        // A repeated request may cause a further release, which the loop that is already running covers.
+        if (isRetryingWaiting) {
             return;
         }
-        isServingWaiting = true;
+        isRetryingWaiting = true;
         for (int i = waiting.size(); i > 0; i--) {
             waiting.poll().retryWindowRequest();
         }
-        isServingWaiting = false;
+        isRetryingWaiting = false;
     }
 
-    /** Makes the connection with an account release the bytes of a slow body. */
+    /** Makes the connection that owns an account release the bytes of its slowest body. */
     void reclaimFrom(ReceiveWindowAllocator.Account account) {
         long startedBeforeMicros = clock.micros() - RECLAIM_AFTER_MICROS;
         sessions.get().stream()
@@ -57,7 +63,10 @@
                 .ifPresent(session -> session.streams().rejectSlowest(startedBeforeMicros));
     }
 
-    /** Reclaims bytes for streams that have waited for long; to be called periodically. */
+    /**
+     * Reclaims bytes for waiting streams whose requests started more than {@link #RECLAIM_AFTER_MICROS} ago; to be
+     * called periodically.
+     */
     void reclaimForWaiting(long nowMicros) {
         List.copyOf(waiting).stream()
                 .filter(stream -> nowMicros - stream.startedAtMicros() > RECLAIM_AFTER_MICROS)
--- a/src/main/java/loftflow/listener/http2/RequestStream.java
+++ b/src/main/java/loftflow/listener/http2/RequestStream.java
@@ -18,9 +18,9 @@
 import loftflow.listener.request.MessageRequest;
 import loftflow.protocol.ClientProtocol;
 
-/** One request on a connection, from its head to its one response. */
+/** An HTTP/2 stream with one request, from its head to its response. */
 final class RequestStream extends Exchange {
-    /** The lower-case names that HTTP/2 requires, by header name. */
+    /** Lower-case header names, which HTTP/2 requires, by their names in {@link ClientProtocol}. */
     private static final Map<String, AsciiString> LOWER_CASE_NAMES = ClientProtocol.requestHeaders().stream()
             .collect(Collectors.toMap(Function.identity(), name -> AsciiString.cached(name.toLowerCase(Locale.ROOT))));
 
@@ -35,17 +35,19 @@
     private final long startedAtMicros;
     private final long contentLength;
 
+    /** The number of body bytes that the stream's receive window has allowed so far. */
     private int windowBytes = SessionFlowControl.INITIAL_STREAM_WINDOW_BYTES;
+
     private int allocatedBytes;
     private int compensatedBytes;
-    /** Bytes by which the window is to be extended once they are available; 0 for none. */
-    private int wantedBytes;
+    /** The bytes by which the window is to be extended once the pool allows it; 0 if no extension is requested. */
+    private int requestedBytes;
 
     private byte[] body = EMPTY_BODY;
     private int bodyBytes;
     private boolean isComplete;
 
-    /** Creates the request of a stream whose head was received. */
+    /** Creates a stream whose head was received at the given time. */
     RequestStream(
             StreamTable streams,
             SessionFlowControl flowControl,
@@ -59,7 +61,7 @@
         this.stream = stream;
         this.head = head;
         this.startedAtMicros = startedAtMicros;
-        // The decoder has verified that a length is a number.
+        // The decoder has verified that Content-Length is a number.
         contentLength = head.getLong(HttpHeaderNames.CONTENT_LENGTH, UNKNOWN_LENGTH);
     }
 
@@ -75,97 +77,100 @@
         return lifecycle.state() == StreamLifecycle.State.READING;
     }
 
-    /** The length of the body by its head; negative where the head does not say. */
+    /** Returns the value of Content-Length; negative if the header is absent. */
     long contentLength() {
         return contentLength;
     }
 
-    /** When the head was received. */
+    /** Returns the time at which the head was received, in microseconds. */
     long startedAtMicros() {
         return startedAtMicros;
     }
 
-    /** The class in its head, which decides from which part of the pool its bytes come; possibly an unknown one. */
+    /**
+     * Returns the request class in the head, which may be unknown; empty if absent. It determines which part of the
+     * pool the bytes are allocated from.
+     */
     String requestClass() {
         CharSequence name = head.get(LOWER_CASE_NAMES.get(ClientProtocol.CLASS_HEADER));
         return name == null ? "" : name.toString();
     }
 
-    /** The number of body bytes that its receive windows have allowed so far. */
+    /** Returns the number of body bytes that the stream's receive window has allowed so far. */
     int windowBytes() {
         return windowBytes;
     }
 
-    /** Its window has been extended by bytes that were allocated from the pool. */
+    /** Records that the window has been extended by bytes that were allocated from the pool. */
     void onWindowExtended(int bytes) {
         windowBytes += bytes;
         allocatedBytes += bytes;
     }
 
-    /** Requests a larger window; where the pool is exhausted, the request is repeated as bytes are released. */
+    /** Requests a larger window. If the pool is exhausted, the request is repeated when bytes are released. */
     void requestWindow(int bytes) {
-        wantedBytes = bytes;
+        requestedBytes = bytes;
         retryWindowRequest();
     }
 
     /** Repeats the request for a larger window. */
     void retryWindowRequest() {
-        if (isAwaitingWindow() && flowControl.tryExtend(this, wantedBytes)) {
-            wantedBytes = 0;
+        if (isAwaitingWindow() && flowControl.tryExtend(this, requestedBytes)) {
+            requestedBytes = 0;
         }
     }
 
-    /** Makes another connection release bytes, after a long wait for a larger window. */
+    /** Makes another connection release bytes if the body still waits for a larger window. */
     void reclaimWindow() {
         if (isAwaitingWindow()) {
-            flowControl.reclaim(this, wantedBytes);
+            flowControl.reclaim(this, requestedBytes);
         }
     }
 
-    /** Returns true where the body waits for a larger window. */
+    /** Returns whether the body waits for a larger window. */
     boolean isAwaitingWindow() {
-        return wantedBytes > 0 && isReading();
+        return requestedBytes > 0 && isReading();
     }
 
-    /** Returns true where the length is unknown and the window is nearly used up. */
+    /** Returns whether the body's length is unknown and its window is nearly used up. */
     boolean needsLargerWindow() {
-        return wantedBytes == 0
+        return requestedBytes == 0
                 && windowBytes < SessionFlowControl.MAX_STREAM_WINDOW_BYTES
                 && windowBytes - bodyBytes < SessionFlowControl.INITIAL_STREAM_WINDOW_BYTES / 2
                 && contentLength == UNKNOWN_LENGTH;
     }
 
-    /** The bytes that are allocated to it from the pool. */
+    /** Returns the bytes that are allocated from the pool for this stream. */
     int allocatedBytes() {
         return allocatedBytes;
     }
 
-    /** The bytes by which the connection's window is extended on its behalf. */
+    /** Returns the bytes by which the connection's window is extended for the incomplete body of this stream. */
     int compensatedBytes() {
         return compensatedBytes;
     }
 
-    /** The connection's window is extended on its behalf. */
+    /** Records an extension of the connection's window for this stream. */
     void onCompensated(int bytes) {
         compensatedBytes += bytes;
     }
 
-    /** All its bytes have been released. */
+    /** Records that all bytes of this stream have been released. */
     void onReleased() {
         allocatedBytes = 0;
         compensatedBytes = 0;
     }
 
-    /** The number of body bytes received. */
+    /** Returns the number of received body bytes. */
     int bodyBytes() {
         return bodyBytes;
     }
 
-    /** Appends a chunk of the body, which must fit its maximum size. */
+    /** Appends a chunk of the body. The caller ensures that the body stays within its maximum size. */
     void append(ByteBuf chunk) {
         int chunkBytes = chunk.readableBytes();
         if (bodyBytes + chunkBytes > body.length) {
-            // The buffer never exceeds what the window allows, however long a body the head announces.
+            // The capacity is limited by the window, so a large Content-Length alone allocates no memory.
             long expectedBytes = contentLength == UNKNOWN_LENGTH ? 2 * body.length : contentLength;
             int capacity = (int) Math.min(windowBytes, expectedBytes);
             body = Arrays.copyOf(body, Math.max(bodyBytes + chunkBytes, capacity));
@@ -174,12 +179,12 @@
         bodyBytes += chunkBytes;
     }
 
-    /** Returns true where the client has sent the whole request. */
+    /** Returns whether the request has been completely received. */
     boolean isComplete() {
         return isComplete;
     }
 
-    /** Handles the request, which is complete. */
+    /** Handles the request, which has been completely received. */
     void onComplete(boolean isDraining, long earliestArrivalMicros, long unreadSinceMicros) {
         isComplete = true;
         handle(head.method(), head.path(), isDraining, () -> parseMessage(earliestArrivalMicros), unreadSinceMicros);
--- a/src/main/java/loftflow/listener/http2/SessionFlowControl.java
+++ b/src/main/java/loftflow/listener/http2/SessionFlowControl.java
@@ -8,32 +8,32 @@
 import loftflow.protocol.ClientProtocol;
 
 /**
- * The receive windows of one connection. A stream starts with a small window, which is extended as bytes are allocated
- * from the listener's pool. The connection's window is extended by the bytes of partly received bodies, so that they
- * can't use it up together and leave none able to complete.
+ * Manages the receive windows of one connection. A stream starts with a small window, which is extended when bytes are
+ * allocated from the listener's pool. The connection's window is extended by the bytes of partly received bodies:
+ * otherwise these could use up the window together, and none of them could complete.
  */
 final class SessionFlowControl {
-    /** The window of a new stream; a body that fits needs no allocation. */
+    /** The initial window of a stream. A body within it needs no allocation from the pool. */
     static final int INITIAL_STREAM_WINDOW_BYTES = RequestBufferBudget.GUARANTEED_REQUEST_BYTES;
     /**
-     * The largest window of a stream: one byte more than any body may have, so that a body of unknown length is found
-     * to be too large.
+     * The maximum window of a stream: one byte more than the maximum body, so that a body of unknown length that
+     * exceeds the maximum is detected.
      */
     static final int MAX_STREAM_WINDOW_BYTES = ClientProtocol.MAX_BODY_BYTES + 1;
-    /** The steps in which windows of bodies of unknown length, and of the connection, change. */
+    /** The step by which the windows of bodies of unknown length, and of the connection, change. */
     static final int STEP_BYTES = 16 << 10;
 
     /**
-     * Netty sends WINDOW_UPDATE once the unused part of a window is below this ratio. At nearly 1, it sends even a
-     * small extension at once, for which the client would wait otherwise.
+     * Netty sends WINDOW_UPDATE once the ratio of the unused part of a window falls below this value. With a value
+     * close to 1 it sends even a small extension at once; the client would wait for it otherwise.
      */
     private static final float IMMEDIATE_UPDATE_RATIO = 0.999f;
 
     private final ClientSession session;
     private final ReceiveWindowPool pool;
     private final ReceiveWindowAllocator.Account account;
-    /** The change of the connection's window that is not sent yet. */
-    private int unsentCompensationBytes;
+    /** The change of the connection's window, in bytes, that has not been applied yet; may be negative. */
+    private int pendingCompensationBytes;
 
     SessionFlowControl(ClientSession session, ReceiveWindowPool pool) {
         this.session = session;
@@ -45,15 +45,19 @@
         return account;
     }
 
-    /** Extends the connection's window from its initial size as far as the pool allows. */
-    void extendConnectionWindow(int wantedBytes) {
-        int extraBytes = pool.allocator().allocateWindow(account, wantedBytes);
+    /**
+     * Extends the connection's window from its initial size as far as the pool allows.
+     *
+     * @param targetBytes the intended size of the whole window
+     */
+    void extendConnectionWindow(int targetBytes) {
+        int extraBytes = pool.allocator().allocateWindow(account, targetBytes);
         if (extraBytes > 0) {
             extend(session.connection().connectionStream(), extraBytes);
         }
     }
 
-    /** Extends the window of a stream; returns false where the stream has to wait for bytes from the pool. */
+    /** Extends the window of a stream; returns false if the stream has to wait for bytes from the pool. */
     boolean tryExtend(RequestStream stream, int bytes) {
         ReceiveWindowAllocator.Verdict verdict = pool.allocator().tryAllocate(account, stream.requestClass(), bytes);
         if (verdict != ReceiveWindowAllocator.Verdict.GRANTED) {
@@ -65,7 +69,7 @@
         return true;
     }
 
-    /** Makes a slow body on another connection release its bytes, where that connection exceeds its fair share. */
+    /** Makes a slow body on another connection release its bytes if that connection exceeds its fair share. */
     void reclaim(RequestStream stream, int bytes) {
         ReceiveWindowAllocator.Verdict verdict = pool.allocator().check(account, stream.requestClass(), bytes);
         if (verdict == ReceiveWindowAllocator.Verdict.AFTER_RECLAIM) {
@@ -73,24 +77,24 @@
         }
     }
 
-    /** Extends the connection's window by bytes of a body that is not complete yet. */
-    void compensate(RequestStream stream, int bytes) {
+    /** Extends the connection's window by the received bytes of an incomplete body. */
+    void compensateConnectionWindow(RequestStream stream, int bytes) {
         stream.onCompensated(bytes);
-        compensate(bytes);
+        changeConnectionWindow(bytes);
     }
 
-    private void compensate(int bytes) {
-        unsentCompensationBytes += bytes;
-        if (Math.abs(unsentCompensationBytes) >= STEP_BYTES && !session.isFinished()) {
-            extend(session.connection().connectionStream(), unsentCompensationBytes);
-            unsentCompensationBytes = 0;
+    private void changeConnectionWindow(int bytes) {
+        pendingCompensationBytes += bytes;
+        if (Math.abs(pendingCompensationBytes) >= STEP_BYTES && !session.isFinished()) {
+            extend(session.connection().connectionStream(), pendingCompensationBytes);
+            pendingCompensationBytes = 0;
         }
     }
 
-    /** Releases all bytes of a stream whose body is complete or not needed any more. */
+    /** Releases all bytes of a stream whose body is complete or no longer needed. */
     void release(RequestStream stream) {
         int allocatedBytes = stream.allocatedBytes();
-        compensate(-stream.compensatedBytes());
+        changeConnectionWindow(-stream.compensatedBytes());
         stream.onReleased();
         if (allocatedBytes > 0) {
             pool.allocator().release(account, stream.requestClass(), allocatedBytes);
@@ -98,13 +102,13 @@
         }
     }
 
-    /** The connection is closed. */
+    /** Releases the window of the closed connection. */
     void close() {
         pool.allocator().closeAccount(account);
         pool.onReleased();
     }
 
-    /** Marks the earlier bytes of a complete body as processed, so that Netty accounts for them. */
+    /** Reports the earlier bytes of a complete body to Netty as processed. */
     void consume(RequestStream stream, int bytes) throws Http2Exception {
         session.connection().local().flowController().consumeBytes(stream.stream(), bytes);
     }
--- a/src/main/java/loftflow/listener/http2/StreamCapacity.java
+++ b/src/main/java/loftflow/listener/http2/StreamCapacity.java
@@ -2,13 +2,13 @@
 
 import loftflow.listener.http2.flowcontrol.ConcurrentStreamLimit;
 
-/** The open streams of all connections of a listener, and the limit that adapts to load. */
+/** Counts the open streams of all connections of a listener, and adapts their limit to the load. */
 final class StreamCapacity {
     private final ConcurrentStreamLimit limit;
     private int openStreams;
-    /** Connections with open streams. */
+    /** The number of connections with open streams. */
     private int busyConnections;
-    /** Rejections for lack of capacity since the last observation. */
+    /** The number of rejections for lack of capacity since the last observation. */
     private int rejections;
 
     StreamCapacity(ConcurrentStreamLimit.Bounds bounds) {
@@ -16,9 +16,10 @@
     }
 
     /**
-     * Opens one more stream, unless the limit is reached.
+     * Counts a new stream, unless the limit is reached.
      *
-     * @param isFirst whether its connection has no other open stream
+     * @param isFirst whether the connection has no other open stream
+     * @return false if the stream is to be refused
      */
     boolean tryOpen(boolean isFirst) {
         if (!limit.allowsNewStream(openStreams)) {
@@ -31,31 +32,33 @@
     }
 
     /**
-     * An open stream has closed.
+     * Records that a stream has closed.
      *
-     * @param isLast whether its connection has no other open stream
+     * @param isLast whether the connection has no other open stream
      */
     void onClosed(boolean isLast) {
         openStreams--;
         busyConnections -= isLast ? 1 : 0;
     }
 
-    /** The number of streams to offer to each connection. */
+    /** Returns the number of concurrent streams to offer to each connection. */
     int perConnection() {
         return limit.perConnection(busyConnections);
     }
 
-    /** Returns true where a changed offer is to be sent to a connection. */
+    /**
+     * Returns whether the current limit differs enough from the one last sent to a connection that it is to be sent.
+     */
     boolean shouldAnnounce(int lastSent, int current) {
         return limit.shouldAnnounce(lastSent, current);
     }
 
-    /** A stream or message was rejected for lack of capacity. */
+    /** Records that a stream or message was rejected for lack of capacity. */
     void onRejected() {
         rejections++;
     }
 
-    /** Adapts the limit to load; to be called periodically. */
+    /** Adapts the limit to the load; to be called periodically. */
     void observe(double utilization, long lagMicros, long nowMicros) {
         limit.observe(new ConcurrentStreamLimit.Load(utilization, lagMicros, rejections), nowMicros);
         rejections = 0;
--- a/src/main/java/loftflow/listener/http2/StreamTable.java
+++ b/src/main/java/loftflow/listener/http2/StreamTable.java
@@ -23,11 +23,11 @@
 import loftflow.listener.request.MessageRequest;
 import loftflow.protocol.ClientProtocol;
 
-/** The open streams of one connection: begins requests, sends the one response of each, and ends them. */
+/** The open streams of one connection. It begins requests, sends the response of each, and tracks their close. */
 final class StreamTable {
     private static final long MICROS_PER_MILLI = 1000;
     private static final long READ_TIMEOUT_MICROS = MessageRequest.READ_TIMEOUT_MILLIS * MICROS_PER_MILLI;
-    /** When a client is to resubmit a message that was rejected for lack of memory. */
+    /** The {@code Retry-After} of a message that was rejected for lack of memory. */
     private static final long OVERLOADED_RETRY_AFTER_MICROS = 1_000_000;
 
     private static final Map<ClientResponse, Http2Headers> RESPONSE_HEADERS = new EnumMap<>(ClientResponse.class);
@@ -47,7 +47,7 @@
     private final SessionFlowControl flowControl;
     private final MessageAcceptor messageAcceptor;
     private final Http2Connection.PropertyKey requestKey;
-    /** Streams whose requests are not complete, oldest first. */
+    /** Streams whose requests are not completely received, oldest first. */
     private final Set<RequestStream> reading = new LinkedHashSet<>();
 
     private int openStreams;
@@ -68,30 +68,30 @@
         return openStreams;
     }
 
-    /** Returns true where a complete request has no response yet. */
+    /** Returns whether a completely received request has no response yet. */
     boolean hasRequestInProgress() {
         return openStreams > reading.size();
     }
 
-    /** The request of a stream by its id; null where there is none. */
+    /** Returns the open stream with an id; null if there is none. */
     RequestStream get(int streamId) {
         Http2Stream stream = session.connection().stream(streamId);
         return stream == null ? null : get(stream);
     }
 
-    /** The request of a stream; null where there is none. */
+    /** Returns the open stream that belongs to a Netty stream; null if there is none. */
     RequestStream get(Http2Stream stream) {
         return stream.getProperty(requestKey);
     }
 
     /**
-     * Begins a request.
+     * Opens a stream and begins its request.
      *
-     * @throws Http2Exception where the stream is refused, or its head is malformed
+     * @throws Http2Exception if the stream is refused or its head is malformed
      */
     RequestStream begin(Http2Stream http2Stream, Http2Headers head) throws Http2Exception {
         if (!session.acceptsNewStream(openStreams) || !capacity.tryOpen(openStreams == 0)) {
-            throw Http2Exception.streamError(http2Stream.id(), Http2Error.REFUSED_STREAM, "never taken");
+            throw Http2Exception.streamError(http2Stream.id(), Http2Error.REFUSED_STREAM, "stream limit reached");
         }
         RequestStream stream =
                 new RequestStream(this, flowControl, messageAcceptor, http2Stream, head, session.nowMicros());
@@ -102,7 +102,7 @@
         }
         reading.add(stream);
         if (hasRepeatedPseudoHeader(head)) {
-            throw Http2Exception.streamError(http2Stream.id(), Http2Error.PROTOCOL_ERROR, "two of a pseudo header");
+            throw Http2Exception.streamError(http2Stream.id(), Http2Error.PROTOCOL_ERROR, "repeated pseudo-header");
         }
         if (stream.contentLength() > ClientProtocol.MAX_BODY_BYTES) {
             reject(stream, ClientResponse.TOO_LARGE);
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Handles a request that is complete. */
+    /** Handles a completely received request. */
     void onRequestComplete(RequestStream stream) {
         reading.remove(stream);
         flowControl.release(stream);
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Rejects a request that is not complete, and stops its client from sending the rest (RFC 9113, section 8.1). */
+    /** Rejects an incomplete request, and asks the client to stop sending the rest (RFC 9113, section 8.1). */
     void reject(RequestStream stream, ClientResponse response) {
         boolean isOverloaded = response == ClientResponse.OVERLOADED;
         if (isOverloaded) {
@@ -148,7 +148,7 @@
         respond(stream, response, retryAfterMicros, StreamLifecycle.Event.REJECTED);
     }
 
-    /** Rejects requests that were not received whole in time. */
+    /** Rejects requests that were not completely received before the read timeout. */
     void rejectTimedOut(long nowMicros) {
         for (RequestStream stream : List.copyOf(reading)) {
             if (nowMicros - stream.startedAtMicros() < READ_TIMEOUT_MICROS) {
@@ -158,7 +158,7 @@
         }
     }
 
-    /** Rejects the oldest partly received body that holds bytes of the pool, if it started before a time. */
+    /** Rejects the oldest incomplete request that holds bytes of the pool, if it started before a time. */
     void rejectSlowest(long startedBeforeMicros) {
         reading.stream()
                 .filter(stream -> stream.allocatedBytes() > 0 && stream.startedAtMicros() < startedBeforeMicros)
@@ -166,7 +166,7 @@
                 .ifPresent(stream -> reject(stream, ClientResponse.OVERLOADED));
     }
 
-    /** Sends the one response of a stream, where its client awaits it. */
+    /** Sends the response of a stream if its client still awaits one. */
     void respond(RequestStream stream, ClientResponse response, long retryAfterMicros, StreamLifecycle.Event event) {
         if (response == ClientResponse.REJECTED) {
             capacity.onRejected();
@@ -195,7 +195,7 @@
                 .add(HttpHeaderNames.RETRY_AFTER, ClientResponse.retryAfter(retryAfterMicros));
     }
 
-    /** A stream has closed: by its response, its client or the end of the connection. */
+    /** Handles the close of a stream, after its response, by its client or with the connection. */
     void onClosed(RequestStream stream, StreamLifecycle.Event event) {
         if (stream.lifecycle().apply(event) == StreamLifecycle.Action.CONTINUE_WITHOUT_CLIENT) {
             messageAcceptor.clientDisconnected(stream.releaseMessage());
--- a/src/main/java/loftflow/listener/http2/UpgradeRequiredHandler.java
+++ b/src/main/java/loftflow/listener/http2/UpgradeRequiredHandler.java
@@ -11,7 +11,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.AsciiString;
 
-/** Responds with 426 (Upgrade Required) to HTTP/1.1 requests that ask for no upgrade, and closes. */
+/** Responds to HTTP/1.1 requests without an upgrade with 426 (Upgrade Required), and closes the connection. */
 final class UpgradeRequiredHandler extends SimpleChannelInboundHandler<HttpMessage> {
     private static final AsciiString H2C = AsciiString.cached("h2c");
 
--- a/src/main/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimit.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimit.java
@@ -3,37 +3,37 @@
 import java.util.ArrayDeque;
 
 /**
- * The limit on the open streams of one connection that its client has acknowledged. Until the client acknowledges a
- * lower limit, it may use the higher one (RFC 9113, sections 6.5.3 and 5.1.2).
+ * Tracks which limit on open streams the client of a connection has acknowledged. Until it acknowledges a lower limit,
+ * it may use the previous, higher one (RFC 9113, sections 6.5.3 and 5.1.2).
  */
 public final class AcknowledgedStreamLimit {
     private final ArrayDeque<Integer> unacknowledged = new ArrayDeque<>();
     private int acknowledged = Integer.MAX_VALUE;
     private int lastSent;
 
-    /** Starts with the limit in the first SETTINGS; until they are acknowledged, any number of streams is allowed. */
+    /** Creates a tracker with the limit in the first SETTINGS. Until their acknowledgement, streams are not limited. */
     public AcknowledgedStreamLimit(int initialLimit) {
         onSettingsSent(initialLimit);
     }
 
-    /** SETTINGS with another limit have been sent. */
+    /** Records that SETTINGS with another limit have been sent. */
     public void onSettingsSent(int limit) {
         unacknowledged.add(limit);
         lastSent = limit;
     }
 
-    /** The client has acknowledged the oldest SETTINGS that it had not acknowledged. */
+    /** Records that the client has acknowledged the oldest unacknowledged SETTINGS. */
     public void onSettingsAcknowledged() {
         Integer next = unacknowledged.poll();
         acknowledged = next == null ? acknowledged : next;
     }
 
-    /** The limit that was sent last. */
+    /** Returns the limit that was sent last. */
     public int lastSent() {
         return lastSent;
     }
 
-    /** Returns true where one more stream may be opened in addition to those that are open. */
+    /** Returns whether the client may open another stream in addition to a number of open ones. */
     public boolean allowsNewStream(int openStreams) {
         return openStreams < acknowledged;
     }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimit.java
@@ -1,21 +1,20 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * The number of concurrent streams that each connection is offered (SETTINGS_MAX_CONCURRENT_STREAMS), adapted to load:
- * multiplicative decrease to one half while the relay is overloaded, increase by a quarter while it is not. Clients
- * then queue requests on their side where the relay would have to reject them. The offers to all busy connections
- * together stay within the total, as far as the minimum per connection allows; {@link #allowsNewStream} enforces the
- * total.
+ * Computes the number of concurrent streams to offer to each connection (SETTINGS_MAX_CONCURRENT_STREAMS) and adapts it
+ * to the load: it is halved while the relay is overloaded, and increased by a quarter while the load is low. Clients
+ * then queue requests that the relay would otherwise reject. The offers to all busy connections together stay within
+ * the total, unless the minimum per connection requires more; {@link #allowsNewStream} enforces the total.
  */
 public final class ConcurrentStreamLimit {
-    /** The shortest time between two changes of the level, in which clients adapt to the former. */
+    /** The minimum time between two changes of the level, so that clients can adapt to the first change. */
     public static final long MIN_STEP_MICROS = 250_000;
 
     /** The utilization of the message table above which the relay counts as overloaded. */
     static final double HIGH_UTILIZATION = 0.8;
-    /** The utilization below which the offer may grow. */
+    /** The utilization below which the level may increase. */
     static final double LOW_UTILIZATION = 0.6;
-    /** The event-loop lag above which the relay counts as overloaded; messages are rejected from 400 ms on. */
+    /** The event-loop lag above which the relay counts as overloaded. From 400 ms on, messages are rejected. */
     static final long HIGH_LAG_MICROS = 150_000;
 
     private static final double INCREASE_FACTOR = 1.25;
@@ -24,15 +23,15 @@
     /**
      * Bounds, in streams.
      *
-     * @param minPerConnection what every connection is offered at least
-     * @param maxPerConnection what one connection is offered at most
-     * @param maxTotal what all connections may have open together
+     * @param minPerConnection the minimum offer to a connection
+     * @param maxPerConnection the maximum offer to a connection
+     * @param maxTotal the maximum number of open streams of all connections together
      */
     public record Bounds(int minPerConnection, int maxPerConnection, int maxTotal) {
         /**
          * Checks the bounds.
          *
-         * @throws IllegalArgumentException where the minimum is below 1 or above another bound
+         * @throws IllegalArgumentException if the minimum is below 1 or above another bound
          */
         public Bounds {
             if (minPerConnection < 1 || maxPerConnection < minPerConnection || maxTotal < minPerConnection) {
@@ -47,8 +46,8 @@
      * The load of the relay.
      *
      * @param utilization the share of the message table that is in use, from 0 to 1
-     * @param lagMicros how long bytes that are read now may have been pending
-     * @param rejections streams or messages that were rejected for lack of capacity since the last observation
+     * @param lagMicros the maximum time, in microseconds, for which bytes that are read now may have been pending
+     * @param rejections the number of streams and messages rejected for lack of capacity since the last observation
      */
     public record Load(double utilization, long lagMicros, int rejections) {}
 
@@ -58,7 +57,7 @@
 
     private long changedAtMicros = Long.MIN_VALUE / 2;
 
-    /** Creates a limit that offers the maximum at first. */
+    /** Creates a limit that initially offers the maximum. */
     public ConcurrentStreamLimit(Bounds bounds) {
         this.bounds = bounds;
     }
@@ -83,7 +82,7 @@
         }
     }
 
-    /** The number of streams to offer to each of the busy connections. */
+    /** Returns the number of streams to offer to each of the busy connections. */
     public int perConnection(int busyConnections) {
         int share = (int) (level * bounds.maxTotal() / Math.max(1, busyConnections));
         int max = (int) Math.max(bounds.minPerConnection(), level * bounds.maxPerConnection());
@@ -91,8 +90,8 @@
     }
 
     /**
-     * Returns true where a changed offer is to be sent to a connection: it is lower by more than a quarter, or higher
-     * by a quarter or up to the maximum. Smaller changes are not sent.
+     * Returns whether a changed offer is to be sent to a connection: it has decreased by more than a quarter, increased
+     * by at least a quarter, or reached the maximum. Smaller changes are not sent.
      */
     public boolean shouldAnnounce(int lastSent, int current) {
         return current < lastSent * 3 / 4
@@ -100,7 +99,7 @@
                 || current > lastSent && current == bounds.maxPerConnection();
     }
 
-    /** Returns true where one more stream may be opened in addition to those that all connections have open. */
+    /** Returns whether another stream may be opened, given the open streams of all connections. */
     public boolean allowsNewStream(int openStreams) {
         return openStreams < bounds.maxTotal();
     }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ConnectionExpiry.java
@@ -1,17 +1,17 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * Decides when a connection is to end: its handshake takes too long, it is idle, its client does not read, or it has
- * reached its maximum age.
+ * Decides when a connection is to be closed: its handshake has timed out, it is idle, its client does not read, or it
+ * has reached its maximum age.
  */
 public final class ConnectionExpiry {
     /**
      * The time limits of a connection, in microseconds.
      *
-     * @param handshakeMicros from accepting the connection until the client acknowledges SETTINGS
-     * @param idleMicros without an open stream
-     * @param maxAgeMicros the age after which clients are to reconnect and so find new relays; 0 for no limit
-     * @param writeStallMicros while the client reads nothing of what is buffered for it
+     * @param handshakeMicros the maximum time from accepting the connection until the client acknowledges SETTINGS
+     * @param idleMicros the maximum time without an open stream
+     * @param maxAgeMicros the age at which the client is made to reconnect, so that it finds new relays; 0 for no limit
+     * @param writeStallMicros the maximum time for which the outbound buffer may stay full
      */
     public record TimeLimits(long handshakeMicros, long idleMicros, long maxAgeMicros, long writeStallMicros) {}
 
@@ -21,11 +21,11 @@
         KEEP,
         /** It is shut down gracefully ({@link GracefulGoAway}). */
         DRAIN,
-        /** It gets GOAWAY and is closed at once: its client does not respond. */
+        /** It is closed at once after GOAWAY, because its client does not respond. */
         TERMINATE
     }
 
-    /** The maximum age is shortened by up to a tenth, so that connections opened together do not end together. */
+    /** The maximum age is shortened by up to a tenth, so that connections opened together are not closed together. */
     private static final double JITTER_DIVISOR = 10;
 
     private static final long NOT_STALLED = -1;
@@ -38,9 +38,9 @@
     private long stalledSinceMicros = NOT_STALLED;
 
     /**
-     * Starts with a connection that is accepted now.
+     * Creates the expiry of a connection that is accepted now.
      *
-     * @param jitter from 0 to 1, how far the maximum age is shortened
+     * @param jitter how far the maximum age is shortened, from 0 (not at all) to 1 (by a tenth)
      */
     public ConnectionExpiry(TimeLimits limits, long nowMicros, double jitter) {
         this.limits = limits;
@@ -53,19 +53,19 @@
         return (long) (ageMicros * (1 - jitter / JITTER_DIVISOR));
     }
 
-    /** The client has acknowledged SETTINGS, which completes the handshake. */
+    /** Records that the client has acknowledged SETTINGS, which completes the handshake. */
     public void onSettingsAcknowledged(long nowMicros) {
         isHandshakeComplete = true;
         idleSinceMicros = nowMicros;
     }
 
-    /** The first stream has opened, or the last one has closed. */
+    /** Records that the first stream has opened or the last one has closed. */
     public void onStreamsChanged(boolean hasOpenStreams, long nowMicros) {
         idleSinceMicros = hasOpenStreams ? Long.MAX_VALUE : nowMicros;
     }
 
     /**
-     * Decides, to be called periodically.
+     * Returns what to do with the connection now; to be called periodically.
      *
      * @param isStalled whether the outbound buffer is full
      */
--- a/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * Rate limits on what a client may send besides its messages: a token bucket for each kind of frame, so that a burst
- * passes and a flood does not. A client that exceeds one gets GOAWAY with ENHANCE_YOUR_CALM (RFC 9113, section 10.5).
+ * Rate limits on frames from a client that carry no message: a token bucket for each kind, which admits bursts and
+ * stops floods. The connection of a client that exceeds a limit is closed by GOAWAY with ENHANCE_YOUR_CALM (RFC 9113,
+ * section 10.5).
  */
 public final class FrameBudget {
     /** A kind of frame or event that costs the relay work and carries no message. */
@@ -14,9 +15,9 @@
         RESET("RESET", 0, 0),
         /** A stream that the relay has to reset because of an error in its frames (CVE-2025-8671). */
         STREAM_ERROR("FAULT", 20, 100),
-        /** A request that is answered with a client error; such answers are immediate, so nothing else limits them. */
+        /** A request that is answered with a client error. The answer is immediate, so no other limit applies. */
         INVALID_REQUEST("SENSELESS", 100, 1_000),
-        /** A frame on a closed stream; frames that were sent before the client saw the close are among them. */
+        /** A frame on a closed stream, possibly sent before the client received the close. */
         CLOSED_STREAM("LATE", 1_000, 4_000),
         /** PING, each of which must be acknowledged (CVE-2019-9512). */
         PING("PING", 10, 40),
@@ -26,7 +27,7 @@
         EMPTY_DATA("EMPTY_DATA", 20, 100),
         /** PRIORITY, which the relay ignores (CVE-2019-9513). */
         PRIORITY("PRIORITY", 50, 400),
-        /** WINDOW_UPDATE; the relay sends no DATA, so that clients need few. */
+        /** WINDOW_UPDATE. The relay sends no DATA, so clients need few of them. */
         WINDOW_UPDATE("WINDOW_UPDATE", 100, 2_000),
         /** A frame of an unknown type. */
         UNKNOWN("UNKNOWN", 20, 100);
@@ -41,13 +42,13 @@
             this.burst = burst;
         }
 
-        /** The name of the kind in the debug data of GOAWAY, which clients log. */
+        /** Returns the name of the kind in the debug data of GOAWAY, which clients may log. */
         public String code() {
             return code;
         }
     }
 
-    /** The burst of {@link Kind#RESET}, in seconds of its rate. */
+    /** The burst of {@link Kind#RESET}, in seconds at its rate. */
     private static final double RESET_BURST_SECONDS = 4;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -80,12 +81,12 @@
     private final Map<Kind, TokenBucket> buckets = new EnumMap<>(Kind.class);
     private final double resetsPerSecond;
 
-    /** Creates the budget of one connection. */
+    /** Creates the budget of one connection, with the rate limit on RST_STREAM frames. */
     public FrameBudget(double resetsPerSecond) {
         this.resetsPerSecond = resetsPerSecond;
     }
 
-    /** Counts one frame; returns false where it exceeds the limit of its kind. */
+    /** Counts one frame; returns false if it exceeds the limit of its kind. */
     public boolean tryConsume(Kind kind, long nowMicros) {
         return buckets.computeIfAbsent(kind, absent -> createBucket(absent, nowMicros))
                 .tryConsume(nowMicros);
--- a/src/main/java/loftflow/listener/http2/flowcontrol/GracefulGoAway.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/GracefulGoAway.java
@@ -1,22 +1,22 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * The graceful shutdown of a connection (RFC 9113, section 6.8). A first GOAWAY with the highest stream id announces
- * it, while streams that are in transit are still accepted. After a round trip a second GOAWAY carries the id of the
- * last accepted stream; streams above it are never processed. Open streams finish, and the connection closes with the
- * last response, or at the deadline.
+ * The state machine of the graceful shutdown of a connection (RFC 9113, section 6.8). The first GOAWAY carries the
+ * highest possible stream id; streams in transit are still accepted. After a round trip, a second GOAWAY carries the id
+ * of the last accepted stream; streams above it are not processed. Open streams finish, and the connection is closed
+ * after the last response or at the deadline.
  */
 public final class GracefulGoAway {
-    /** How long the acknowledgement of the first GOAWAY's PING is awaited before the second one is sent. */
+    /** The maximum wait for the acknowledgement of the PING that follows the first GOAWAY. */
     public static final long ROUND_TRIP_TIMEOUT_MICROS = 300_000;
-    /** How long the last responses may take to be written. */
+    /** The maximum wait for the last responses to be flushed. */
     private static final long FLUSH_TIMEOUT_MICROS = 100_000;
 
-    /** What to do now. */
+    /** The next action of the shutdown. */
     public enum Step {
-        /** Nothing. */
+        /** Do nothing. */
         NONE,
-        /** Send GOAWAY with the highest stream id, and PING. */
+        /** Send GOAWAY with the highest possible stream id, and PING. */
         ANNOUNCE,
         /** Send GOAWAY with the id of the last accepted stream. */
         SEND_LAST_STREAM_ID,
@@ -35,7 +35,7 @@
     private long stateSinceMicros;
     private long deadlineMicros;
 
-    /** Begins the shutdown. Where it has begun before, the earlier of the deadlines applies. */
+    /** Begins the shutdown. If it has already begun, the earlier deadline applies. */
     public Step begin(long nowMicros, long newDeadlineMicros) {
         if (state != State.OPEN) {
             deadlineMicros = Math.min(deadlineMicros, newDeadlineMicros);
@@ -47,7 +47,7 @@
         return Step.ANNOUNCE;
     }
 
-    /** The client has acknowledged the PING behind the first GOAWAY, and so has received the GOAWAY. */
+    /** Records that the client has acknowledged the PING after the first GOAWAY, and so has received that GOAWAY. */
     public Step onPingAcknowledged(long nowMicros) {
         if (state != State.ANNOUNCED) {
             return Step.NONE;
@@ -58,17 +58,17 @@
     }
 
     /**
-     * Applies the time limits, to be called periodically.
+     * Applies the time limits; to be called periodically.
      *
-     * @param openStreams streams without a response
-     * @param hasUnsentBytes whether written bytes are not sent yet
+     * @param openStreams the number of streams without a response
+     * @param hasUnsentBytes whether written bytes have not been sent yet
      */
     public Step check(long nowMicros, int openStreams, boolean hasUnsentBytes) {
         long inStateMicros = nowMicros - stateSinceMicros;
         if (state == State.ANNOUNCED && inStateMicros >= roundTripTimeoutMicros()) {
             return onPingAcknowledged(nowMicros);
         }
-        // Responses are flushed before the close, unless the client does not read them.
+        // Responses are flushed before the close, but a client that does not read them delays it only for a short time.
         boolean isFlushed = !hasUnsentBytes || inStateMicros >= FLUSH_TIMEOUT_MICROS;
         boolean isFinished = openStreams == 0 && isFlushed;
         if (state == State.LAST_STREAM_ID_SENT && (isFinished || nowMicros >= deadlineMicros)) {
@@ -82,12 +82,12 @@
         return Math.min(ROUND_TRIP_TIMEOUT_MICROS, Math.max(0, deadlineMicros - stateSinceMicros));
     }
 
-    /** Returns true from the first GOAWAY on. */
+    /** Returns whether the shutdown has begun. */
     public boolean hasBegun() {
         return state != State.OPEN;
     }
 
-    /** Returns true where no further stream is accepted. */
+    /** Returns whether new streams are refused. */
     public boolean rejectsNewStreams() {
         return state == State.LAST_STREAM_ID_SENT || state == State.CLOSED;
     }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocator.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 
 /**
- * Allocates receive windows from one pool of bytes, so that clients may send only what can be buffered. Half of the
- * pool is reserved for message classes by share, the rest is shared. Where the pool is exhausted, a connection that
- * holds more than its fair share is to release bytes for one that holds less.
+ * Allocates receive windows from a pool of bytes, so that clients can send only what the relay can buffer. Half of the
+ * pool is reserved for request classes by their shares, the rest is shared. If the pool is exhausted, a connection that
+ * holds more than its fair share has to release bytes for one that holds less.
  */
 public final class ReceiveWindowAllocator {
-    /** The initial receive window of every connection, which can't be reduced (RFC 9113, section 6.9.2). */
+    /** The initial receive window of every connection, which is fixed (RFC 9113, section 6.9.2). */
     public static final int INITIAL_WINDOW_BYTES = 65_535;
-    /** The window of a new connection takes at most this fraction (one in so many) of the unallocated bytes. */
+    /** The window of a new connection takes at most the unallocated bytes divided by this number. */
     private static final int WINDOW_DIVISOR = 4;
 
-    /** The part of the pool that is reserved for classes. */
+    /** The share of the pool that is reserved for classes. */
     private static final double RESERVED_SHARE = 0.5;
 
     /** The bytes that one connection holds. */
@@ -26,7 +26,7 @@
 
         private Account() {}
 
-        /** Bytes of partly received bodies, including those that the client may still send. */
+        /** Returns the bytes allocated to partly received bodies, including those that the client has not sent yet. */
         public long heldBytes() {
             return heldBytes;
         }
@@ -36,7 +36,7 @@
     public enum Verdict {
         /** The bytes are allocated. */
         GRANTED,
-        /** The pool is exhausted, and no connection holds more than its fair share: the request waits or fails. */
+        /** The pool is exhausted, and no bytes can be reclaimed: the request waits or fails. */
         EXHAUSTED,
         /** The bytes become available once {@link #largestHolder} has released some. */
         AFTER_RECLAIM
@@ -53,9 +53,9 @@
     /**
      * Creates a pool.
      *
-     * @param poolBytes what all connections may hold
-     * @param shares the shares of classes in the reserved half, with a sum of at most 1; other classes use the shared
-     *     half
+     * @param poolBytes the maximum number of bytes of all connections together
+     * @param shares the share of each class in the reserved half, with a sum of at most 1; other classes use the shared
+     *     half only
      */
     public ReceiveWindowAllocator(long poolBytes, Map<String, Double> shares) {
         this.poolBytes = poolBytes;
@@ -77,25 +77,25 @@
     /**
      * Allocates the receive window of a connection; to be called once for each.
      *
-     * @param wantedBytes the whole window that the connection should have
+     * @param targetBytes the intended size of the whole window
      * @return the bytes to add to {@link #INITIAL_WINDOW_BYTES}
      */
-    public int allocateWindow(Account account, int wantedBytes) {
+    public int allocateWindow(Account account, int targetBytes) {
         long availableBytes = Math.max(0, poolBytes - windowBytes) / WINDOW_DIVISOR;
-        int extraBytes = (int) Math.max(0, Math.min(wantedBytes - INITIAL_WINDOW_BYTES, availableBytes));
+        int extraBytes = (int) Math.max(0, Math.min(targetBytes - INITIAL_WINDOW_BYTES, availableBytes));
         account.windowBytes = extraBytes;
         windowBytes += extraBytes;
         return extraBytes;
     }
 
-    /** Closes the account of a connection, whose streams have released their bytes. */
+    /** Closes the account of a connection. Its streams must have released their bytes. */
     public void closeAccount(Account account) {
         if (accounts.remove(account)) {
             windowBytes -= account.windowBytes;
         }
     }
 
-    /** Allocates bytes for a message of a class; nothing changes where they are not granted. */
+    /** Allocates bytes for a message of a class; changes nothing unless they are granted. */
     public Verdict tryAllocate(Account account, String requestClass, int bytes) {
         Verdict verdict = check(account, requestClass, bytes);
         if (verdict == Verdict.GRANTED) {
@@ -108,7 +108,7 @@
         return verdict;
     }
 
-    /** Returns what {@link #tryAllocate} would return, without allocating. */
+    /** Returns the result that {@link #tryAllocate} would have, without allocating. */
     public Verdict check(Account account, String requestClass, int bytes) {
         long classBytes = heldByClass.getOrDefault(requestClass, 0L);
         long fromSharedBytes =
@@ -124,7 +124,7 @@
         return canReclaim ? Verdict.AFTER_RECLAIM : Verdict.EXHAUSTED;
     }
 
-    /** The part of a class's bytes that exceeds its reservation and comes from the shared half. */
+    /** Returns the part of a class's bytes that exceeds its reservation and is taken from the shared half. */
     private long beyondReserved(String requestClass, long bytes) {
         return Math.max(0, bytes - reservedByClass.getOrDefault(requestClass, 0L));
     }
@@ -141,7 +141,7 @@
         account.heldBytes -= bytes;
     }
 
-    /** The connection that holds the most bytes; null where there is no connection. */
+    /** Returns the account of the connection that holds the most bytes; null if there is no connection. */
     public Account largestHolder() {
         Account largest = null;
         for (Account account : accounts) {
@@ -152,12 +152,12 @@
         return largest;
     }
 
-    /** What a connection may hold while others request bytes: an equal part of the shared half. */
+    /** Returns the bytes that a connection may hold while others request bytes: an equal part of the shared half. */
     private long fairShareBytes() {
         return sharedBytes / Math.max(1, accounts.size());
     }
 
-    /** The bytes that all connections hold. */
+    /** Returns the bytes that all connections hold together. */
     public long heldBytes() {
         return heldByClass.values().stream().mapToLong(Long::longValue).sum();
     }
--- a/src/main/java/loftflow/listener/http2/flowcontrol/StreamLifecycle.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/StreamLifecycle.java
@@ -1,24 +1,24 @@
 package loftflow.listener.http2.flowcontrol;
 
 /**
- * The state machine of one stream. Once its message is in the journal, nothing that its client does revokes it: a later
- * reset only means that nobody awaits the response. A client may take a request as not processed after REFUSED_STREAM
- * or GOAWAY alone (RFC 9113, section 8.7).
+ * The state machine of one stream. Once its message is in the journal, the client can't revoke it: a later reset only
+ * discards the response. Only REFUSED_STREAM and GOAWAY tell a client that a request was not processed (RFC 9113,
+ * section 8.7).
  */
 public final class StreamLifecycle {
     /** The state of a stream. */
     public enum State {
-        /** Its request is not complete. */
+        /** Its request is not completely received. */
         READING,
         /** Its message is accepted, and its response is outstanding. */
         ACCEPTED,
-        /** It has its one response, or nobody awaits it. */
+        /** It has its response, or its client no longer awaits one. */
         CLOSED
     }
 
-    /** What happens to a stream. */
+    /** An event on a stream. */
     public enum Event {
-        /** Its request is complete and its message is submitted to the journal. */
+        /** Its request is completely received, and its message is submitted to the journal. */
         JOURNALED,
         /** Its response is available. */
         RESPONDED,
@@ -26,17 +26,17 @@
         RESET,
         /** Its connection is lost. */
         CONNECTION_LOST,
-        /** Its request is rejected before it is complete. */
+        /** Its request is rejected before it is completely received. */
         REJECTED
     }
 
-    /** What to do about an event. */
+    /** The action that an event requires. */
     public enum Action {
-        /** Nothing. */
+        /** Do nothing. */
         NONE,
         /** Send the response. */
         RESPOND,
-        /** Process the message without its client, and report its end as a completion notice. */
+        /** Process the message without its client, and report its outcome by a completion notice. */
         CONTINUE_WITHOUT_CLIENT,
         /** Discard the partial request; the message was not accepted. */
         DISCARD
@@ -44,15 +44,15 @@
 
     private State state = State.READING;
 
-    /** The current state. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
 
     /**
-     * Applies an event.
+     * Applies an event and returns the action that it requires.
      *
-     * @throws IllegalStateException where the event is impossible in the current state
+     * @throws IllegalStateException if the event is impossible in the current state
      */
     public Action apply(Event event) {
         State before = state;
--- a/src/main/java/loftflow/listener/http2/flowcontrol/package-info.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decisions about HTTP/2 connections, apart from I/O: what a connection may cost, and how streams and connections end.
- * Times are microseconds of one clock, sizes are bytes.
+ * Limits and state machines of HTTP/2 connections, without I/O: resource limits, and the close of streams and
+ * connections. Times are in microseconds of one clock, sizes in bytes.
  *
  * <p>May use: nothing of the relay; no sockets, files, clocks, threads or Netty.
  */
