--- a/src/main/java/loftflow/listener/http2/RequestStream.java
+++ b/src/main/java/loftflow/listener/http2/RequestStream.java
@@ -170,7 +170,7 @@
     void append(ByteBuf chunk) {
         int chunkBytes = chunk.readableBytes();
         if (bodyBytes + chunkBytes > body.length) {
-            // The capacity is limited by the window, so a large Content-Length alone allocates no memory.
+            // The buffer never exceeds the window, whatever length Content-Length announces.
             long expectedBytes = contentLength == UNKNOWN_LENGTH ? 2 * body.length : contentLength;
             int capacity = (int) Math.min(windowBytes, expectedBytes);
             body = Arrays.copyOf(body, Math.max(bodyBytes + chunkBytes, capacity));
--- a/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
+++ b/src/main/java/loftflow/listener/http2/flowcontrol/FrameBudget.java
@@ -5,7 +5,7 @@
 
 /**
  * Rate limits on frames from a client that carry no message: a token bucket for each kind, which admits bursts and
- * stops floods. The connection of a client that exceeds a limit is closed by GOAWAY with ENHANCE_YOUR_CALM (RFC 9113,
+ * stops floods. The connection of a client that exceeds a limit is closed with GOAWAY and ENHANCE_YOUR_CALM (RFC 9113,
  * section 10.5).
  */
 public final class FrameBudget {
--- a/src/test/java/loftflow/listener/http2/AmbiguousUpgradeTest.java
+++ b/src/test/java/loftflow/listener/http2/AmbiguousUpgradeTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * HTTP/1.1 requests that ask for an upgrade to HTTP/2 and are cut, malformed or readable in two ways (RFC 9112). The
- * message in such a request is not accepted: its body may not be whole.
+ * Tests HTTP/1.1 requests that ask for an upgrade to HTTP/2 and are truncated, malformed or ambiguous (RFC 9112). The
+ * message in such a request must not be accepted, as its body may be incomplete.
  */
 @Timeout(60)
 class AmbiguousUpgradeTest extends Http2TestBase {
     private static final int RECEIVE_TIMEOUT_MILLIS = 3_000;
-    /** How long a message that should not come is waited for. */
+    /** The wait before a test asserts that no message was accepted. */
     private static final int NO_MESSAGE_MILLIS = 500;
 
     private static final String REQUEST_LINE = "POST /api HTTP/1.1\r\n";
@@ -36,7 +36,7 @@
     private static final String REQUEST = REQUEST_LINE + FIELDS + LENGTH + "\r\nx";
     private static final String PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0";
 
-    /** The bytes of a request, and the rule that decides what is owed. */
+    /** The bytes of a request, and the rule that determines the expected response. */
     private record Case(String rule, String bytes) {
         @Override
         public String toString() {
@@ -103,16 +103,16 @@
                 withChunks(chunk, "1\r\nx\r\n0\r\nno colon here\r\n\r\n"));
     }
 
-    static Stream<Case> cutShort() {
-        String cut = "RFC 9112, 8: a request that ends early is incomplete";
+    static Stream<Case> truncated() {
+        String rule = "RFC 9112, 8: a request that ends early is incomplete";
         return Stream.of(
-                new Case(cut, REQUEST_LINE + FIELDS),
-                new Case(cut, REQUEST_LINE + FIELDS + LENGTH),
-                new Case(cut, REQUEST_LINE + FIELDS + LENGTH + "\r"),
-                new Case(cut, REQUEST_LINE + FIELDS + "Content-Length: 2\r\n\r\nx"),
-                withChunks(cut, ""),
-                withChunks(cut, "1\r\nx\r\n"),
-                withChunks(cut, "1\r\nx\r\n0\r\n"));
+                new Case(rule, REQUEST_LINE + FIELDS),
+                new Case(rule, REQUEST_LINE + FIELDS + LENGTH),
+                new Case(rule, REQUEST_LINE + FIELDS + LENGTH + "\r"),
+                new Case(rule, REQUEST_LINE + FIELDS + "Content-Length: 2\r\n\r\nx"),
+                withChunks(rule, ""),
+                withChunks(rule, "1\r\nx\r\n"),
+                withChunks(rule, "1\r\nx\r\n0\r\n"));
     }
 
     static Stream<Case> repeatedFields() {
@@ -134,7 +134,7 @@
         return Stream.of(
                 new Case("usual", REQUEST),
                 withChunks(chunk, "1;a=b\r\nx\r\n0\r\nX-Call-Id: other\r\n\r\n"),
-                withField("RFC 9112, 5.2: a fold may be read as a space", "X-A: a\r\n Content-Length: 9"));
+                withField("RFC 9112, 5.2: a fold may be parsed as a space", "X-A: a\r\n Content-Length: 9"));
     }
 
     @ParameterizedTest
@@ -184,8 +184,8 @@
     }
 
     @ParameterizedTest
-    @MethodSource("cutShort")
-    void messageOfAnUpgradeThatIsCutIsNotAccepted(Case request) throws Exception {
+    @MethodSource("truncated")
+    void messageOfATruncatedUpgradeIsNotAccepted(Case request) throws Exception {
         try (Socket client = connect()) {
             send(client, request.bytes());
             client.shutdownOutput();
@@ -201,12 +201,12 @@
             send(client, request.bytes() + PREFACE);
             String status = readStatus(client);
             Thread.sleep(NO_MESSAGE_MILLIS);
-            assertEquals(List.of(), accepted(), "answered " + status);
+            assertEquals(List.of(), accepted(), "response: " + status);
             assertTrue(status.isEmpty() || status.compareTo("HTTP/1.1 400") >= 0, status);
         }
     }
 
-    /** The id and the body of each accepted message. */
+    /** Returns the id and the body of each accepted message. */
     private List<String> accepted() {
         return List.copyOf(messageAcceptor.submissions).stream()
                 .map(submission -> submission.message().content())
@@ -224,7 +224,9 @@
         client.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The beginning of the first line that the relay sends, up to its status; empty where the connection ends. */
+    /**
+     * Reads the start of the status line, up to the status code; returns an empty string if the connection is reset.
+     */
     private static String readStatus(Socket client) throws IOException {
         try {
             byte[] line = client.getInputStream().readNBytes("HTTP/1.1 200".length());
--- a/src/test/java/loftflow/listener/http2/ConnectionEndTest.java
+++ b/src/test/java/loftflow/listener/http2/ConnectionLifecycleTest.java
@@ -17,13 +17,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ends of streams and connections: resets, closed windows, unresponsive clients, exhausted buffers, GOAWAY. */
+/** Tests how streams and connections end: resets, closed windows, unresponsive clients, exhausted buffers, GOAWAY. */
 @Timeout(60)
-class ConnectionEndTest extends Http2TestBase {
+class ConnectionLifecycleTest extends Http2TestBase {
     // ---- resets and lost connections
 
     /**
-     * Before its message is journaled a request is discarded; after that the message goes on, whatever its client does.
+     * A request is discarded if its stream ends before its message is journaled. After that, the message is processed
+     * although its stream or connection ends.
      */
     @ParameterizedTest
     @CsvSource({
@@ -36,7 +37,7 @@
         "RESPONDED, RESET",
         "RESPONDED, LOST"
     })
-    void acceptedMessageOutlivesItsStream(String stage, String how) throws IOException {
+    void journaledMessageIsProcessedAfterItsStreamEnds(String stage, String ending) throws IOException {
         serve(defaultOptions());
         messageAcceptor.acceptsAll = stage.equals("RESPONDED");
         RawHttp2Client client = client();
@@ -44,21 +45,21 @@
         if (!stage.equals("HEAD")) {
             client.sendData(id, new byte[1], false);
         }
-        boolean whole = stage.equals("JOURNALED") || stage.equals("RESPONDED");
-        if (whole) {
+        boolean isComplete = stage.equals("JOURNALED") || stage.equals("RESPONDED");
+        if (isComplete) {
             client.sendData(id, new byte[1], true);
             await(() -> messageAcceptor.messageIds().contains("m"));
         } else {
             await(() -> onLoop(() -> listener.isIdle()) == false);
         }
-        if (how.equals("RESET")) {
+        if (ending.equals("RESET")) {
             client.reset(id);
-            assertEquals(202, statusOfNext(client));
+            assertEquals(202, sendNextAndAwaitStatus(client));
         } else {
             client.abort();
             await(() -> onLoop(() -> listener.connections().size()) == 0);
         }
-        assertEquals(whole, messageAcceptor.messageIds().contains("m"));
+        assertEquals(isComplete, messageAcceptor.messageIds().contains("m"));
         assertEquals(Set.of(), messageAcceptor.withdrawn, "no journaled message is withdrawn");
         await(() -> stage.equals("JOURNALED") == messageAcceptor.disconnected.contains("m"));
         assertFalse(onLoop(() -> listener.hasRequestInProgress()));
@@ -69,13 +70,13 @@
         assertServes("after");
     }
 
-    private int statusOfNext(RawHttp2Client client) throws IOException {
+    private int sendNextAndAwaitStatus(RawHttp2Client client) throws IOException {
         messageAcceptor.acceptsAll = true;
         return client.status(client.send(RawHttp2Client.message("next"), "x"));
     }
 
     @Test
-    void acceptedMessagesOutliveTheirConnection() throws IOException {
+    void acceptedMessagesAreProcessedAfterTheirConnectionIsLost() throws IOException {
         serve(defaultOptions());
         messageAcceptor.acceptsAll = false;
         RawHttp2Client client = client();
@@ -88,60 +89,60 @@
         assertFalse(onLoop(() -> listener.hasRequestInProgress()));
     }
 
-    /** The idle time of a connection before its first message is not subtracted from the time of the message. */
+    /** The idle time of a connection before its first message is not deducted from the timeout of the message. */
     @Test
     void idleTimeDoesNotCountAgainstTheDeadline() throws IOException {
         serve(defaultOptions());
         RawHttp2Client client = client();
-        long opened = clock.micros();
-        await(() -> clock.micros() - opened > 3 * SECOND_MICROS);
-        long sent = clock.micros();
+        long openedAtMicros = clock.micros();
+        await(() -> clock.micros() - openedAtMicros > 3 * SECOND_MICROS);
+        long sentAtMicros = clock.micros();
         assertEquals(202, client.status(client.send(RawHttp2Client.message("m"), "x")));
-        long lost = sent
+        long deductedMicros = sentAtMicros
                 + 8 * SECOND_MICROS
                 - messageAcceptor.submissions.get(0).message().content().deadlineMicros();
-        assertTrue(lost < 3 * SECOND_MICROS / 2, "microseconds lost: " + lost);
+        assertTrue(deductedMicros < 3 * SECOND_MICROS / 2, "microseconds deducted: " + deductedMicros);
     }
 
     // ---- windows and unresponsive clients
 
     /** Responses are HEADERS alone, which are not flow-controlled (RFC 9113, section 6.9). */
     @ParameterizedTest
-    @ValueSource(strings = {"closed from the start", "shrunk below what is out", "opened a byte at a time"})
-    void closedWindowDelaysNoResponse(String how) throws IOException {
+    @ValueSource(strings = {"closed initially", "shrunk while a stream is open", "opened byte by byte"})
+    void closedWindowDelaysNoResponse(String window) throws IOException {
         serve(defaultOptions());
         messageAcceptor.acceptsAll = false;
         RawHttp2Client client = client();
-        if (!how.startsWith("shrunk")) {
-            client.frame(RawHttp2Client.SETTINGS, 0, 0, RawHttp2Client.setting(4, 0));
+        if (!window.startsWith("shrunk")) {
+            client.sendFrame(RawHttp2Client.SETTINGS, 0, 0, RawHttp2Client.encodeSetting(4, 0));
         }
         int id = client.send(RawHttp2Client.message("m"), "x");
         await(() -> messageAcceptor.messageIds().contains("m"));
-        if (how.startsWith("shrunk")) {
-            client.frame(RawHttp2Client.SETTINGS, 0, 0, RawHttp2Client.setting(4, 1));
+        if (window.startsWith("shrunk")) {
+            client.sendFrame(RawHttp2Client.SETTINGS, 0, 0, RawHttp2Client.encodeSetting(4, 1));
         }
-        for (int i = 0; how.startsWith("opened") && i < 100; i++) {
-            client.frame(RawHttp2Client.WINDOW_UPDATE, 0, id, RawHttp2Client.number(1));
+        for (int i = 0; window.startsWith("opened") && i < 100; i++) {
+            client.sendFrame(RawHttp2Client.WINDOW_UPDATE, 0, id, RawHttp2Client.encodeInt(1));
         }
         acceptSubmission(0);
         assertEquals(202, client.status(id));
-        assertEquals(202, statusOfNext(client));
+        assertEquals(202, sendNextAndAwaitStatus(client));
     }
 
     @Test
-    void clientThatDoesNotReadIsClosedWhileOthersAreServed() throws IOException {
+    void connectionOfAClientThatDoesNotReadIsClosedWhileOthersAreServed() throws IOException {
         serve(options(
                 4_000,
                 8_000,
                 1 << 20,
                 new ConnectionExpiry.TimeLimits(SECOND_MICROS, 60 * SECOND_MICROS, 0, SECOND_MICROS)));
         RawHttp2Client other = client();
-        // Responses fill its small receive buffer, and it reads none of them.
+        // Responses fill the small receive buffer of this client, which reads none of them.
         RawHttp2Client unresponsive = new RawHttp2Client("127.0.0.1", port, 4_096);
         clients.add(unresponsive);
-        unresponsive.preface();
+        unresponsive.sendPreface();
         unresponsive.await(() -> !unresponsive.streamLimits.isEmpty());
-        Thread talker = new Thread(() -> {
+        Thread sender = new Thread(() -> {
             try {
                 for (int i = 0; i < 2_000_000; i++) {
                     unresponsive.send(RawHttp2Client.message("d" + i), "x");
@@ -150,15 +151,15 @@
                 // The relay has closed the connection.
             }
         });
-        talker.start();
+        sender.start();
         int served = 0;
-        long before = onLoop(() -> (long) listener.connections().size());
-        assertEquals(2, before);
+        long connectionsBefore = onLoop(() -> (long) listener.connections().size());
+        assertEquals(2, connectionsBefore);
         while (onLoop(() -> listener.connections().size()) == 2) {
             assertEquals(202, other.status(other.send(RawHttp2Client.message("o" + served++), "x")));
         }
-        assertTrue(served > 5, "served meanwhile: " + served);
-        await(() -> !talker.isAlive());
+        assertTrue(served > 5, "messages served before the close: " + served);
+        await(() -> !sender.isAlive());
         assertEquals(202, other.status(other.send(RawHttp2Client.message("last"), "x")));
     }
 
@@ -177,19 +178,19 @@
             slow.add(large.sendHeaders(
                     RawHttp2Client.message("g" + i, "nonsense", null, 7, 8_000).add("content-length", "65536"), false));
         }
-        // The shared half of the pool holds one of them, so that two wait.
+        // The shared half of the pool is large enough for one of the bodies, so two of them wait.
         large.await(() -> large.windows.containsKey(slow.get(0)));
         RawHttp2Client small = client();
-        int own = small.sendHeaders(RawHttp2Client.message("own").add("content-length", "20000"), false);
-        send(small, own, 20_000);
-        assertEquals(202, small.status(own), "the reservation of its class is available");
-        int common = small.sendHeaders(
+        int reserved = small.sendHeaders(RawHttp2Client.message("own").add("content-length", "20000"), false);
+        send(small, reserved, 20_000);
+        assertEquals(202, small.status(reserved), "the reserved bytes of its class are available");
+        int shared = small.sendHeaders(
                 RawHttp2Client.message("common", "nonsense", null, 7, 8_000).add("content-length", "20000"), false);
-        send(small, common, 20_000);
-        assertEquals(202, small.status(common), "the slow body has released its bytes");
+        send(small, shared, 20_000);
+        assertEquals(202, small.status(shared), "the slow body has released its bytes");
         assertEquals(503, large.status(slow.get(0)));
         assertEquals("1.000", large.retryAfters.get(slow.get(0)));
-        // Bodies without a window get 503, those with a window that are late get 408.
+        // After the read timeout, bodies that wait for a window get 503, and those that have one get 408.
         large.await(() -> large.statuses.size() == 3);
         assertTrue(Set.of(408, 503).containsAll(large.statuses.values()), large.statuses.toString());
         assertEquals(0, onLoop(() -> listener.receiveWindows().allocator().heldBytes()));
@@ -224,7 +225,7 @@
         assertEquals(0, onLoop(() -> listener.receiveWindows().allocator().heldBytes()));
     }
 
-    // ---- the offered number of streams
+    // ---- stream limits
 
     @Test
     void offerShrinksUnderLoadAndExcessStreamsAreRefused() throws IOException {
@@ -248,7 +249,7 @@
         assertEquals(Set.of(REFUSED_STREAM), Set.copyOf(second.resets.values()));
         assertEquals(150, messageAcceptor.submissions.size(), "refused streams were not accepted");
         assertTrue(ids.subList(0, 50).stream().noneMatch(second.resets::containsKey));
-        // The refusals already lower the offer; a high utilization lowers it further.
+        // The refused streams already lower the offer; a high utilization lowers it further.
         messageAcceptor.utilization = 0.95;
         first.await(() -> first.streamLimits.get(first.streamLimits.size() - 1) <= 4);
         messageAcceptor.utilization = 0;
@@ -257,9 +258,9 @@
         assertEquals(100, first.streamLimits.get(0));
     }
 
-    /** A client that exceeds its offer loses the excess streams and not its connection. */
+    /** The excess streams of a client that exceeds its offer are refused, and its connection stays open. */
     @Test
-    void streamsBeyondTheOfferAreRefusedOneByOne() throws IOException {
+    void streamsBeyondTheOfferAreRefusedIndividually() throws IOException {
         serve(options(
                 10,
                 400,
@@ -275,14 +276,15 @@
         assertEquals(10, messageAcceptor.submissions.size());
         IntStream.range(0, 10).forEach(this::acceptSubmission);
         client.await(() -> client.statuses.size() == 10);
-        assertEquals(202, statusOfNext(client));
+        assertEquals(202, sendNextAndAwaitStatus(client));
         assertEquals(List.of(), client.goAways);
     }
 
     // ---- graceful shutdown
 
     /**
-     * Preface and request are pending in the socket when the drain starts: the request is answered, and GOAWAY sent.
+     * If the preface and a request are pending in the socket when the drain starts, the request is answered and GOAWAY
+     * is sent.
      */
     @Test
     void pendingStreamOfANewConnectionIsAnsweredDuringTheDrain() throws IOException {
@@ -290,21 +292,21 @@
         RawHttp2Client client = clientWithoutPreface();
         await(() -> onLoop(() -> listener.connections().size()) == 1);
         onLoop(() -> {
-            begin(client);
+            sendPrefaceAndMessage(client);
             listener.drain(8 * SECOND_MICROS);
             return null;
         });
         assertAnsweredAndGoAwayReceived(client);
     }
 
-    /** The same on a connection in the backlog of the kernel, as the relay is about to end: it is not idle. */
+    /** As above, with the connection in the kernel's backlog: the listener is not idle until it has responded. */
     @Test
-    void pendingStreamDelaysTheEndOfTheRelay() throws IOException {
+    void pendingStreamInTheBacklogDelaysTheShutdown() throws IOException {
         serve(defaultOptions());
         RawHttp2Client client = onLoop(() -> {
             listener.drain(8 * SECOND_MICROS);
             RawHttp2Client late = clientWithoutPreface();
-            begin(late);
+            sendPrefaceAndMessage(late);
             listener.readPending();
             assertFalse(listener.isIdle());
             return late;
@@ -312,7 +314,9 @@
         assertAnsweredAndGoAwayReceived(client);
     }
 
-    /** The same at the connection limit, on the connection that would be evicted: it has received nothing yet. */
+    /**
+     * As above, at the connection limit: the connection would be evicted, as the relay has read nothing from it yet.
+     */
     @Test
     void pendingStreamOfANewConnectionIsAnsweredAtTheConnectionLimit() throws IOException {
         serve(defaultOptions());
@@ -324,7 +328,7 @@
         await(() ->
                 onLoop(() -> listener.connections().size()) == defaultOptions().maxConnections());
         onLoop(() -> {
-            begin(client);
+            sendPrefaceAndMessage(client);
             clientWithoutPreface();
             listener.acceptor().acceptPending();
             return null;
@@ -332,8 +336,8 @@
         assertEquals(202, client.status(1));
     }
 
-    private static void begin(RawHttp2Client client) throws IOException {
-        client.preface();
+    private static void sendPrefaceAndMessage(RawHttp2Client client) throws IOException {
+        client.sendPreface();
         client.send(RawHttp2Client.message("m"), "x");
         client.awaitReceived();
     }
@@ -359,25 +363,25 @@
             listener.drain(8 * SECOND_MICROS);
             return null;
         });
-        // The client reads no further than the first GOAWAY, so that its PING is not acknowledged.
+        // The client reads nothing after the first GOAWAY, so the PING that follows it is not acknowledged.
         client.await(() -> client.goAways.size() == 1);
         assertEquals(Integer.MAX_VALUE, client.goAways.get(0)[0]);
         client.reset(client.sendHeaders(RawHttp2Client.message("half"), false));
         client.await(() -> client.goAways.size() == 2);
-        int last = client.goAways.get(1)[0];
-        assertEquals(201, last, "the last stream that may have been accepted");
+        int lastStreamId = client.goAways.get(1)[0];
+        assertEquals(201, lastStreamId, "id of the last accepted stream");
         int late = client.send(RawHttp2Client.message("late"), "x");
         IntStream.range(50, 100).forEach(this::acceptSubmission);
         client.awaitEnd();
         ids.forEach(id -> assertEquals(202, client.statuses.get(id), id + " of " + client.statuses.keySet()));
         assertTrue(client.responseCounts.values().stream().allMatch(times -> times == 1));
         assertFalse(client.statuses.containsKey(late));
-        assertFalse(messageAcceptor.messageIds().contains("late"), "not accepted");
+        assertFalse(messageAcceptor.messageIds().contains("late"), "a stream above the last stream id was accepted");
         await(() -> onLoop(() -> listener.isIdle()));
     }
 
     @Test
-    void streamBetweenTheGoAwaysIsAcceptedAndAnUnresponsiveClientIsClosed() throws IOException {
+    void streamBetweenTheGoAwaysIsAcceptedAndAnUnresponsiveConnectionIsClosed() throws IOException {
         serve(defaultOptions());
         messageAcceptor.acceptsAll = false;
         RawHttp2Client client = client();
@@ -390,7 +394,7 @@
         client.send(RawHttp2Client.message("between"), "x");
         await(() -> messageAcceptor.messageIds().contains("between"));
         await(() -> onLoop(() -> listener.isIdle()));
-        // Its streams are still open, and their messages go on.
+        // The streams are still open at the close, and their messages are processed.
         client.awaitEnd();
         await(() -> messageAcceptor.disconnected.equals(Set.of("before", "between")));
         RawHttp2Client fresh = client();
--- a/src/test/java/loftflow/listener/http2/Http2Benchmark.java
+++ b/src/test/java/loftflow/listener/http2/Http2Benchmark.java
@@ -20,36 +20,38 @@
 import loftflow.fake.TemporaryFolder;
 
 /**
- * Measurements of HTTP/2 and HTTP/1.1, each a command: {@code load CORE} (messages per second, CPU time of each, p99 at
- * 70 % load, with the relay on one core), {@code memory} (of idle connections and open streams), {@code slow CORE} (fast
- * clients beside ten unresponsive ones), {@code standing} (a relay for external clients, until it is stopped).
+ * Measures the HTTP/2 and HTTP/1.1 listeners. The commands are {@code load CORE} (messages per second, CPU time per
+ * message, and latency at 70 % load, with the relay pinned to one core), {@code memory} (memory of idle connections and
+ * open streams), {@code slow CORE} (latency of fast clients next to ten slow or flooding ones) and {@code standing}
+ * (runs a relay for external clients until standard input ends).
  */
 public final class Http2Benchmark {
-    /** The number of connections and of concurrent requests on each; HTTP/1.1 has one. */
-    private record Shape(boolean http2, int connections, int streams) {
+    /** The number of connections, and of concurrent requests on each, which is 1 for HTTP/1.1. */
+    private record Shape(boolean isHttp2, int connections, int streams) {
         @Override
         public String toString() {
-            return http2 ? "HTTP/2 " + connections + " x " + streams : "HTTP/1.1 " + connections;
+            return isHttp2 ? "HTTP/2 " + connections + " x " + streams : "HTTP/1.1 " + connections;
         }
     }
 
-    /** The result of a load; sorted latencies in milliseconds from when a request was due. */
+    /** The result of a load. Latencies are sorted, in milliseconds from the time at which a request was due. */
     private record Outcome(long accepted, long rejected, List<Double> latencies) {
-        double at(double share) {
+        /** Returns a quantile of the latencies; 0 if there are none. */
+        double latency(double quantile) {
             return latencies.isEmpty()
                     ? 0
-                    : latencies.get((int) Math.min(latencies.size() - 1, latencies.size() * share));
+                    : latencies.get((int) Math.min(latencies.size() - 1, latencies.size() * quantile));
         }
     }
 
     private static final int ROUNDS = 2;
     private static final double SECONDS = 5;
     private static final String BODY = "x".repeat(300);
-    private static final AtomicLong IDS = new AtomicLong();
+    private static final AtomicLong NEXT_ID = new AtomicLong();
 
     private Http2Benchmark() {}
 
-    /** Runs one command. */
+    /** Runs the command in the arguments. */
     public static void main(String[] args) throws Exception {
         try (TemporaryFolder scratch = TemporaryFolder.named("measure")) {
             Path folder = scratch.folder();
@@ -58,18 +60,18 @@
                 case "memory" -> memory(folder);
                 case "slow" -> slow(folder, args[1]);
                 case "standing" -> standing(folder);
-                default -> say("load CORE, memory, slow CORE or standing");
+                default -> print("commands: load CORE, memory, slow CORE or standing");
             }
         }
         System.exit(0);
     }
 
-    private static void say(String form, Object... values) {
+    private static void print(String form, Object... values) {
         System.out.println(String.format(Locale.ROOT, form, values));
     }
 
-    private static ServedRelay relay(Path folder, String name, FakePartner partner, int descriptors, String front)
-            throws Exception {
+    private static ServedRelay startRelay(
+            Path folder, String name, FakePartner partner, int descriptors, String frontSettings) throws Exception {
         Path application = Files.writeString(
                 folder.resolve(name + ".toml"),
                 """
@@ -101,7 +103,7 @@
                 id = "e1"
                 address = "%s"
                 """
-                        .formatted(name, descriptors, folder.resolve(name), front, partner.address()));
+                        .formatted(name, descriptors, folder.resolve(name), frontSettings, partner.address()));
         ConfigTool.Outcome outcome = ConfigTool.write(application, folder, true);
         if (outcome.after() == null) {
             throw new IOException(outcome.findings().toString());
@@ -115,7 +117,7 @@
         return relay;
     }
 
-    private static void pin(ServedRelay relay, String core) throws Exception {
+    private static void pinToCore(ServedRelay relay, String core) throws Exception {
         new ProcessBuilder(
                         "taskset",
                         "-a",
@@ -131,27 +133,30 @@
     // ---- load
 
     /**
-     * Sends messages for a time: as fast as responses arrive, or at a rate, where each latency counts from when the
-     * message was due.
+     * Sends messages for a time, and returns the responses and latencies. Each latency is measured from the time at
+     * which the message was due.
+     *
+     * @param rate messages per second; 0 to send as fast as responses arrive
      */
-    private static Outcome run(ServedRelay relay, Shape shape, double seconds, double rate) throws Exception {
+    private static Outcome sendLoad(ServedRelay relay, Shape shape, double seconds, double rate) throws Exception {
         AtomicLong accepted = new AtomicLong();
         AtomicLong rejected = new AtomicLong();
         ConcurrentLinkedQueue<Double> latencies = new ConcurrentLinkedQueue<>();
-        AtomicLong next = new AtomicLong();
-        long start = System.nanoTime();
-        long end = start + (long) (seconds * 1e9);
+        AtomicLong nextMessage = new AtomicLong();
+        long startNanos = System.nanoTime();
+        long endNanos = startNanos + (long) (seconds * 1e9);
         List<Thread> threads = new ArrayList<>();
         for (int c = 0; c < shape.connections(); c++) {
             Thread thread = new Thread(() -> {
                 try {
-                    if (shape.http2()) {
-                        http2(relay, shape, start, end, rate, next, accepted, rejected, latencies);
+                    if (shape.isHttp2()) {
+                        sendOverHttp2(
+                                relay, shape, startNanos, endNanos, rate, nextMessage, accepted, rejected, latencies);
                     } else {
-                        http1(relay, start, end, rate, next, accepted, rejected, latencies);
+                        sendOverHttp1(relay, startNanos, endNanos, rate, nextMessage, accepted, rejected, latencies);
                     }
                 } catch (IOException | InterruptedException e) {
-                    say("%s", e);
+                    print("%s", e);
                 }
             });
             threads.add(thread);
@@ -164,43 +169,44 @@
                 accepted.get(), rejected.get(), latencies.stream().sorted().toList());
     }
 
-    private static long due(long start, double rate, AtomicLong next) throws InterruptedException {
+    /** Waits until the next message is due, and returns that time in nanoseconds; without a rate, it is due now. */
+    private static long awaitDue(long startNanos, double rate, AtomicLong nextMessage) throws InterruptedException {
         if (rate <= 0) {
             return System.nanoTime();
         }
-        long due = start + (long) (next.getAndIncrement() * 1e9 / rate);
-        TimeUnit.NANOSECONDS.sleep(due - System.nanoTime());
-        return due;
+        long dueNanos = startNanos + (long) (nextMessage.getAndIncrement() * 1e9 / rate);
+        TimeUnit.NANOSECONDS.sleep(dueNanos - System.nanoTime());
+        return dueNanos;
     }
 
-    private static void http1(
+    private static void sendOverHttp1(
             ServedRelay relay,
-            long start,
-            long end,
+            long startNanos,
+            long endNanos,
             double rate,
-            AtomicLong next,
+            AtomicLong nextMessage,
             AtomicLong accepted,
             AtomicLong rejected,
             ConcurrentLinkedQueue<Double> latencies)
             throws IOException, InterruptedException {
         try (FakeClient client = relay.client()) {
-            while (System.nanoTime() < end) {
-                long due = due(start, rate, next);
-                boolean ok =
-                        client.handIn("m" + IDS.getAndIncrement(), "settlement", null, null, 7, 2_000, BODY) == 202;
-                (ok ? accepted : rejected).incrementAndGet();
-                latencies.add((System.nanoTime() - due) / 1e6);
+            while (System.nanoTime() < endNanos) {
+                long dueNanos = awaitDue(startNanos, rate, nextMessage);
+                boolean isAccepted =
+                        client.handIn("m" + NEXT_ID.getAndIncrement(), "settlement", null, null, 7, 2_000, BODY) == 202;
+                (isAccepted ? accepted : rejected).incrementAndGet();
+                latencies.add((System.nanoTime() - dueNanos) / 1e6);
             }
         }
     }
 
-    private static void http2(
+    private static void sendOverHttp2(
             ServedRelay relay,
             Shape shape,
-            long start,
-            long end,
+            long startNanos,
+            long endNanos,
             double rate,
-            AtomicLong next,
+            AtomicLong nextMessage,
             AtomicLong accepted,
             AtomicLong rejected,
             ConcurrentLinkedQueue<Double> latencies)
@@ -224,39 +230,40 @@
                         return false;
                     });
                 } catch (IOException e) {
-                    // The client was closed at the end.
+                    // The connection is closed at the end of the load.
                 }
             });
             reader.start();
-            while (System.nanoTime() < end) {
-                long due = due(start, rate, next);
+            while (System.nanoTime() < endNanos) {
+                long dueNanos = awaitDue(startNanos, rate, nextMessage);
                 if (!permits.tryAcquire(5, TimeUnit.SECONDS)) {
                     throw new IOException("no response within 5 s; in flight: " + inFlight.size() + ", GOAWAY: "
                             + client.goAways.stream()
-                                    .map(g -> g[0] + "/" + g[1])
-                                    .toList() + ", ended " + client.hasEnded);
+                                    .map(goAway -> goAway[0] + "/" + goAway[1])
+                                    .toList() + ", connection closed: " + client.hasEnded);
                 }
                 while (inFlight.size() >= client.streamLimits.get(client.streamLimits.size() - 1)) {
                     Thread.sleep(0, 100_000);
                 }
-                // Stored before it is sent, as its response may be faster.
-                inFlight.put(client.nextStream(), due);
-                client.send(RawHttp2Client.message("m" + IDS.getAndIncrement(), "settlement", null, 7, 2_000), BODY);
+                // Stored before sending, as the reader thread may receive the response first.
+                inFlight.put(client.nextStreamId(), dueNanos);
+                client.send(
+                        RawHttp2Client.message("m" + NEXT_ID.getAndIncrement(), "settlement", null, 7, 2_000), BODY);
             }
             permits.tryAcquire(shape.streams(), 5, TimeUnit.SECONDS);
         }
     }
 
     private static void onResponse(
-            Long due,
-            boolean ok,
+            Long dueNanos,
+            boolean isAccepted,
             AtomicLong accepted,
             AtomicLong rejected,
             ConcurrentLinkedQueue<Double> latencies,
             Semaphore permits) {
-        if (due != null) {
-            (ok ? accepted : rejected).incrementAndGet();
-            latencies.add((System.nanoTime() - due) / 1e6);
+        if (dueNanos != null) {
+            (isAccepted ? accepted : rejected).incrementAndGet();
+            latencies.add((System.nanoTime() - dueNanos) / 1e6);
             permits.release();
         }
     }
@@ -273,27 +280,27 @@
         for (int round = 0; round < ROUNDS; round++) {
             for (Shape shape : only < 0 ? shapes : shapes.subList(only, only + 1)) {
                 try (FakePartner partner = new FakePartner(0, 0);
-                        ServedRelay relay = relay(
+                        ServedRelay relay = startRelay(
                                 folder, "load" + round + shapes.indexOf(shape), partner, 1_024, "streams = 100")) {
-                    pin(relay, core);
-                    run(relay, shape, 4, 0);
+                    pinToCore(relay, core);
+                    sendLoad(relay, shape, 4, 0);
                     Thread.sleep(1_000);
-                    double before = relay.cpuSeconds();
-                    Outcome fast = run(relay, shape, SECONDS, 0);
+                    double cpuSecondsBefore = relay.cpuSeconds();
+                    Outcome saturated = sendLoad(relay, shape, SECONDS, 0);
                     Thread.sleep(1_000);
-                    double each = (relay.cpuSeconds() - before) * 1e6 / fast.accepted();
-                    double capacity = fast.accepted() / SECONDS;
+                    double cpuMicrosPerMessage = (relay.cpuSeconds() - cpuSecondsBefore) * 1e6 / saturated.accepted();
+                    double capacity = saturated.accepted() / SECONDS;
                     Thread.sleep(1_000);
-                    Outcome paced = run(relay, shape, SECONDS, capacity * 0.7);
-                    say(
-                            "%s: %.0f a second on one core (%d refused), %.0f us of CPU each; at 70%% p50 %.1f ms, p99 %.1f ms, %d of %d"
-                                    + " refused",
+                    Outcome paced = sendLoad(relay, shape, SECONDS, capacity * 0.7);
+                    print(
+                            "%s: %.0f messages per second on one core (%d rejected), %.0f us of CPU time per message;"
+                                    + " at 70%% load p50 %.1f ms, p99 %.1f ms, %d of %d rejected",
                             shape,
                             capacity,
-                            fast.rejected(),
-                            each,
-                            paced.at(0.5),
-                            paced.at(0.99),
+                            saturated.rejected(),
+                            cpuMicrosPerMessage,
+                            paced.latency(0.5),
+                            paced.latency(0.99),
                             paced.rejected(),
                             paced.accepted() + paced.rejected());
                 }
@@ -305,14 +312,14 @@
 
     private static void memory(Path folder) throws Exception {
         try (FakePartner partner = new FakePartner(0, 0);
-                ServedRelay relay = relay(folder, "memory", partner, 4_096, "streams = 1000\nidle = \"10m\"")) {
+                ServedRelay relay = startRelay(folder, "memory", partner, 4_096, "streams = 1000\nidle = \"10m\"")) {
             for (int i = 0; i < 2_000; i++) {
-                try (RawHttp2Client warm = RawHttp2Client.open("127.0.0.1", relay.http2Port())) {
-                    warm.status(warm.send(RawHttp2Client.message("w" + i), BODY));
+                try (RawHttp2Client warmUp = RawHttp2Client.open("127.0.0.1", relay.http2Port())) {
+                    warmUp.status(warmUp.send(RawHttp2Client.message("w" + i), BODY));
                 }
             }
-            collect(relay);
-            long before = relay.residentKib();
+            collectGarbage(relay);
+            long residentKibBefore = relay.residentKib();
             List<RawHttp2Client> idle = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
                 RawHttp2Client client = RawHttp2Client.open("127.0.0.1", relay.http2Port());
@@ -320,9 +327,11 @@
                 idle.add(client);
             }
             Thread.sleep(1_000);
-            long heap = collect(relay);
-            say("1,000 idle connections: %d KiB resident more, heap in use %d KiB", relay.residentKib() - before, heap);
-            // Open and partly received: they stay for 2.5 s.
+            long heapKib = collectGarbage(relay);
+            print(
+                    "1,000 idle connections: %d KiB more resident memory, %d KiB of heap in use",
+                    relay.residentKib() - residentKibBefore, heapKib);
+            // The requests stay incomplete, so the streams stay open until the read timeout of 2.5 s.
             for (int c = 0; c < 10; c++) {
                 for (int i = 0; i < 1_000; i++) {
                     idle.get(c)
@@ -331,75 +340,76 @@
                 }
             }
             Thread.sleep(700);
-            say(
-                    "10,000 open streams beside: %d KiB resident more, heap in use %d KiB",
-                    relay.residentKib() - before, collect(relay));
+            print(
+                    "10,000 open streams in addition: %d KiB more resident memory, %d KiB of heap in use",
+                    relay.residentKib() - residentKibBefore, collectGarbage(relay));
             for (RawHttp2Client client : idle) {
                 client.close();
             }
         }
     }
 
-    /** Requests a garbage collection with the JDK's own tool, and returns the heap in use after it, in KiB. */
-    private static long collect(ServedRelay relay) throws Exception {
-        for (String what : List.of("GC.run", "GC.heap_info")) {
+    /** Runs a garbage collection in the relay with {@code jcmd}, and returns the heap in use afterwards, in KiB. */
+    private static long collectGarbage(ServedRelay relay) throws Exception {
+        for (String command : List.of("GC.run", "GC.heap_info")) {
             Process tool = new ProcessBuilder(
                             Path.of(System.getProperty("java.home"), "bin", "jcmd")
                                     .toString(),
                             Long.toString(relay.process().pid()),
-                            what)
+                            command)
                     .redirectErrorStream(true)
                     .start();
-            String text = new String(tool.getInputStream().readAllBytes());
+            String output = new String(tool.getInputStream().readAllBytes());
             tool.waitFor();
-            if (what.equals("GC.heap_info")) {
-                long used = 0;
+            if (command.equals("GC.heap_info")) {
+                long usedKib = 0;
                 var matcher = java.util.regex.Pattern.compile("(?:generation|new|tenured).*?used (\\d+)K")
-                        .matcher(text);
+                        .matcher(output);
                 while (matcher.find()) {
-                    used += Long.parseLong(matcher.group(1));
+                    usedKib += Long.parseLong(matcher.group(1));
                 }
-                return used;
+                return usedKib;
             }
         }
         return 0;
     }
 
-    // ---- beside unresponsive clients
+    // ---- fast clients next to slow ones
 
     /**
-     * Fast clients beside ten others: none, at 20 messages a second and reading, at 20 a second and not reading, and
-     * flooding with invalid requests.
+     * Measures fast clients without other clients, and next to ten clients that send 20 messages per second and read
+     * the responses, send as many and do not read, or flood the relay with invalid requests.
      */
     private static void slow(Path folder, String core) throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
-            for (String kind : List.of("none", "reading", "deaf", "flooding")) {
+            for (String kind : List.of("none", "reading", "non-reading", "flooding")) {
                 try (FakePartner partner = new FakePartner(0, 0);
                         ServedRelay relay =
-                                relay(folder, kind + round, partner, 1_024, "streams = 100\nstall = \"2s\"")) {
-                    pin(relay, core);
+                                startRelay(folder, kind + round, partner, 1_024, "streams = 100\nstall = \"2s\"")) {
+                    pinToCore(relay, core);
                     Shape shape = new Shape(true, 4, 32);
-                    run(relay, shape, 4, 0);
-                    AtomicInteger ended = new AtomicInteger();
+                    sendLoad(relay, shape, 4, 0);
+                    AtomicInteger closedConnections = new AtomicInteger();
                     List<RawHttp2Client> others = new ArrayList<>();
                     for (int i = 0; i < 10 && !kind.equals("none"); i++) {
                         RawHttp2Client client = RawHttp2Client.open("127.0.0.1", relay.http2Port());
                         client.await(() -> !client.streamLimits.isEmpty());
                         others.add(client);
-                        Thread talker = new Thread(() -> talk(client, kind, ended));
-                        talker.setDaemon(true);
-                        talker.start();
+                        Thread sender = new Thread(() -> sendUntilClosed(client, kind, closedConnections));
+                        sender.setDaemon(true);
+                        sender.start();
                     }
                     Thread.sleep(2_000);
-                    Outcome paced = run(relay, shape, SECONDS, 1_500);
-                    say(
-                            "beside 10 %s: %d of %d taken of fast ones at 1,500 a second, p50 %.1f ms, p99 %.1f ms; ended %d",
+                    Outcome paced = sendLoad(relay, shape, SECONDS, 1_500);
+                    print(
+                            "fast clients at 1,500 messages per second, other clients %s: %d of %d accepted,"
+                                    + " p50 %.1f ms, p99 %.1f ms; closed connections of others: %d",
                             kind,
                             paced.accepted(),
                             paced.accepted() + paced.rejected(),
-                            paced.at(0.5),
-                            paced.at(0.99),
-                            ended.get());
+                            paced.latency(0.5),
+                            paced.latency(0.99),
+                            closedConnections.get());
                     for (RawHttp2Client client : others) {
                         client.close();
                     }
@@ -408,7 +418,7 @@
         }
     }
 
-    private static void talk(RawHttp2Client client, String kind, AtomicInteger ended) {
+    private static void sendUntilClosed(RawHttp2Client client, String kind, AtomicInteger closedConnections) {
         try {
             while (true) {
                 if (kind.equals("flooding")) {
@@ -416,28 +426,30 @@
                     continue;
                 }
                 int stream = client.send(
-                        RawHttp2Client.message("o" + IDS.getAndIncrement(), "settlement", null, 7, 2_000), BODY);
+                        RawHttp2Client.message("o" + NEXT_ID.getAndIncrement(), "settlement", null, 7, 2_000), BODY);
                 if (kind.equals("reading")) {
                     client.status(stream);
                 }
                 Thread.sleep(50);
             }
         } catch (IOException | InterruptedException e) {
-            ended.incrementAndGet();
+            closedConnections.incrementAndGet();
         }
     }
 
     private static void standing(Path folder) throws Exception {
         try (FakePartner partner = new FakePartner(0, 0);
-                ServedRelay relay = relay(folder, "standing", partner, 1_024, "")) {
-            say("HTTP/2 on %d", relay.http2Port());
+                ServedRelay relay = startRelay(folder, "standing", partner, 1_024, "")) {
+            print("HTTP/2 on %d", relay.http2Port());
             while (System.in.read() >= 0) {
                 continue;
             }
-            say(
-                    "took effect: %d, twice %d",
+            print(
+                    "executed: %d, more than once: %d",
                     partner.effects().size(),
-                    partner.effects().values().stream().filter(n -> n > 1).count());
+                    partner.effects().values().stream()
+                            .filter(executions -> executions > 1)
+                            .count());
         }
     }
 }
--- a/src/test/java/loftflow/listener/http2/Http2TestBase.java
+++ b/src/test/java/loftflow/listener/http2/Http2TestBase.java
@@ -19,7 +19,7 @@
 import loftflow.listener.http2.flowcontrol.ConnectionExpiry;
 import org.junit.jupiter.api.AfterEach;
 
-/** A listener on an event loop of its own, whose messages the test accepts. */
+/** Runs an HTTP/2 listener on its own event loop, with a message acceptor that the test controls. */
 abstract class Http2TestBase {
     static final long SECOND_MICROS = 1_000_000;
     static final int NO_ERROR = 0;
@@ -50,13 +50,14 @@
                 new ConnectionExpiry.TimeLimits(SECOND_MICROS, 60 * SECOND_MICROS, 0, SECOND_MICROS));
     }
 
-    static Http2Listener.Options options(int streams, int total, long pool, ConnectionExpiry.TimeLimits limits) {
+    static Http2Listener.Options options(
+            int maxStreamsPerConnection, int maxStreams, long poolBytes, ConnectionExpiry.TimeLimits limits) {
         return new Http2Listener.Options(
                 20,
-                new ConcurrentStreamLimit.Bounds(2, streams, total),
+                new ConcurrentStreamLimit.Bounds(2, maxStreamsPerConnection, maxStreams),
                 16 << 10,
                 256 << 10,
-                pool,
+                poolBytes,
                 Map.of("settlement", 0.8, "car-order", 0.2),
                 100,
                 limits,
@@ -76,6 +77,7 @@
                 .getPort();
     }
 
+    /** Opens a connection and returns once the relay's SETTINGS have been received. */
     RawHttp2Client client() throws IOException {
         RawHttp2Client client = RawHttp2Client.open("127.0.0.1", port);
         clients.add(client);
@@ -83,6 +85,7 @@
         return client;
     }
 
+    /** Opens a connection without sending anything on it. */
     RawHttp2Client clientWithoutPreface() throws IOException {
         RawHttp2Client client = new RawHttp2Client("127.0.0.1", port);
         clients.add(client);
@@ -94,7 +97,7 @@
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    /** Accepts the submission with an index. */
+    /** Accepts the submission at an index. */
     void acceptSubmission(int index) {
         onLoop(() -> {
             messageAcceptor.submissions.get(index).client().accepted();
@@ -103,17 +106,17 @@
     }
 
     /** Asserts that a message on a new connection is accepted. */
-    void assertServes(String id) throws IOException {
+    void assertServes(String messageId) throws IOException {
         RawHttp2Client other = client();
         boolean acceptedAll = messageAcceptor.acceptsAll;
         messageAcceptor.acceptsAll = true;
-        assertEquals(202, other.status(other.send(RawHttp2Client.message(id), "x")));
+        assertEquals(202, other.status(other.send(RawHttp2Client.message(messageId), "x")));
         messageAcceptor.acceptsAll = acceptedAll;
         other.close();
     }
 
     @AfterEach
-    void endAll() throws IOException {
+    void stop() throws IOException {
         for (RawHttp2Client client : clients) {
             client.close();
         }
--- a/src/test/java/loftflow/listener/http2/RawHttp2Client.java
+++ b/src/test/java/loftflow/listener/http2/RawHttp2Client.java
@@ -22,11 +22,11 @@
 import loftflow.server.KernelSocketState;
 
 /**
- * A client that sends any frame, also a malformed one (RFC 9113, section 4.1), and stores all that it receives. It
- * reads only while a caller waits for something, so that a client without a caller does not read.
+ * A client that sends arbitrary frames, including malformed ones (RFC 9113, section 4.1), and stores what it receives.
+ * It reads only during a call that waits, so that a test can simulate a client that does not read.
  */
 public final class RawHttp2Client implements AutoCloseable {
-    /** The condition that a caller waits for. */
+    /** A condition that a caller waits for. */
     public interface Condition {
         boolean isMet();
     }
@@ -49,12 +49,13 @@
 
     /** A received frame. */
     record Frame(int type, int flags, int stream, byte[] payload) {
-        int number() {
+        /** Returns the first 32 bits of the payload. */
+        int firstInt() {
             return ByteBuffer.wrap(payload).getInt();
         }
 
-        int number(int at) {
-            return ByteBuffer.wrap(payload).getInt(at);
+        int intAt(int index) {
+            return ByteBuffer.wrap(payload).getInt(index);
         }
     }
 
@@ -62,18 +63,25 @@
     private final DataInputStream in;
     private final Http2HeadersEncoder encoder = new DefaultHttp2HeadersEncoder();
     private final DefaultHttp2HeadersDecoder decoder = new DefaultHttp2HeadersDecoder(false);
-    /** The status of each stream with a response; {@link #responseCounts} counts the responses. */
+    /** The status of the response, by stream id. */
     public final Map<Integer, Integer> statuses = new ConcurrentSkipListMap<>();
 
+    /** The number of responses, by stream id. */
     public final Map<Integer, Integer> responseCounts = new ConcurrentSkipListMap<>();
+    /** The error of the first RST_STREAM, by stream id. */
     public final Map<Integer, Integer> resets = new ConcurrentSkipListMap<>();
+
     final Map<Integer, String> retryAfters = new ConcurrentSkipListMap<>();
+    /** The sum of the window increments, by stream id; 0 is the connection. */
     final Map<Integer, Long> windows = new ConcurrentSkipListMap<>();
-    /** Each GOAWAY: the last stream, and the error. */
+    /** The last stream id and the error of each GOAWAY. */
     public final List<int[]> goAways = new CopyOnWriteArrayList<>();
 
+    /** The values of SETTINGS_MAX_CONCURRENT_STREAMS, in the order received. */
     final List<Integer> streamLimits = new CopyOnWriteArrayList<>();
+    /** Whether the peer has closed the connection. */
     boolean hasEnded;
+
     private final Map<Integer, Long> sentByStream = new ConcurrentSkipListMap<>();
     private long sentBytes;
     private int nextStreamId = 1;
@@ -88,7 +96,7 @@
     RawHttp2Client(String host, int port, int receiveBufferBytes) throws IOException {
         socket = new Socket();
         if (receiveBufferBytes > 0) {
-            // The size is effective before the connect only: the peer learns of the window in the handshake.
+            // Must be set before connecting, as the TCP window is negotiated in the handshake.
             socket.setReceiveBufferSize(receiveBufferBytes);
         }
         socket.connect(new InetSocketAddress(host, port));
@@ -100,13 +108,13 @@
     /** Connects and sends the connection preface. */
     public static RawHttp2Client open(String host, int port) throws IOException {
         RawHttp2Client client = new RawHttp2Client(host, port);
-        client.preface();
+        client.sendPreface();
         return client;
     }
 
-    void preface() throws IOException {
+    void sendPreface() throws IOException {
         write("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        frame(SETTINGS, 0, 0, new byte[0]);
+        sendFrame(SETTINGS, 0, 0, new byte[0]);
     }
 
     synchronized void write(byte[] bytes) throws IOException {
@@ -114,12 +122,12 @@
         socket.getOutputStream().write(bytes);
     }
 
-    /** Waits until all that was sent is pending in the socket of the peer. */
+    /** Waits until all sent bytes are pending in the peer's socket. */
     void awaitReceived() {
         KernelSocketState.ofPeer(socket).awaitUnread(writtenBytes);
     }
 
-    static byte[] bytes(int type, int flags, int stream, byte[] payload) {
+    static byte[] encodeFrame(int type, int flags, int stream, byte[] payload) {
         return ByteBuffer.allocate(9 + payload.length)
                 .put((byte) (payload.length >> 16))
                 .putShort((short) payload.length)
@@ -130,43 +138,44 @@
                 .array();
     }
 
-    void frame(int type, int flags, int stream, byte[] payload) throws IOException {
-        write(bytes(type, flags, stream, payload));
+    void sendFrame(int type, int flags, int stream, byte[] payload) throws IOException {
+        write(encodeFrame(type, flags, stream, payload));
     }
 
-    /** Sends one frame many times, in few writes; stops early where the peer closes. */
+    /** Sends a frame repeatedly, many per write; stops early if the peer closes the connection. */
     void flood(int count, byte[] frame) {
-        ByteBuffer many = ByteBuffer.allocate(frame.length * 1000);
-        while (many.hasRemaining()) {
-            many.put(frame);
+        ByteBuffer batch = ByteBuffer.allocate(frame.length * 1000);
+        while (batch.hasRemaining()) {
+            batch.put(frame);
         }
         try {
             for (int i = 0; i < count; i += 1000) {
-                write(many.array());
+                write(batch.array());
             }
         } catch (IOException e) {
-            // The peer has closed; what it sent before can still be read.
+            // The peer has closed the connection; frames that it sent before can still be read.
         }
     }
 
-    static byte[] number(int value) {
+    static byte[] encodeInt(int value) {
         return ByteBuffer.allocate(4).putInt(value).array();
     }
 
-    static byte[] setting(int id, int value) {
+    static byte[] encodeSetting(int id, int value) {
         return ByteBuffer.allocate(6).putShort((short) id).putInt(value).array();
     }
 
-    /** The head of a message. */
-    public static Http2Headers message(String id, String type, String key, int destination, long budgetMs) {
+    /** Returns the head of a message; without an idempotency key if the key is null. */
+    public static Http2Headers message(
+            String id, String requestClass, String key, int destination, long timeoutMillis) {
         Http2Headers head = new DefaultHttp2Headers(false)
                 .method("POST")
                 .scheme("http")
                 .path("/api")
                 .authority("relay")
                 .add("x-call-id", id)
-                .add("x-call-class", type)
-                .add("x-budget-ms", Long.toString(budgetMs))
+                .add("x-call-class", requestClass)
+                .add("x-budget-ms", Long.toString(timeoutMillis))
                 .add("x-consignee", "dest=" + destination);
         return key == null ? head : head.add("idempotency-key", key);
     }
@@ -185,25 +194,25 @@
         return ByteBufUtil.getBytes(block);
     }
 
-    /** Begins a stream and returns its id. */
-    public int sendHeaders(Http2Headers head, boolean last) throws IOException {
+    /** Opens a stream with HEADERS, and returns its id. */
+    public int sendHeaders(Http2Headers head, boolean isEndOfStream) throws IOException {
         int id = nextStreamId;
         nextStreamId += 2;
-        frame(HEADERS, END_HEADERS | (last ? END_STREAM : 0), id, encodeHeaders(id, head));
+        sendFrame(HEADERS, END_HEADERS | (isEndOfStream ? END_STREAM : 0), id, encodeHeaders(id, head));
         return id;
     }
 
-    /** The id of the next stream. */
-    int nextStream() {
+    /** Returns the id of the next stream. */
+    int nextStreamId() {
         return nextStreamId;
     }
 
-    /** Sends a whole message in one write, and returns the id of its stream. */
+    /** Sends a complete message in one write, and returns the id of its stream. */
     public int send(Http2Headers head, String body) throws IOException {
         int id = nextStreamId;
         nextStreamId += 2;
-        byte[] block = bytes(HEADERS, END_HEADERS, id, encodeHeaders(id, head));
-        byte[] data = bytes(DATA, END_STREAM, id, body.getBytes(StandardCharsets.UTF_8));
+        byte[] block = encodeFrame(HEADERS, END_HEADERS, id, encodeHeaders(id, head));
+        byte[] data = encodeFrame(DATA, END_STREAM, id, body.getBytes(StandardCharsets.UTF_8));
         write(ByteBuffer.allocate(block.length + data.length)
                 .put(block)
                 .put(data)
@@ -211,26 +220,28 @@
         return id;
     }
 
-    public void sendData(int stream, byte[] body, boolean last) throws IOException {
-        frame(DATA, last ? END_STREAM : 0, stream, body);
+    public void sendData(int stream, byte[] body, boolean isEndOfStream) throws IOException {
+        sendFrame(DATA, isEndOfStream ? END_STREAM : 0, stream, body);
     }
 
-    /** Sends a chunk of a body once the windows of the connection and the stream allow it. */
-    void sendWithinWindow(int stream, byte[] body, boolean last) throws IOException {
+    /**
+     * Sends a chunk of a body once the windows of the connection and the stream allow it, or a response has arrived.
+     */
+    void sendWithinWindow(int stream, byte[] body, boolean isEndOfStream) throws IOException {
         await(() -> INITIAL_WINDOW_BYTES + windows.getOrDefault(0, 0L) - sentBytes >= body.length
                         && 4_096 + windows.getOrDefault(stream, 0L) - sentByStream.getOrDefault(stream, 0L)
                                 >= body.length
                 || statuses.containsKey(stream));
         sentBytes += body.length;
         sentByStream.merge(stream, (long) body.length, Long::sum);
-        sendData(stream, body, last);
+        sendData(stream, body, isEndOfStream);
     }
 
     public void reset(int stream) throws IOException {
-        frame(RST_STREAM, 0, stream, number(8));
+        sendFrame(RST_STREAM, 0, stream, encodeInt(8));
     }
 
-    /** Reads and stores one frame; returns false where the peer has closed. */
+    /** Reads and stores one frame; returns false if the peer has closed the connection. */
     boolean read() throws IOException {
         Frame frame;
         try {
@@ -249,7 +260,7 @@
     private void store(Frame frame) throws IOException {
         switch (frame.type()) {
             case HEADERS -> {
-                Http2Headers head = headers(frame);
+                Http2Headers head = decodeHeaders(frame);
                 int status = Integer.parseInt(head.status().toString());
                 if (status >= 200) {
                     statuses.put(frame.stream(), status);
@@ -259,12 +270,12 @@
                     }
                 }
             }
-            case RST_STREAM -> resets.putIfAbsent(frame.stream(), frame.number());
-            case GOAWAY -> goAways.add(new int[] {frame.number(), frame.number(4)});
-            case WINDOW_UPDATE -> windows.merge(frame.stream(), (long) frame.number(), Long::sum);
+            case RST_STREAM -> resets.putIfAbsent(frame.stream(), frame.firstInt());
+            case GOAWAY -> goAways.add(new int[] {frame.firstInt(), frame.intAt(4)});
+            case WINDOW_UPDATE -> windows.merge(frame.stream(), (long) frame.firstInt(), Long::sum);
             case PING -> {
                 if ((frame.flags() & ACK) == 0) {
-                    answer(PING, frame.payload());
+                    acknowledge(PING, frame.payload());
                 }
             }
             case SETTINGS -> {
@@ -277,22 +288,22 @@
                             streamLimits.add(value);
                         }
                     }
-                    answer(SETTINGS, new byte[0]);
+                    acknowledge(SETTINGS, new byte[0]);
                 }
             }
             default -> {}
         }
     }
 
-    private void answer(int type, byte[] payload) {
+    private void acknowledge(int type, byte[] payload) {
         try {
-            frame(type, ACK, 0, payload);
+            sendFrame(type, ACK, 0, payload);
         } catch (IOException e) {
-            // The peer reads no more; what it sends is still read.
+            // The peer has stopped reading; frames that it sends are still read.
         }
     }
 
-    private Http2Headers headers(Frame frame) {
+    private Http2Headers decodeHeaders(Frame frame) {
         try {
             return decoder.decodeHeaders(frame.stream(), Unpooled.wrappedBuffer(frame.payload()));
         } catch (Http2Exception e) {
@@ -300,33 +311,33 @@
         }
     }
 
-    /** Reads until a condition holds; returns false where the peer closes before. */
-    public boolean await(Condition until) throws IOException {
-        while (!until.isMet()) {
+    /** Reads until a condition is met; returns false if the peer closes the connection first. */
+    public boolean await(Condition condition) throws IOException {
+        while (!condition.isMet()) {
             if (!read()) {
-                return until.isMet();
+                return condition.isMet();
             }
         }
         return true;
     }
 
-    /** Awaits the response of a stream and returns its status; 0 where the stream is reset. */
+    /** Awaits the response or reset of a stream; returns the response status, or 0 if there is none. */
     public int status(int stream) throws IOException {
         await(() -> statuses.containsKey(stream) || resets.containsKey(stream));
         return statuses.getOrDefault(stream, 0);
     }
 
-    /** Reads until the peer closes. */
+    /** Reads until the peer closes the connection. */
     void awaitEnd() throws IOException {
         await(() -> false);
     }
 
-    /** The error of the last GOAWAY; -1 where there was none. */
+    /** Returns the error of the last GOAWAY; -1 if none was received. */
     int lastError() {
         return goAways.isEmpty() ? -1 : goAways.get(goAways.size() - 1)[1];
     }
 
-    /** Resets the connection, as a process that dies does. */
+    /** Resets the TCP connection, as if the client process had crashed. */
     public void abort() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimitTest.java
+++ b/src/test/java/loftflow/listener/http2/flowcontrol/AcknowledgedStreamLimitTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The limit that a client has acknowledged. */
+/** Tests that a stream limit applies from its acknowledgement by the client. */
 class AcknowledgedStreamLimitTest {
     @Test
-    void lowerLimitAppliesOnceItIsAcknowledged() {
+    void limitAppliesOnceItIsAcknowledged() {
         AcknowledgedStreamLimit limit = new AcknowledgedStreamLimit(10);
         assertTrue(
                 limit.allowsNewStream(1_000), "RFC 9113, 6.5.2: no limit before the first SETTINGS are acknowledged");
@@ -19,7 +19,7 @@
             limit.onSettingsAcknowledged();
             assertTrue(
                     limit.allowsNewStream(expected - 1) && !limit.allowsNewStream(expected),
-                    "acknowledged " + expected);
+                    "limit after the acknowledgement: " + expected);
         }
     }
 }
--- a/src/test/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimitTest.java
+++ b/src/test/java/loftflow/listener/http2/flowcontrol/ConcurrentStreamLimitTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The offered number of streams, adapted to load. */
+/** Tests the adaptation of the offered number of streams to the load. */
 class ConcurrentStreamLimitTest {
     private static final ConcurrentStreamLimit.Load LOW_LOAD = new ConcurrentStreamLimit.Load(0.1, 1_000, 0);
 
@@ -41,7 +41,7 @@
             if (perConnection != before) {
                 assertTrue(
                         nowMicros - changedAtMicros >= ConcurrentStreamLimit.MIN_STEP_MICROS,
-                        "time between steps: " + (nowMicros - changedAtMicros));
+                        "microseconds between changes: " + (nowMicros - changedAtMicros));
                 changedAtMicros = nowMicros;
                 before = perConnection;
             }
--- a/src/test/java/loftflow/listener/http2/flowcontrol/ConnectionExpiryTest.java
+++ b/src/test/java/loftflow/listener/http2/flowcontrol/ConnectionExpiryTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The time limits of a connection. */
+/** Tests the time limits of a connection. */
 class ConnectionExpiryTest {
     private static final long SECOND_MICROS = 1_000_000;
 
@@ -12,9 +12,9 @@
     void eachTimeLimitEndsTheConnection() {
         ConnectionExpiry.TimeLimits limits = new ConnectionExpiry.TimeLimits(
                 2 * SECOND_MICROS, 60 * SECOND_MICROS, 600 * SECOND_MICROS, 10 * SECOND_MICROS);
-        ConnectionExpiry unresponsive = new ConnectionExpiry(limits, 0, 0);
-        assertEquals(ConnectionExpiry.Verdict.KEEP, unresponsive.check(2 * SECOND_MICROS - 1, false));
-        assertEquals(ConnectionExpiry.Verdict.TERMINATE, unresponsive.check(2 * SECOND_MICROS, false));
+        ConnectionExpiry inHandshake = new ConnectionExpiry(limits, 0, 0);
+        assertEquals(ConnectionExpiry.Verdict.KEEP, inHandshake.check(2 * SECOND_MICROS - 1, false));
+        assertEquals(ConnectionExpiry.Verdict.TERMINATE, inHandshake.check(2 * SECOND_MICROS, false));
 
         ConnectionExpiry idle = new ConnectionExpiry(limits, 0, 0);
         idle.onSettingsAcknowledged(SECOND_MICROS);
@@ -32,20 +32,24 @@
         assertEquals(
                 ConnectionExpiry.Verdict.DRAIN,
                 old.check(570 * SECOND_MICROS, false),
-                "a twentieth earlier, by its jitter");
+                "the jitter of 0.5 shortens the maximum age by a twentieth");
 
         ConnectionExpiry stalled = new ConnectionExpiry(limits, 0, 0);
         stalled.onSettingsAcknowledged(0);
         stalled.onStreamsChanged(true, 0);
         assertEquals(ConnectionExpiry.Verdict.KEEP, stalled.check(SECOND_MICROS, true));
-        assertEquals(ConnectionExpiry.Verdict.KEEP, stalled.check(9 * SECOND_MICROS, false), "it has read something");
+        assertEquals(
+                ConnectionExpiry.Verdict.KEEP,
+                stalled.check(9 * SECOND_MICROS, false),
+                "the client has read in between");
         assertEquals(ConnectionExpiry.Verdict.KEEP, stalled.check(10 * SECOND_MICROS, true));
         assertEquals(ConnectionExpiry.Verdict.KEEP, stalled.check(20 * SECOND_MICROS - 1, true));
         assertEquals(ConnectionExpiry.Verdict.TERMINATE, stalled.check(20 * SECOND_MICROS, true));
-        ConnectionExpiry ageless = new ConnectionExpiry(
+
+        ConnectionExpiry withoutMaxAge = new ConnectionExpiry(
                 new ConnectionExpiry.TimeLimits(SECOND_MICROS, SECOND_MICROS, 0, SECOND_MICROS), 0, 1);
-        ageless.onSettingsAcknowledged(0);
-        ageless.onStreamsChanged(true, 0);
-        assertEquals(ConnectionExpiry.Verdict.KEEP, ageless.check(Long.MAX_VALUE / 2, false));
+        withoutMaxAge.onSettingsAcknowledged(0);
+        withoutMaxAge.onStreamsChanged(true, 0);
+        assertEquals(ConnectionExpiry.Verdict.KEEP, withoutMaxAge.check(Long.MAX_VALUE / 2, false));
     }
 }
--- a/src/test/java/loftflow/listener/http2/flowcontrol/FrameBudgetTest.java
+++ b/src/test/java/loftflow/listener/http2/flowcontrol/FrameBudgetTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Rate limits by kind of frame. */
+/** Tests the rate limits of the kinds of frames. */
 class FrameBudgetTest {
     private static final long SECOND_MICROS = 1_000_000;
 
@@ -18,11 +18,13 @@
         while (admitted < 100_000 && budget.tryConsume(kind, 0)) {
             admitted++;
         }
-        assertTrue(admitted >= 10 && admitted <= 4_000, kind + " at one time: " + admitted);
+        assertTrue(admitted >= 10 && admitted <= 4_000, kind + " frames admitted in a burst: " + admitted);
         assertTrue(budget.tryConsume(kind, SECOND_MICROS), "the bucket refills within a second");
         FrameBudget slowClient = new FrameBudget(100);
         for (int i = 0; i < 10_000; i++) {
-            assertTrue(slowClient.tryConsume(kind, i * SECOND_MICROS / 4), "four a second never exceed the budget");
+            assertTrue(
+                    slowClient.tryConsume(kind, i * SECOND_MICROS / 4),
+                    "four frames per second never exceed the budget");
         }
     }
 
--- a/src/test/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocatorTest.java
+++ b/src/test/java/loftflow/listener/http2/flowcontrol/ReceiveWindowAllocatorTest.java
@@ -13,9 +13,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Allocation of receive windows from the pool. */
+/** Tests the allocation of receive windows from the pool. */
 class ReceiveWindowAllocatorTest {
-    /** Allocations and releases in any order, compared with a plain model of who holds what. */
+    /** Compares random allocations and releases with a simple model of the bytes held. */
     @Property(tries = 300)
     void allocationsStayWithinThePoolAndEachClassHasItsReservation(@ForAll long seed) {
         Random random = new Random(seed);
@@ -42,13 +42,13 @@
                 } else if (verdict == ReceiveWindowAllocator.Verdict.AFTER_RECLAIM) {
                     assertTrue(
                             allocator.largestHolder().heldBytes() > account.heldBytes(),
-                            "the connection that is to release bytes holds more");
+                            "the connection that has to release bytes holds more");
                 }
                 long reservedBytes = (long) (poolBytes * 0.5 * shares.getOrDefault(requestClass, 0.0));
                 if (heldByClass.getOrDefault(requestClass, 0L) + bytes <= reservedBytes) {
                     assertTrue(
                             verdict == ReceiveWindowAllocator.Verdict.GRANTED,
-                            "the reservation of " + requestClass + " is available");
+                            "the reserved bytes of " + requestClass + " are available");
                 }
             } else if (!held.isEmpty()) {
                 Held released = random.nextBoolean() ? held.pollFirst() : held.pollLast();
@@ -58,7 +58,8 @@
             assertTrue(allocator.heldBytes() <= poolBytes, "held: " + allocator.heldBytes());
             assertEquals(held.stream().mapToLong(Held::bytes).sum(), allocator.heldBytes());
         }
-        held.forEach(h -> allocator.release(h.account(), h.requestClass(), h.bytes()));
+        held.forEach(
+                allocation -> allocator.release(allocation.account(), allocation.requestClass(), allocation.bytes()));
         assertEquals(0, allocator.heldBytes());
         assertEquals(
                 ReceiveWindowAllocator.Verdict.GRANTED,
@@ -77,14 +78,14 @@
         assertEquals(
                 ReceiveWindowAllocator.Verdict.EXHAUSTED,
                 allocator.tryAllocate(small, "x", 50_001),
-                "beyond its own fair share");
+                "the connection would exceed its own fair share");
         assertEquals(ReceiveWindowAllocator.Verdict.EXHAUSTED, allocator.tryAllocate(large, "x", 1));
         allocator.release(large, "x", 50_000);
         assertEquals(ReceiveWindowAllocator.Verdict.GRANTED, allocator.tryAllocate(small, "x", 50_000));
         assertEquals(
                 ReceiveWindowAllocator.Verdict.EXHAUSTED,
                 allocator.tryAllocate(small, "x", 1),
-                "nobody holds more than a fair share");
+                "no connection holds more than its fair share");
     }
 
     @Test
@@ -102,7 +103,7 @@
         assertEquals(
                 (256 << 10) - ReceiveWindowAllocator.INITIAL_WINDOW_BYTES,
                 firstBytes,
-                "all that is wanted while the pool is free");
+                "the whole target window is allocated while the pool is free");
         assertTrue(sumBytes <= 1 << 20, "sum: " + sumBytes);
         accounts.forEach(allocator::closeAccount);
         accounts.forEach(allocator::closeAccount);
@@ -110,6 +111,9 @@
                 firstBytes,
                 allocator.allocateWindow(allocator.openAccount(), 256 << 10),
                 "a second close has no effect");
-        assertEquals(0, allocator.allocateWindow(allocator.openAccount(), 1_000), "never below the initial window");
+        assertEquals(
+                0,
+                allocator.allocateWindow(allocator.openAccount(), 1_000),
+                "no extension for a target below the initial window");
     }
 }
--- a/src/test/java/loftflow/listener/http2/flowcontrol/StreamLifecycleTest.java
+++ b/src/test/java/loftflow/listener/http2/flowcontrol/StreamLifecycleTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Every event in every state of a stream. */
+/** Tests every event in every state of a stream. */
 class StreamLifecycleTest {
     @ParameterizedTest
     @CsvSource({
