--- a/src/test/java/loftflow/server/AcceptanceResponseTest.java
+++ b/src/test/java/loftflow/server/AcceptanceResponseTest.java
@@ -49,8 +49,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The 202 of a message whose client is gone, or does not read, at each point of the delivery. A message whose client can't
- * know that it was accepted may be withdrawn; one whose acceptance some client has read ends by a delivery or a notice.
+ * Tests the 202 response to a client that disconnects or stops reading, at each point of the delivery. A message may be
+ * withdrawn if no client can know that it was accepted. If a client has read the acceptance, the message must be
+ * delivered or its failure must be notified.
  */
 @Timeout(60)
 class AcceptanceResponseTest {
@@ -58,9 +59,9 @@
     private static final long ROUND_MILLIS = 5;
     private static final int MAX_CONNECTIONS = 8;
     private static final int SMALL_BUFFER_BYTES = 4096;
-    private static final String READY = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-    /** Their responses take less than the relay buffers before it stops reading requests. */
-    private static final int READY_REQUESTS_A_WRITE = 400;
+    private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+    /** The responses to so many requests are smaller than the buffer at which the relay stops reading requests. */
+    private static final int READY_REQUESTS_PER_WRITE = 400;
 
     @TempDir
     Path folder;
@@ -112,7 +113,7 @@
                 new EndpointEntry("h1", 7, "one", "a", Availability.LISTED, 0), Endpoint.address(host.address()));
         loop.submit(() -> engine.start(EndpointListKind.FULL, 1, List.of(endpoint)))
                 .sync();
-        // The first round is over, as its timer is due earlier.
+        // Waits until the first round, whose timer is due earlier, has ended.
         loop.schedule(() -> {}, 2 * ROUND_MILLIS, TimeUnit.MILLISECONDS).sync();
     }
 
@@ -152,7 +153,7 @@
         journal.close();
     }
 
-    /** Reads the journal on the event loop, to which it is confined. */
+    /** Reads the journal on the event loop, because it is not thread-safe. */
     private boolean isJournalEmpty() {
         try {
             return loop.submit(() -> journal.openMessages().isEmpty()).get();
@@ -161,13 +162,13 @@
         }
     }
 
-    /** A connection that the relay has accepted and that is idle after its first response. */
+    /** Opens a connection and exchanges one request, so that the relay has accepted the connection and it is idle. */
     private Socket connectAndUse() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(SMALL_BUFFER_BYTES);
         socket.connect(new InetSocketAddress("127.0.0.1", port));
         socket.setSoTimeout(10_000);
-        assertEquals(200, RelayProcess.exchange(socket, READY).status());
+        assertEquals(200, RelayProcess.exchange(socket, READY_REQUEST).status());
         return socket;
     }
 
@@ -183,9 +184,9 @@
         }
     }
 
-    /** Ends a client's connection, by a reset or by a close, and waits until the relay's kernel knows. */
+    /** Closes a client's connection and, if by a reset, waits until the reset has arrived at the relay's socket. */
     private static void disconnect(Socket client, boolean isReset) {
-        KernelSocketState relay = KernelSocketState.ofPeer(client);
+        KernelSocketState relaySocket = KernelSocketState.ofPeer(client);
         try {
             if (isReset) {
                 client.setSoLinger(true, 0);
@@ -195,11 +196,11 @@
             throw new AssertionError(e);
         }
         if (isReset) {
-            relay.awaitReset();
+            relaySocket.awaitReset();
         }
     }
 
-    /** The host holds its response to each call until the test releases it. */
+    /** Makes the host withhold its response to each call until {@link #hostMayRespond} is released. */
     private void holdResponse(String response) {
         host.answer(request -> {
             try {
@@ -211,20 +212,20 @@
         });
     }
 
-    /** Waits until two more rounds are over, so that what they would send is out. */
+    /** Waits for two more rounds, so that every attempt that they start has been sent. */
     private void awaitRounds() throws InterruptedException {
         loop.schedule(() -> {}, 4 * ROUND_MILLIS, TimeUnit.MILLISECONDS).sync();
     }
 
-    /** The message is recorded, and its client's disconnect is read before the round that would write the 202. */
+    /** The message is recorded, and the disconnect is read before the round that would write the 202. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void disconnectReadBeforeTheResponseWithdraws(boolean isReset) throws Exception {
+    void disconnectReadBeforeTheResponseWithdrawsTheMessage(boolean isReset) throws Exception {
         Socket client = connectAndUse();
         loop.submit(() -> {
                     write(client, message("m1"));
                     listener.readPending();
-                    assertEquals(1, journal.openMessages().size(), "recorded");
+                    assertEquals(1, journal.openMessages().size(), "open messages in the journal");
                     disconnect(client, isReset);
                     RelayProcess.blockThread(4 * ROUND_MILLIS);
                 })
@@ -236,18 +237,18 @@
         assertRepeatIsDelivered("m1");
     }
 
-    /** The id is free again: handed in once more, its message is accepted and delivered. */
+    /** Checks that the id can be used again: a new message with it is accepted and delivered. */
     private void assertRepeatIsDelivered(String id) throws Exception {
-        int sent = host.requests.size();
+        int requestsBefore = host.requests.size();
         try (Socket client = connectAndUse()) {
             assertEquals(202, RelayProcess.exchange(client, message(id)).status());
-            await(() -> host.requests.size() == sent + 1 && isJournalEmpty());
+            await(() -> host.requests.size() == requestsBefore + 1 && isJournalEmpty());
         }
     }
 
     /**
-     * The client disconnects right before the 202 is written, when no iteration reads any more. After a reset the write
-     * fails and nothing is sent; after a close it succeeds, and the message runs to its end.
+     * The client disconnects right before the 202 is written, after the last read of its socket. After a reset the
+     * write fails and no attempt is started; after a close the write succeeds, and the message is processed normally.
      */
     @ParameterizedTest
     @CsvSource({"true, 200", "true, 500", "false, 200", "false, 500"})
@@ -257,8 +258,8 @@
         loop.submit(() -> {
                     write(client, message("m1"));
                     listener.readPending();
-                    assertEquals(1, journal.openMessages().size(), "recorded");
-                    // Due before the round and run in the same iteration, so that no socket is read between them.
+                    assertEquals(1, journal.openMessages().size(), "open messages in the journal");
+                    // Due before the round and run in the same event-loop iteration: no socket is read in between.
                     loop.schedule(() -> disconnect(client, isReset), 0, TimeUnit.MILLISECONDS);
                     RelayProcess.blockThread(4 * ROUND_MILLIS);
                 })
@@ -269,7 +270,7 @@
         assertEquals(!isReset && status == 500 ? List.of("m1 dead") : List.of(), notices);
     }
 
-    /** The client reads its 202 and disconnects while the call is out, or after its response: nothing changes. */
+    /** The client reads its 202 and disconnects while the call to the host is in flight. */
     @ParameterizedTest
     @CsvSource({"true, 200", "true, 500", "false, 200", "false, 500"})
     void disconnectAfterTheResponseChangesNothing(boolean isReset, int status) throws Exception {
@@ -279,14 +280,14 @@
         await(() -> host.requests.size() == 1);
         disconnect(client, isReset);
         awaitRounds();
-        assertFalse(isJournalEmpty(), "still owed");
+        assertFalse(isJournalEmpty(), "the message is still open");
         hostMayRespond.countDown();
         await(this::isJournalEmpty);
         assertEquals(status == 500 ? List.of("m1 dead") : List.of(), notices);
         assertEquals(1, host.requests.size());
     }
 
-    /** The 202 is written and unread when the client resets the connection: the relay can't know, and goes on. */
+    /** The client resets the connection before it reads the 202. The relay can't detect that and must go on. */
     @ParameterizedTest
     @ValueSource(ints = {200, 500})
     void resetWithTheResponseUnreadChangesNothing(int status) throws Exception {
@@ -301,13 +302,15 @@
         assertEquals(status == 500 ? List.of("m1 dead") : List.of(), notices);
     }
 
-    /** Makes the relay buffer responses that the client does not read, then sends m1, whose 202 is buffered too. */
+    /**
+     * Makes the relay buffer responses that the client does not read, then sends m1, so that its 202 is buffered too.
+     */
     private Socket sendBehindUnreadResponses() throws Exception {
         Socket client = connectAndUse();
-        KernelSocketState relay = KernelSocketState.ofPeer(client);
+        KernelSocketState relaySocket = KernelSocketState.ofPeer(client);
         while (loop.submit(listener::isIdle).get()) {
-            write(client, READY.repeat(READY_REQUESTS_A_WRITE));
-            while (relay.hasUnread()) {
+            write(client, READY_REQUEST.repeat(READY_REQUESTS_PER_WRITE));
+            while (relaySocket.hasUnread()) {
                 Thread.onSpinWait();
             }
         }
@@ -317,10 +320,10 @@
         return client;
     }
 
-    /** The 202 is buffered when its client disconnects; the call is out, or has its response. */
+    /** The 202 is still buffered when its client disconnects; the call is in flight or has ended. */
     @ParameterizedTest
     @CsvSource({"true, 200", "true, 500", "false, 200", "false, 500"})
-    void bufferedResponseFailsAndNobodyKnows(boolean respondsFirst, int status) throws Exception {
+    void idIsFreeAfterABufferedResponseFails(boolean respondsFirst, int status) throws Exception {
         holdResponse(ScriptedPeer.status(status));
         Socket client = sendBehindUnreadResponses();
         if (respondsFirst) {
@@ -334,7 +337,10 @@
         assertEquals(respondsFirst && status == 500 ? List.of("m1 dead") : List.of(), notices);
         await(this::isIdle);
         try (Socket second = connectAndUse()) {
-            assertEquals(202, RelayProcess.exchange(second, message("m1")).status(), "the id is free again");
+            assertEquals(
+                    202,
+                    RelayProcess.exchange(second, message("m1")).status(),
+                    "a message with the same id is accepted");
         }
     }
 
@@ -346,9 +352,9 @@
         }
     }
 
-    /** The 202 is buffered, then read after all: nothing is withdrawn. */
+    /** The 202 is buffered and read later. */
     @Test
-    void bufferedResponseThatIsReadLater() throws Exception {
+    void bufferedResponseReadLaterWithdrawsNothing() throws Exception {
         holdResponse(ScriptedPeer.status(500));
         Socket client = sendBehindUnreadResponses();
         StringBuilder received = new StringBuilder();
@@ -365,8 +371,8 @@
     }
 
     /**
-     * The client sends the message again on another connection and reads a 202 there; the first 202, which is still
-     * buffered, fails after that. The message has been accepted, so its end is owed.
+     * The client repeats the message on another connection and reads a 202 there. Then the write of the first 202,
+     * which is still buffered, fails. The message has been accepted, so its failure must be notified.
      */
     @Tag("known-red")
     @Test
@@ -374,14 +380,14 @@
         holdResponse(ScriptedPeer.status(500));
         Socket client = sendBehindUnreadResponses();
         try (Socket second = connectAndUse()) {
-            String again = message("m1").replace("X-Caller", "X-Again: again\r\nX-Caller");
-            assertEquals(202, RelayProcess.exchange(second, again).status());
+            String repeated = message("m1").replace("X-Caller", "X-Again: again\r\nX-Caller");
+            assertEquals(202, RelayProcess.exchange(second, repeated).status());
             disconnect(client, true);
             awaitRounds();
             hostMayRespond.countDown();
             await(this::isJournalEmpty);
             awaitRounds();
-            assertEquals(List.of("m1 dead"), notices, "the second client has read a 202");
+            assertEquals(List.of("m1 dead"), notices, "the client of the repeat has read a 202");
         }
     }
 }
--- a/src/test/java/loftflow/server/AcceptorTest.java
+++ b/src/test/java/loftflow/server/AcceptorTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What clients and discovery may send, and what of it is accepted. */
+/** Tests which input from clients and discovery is accepted. */
 class AcceptorTest extends RelayTestBase {
-    /** What discovery's watch answers next, once; null while there is nothing new. */
+    /** The next update in response to discovery's watch request, sent once; null if there is none. */
     private final AtomicReference<String> nextUpdate = new AtomicReference<>();
 
     private volatile String fullList;
@@ -38,7 +38,7 @@
         }
         String update = nextUpdate.getAndSet(null);
         if (update != null) {
-            // A later request for the full list is answered by the newest one.
+            // Later requests for the full list receive the latest one.
             fullList = update.contains("\"all\":true") ? update : fullList;
             return answer(200, update);
         }
@@ -46,23 +46,24 @@
     }
 
     @Test
-    void badRequestsAreNotAccepted() throws IOException {
+    void invalidRequestsAreRejected() throws IOException {
         relay.start();
         await(() -> discovery.requests.stream().anyMatch(r -> r.line().contains("after=1&")));
-        String good = RelayProcess.message("x1", "keyed", 7, 1000, "hello");
+        String valid = RelayProcess.message("x1", "keyed", 7, 1000, "hello");
         assertEquals(400, relay.submit("x2", "nosuch", 7));
         assertEquals(400, relay.submit("x3", "safe", 99));
-        assertEquals(400, relay.exchange(good.replace("dest=7", "dest=")).status());
+        assertEquals(400, relay.exchange(valid.replace("dest=7", "dest=")).status());
         assertEquals(
-                400, relay.exchange(good.replace("dest=7", "dest=99999999999")).status());
+                400, relay.exchange(valid.replace("dest=7", "dest=99999999999")).status());
         assertEquals(
                 400,
-                relay.exchange(good.replace("Idempotency-Key: key-x1\r\n", "")).status());
-        assertEquals(400, relay.exchange(good.replace("X-Call-Id: x1\r\n", "")).status());
+                relay.exchange(valid.replace("Idempotency-Key: key-x1\r\n", "")).status());
+        assertEquals(400, relay.exchange(valid.replace("X-Call-Id: x1\r\n", "")).status());
         assertEquals(
                 400,
-                relay.exchange(good.replace("Budget-Ms: 1000", "Budget-Ms: -1")).status());
-        assertEquals(400, relay.exchange(good.replace("acme", "nobody")).status());
+                relay.exchange(valid.replace("Budget-Ms: 1000", "Budget-Ms: -1"))
+                        .status());
+        assertEquals(400, relay.exchange(valid.replace("acme", "nobody")).status());
         assertEquals(413, relay.submit("x4", "safe", 7, 1000, "x".repeat((64 << 10) + 1)));
         assertEquals(
                 404, relay.exchange("GET /nosuch HTTP/1.1\r\nHost: x\r\n\r\n").status());
@@ -74,16 +75,16 @@
     }
 
     @Test
-    void connectionServesOneRequestAfterAnother() throws IOException {
+    void connectionServesConsecutiveAndPipelinedRequests() throws IOException {
         relay.start();
         try (Socket socket = relay.connect()) {
             assertEquals(
                     400,
                     RelayProcess.exchange(socket, RelayProcess.message("o1", "no", 7, 9, "x"))
                             .status());
-            String two = RelayProcess.message("o2", "safe", 7, 20_000, "x")
+            String pipelined = RelayProcess.message("o2", "safe", 7, 20_000, "x")
                     + RelayProcess.message("o3", "safe", 7, 20_000, "x");
-            assertEquals(202, RelayProcess.exchange(socket, two).status());
+            assertEquals(202, RelayProcess.exchange(socket, pipelined).status());
             assertEquals(202, RelayProcess.exchange(socket, "").status());
         }
         await(() -> host.requests.size() == 2);
@@ -110,7 +111,7 @@
     }
 
     @Test
-    void drainingHostGetsNothingNew() throws IOException {
+    void drainingHostReceivesNoNewMessages() throws IOException {
         try (ScriptedPeer other = ScriptedPeer.always(status(200))) {
             relay.start();
             await(() -> discovery.requests.stream().anyMatch(r -> r.line().contains("after=1&")));
@@ -126,7 +127,7 @@
             }
             await(() -> other.count("POST /receive") == 10);
             assertEquals(0, host.count("POST"));
-            assertEquals(202, relay.submit("new", "safe", 9), "a destination that is new in the list");
+            assertEquals(202, relay.submit("new", "safe", 9), "the update adds destination 9");
         }
     }
 
@@ -150,7 +151,7 @@
     }
 
     @Test
-    void badConfigurationEndsWithOneLine() throws IOException, InterruptedException {
+    void invalidConfigurationOrCommandFailsWithASingleLine() throws IOException, InterruptedException {
         Path config = Files.writeString(folder.resolve("bad.json"), "{\"seed\":\"zz\",\"settings\":{},\"limits\":{}}");
         for (String mode : new String[] {"serve", "nosuch"}) {
             ProcessBuilder builder = new ProcessBuilder(
--- a/src/test/java/loftflow/server/BadClientTest.java
+++ b/src/test/java/loftflow/server/BadClientTest.java
@@ -15,28 +15,29 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send malformed requests, too much, or nothing at all. */
+/** Tests clients that send malformed requests, exceed a limit or send nothing. */
 class BadClientTest extends RelayTestBase {
-    private final List<Socket> open = new ArrayList<>();
+    private final List<Socket> openSockets = new ArrayList<>();
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutList(), ScriptedPeer.always(status(200)));
     }
 
     @AfterEach
     void closeAll() throws IOException {
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
 
     private Socket connect() throws IOException {
         Socket socket = relay.connect();
-        open.add(socket);
+        openSockets.add(socket);
         return socket;
     }
 
+    /** Returns the next byte, or -1 at the end of the stream or after a reset. */
     private static int read(Socket socket) throws IOException {
         try {
             return socket.getInputStream().read();
@@ -63,29 +64,32 @@
         assertEquals(-1, read(connect()));
     }
 
-    /** Each connection ends: with a rejection where it is evicted, as a request may be on its way, else with nothing. */
+    /**
+     * Every connection is closed. An evicted one receives a rejection, because a request may be on its way; the others
+     * receive nothing.
+     */
     @Test
-    void crowdThatConnectsAtOnceStaysWithinTheLimit() throws IOException {
+    void manySimultaneousConnectionsStayWithinTheDescriptorLimit() throws IOException {
         relay.start();
         relay.pause();
         for (int i = 0; i < 400; i++) {
             connect();
         }
         relay.resume();
-        int most = 0;
+        int maxDescriptors = 0;
         int rejections = 0;
-        for (Socket socket : open) {
-            most = Math.max(most, relay.openDescriptors());
+        for (Socket socket : openSockets) {
+            maxDescriptors = Math.max(maxDescriptors, relay.openDescriptors());
             String received = readToEnd(socket);
             assertTrue(received.isEmpty() || isRejection(received), received);
             rejections += received.isEmpty() ? 0 : 1;
         }
-        assertTrue(rejections > 0 && rejections < open.size(), "rejections: " + rejections);
-        assertTrue(most <= 256, "descriptors: " + most);
+        assertTrue(rejections > 0 && rejections < openSockets.size(), "rejections: " + rejections);
+        assertTrue(maxDescriptors <= 256, "open descriptors: " + maxDescriptors);
     }
 
     @Test
-    void lackOfDescriptorsIsSurvived() throws IOException {
+    void relayServesAgainAfterItRanOutOfDescriptors() throws IOException {
         relay.withDescriptorLimit(100).start();
         for (int i = 0; i < 200; i++) {
             connect();
@@ -97,13 +101,13 @@
     }
 
     @Test
-    void clientThatStopsHalfwayIsAnsweredAndDisconnected() throws IOException {
+    void incompleteRequestTimesOutAndItsConnectionIsClosed() throws IOException {
         relay.start();
-        for (String half : List.of(
+        for (String incomplete : List.of(
                 "POST /api HT",
                 RelayProcess.message("h1", "safe", 7, 1000, "hello").replace("hello", "h"))) {
             Socket socket = connect();
-            assertEquals(408, RelayProcess.exchange(socket, half).status());
+            assertEquals(408, RelayProcess.exchange(socket, incomplete).status());
             assertEquals(-1, read(socket));
         }
         Socket socket = connect();
@@ -111,19 +115,20 @@
                 202,
                 RelayProcess.exchange(socket, RelayProcess.message("w1", "safe", 7, 20_000, "x"))
                         .status());
-        assertEquals(408, RelayProcess.exchange(socket, "POST").status(), "also in a later request");
+        assertEquals(
+                408, RelayProcess.exchange(socket, "POST").status(), "a later request on the connection times out too");
     }
 
     @Test
-    void tooLargeBodyIsRejectedAtItsHeadAndReadToItsEnd() throws IOException {
+    void oversizedBodyIsRejectedByItsLengthAndReadToItsEnd() throws IOException {
         relay.start();
         String head = RelayProcess.message("l1", "safe", 7, 1000, "").replace("Length: 0", "Length: 60000000");
         assertEquals(413, RelayProcess.exchange(connect(), head).status());
         Socket socket = connect();
         socket.getOutputStream().write(head.getBytes());
-        byte[] piece = new byte[1_000_000];
+        byte[] chunk = new byte[1_000_000];
         for (int i = 0; i < 60; i++) {
-            socket.getOutputStream().write(piece);
+            socket.getOutputStream().write(chunk);
         }
         assertEquals(413, RelayProcess.exchange(socket, "").status());
         assertEquals(-1, read(socket));
@@ -132,9 +137,9 @@
     @Test
     void requestWithAnAmbiguousLengthIsRejected() throws IOException {
         relay.start();
-        String good = RelayProcess.message("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
+        String valid = RelayProcess.message("d1", "safe", 7, 1000, "0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n");
         String length = "Content-Length: 30\r\n";
-        assertTrue(good.contains(length), good);
+        assertTrue(valid.contains(length), valid);
         for (String lengths : List.of(
                 length + "Transfer-Encoding: chunked\r\n",
                 length + length,
@@ -148,19 +153,20 @@
             Socket socket = connect();
             assertEquals(
                     400,
-                    RelayProcess.exchange(socket, good.replace(length, lengths)).status(),
+                    RelayProcess.exchange(socket, valid.replace(length, lengths))
+                            .status(),
                     lengths);
             assertEquals(-1, read(socket), lengths);
         }
         assertEquals(
                 505,
-                RelayProcess.exchange(connect(), good.replace("HTTP/1.1", "HTTP/1.0"))
+                RelayProcess.exchange(connect(), valid.replace("HTTP/1.1", "HTTP/1.0"))
                         .status());
         assertEquals(0, host.count("POST"));
     }
 
     @Test
-    void idOfAnotherClientsOpenRequestIsNotAccepted() throws IOException {
+    void repeatIsRejectedWhileTheFirstRequestHasNoResponse() throws IOException {
         relay.withRoundPeriod("1").start();
         Socket first = connect();
         first.getOutputStream()
@@ -172,14 +178,14 @@
     }
 
     @Test
-    void hundredsOfRequestsAtOnceAreAllAnswered() throws IOException {
+    void hundredsOfPipelinedRequestsAllReceiveAResponse() throws IOException {
         relay.start();
         Socket socket = connect();
-        StringBuilder all = new StringBuilder();
+        StringBuilder requests = new StringBuilder();
         for (int i = 0; i < 400; i++) {
-            all.append(RelayProcess.message("p" + i, i % 2 == 0 ? "safe" : "nosuch", 7, 20_000, "x"));
+            requests.append(RelayProcess.message("p" + i, i % 2 == 0 ? "safe" : "nosuch", 7, 20_000, "x"));
         }
-        assertTrue(RelayProcess.exchange(socket, all.toString()).status() >= 202);
+        assertTrue(RelayProcess.exchange(socket, requests.toString()).status() >= 202);
         for (int i = 1; i < 400; i++) {
             int status = RelayProcess.exchange(socket, "").status();
             assertTrue(i % 2 == 0 ? status == 202 || status == 503 : status == 400, i + ": " + status);
@@ -193,14 +199,14 @@
             connect();
         }
         assertEquals(202, relay.submit("r1", "safe", 7));
-        String half = RelayProcess.message("b", "safe", 7, 1000, "x".repeat(65_000));
+        String request = RelayProcess.message("b", "safe", 7, 1000, "x".repeat(65_000));
         for (int i = 0; i < 300; i++) {
             try {
                 connect()
                         .getOutputStream()
-                        .write(half.substring(0, half.length() - 1).getBytes());
+                        .write(request.substring(0, request.length() - 1).getBytes());
             } catch (SocketException e) {
-                // The relay has closed this connection, since it is at its limit.
+                // The relay has closed this connection because it is at its connection limit.
             }
         }
         assertEquals(202, relay.submit("r2", "safe", 7));
--- a/src/test/java/loftflow/server/ConfigReloaderTest.java
+++ b/src/test/java/loftflow/server/ConfigReloaderTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A configuration that is replaced while the relay runs. */
+/** Tests the reload of a configuration that is replaced while the relay runs. */
 class ConfigReloaderTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutList(), ScriptedPeer.always(status(200)));
     }
 
-    /** Discovery with a list of its own, which acknowledges every completion. */
-    private static ScriptedPeer discovery(String list) throws IOException {
+    /** Starts a discovery agent that serves a list and acknowledges every completion. */
+    private static ScriptedPeer startDiscovery(String list) throws IOException {
         return new ScriptedPeer(request -> request.line().startsWith("POST")
                 ? status(204)
                 : request.line().contains("after=") ? ScriptedPeer.SILENCE : answer(200, list));
@@ -36,14 +36,15 @@
         assertEquals(202, relay.submit("m0", "safe", 7));
         await(() -> host.count("POST") == 1);
         String same = target("h1", 7, "one", "in_service", host.address()).replace("1.0", "2.0");
-        try (ScriptedPeer second = discovery(list(1, true, same));
+        try (ScriptedPeer second = startDiscovery(list(1, true, same));
                 ScriptedPeer other = ScriptedPeer.always(status(200));
-                ScriptedPeer third = discovery(list(0, true, target("h2", 7, "one", "in_service", other.address())))) {
+                ScriptedPeer third =
+                        startDiscovery(list(0, true, target("h2", 7, "one", "in_service", other.address())))) {
             relay.moveDiscovery(second);
             await(() -> second.count("GET /api/targets?after=1&") > 0);
             assertEquals(202, relay.submit("m1", "safe", 7));
             await(() -> host.count("POST") == 2);
-            assertEquals(1, host.connections.size(), "an upstream whose address stays the same stays connected");
+            assertEquals(1, host.connections.size(), "the connection to an upstream with an unchanged address is kept");
             relay.moveDiscovery(third);
             await(() -> third.count("GET /api/targets?after=0&") > 0);
             assertEquals("GET /api/targets HTTP/1.1", third.requests.get(0).line());
@@ -53,12 +54,12 @@
     }
 
     @Test
-    void completionThatTheOldAddressLeftUnansweredIsSentToTheNewOne() throws IOException, InterruptedException {
+    void unacknowledgedCompletionIsSentToTheNewAddress() throws IOException, InterruptedException {
         discovery.answer(request -> ScriptedPeer.SILENCE);
         host.answer(request -> ScriptedPeer.CLOSE);
         relay.start().submit("u1", "unsafe", 7);
         await(() -> relay.hasNotified("u1", "dead"));
-        try (ScriptedPeer next = RelayProcess.quietDiscovery()) {
+        try (ScriptedPeer next = RelayProcess.discoveryWithoutList()) {
             relay.moveDiscovery(next);
             await(() -> relay.hasNotified("u1", "dead"));
             await(() -> relay.openJournalMessages().isEmpty());
@@ -68,7 +69,7 @@
     }
 
     @Test
-    void unreadableConfigurationLeavesTheOldOneInForce() throws IOException {
+    void invalidConfigurationDoesNotReplaceTheActiveOne() throws IOException {
         relay.start();
         relay.corruptConfiguration("{");
         await(() -> relay.log().contains("config: reload failed, old configuration stays in force"));
@@ -77,95 +78,97 @@
         await(() -> relay.hasNotified("u2", "dead"));
     }
 
-    /** Waits until the relay has the full list of this discovery and watches for later versions. */
+    /** Waits until the relay has the full list of a discovery agent and watches it for later versions. */
     private static void awaitWatch(ScriptedPeer peer) {
         await(() -> peer.count("GET /api/targets?after=") > 0);
     }
 
-    private ScriptedPeer sameHost(int rev) throws IOException {
-        return discovery(list(rev, true, target("h1", 7, "one", "in_service", host.address())));
+    private ScriptedPeer startDiscoveryOfSameHost(int rev) throws IOException {
+        return startDiscovery(list(rev, true, target("h1", 7, "one", "in_service", host.address())));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "null", "{\"name\":\"n0\"}", "\u0000"})
-    void incompleteFileAtTheSignalIsRetriedUntilItIsComplete(String half) throws Exception {
+    void incompleteFileIsRetriedUntilItIsComplete(String content) throws Exception {
         relay.start();
-        relay.corruptConfiguration(half);
+        relay.corruptConfiguration(content);
         await(() -> relay.log().contains("config: reload failed, old configuration stays in force"));
-        // Discovery answers here, so that only a retry after the signal can read the complete file.
+        // Discovery responds, so that only the retries of the signal's reload can read the complete file.
         discovery.answer(request -> answer(200, list(2, false)));
         Thread.sleep(300);
-        try (ScriptedPeer next = sameHost(4)) {
+        try (ScriptedPeer next = startDiscoveryOfSameHost(4)) {
             relay.replaceConfiguration(next);
             awaitWatch(next);
         }
     }
 
     @Test
-    void severalSignalsAtOnceEndWithTheNewestFile() throws IOException {
+    void newestFileIsActiveAfterSeveralSignals() throws IOException {
         relay.start();
-        try (ScriptedPeer second = sameHost(2);
-                ScriptedPeer third = sameHost(3);
-                ScriptedPeer fourth = sameHost(4)) {
+        try (ScriptedPeer second = startDiscoveryOfSameHost(2);
+                ScriptedPeer third = startDiscoveryOfSameHost(3);
+                ScriptedPeer fourth = startDiscoveryOfSameHost(4)) {
             relay.moveDiscovery(second);
             relay.moveDiscovery(third);
             relay.moveDiscovery(fourth);
             awaitWatch(fourth);
-            long before = second.requests.size() + third.requests.size();
+            long requestsBefore = second.requests.size() + third.requests.size();
             assertEquals(202, relay.submit("s1", "safe", 7));
             await(() -> host.count("POST") == 1);
             assertEquals(
-                    before, second.requests.size() + third.requests.size(), "the older addresses are no longer used");
+                    requestsBefore,
+                    second.requests.size() + third.requests.size(),
+                    "the older addresses are no longer used");
         }
     }
 
     @Test
-    void signalToAStoppedProcessTakesEffectOnceItResumes() throws IOException {
+    void signalToASuspendedProcessTakesEffectAfterItResumes() throws IOException {
         relay.start();
         relay.pause();
-        try (ScriptedPeer next = sameHost(5)) {
+        try (ScriptedPeer next = startDiscoveryOfSameHost(5)) {
             relay.moveDiscovery(next);
-            relay.sendHangUp();
+            relay.sendSighup();
             relay.resume();
             awaitWatch(next);
         }
     }
 
     @Test
-    void answerOfTheOldAgentAfterTheMoveIsIgnored() throws Exception {
-        CountDownLatch late = new CountDownLatch(1);
-        try (ScriptedPeer wrong = ScriptedPeer.always(status(200));
-                ScriptedPeer next = sameHost(3)) {
-            String old = list(90, true, target("h9", 7, "one", "in_service", wrong.address()));
+    void responseOfTheOldAgentAfterAnAddressChangeIsIgnored() throws Exception {
+        CountDownLatch oldAgentMayRespond = new CountDownLatch(1);
+        try (ScriptedPeer hostInOldList = ScriptedPeer.always(status(200));
+                ScriptedPeer next = startDiscoveryOfSameHost(3)) {
+            String oldList = list(90, true, target("h9", 7, "one", "in_service", hostInOldList.address()));
             discovery.answer(request -> {
                 try {
-                    late.await();
+                    oldAgentMayRespond.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                return answer(200, old);
+                return answer(200, oldList);
             });
-            ScriptedPeer before = discovery;
+            ScriptedPeer oldAgent = discovery;
             relay.start();
-            await(() -> before.count("GET") > 0);
+            await(() -> oldAgent.count("GET") > 0);
             relay.moveDiscovery(next);
             awaitWatch(next);
-            late.countDown();
+            oldAgentMayRespond.countDown();
             assertEquals(202, relay.submit("l1", "safe", 7));
             await(() -> host.count("POST") == 1);
-            assertEquals(0, wrong.requests.size());
+            assertEquals(0, hostInOldList.requests.size());
             assertEquals(
                     0,
                     next.count("GET /api/targets?after=90"),
-                    "the new agent is not queried by a version of the old one");
-            before.close();
+                    "the new agent is not queried with a version of the old one");
+            oldAgent.close();
         }
     }
 
     @Test
-    void newAddressThatRefusesAtFirstIsRetried() throws Exception {
+    void newAddressThatRefusesConnectionsIsRetried() throws Exception {
         relay.start();
-        ScriptedPeer closed = sameHost(6);
+        ScriptedPeer closed = startDiscoveryOfSameHost(6);
         closed.close();
         relay.moveDiscovery(closed);
         await(() -> relay.log().contains("discovery: agent address configured address=/" + closed.address()));
@@ -180,9 +183,9 @@
     }
 
     @Test
-    void replacedFileIsReadWithoutASignalWhileDiscoveryIsUnresponsive() throws IOException {
+    void replacedFileIsReadWithoutASignalIfDiscoveryIsUnresponsive() throws IOException {
         relay.start();
-        try (ScriptedPeer next = sameHost(8)) {
+        try (ScriptedPeer next = startDiscoveryOfSameHost(8)) {
             relay.replaceConfiguration(next);
             awaitWatch(next);
             host.answer(request -> ScriptedPeer.CLOSE);
--- a/src/test/java/loftflow/server/DeadLetterTest.java
+++ b/src/test/java/loftflow/server/DeadLetterTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Dead letters, with the real program, real sockets and an upstream that records every call. */
+/** Tests dead letters in a relay process, with an upstream that records every call. */
 @Order(1)
 class DeadLetterTest {
     @TempDir
@@ -52,7 +52,7 @@
         partner.close();
     }
 
-    private Path state() {
+    private Path stateFolder() {
         return folder.resolve("state");
     }
 
@@ -96,7 +96,7 @@
                 id = "elevator-1"
                 address = "%s"
                 """
-                        .formatted(state(), deadLetterSettings, partner.address()));
+                        .formatted(stateFolder(), deadLetterSettings, partner.address()));
         ConfigTool.Outcome outcome = ConfigTool.write(file, folder, false);
         assertEquals(
                 ConfigTool.Written.NEW, outcome.written(), outcome.findings().toString());
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Sends a message; repeats it while the relay rejects it, as a relay does that is short of CPU at its start. */
+    /** Submits a message and repeats it while it is rejected: a relay that starts with little CPU rejects messages. */
     private int submit(String id, String type) throws IOException {
         int[] status = new int[1];
         await(() -> {
@@ -143,22 +143,23 @@
         }
         List<String> lines = new ArrayList<>();
         try {
-            assertTrue(AdminClient.request(state(), request, lines::add), "a relay serves the admin socket");
+            assertTrue(AdminClient.request(stateFolder(), request, lines::add), "the admin socket accepts connections");
         } catch (IOException e) {
             throw new AssertionError(e);
         }
         return lines;
     }
 
-    private boolean lists(String... parts) {
+    /** Returns true if the list has a dead letter whose line contains all the given texts. */
+    private boolean isListed(String... texts) {
         return sendCommand("command", "list").stream()
-                .anyMatch(line -> List.of(parts).stream().allMatch(line::contains));
+                .anyMatch(line -> List.of(texts).stream().allMatch(line::contains));
     }
 
-    private String entryId(String ref) {
-        Matcher id = Pattern.compile("\"id\":(\\d+),\"ref\":\"" + ref + "\"")
+    private String entryId(String messageId) {
+        Matcher id = Pattern.compile("\"id\":(\\d+),\"ref\":\"" + messageId + "\"")
                 .matcher(String.join("\n", sendCommand("command", "list")));
-        assertTrue(id.find(), ref);
+        assertTrue(id.find(), messageId);
         return id.group(1);
     }
 
@@ -167,30 +168,31 @@
         start(writeRelayFile(""));
         partner.be(Mood.RESETS);
         assertEquals(202, submit("s1", "settlement"));
-        await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\"", "after a person's word"));
+        await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\"", "after a person's word"));
         partner.be(Mood.WELL);
         assertEquals(202, submit("s2", "settlement"));
         await(() -> partner.effects().containsKey("s2"));
-        String refused = sendCommand("command", "resend", "id", entryId("s1"), "by", "clerk")
+        String redriveResult = sendCommand("command", "resend", "id", entryId("s1"), "by", "clerk")
                 .get(0);
         assertTrue(
-                refused.contains("after a person's word: an attempt may have run")
-                        && refused.contains("\"done\":false"),
-                refused);
+                redriveResult.contains("after a person's word: an attempt may have run")
+                        && redriveResult.contains("\"done\":false"),
+                redriveResult);
         assertEquals(
                 1, partner.postings().stream().filter(p -> p.id().equals("s1")).count());
         assertEquals(
                 "rw-------",
-                PosixFilePermissions.toString(Files.getPosixFilePermissions(state().resolve("admin.sock"))));
+                PosixFilePermissions.toString(
+                        Files.getPosixFilePermissions(stateFolder().resolve("admin.sock"))));
     }
 
     @Test
-    void lateResponseAfterItWasStoredProvesItDelivered() throws Exception {
+    void lateResponseProvesAStoredDeadLetterDelivered() throws Exception {
         start(writeRelayFile(""));
         partner.lateBy(7_000);
         assertEquals(202, submit("s1", "settlement"));
-        await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\""));
-        await(() -> lists("\"ref\":\"s1\"", "\"state\":\"delivered\"", "\"ran\":\"did\"", "a late answer"));
+        await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\""));
+        await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"delivered\"", "\"ran\":\"did\"", "a late answer"));
         assertTrue(sendCommand("command", "confirm", "id", entryId("s1"), "by", "clerk", "reason", "none")
                 .get(0)
                 .contains("proven to be delivered"));
@@ -198,15 +200,15 @@
     }
 
     @Test
-    void lateResponseEndsAManualRedriveThatWaits() throws Exception {
+    void lateResponseEndsAPendingManualRedrive() throws Exception {
         start(writeRelayFile(""));
         partner.lateBy(9_000);
         assertEquals(202, submit("s1", "settlement"));
-        await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\""));
-        // The upstream rejects everything, so that the redrive is open, with nothing executed, when the proof arrives.
+        await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\""));
+        // The upstream rejects all calls, so that the redrive is still pending and not executed when the proof arrives.
         partner.be(Mood.SHUT);
         sendCommand("command", "confirm", "id", entryId("s1"), "by", "clerk", "reason", "says the partner");
-        await(() -> lists("\"ref\":\"s1\"", "\"state\":\"delivered\"", "a late answer"));
+        await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"delivered\"", "a late answer"));
         partner.be(Mood.WELL);
         assertEquals(202, submit("s2", "settlement"));
         await(() -> partner.effects().containsKey("s2"));
@@ -221,7 +223,7 @@
             assertEquals(202, submit("s" + i, "settlement"));
         }
         await(() -> sendCommand("command", "list").size() == 5);
-        await(() -> lists("\"ran\":\"never\"", "\"told\":\"failed\""));
+        await(() -> isListed("\"ran\":\"never\"", "\"told\":\"failed\""));
         partner.be(Mood.WELL);
         await(() -> partner.effects().size() == 5);
         await(() -> sendCommand("command", "list", "state", "delivered").size() == 5);
@@ -231,42 +233,42 @@
     }
 
     @Test
-    void carOrderWhoseKeyWindowIsOverNeedsAConfirmation() throws Exception {
+    void keyedMessageWhoseKeyWindowIsOverNeedsAConfirmation() throws Exception {
         start(writeRelayFile("pause = \"3s\""));
         partner.be(Mood.RESETS);
         assertEquals(202, submit("c1", "car-order"));
-        await(() ->
-                lists("\"ref\":\"c1\"", "after a person's word: an attempt may have run, and its key window is over"));
-        int before = partner.postings().size();
+        await(() -> isListed(
+                "\"ref\":\"c1\"", "after a person's word: an attempt may have run, and its key window is over"));
+        int postingsBefore = partner.postings().size();
         partner.be(Mood.WELL);
-        String answer = sendCommand("command", "resend", "id", entryId("c1"), "by", "clerk")
+        String redriveResult = sendCommand("command", "resend", "id", entryId("c1"), "by", "clerk")
                 .get(0);
-        assertTrue(answer.contains("\"done\":false"), answer);
-        assertEquals(before, partner.postings().size());
+        assertTrue(redriveResult.contains("\"done\":false"), redriveResult);
+        assertEquals(postingsBefore, partner.postings().size());
         sendCommand("command", "confirm", "id", entryId("c1"), "by", "clerk", "reason", "not in their books");
-        await(() -> lists("\"ref\":\"c1\"", "\"state\":\"delivered\""));
-        assertEquals(before + 1, partner.postings().size());
+        await(() -> isListed("\"ref\":\"c1\"", "\"state\":\"delivered\""));
+        assertEquals(postingsBefore + 1, partner.postings().size());
     }
 
     @Test
-    void confirmationsAndRedrivesAreAuditedAndConcurrentOnesAreMerged() throws Exception {
+    void confirmationsAndRedrivesAreAuditedAndRepeatedRedrivesSendOnce() throws Exception {
         start(writeRelayFile(""));
         partner.be(Mood.RESETS);
         assertEquals(202, submit("s1", "settlement"));
-        await(() -> lists("\"ref\":\"s1\"", "\"ran\":\"maybe\""));
+        await(() -> isListed("\"ref\":\"s1\"", "\"ran\":\"maybe\""));
         partner.be(Mood.WELL);
         String id = entryId("s1");
         sendCommand("command", "confirm", "id", id, "by", "clerk", "reason", "not in their books");
         sendCommand("command", "resend", "id", id, "by", "clerk");
         sendCommand("command", "resend", "id", id, "by", "other");
-        await(() -> lists("\"ref\":\"s1\"", "\"state\":\"delivered\""));
+        await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"delivered\""));
         assertEquals(
                 2,
                 partner.postings().stream().filter(p -> p.id().equals("s1")).count(),
-                "the first attempt and one resend");
+                "the first attempt and one redrive");
         String shown = sendCommand("command", "show", "id", id).get(0);
         assertTrue(shown.contains("clerk confirm not posted: not in their books"), shown);
-        assertFalse(shown.contains("\"body\""), "a body is shown only on request");
+        assertFalse(shown.contains("\"body\""), "the body is omitted unless requested");
         assertTrue(sendCommand("command", "show", "id", id, "body", "yes")
                 .get(0)
                 .contains("\"body\":\"Ym9keSBvZiBzMQ==\""));
@@ -280,7 +282,7 @@
     }
 
     @Test
-    void killsAtAnyTimeLoseAndDuplicateNothing() throws Exception {
+    void killsAtRandomTimesNeitherLoseNorDuplicateMessages() throws Exception {
         Path file = writeRelayFile("");
         Random random = new Random(7);
         Mood[] moods = {Mood.SHUT, Mood.RESETS, Mood.WELL, Mood.SHUT};
@@ -301,7 +303,7 @@
         start(file);
         await(() -> accepted.stream()
                 .allMatch(id -> partner.effects().containsKey(id)
-                        || lists("\"ref\":\"" + id + "\"", "\"state\":\"kept\"", "\"ran\":\"maybe\"")));
+                        || isListed("\"ref\":\"" + id + "\"", "\"state\":\"kept\"", "\"ran\":\"maybe\"")));
         partner.effects().forEach((id, times) -> assertEquals(1, times, id));
         assertTrue(accepted.size() >= 20, "accepted: " + accepted.size());
     }
@@ -311,29 +313,30 @@
         start(writeRelayFile(""));
         partner.be(Mood.RESETS);
         assertEquals(202, submit("s1", "settlement"));
-        await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\""));
+        await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"kept\""));
         relay.close();
         assertEquals(0, runCommand("list"));
         assertTrue(Files.readString(folder.resolve("out")).contains("settlement"));
         assertEquals(0, runCommand("show", "1"));
         assertEquals(0, runCommand("stats"));
-        assertEquals(
-                2, runCommand("discard", "1", "--by", "clerk", "--reason", "x"), "no relay serves the admin socket");
+        assertEquals(2, runCommand("discard", "1", "--by", "clerk", "--reason", "x"), "discard needs a running relay");
         assertEquals(2, runCommand("show", "99"));
-        assertEquals(2, runCommand("resend", "--by", "clerk"), "no entry is selected");
+        assertEquals(2, runCommand("resend", "--by", "clerk"), "redrive needs a selection");
     }
 
+    /** Runs a dead-letter command in a process of its own and returns its exit code. */
     private int runCommand(String... words) throws Exception {
-        List<String> line = new ArrayList<>(List.of(
+        List<String> commandLine = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin/java").toString(),
                 "-cp",
                 System.getProperty("java.class.path"),
                 Main.class.getName(),
-                "undeliverable"));
-        line.addAll(List.of(words));
-        line.addAll(2 + 3, List.of(words[0], "--folder", state().toString()));
-        line.remove(8);
-        Process process = new ProcessBuilder(line)
+                "undeliverable",
+                words[0],
+                "--folder",
+                stateFolder().toString()));
+        commandLine.addAll(List.of(words).subList(1, words.length));
+        Process process = new ProcessBuilder(commandLine)
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("out").toFile())
                 .start();
@@ -344,7 +347,7 @@
     }
 
     @Test
-    void fullStoreRejectsNewMessagesAndLogsIt() throws Exception {
+    void fullStoreIsLoggedAndNewMessagesAreRejected() throws Exception {
         start(writeRelayFile("entries = 3"));
         partner.be(Mood.RESETS);
         for (int i = 0; i < 3; i++) {
@@ -357,9 +360,9 @@
     }
 
     @Test
-    void damagedStoreIsSetAsideAndTheRelayServes() throws Exception {
-        Files.createDirectories(state());
-        Files.writeString(state().resolve("undeliverable.db"), "no database".repeat(1_000));
+    void relayServesAfterADamagedStoreIsSetAside() throws Exception {
+        Files.createDirectories(stateFolder());
+        Files.writeString(stateFolder().resolve("undeliverable.db"), "no database".repeat(1_000));
         start(writeRelayFile(""));
         assertTrue(log().contains("deadletter: damaged database set aside"), log());
         assertEquals(202, submit("s1", "settlement"));
@@ -367,9 +370,9 @@
     }
 
     @Test
-    void storeThatCannotBeOpenedFailsTheStartWithOneLine() throws Exception {
+    void storeThatCannotBeOpenedFailsTheStartWithoutAStackTrace() throws Exception {
         Path file = writeRelayFile("");
-        Files.createDirectories(state().resolve("undeliverable.db"));
+        Files.createDirectories(stateFolder().resolve("undeliverable.db"));
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-cp",
--- a/src/test/java/loftflow/server/DeliveryTest.java
+++ b/src/test/java/loftflow/server/DeliveryTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Order;
 import org.junit.jupiter.api.Test;
 
-/** Calls to upstreams: what is sent, what the responses mean, and what must not be sent. */
+/** Tests calls to upstreams: their content, the effect of each response, and calls that must not be sent. */
 @Order(1)
 class DeliveryTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutList(), ScriptedPeer.always(status(200)));
         relay.withKnownEndpoint("m1", 8, "many", host);
     }
 
@@ -39,8 +39,8 @@
     }
 
     /**
-     * A message that is sent before the last response has been read opens a connection of its own, so that more than
-     * one message may be needed until a connection is reused.
+     * A message that is sent before the relay has read the previous response opens another connection, so that a
+     * connection may be reused only after several messages.
      */
     @Test
     void connectionIsReused() throws IOException {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void unsafeMessageThatMayHaveRunIsNotSentAgain() throws IOException {
+    void nonIdempotentMessageThatMayHaveBeenExecutedIsNotRetried() throws IOException {
         host.answer(request -> ScriptedPeer.CLOSE);
         assertEquals(202, relay.start().submit("u1", "unsafe", 7));
         await(() -> relay.hasNotified("u1", "dead"));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void unsafeMessageThatNeverRanIsSentAgain() throws IOException {
+    void nonIdempotentMessageThatWasNotExecutedIsRetried() throws IOException {
         host.answer(request -> host.count("POST /receive") == 1 ? status(503) : status(200));
         assertEquals(202, relay.start().submit("u2", "unsafe", 7));
         await(() -> host.count("POST /receive") == 2);
@@ -75,19 +75,19 @@
     }
 
     @Test
-    void connectionThatIsRefusedProvesThatNothingRan() throws IOException {
-        // The port is bound but nobody listens: a port that was only released could be in use by another test.
-        try (Socket taken = new Socket()) {
-            taken.bind(new InetSocketAddress("127.0.0.1", 0));
-            relay.withKnownEndpoint("h9", 9, "one", "127.0.0.1:" + taken.getLocalPort());
+    void refusedConnectionProvesThatTheMessageWasNotExecuted() throws IOException {
+        // The port stays bound without a listener, because another test could listen on a port that was released.
+        try (Socket boundSocket = new Socket()) {
+            boundSocket.bind(new InetSocketAddress("127.0.0.1", 0));
+            relay.withKnownEndpoint("h9", 9, "one", "127.0.0.1:" + boundSocket.getLocalPort());
             assertEquals(202, relay.start().submit("u3", "unsafe", 9, 1500, "x"));
             await(() -> relay.hasNotified("u3", "bounced"));
         }
     }
 
     @Test
-    void callThatIsNotAnsweredEndsWithItsTime() throws IOException {
-        // A relay may be slow at its first send; it then rightly rejects a message with no time left.
+    void callWithoutAResponseEndsAtTheDeadline() throws IOException {
+        // The first call of a process may be slow, and a message that has no time left after it is rejected.
         relay.start().submit("first", "safe", 7);
         await(() -> host.requests.size() == 1);
         host.answer(request -> ScriptedPeer.SILENCE);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void messageThatIsOverAtTheUpstreamNeedsNoNotification() throws IOException {
+    void messageWithResponse410IsNotNotified() throws IOException {
         host.answer(request -> status(410));
         relay.start().submit("g1", "safe", 7);
         await(() -> host.requests.size() == 1);
@@ -114,13 +114,13 @@
         await(() -> host.requests.size() == 1);
         relay.submit("w2", "safe", 7);
         await(() -> host.requests.size() == 3);
-        long gap = host.requests.get(1).at() - host.requests.get(0).at();
-        assertTrue(gap >= TimeUnit.MILLISECONDS.toNanos(1200), "sent after ns: " + gap);
+        long gapNanos = host.requests.get(1).at() - host.requests.get(0).at();
+        assertTrue(gapNanos >= TimeUnit.MILLISECONDS.toNanos(1200), "nanoseconds between the calls: " + gapNanos);
     }
 
     @Test
-    void messagesOfOneRoundTravelInOneCall() throws IOException {
-        // The upstream rejects the first call, so that later messages wait for its rate limit together.
+    void messagesOfOneRoundAreSentInOneBatch() throws IOException {
+        // The upstream rejects the first call with Retry-After, so that both messages wait and are sent together.
         host.answer(request -> request.line().contains("many")
                 ? answer(200, "[{\"id\":\"b1\",\"state\":\"done\"},{\"id\":\"b2\",\"state\":\"failed\"}]")
                 : host.requests.size() == 1 ? status(503, "X-Come-Back-Ms: 500") : ScriptedPeer.SILENCE);
@@ -135,8 +135,8 @@
     }
 
     @Test
-    void responseAfterTheDeadlineOfOneOfItsMessagesDeliversNone() throws IOException {
-        // The upstream responds as soon as the first message has expired, and claims to have delivered both.
+    void batchResponseAfterTheDeadlineOfOneMessageDeliversNone() throws IOException {
+        // The upstream responds once the deadline of the first message has passed, and reports both as delivered.
         host.answer(request -> {
             if (!request.line().contains("many")) {
                 return status(503, "X-Come-Back-Ms: 500");
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void idleConnectionsAreNotTrustedAfterABreak() throws IOException {
+    void idleConnectionsAreNotReusedAfterAConnectionLoss() throws IOException {
         host.answer(request -> request.id().startsWith("slow") ? ScriptedPeer.SILENCE : status(200));
         relay.start();
         relay.submit("slow", "safe", 7);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void malformedResponseIsSurvived() throws IOException {
+    void relayServesAfterMalformedResponses() throws IOException {
         host.answer(request -> "\u0001\u0002 nonsense\r\n\r\n");
         relay.start().submit("n1", "unsafe", 7);
         await(() -> relay.hasNotified("n1", "dead"));
@@ -181,22 +181,23 @@
     }
 
     /**
-     * When the relay has CPU again, both the request and the end of the client's connection are unread, and a round is
-     * overdue. A request that has waited too long is rejected, and the client repeats it: that is not what is tested.
+     * The relay is suspended while a client sends a message and disconnects. When the relay resumes, the message and
+     * the end of the stream are unread, and a round is overdue. The second message is repeated while it is rejected,
+     * because a relay that was suspended rejects requests that have waited too long.
      */
     @Test
-    void messageOfAClientThatDisconnectsBeforeItsAnswerIsDropped() throws IOException {
+    void messageOfAClientThatDisconnectsBeforeTheResponseIsDropped() throws IOException {
         relay.withRoundPeriod("0.1").start().submit("first", "safe", 7);
         await(() -> host.requests.size() == 1 && relay.openJournalMessages().isEmpty());
         relay.pause();
-        long paused = System.nanoTime();
+        long pausedAtNanos = System.nanoTime();
         Socket socket = relay.connect();
-        KernelSocketState far = KernelSocketState.ofPeer(socket);
+        KernelSocketState relaySocket = KernelSocketState.ofPeer(socket);
         socket.getOutputStream()
                 .write(RelayProcess.message("left", "safe", 7, 20_000, "hello").getBytes());
         socket.close();
-        far.awaitEndOfStream();
-        await(() -> System.nanoTime() - paused > TimeUnit.MILLISECONDS.toNanos(100));
+        relaySocket.awaitEndOfStream();
+        await(() -> System.nanoTime() - pausedAtNanos > TimeUnit.MILLISECONDS.toNanos(100));
         relay.resume();
         int status;
         do {
@@ -208,7 +209,7 @@
     }
 
     @Test
-    void endlessResponseDeliversAndDelaysNothing() throws IOException {
+    void incompleteResponseBodyDoesNotPreventDelivery() throws IOException {
         host.answer(request -> "HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n");
         relay.start().submit("e1", "unsafe", 7);
         await(() -> host.requests.size() == 1 && relay.openJournalMessages().isEmpty());
@@ -220,14 +221,14 @@
     }
 
     @Test
-    void deliveredMessagesAreNotHeldInMemory() throws IOException {
+    void memoryOfDeliveredMessagesIsReleased() throws IOException {
         relay.start();
         String body = "x".repeat(64 << 10);
         try (Socket socket = relay.connect()) {
             for (int i = 0; i < 500; i++) {
-                String message = RelayProcess.message("big" + i, "safe", 7, 999_999_999, body);
-                assertEquals(202, RelayProcess.exchange(socket, message).status());
                 String id = "big" + i;
+                String message = RelayProcess.message(id, "safe", 7, 999_999_999, body);
+                assertEquals(202, RelayProcess.exchange(socket, message).status());
                 await(() -> host.requests.stream().anyMatch(r -> id.equals(r.id())));
                 host.requests.clear();
             }
--- a/src/test/java/loftflow/server/EarlySignalTest.java
+++ b/src/test/java/loftflow/server/EarlySignalTest.java
@@ -7,10 +7,10 @@
 import loftflow.config.Config;
 import org.junit.jupiter.api.Test;
 
-/** A SIGHUP before the relay can apply a new configuration. */
+/** Tests a SIGHUP that arrives before the relay can apply a new configuration. */
 class EarlySignalTest {
     @Test
-    void incompleteFileAtASignalBeforeTheStartIsRetried() {
+    void incompleteFileIsRetriedAfterASignalBeforeTheStart() {
         AtomicInteger reads = new AtomicInteger();
         ConfigReloader reloader = ConfigReloader.installSighupHandler(new Config.Source() {
             @Override
@@ -46,7 +46,7 @@
                         null,
                         null,
                         new byte[] {1}),
-                next -> {});
+                newConfig -> {});
         await(() -> reads.get() > 2);
     }
 }
--- a/src/test/java/loftflow/server/FleetHarness.java
+++ b/src/test/java/loftflow/server/FleetHarness.java
@@ -22,9 +22,10 @@
 import loftflow.warmstart.store.SnapshotSamples;
 
 /**
- * A fleet of relays on loopback with upstreams, discovery and a client for each relay. Half of the relays are killed
- * while discovery is down and start again. Meanwhile some endpoints are removed, and at their addresses another service
- * answers, hangs or refuses connections; some upstreams were out, and return cold.
+ * A fleet of relays on loopback with upstreams, a discovery agent and one client per relay. Half of the relays are
+ * killed and restarted while discovery is down. Meanwhile some endpoints are removed, and at their addresses
+ * another service responds, hangs or refuses connections. Some upstreams reject all calls and recover with a reduced
+ * capacity that rises during a warm-up.
  */
 final class FleetHarness implements AutoCloseable {
     static final double MAX_LOAD_MULTIPLE = 2.5;
@@ -33,11 +34,11 @@
     private static final long WARM_UP_MILLIS = 10_000;
     private static final long LATENCY_OBJECTIVE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    /** What the relays know when they start again. */
+    /** The state that is available to the restarted relays. */
     enum Start {
-        /** A snapshot that is one or two seconds old. */
+        /** A snapshot from one or two seconds before the restart. */
         REMEMBERED,
-        /** A snapshot that is made two hours old. */
+        /** A snapshot whose times are set back by two hours. */
         REMEMBERED_OLD,
         /** No snapshot, and discovery is up. */
         DISCOVERY,
@@ -46,17 +47,19 @@
     }
 
     /**
-     * What was measured.
+     * The results of a run.
      *
-     * @param readyMillis from the start of each process until it was ready; -1 where it was not before discovery returned
-     * @param inTime the share of the messages for relays that started again, sent until discovery returned, that was
-     *     delivered within two seconds
-     * @param others the same for the relays that were not killed
-     * @param toRemovedBefore messages from relays that started again that reached the addresses of removed endpoints, before
+     * @param readyMillis the time from the start of each restarted process until it was ready; -1 if it was not ready
+     *     before discovery returned
+     * @param inTime the share of messages to restarted relays, submitted before discovery returned, that were delivered
+     *     within two seconds
+     * @param others the same share for the relays that were not killed
+     * @param toRemovedBefore the number of messages that restarted relays sent to addresses of removed endpoints before
      *     discovery returned
-     * @param toRemovedAfter messages from any relay that did so after discovery had notified each relay
-     * @param highest the highest load in two seconds on any partner that returned cold, as a multiple of what it could
-     *     do
+     * @param toRemovedAfter the number of messages that all relays sent to such addresses after each relay had the new
+     *     list
+     * @param highest the highest load of any recovering upstream in two seconds, as a multiple of its capacity at that
+     *     time
      */
     record Measured(
             List<Long> readyMillis,
@@ -76,22 +79,23 @@
     private final int limit;
     private final double rate;
     private final List<FakePartner> partners = new ArrayList<>();
-    private final List<ScriptedPeer> reuseRemovedAddresses = new ArrayList<>();
+    private final List<ScriptedPeer> peersAtRemovedAddresses = new ArrayList<>();
     private final FakeDiscoveryAgent discovery = new FakeDiscoveryAgent();
     private final List<ServedRelay> served = new ArrayList<>();
     private final List<Path> files = new ArrayList<>();
     private final Map<String, SentMessage> sentMessages = new ConcurrentHashMap<>();
     private final List<Thread> clients = new ArrayList<>();
-    private volatile boolean over;
+    private volatile boolean isOver;
     private long killedAt;
     private long returnedAt;
 
     /**
-     * A fleet that is not started yet. Each of the first {@code removed} endpoints shares its destination with another
-     * endpoint; the last {@code cold} ones share theirs with none.
+     * Creates a fleet; {@link #run} starts it. Each of the first {@code removed} endpoints shares its destination with
+     * another endpoint. Each of the last {@code cold} endpoints, which recover during the run, is the only one of its
+     * destination.
      *
-     * @param limit calls a second that each endpoint accepts
-     * @param rate messages a second that each relay is sent
+     * @param limit the number of calls per second that each endpoint accepts
+     * @param rate the number of messages per second that are submitted to each relay
      */
     FleetHarness(Path folder, int relays, int endpoints, int removed, int cold, int limit, double rate)
             throws IOException {
@@ -107,14 +111,14 @@
         }
     }
 
-    /** Removed endpoint i shares its destination with endpoint removed + i. */
+    /** Returns the destination of an endpoint. Removed endpoint i shares it with endpoint {@code removed + i}. */
     private int destination(int endpoint) {
         return endpoint < removed ? removed + endpoint : endpoint;
     }
 
-    private List<String> list(int from) {
+    private List<String> listEntries(int firstEndpoint) {
         List<String> entries = new ArrayList<>();
-        for (int i = from; i < endpoints; i++) {
+        for (int i = firstEndpoint; i < endpoints; i++) {
             entries.add(FakeDiscoveryAgent.entry(
                     "e" + i,
                     destination(i),
@@ -127,7 +131,7 @@
         return entries;
     }
 
-    private Path writeRelayFile(int relay, boolean remembers) throws Exception {
+    private Path writeRelayFile(int relay, boolean isWarmStart) throws Exception {
         StringBuilder text = new StringBuilder(
                 """
                 format = 1
@@ -157,7 +161,7 @@
                 keep = %s
                 sync = false
                 """
-                        .formatted(folder.resolve("state" + relay), discovery.address(), relays, relay, remembers));
+                        .formatted(folder.resolve("state" + relay), discovery.address(), relays, relay, isWarmStart));
         for (int i = removed; i < endpoints; i++) {
             text.append("[[partner]]\nname = \"p" + i + "\"\nnumber = " + i + "\nkind = \"elevators\"\nlimit = \""
                     + limit + "/s\"\nresponse = \"5ms\"\n");
@@ -171,20 +175,20 @@
         return outcome.file();
     }
 
-    /** Runs the fleet, kills and restarts half of it, and lets discovery return after a gap. */
-    Measured run(Start start, int learnMillis, int gapMillis, int afterMillis) throws Exception {
-        discovery.list(list(0));
+    /** Runs the fleet, kills and restarts half of it, and restarts discovery {@code outageMillis} later. */
+    Measured run(Start start, int beforeKillMillis, int outageMillis, int afterMillis) throws Exception {
+        discovery.list(listEntries(0));
         for (int relay = 0; relay < relays; relay++) {
             files.add(writeRelayFile(relay, start == Start.REMEMBERED || start == Start.REMEMBERED_OLD));
             served.add(ServedRelay.start(files.get(relay), folder.resolve("log" + relay)));
         }
         for (int relay = 0; relay < relays; relay++) {
             served.get(relay).awaitServing();
-            client(relay);
+            startClient(relay);
         }
-        Thread.sleep(learnMillis / 2);
+        Thread.sleep(beforeKillMillis / 2);
         partners.subList(endpoints - cold, endpoints).forEach(p -> p.be(FakePartner.Mood.SHUT));
-        Thread.sleep(learnMillis / 2);
+        Thread.sleep(beforeKillMillis / 2);
         if (start != Start.DISCOVERY) {
             discovery.stop();
         }
@@ -196,69 +200,72 @@
         reuseRemovedAddresses();
         if (start == Start.REMEMBERED_OLD) {
             for (int relay = 0; relay < half; relay++) {
-                age(folder.resolve("state" + relay), relay, TimeUnit.HOURS.toMicros(2));
+                ageSnapshot(folder.resolve("state" + relay), relay, TimeUnit.HOURS.toMicros(2));
             }
         }
         if (start == Start.DISCOVERY) {
-            discovery.list(list(removed));
+            discovery.list(listEntries(removed));
         }
-        long began = System.nanoTime();
+        long restartedAt = System.nanoTime();
         List<Long> ready = restart(half, start);
         Thread.sleep(1_000);
         returnedAt = System.nanoTime();
         partners.subList(endpoints - cold, endpoints).forEach(p -> p.returnCold(COLD_CAPACITY_SHARE, WARM_UP_MILLIS));
-        Thread.sleep(Math.max(0, gapMillis - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began)));
-        long returned = System.nanoTime();
-        long before = messagesToRemovedAddresses(half);
+        Thread.sleep(Math.max(0, outageMillis - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - restartedAt)));
+        long discoveryReturnedAt = System.nanoTime();
+        long beforeReturn = messagesToRemovedAddresses(half);
         if (start != Start.DISCOVERY) {
-            discovery.list(list(removed));
+            discovery.list(listEntries(removed));
             discovery.restart();
         }
-        // By then each relay has the list, since two requests fit into the six seconds in which a change must be known.
+        // A relay must know a change within six seconds, which is enough for two requests: each has the list by now.
         Thread.sleep(7_000);
         long beforeUpdate = messagesToRemovedAddresses(relays);
         Thread.sleep(afterMillis);
-        over = true;
+        isOver = true;
         for (Thread client : clients) {
             client.join();
         }
-        // The messages sent last have their latency objective too.
+        // Gives the last messages the time of their latency objective.
         Thread.sleep(TimeUnit.NANOSECONDS.toMillis(LATENCY_OBJECTIVE_NANOS));
         return new Measured(
                 ready,
-                shareDeliveredInTime(began, returned, half, true),
-                shareDeliveredInTime(began, returned, half, false),
-                before,
+                shareDeliveredInTime(restartedAt, discoveryReturnedAt, half, true),
+                shareDeliveredInTime(restartedAt, discoveryReturnedAt, half, false),
+                beforeReturn,
                 messagesToRemovedAddresses(relays) - beforeUpdate,
                 highestLoad());
     }
 
-    /** Messages of the first so many relays, since the kill, that reached the addresses of removed endpoints. */
-    private long messagesToRemovedAddresses(int from) {
-        return reuseRemovedAddresses.stream()
+    /**
+     * Counts messages of the first {@code relayCount} relays that reached addresses of removed endpoints since the
+     * kill.
+     */
+    private long messagesToRemovedAddresses(int relayCount) {
+        return peersAtRemovedAddresses.stream()
                 .flatMap(s -> s.requests.stream())
                 .filter(r -> r.id() != null
                         && r.at() >= killedAt
-                        && Integer.parseInt(r.id().split("-")[0]) < from)
+                        && Integer.parseInt(r.id().split("-")[0]) < relayCount)
                 .count();
     }
 
-    /** Reuses the addresses of removed endpoints for another service and for one that hangs; the rest refuse. */
+    /** Starts another service or one that hangs at two thirds of the removed addresses; the rest refuse connections. */
     private void reuseRemovedAddresses() throws IOException {
         for (int i = 0; i < removed; i++) {
             int port = Integer.parseInt(partners.get(i).address().split(":")[1]);
             partners.get(i).close();
             if (i % 3 == 0) {
-                reuseRemovedAddresses.add(
+                peersAtRemovedAddresses.add(
                         new ScriptedPeer(port, r -> ScriptedPeer.status(r.line().startsWith("POST ") ? 200 : 404)));
             } else if (i % 3 == 1) {
-                reuseRemovedAddresses.add(new ScriptedPeer(port, r -> ScriptedPeer.SILENCE));
+                peersAtRemovedAddresses.add(new ScriptedPeer(port, r -> ScriptedPeer.SILENCE));
             }
         }
     }
 
-    /** Makes a stopped relay's snapshot older, by every clock alike. */
-    private static void age(Path state, int relay, long by) throws IOException {
+    /** Sets the snapshot of a stopped relay back by a duration, equally for all its clocks. */
+    private static void ageSnapshot(Path state, int relay, long micros) throws IOException {
         SnapshotSamples.rewriteLatest(
                 state,
                 "app#" + relay,
@@ -266,8 +273,8 @@
                         p.owner(),
                         p.generation(),
                         new ClockReading(
-                                p.clocks().wallMicros() - by,
-                                p.clocks().uptimeMicros() - by,
+                                p.clocks().wallMicros() - micros,
+                                p.clocks().uptimeMicros() - micros,
                                 p.clocks().bootId()),
                         p.relayTimeMicros(),
                         p.revision(),
@@ -275,45 +282,45 @@
     }
 
     private List<Long> restart(int half, Start start) throws Exception {
-        long began = System.nanoTime();
-        Map<Integer, Long> ready = new HashMap<>();
+        long restartedAt = System.nanoTime();
+        Map<Integer, Long> readyMillis = new HashMap<>();
         for (int relay = 0; relay < half; relay++) {
             served.set(relay, ServedRelay.start(files.get(relay), folder.resolve("again" + relay)));
         }
         for (int relay = 0; relay < half; relay++) {
             served.get(relay).awaitServing();
-            client(relay);
+            startClient(relay);
         }
-        while (start != Start.EMPTY && ready.size() < half) {
+        while (start != Start.EMPTY && readyMillis.size() < half) {
             for (int relay = 0; relay < half; relay++) {
-                if (!ready.containsKey(relay)) {
+                if (!readyMillis.containsKey(relay)) {
                     try (FakeClient client = served.get(relay).client()) {
                         if (client.isReady()) {
-                            ready.put(relay, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began));
+                            readyMillis.put(relay, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - restartedAt));
                         }
                     }
                 }
             }
-            if (TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - began) > 30) {
+            if (TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - restartedAt) > 30) {
                 throw new IOException("not ready: " + served.get(0).log());
             }
         }
         List<Long> all = new ArrayList<>();
         for (int relay = 0; relay < half; relay++) {
-            all.add(ready.getOrDefault(relay, -1L));
+            all.add(readyMillis.getOrDefault(relay, -1L));
         }
         return all;
     }
 
-    /** Sends messages to one relay at a fixed rate, whatever becomes of them. */
-    private void client(int relay) {
-        ServedRelay to = served.get(relay);
+    /** Starts a client that submits messages to one relay at a fixed rate, regardless of the responses. */
+    private void startClient(int relay) {
+        ServedRelay servedRelay = served.get(relay);
         Thread thread = new Thread(() -> {
             long start = System.nanoTime();
-            long pause = (long) (TimeUnit.SECONDS.toNanos(1) / rate);
-            try (FakeClient client = to.client()) {
-                for (int i = 0; !over && to.process().isAlive(); i++) {
-                    long due = start + i * pause;
+            long intervalNanos = (long) (TimeUnit.SECONDS.toNanos(1) / rate);
+            try (FakeClient client = servedRelay.client()) {
+                for (int i = 0; !isOver && servedRelay.process().isAlive(); i++) {
+                    long due = start + i * intervalNanos;
                     TimeUnit.NANOSECONDS.sleep(due - System.nanoTime());
                     String id = relay + "-" + start + "-" + i;
                     sentMessages.put(id, new SentMessage(relay, due));
@@ -327,7 +334,7 @@
                                 8_000,
                                 "a");
                     } catch (IOException e) {
-                        // The relay may have ended; the message counts as sent.
+                        // The relay may have ended. The message still counts as submitted.
                     }
                 }
             } catch (IOException | InterruptedException e) {
@@ -339,26 +346,31 @@
         clients.add(thread);
     }
 
-    private double shareDeliveredInTime(long from, long until, int half, boolean restarted) {
-        Map<String, Long> ran = new HashMap<>();
+    /**
+     * Returns the share of messages to restarted or to other relays that were delivered within the latency objective.
+     */
+    private double shareDeliveredInTime(long from, long until, int half, boolean isRestarted) {
+        Map<String, Long> executedAt = new HashMap<>();
         for (FakePartner partner : partners) {
             partner.postings().stream()
                     .filter(FakePartner.Posting::ran)
-                    .forEach(p -> ran.merge(p.id(), p.atNanos(), Math::min));
+                    .forEach(p -> executedAt.merge(p.id(), p.atNanos(), Math::min));
         }
-        List<Map.Entry<String, SentMessage>> all = sentMessages.entrySet().stream()
+        List<Map.Entry<String, SentMessage>> selected = sentMessages.entrySet().stream()
                 .filter(h -> h.getValue().sentAtNanos() >= from
                         && h.getValue().sentAtNanos() < until
-                        && h.getValue().relay() < half == restarted)
+                        && h.getValue().relay() < half == isRestarted)
                 .toList();
-        long good = all.stream()
-                .filter(h -> ran.containsKey(h.getKey())
-                        && ran.get(h.getKey()) - h.getValue().sentAtNanos() <= LATENCY_OBJECTIVE_NANOS)
+        long inTime = selected.stream()
+                .filter(h -> executedAt.containsKey(h.getKey())
+                        && executedAt.get(h.getKey()) - h.getValue().sentAtNanos() <= LATENCY_OBJECTIVE_NANOS)
                 .count();
-        return (double) good / Math.max(1, all.size());
+        return (double) inTime / Math.max(1, selected.size());
     }
 
-    /** The highest load on an upstream that returned cold, in any two seconds, as a multiple of its capacity then. */
+    /**
+     * Returns the highest load of a recovering upstream in any two seconds, as a multiple of its capacity at that time.
+     */
     private double highestLoad() {
         double highest = 0;
         for (FakePartner partner : partners.subList(endpoints - cold, endpoints)) {
@@ -373,11 +385,11 @@
                 while (first + count < calls.length && calls[first + count] < calls[first] + LOAD_WINDOW_NANOS) {
                     count++;
                 }
-                double able = (partner.able(calls[first]) + partner.able(calls[first] + LOAD_WINDOW_NANOS))
+                double capacity = (partner.able(calls[first]) + partner.able(calls[first] + LOAD_WINDOW_NANOS))
                         / 2
                         * LOAD_WINDOW_NANOS
                         / 1e9;
-                highest = Math.max(highest, count / able);
+                highest = Math.max(highest, count / capacity);
             }
         }
         return highest;
@@ -385,23 +397,23 @@
 
     @Override
     public void close() throws IOException {
-        over = true;
+        isOver = true;
         served.forEach(ServedRelay::close);
         for (FakePartner partner : partners) {
             partner.close();
         }
-        for (ScriptedPeer stranger : reuseRemovedAddresses) {
-            stranger.close();
+        for (ScriptedPeer peer : peersAtRemovedAddresses) {
+            peer.close();
         }
         discovery.close();
     }
 
-    /** Measures twelve relays with thirty endpoints, four removed and six cold, for each kind of start. */
+    /** Runs twelve relays with thirty endpoints, four removed and six recovering, for each kind of start. */
     public static void main(String[] args) throws Exception {
         for (Start start : args.length == 0 ? Start.values() : new Start[] {Start.valueOf(args[0])}) {
             try (TemporaryFolder scratch = TemporaryFolder.named("fleet");
-                    FleetHarness rig = new FleetHarness(scratch.folder(), 12, 30, 4, 6, 20, 15)) {
-                System.out.println(start + " " + rig.run(start, 20_000, 25_000, 10_000));
+                    FleetHarness fleet = new FleetHarness(scratch.folder(), 12, 30, 4, 6, 20, 15)) {
+                System.out.println(start + " " + fleet.run(start, 20_000, 25_000, 10_000));
             }
         }
     }
--- a/src/test/java/loftflow/server/KernelSocketState.java
+++ b/src/test/java/loftflow/server/KernelSocketState.java
@@ -12,8 +12,8 @@
 import java.util.stream.Stream;
 
 /**
- * The kernel's state of the far side of a loopback connection, by which a test waits until something has arrived there
- * and is unread, instead of sleeping for a time that may be too short.
+ * The kernel's state of the remote socket of a loopback connection. Tests use it to wait until data, an end of stream
+ * or a reset has arrived there, because a sleep may be too short.
  */
 public final class KernelSocketState {
     private static final String CLOSE_WAIT = "08";
@@ -26,7 +26,7 @@
         remote = ":%04X".formatted(remotePort);
     }
 
-    /** The other side of a socket that is connected. */
+    /** Returns the state of the socket to which a socket is connected. */
     public static KernelSocketState ofPeer(Socket socket) {
         return new KernelSocketState(socket.getPort(), socket.getLocalPort());
     }
@@ -36,21 +36,21 @@
         awaitUnread(1);
     }
 
-    /** Waits until so many bytes have arrived and are unread. */
+    /** Waits until at least {@code bytes} bytes have arrived and are unread. */
     public void awaitUnread(int bytes) {
-        await(() -> unread() >= bytes);
+        await(() -> unreadBytes() >= bytes);
     }
 
-    /** True where a byte has arrived and is unread. */
+    /** Returns true if at least one byte has arrived and is unread. */
     public boolean hasUnread() {
-        return unread() > 0;
+        return unreadBytes() > 0;
     }
 
-    private long unread() {
+    private long unreadBytes() {
         return row().map(row -> Long.parseLong(row[4].split(":")[1], 16)).orElse(0L);
     }
 
-    /** Waits until the near side's end of stream has arrived. */
+    /** Waits until the end of stream of the local socket has arrived. */
     public void awaitEndOfStream() {
         await(() -> row().filter(row -> row[3].equals(CLOSE_WAIT)).isPresent());
     }
@@ -60,7 +60,10 @@
         await(() -> row().isEmpty());
     }
 
-    /** The row of /proc/net/tcp: number, local address, remote address, state, queued bytes to send and to read, more. */
+    /**
+     * Returns the columns of the socket in {@code /proc/net/tcp}: number, local address, remote address, state, bytes
+     * queued for sending and reading, and others; empty if the socket is closed.
+     */
     private Optional<String[]> row() {
         return Stream.of("tcp", "tcp6")
                 .flatMap(name -> lines(Path.of("/proc/net", name)).stream())
--- a/src/test/java/loftflow/server/LateReadTest.java
+++ b/src/test/java/loftflow/server/LateReadTest.java
@@ -14,62 +14,70 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that wait unread while the relay has no CPU: the wait counts towards their time budget. */
+/** Tests that the time for which a request waits unread in a relay without CPU counts towards its time budget. */
 class LateReadTest extends RelayTestBase {
-    private static final int BUDGET = 20_000;
+    private static final int BUDGET_MILLIS = 20_000;
 
-    private int tries;
-    private long waitedMs;
+    private int submitted;
+    private long waitedMillis;
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutList(), ScriptedPeer.always(status(200)));
         relay.start();
     }
 
-    /** Sends a message that waits unread, on a connection that was opened before the relay was stopped or after. */
-    private RelayProcess.Answer submitUnread(boolean known, long leastMs) throws IOException, InterruptedException {
-        String message = RelayProcess.message("id" + tries++, "unsafe", 7, BUDGET, "hello");
-        Socket first = known ? relay.connect() : null;
-        if (known) {
-            RelayProcess.exchange(first, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    /**
+     * Suspends the relay while a message is unread.
+     *
+     * @param isAccepted whether the relay accepts the connection before it is suspended
+     * @param minWaitMillis the minimum time for which the message is unread
+     */
+    private RelayProcess.Response submitUnread(boolean isAccepted, long minWaitMillis)
+            throws IOException, InterruptedException {
+        String message = RelayProcess.message("id" + submitted++, "unsafe", 7, BUDGET_MILLIS, "hello");
+        Socket acceptedSocket = isAccepted ? relay.connect() : null;
+        if (isAccepted) {
+            RelayProcess.exchange(acceptedSocket, "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
         }
         relay.pause();
-        try (Socket socket = known ? first : relay.connect()) {
+        try (Socket socket = isAccepted ? acceptedSocket : relay.connect()) {
             socket.getOutputStream().write(message.getBytes(StandardCharsets.ISO_8859_1));
-            long written = System.nanoTime();
-            Thread.sleep(leastMs);
-            waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - written);
+            long writtenAtNanos = System.nanoTime();
+            Thread.sleep(minWaitMillis);
+            waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - writtenAtNanos);
             relay.resume();
             return RelayProcess.exchange(socket, "");
         }
     }
 
-    private void timeRunsUnread(boolean known) throws IOException, InterruptedException {
-        // On a busy machine a request may wait until it is too old and is rejected; then the next one is tried.
-        while (submitUnread(known, 150).status() != 202) {
-            assertTrue(tries < 20, "every request was rejected");
+    private void checkBudgetIncludesWait(boolean isAccepted) throws IOException, InterruptedException {
+        // On a busy machine a request may wait so long that it is rejected; another one is submitted then.
+        while (submitUnread(isAccepted, 150).status() != 202) {
+            assertTrue(submitted < 20, "every request was rejected");
         }
         await(() -> host.requests.size() == 1);
-        int budget = Integer.parseInt(host.requests.get(0).headers().get("x-budget-ms"));
-        assertTrue(budget <= BUDGET - waitedMs, "waited " + waitedMs + " ms, budget " + budget);
+        int budgetMillis = Integer.parseInt(host.requests.get(0).headers().get("x-budget-ms"));
+        assertTrue(
+                budgetMillis <= BUDGET_MILLIS - waitedMillis,
+                "waited " + waitedMillis + " ms, budget in ms: " + budgetMillis);
     }
 
     @Test
-    void timeRunsWhileARequestIsUnread() throws IOException, InterruptedException {
-        timeRunsUnread(true);
+    void waitOfAnUnreadRequestCountsTowardsItsBudget() throws IOException, InterruptedException {
+        checkBudgetIncludesWait(true);
     }
 
     @Test
-    void timeRunsWhileAConnectionIsNotAccepted() throws IOException, InterruptedException {
-        timeRunsUnread(false);
+    void waitOnAnUnacceptedConnectionCountsTowardsTheBudget() throws IOException, InterruptedException {
+        checkBudgetIncludesWait(false);
     }
 
     @Test
-    void requestThatIsOlderThanItsClientWaitsIsRejected() throws IOException, InterruptedException {
-        RelayProcess.Answer answer = submitUnread(true, 500);
-        assertEquals(503, answer.status());
-        assertTrue(answer.head().toLowerCase(Locale.ROOT).contains("retry-after"), answer.head());
+    void requestOlderThanTheClientTimeoutIsRejected() throws IOException, InterruptedException {
+        RelayProcess.Response response = submitUnread(true, 500);
+        assertEquals(503, response.status());
+        assertTrue(response.head().toLowerCase(Locale.ROOT).contains("retry-after"), response.head());
         assertEquals(503, submitUnread(false, 500).status());
         assertEquals(0, host.requests.size());
     }
--- a/src/test/java/loftflow/server/MalformedResponseTest.java
+++ b/src/test/java/loftflow/server/MalformedResponseTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Responses of upstreams that are malformed, do not end, or are followed by bytes that do not belong to them. */
+/** Tests upstream responses that are malformed or incomplete, or that are followed by unexpected bytes. */
 class MalformedResponseTest extends RelayTestBase {
-    private static final String HUGE = "Content-Length: 3000000000\r\n\r\n" + "x".repeat(100_000);
+    private static final String OVERSIZED_BODY = "Content-Length: 3000000000\r\n\r\n" + "x".repeat(100_000);
 
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(status(200)));
+        prepare(RelayProcess.discoveryWithoutList(), ScriptedPeer.always(status(200)));
         relay.withKnownEndpoint("m1", 8, "many", host);
     }
 
     @Test
     void malformedResponseProvesNothing() throws IOException {
-        List<String> spoilt = List.of(
+        List<String> malformedResponses = List.of(
                 "HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\n",
-                "HTTP/1.1 410 X\r\n" + HUGE,
+                "HTTP/1.1 410 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 60000\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 504 X\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 "HTTP/1.1 404 X\r\nEndless: " + "x".repeat(20_000),
@@ -35,9 +35,9 @@
                 "HTTP/1.1 ",
                 "noise");
         relay.start();
-        for (int i = 0; i < spoilt.size(); i++) {
+        for (int i = 0; i < malformedResponses.size(); i++) {
             String id = "u" + i;
-            String text = spoilt.get(i);
+            String text = malformedResponses.get(i);
             host.answer(request -> text);
             relay.submit(id, "unsafe", 7);
             await(() -> relay.hasNotified(id, "dead"));
@@ -47,22 +47,22 @@
             await(() ->
                     host.requests.size() > sent && relay.openJournalMessages().isEmpty());
         }
-        assertEquals(2 * spoilt.size(), host.requests.size());
+        assertEquals(2 * malformedResponses.size(), host.requests.size());
     }
 
     @Test
-    void firstLineThatSays200IsTrueForOneMessage() throws IOException {
-        List<String> spoilt = List.of(
+    void statusLine200DeliversASingleMessageDespiteAMalformedRest() throws IOException {
+        List<String> malformedResponses = List.of(
                 "HTTP/1.1 200 X\r\nEndless: " + "x".repeat(20_000),
-                "HTTP/1.1 200 X\r\n" + HUGE,
+                "HTTP/1.1 200 X\r\n" + OVERSIZED_BODY,
                 "HTTP/1.1 200 X\r\nbad\u0000head\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 200 X\r\nContent-Length: 1, 2\r\n\r\n",
                 "HTTP/1.1 200 X\r\nHalf",
                 "HTTP/1.1 100 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 7\r\n\r\n");
         relay.start();
-        for (int i = 0; i < spoilt.size(); i++) {
+        for (int i = 0; i < malformedResponses.size(); i++) {
             int sent = i + 1;
-            String text = spoilt.get(i);
+            String text = malformedResponses.get(i);
             host.answer(request -> text);
             relay.submit("u" + i, "unsafe", 7);
             await(() ->
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void batchResponseThatCannotBeReadToItsEndCountsForNone() throws IOException {
+    void batchResponseWithAnInvalidElementDeliversNone() throws IOException {
         host.answer(request -> request.line().contains("many")
                 ? answer(200, "[{\"id\":\"b1\",\"state\":\"busy\"},{\"id\":\"b2\",\"state\":\"busy\"},7]")
                 : host.requests.size() == 1 ? status(503, "X-Come-Back-Ms: 500") : ScriptedPeer.SILENCE);
@@ -83,9 +83,9 @@
         assertEquals(2, host.requests.size());
     }
 
-    /** The messages of a batch were lost: no delivery that the host had answered in full, and no completion either. */
+    /** Guards against losing messages of a batch: they were neither delivered nor notified after such a response. */
     @Test
-    void batchResponseWithAMalformedHeadCountsForNone() throws IOException {
+    void batchResponseWithAMalformedHeadDeliversNone() throws IOException {
         String body = "[{\"id\":\"b1\",\"state\":\"done\"},{\"id\":\"b2\",\"state\":\"done\"}]";
         host.answer(request -> request.line().contains("many")
                 ? answer(200, body, "no colon here")
@@ -108,10 +108,10 @@
     }
 
     @Test
-    void bytesAfterAResponseAreNotTakenForTheNextOne() throws IOException {
+    void bytesAfterAResponseAreNotReadAsTheNextResponse() throws IOException {
         relay.start();
-        for (String behind : List.of(status(200), "\u0001\u0002" + status(200), "noise\r\n\r\n" + status(200))) {
-            host.answer(request -> status(200) + behind);
+        for (String trailing : List.of(status(200), "\u0001\u0002" + status(200), "noise\r\n\r\n" + status(200))) {
+            host.answer(request -> status(200) + trailing);
             long sent = host.count("POST");
             relay.submit("first" + sent, "unsafe", 7);
             await(() -> host.count("POST") > sent && relay.openJournalMessages().isEmpty());
--- a/src/test/java/loftflow/server/MillisecondIoHandlerTest.java
+++ b/src/test/java/loftflow/server/MillisecondIoHandlerTest.java
@@ -24,32 +24,32 @@
         "1000001, 2000000",
         "9223372036854775807, 9223372036854775807"
     })
-    void delaysAreRoundedUpToWholeMilliseconds(long nanos, long waited) {
-        assertEquals(waited, MillisecondIoHandler.roundUpToMillis(nanos));
+    void delaysAreRoundedUpToWholeMilliseconds(long delayNanos, long roundedNanos) {
+        assertEquals(roundedNanos, MillisecondIoHandler.roundUpToMillis(delayNanos));
     }
 
-    /** A loop with a timer every 400 microseconds sleeps between them; with Netty's own handler it would be busy. */
+    /** An event loop with a timer every 400 microseconds must sleep in between; Netty's handler busy-loops instead. */
     @Test
-    void timersCloseToEachOtherDoNotKeepTheLoopBusy() throws Exception {
+    void timersCloseToEachOtherDoNotKeepTheEventLoopBusy() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, MillisecondIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
-        long id = loop.submit(() -> Thread.currentThread().getId()).sync().getNow();
-        long[] left = {1_000};
-        Runnable[] next = new Runnable[1];
-        next[0] = () -> {
-            if (--left[0] > 0) {
-                loop.schedule(next[0], 400, TimeUnit.MICROSECONDS);
+        long threadId = loop.submit(() -> Thread.currentThread().getId()).sync().getNow();
+        long[] remainingTimers = {1_000};
+        Runnable[] timerTask = new Runnable[1];
+        timerTask[0] = () -> {
+            if (--remainingTimers[0] > 0) {
+                loop.schedule(timerTask[0], 400, TimeUnit.MICROSECONDS);
             }
         };
         var threads = ManagementFactory.getThreadMXBean();
-        long cpu = threads.getThreadCpuTime(id);
+        long cpuNanos = threads.getThreadCpuTime(threadId);
         long start = System.nanoTime();
-        loop.execute(next[0]);
-        while (loop.submit(() -> left[0]).sync().getNow() > 0) {
+        loop.execute(timerTask[0]);
+        while (loop.submit(() -> remainingTimers[0]).sync().getNow() > 0) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        double busy = (double) (threads.getThreadCpuTime(id) - cpu) / (System.nanoTime() - start);
-        assertTrue(busy < 0.5, "the share of the time that the loop was busy: " + busy);
+        double busyShare = (double) (threads.getThreadCpuTime(threadId) - cpuNanos) / (System.nanoTime() - start);
+        assertTrue(busyShare < 0.5, "share of time in which the event loop was busy: " + busyShare);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 }
--- a/src/test/java/loftflow/server/RelayFileTest.java
+++ b/src/test/java/loftflow/server/RelayFileTest.java
@@ -18,7 +18,7 @@
 import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.Test;
 
-/** A relay that is configured by a relay file alone, and the classes that it loads. */
+/** Tests a relay that is configured by a relay file alone, and which classes it loads. */
 class RelayFileTest extends RelayFileTestBase {
     private String log() throws IOException {
         return relays.get(relays.size() - 1).log();
@@ -32,7 +32,8 @@
         return submit(client, id, destination, 6_000);
     }
 
-    private Path written(String discovery, String endpoint) throws Exception {
+    /** Writes a relay file from a discovery section and an endpoint section, each of which may be empty. */
+    private Path writeRelayFile(String discovery, String endpoint) throws Exception {
         String text =
                 """
                 format = 1
@@ -68,14 +69,14 @@
         return outcome.file();
     }
 
-    private static String endpoint(FakePartner partner) {
+    private static String endpointSection(FakePartner partner) {
         return "[[partner.endpoint]]\nid = \"iron-1\"\naddress = \"" + partner.address() + "\"";
     }
 
     @Test
-    void listInTheFileIsTheFullListAndCompletionsAreWrittenToAFile() throws Exception {
+    void relayFileWithEndpointsNeedsNoDiscoveryAndLogsCompletionsToAFile() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0)) {
-            launch(written("", endpoint(partner)));
+            launch(writeRelayFile("", endpointSection(partner)));
             try (FakeClient client = client()) {
                 assertTrue(client.isReady());
                 assertEquals(202, handIn(client, "s1", 7));
@@ -83,14 +84,16 @@
                 assertEquals(400, handIn(client, "s2", 8), "no such destination");
                 partner.be(FakePartner.Mood.RESETS);
                 assertEquals(202, handIn(client, "s3", 7));
-                await(() -> ends().contains("\"ref\":\"s3\",\"class\":\"settlement\",\"dest\":7,\"result\":\"dead\""));
+                await(() -> completionLog()
+                        .contains("\"ref\":\"s3\",\"class\":\"settlement\",\"dest\":7,\"result\":\"dead\""));
             }
-            assertEquals(2, log().lines().filter(l -> l.contains("serving on")).count(), "both fronts: " + log());
+            assertEquals(
+                    2, log().lines().filter(l -> l.contains("serving on")).count(), "both listeners serve: " + log());
             assertEquals(1, partner.effects().get("s3"));
         }
     }
 
-    private String ends() {
+    private String completionLog() {
         try {
             return Files.readString(folder.resolve("state/ends.jsonl"));
         } catch (IOException e) {
@@ -101,7 +104,7 @@
     @Test
     void acceptedMessageIsDeliveredAfterAKill() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0)) {
-            Path file = written("", endpoint(partner));
+            Path file = writeRelayFile("", endpointSection(partner));
             partner.be(FakePartner.Mood.SHUT);
             ServedRelay first = launch(file);
             try (FakeClient client = client()) {
@@ -110,18 +113,18 @@
             first.close();
             partner.be(FakePartner.Mood.WELL);
             launch(file);
-            await(() -> partner.effects().containsKey("s1") || ends().contains("s1"));
+            await(() -> partner.effects().containsKey("s1") || completionLog().contains("s1"));
             assertTrue(partner.effects().getOrDefault("s1", 0) <= 1);
         }
     }
 
     @Test
-    void discoveryAddsTheEndpointsThatTheFileLacks() throws Exception {
+    void endpointsAreReadFromDiscoveryIfTheFileHasNone() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0);
                 FakeDiscoveryAgent discovery = new FakeDiscoveryAgent()) {
             discovery.list(List.of(
                     FakeDiscoveryAgent.entry("iron-1", 7, "railways", "main", "in_service", partner.address())));
-            launch(written("[discovery]\nagent = \"" + discovery.address() + "\"", ""));
+            launch(writeRelayFile("[discovery]\nagent = \"" + discovery.address() + "\"", ""));
             try (FakeClient client = client()) {
                 await(() -> isReady(client));
                 assertEquals(202, handIn(client, "s1", 7));
@@ -130,10 +133,11 @@
                 assertEquals(202, handIn(client, "s2", 7));
                 await(() -> discovery.notices().contains(new FakeDiscoveryAgent.Notice("s2", "dead")));
             }
-            assertEquals("", ends(), "notices go to the platform");
+            assertEquals("", completionLog(), "completions are sent to the platform only");
         }
     }
 
+    /** Returns the content of a file; empty if it can't be read. */
     private static String read(Path file) {
         try {
             return Files.readString(file);
@@ -172,20 +176,20 @@
     @Test
     void servingLoadsNoCommandLineAndNoTomlParserForThePlatform() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0)) {
-            launch(written("", endpoint(partner)), "-Xlog:class+load");
+            launch(writeRelayFile("", endpointSection(partner)), "-Xlog:class+load");
             client().close();
-            assertTrue(log().contains("org.tomlj"), "the log of classes works");
+            assertTrue(log().contains("org.tomlj"), "loaded classes are logged");
             assertFalse(
                     log().contains("picocli")
                             || log().contains("com.github.difflib")
                             || log().contains("loftflow.fake"),
-                    "the command line is loaded");
+                    "classes of the command line are loaded");
         }
-        Path classes = folder.resolve("classes");
+        Path classLog = folder.resolve("classes");
         Path log = folder.resolve("platform");
         ProcessBuilder builder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                        "-Xlog:class+load:file=" + classes,
+                        "-Xlog:class+load:file=" + classLog,
                         "-cp",
                         System.getProperty("java.class.path"),
                         Main.class.getName(),
@@ -200,8 +204,8 @@
         } finally {
             relay.destroyForcibly().waitFor();
         }
-        String loaded = Files.readString(classes);
-        assertTrue(loaded.contains("loftflow.config.Config "), "the log of classes works");
+        String loadedClasses = Files.readString(classLog);
+        assertTrue(loadedClasses.contains("loftflow.config.Config "), "loaded classes are logged");
         for (String unused : List.of(
                 "org.tomlj",
                 "org.antlr",
@@ -224,7 +228,7 @@
                 "loftflow.trace",
                 "de.siegmar",
                 "javax.net.ssl")) {
-            assertFalse(loaded.contains(unused), unused + " is loaded");
+            assertFalse(loadedClasses.contains(unused), unused + " is loaded");
         }
     }
 }
--- a/src/test/java/loftflow/server/RelayFileTestBase.java
+++ b/src/test/java/loftflow/server/RelayFileTestBase.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts relays from relay files, and ends them after each test. */
+/** Base of tests that start relays from relay files. Ends the relays after each test. */
 abstract class RelayFileTestBase {
     @TempDir
     Path folder;
@@ -23,14 +23,16 @@
         relays.forEach(ServedRelay::close);
     }
 
-    /** Starts a relay; it may not serve yet. */
+    /** Starts a relay and returns without waiting until it serves. */
     final ServedRelay launch(Path file, String... options) throws IOException {
         ServedRelay relay = ServedRelay.start(file, folder.resolve("log" + relays.size()), options);
         relays.add(relay);
         return relay;
     }
 
-    /** Sends a settlement; repeats it while the relay rejects it, as a relay does that is short of CPU at its start. */
+    /**
+     * Submits a settlement and repeats it while it is rejected: a relay that starts with little CPU rejects messages.
+     */
     static int submit(FakeClient client, String id, int destination, long budgetMillis) {
         int[] status = new int[1];
         await(() -> {
--- a/src/test/java/loftflow/server/RelayProcess.java
+++ b/src/test/java/loftflow/server/RelayProcess.java
@@ -18,13 +18,18 @@
 import loftflow.fake.ScriptedPeer;
 import loftflow.journal.Journal;
 
-/** The real program in a process of its own, with scripted peers as its upstreams and discovery. */
+/** A relay in a process of its own, with scripted peers as upstreams and discovery agent. */
 public final class RelayProcess implements AutoCloseable {
     private static final Pattern SERVING = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
     private static final int TIMEOUT_SECONDS = 30;
 
-    /** An answer of the relay: its status, or 0 where the connection ended without one. */
-    record Answer(int status, String head) {}
+    /**
+     * A response of the relay.
+     *
+     * @param status the status code, or 0 if the connection ended before a complete head
+     * @param head the received part of the head
+     */
+    record Response(int status, String head) {}
 
     private final Path folder;
     private ScriptedPeer discovery;
@@ -43,7 +48,9 @@
         this.discovery = discovery;
     }
 
-    /** An entry of discovery's list. Kind {@code one} accepts one message a call, {@code many} accepts four. */
+    /**
+     * Returns an entry of the endpoint list. Kind {@code one} accepts one message per call, {@code many} accepts four.
+     */
     static String target(String uid, int destination, String kind, String state, String address) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address + "\",\"az\":\"a\",\"model\":\"" + kind
                 + "\",\"pod_group\":" + destination + ",\"state\":\"" + state
@@ -54,8 +61,8 @@
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
-    /** Discovery that never answers a request for its list and acknowledges every completion. */
-    static ScriptedPeer quietDiscovery() throws IOException {
+    /** Starts a discovery agent that never responds to list requests and acknowledges every completion. */
+    static ScriptedPeer discoveryWithoutList() throws IOException {
         return new ScriptedPeer(
                 request -> request.line().startsWith("POST /status") ? ScriptedPeer.status(204) : ScriptedPeer.SILENCE);
     }
@@ -74,31 +81,31 @@
         return this;
     }
 
-    /** Sets how long the relay collects events before a round. */
+    /** Sets the time for which the relay collects events before a round. */
     RelayProcess withRoundPeriod(String seconds) {
         roundPeriodSeconds = seconds;
         return this;
     }
 
-    /** Sets how long upstreams drop a repeated key. */
+    /** Sets the time for which upstreams deduplicate by key. */
     RelayProcess withKeyWindow(String seconds) {
         keyWindowSeconds = seconds;
         return this;
     }
 
-    /** Sets the system's limit on the relay's file descriptors, whatever its configuration says. */
+    /** Sets the operating system's limit on file descriptors, which may differ from the configured one. */
     RelayProcess withDescriptorLimit(int max) {
         maxDescriptors = max;
         return this;
     }
 
-    /** Sets the file that configures a warm start. */
+    /** Sets the file that configures the warm start. */
     RelayProcess withWarmStartFile(Path file) {
         warmStartFile = file;
         return this;
     }
 
-    /** How many descriptors the relay has open. */
+    /** Returns the number of file descriptors that the relay has open. */
     int openDescriptors() {
         return Path.of("/proc/" + process.pid() + "/fd").toFile().list().length;
     }
@@ -121,29 +128,29 @@
                         + SETTINGS.replace("PERIOD", roundPeriodSeconds).replace("KEY_WINDOW", keyWindowSeconds) + "}");
     }
 
-    /** Configures another address of discovery and sends SIGHUP. */
+    /** Changes the discovery address in the configuration file and sends SIGHUP. */
     void moveDiscovery(ScriptedPeer next) throws IOException {
         replaceConfiguration(next);
-        sendHangUp();
+        sendSighup();
     }
 
-    /** Configures another address of discovery and sends no signal. */
+    /** Changes the discovery address in the configuration file without sending a signal. */
     void replaceConfiguration(ScriptedPeer next) throws IOException {
         discovery = next;
         writeConfiguration();
     }
 
-    /** Replaces the content of the configuration and sends SIGHUP. */
+    /** Replaces the content of the configuration file and sends SIGHUP. */
     void corruptConfiguration(String text) throws IOException {
         Files.writeString(configurationFile(), text);
-        sendHangUp();
+        sendSighup();
     }
 
-    void sendHangUp() throws IOException {
+    void sendSighup() throws IOException {
         signal("HUP");
     }
 
-    /** Stops the process by SIGSTOP, as a host that is short of CPU does; returns once it is stopped. */
+    /** Suspends the process, which simulates a lack of CPU; returns once it is suspended. */
     void pause() throws IOException {
         signal("STOP");
         Path state = Path.of("/proc/" + process.pid() + "/stat");
@@ -217,13 +224,13 @@
         return process.isAlive();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the end of the process. */
     void kill() {
         process.destroyForcibly();
         process.onExit().join();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void terminate() {
         process.destroy();
     }
@@ -233,38 +240,41 @@
     }
 
     Socket connect() throws IOException {
-        Matcher at = SERVING.matcher(log());
-        if (!at.find()) {
+        Matcher address = SERVING.matcher(log());
+        if (!address.find()) {
             throw new IOException("the relay does not serve: " + log());
         }
-        Socket socket = new Socket(at.group(1), Integer.parseInt(at.group(2)));
+        Socket socket = new Socket(address.group(1), Integer.parseInt(address.group(2)));
         socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
         return socket;
     }
 
-    /** Sends a message and returns the status of the answer. */
-    int submit(String id, String type, int destination) throws IOException {
-        return submit(id, type, destination, 20_000, "hello");
+    /** Submits a message and returns the status code of the response. */
+    int submit(String id, String requestClass, int destination) throws IOException {
+        return submit(id, requestClass, destination, 20_000, "hello");
     }
 
-    int submit(String id, String type, int destination, int budgetMs, String body) throws IOException {
-        return exchange(message(id, type, destination, budgetMs, body)).status();
+    int submit(String id, String requestClass, int destination, int budgetMillis, String body) throws IOException {
+        return exchange(message(id, requestClass, destination, budgetMillis, body))
+                .status();
     }
 
-    static String message(String id, String type, int destination, int budgetMs, String body) {
-        return "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + type
-                + "\r\nX-Caller: acme\r\nX-Budget-Ms: " + budgetMs + "\r\nIdempotency-Key: key-" + id
+    static String message(String id, String requestClass, int destination, int budgetMillis, String body) {
+        return "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + requestClass
+                + "\r\nX-Caller: acme\r\nX-Budget-Ms: " + budgetMillis + "\r\nIdempotency-Key: key-" + id
                 + "\r\nContent-Length: " + body.length() + "\r\nX-Consignee: dest=" + destination
                 + "\r\n\r\n" + body;
     }
 
-    Answer exchange(String request) throws IOException {
+    /** Sends a request on a connection of its own and reads the head of the response. */
+    Response exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             return exchange(socket, request);
         }
     }
 
-    static Answer exchange(Socket socket, String request) throws IOException {
+    /** Sends a request, which may be empty, and reads the head of the next response. */
+    static Response exchange(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         StringBuilder head = new StringBuilder();
         for (int next = socket.getInputStream().read();
@@ -272,13 +282,13 @@
                 next = socket.getInputStream().read()) {
             head.append((char) next);
             if (head.toString().endsWith("\r\n\r\n")) {
-                return new Answer(Integer.parseInt(head.substring(9, 12)), head.toString());
+                return new Response(Integer.parseInt(head.substring(9, 12)), head.toString());
             }
         }
-        return new Answer(0, head.toString());
+        return new Response(0, head.toString());
     }
 
-    /** The messages that are open in the running relay's journal, read from a copy. */
+    /** Returns the open messages in the journal of the running relay, which are read from a copy of its files. */
     List<Message> openJournalMessages() {
         try (var files = Files.list(stateDirectory())) {
             Path copy = Files.createDirectories(folder.resolve("copy"));
@@ -299,9 +309,9 @@
                         && r.body().contains("{\"ref\":\"" + id + "\",\"result\":\"" + result + "\""));
     }
 
-    /** Blocks the calling thread, usually an event loop, for so many milliseconds, as a lack of CPU does. */
-    public static void blockThread(long ms) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+    /** Blocks the calling thread, usually an event loop, which simulates a lack of CPU. */
+    public static void blockThread(long millis) {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (System.nanoTime() - end < 0) {
             Thread.onSpinWait();
         }
--- a/src/test/java/loftflow/server/RelayTestBase.java
+++ b/src/test/java/loftflow/server/RelayTestBase.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A relay with one upstream and discovery, all of them closed after each test. */
+/** Base of tests of a relay with one upstream and a discovery agent, all of which are closed after each test. */
 abstract class RelayTestBase {
     @TempDir
     Path folder;
@@ -15,7 +15,7 @@
     ScriptedPeer host;
     RelayProcess relay;
 
-    /** Creates a relay, not started yet, that knows the upstream as destination 7. */
+    /** Creates a relay that knows the upstream as destination 7, without starting it. */
     void prepare(ScriptedPeer discovery, ScriptedPeer host) {
         this.discovery = discovery;
         this.host = host;
--- a/src/test/java/loftflow/server/RestartTest.java
+++ b/src/test/java/loftflow/server/RestartTest.java
@@ -16,15 +16,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a relay owes across the end of its process. */
+/** Tests how a relay resumes open messages and unacknowledged completions after a kill or a graceful shutdown. */
 class RestartTest extends RelayTestBase {
     @BeforeEach
     void prepare() throws IOException {
-        prepare(RelayProcess.quietDiscovery(), ScriptedPeer.always(ScriptedPeer.SILENCE));
+        prepare(RelayProcess.discoveryWithoutList(), ScriptedPeer.always(ScriptedPeer.SILENCE));
     }
 
-    private void killDuringAttempt(String id, String type) throws IOException {
-        assertEquals(202, relay.start().submit(id, type, 7));
+    /** Kills the relay while its attempt of a message is in flight, and restarts it. */
+    private void killDuringAttempt(String id, String requestClass) throws IOException {
+        assertEquals(202, relay.start().submit(id, requestClass, 7));
         await(() -> host.requests.size() == 1);
         relay.kill();
         host.answer(request -> status(200));
@@ -40,11 +41,11 @@
     }
 
     /**
-     * Discovery reported the drain while the relay was down, which counts as reported to the relay although the list
-     * that it starts with is older.
+     * Discovery reported the drain while the relay was down. The relay must respect it from its start, although the
+     * list in its configuration is older.
      */
     @Test
-    void endpointDrainedWhileTheRelayWasDownIsSentNothing() throws IOException {
+    void endpointDrainedWhileTheRelayWasDownReceivesNoMessage() throws IOException {
         assertEquals(202, relay.start().submit("s1", "safe", 7));
         await(() -> host.requests.size() == 1);
         relay.kill();
@@ -56,7 +57,7 @@
                 if (request.line().contains("after=")) {
                     return ScriptedPeer.SILENCE;
                 }
-                // A relay that used its old list would have sent long before this response.
+                // A relay that used its old list would send the message before this response.
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(100));
                 return ScriptedPeer.answer(
                         200,
@@ -73,7 +74,7 @@
         }
     }
 
-    /** The window is as long as the message's time, since a restart takes seconds on a busy machine. */
+    /** The key window is as long as the message's time budget, because a restart takes seconds on a busy machine. */
     @Test
     void keyedMessageIsSentAgainWithinItsWindow() throws IOException {
         relay.withKeyWindow("20");
@@ -82,7 +83,7 @@
         assertEquals("key-k1", host.requests.get(1).headers().get("idempotency-key"));
     }
 
-    /** Guards against a repeat whose key its destination has forgotten, as where a restart outlasts the window. */
+    /** Guards against a retry after the destination has forgotten the key, because the restart outlasted the window. */
     @Test
     void keyedMessageIsNotSentAgainAfterItsWindow() throws IOException {
         relay.withKeyWindow("1").start();
@@ -90,19 +91,19 @@
         await(() -> host.requests.size() == 1);
         relay.kill();
         host.answer(request -> status(200));
-        long windowEnd = host.requests.get(0).at() + TimeUnit.SECONDS.toNanos(1);
-        await(() -> System.nanoTime() > windowEnd);
+        long windowEndNanos = host.requests.get(0).at() + TimeUnit.SECONDS.toNanos(1);
+        await(() -> System.nanoTime() > windowEndNanos);
         relay.start();
         await(() -> relay.hasNotified("k1", "dead"));
         assertEquals(1, host.count("POST /receive"));
     }
 
     /**
-     * An ordered class, whose clients name the ordering key in the path. One message of a key is sent at a time, also
-     * after a restart; other keys are not delayed.
+     * Clients of an ordered class state the ordering key in the path. Only one message per key is in flight, also after
+     * a restart; messages with other keys are not delayed.
      */
     @Test
-    void messagesOfOneKeyStayInOrderOverARestart() throws IOException {
+    void messagesOfOneOrderingKeyStayInOrderAcrossARestart() throws IOException {
         relay.start();
         for (String id : List.of("l1", "l2", "l3")) {
             assertEquals(202, submitOrdered(id, "/api/line-a"));
@@ -118,19 +119,19 @@
         relay.start();
         await(() -> host.count("POST") == 3);
         assertEquals(
-                "l2", host.requests.get(2).id(), "the first of its key may have been executed, and is not sent again");
+                "l2", host.requests.get(2).id(), "the first of its key may have been executed and must not be retried");
         assertTrue(relay.hasNotified("l1", "dead") && relay.hasNotified("other", "dead"));
         assertEquals(202, relay.submit("s1", "safe", 7));
         await(() -> host.count("POST") == 4);
-        assertEquals("s1", host.requests.get(3).id(), "the third waits for the second");
+        assertEquals("s1", host.requests.get(3).id(), "the third message waits for the second");
         assertEquals(404, submitOrdered("x1", "/api/"));
         assertEquals(400, submitOrdered("x2", "/api/" + "x".repeat(201)));
         assertEquals(404, submitOrdered("x3", "/apis"));
     }
 
-    /** While a completion is notified but not acknowledged, the next message of its key waits, also over a restart. */
+    /** The next message of an ordering key waits until the completion is acknowledged, also across a restart. */
     @Test
-    void nextMessageOfAKeyWaitsUntilTheCompletionOfTheFirstIsAcknowledged() throws IOException {
+    void nextMessageOfAnOrderingKeyWaitsUntilTheCompletionIsAcknowledged() throws IOException {
         discovery.answer(request -> ScriptedPeer.SILENCE);
         relay.start();
         assertEquals(202, submitOrdered("l1", "/api/line-a"));
@@ -200,9 +201,9 @@
         assertFalse(relay.hasNotified("d1", "dead"));
     }
 
-    private boolean isAccepted(String id, int budgetMs) {
+    private boolean isAccepted(String id, int budgetMillis) {
         try {
-            return relay.submit(id, "safe", 7, budgetMs, "x") == 202;
+            return relay.submit(id, "safe", 7, budgetMillis, "x") == 202;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -211,7 +212,7 @@
     @Test
     void downtimeCountsTowardsTheDeadline() throws IOException {
         relay.start();
-        // A relay that is short of CPU at its start rejects messages; they are repeated, as by a client.
+        // A relay that starts with little CPU rejects messages, which a client repeats.
         await(() -> isAccepted("t1", 400));
         relay.kill();
         relay.start();
@@ -219,7 +220,7 @@
     }
 
     @Test
-    void destinationThatTheCachedListLacksIsRejectedUntilDiscoveryAnswers() throws IOException {
+    void destinationMissingFromTheCachedListIsRejectedUntilDiscoveryResponds() throws IOException {
         assertEquals(503, relay.start().submit("x1", "safe", 99));
         assertEquals(0, host.requests.size());
     }
@@ -239,31 +240,32 @@
     }
 
     @Test
-    void gracefulShutdownAnswersRequestsAndLeavesTheRestInTheJournal() throws IOException, InterruptedException {
+    void gracefulShutdownRespondsToRequestsAndLeavesOpenMessagesInTheJournal()
+            throws IOException, InterruptedException {
         relay.start();
         try (Socket idle = relay.connect();
                 Socket busy = relay.connect()) {
-            String ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-            assertEquals(200, RelayProcess.exchange(idle, ready).status());
+            String readyRequest = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+            assertEquals(200, RelayProcess.exchange(idle, readyRequest).status());
             String message = RelayProcess.message("p1", "safe", 7, 20_000, "hello");
             busy.getOutputStream()
                     .write(message.substring(0, message.length() - 2).getBytes());
             relay.terminate();
-            // A second SIGTERM and a reload do not disturb the shutdown.
+            // A second SIGTERM and a SIGHUP must not disturb the shutdown.
             relay.terminate();
-            relay.sendHangUp();
-            assertEquals(202, relay.submit("p2", "safe", 7), "new connections are served");
-            assertEquals(-1, idle.getInputStream().read(), "the idle connection closes");
-            RelayProcess.Answer answer = RelayProcess.exchange(busy, message.substring(message.length() - 2));
-            assertEquals(202, answer.status(), "a request that was begun is answered");
-            assertTrue(answer.head().toLowerCase().contains("connection: close"), answer.head());
+            relay.sendSighup();
+            assertEquals(202, relay.submit("p2", "safe", 7), "a new connection is served");
+            assertEquals(-1, idle.getInputStream().read(), "the idle connection is closed");
+            RelayProcess.Response response = RelayProcess.exchange(busy, message.substring(message.length() - 2));
+            assertEquals(202, response.status(), "a request that was partly received gets a response");
+            assertTrue(response.head().toLowerCase().contains("connection: close"), response.head());
         }
         assertTrue(relay.hasEnded());
         host.answer(request -> status(200));
-        int before = host.requests.size();
+        int requestsBefore = host.requests.size();
         relay.start();
         await(() -> host.requests.stream()
-                        .skip(before)
+                        .skip(requestsBefore)
                         .map(ScriptedPeer.Request::id)
                         .distinct()
                         .count()
--- a/src/test/java/loftflow/server/ShutdownTest.java
+++ b/src/test/java/loftflow/server/ShutdownTest.java
@@ -50,44 +50,45 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Race conditions between a graceful shutdown, or the start after it, and what clients send. The event loop is blocked
- * where needed, so that the critical order of events occurs every time.
+ * Tests race conditions between client requests and a graceful shutdown or the following start. The tests block the
+ * event loop where necessary to force the critical order of events.
  */
 @Timeout(60)
 class ShutdownTest {
-    private static final long SECOND = 1_000_000;
-    private static final long PERIOD_MS = 5;
-    private static final int CONNECTIONS = 8;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long ROUND_MILLIS = 5;
+    private static final int MAX_CONNECTIONS = 8;
+    private static final String READY_REQUEST = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     @TempDir
     Path folder;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    /** Time stands still: a message that the first pass reads late, because classes are loaded, does not count as late. */
-    private final AtomicLong nowMicros = new AtomicLong(1_000_000 * SECOND);
+    /** Advances on request only, so that no message counts as late when class loading delays the event loop. */
+    private final AtomicLong nowMicros = new AtomicLong(1_000_000 * SECOND_MICROS);
 
     private final Clock clock = nowMicros::get;
 
     private final List<String> log = new CopyOnWriteArrayList<>();
-    private final List<String> ended = new CopyOnWriteArrayList<>();
+    private final List<String> notices = new CopyOnWriteArrayList<>();
     private ScriptedPeer host;
     private Journal journal;
     private DeliveryEngine engine;
     private EventLoopLag eventLoopLag;
-    private HttpListener server;
+    private HttpListener listener;
     private int port;
 
     @BeforeEach
     void start() throws Exception {
         host = ScriptedPeer.always(ScriptedPeer.status(200));
         assemble();
-        loop.submit(this::resume).sync();
-        // The first round is over, as its timer is due earlier: what a test does falls into a round of its own.
-        loop.schedule(() -> {}, 2 * PERIOD_MS, TimeUnit.MILLISECONDS).sync();
+        loop.submit(this::startEngine).sync();
+        // Waits until the first round, whose timer is due earlier, has ended, so that the test runs in a later round.
+        loop.schedule(() -> {}, 2 * ROUND_MILLIS, TimeUnit.MILLISECONDS).sync();
     }
 
-    /** Assembles a relay, as at the start of a process. */
+    /** Creates a relay on the existing files, as a new process does. */
     private void assemble() throws IOException, InterruptedException {
         EventLoopTimers timers = new EventLoopTimers(loop);
         journal = new Journal(folder, 3 << 20);
@@ -96,21 +97,22 @@
                 timers,
                 clock,
                 settings,
-                TimeUnit.MILLISECONDS.toMicros(PERIOD_MS),
+                TimeUnit.MILLISECONDS.toMicros(ROUND_MILLIS),
                 journal,
                 DefaultDeliveryPolicy::new);
         CompletionNotifier notifier = message -> {
-            ended.add(message.content().messageId() + " " + message.completion().result());
+            notices.add(
+                    message.content().messageId() + " " + message.completion().result());
             loop.execute(() -> engine.onCompletionAcknowledged(message));
         };
         engine.attach(
                 new HttpUpstreamClient(
-                        loop, clock, settings, new HttpUpstreamClient.Options(false, 10 * SECOND, 8, 0), engine),
+                        loop, clock, settings, new HttpUpstreamClient.Options(false, 10 * SECOND_MICROS, 8, 0), engine),
                 notifier);
         engine.setLogger(log::add);
         eventLoopLag = new EventLoopLag(timers, clock);
-        server = new HttpListener(engine, clock, eventLoopLag, CONNECTIONS);
-        port = ((InetSocketAddress) server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
+        listener = new HttpListener(engine, clock, eventLoopLag, MAX_CONNECTIONS);
+        port = ((InetSocketAddress) listener.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                         .sync()
                         .channel()
                         .localAddress())
@@ -118,7 +120,8 @@
         loop.submit(eventLoopLag::start).sync();
     }
 
-    private void resume() {
+    /** Starts the engine, which resumes the messages in the journal. */
+    private void startEngine() {
         engine.start(
                 EndpointListKind.FULL,
                 1,
@@ -134,12 +137,20 @@
                 1,
                 "a",
                 List.of(new RequestClass(
-                        "unsafe", Idempotency.NON_IDEMPOTENT, KeyScope.ALL, 0, SECOND, 20 * SECOND, 5, 0.3, false)),
+                        "unsafe",
+                        Idempotency.NON_IDEMPOTENT,
+                        KeyScope.ALL,
+                        0,
+                        SECOND_MICROS,
+                        20 * SECOND_MICROS,
+                        5,
+                        0.3,
+                        false)),
                 List.of(),
                 List.of(new DestinationKind("one", false, 1)),
                 List.of(),
-                new RelayLimits(8, 200, 12, true, false, false, false, true, SECOND),
-                new ServiceRules(0, SECOND / 2, 2.5, 2 * SECOND, 0.2, 5 * SECOND, 0, 0),
+                new RelayLimits(8, 200, 12, true, false, false, false, true, SECOND_MICROS),
+                new ServiceRules(0, SECOND_MICROS / 2, 2.5, 2 * SECOND_MICROS, 0.2, 5 * SECOND_MICROS, 0, 0),
                 1,
                 false,
                 false,
@@ -154,13 +165,13 @@
         journal.close();
     }
 
-    /** Ends the relay as by a kill; its files stay. */
+    /** Stops the relay without a graceful shutdown; its files remain. */
     private void kill() throws Exception {
-        loop.submit(() -> server.stopListening()).sync();
+        loop.submit(() -> listener.stopListening()).sync();
         journal.close();
     }
 
-    /** Queries the journal on the event loop, to which it is confined. */
+    /** Reads the journal on the event loop, because it is not thread-safe. */
     private boolean isJournalEmpty() {
         try {
             return loop.submit(() -> journal.openMessages().isEmpty()).get();
@@ -179,13 +190,10 @@
         }
     }
 
-    /** A connection that the relay has accepted and that is idle after its first answer. */
+    /** Opens a connection and exchanges one request, so that the relay has accepted the connection and it is idle. */
     private Socket connectAndUse() throws IOException {
         Socket socket = connect();
-        assertEquals(
-                200,
-                RelayProcess.exchange(socket, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                        .status());
+        assertEquals(200, RelayProcess.exchange(socket, READY_REQUEST).status());
         return socket;
     }
 
@@ -210,149 +218,144 @@
     }
 
     /**
-     * At the drain a request is unread on a reused connection, on one without an earlier request, or on one that only
-     * the kernel has accepted: each is answered, and the answer says that its connection closes.
+     * When the drain begins, a request is unread on a reused connection, on one without an earlier request, or on one
+     * that only the kernel has accepted. The request must get a response, which announces the close of the connection.
      */
     @ParameterizedTest
     @CsvSource({"true, true", "true, false", "false, false"})
-    void unreadRequestAtTheDrainIsAnswered(boolean connected, boolean used) throws Exception {
-        Socket[] client = {connected ? connect() : null};
-        if (used) {
-            assertEquals(
-                    200,
-                    RelayProcess.exchange(client[0], "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                            .status());
-        } else if (connected) {
+    void requestUnreadAtTheDrainGetsAResponse(boolean isConnected, boolean isReused) throws Exception {
+        Socket[] client = {isConnected ? connect() : null};
+        if (isReused) {
+            assertEquals(200, RelayProcess.exchange(client[0], READY_REQUEST).status());
+        } else if (isConnected) {
             try (Socket other = connect()) {
-                // This connection is accepted after the first one, which the relay then has accepted too.
-                assertEquals(
-                        200,
-                        RelayProcess.exchange(other, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                                .status());
+                // Connections are accepted in order: once this one is served, the first one has been accepted.
+                assertEquals(200, RelayProcess.exchange(other, READY_REQUEST).status());
             }
         }
         loop.submit(() -> {
                     client[0] = client[0] == null ? connect() : client[0];
                     write(client[0], message("m1"));
-                    server.drain();
+                    listener.drain();
                 })
                 .sync();
-        RelayProcess.Answer answer = RelayProcess.exchange(client[0], "");
-        assertEquals(202, answer.status());
-        assertTrue(answer.head().toLowerCase().contains("connection: close"), answer.head());
+        RelayProcess.Response response = RelayProcess.exchange(client[0], "");
+        assertEquals(202, response.status());
+        assertTrue(response.head().toLowerCase().contains("connection: close"), response.head());
         await(() -> host.requests.size() == 1);
         client[0].close();
     }
 
     /**
-     * Guards against a drain that closes connections which their clients use: a request that is written right behind it
-     * is answered, and the answer announces the close.
+     * Guards against a drain that closes connections while clients send requests on them. A request that arrives right
+     * after the drain begins must get a response, which announces the close.
      */
     @Test
-    void requestRightAfterTheDrainIsAnswered() throws Exception {
+    void requestRightAfterTheDrainGetsAResponse() throws Exception {
         try (Socket used = connectAndUse();
                 Socket unused = connect()) {
-            loop.submit(server::drain).sync();
+            loop.submit(listener::drain).sync();
             for (Socket client : List.of(used, unused)) {
-                RelayProcess.Answer answer = RelayProcess.exchange(client, message(client == used ? "m1" : "m2"));
-                assertEquals(202, answer.status());
-                assertTrue(answer.head().toLowerCase().contains("connection: close"), answer.head());
+                RelayProcess.Response response = RelayProcess.exchange(client, message(client == used ? "m1" : "m2"));
+                assertEquals(202, response.status());
+                assertTrue(response.head().toLowerCase().contains("connection: close"), response.head());
             }
         }
     }
 
     /**
-     * At the connection limit the relay closes the connection that has been idle longest, unless a request is unread on
-     * it when the new connection is accepted: then it closes the next one. One that has had no response gets a rejection,
-     * as its first request may be on its way; one with a response is closed once it has been idle for two seconds.
+     * At the connection limit the relay evicts the connection that has been idle longest. If a request is unread on it
+     * when the new connection is accepted, the relay evicts the next one instead. A connection without an earlier
+     * response gets a rejection, because its first request may be on its way; a connection with one is evicted without
+     * a response, but only after it has been idle for two seconds.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void unreadRequestAtTheConnectionLimitIsAnswered(boolean used) throws Exception {
+    void requestUnreadAtTheConnectionLimitGetsAResponse(boolean isReused) throws Exception {
         List<Socket> clients = new ArrayList<>();
-        for (int i = 0; i < CONNECTIONS; i++) {
-            clients.add(used ? connectAndUse() : connect());
-            loop.submit(server::readPending).sync();
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
+            clients.add(isReused ? connectAndUse() : connect());
+            loop.submit(listener::readPending).sync();
         }
-        if (used) {
-            elapse(2 * SECOND);
+        if (isReused) {
+            advanceClock(2 * SECOND_MICROS);
         }
         loop.submit(() -> {
                     write(clients.get(0), message("m1"));
                     KernelSocketState.ofPeer(clients.get(0)).awaitUnread();
                     clients.add(connect());
-                    server.readPending();
+                    listener.readPending();
                 })
                 .sync();
         assertEquals(202, RelayProcess.exchange(clients.get(0), "").status());
-        RelayProcess.Answer evicted = RelayProcess.exchange(clients.get(1), "");
-        assertEquals(used ? 0 : 503, evicted.status());
-        assertEquals(-1, clients.get(1).getInputStream().read(), "closed");
+        RelayProcess.Response evicted = RelayProcess.exchange(clients.get(1), "");
+        assertEquals(isReused ? 0 : 503, evicted.status());
+        assertEquals(-1, clients.get(1).getInputStream().read(), "the evicted connection is closed");
         for (Socket client : clients.subList(2, clients.size())) {
-            assertEquals(
-                    200,
-                    RelayProcess.exchange(client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                            .status());
+            assertEquals(200, RelayProcess.exchange(client, READY_REQUEST).status());
         }
         clients.forEach(ShutdownTest::close);
     }
 
-    /** Lets time pass while nothing is unread: what arrives from then on does not count as late. */
-    private void elapse(long micros) {
+    /** Advances the clock while nothing is unread, so that no later request counts as late. */
+    private void advanceClock(long micros) {
         nowMicros.addAndGet(micros);
         await(() -> eventLoopLag.unreadSinceMicros() == clock.micros());
     }
 
-    /** Connections of clients that have their last answer and do not close do not count towards the limit. */
+    /**
+     * Clients that received a response with {@code Connection: close} may delay their close; they must not block
+     * others.
+     */
     @Test
-    void connectionsThatHaveTheirLastAnswerDoNotCountTowardsTheLimit() throws Exception {
+    void connectionsWithAFinalResponseDoNotCountTowardsTheLimit() throws Exception {
         List<Socket> clients = new ArrayList<>();
-        for (int i = 0; i < CONNECTIONS; i++) {
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
             clients.add(connect());
-            String last = "GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-            assertEquals(200, RelayProcess.exchange(clients.get(i), last).status());
+            String lastRequest = "GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+            assertEquals(200, RelayProcess.exchange(clients.get(i), lastRequest).status());
         }
         clients.add(connectAndUse());
         clients.forEach(ShutdownTest::close);
     }
 
-    /** A request that arrives in the last pass before the end is read, and the relay is then not idle. */
+    /** A request that arrives just before the final idle check is read by it, and the listener is not idle then. */
     @Test
-    void unreadRequestAtTheEndDelaysTheEnd() throws Exception {
-        loop.submit(server::drain).sync();
+    void requestUnreadAtTheEndOfTheShutdownDelaysIt() throws Exception {
+        loop.submit(listener::drain).sync();
         Socket[] client = new Socket[1];
-        boolean idle = loop.submit(() -> {
+        boolean isIdle = loop.submit(() -> {
                     client[0] = connect();
                     write(client[0], message("m1"));
-                    server.readPending();
-                    return server.isIdle();
+                    listener.readPending();
+                    return listener.isIdle();
                 })
                 .get();
-        assertEquals(false, idle);
+        assertEquals(false, isIdle);
         assertEquals(202, RelayProcess.exchange(client[0], "").status());
         client[0].close();
     }
 
-    /** Reads and records the message of a client, whose 202 is not written yet; on the event loop. */
+    /** Makes the relay read and record a client's message without writing the 202. Runs on the event loop. */
     private void readAndRecord(Socket client) {
         write(client, message("m1"));
-        server.readPending();
-        assertEquals(1, journal.openMessages().size(), "recorded");
+        listener.readPending();
+        assertEquals(1, journal.openMessages().size(), "open messages in the journal");
     }
 
     /**
-     * The client disconnects between its message's record and its 202, and the round is due in the same pass: nothing is
-     * sent. When the message is sent again with the same id, it is accepted, and one call is sent.
+     * The client disconnects after its message was recorded and before the 202 is written, and the round is due in the
+     * same iteration of the event loop. No attempt is started. A repeat with the same id is accepted and sent once.
      */
     @Test
-    void messageWhoseClientDisconnectsBeforeItsAnswerIsNotSentAndMayBeRepeated() throws Exception {
+    void messageWhoseClientDisconnectsBeforeTheResponseIsNotSentAndMayBeRepeated() throws Exception {
         try (Socket first = connectAndUse();
                 Socket second = connectAndUse()) {
             loop.submit(() -> {
                         readAndRecord(first);
-                        KernelSocketState relay = KernelSocketState.ofPeer(first);
+                        KernelSocketState relaySocket = KernelSocketState.ofPeer(first);
                         close(first);
-                        relay.awaitEndOfStream();
+                        relaySocket.awaitEndOfStream();
                         RelayProcess.blockThread(20);
                     })
                     .sync();
@@ -364,20 +367,20 @@
                             .status());
             await(() -> host.count("POST /receive") == 1 && isJournalEmpty());
         }
-        assertEquals(List.of(), ended);
+        assertEquals(List.of(), notices);
     }
 
     /**
-     * The client resets the connection right before its 202 is written, when no pass reads any more: the message is not
-     * sent.
+     * The client resets the connection right before the 202 is written, after the last read of its socket. No attempt
+     * is started.
      */
     @Test
-    void messageWhoseAnswerCannotBeWrittenIsNotSent() throws Exception {
+    void messageWhoseResponseCannotBeWrittenIsNotSent() throws Exception {
         try (Socket first = connectAndUse();
                 Socket second = connectAndUse()) {
             loop.submit(() -> {
                         readAndRecord(first);
-                        // Due before the round and run in the same pass, so that no socket is read between them.
+                        // Due before the round and run in the same event-loop iteration: no socket is read in between.
                         loop.schedule(() -> reset(first), 0, TimeUnit.MILLISECONDS);
                         RelayProcess.blockThread(20);
                     })
@@ -389,38 +392,36 @@
         assertEquals(
                 List.of("m2"),
                 host.requests.stream().map(ScriptedPeer.Request::id).toList());
-        assertEquals(List.of(), ended);
+        assertEquals(List.of(), notices);
     }
 
     private static void reset(Socket socket) {
-        KernelSocketState relay = KernelSocketState.ofPeer(socket);
+        KernelSocketState relaySocket = KernelSocketState.ofPeer(socket);
         try {
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
-        relay.awaitReset();
+        relaySocket.awaitReset();
     }
 
-    /**
-     * A message is repeated while the first one is open: one call is sent, and one completion is notified.
-     */
+    /** A client repeats a message that is still open. Only one call is sent, and one completion is notified. */
     @Test
-    void repeatedMessageIsAcceptedOnceWhileTheFirstIsOpen() throws Exception {
+    void repeatOfAnOpenMessageIsNotSentAgain() throws Exception {
         host.answer(request -> ScriptedPeer.SILENCE);
         try (Socket client = connect()) {
             assertEquals(202, RelayProcess.exchange(client, message("m1")).status());
             await(() -> host.requests.size() == 1);
             assertEquals(202, RelayProcess.exchange(client, message("m1")).status());
             host.connections.get(0).close();
-            await(() -> ended.size() == 1);
-            assertEquals(List.of("m1 dead"), ended);
+            await(() -> notices.size() == 1);
+            assertEquals(List.of("m1 dead"), notices);
         }
         assertEquals(1, host.count("POST /receive"));
     }
 
-    /** A quiescing relay would not attempt a message before its restart, so it rejects it. */
+    /** A quiescing relay starts no attempt before its restart, so it rejects messages. */
     @Test
     void messageIsRejectedWhileQuiescing() throws Exception {
         loop.submit(engine::quiesce).sync();
@@ -431,15 +432,15 @@
     }
 
     /**
-     * A message is read before the relay quiesces and its round runs after: it is accepted, waits in the journal and is
-     * sent once, after the restart.
+     * A message is read before the relay quiesces, and its round runs afterwards. It is accepted, remains in the
+     * journal and is sent once, after the restart.
      */
     @Test
     void messageInTheRoundOfTheQuiesceIsSentAfterTheRestart() throws Exception {
         try (Socket client = connectAndUse()) {
             loop.submit(() -> {
                         write(client, message("m1"));
-                        server.readPending();
+                        listener.readPending();
                         engine.quiesce();
                     })
                     .sync();
@@ -447,44 +448,54 @@
         }
         assertEquals(0, host.requests.size());
         kill();
-        // The relay is killed again before its first round, then started once more.
+        // Restarts the relay, kills it before its first round and restarts it again.
         assemble();
         loop.submit(() -> {
-                    resume();
+                    startEngine();
                     engine.quiesce();
                 })
                 .sync();
         kill();
         assemble();
-        loop.submit(this::resume).sync();
+        loop.submit(this::startEngine).sync();
         await(() -> isJournalEmpty());
         assertEquals(1, host.count("POST /receive"));
         assertTrue(log.contains("engine: messages resumed count=1 untried=1"), log.toString());
-        assertEquals(List.of(), ended);
+        assertEquals(List.of(), notices);
     }
 
-    /** A class is no longer in the settings: its messages end, and messages resumed with them are delivered. */
+    /**
+     * Messages whose class was removed from the settings are failed or rejected; other resumed messages are delivered.
+     */
     @Test
     void messageOfARemovedClassDoesNotAffectOthers() throws Exception {
         kill();
-        try (Journal before = new Journal(folder, 3 << 20)) {
-            for (String type : List.of("gone", "unsafe")) {
-                assertTrue(before.recordAccepted(new Message(
-                        before.nextSequenceNumber(),
+        try (Journal journalBeforeRestart = new Journal(folder, 3 << 20)) {
+            for (String requestClass : List.of("gone", "unsafe")) {
+                assertTrue(journalBeforeRestart.recordAccepted(new Message(
+                        journalBeforeRestart.nextSequenceNumber(),
                         new Message.Content(
-                                "m-" + type, type, null, null, clock.micros() + 20 * SECOND, 7, new byte[0]))));
+                                "m-" + requestClass,
+                                requestClass,
+                                null,
+                                null,
+                                clock.micros() + 20 * SECOND_MICROS,
+                                7,
+                                new byte[0]))));
             }
-            Message tried = new Message(
-                    before.nextSequenceNumber(),
-                    new Message.Content("m-tried", "gone", null, null, clock.micros() + 20 * SECOND, 7, new byte[0]));
-            assertTrue(before.recordAccepted(tried) && before.recordAttempt(tried.addAttempt("h1", clock.micros())));
+            Message attempted = new Message(
+                    journalBeforeRestart.nextSequenceNumber(),
+                    new Message.Content(
+                            "m-tried", "gone", null, null, clock.micros() + 20 * SECOND_MICROS, 7, new byte[0]));
+            assertTrue(journalBeforeRestart.recordAccepted(attempted)
+                    && journalBeforeRestart.recordAttempt(attempted.addAttempt("h1", clock.micros())));
         }
         assemble();
-        loop.submit(this::resume).sync();
+        loop.submit(this::startEngine).sync();
         await(() -> isJournalEmpty());
         assertEquals(
                 List.of("m-unsafe"),
                 host.requests.stream().map(ScriptedPeer.Request::id).toList());
-        assertEquals(List.of("m-gone bounced", "m-tried dead"), ended);
+        assertEquals(List.of("m-gone bounced", "m-tried dead"), notices);
     }
 }
--- a/src/test/java/loftflow/server/WarmStartOffTest.java
+++ b/src/test/java/loftflow/server/WarmStartOffTest.java
@@ -2,7 +2,7 @@
 
 import static loftflow.fake.ScriptedPeer.status;
 import static loftflow.server.RelayProcess.await;
-import static loftflow.server.RelayProcess.quietDiscovery;
+import static loftflow.server.RelayProcess.discoveryWithoutList;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,28 +19,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The platform's way to start, with and without a warm-start file. */
+/** Tests the start from a platform configuration with a warm-start file that is valid or invalid. */
 class WarmStartOffTest extends RelayTestBase {
-    private static final Path MEMORY = Path.of("deploy/memory.json");
+    private static final Path WARM_START_FILE = Path.of("deploy/memory.json");
 
     @TempDir
-    Path elsewhere;
+    Path configFolder;
 
     @Test
-    void platformRelayRestoresEndpointsAfterAKillAndProbesBeforeItsFirstMessage() throws IOException {
-        prepare(quietDiscovery(), ScriptedPeer.always(status(200)));
-        assertEquals(202, relay.withWarmStartFile(MEMORY).start().submit("a", "safe", 7));
+    void relayRestoresEndpointsAfterAKillAndProbesBeforeItsFirstMessage() throws IOException {
+        prepare(discoveryWithoutList(), ScriptedPeer.always(status(200)));
+        assertEquals(202, relay.withWarmStartFile(WARM_START_FILE).start().submit("a", "safe", 7));
         await(() -> host.count("POST ") == 1);
         await(() -> relay.stateDirectory().toFile().list((d, name) -> name.endsWith(".picture")).length > 0);
         relay.kill();
-        int before = host.requests.size();
+        int requestsBefore = host.requests.size();
         relay.start();
         assertTrue(relay.log().contains("warmstart: restored endpoints=1 revision=1 "), relay.log());
         assertEquals(202, relay.submit("b", "unsafe", 7));
         await(() -> host.count("POST ") == 2);
         assertTrue(
-                host.requests.get(before).line().startsWith("GET /-/"),
-                host.requests.get(before).line());
+                host.requests.get(requestsBefore).line().startsWith("GET /-/"),
+                host.requests.get(requestsBefore).line());
     }
 
     @ParameterizedTest
@@ -54,11 +54,11 @@
                 "[] | an object is needed",
                 "{ | can't be read"
             })
-    void invalidFileIsRejectedWithTheReason(String text, String reason) throws IOException {
-        Path file = Files.writeString(elsewhere.resolve("memory.json"), text);
-        prepare(quietDiscovery(), ScriptedPeer.always(status(200)));
+    void invalidWarmStartFileIsRejectedWithTheReason(String text, String reason) throws IOException {
+        Path file = Files.writeString(configFolder.resolve("memory.json"), text);
+        prepare(discoveryWithoutList(), ScriptedPeer.always(status(200)));
         Config.BadConfigException e = assertThrows(Config.BadConfigException.class, () -> PlatformConfigReader.source(
-                        Map.of("EDGE_CONFIG", "deploy/training.json", "EDGE_STATE", elsewhere.toString()), file)
+                        Map.of("EDGE_CONFIG", "deploy/training.json", "EDGE_STATE", configFolder.toString()), file)
                 .read());
         assertTrue(e.getMessage().startsWith("--memory: ") && e.getMessage().contains(reason), e.getMessage());
     }
--- a/src/test/java/loftflow/server/WarmStartRestartTest.java
+++ b/src/test/java/loftflow/server/WarmStartRestartTest.java
@@ -31,16 +31,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Relays that start from what they remember while discovery is down, and meet it again. */
+/** Tests relays that start from a snapshot while discovery is down and reconcile it once discovery responds. */
 @Order(1)
 class WarmStartRestartTest extends RelayFileTestBase {
     private final Map<String, FakePartner> partners = new HashMap<>();
     private FakeDiscoveryAgent discovery;
-    private Path state;
+    private Path stateFolder;
 
     @BeforeEach
     void begin() throws IOException {
-        state = folder.resolve("state");
+        stateFolder = folder.resolve("state");
         discovery = new FakeDiscoveryAgent();
     }
 
@@ -52,7 +52,8 @@
         discovery.close();
     }
 
-    private FakePartner partner(String id) throws IOException {
+    /** Starts an upstream for the endpoint with an id. */
+    private FakePartner startPartner(String id) throws IOException {
         FakePartner partner = new FakePartner(5, 0);
         partners.put(id, partner);
         return partner;
@@ -101,7 +102,7 @@
                 sync = false
                 %s
                 """
-                        .formatted(state, agent, String.join("\n", warmStartSettings));
+                        .formatted(stateFolder, agent, String.join("\n", warmStartSettings));
         Path file = Files.writeString(folder.resolve("app.toml"), text);
         ConfigTool.Outcome outcome = ConfigTool.write(file, folder, true);
         assertTrue(
@@ -124,9 +125,10 @@
         }
     }
 
+    /** Returns true if the latest snapshot has the given number of endpoints. */
     private boolean hasSnapshot(int endpoints) {
         try {
-            Snapshot snapshot = SnapshotSamples.readLatest(state);
+            Snapshot snapshot = SnapshotSamples.readLatest(stateFolder);
             return snapshot != null && snapshot.endpoints().size() == endpoints;
         } catch (IOException e) {
             return false;
@@ -135,23 +137,24 @@
 
     private boolean hasDelta(String delta) {
         try {
-            return SnapshotSamples.readDeltas(state).contains(delta);
+            return SnapshotSamples.readDeltas(stateFolder).contains(delta);
         } catch (IOException e) {
             return false;
         }
     }
 
-    private boolean isExcluded(String id) {
+    /** Returns true if the snapshot or its deltas mark an endpoint as ejected. */
+    private boolean isEjected(String id) {
         try {
             return hasDelta("EJECTED " + id)
-                    || SnapshotSamples.readLatest(state).endpoints().stream()
+                    || SnapshotSamples.readLatest(stateFolder).endpoints().stream()
                             .anyMatch(k -> k.id().equals(id) && k.state() == KnownEndpoint.State.EJECTED);
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Starts a relay, waits until it has saved a list, and ends the relay and discovery. */
+    /** Starts a relay, waits until it has saved a list of endpoints, and stops the relay and discovery. */
     private Path saveList(int endpoints, List<String> list, String... warmStartSettings) throws Exception {
         discovery.list(list);
         Path file = writeRelayFile(discovery.address(), warmStartSettings);
@@ -170,25 +173,25 @@
         }
     }
 
-    private static boolean ran(FakePartner partner, String id) {
+    private static boolean hasExecuted(FakePartner partner, String id) {
         return partner.effects().containsKey(id);
     }
 
     @Test
     void relayStartsAndDeliversWithoutDiscovery() throws Exception {
-        FakePartner partner = partner("iron-1");
+        FakePartner partner = startPartner("iron-1");
         Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
         ServedRelay relay = start(file);
         try (FakeClient client = relay.client()) {
-            assertTrue(client.isReady(), "as soon as it serves");
+            assertTrue(client.isReady(), "the relay is ready as soon as it serves");
         }
         submit(relay, "s1", 7);
-        await(() -> ran(partner, "s1"));
+        await(() -> hasExecuted(partner, "s1"));
         assertTrue(relay.log().contains("warmstart: restored endpoints=1 revision=1 "), relay.log());
     }
 
     @Test
-    void relayWithNoSnapshotStartsWithoutAList() throws Exception {
+    void relayWithoutASnapshotServesButIsNotReady() throws Exception {
         discovery.close();
         ServedRelay relay = start(writeRelayFile(discovery.address()));
         try (FakeClient client = relay.client()) {
@@ -196,35 +199,36 @@
         }
     }
 
-    /** The half-life is so short that the list is stale by the time the process has started. */
+    /** The trust half-life is so short that the list is stale by the time the process has started. */
     @Test
-    void anotherServiceAtARemovedEndpointsAddressGetsNoMessage() throws Exception {
-        FakePartner gone = partner("iron-1");
-        FakePartner partner = partner("iron-2");
+    void anotherServiceAtARemovedEndpointsAddressReceivesNoMessage() throws Exception {
+        FakePartner removed = startPartner("iron-1");
+        FakePartner partner = startPartner("iron-2");
         Path file = saveList(
                 2,
                 List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")),
                 "half-life = \"2s\"",
                 "settle = \"1s\"");
-        int port = Integer.parseInt(gone.address().split(":")[1]);
-        gone.close();
-        try (ScriptedPeer other =
+        int port = Integer.parseInt(removed.address().split(":")[1]);
+        removed.close();
+        try (ScriptedPeer otherService =
                 new ScriptedPeer(port, r -> ScriptedPeer.status(r.line().startsWith("POST ") ? 200 : 404))) {
             ServedRelay relay = start(file);
             for (int i = 0; i < 4; i++) {
                 submit(relay, "s" + i, 7);
             }
             await(() -> partner.effects().size() == 4);
-            assertEquals(0, other.count("POST "), "a message was sent to another service");
-            assertTrue(other.count("GET ") == 0 || relay.log().contains("reason=unexpected-response"), relay.log());
+            assertEquals(0, otherService.count("POST "), "messages sent to another service");
+            assertTrue(
+                    otherService.count("GET ") == 0 || relay.log().contains("reason=unexpected-response"), relay.log());
         }
     }
 
     @Test
-    void hangingAndRefusingAddressesAreExcludedAndTheOthersServe() throws Exception {
-        FakePartner hung = partner("iron-1");
-        FakePartner refused = partner("iron-2");
-        FakePartner partner = partner("iron-3");
+    void hangingAndRefusingEndpointsAreEjectedAndOthersAreUsed() throws Exception {
+        FakePartner hanging = startPartner("iron-1");
+        FakePartner refusing = startPartner("iron-2");
+        FakePartner partner = startPartner("iron-3");
         Path file = saveList(
                 3,
                 List.of(
@@ -233,27 +237,27 @@
                         entry("iron-3", 9, "in_service")),
                 "half-life = \"2s\"",
                 "settle = \"1s\"");
-        int port = Integer.parseInt(hung.address().split(":")[1]);
-        hung.close();
-        refused.close();
+        int port = Integer.parseInt(hanging.address().split(":")[1]);
+        hanging.close();
+        refusing.close();
         try (ScriptedPeer silent = new ScriptedPeer(port, r -> ScriptedPeer.SILENCE)) {
             ServedRelay relay = start(file);
             submit(relay, "s1", 7);
             submit(relay, "s2", 8);
             submit(relay, "s3", 9);
-            await(() -> ran(partner, "s3"));
-            await(() -> isExcluded("iron-1") && isExcluded("iron-2"));
+            await(() -> hasExecuted(partner, "s3"));
+            await(() -> isEjected("iron-1") && isEjected("iron-2"));
             assertEquals(0, silent.count("POST "));
             relay.close();
-            ServedRelay again = start(file);
-            assertTrue(again.log().contains("never=2"), "excluded after a restart too: " + again.log());
+            ServedRelay restarted = start(file);
+            assertTrue(restarted.log().contains("never=2"), "ejected after the restart too: " + restarted.log());
         }
     }
 
     @Test
-    void drainReceivedJustBeforeTheCrashStaysInForce() throws Exception {
-        FakePartner drained = partner("iron-1");
-        FakePartner partner = partner("iron-2");
+    void drainReceivedJustBeforeAKillIsRestored() throws Exception {
+        FakePartner drained = startPartner("iron-1");
+        FakePartner partner = startPartner("iron-2");
         discovery.list(List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")));
         Path file = writeRelayFile(discovery.address());
         ServedRelay first = start(file);
@@ -271,38 +275,38 @@
     }
 
     @Test
-    void endpointsMissingFromReturningDiscoveryAreRemoved() throws Exception {
-        FakePartner removed = partner("iron-1");
-        FakePartner partner = partner("iron-2");
+    void endpointsMissingAfterDiscoveryRecoversAreRemoved() throws Exception {
+        FakePartner removed = startPartner("iron-1");
+        FakePartner partner = startPartner("iron-2");
         Path file = saveList(2, List.of(entry("iron-1", 7, "in_service"), entry("iron-2", 7, "in_service")));
-        // Discovery returns at the address that the relay has configured.
+        // Discovery restarts at the configured address.
         int port = Integer.parseInt(discovery.address().split(":")[1]);
         ServedRelay relay = start(file);
         String list = "{\"rev\":9,\"all\":true,\"targets\":[" + entry("iron-2", 7, "in_service") + "]}";
-        try (ScriptedPeer back = new ScriptedPeer(
+        try (ScriptedPeer recoveredDiscovery = new ScriptedPeer(
                 port,
                 r -> r.line().contains("after=")
                         ? ScriptedPeer.answer(200, "{\"rev\":9,\"all\":false,\"targets\":[]}")
                         : ScriptedPeer.answer(200, list))) {
-            await(() -> back.count("GET /api/targets?after=9") > 0);
-            int before = removed.postings().size();
+            await(() -> recoveredDiscovery.count("GET /api/targets?after=9") > 0);
+            int postingsBefore = removed.postings().size();
             for (int i = 0; i < 12; i++) {
                 submit(relay, "s" + i, 7);
             }
             await(() -> partner.effects().size() == 12);
-            assertEquals(before, removed.postings().size(), "calls to a removed endpoint");
+            assertEquals(postingsBefore, removed.postings().size(), "calls to a removed endpoint");
         }
     }
 
-    /** Excluding an endpoint changes a cached list, which still does not say what other endpoints there are. */
+    /** Ejecting an endpoint changes the cached list, which must still count as possibly incomplete. */
     @Test
-    void unknownDestinationIsRejectedAndNotFailedUntilDiscoveryAnswers() throws Exception {
-        FakePartner refused = partner("iron-1");
+    void unknownDestinationIsRejectedAndNotFailedUntilDiscoveryResponds() throws Exception {
+        FakePartner refusing = startPartner("iron-1");
         Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")), "half-life = \"2s\"", "settle = \"1s\"");
-        refused.close();
+        refusing.close();
         ServedRelay relay = start(file);
         submit(relay, "s1", 7);
-        await(() -> isExcluded("iron-1"));
+        await(() -> isEjected("iron-1"));
         try (FakeClient client = relay.client()) {
             assertEquals(503, client.handIn("s2", "settlement", null, null, 8, 9000, "a"));
         }
@@ -310,45 +314,45 @@
 
     @Test
     void emptyListIsAppliedOnlyOnceConfirmed() throws Exception {
-        FakePartner partner = partner("iron-1");
+        FakePartner partner = startPartner("iron-1");
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
         ServedRelay relay = start(writeRelayFile(discovery.address(), "settle = \"3s\""));
         submit(relay, "s1", 7);
-        await(() -> ran(partner, "s1"));
+        await(() -> hasExecuted(partner, "s1"));
         discovery.list(List.of());
         await(() -> logs(relay, "discovery list in doubt"));
         submit(relay, "s2", 7);
-        await(() -> ran(partner, "s2"));
+        await(() -> hasExecuted(partner, "s2"));
         await(() -> logs(relay, "doubtful discovery list accepted"));
         await(() -> hasDelta("OUT_OF_SERVICE iron-1") || hasSnapshot(0));
     }
 
     @Test
     void retryAfterOfAnUpstreamHoldsOverAKill() throws Exception {
-        AtomicReference<Boolean> full = new AtomicReference<>(true);
-        try (ScriptedPeer busy = new ScriptedPeer(
-                r -> full.get() ? ScriptedPeer.status(429, "X-Come-Back-Ms: 5000") : ScriptedPeer.status(200))) {
+        AtomicReference<Boolean> isOverloaded = new AtomicReference<>(true);
+        try (ScriptedPeer host = new ScriptedPeer(r ->
+                isOverloaded.get() ? ScriptedPeer.status(429, "X-Come-Back-Ms: 5000") : ScriptedPeer.status(200))) {
             discovery.list(
-                    List.of(FakeDiscoveryAgent.entry("iron-1", 7, "railways", "main", "in_service", busy.address())));
+                    List.of(FakeDiscoveryAgent.entry("iron-1", 7, "railways", "main", "in_service", host.address())));
             Path file = writeRelayFile(discovery.address());
             ServedRelay first = start(file);
             await(() -> hasSnapshot(1));
             submit(first, "s1", 7);
-            await(() -> busy.count("POST ") == 1);
+            await(() -> host.count("POST ") == 1);
             await(() -> hasDelta("RETRY_AFTER iron-1") || hasRetryAfter());
             first.close();
             discovery.close();
-            full.set(false);
+            isOverloaded.set(false);
             start(file);
-            await(() -> busy.requests.size() == 2);
-            long waitedNanos = busy.requests.get(1).at() - busy.requests.get(0).at();
+            await(() -> host.requests.size() == 2);
+            long waitedNanos = host.requests.get(1).at() - host.requests.get(0).at();
             assertTrue(waitedNanos >= 5_000_000_000L, "called again after " + waitedNanos / 1_000_000 + " ms");
         }
     }
 
     private boolean hasRetryAfter() {
         try {
-            return SnapshotSamples.readLatest(state).endpoints().stream()
+            return SnapshotSamples.readLatest(stateFolder).endpoints().stream()
                     .anyMatch(
                             k -> k.routeSnapshot() != null && k.routeSnapshot().retryAfterRemainingMicros() > 0);
         } catch (IOException e) {
@@ -357,36 +361,37 @@
     }
 
     @Test
-    void listThatIsWeeksOldIsUsedWhereNothingElseIsLeft() throws Exception {
-        FakePartner partner = partner("iron-1");
+    void listThatIsWeeksOldIsUsedAsALastResort() throws Exception {
+        FakePartner partner = startPartner("iron-1");
         Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
-        long weeks = 21L * 24 * 3600 * 1_000_000;
+        long ageMicros = 21L * 24 * 3600 * 1_000_000;
         SnapshotSamples.rewriteLatest(
-                state,
+                stateFolder,
                 p -> new Snapshot(
                         p.owner(),
                         p.generation(),
                         new ClockReading(
-                                p.clocks().wallMicros() - weeks,
-                                p.clocks().uptimeMicros() - weeks,
+                                p.clocks().wallMicros() - ageMicros,
+                                p.clocks().uptimeMicros() - ageMicros,
                                 p.clocks().bootId()),
-                        p.relayTimeMicros() - weeks,
+                        p.relayTimeMicros() - ageMicros,
                         p.revision(),
                         p.endpoints().stream()
-                                .map(k -> k.withListing(k.entry(), k.address(), k.listedAtMicros() - weeks))
+                                .map(k -> k.withListing(k.entry(), k.address(), k.listedAtMicros() - ageMicros))
                                 .toList()));
         ServedRelay relay = start(file);
         assertTrue(relay.log().contains("lastResort=1"), relay.log());
         submit(relay, "s1", 7);
-        await(() -> ran(partner, "s1"));
-        assertEquals(1, partner.checks().size(), "a health check was sent first");
+        await(() -> hasExecuted(partner, "s1"));
+        assertEquals(1, partner.checks().size(), "health checks before the message");
     }
 
     @Test
-    void tenKillsInARowLoseNothingAndDoNotRaiseTrust() throws Exception {
-        FakePartner partner = partner("iron-1");
+    void repeatedKillsKeepTheListAndDoNotRaiseTrust() throws Exception {
+        FakePartner partner = startPartner("iron-1");
         Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
-        long listedAt = SnapshotSamples.readLatest(state).endpoints().get(0).listedAtMicros();
+        long listedAt =
+                SnapshotSamples.readLatest(stateFolder).endpoints().get(0).listedAtMicros();
         for (int i = 0; i < 10; i++) {
             ServedRelay relay = start(file);
             assertTrue(relay.log().contains("warmstart: restored endpoints=1 "), relay.log());
@@ -394,26 +399,26 @@
         }
         assertEquals(
                 listedAt,
-                SnapshotSamples.readLatest(state).endpoints().get(0).listedAtMicros(),
-                "a start proves nothing about an endpoint");
+                SnapshotSamples.readLatest(stateFolder).endpoints().get(0).listedAtMicros(),
+                "a start does not confirm an endpoint");
         ServedRelay relay = start(file);
         submit(relay, "s1", 7);
-        await(() -> ran(partner, "s1"));
+        await(() -> hasExecuted(partner, "s1"));
     }
 
-    /** Discovery answers nothing usable: the relay is ready at once, and repeats its requests. */
+    /** Discovery sends no valid response. The relay delivers messages and repeats its requests to discovery. */
     @ParameterizedTest
     @ValueSource(strings = {"500", "garbage", "half", "byte by byte", "silent"})
-    void unusableDiscoveryDelaysNothing(String how) throws Exception {
-        FakePartner partner = partner("iron-1");
+    void invalidDiscoveryResponsesDoNotDelayDeliveries(String fault) throws Exception {
+        FakePartner partner = startPartner("iron-1");
         Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
         int port = Integer.parseInt(discovery.address().split(":")[1]);
         String list = ScriptedPeer.answer(
                 200, "{\"rev\":9,\"all\":true,\"targets\":[" + entry("iron-1", 7, "in_service") + "]}");
-        try (ServerSocket listener = how.equals("byte by byte") ? ScriptedPeer.listen(port) : null;
-                ScriptedPeer bad = listener != null
+        try (ServerSocket listener = fault.equals("byte by byte") ? ScriptedPeer.listen(port) : null;
+                ScriptedPeer faultyDiscovery = listener != null
                         ? null
-                        : new ScriptedPeer(port, r -> switch (how) {
+                        : new ScriptedPeer(port, r -> switch (fault) {
                             case "500" -> ScriptedPeer.status(500);
                             case "garbage" -> ScriptedPeer.answer(200, "[[[[");
                             case "half" -> list.substring(0, list.length() - 9);
@@ -421,22 +426,23 @@
                         })) {
             List<Long> requestTimes = new ArrayList<>();
             if (listener != null) {
-                drip(listener, list, requestTimes);
+                sendByteByByte(listener, list, requestTimes);
             }
             ServedRelay relay = start(file);
             submit(relay, "s1", 7);
-            await(() -> ran(partner, "s1"));
-            await(() -> count(bad, requestTimes) >= 3);
+            await(() -> hasExecuted(partner, "s1"));
+            await(() -> countRequests(faultyDiscovery, requestTimes) >= 3);
         }
     }
 
-    private static long count(ScriptedPeer peer, List<Long> requestTimes) {
+    private static long countRequests(ScriptedPeer peer, List<Long> requestTimes) {
         synchronized (requestTimes) {
             return peer != null ? peer.count("GET /api/targets") : requestTimes.size();
         }
     }
 
-    private static void drip(ServerSocket listener, String answer, List<Long> requestTimes) {
+    /** Responds to every connection one byte at a time, 20 ms apart. */
+    private static void sendByteByByte(ServerSocket listener, String response, List<Long> requestTimes) {
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
@@ -444,9 +450,9 @@
                     synchronized (requestTimes) {
                         requestTimes.add(System.nanoTime());
                     }
-                    Thread each = new Thread(() -> {
+                    Thread connectionThread = new Thread(() -> {
                         try (socket) {
-                            for (char c : answer.toCharArray()) {
+                            for (char c : response.toCharArray()) {
                                 socket.getOutputStream().write(c);
                                 Thread.sleep(20);
                             }
@@ -454,8 +460,8 @@
                             // The relay has closed the connection.
                         }
                     });
-                    each.setDaemon(true);
-                    each.start();
+                    connectionThread.setDaemon(true);
+                    connectionThread.start();
                 }
             } catch (IOException e) {
                 // The test has ended.
@@ -466,37 +472,37 @@
     }
 
     @Test
-    void tornAndForeignSnapshotsAreSetAsideAndTheRelayStarts() throws Exception {
-        partner("iron-1");
+    void relayStartsAfterTruncatedAndForeignSnapshotsAreSetAside() throws Exception {
+        startPartner("iron-1");
         Path file = saveList(1, List.of(entry("iron-1", 7, "in_service")));
-        SnapshotSamples.truncateLatest(state);
-        ServedRelay torn = start(file);
-        assertTrue(torn.log().contains("file set aside"), torn.log());
-        torn.close();
-        Files.walk(state).filter(f -> f.toString().contains("remembered")).forEach(f -> f.toFile()
+        SnapshotSamples.truncateLatest(stateFolder);
+        ServedRelay afterTruncation = start(file);
+        assertTrue(afterTruncation.log().contains("file set aside"), afterTruncation.log());
+        afterTruncation.close();
+        Files.walk(stateFolder).filter(f -> f.toString().contains("remembered")).forEach(f -> f.toFile()
                 .delete());
-        SnapshotSamples.write(state, new Snapshot("app#1", 1, new ClockReading(0, 0, ""), 0, 1, List.of()));
-        ServedRelay foreign = start(file);
-        assertTrue(foreign.log().contains("owner is app#1, expected is app#0"), foreign.log());
+        SnapshotSamples.write(stateFolder, new Snapshot("app#1", 1, new ClockReading(0, 0, ""), 0, 1, List.of()));
+        ServedRelay withForeignSnapshot = start(file);
+        assertTrue(withForeignSnapshot.log().contains("owner is app#1, expected is app#0"), withForeignSnapshot.log());
     }
 
     @Test
-    void unwritableSnapshotStopsNothing() throws Exception {
-        FakePartner partner = partner("iron-1");
+    void relayServesIfTheSnapshotCannotBeWritten() throws Exception {
+        FakePartner partner = startPartner("iron-1");
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
         // A directory at the path of the new snapshot makes writing it fail.
-        Files.createDirectories(state.resolve("remembered.new").resolve("full"));
+        Files.createDirectories(stateFolder.resolve("remembered.new").resolve("full"));
         ServedRelay relay = start(writeRelayFile(discovery.address()));
         submit(relay, "s1", 7);
-        await(() -> ran(partner, "s1"));
+        await(() -> hasExecuted(partner, "s1"));
         await(() -> logs(relay, "warmstart: snapshot write failed"));
         submit(relay, "s2", 7);
-        await(() -> ran(partner, "s2"));
+        await(() -> hasExecuted(partner, "s2"));
     }
 
-    /** A relay with a keyed message whose one attempt was executed but not answered. */
-    private ServedRelay startWithAnAttemptThatMayHaveRun() throws Exception {
-        FakePartner partner = partner("iron-1");
+    /** Starts a relay and submits a keyed message, whose only attempt is executed but gets no response. */
+    private ServedRelay startWithAnAttemptThatMayHaveBeenExecuted() throws Exception {
+        FakePartner partner = startPartner("iron-1");
         partner.be(FakePartner.Mood.SILENT);
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
         ServedRelay first = start(writeRelayFile(discovery.address()));
@@ -510,19 +516,21 @@
                 }
             });
         }
-        await(() -> ran(partner, "k1"));
+        await(() -> hasExecuted(partner, "k1"));
         return first;
     }
 
-    /** After a reboot with the wall clock two hours back, no key window can be shown to be open. */
+    /**
+     * After a reboot with the wall clock set back by two hours, the clocks do not show that a key window is still open.
+     */
     @Test
-    void keyedMessageIsNotSentAgainWhereClocksCannotShowItsWindow() throws Exception {
-        ServedRelay first = startWithAnAttemptThatMayHaveRun();
+    void keyedMessageIsNotRetriedIfTheClocksDoNotShowItsWindow() throws Exception {
+        ServedRelay first = startWithAnAttemptThatMayHaveBeenExecuted();
         FakePartner partner = partners.get("iron-1");
         first.close();
         partner.be(FakePartner.Mood.WELL);
         SnapshotSamples.rewriteLatest(
-                state,
+                stateFolder,
                 p -> new Snapshot(
                         p.owner(),
                         p.generation(),
@@ -533,13 +541,13 @@
         ServedRelay relay = start(relayFile());
         assertTrue(relay.log().contains("warmstart: wall clock differs from relay time seconds=-7"), relay.log());
         await(() -> discovery.notices().stream().anyMatch(n -> n.ref().equals("k1")));
-        assertEquals(1, partner.effects().get("k1"), "it may have been executed, and the window may be over");
+        assertEquals(1, partner.effects().get("k1"), "executions of a message whose key window may be over");
     }
 
-    /** With no change of the clock the message is sent again, as its key window is open. */
+    /** The clocks are unchanged, so the message is retried within its key window. */
     @Test
-    void keyedMessageIsSentAgainWithinItsWindow() throws Exception {
-        ServedRelay first = startWithAnAttemptThatMayHaveRun();
+    void keyedMessageIsRetriedWithinItsWindow() throws Exception {
+        ServedRelay first = startWithAnAttemptThatMayHaveBeenExecuted();
         FakePartner partner = partners.get("iron-1");
         first.close();
         partner.be(FakePartner.Mood.WELL);
