--- a/src/test/java/loftflow/server/ShutdownTest.java
+++ b/src/test/java/loftflow/server/ShutdownTest.java
@@ -303,10 +303,7 @@
         await(() -> eventLoopLag.unreadSinceMicros() == clock.micros());
     }
 
-    /**
-     * Clients that received a response with {@code Connection: close} may delay their close; they must not block
-     * others.
-     */
+    /** Clients that received {@code Connection: close} and have not closed yet must not block other clients. */
     @Test
     void connectionsWithAFinalResponseDoNotCountTowardsTheLimit() throws Exception {
         List<Socket> clients = new ArrayList<>();
@@ -464,9 +461,7 @@
         assertEquals(List.of(), notices);
     }
 
-    /**
-     * Messages whose class was removed from the settings are failed or rejected; other resumed messages are delivered.
-     */
+    /** Messages of a class that was removed from the settings are failed or rejected; others are delivered. */
     @Test
     void messageOfARemovedClassDoesNotAffectOthers() throws Exception {
         kill();
