--- a/src/main/java/loftflow/deadletter/DeadLetter.java
+++ b/src/main/java/loftflow/deadletter/DeadLetter.java
@@ -7,15 +7,16 @@
 /**
  * A message that could not be delivered. Times are wall-clock time in microseconds since the epoch.
  *
- * @param id its id in the store, above 0; 0 before it is stored
+ * @param id id in the store, greater than 0; 0 before it is stored
  * @param content the message, with its original deadline
- * @param storedAtMicros when its delivery ended
- * @param reason the last outcome, in a word or two
- * @param clientReply what its client was answered
- * @param state where it stands
- * @param dueMicros when it is next considered for redrive; {@link #NEVER_DUE} where only an operator brings it back
- * @param confirmation the latest confirmation by an operator; null for none
- * @param redrives how often it was sent again
+ * @param storedAtMicros time at which its delivery ended
+ * @param reason short description of the last outcome
+ * @param clientReply the reply that its client received
+ * @param state current state
+ * @param dueMicros time at which it is next considered for redrive; {@link #NEVER_DUE} if only an operator can
+ *     redrive it
+ * @param confirmation the latest confirmation by an operator; null if there is none
+ * @param redrives number of redrives so far
  * @param attempts all attempts to deliver it, in order
  */
 public record DeadLetter(
@@ -29,18 +30,18 @@
         Confirmation confirmation,
         int redrives,
         List<Attempt> attempts) {
-    /** In place of a due time: not due by itself. */
+    /** Due time of a dead letter that is never redriven automatically. */
     public static final long NEVER_DUE = Long.MAX_VALUE;
 
     /** State of a dead letter. */
     public enum State {
-        /** It waits in the store. */
+        /** Waiting in the store. */
         STORED("KEPT"),
-        /** The engine is sending it again. */
+        /** Being redriven by the engine. */
         REDRIVING("RESENDING"),
-        /** It was delivered. */
+        /** Delivered. */
         DELIVERED("DELIVERED"),
-        /** An operator discarded it. */
+        /** Discarded by an operator. */
         DISCARDED("DISCARDED");
 
         private final String code;
@@ -49,15 +50,15 @@
             this.code = code;
         }
 
-        /** The name by which the database and, in lower case, the admin protocol know this state; it never changes. */
+        /** Returns the stable name of this state in the database and, in lower case, in the admin protocol. */
         public String code() {
             return code;
         }
 
         /**
-         * The state that a {@link #code} stands for.
+         * Returns the state with the given {@link #code}.
          *
-         * @throws IllegalArgumentException where no state has this code
+         * @throws IllegalArgumentException if no state has this code
          */
         public static State ofCode(String code) {
             for (State state : values()) {
@@ -72,11 +73,11 @@
     /**
      * An attempt to deliver the message.
      *
-     * @param zone zone of the route; empty where it is not known any more
-     * @param outcome null while it is not known
+     * @param zone zone of the route; empty if it is no longer known
+     * @param outcome null while unknown
      */
     public record Attempt(String route, String zone, long sentAtMicros, AttemptOutcome outcome) {
-        /** Whether the attempt took effect, as far as its outcome proves it. */
+        /** Returns whether the attempt was executed, as far as its outcome proves it. */
         public ExecutionCertainty certainty() {
             return ExecutionCertainty.of(outcome);
         }
@@ -86,20 +87,20 @@
      * An operator's confirmation that the destination did not process the message.
      *
      * @param by name of the operator
-     * @param attempts number of attempts that it covers, counted from the first
-     * @param atMicros when it was given
+     * @param attempts number of attempts covered, counted from the first
+     * @param atMicros time of the confirmation
      */
     public record Confirmation(String by, String reason, int attempts, long atMicros) {}
 
-    /** Whether the message took effect, as far as the outcomes of all attempts prove it. */
+    /** Returns whether the message was executed, as far as the outcomes of all attempts prove it. */
     public ExecutionCertainty certainty() {
         return attempts.stream().map(Attempt::certainty).max(Enum::compareTo).orElse(ExecutionCertainty.NOT_EXECUTED);
     }
 
-    /** The attempts that may have taken effect and that no confirmation covers. */
+    /** Returns the attempts that may have been executed and that no confirmation covers. */
     public List<Attempt> unconfirmedAttempts() {
-        int confirmed = confirmation == null ? 0 : Math.min(confirmation.attempts(), attempts.size());
-        return attempts.subList(confirmed, attempts.size()).stream()
+        int confirmedCount = confirmation == null ? 0 : Math.min(confirmation.attempts(), attempts.size());
+        return attempts.subList(confirmedCount, attempts.size()).stream()
                 .filter(attempt -> attempt.certainty() == ExecutionCertainty.UNKNOWN)
                 .toList();
     }
--- a/src/main/java/loftflow/deadletter/DeadLetterFactory.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterFactory.java
@@ -10,7 +10,7 @@
 import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointEntry;
 
-/** Makes dead letters of undelivered messages. Follows the endpoint lists to know the zones of routes. */
+/** Creates dead letters from undelivered messages. Tracks the endpoint lists to look up the zones of routes. */
 final class DeadLetterFactory {
     private static final String CLIENT_REPLY_FAILED = "failed";
     private static final String REASON_NO_ATTEMPT = "no attempt";
@@ -29,7 +29,7 @@
         }
     }
 
-    /** A dead letter, without an id yet, of a message whose delivery has ended. */
+    /** Returns a dead letter, without an id, for a message whose delivery has ended. */
     DeadLetter create(Message message, long nowMicros, long dueMicros) {
         List<DeadLetter.Attempt> attempts = attemptsOf(message);
         boolean isExecuted = attempts.stream().anyMatch(attempt -> attempt.certainty() == ExecutionCertainty.EXECUTED);
@@ -54,12 +54,12 @@
         return lastOutcome == null ? REASON_NO_OUTCOME : lastOutcome.code().toLowerCase(Locale.ROOT);
     }
 
-    /** All attempts of a message. */
+    /** Returns all attempts of a message, with the zones of their routes. */
     List<DeadLetter.Attempt> attemptsOf(Message message) {
         return message.attempts().stream().map(this::attemptOf).toList();
     }
 
-    /** An attempt with the zone of its route. */
+    /** Returns an attempt with the zone of its route; the zone is empty if the route is unknown. */
     DeadLetter.Attempt attemptOf(Message.Attempt attempt) {
         return new DeadLetter.Attempt(
                 attempt.route(),
--- a/src/main/java/loftflow/deadletter/DeadLetterService.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterService.java
@@ -16,23 +16,24 @@
 import loftflow.policy.api.EndpointListKind;
 
 /**
- * Stores undelivered messages and redrives them: polls the store for dead letters that are due, decides by
- * {@link RedrivePolicy} and hands them to the engine at a pace of each destination's own. Not thread-safe; everything
- * runs on the event loop, and the store is reached through a queue.
+ * Stores undelivered messages and redrives them: polls the store for due dead letters, applies the
+ * {@link RedrivePolicy} and hands them to the engine at a limited rate per destination. Not thread-safe: all methods
+ * run on the event loop, and the store is accessed through a queue.
  */
 public final class DeadLetterService implements DeadLetterSink {
     /**
-     * Settings.
+     * Settings of the service.
      *
-     * @param redriveClasses request classes by name, with the time for which their messages are redriven
+     * @param redriveClasses request classes by name, with their redrive windows
      * @param policy decides on redrives
      * @param redrivesPerSecond highest rate of redrives to one destination
-     * @param highWatermarkBytes size from which the store is full
-     * @param lowWatermarkBytes size below which it is no longer full
-     * @param maxEntries number of dead letters from which it is full
-     * @param refuseWhenFull while the store is full, new messages of a class that has failed meanwhile are refused;
-     *     otherwise they are accepted, and those that fail are logged as lost
-     * @param maxClosedAgeMicros time after which delivered and discarded dead letters are removed
+     * @param highWatermarkBytes size at which the store becomes full
+     * @param lowWatermarkBytes size below which the store is no longer full
+     * @param maxEntries number of dead letters at which the store becomes full
+     * @param refuseWhenFull if true, a full store causes new messages to be rejected if a message of their class has
+     *     failed since the store was last found not full; if false, new messages are accepted, and those that fail are
+     *     logged as lost
+     * @param maxClosedAgeMicros age at which delivered and discarded dead letters are removed
      */
     public record Options(
             Map<String, RedriveClass> redriveClasses,
@@ -45,7 +46,7 @@
             long maxClosedAgeMicros) {}
 
     private static final long POLL_INTERVAL_MICROS = 100_000;
-    /** The poll interval doubles with each poll that finds nothing, up to this many times. */
+    /** Maximum number of times that the poll interval doubles, once for each poll that finds nothing. */
     private static final int MAX_IDLE_DOUBLINGS = 3;
 
     private static final int MAX_DUE_PER_POLL = 64;
@@ -54,7 +55,7 @@
     private static final DeadLetterStore.Filter REDRIVING =
             new DeadLetterStore.Filter(DeadLetter.State.REDRIVING, null, null, null, null, 0, 0);
 
-    /** Result of a poll: what is due, and the size of the store where something was removed, else null. */
+    /** Result of a poll: the due dead letters, and the store size if any were removed, otherwise null. */
     private record PollResult(List<DeadLetter> due, DeadLetterStore.Size sizeAfterRemoval) {}
 
     private final Timers timers;
@@ -65,21 +66,21 @@
     private final DeadLetterFactory factory = new DeadLetterFactory();
     private final RedrivePacer pacer;
     private final StoreCapacity capacity;
-    /** Messages that are being redriven, by the id of their dead letter. */
-    private final Map<Long, Message> redriving = new HashMap<>();
-    /** Store tasks to repeat, since the queue was full or they failed. The journal still has what they are about. */
+    /** Messages being redriven, by the id of their dead letter. */
+    private final Map<Long, Message> redrivesInFlight = new HashMap<>();
+    /** Store tasks to retry after a full queue or a failure. The journal retains their messages until then. */
     private final ArrayDeque<Runnable> tasksToRetry = new ArrayDeque<>();
 
     private boolean isPolling;
     private boolean isPaused;
     private int lastPolledDestination = ALL_DESTINATIONS;
     private int idlePolls;
-    /** Time from which intervals can be measured; never, until the store has reported its newest time. */
-    private long steadySinceMicros = Long.MAX_VALUE;
+    /** Time from which intervals can be measured; the maximum until the store has reported its newest time. */
+    private long measurableSinceMicros = Long.MAX_VALUE;
 
     private long newestJournaledMicros;
 
-    /** A service; {@link #start} starts it. */
+    /** Creates a service that is inactive until {@link #start}. */
     public DeadLetterService(
             Timers timers, Clock clock, DeliveryEngine engine, DeadLetterStoreQueue storeQueue, Options options) {
         this.timers = timers;
@@ -91,25 +92,28 @@
         capacity = new StoreCapacity(options);
     }
 
-    /** Recovers redrives that a crash cut off between the store and the journal, then polls periodically. */
+    /** Resets redrives that a crash interrupted between the store and the journal, then polls periodically. */
     public void start() {
-        List<Long> journaledIds = List.copyOf(redriving.keySet());
+        List<Long> journaledIds = List.copyOf(redrivesInFlight.keySet());
         submitUntilDone(
                 store -> {
                     resetUnjournaledRedrives(store, journaledIds);
                     return store.newestMicros();
                 },
                 newestStoredMicros -> {
-                    // The clock may have been set back between two processes: something older than anything that the
-                    // earlier one has left may in truth be older still.
+                    // The clock may have been set back between two processes. Timestamps up to the newest one of the
+                    // earlier process may then be older than they appear.
                     long newestMicros = Math.max(newestStoredMicros, newestJournaledMicros);
-                    steadySinceMicros = Math.max(clock.micros(), newestMicros + 1);
+                    measurableSinceMicros = Math.max(clock.micros(), newestMicros + 1);
                     submitUntilDone(DeadLetterStore::size, capacity::update);
                 });
         poll();
     }
 
-    /** A dead letter that is redriving and not in the journal was never handed to the engine: it made no attempt. */
+    /**
+     * Resets redriving dead letters that are not in the journal. They were never handed to the engine, so no attempt
+     * was made.
+     */
     private static void resetUnjournaledRedrives(DeadLetterStore store, List<Long> journaledIds) {
         for (DeadLetter deadLetter : store.list(REDRIVING, 0, Integer.MAX_VALUE, false)) {
             if (!journaledIds.contains(deadLetter.id())) {
@@ -123,7 +127,7 @@
         message.attempts()
                 .forEach(attempt -> newestJournaledMicros = Math.max(newestJournaledMicros, attempt.sentAtMicros()));
         if (message.deadLetterId() != 0) {
-            redriving.put(message.deadLetterId(), message);
+            redrivesInFlight.put(message.deadLetterId(), message);
             pacer.resume(message.content().destination());
         }
     }
@@ -158,21 +162,21 @@
     @Override
     public void onOutcomeLearned(Message.Attempt attempt) {
         Message message = attempt.message();
-        DeadLetter.Attempt learned = factory.attemptOf(attempt);
+        DeadLetter.Attempt updatedAttempt = factory.attemptOf(attempt);
         submitUntilDone(
                 store -> {
                     long id = idOf(message, store);
                     if (id != 0) {
-                        store.recordOutcome(id, learned);
+                        store.recordOutcome(id, updatedAttempt);
                     }
                     return id;
                 },
                 id -> {
-                    Message redriven = redriving.get(id);
-                    boolean isOtherMessage = redriven != null && redriven != message;
-                    // A redrive of a message that is now proven to be executed would execute it twice.
-                    if (isOtherMessage && learned.certainty() == ExecutionCertainty.EXECUTED) {
-                        engine.cancelRedrive(redriven);
+                    Message redrive = redrivesInFlight.get(id);
+                    boolean isOtherMessage = redrive != null && redrive != message;
+                    // The message is proven to be executed; a redrive would execute it twice.
+                    if (isOtherMessage && updatedAttempt.certainty() == ExecutionCertainty.EXECUTED) {
+                        engine.cancelRedrive(redrive);
                     }
                 });
     }
@@ -200,7 +204,7 @@
         long nowMicros = clock.micros();
         boolean isQueued = submit(
                 store -> {
-                    // Reports the size after a removal, since a full store may not be full any more.
+                    // A removal may bring a full store below its low watermark, so the size is reported.
                     int removed = store.removeSettled(nowMicros - options.maxClosedAgeMicros(), MAX_REMOVED_PER_POLL);
                     DeadLetterStore.Size sizeAfterRemoval = removed > 0 ? store.size() : null;
                     List<DeadLetter> due = store.findDue(nowMicros, lastPolledDestination, MAX_DUE_PER_POLL);
@@ -232,7 +236,7 @@
         lastPolledDestination = hasMore ? due.get(due.size() - 1).content().destination() : ALL_DESTINATIONS;
         idlePolls = due.isEmpty() ? idlePolls + 1 : 0;
         for (DeadLetter deadLetter : due) {
-            if (pacer.isFree(deadLetter.content().destination(), clock.micros())) {
+            if (pacer.canBegin(deadLetter.content().destination(), clock.micros())) {
                 redrive(deadLetter, decision -> {});
             }
         }
@@ -241,60 +245,65 @@
     /**
      * Decides on a dead letter and acts on the decision.
      *
-     * @param decided receives the decision, then or later, on the event loop
+     * @param onDecision receives the decision on the event loop, either before this method returns or later; not called
+     *     if the store task fails
      */
-    public void redrive(DeadLetter deadLetter, Consumer<RedrivePolicy.Decision> decided) {
+    public void redrive(DeadLetter deadLetter, Consumer<RedrivePolicy.Decision> onDecision) {
         long nowMicros = clock.micros();
         RedrivePolicy.Decision decision = decideUnlessRedriving(deadLetter, nowMicros);
         if (decision instanceof RedrivePolicy.SendNow) {
-            beginRedrive(deadLetter, nowMicros, decided);
+            beginRedrive(deadLetter, nowMicros, onDecision);
             return;
         }
         long dueMicros = decision instanceof RedrivePolicy.SendLater later ? later.atMicros() : DeadLetter.NEVER_DUE;
         submit(
                 store -> store.transition(deadLetter.id(), DeadLetter.State.STORED, DeadLetter.State.STORED, dueMicros),
                 isChanged -> {});
-        decided.accept(decision);
+        onDecision.accept(decision);
     }
 
     /**
-     * The store may not yet have recorded the end of a redrive, as after a restart: there is no second one beside it.
+     * Decides on a dead letter, and postpones it while a redrive of it is in flight: after a restart, the store may
+     * show a dead letter as stored although its redrive has not ended.
      */
     private RedrivePolicy.Decision decideUnlessRedriving(DeadLetter deadLetter, long nowMicros) {
-        return redriving.containsKey(deadLetter.id())
+        return redrivesInFlight.containsKey(deadLetter.id())
                 ? new RedrivePolicy.SendLater(nowMicros + options.policy().pauseMicros(), "it is being sent again")
                 : decide(deadLetter);
     }
 
-    private void beginRedrive(DeadLetter deadLetter, long nowMicros, Consumer<RedrivePolicy.Decision> decided) {
+    private void beginRedrive(DeadLetter deadLetter, long nowMicros, Consumer<RedrivePolicy.Decision> onDecision) {
         int destination = deadLetter.content().destination();
         pacer.begin(destination, nowMicros);
         boolean isQueued = submit(
                 store -> store.transition(deadLetter.id(), DeadLetter.State.STORED, DeadLetter.State.REDRIVING, 0),
                 isChanged -> {
                     if (isChanged) {
-                        send(deadLetter, decided);
+                        send(deadLetter, onDecision);
                     } else {
                         pacer.end(destination);
-                        decided.accept(new RedrivePolicy.SendLater(nowMicros, "it is being sent again, or is over"));
+                        onDecision.accept(new RedrivePolicy.SendLater(nowMicros, "it is being sent again, or is over"));
                     }
                 },
                 () -> pacer.end(destination));
         if (!isQueued) {
             pacer.end(destination);
-            decided.accept(new RedrivePolicy.SendLater(nowMicros, "the store is busy"));
+            onDecision.accept(new RedrivePolicy.SendLater(nowMicros, "the store is busy"));
         }
     }
 
-    /** The policy's decision on a dead letter at this moment. */
+    /** Returns the policy's decision on a dead letter at the current time. */
     public RedrivePolicy.Decision decide(DeadLetter deadLetter) {
         RedriveClass redriveClass =
                 options.redriveClasses().get(deadLetter.content().requestClass());
-        return options.policy().decide(deadLetter, redriveClass, clock.micros(), steadySinceMicros);
+        return options.policy().decide(deadLetter, redriveClass, clock.micros(), measurableSinceMicros);
     }
 
-    /** Decides again, since a key window may have closed or a proof come in while the store was busy, and sends. */
-    private void send(DeadLetter deadLetter, Consumer<RedrivePolicy.Decision> decided) {
+    /**
+     * Decides again and sends if still allowed: a key window may have closed, or a proof of execution may have arrived,
+     * while the store was busy.
+     */
+    private void send(DeadLetter deadLetter, Consumer<RedrivePolicy.Decision> onDecision) {
         RedrivePolicy.Decision decision = decide(deadLetter);
         Message message = decision instanceof RedrivePolicy.SendNow sendNow
                 ? engine.redrive(
@@ -303,8 +312,8 @@
                         sendNow.pastAttempts())
                 : null;
         if (message != null) {
-            redriving.put(deadLetter.id(), message);
-            decided.accept(decision);
+            redrivesInFlight.put(deadLetter.id(), message);
+            onDecision.accept(decision);
             return;
         }
         pacer.end(deadLetter.content().destination());
@@ -315,7 +324,7 @@
                 store -> store.transition(
                         deadLetter.id(), DeadLetter.State.REDRIVING, DeadLetter.State.STORED, dueMicros),
                 isChanged -> {});
-        decided.accept(
+        onDecision.accept(
                 decision instanceof RedrivePolicy.SendNow
                         ? new RedrivePolicy.SendLater(
                                 dueMicros, "the relay has no room for it, or does not know its destination")
@@ -347,7 +356,7 @@
                 },
                 size -> {
                     capacity.update(size);
-                    if (redriving.remove(id) != null) {
+                    if (redrivesInFlight.remove(id) != null) {
                         pacer.end(message.content().destination());
                     }
                     engine.onDeadLetterStored(message);
@@ -356,9 +365,10 @@
 
     private void recordRedrive(
             DeadLetterStore store, DeadLetter deadLetter, List<DeadLetter.Attempt> attempts, long nowMicros) {
-        // The message began with attempts that the store has already.
+        // The message also lists past attempts, which the store already contains.
         List<DeadLetter.Attempt> newAttempts = new ArrayList<>(attempts);
-        newAttempts.removeIf(attempt -> deadLetter.attempts().stream().anyMatch(known -> isSame(known, attempt)));
+        newAttempts.removeIf(
+                attempt -> deadLetter.attempts().stream().anyMatch(known -> isSameAttempt(known, attempt)));
         boolean isExecuted = deadLetter.certainty() == ExecutionCertainty.EXECUTED
                 || newAttempts.stream().anyMatch(attempt -> attempt.certainty() == ExecutionCertainty.EXECUTED);
         store.recordRedrive(
@@ -369,7 +379,7 @@
                 redriveReason(deadLetter, newAttempts));
     }
 
-    private static boolean isSame(DeadLetter.Attempt one, DeadLetter.Attempt other) {
+    private static boolean isSameAttempt(DeadLetter.Attempt one, DeadLetter.Attempt other) {
         return one.route().equals(other.route()) && one.sentAtMicros() == other.sentAtMicros();
     }
 
@@ -381,33 +391,33 @@
         return "sent again: " + (last.outcome() == null ? null : last.outcome().code());
     }
 
-    /** Pauses redrives, or resumes them. */
+    /** Pauses or resumes automatic redrives. Redrives requested through {@link #redrive} are not affected. */
     public void setPaused(boolean isPaused) {
         this.isPaused = isPaused;
     }
 
-    /** True while redrives are paused. */
+    /** Returns true while automatic redrives are paused. */
     public boolean isPaused() {
         return isPaused;
     }
 
-    /** Number of messages that could not be stored since the start. */
+    /** Returns the number of messages lost since the start because the store was full. */
     public long lostCount() {
         return capacity.lostCount();
     }
 
-    private <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then) {
-        return submit(task, then, () -> isPolling = false);
+    private <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> onResult) {
+        return submit(task, onResult, () -> isPolling = false);
     }
 
-    private <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
-        return storeQueue.submit(task, then, failed);
+    private <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> onResult, Runnable onFailure) {
+        return storeQueue.submit(task, onResult, onFailure);
     }
 
-    /** Runs a store task, and repeats it at a later poll where the queue is full or the task fails. */
-    private <T> void submitUntilDone(Function<DeadLetterStore, T> task, Consumer<T> then) {
-        Runnable retry = () -> submitUntilDone(task, then);
-        if (!submit(task, then, () -> tasksToRetry.add(retry))) {
+    /** Runs a store task; retries it at a later poll if the queue is full or the task fails. */
+    private <T> void submitUntilDone(Function<DeadLetterStore, T> task, Consumer<T> onResult) {
+        Runnable retry = () -> submitUntilDone(task, onResult);
+        if (!submit(task, onResult, () -> tasksToRetry.add(retry))) {
             tasksToRetry.add(retry);
         }
     }
--- a/src/main/java/loftflow/deadletter/DeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterStore.java
@@ -5,16 +5,16 @@
 import java.util.OptionalLong;
 
 /**
- * Storage of dead letters. Each call is durable against the end of the process when it returns, and throws
- * {@link DeadLetterStoreException} where it fails. Not thread-safe.
+ * Storage of dead letters. When a call returns, its changes survive a crash of the process. A call that fails throws
+ * {@link DeadLetterStoreException}. Not thread-safe.
  */
 public interface DeadLetterStore extends AutoCloseable {
 
     /**
-     * Selects dead letters; null, and 0 for a time, select any.
+     * Selects dead letters; a null field, or a time of 0, matches any value.
      *
-     * @param storedFromMicros earliest time at which the dead letter was stored, in microseconds
-     * @param storedBeforeMicros time before which it was stored, in microseconds
+     * @param storedFromMicros earliest time of storage, inclusive, in microseconds since the epoch
+     * @param storedBeforeMicros latest time of storage, exclusive, in microseconds since the epoch
      */
     record Filter(
             DeadLetter.State state,
@@ -31,51 +31,50 @@
     /**
      * Size of the store.
      *
-     * @param oldestMicros when the oldest dead letter was stored; 0 where there is none
+     * @param oldestMicros time at which the oldest dead letter was stored; 0 if the store is empty
      */
     record Size(long entries, long bytes, long oldestMicros) {}
 
-    /** Stores a dead letter. Idempotent: one with the same message id and deadline is stored once. Returns its id. */
+    /** Stores a dead letter and returns its id. Idempotent by message id and deadline. */
     long put(DeadLetter deadLetter);
 
-    /** The dead letter with an id. */
+    /** Returns the dead letter with an id; empty if there is none. */
     Optional<DeadLetter> get(long id);
 
-    /** The id of the dead letter of a message. */
+    /** Returns the id of the dead letter of a message; empty if there is none. */
     OptionalLong find(String messageId, long deadlineMicros);
 
-    /** Dead letters in the order of their ids, starting from an id, with or without their bodies. */
+    /** Returns dead letters in ascending order of id, starting at {@code fromId}, with or without their bodies. */
     List<DeadLetter> list(Filter filter, long fromId, int maxEntries, boolean withBodies);
 
-    /** Of each destination with a number above the given one, the stored dead letter that has been due the longest. */
+    /** Returns the longest-due stored dead letter of each destination numbered above {@code afterDestination}. */
     List<DeadLetter> findDue(long nowMicros, int afterDestination, int maxEntries);
 
-    /** The latest time that is stored: when a dead letter was stored, or an attempt sent. 0 where there is none. */
+    /** Returns the newest storage or attempt time in the store, in microseconds; 0 if the store is empty. */
     long newestMicros();
 
-    /** Changes a state by compare-and-set; false, and nothing changes, where the state is another one. */
+    /** Changes a state by compare-and-set. Returns false and changes nothing if the state is not {@code from}. */
     boolean transition(long id, DeadLetter.State from, DeadLetter.State to, long dueMicros);
 
-    /** Records the end of a redrive: its attempts, the new state, and when the dead letter is next due. */
+    /** Records the end of a redrive: its attempts, the new state, and the next due time. */
     void recordRedrive(
             long id, List<DeadLetter.Attempt> attempts, DeadLetter.State state, long dueMicros, String reason);
 
-    /** Records an outcome that has become known; one that proves execution makes the dead letter delivered. */
+    /** Records an outcome that became known later. An outcome that proves execution sets the state to delivered. */
     void recordOutcome(long id, DeadLetter.Attempt attempt);
 
-    /** Records an operator's confirmation; false, and nothing changes, where the dead letter is not stored any more. */
+    /** Records an operator's confirmation. Returns false and changes nothing if the state is not stored. */
     boolean recordConfirmation(long id, DeadLetter.Confirmation confirmation, long dueMicros);
 
-    /** Appends to the audit trail, which can be neither changed nor removed. */
-    void appendAudit(long atMicros, String who, String what, long id, String detail);
+    /** Appends an entry to the audit trail, whose entries can be neither changed nor removed. */
+    void appendAudit(long atMicros, String operator, String action, long id, String detail);
 
-    /** The audit trail of a dead letter, oldest line first. */
+    /** Returns the audit trail of a dead letter, oldest entry first. */
     List<String> auditTrail(long id);
 
-    /** Removes delivered and discarded dead letters that were stored before a time, oldest first; returns how many. */
+    /** Removes delivered and discarded dead letters stored before a time, oldest first. Returns the number removed. */
     int removeSettled(long storedBeforeMicros, int maxEntries);
 
-    /** The size of the store. */
     Size size();
 
     @Override
--- a/src/main/java/loftflow/deadletter/DeadLetterStoreException.java
+++ b/src/main/java/loftflow/deadletter/DeadLetterStoreException.java
@@ -1,6 +1,6 @@
 package loftflow.deadletter;
 
-/** A store that fails; the message is for operators. */
+/** Failure of a dead-letter store. The message is written for operators. */
 public final class DeadLetterStoreException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/loftflow/deadletter/ExecutionCertainty.java
+++ b/src/main/java/loftflow/deadletter/ExecutionCertainty.java
@@ -3,15 +3,15 @@
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * Whether an attempt took effect at the destination, as far as it is proven. Changes only by proof. Constants are in
- * ascending order: the certainty of several attempts is the greatest of theirs.
+ * Degree of certainty that the destination executed an attempt. Only a proof changes it. The constants are in ascending
+ * order: the certainty of several attempts is the maximum of their certainties.
  */
 public enum ExecutionCertainty {
-    /** Proven not to have taken effect. */
+    /** Proven not to be executed. */
     NOT_EXECUTED("NEVER"),
-    /** It may have taken effect. */
+    /** Possibly executed. */
     UNKNOWN("MAYBE"),
-    /** Proven to have taken effect. */
+    /** Proven to be executed. */
     EXECUTED("DID");
 
     private final String code;
@@ -20,15 +20,15 @@
         this.code = code;
     }
 
-    /** The name by which the database and, in lower case, the admin protocol know this value; it never changes. */
+    /** Returns the stable name of this value in the database and, in lower case, in the admin protocol. */
     public String code() {
         return code;
     }
 
     /**
-     * The certainty that a {@link #code} stands for.
+     * Returns the certainty with the given {@link #code}.
      *
-     * @throws IllegalArgumentException where none has this code
+     * @throws IllegalArgumentException if no certainty has this code
      */
     public static ExecutionCertainty ofCode(String code) {
         for (ExecutionCertainty certainty : values()) {
@@ -39,7 +39,7 @@
         throw new IllegalArgumentException("unknown execution certainty: " + code);
     }
 
-    /** What an outcome proves by the wire protocol. An outcome of null, not known yet, proves nothing. */
+    /** Returns what an outcome proves under the wire protocol; {@link #UNKNOWN} if the outcome is null. */
     public static ExecutionCertainty of(AttemptOutcome outcome) {
         if (outcome == null) {
             return UNKNOWN;
--- a/src/main/java/loftflow/deadletter/RedrivePacer.java
+++ b/src/main/java/loftflow/deadletter/RedrivePacer.java
@@ -3,46 +3,46 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Limits redrives of each destination to one at a time, at a rate. */
+/** Limits redrives of each destination to one at a time and to a maximum rate. */
 final class RedrivePacer {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private static final class Lane {
+    private static final class DestinationState {
         private long nextAllowedMicros;
-        private int inFlight;
+        private int inFlightCount;
     }
 
     private final double redrivesPerSecond;
-    private final Map<Integer, Lane> lanes = new HashMap<>();
+    private final Map<Integer, DestinationState> statesByDestination = new HashMap<>();
 
     RedrivePacer(double redrivesPerSecond) {
         this.redrivesPerSecond = redrivesPerSecond;
     }
 
-    /** True where no redrive to the destination is in flight and the interval since the last one is over. */
-    boolean isFree(int destination, long nowMicros) {
-        Lane lane = lane(destination);
-        return lane.inFlight == 0 && nowMicros >= lane.nextAllowedMicros;
+    /** Returns true if no redrive to the destination is in flight and the interval since the last one has elapsed. */
+    boolean canBegin(int destination, long nowMicros) {
+        DestinationState state = state(destination);
+        return state.inFlightCount == 0 && nowMicros >= state.nextAllowedMicros;
     }
 
-    /** A redrive begins. */
+    /** Records the start of a redrive. */
     void begin(int destination, long nowMicros) {
-        Lane lane = lane(destination);
-        lane.inFlight++;
-        lane.nextAllowedMicros = nowMicros + (long) (MICROS_PER_SECOND / redrivesPerSecond);
+        DestinationState state = state(destination);
+        state.inFlightCount++;
+        state.nextAllowedMicros = nowMicros + (long) (MICROS_PER_SECOND / redrivesPerSecond);
     }
 
-    /** A redrive that an earlier process began is in flight. */
+    /** Records a redrive that an earlier process began and that is still in flight. */
     void resume(int destination) {
-        lane(destination).inFlight++;
+        state(destination).inFlightCount++;
     }
 
-    /** A redrive has ended, or was not sent. */
+    /** Records that a redrive has ended or was not sent. */
     void end(int destination) {
-        lane(destination).inFlight--;
+        state(destination).inFlightCount--;
     }
 
-    private Lane lane(int destination) {
-        return lanes.computeIfAbsent(destination, absent -> new Lane());
+    private DestinationState state(int destination) {
+        return statesByDestination.computeIfAbsent(destination, absent -> new DestinationState());
     }
 }
--- a/src/main/java/loftflow/deadletter/RedrivePolicy.java
+++ b/src/main/java/loftflow/deadletter/RedrivePolicy.java
@@ -10,27 +10,28 @@
 import loftflow.policy.api.RequestClass;
 
 /**
- * Decides whether a dead letter may be sent again, and when. An unknown outcome never becomes "not executed" by age,
- * restart or the number of attempts: only a proof, or an operator's confirmation, settles it.
+ * Decides whether and when a dead letter may be redriven. Neither age nor a restart nor the number of attempts turns an
+ * unknown outcome into "not executed": that takes a proof or an operator's confirmation.
  *
  * <ul>
  * <li>Idempotent classes: within their redrive window.
- * <li>Classes that are idempotent by key: as above where every attempt is proven not to be executed. Otherwise while
- * the key window is open, measured from the first possible execution less a margin for clocks, to endpoints of the same
- * scope.
- * <li>Classes that are not idempotent: within their redrive window where every attempt is proven not to be executed.
+ * <li>Classes that are idempotent by key: within their redrive window if every attempt is proven not to be executed.
+ * Otherwise while the key window is also open, and only to endpoints of the same key scope. The key window is measured
+ * from the first possible execution and shortened by the clock margin.
+ * <li>Classes that are not idempotent: within their redrive window if every attempt is proven not to be executed.
  * <li>In all other cases: after an operator has confirmed that the destination did not process the message. A
- * confirmation covers the attempts made until then.
+ * confirmation covers the attempts made before it.
  * </ul>
  *
- * @param clockMarginMicros by how much clocks may differ
- * @param pauseMicros least time between two redrives of a dead letter; doubles with each, up to 64 times
+ * @param clockMarginMicros maximum difference between clocks
+ * @param pauseMicros minimum time between two redrives of a dead letter; doubles with each redrive, up to 64 times the
+ *     initial value
  */
 public record RedrivePolicy(long clockMarginMicros, long pauseMicros) {
     private static final int MAX_PAUSE_DOUBLINGS = 6;
     /**
-     * Shortest deadline of a redrive, since no client waits for it: time enough to probe an endpoint that had failed
-     * (5 s), and for a priority weight below that of new messages.
+     * Minimum time from a redrive to its deadline. It can be long because no client waits for a redrive; it leaves time
+     * for a probe of a failed endpoint (5 s) and for a priority weight below that of new messages.
      */
     private static final long MIN_DEADLINE_MICROS = 20_000_000;
 
@@ -38,36 +39,37 @@
     public sealed interface Decision {}
 
     /**
-     * It may be sent now.
+     * The dead letter may be sent now.
      *
-     * @param deadlineMicros wall-clock time until which it must be delivered
-     * @param pastAttempts attempts that restrict where it may be sent
+     * @param deadlineMicros wall-clock deadline of its delivery
+     * @param pastAttempts attempts that restrict the endpoints to which it may be sent
      */
     public record SendNow(long deadlineMicros, List<PastAttempt> pastAttempts) implements Decision {}
 
     /**
-     * It may be sent later.
+     * The dead letter may not be sent yet.
      *
-     * @param atMicros wall-clock time at which it is to be decided on again
+     * @param atMicros wall-clock time of the next decision
      */
     public record SendLater(long atMicros, String reason) implements Decision {}
 
-    /** It may be sent only after an operator's confirmation. */
+    /** The dead letter may be sent only after an operator's confirmation. */
     public record NeedsConfirmation(String reason) implements Decision {}
 
-    /** It is not sent any more. */
+    /** The dead letter is never sent again. */
     public record Settled(String reason) implements Decision {}
 
     /**
      * Decides on a dead letter.
      *
-     * @param redriveClass its class; null where the settings no longer have it
+     * @param redriveClass its class; null if the settings no longer contain the class
      * @param nowMicros wall-clock time
-     * @param steadySinceMicros wall-clock time from which intervals can be measured: not before the start of the
-     *     process, nor before anything that an earlier process has left. The wall clock may have been set in between,
-     *     so a key window that began earlier can't be shown to be open
+     * @param measurableSinceMicros wall-clock time from which intervals can be measured: at least the start of the
+     *     process, and later than every timestamp of earlier processes. The wall clock may have been set between two
+     *     processes, so a key window that began before this time can't be proven to be open
      */
-    public Decision decide(DeadLetter deadLetter, RedriveClass redriveClass, long nowMicros, long steadySinceMicros) {
+    public Decision decide(
+            DeadLetter deadLetter, RedriveClass redriveClass, long nowMicros, long measurableSinceMicros) {
         if (deadLetter.state() == DeadLetter.State.DELIVERED || deadLetter.certainty() == ExecutionCertainty.EXECUTED) {
             return new Settled("it was delivered");
         }
@@ -80,7 +82,7 @@
         if (redriveClass == null) {
             return new NeedsConfirmation("its class " + deadLetter.content().requestClass() + " is not known any more");
         }
-        // After the clock was set back, no interval from then on can be measured.
+        // If the clock was set back, no interval since the newest timestamp can be measured.
         boolean isClockBehind = nowMicros + clockMarginMicros < newestMicros(deadLetter);
         boolean isConfirmed = deadLetter.confirmation() != null;
         boolean isInWindow =
@@ -97,7 +99,7 @@
         if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             return new NeedsConfirmation("an attempt may have run");
         }
-        return decideByKey(requestClass, unconfirmed, nowMicros, isClockBehind, steadySinceMicros);
+        return decideByKey(requestClass, unconfirmed, nowMicros, isClockBehind, measurableSinceMicros);
     }
 
     private static Decision decideRepeatable(DeadLetter deadLetter, RequestClass requestClass, long nowMicros) {
@@ -114,12 +116,12 @@
             List<DeadLetter.Attempt> unconfirmed,
             long nowMicros,
             boolean isClockBehind,
-            long steadySinceMicros) {
-        DeadLetter.Attempt first = unconfirmed.stream()
+            long measurableSinceMicros) {
+        DeadLetter.Attempt earliest = unconfirmed.stream()
                 .min(Comparator.comparingLong(DeadLetter.Attempt::sentAtMicros))
                 .orElseThrow();
-        long windowEndMicros = first.sentAtMicros() + requestClass.keyWindowMicros() - clockMarginMicros;
-        if (first.sentAtMicros() < steadySinceMicros) {
+        long windowEndMicros = earliest.sentAtMicros() + requestClass.keyWindowMicros() - clockMarginMicros;
+        if (earliest.sentAtMicros() < measurableSinceMicros) {
             return new NeedsConfirmation(
                     "an attempt may have run before a restart, and its key window can't be measured since");
         }
@@ -129,13 +131,13 @@
         if (!isWithinOneScope(requestClass.keyScope(), unconfirmed)) {
             return new NeedsConfirmation("attempts in several places may have run, which don't share their keys");
         }
-        // The deadline is within the key window: no attempt is made after its end.
+        // The deadline is capped at the end of the key window, so that no later attempt is made.
         return new SendNow(
                 Math.min(nowMicros + requestClass.deadlineMicros(), windowEndMicros),
-                List.of(new PastAttempt(first.route(), first.sentAtMicros(), first.outcome())));
+                List.of(new PastAttempt(earliest.route(), earliest.sentAtMicros(), earliest.outcome())));
     }
 
-    /** True where all attempts went to endpoints that share their keys; an unknown zone shares none. */
+    /** Returns true if all attempts went to endpoints that share their keys. An unknown zone shares no keys. */
     private static boolean isWithinOneScope(KeyScope keyScope, List<DeadLetter.Attempt> attempts) {
         if (keyScope == KeyScope.ALL) {
             return true;
@@ -145,7 +147,7 @@
         return scopes.size() <= 1 && !scopes.contains("");
     }
 
-    /** When a dead letter whose redrive has failed is due again. */
+    /** Returns the wall-clock time at which a dead letter whose redrive has failed is due again. */
     public long nextAttemptMicros(DeadLetter deadLetter, long nowMicros) {
         return nowMicros + (pauseMicros << Math.min(MAX_PAUSE_DOUBLINGS, deadLetter.redrives()));
     }
--- a/src/main/java/loftflow/deadletter/StoreCapacity.java
+++ b/src/main/java/loftflow/deadletter/StoreCapacity.java
@@ -6,12 +6,13 @@
 import loftflow.log.Log;
 
 /**
- * Decides what happens when the store is full: it counts as full from the high watermark until it is below the low one.
- * Depending on the settings, new messages of classes that have failed meanwhile are refused, or messages are lost.
+ * Tracks whether the store is full and decides which messages to reject or drop. The store counts as full from the high
+ * watermark until its size falls below the low watermark. Depending on the settings, a full store causes new messages
+ * of failing classes to be rejected, or undelivered messages to be lost.
  */
 final class StoreCapacity {
     private final DeadLetterService.Options options;
-    /** Classes of which a message was stored since the store was last found not to be full. */
+    /** Classes that had a message stored since the store was last found not full. */
     private final Set<String> failingClasses = new HashSet<>();
 
     private boolean isFull;
@@ -21,7 +22,7 @@
         this.options = options;
     }
 
-    /** True where an undelivered message is stored; otherwise it is counted and logged as lost. */
+    /** Returns true if an undelivered message may be stored; otherwise counts and logs it as lost. */
     boolean accepts(Message message) {
         if (!isFull || options.refuseWhenFull()) {
             return true;
@@ -32,17 +33,17 @@
         return false;
     }
 
-    /** True where new messages of a class are refused. */
+    /** Returns true if new messages of a class are rejected. */
     boolean rejects(String requestClass) {
         return isFull && options.refuseWhenFull() && failingClasses.contains(requestClass);
     }
 
-    /** A message of a class is being stored. */
+    /** Records that an undelivered message of a class is being stored. */
     void onFailure(String requestClass) {
         failingClasses.add(requestClass);
     }
 
-    /** Takes the current size of the store. */
+    /** Updates the state with the current size of the store and logs a change. */
     void update(DeadLetterStore.Size size) {
         boolean wasFull = isFull;
         if (size.bytes() >= options.highWatermarkBytes() || size.entries() >= options.maxEntries()) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /** Number of messages that could not be stored since the start. */
+    /** Returns the number of messages lost since the start because the store was full. */
     long lostCount() {
         return lostCount;
     }
--- a/src/main/java/loftflow/deadletter/package-info.java
+++ b/src/main/java/loftflow/deadletter/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Dead letters: messages that could not be delivered. What is known of their attempts, whether and when they may be
- * sent again, and which operator confirmed what. Free of I/O, clocks and threads: storage is behind
+ * Dead letters: undelivered messages with their attempts, redrive decisions and operators' confirmations. The package
+ * performs no I/O, reads no system clock and starts no threads; storage is accessed through
  * {@link loftflow.deadletter.DeadLetterStore}.
  *
  * <p>May use: the engine, the policy's types and the log.
--- a/src/test/java/loftflow/deadletter/CampaignResult.java
+++ b/src/test/java/loftflow/deadletter/CampaignResult.java
@@ -1,6 +1,6 @@
 package loftflow.deadletter;
 
-/** Results of a number of runs. */
+/** Totals over one or more runs of {@link DeadLetterCampaign}. */
 record CampaignResult(
         int runs,
         int messages,
--- a/src/test/java/loftflow/deadletter/CampaignSettings.java
+++ b/src/test/java/loftflow/deadletter/CampaignSettings.java
@@ -11,16 +11,16 @@
 import loftflow.policy.api.ServiceRules;
 import loftflow.policy.api.Zone;
 
-/** Settings of the decision module in the campaign. */
+/** Settings of the decision module in {@link DeadLetterCampaign}. */
 final class CampaignSettings {
-    /** How long a destination stores the key of a call. */
+    /** Time for which a destination stores the key of a message. */
     static final long KEY_WINDOW_MICROS = 6_000_000;
 
     private static final long SECOND_MICROS = 1_000_000;
 
     private CampaignSettings() {}
 
-    /** The settings of one run. */
+    /** Returns the settings of the run with a seed. */
     static PolicySettings ofSeed(long seed) {
         return new PolicySettings(
                 seed,
--- a/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -19,83 +19,83 @@
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * Measurements of the dead-letter store, each a command: {@code store} (dead letters a second, lists over 100,000,
- * memory), {@code cost} (a relay with the store on against off, in turns), {@code cold} (a backlog of 10,000 for one
- * destination that returns with the given limit a second).
+ * Benchmarks of the dead-letter store, selected by the first argument: {@code store} (dead letters stored per second,
+ * queries over 100,000 entries, memory), {@code cost} (a relay with the store on and off, measured alternately),
+ * {@code cold} (a backlog of 10,000 for one destination that recovers with the given limit of messages per second).
  */
 public final class DeadLetterBenchmark {
     private static final int LIVE_MESSAGES = 900;
 
     private DeadLetterBenchmark() {}
 
-    /** Runs one of them. */
+    /** Runs the benchmark named by the first argument. */
     public static void main(String[] args) throws Exception {
         try (TemporaryFolder scratch = TemporaryFolder.named("measure")) {
             Path folder = scratch.folder();
             switch (args.length >= 1 ? args[0] : "") {
                 case "store" -> measureStore(folder);
                 case "cost" -> compareCost(folder);
-                case "cold" -> measureColdReturn(folder, Integer.parseInt(args[1]));
+                case "cold" -> measureColdRecovery(folder, Integer.parseInt(args[1]));
                 default -> System.out.println("store, cost or cold LIMIT");
             }
         }
     }
 
-    private static DeadLetter deadLetter(int i, int destination) {
-        long now = System.currentTimeMillis() * 1000;
+    private static DeadLetter deadLetter(int index, int destination) {
+        long nowMicros = System.currentTimeMillis() * 1000;
         return new DeadLetter(
                 0,
                 new Message.Content(
-                        "m" + i,
-                        i % 2 == 0 ? "settlement" : "car-order",
+                        "m" + index,
+                        index % 2 == 0 ? "settlement" : "car-order",
                         "acme",
-                        "k" + i,
-                        now + i,
+                        "k" + index,
+                        nowMicros + index,
                         destination,
                         new byte[300]),
-                now + i,
+                nowMicros + index,
                 "full",
                 "failed",
                 DeadLetter.State.STORED,
-                now,
+                nowMicros,
                 null,
                 0,
-                List.of(new DeadLetter.Attempt("elevator-1", "main", now - 1_000_000, AttemptOutcome.REJECTED)));
+                List.of(new DeadLetter.Attempt("elevator-1", "main", nowMicros - 1_000_000, AttemptOutcome.REJECTED)));
     }
 
-    private static void print(String form, Object... values) {
-        System.out.println(String.format(Locale.ROOT, form, values));
+    private static void print(String format, Object... values) {
+        System.out.println(String.format(Locale.ROOT, format, values));
     }
 
     private static void measureStore(Path folder) throws Exception {
         Path manyFolder = folder.resolve("many");
         Files.createDirectories(manyFolder);
         try (DeadLetterStore store = SqliteDeadLetterStore.open(manyFolder, 1 << 30)) {
-            long start = System.nanoTime();
+            long startNanos = System.nanoTime();
             for (int i = 0; i < 100_000; i++) {
                 store.put(deadLetter(i, i % 500));
             }
             print(
                     "%.0f dead letters a second stored, each in a transaction",
-                    100_000 / ((System.nanoTime() - start) / 1e9));
+                    100_000 / ((System.nanoTime() - startNanos) / 1e9));
             for (DeadLetterStore.Filter filter : List.of(
                     DeadLetterStore.Filter.ALL,
                     new DeadLetterStore.Filter(DeadLetter.State.STORED, 7, null, null, null, 0, 0),
                     new DeadLetterStore.Filter(
                             null, null, "settlement", "acme", ExecutionCertainty.NOT_EXECUTED, 0, 0))) {
-                start = System.nanoTime();
+                startNanos = System.nanoTime();
                 int found = store.list(filter, 0, 500, false).size();
-                print("%s: %d in %.0f ms", filter, found, (System.nanoTime() - start) / 1e6);
+                print("%s: %d in %.0f ms", filter, found, (System.nanoTime() - startNanos) / 1e6);
             }
-            start = System.nanoTime();
+            startNanos = System.nanoTime();
             int all = store.list(DeadLetterStore.Filter.ALL, 0, Integer.MAX_VALUE, false)
                     .size();
-            print("all %d with their attempts in %.0f ms", all, (System.nanoTime() - start) / 1e6);
-            start = System.nanoTime();
+            print("all %d with their attempts in %.0f ms", all, (System.nanoTime() - startNanos) / 1e6);
+            startNanos = System.nanoTime();
             int due = store.findDue(Long.MAX_VALUE - 1, 100, 64).size();
             print(
                     "the %d most urgent of 500 destinations in %.1f ms; %s",
-                    due, (System.nanoTime() - start) / 1e6, store.size());
+                    due, (System.nanoTime() - startNanos) / 1e6, store.size());
         }
         try (FakePartner partner = new FakePartner(1, 0)) {
             for (String name : List.of("few", "many")) {
@@ -107,7 +107,8 @@
         }
     }
 
-    private static Path application(Path folder, String name, boolean isStoreOn, FakePartner partner, double pace)
+    private static Path application(
+            Path folder, String name, boolean isStoreOn, FakePartner partner, double redrivesPerSecond)
             throws Exception {
         Path file = Files.writeString(
                 folder.resolve(name + ".toml"),
@@ -140,7 +141,7 @@
                 id = "elevator-1"
                 address = "%s"
                 """
-                        .formatted(name, folder.resolve(name), isStoreOn, pace, partner.address()));
+                        .formatted(name, folder.resolve(name), isStoreOn, redrivesPerSecond, partner.address()));
         ConfigTool.Outcome outcome = ConfigTool.write(file, folder, true);
         if (outcome.after() == null) {
             throw new IOException(outcome.findings().toString());
@@ -163,7 +164,7 @@
             double[][] sums = new double[2][2];
             for (int round = 0; round < 9; round++) {
                 for (boolean isStoreOn : new boolean[] {round % 2 == 0, round % 2 != 0}) {
-                    double before = relays.get(isStoreOn).cpuSeconds();
+                    double cpuSecondsBefore = relays.get(isStoreOn).cpuSeconds();
                     AtomicLong accepted = new AtomicLong();
                     long endNanos = System.nanoTime() + 2_500_000_000L;
                     List<Thread> threads = new ArrayList<>();
@@ -176,10 +177,10 @@
                     for (Thread thread : threads) {
                         thread.join();
                     }
-                    // The first round warms both up.
+                    // The first round warms up both relays.
                     if (round > 0) {
                         sums[isStoreOn ? 1 : 0][0] += accepted.get();
-                        sums[isStoreOn ? 1 : 0][1] += relays.get(isStoreOn).cpuSeconds() - before;
+                        sums[isStoreOn ? 1 : 0][1] += relays.get(isStoreOn).cpuSeconds() - cpuSecondsBefore;
                     }
                 }
             }
@@ -215,7 +216,7 @@
         }
     }
 
-    private static void measureColdReturn(Path folder, int limit) throws Exception {
+    private static void measureColdRecovery(Path folder, int limit) throws Exception {
         for (boolean hasBacklog : new boolean[] {false, true}) {
             try (FakePartner partner = new FakePartner(40, limit)) {
                 String name = hasBacklog ? "backlog" : "none";
@@ -230,8 +231,8 @@
                 }
                 partner.be(FakePartner.Mood.SHUT);
                 ServedRelay relay = start(file);
-                // Live traffic fails in both runs, so that the decision module warms up both endpoints after their
-                // return.
+                // Live traffic fails in both runs, so that the decision module also warms up the endpoint after its
+                // recovery in both.
                 try (FakeClient client = relay.client()) {
                     for (int i = 0; i < 40; i++) {
                         client.handIn("early" + i, "settlement", null, null, 7, 5000, "x");
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaign.java
@@ -33,12 +33,12 @@
 import loftflow.policy.api.PolicySettings;
 
 /**
- * Randomized runs, each from a seed, of the real engine, decision module, journal, service and store in virtual time,
- * with upstreams that fail in every way, crashes before and after any write, operators who confirm, and clocks that are
- * set. What the destinations executed is counted apart from everything that the relay knows.
+ * Runs the real engine, decision module, journal, service and store in virtual time with seeded random faults: upstream
+ * failures of all kinds, crashes before and after any write, operators' actions, and clock changes. The executions at
+ * the destinations are counted independently of the state of the relay.
  *
- * <p>{@code DeadLetterCampaign RUNS [FIRST_SEED] [forgetful]} prints the count; {@code forgetful} makes every unknown
- * outcome a proof that nothing was executed, and must find duplicates.
+ * <p>{@code DeadLetterCampaign RUNS [FIRST_SEED] [forgetful]} prints the totals; {@code forgetful} treats every unknown
+ * outcome as a proof that the message was not executed, and must find duplicates.
  */
 public final class DeadLetterCampaign {
     private static final long SECOND_MICROS = 1_000_000;
@@ -46,7 +46,7 @@
     private static final int DESTINATIONS = 3;
     private static final long JOURNAL_BYTES = 3 << 20;
 
-    /** The process crashes here. */
+    /** Simulates a crash of the process. */
     private static final class CrashError extends Error {
         private static final long serialVersionUID = 1L;
     }
@@ -66,7 +66,7 @@
     private long nowMicros = 1_000_000 * SECOND_MICROS;
     private long clockSkewMicros;
     private long order;
-    /** Number of the current process; tasks of process 0 are those of the destinations, which no crash ends. */
+    /** Number of the current process. Tasks of process 0 belong to the destinations and survive crashes. */
     private int process = 1;
 
     private int writesUntilCrash;
@@ -75,7 +75,7 @@
     private int maxCrashes;
     private boolean isOutage;
     private boolean isDown;
-    /** When operators stop to act. */
+    /** Time at which operators stop acting. */
     private long operatorsEndMicros = Long.MAX_VALUE;
 
     private Journal journal;
@@ -91,7 +91,7 @@
         this.ignoresUnknownOutcomes = ignoresUnknownOutcomes;
     }
 
-    /** One run. */
+    /** Performs the run with a seed. */
     static CampaignResult run(long seed, boolean ignoresUnknownOutcomes) throws IOException {
         try (TemporaryFolder scratch = TemporaryFolder.named("campaign")) {
             return new DeadLetterCampaign(seed, scratch.folder(), ignoresUnknownOutcomes).execute();
@@ -102,14 +102,14 @@
         queue.add(new ScheduledTask(nowMicros + Math.max(0, delayMicros), order++, task, owner));
     }
 
-    /** A write; the process may crash before or after it. */
+    /** Performs a write; the process may crash before or after it. */
     private <T> T write(java.util.function.Supplier<T> write) {
-        boolean crashes = --writesUntilCrash == 0;
-        if (crashes && random.nextBoolean()) {
+        boolean isCrashing = --writesUntilCrash == 0;
+        if (isCrashing && random.nextBoolean()) {
             throw new CrashError();
         }
         T result = write.get();
-        if (crashes) {
+        if (isCrashing) {
             throw new CrashError();
         }
         return result;
@@ -131,7 +131,7 @@
         nowMicros = Math.max(nowMicros, endMicros);
     }
 
-    /** Destinations continue with what they received before the crash. */
+    /** Advances the time while the relay is down. Destinations still execute messages received before the crash. */
     private void advanceWithoutRelay(long endMicros) {
         isDown = true;
         while (!queue.isEmpty() && queue.peek().atMicros() <= endMicros) {
@@ -187,7 +187,7 @@
         };
         journal = new Journal(folder.resolve("journal"), JOURNAL_BYTES);
         store = SqliteDeadLetterStore.open(folder, 1 << 30);
-        engine = new DeliveryEngine(timers, clock, settings, 5_000, new KillableJournal(), DefaultDeliveryPolicy::new);
+        engine = new DeliveryEngine(timers, clock, settings, 5_000, new CrashingJournal(), DefaultDeliveryPolicy::new);
         Map<String, RedriveClass> redriveClasses = new HashMap<>();
         settings.classes()
                 .forEach(requestClass ->
@@ -230,7 +230,7 @@
         scheduleOperator(currentProcess);
     }
 
-    private final class KillableJournal implements WriteAheadLog {
+    private final class CrashingJournal implements WriteAheadLog {
         @Override
         public long nextSequenceNumber() {
             return journal.nextSequenceNumber();
@@ -277,7 +277,7 @@
         }
     }
 
-    /** Runs store tasks later, in order, and rejects some. */
+    /** Runs store tasks in order after a random delay, and rejects some. */
     private final class VirtualStoreQueue implements DeadLetterStoreQueue {
         private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
         private final int owner;
@@ -287,7 +287,7 @@
         }
 
         @Override
-        public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
+        public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> onResult, Runnable onFailure) {
             if (random.nextInt(50) == 0) {
                 return false;
             }
@@ -295,7 +295,7 @@
                 T result = write(() -> task.apply(store));
                 schedule(
                         random.nextInt(2_000),
-                        () -> then.accept(ignoresUnknownOutcomes ? withoutUnknownOutcomes(result) : result),
+                        () -> onResult.accept(ignoresUnknownOutcomes ? withoutUnknownOutcomes(result) : result),
                         owner);
             });
             schedule(random.nextInt(3_000), () -> tasks.poll().run(), owner);
@@ -303,7 +303,7 @@
         }
     }
 
-    /** Makes every unknown outcome a proof that nothing was executed. */
+    /** Replaces every unknown outcome by one that proves that the message was not executed. */
     @SuppressWarnings("unchecked")
     private static <T> T withoutUnknownOutcomes(T result) {
         if (result instanceof List<?> list && !list.isEmpty() && list.get(0) instanceof DeadLetter) {
@@ -336,7 +336,7 @@
                         .toList());
     }
 
-    /** Endpoints that answer, reject, reset before and after the last byte, hang and answer late. */
+    /** Endpoints that respond, reject, reset before or after the last byte, hang, or respond late. */
     private final class FaultyUpstream implements UpstreamClient {
         private final int owner;
         private final Set<Message.Attempt> inFlight = new HashSet<>();
@@ -364,21 +364,21 @@
             inFlight.add(attempt);
             Message.Content content = attempt.message().content();
             int zone = route.charAt(route.length() - 1) - '0';
-            long delay = 10_000 + random.nextInt(150_000);
+            long responseDelayMicros = 10_000 + random.nextInt(150_000);
             schedule(outgoingAttempt.timeoutMicros(), () -> complete(attempt, AttemptOutcome.TIMEOUT, false), owner);
             int outcome = random.nextInt(isOutage ? 10 : 20);
             if (outcome < 2) {
-                schedule(delay, () -> complete(attempt, AttemptOutcome.CONNECT_FAILED, false), owner);
+                schedule(responseDelayMicros, () -> complete(attempt, AttemptOutcome.CONNECT_FAILED, false), owner);
             } else if (outcome < 4) {
-                schedule(delay, () -> complete(attempt, AttemptOutcome.REJECTED, false), owner);
+                schedule(responseDelayMicros, () -> complete(attempt, AttemptOutcome.REJECTED, false), owner);
             } else if (outcome < 5) {
-                schedule(delay, () -> complete(attempt, AttemptOutcome.RESET, false), owner);
+                schedule(responseDelayMicros, () -> complete(attempt, AttemptOutcome.RESET, false), owner);
             } else if (outcome < 8) {
-                // It is executed at some time; the connection breaks, or the answer is late or missing.
+                // The message is executed after a delay; the connection is reset, or the response is late or missing.
                 long executionDelayMicros = random.nextInt(6_000_000);
                 scheduleExecution(content, zone, executionDelayMicros);
                 if (outcome == 5) {
-                    schedule(delay, () -> complete(attempt, AttemptOutcome.RESET, false), owner);
+                    schedule(responseDelayMicros, () -> complete(attempt, AttemptOutcome.RESET, false), owner);
                 } else if (outcome == 6) {
                     schedule(
                             Math.max(
@@ -394,17 +394,17 @@
             } else if (outcome < 9) {
                 return;
             } else {
-                scheduleExecution(content, zone, delay);
-                schedule(delay + 1, () -> complete(attempt, AttemptOutcome.OK, true), owner);
+                scheduleExecution(content, zone, responseDelayMicros);
+                schedule(responseDelayMicros + 1, () -> complete(attempt, AttemptOutcome.OK, true), owner);
             }
         }
 
-        /** A keyed call is executed, and its key stored, once its last byte has arrived; others at any time. */
+        /** Executes a keyed message and stores its key once its last byte has arrived; others after the delay. */
         private void scheduleExecution(Message.Content content, int zone, long executionDelayMicros) {
-            long after = content.requestClass().equals("keyed") ? 10_000 : executionDelayMicros;
+            long delayMicros = content.requestClass().equals("keyed") ? 10_000 : executionDelayMicros;
             destinations.pendingExecutions.merge(content.messageId(), 1, Integer::sum);
             schedule(
-                    after,
+                    delayMicros,
                     () -> {
                         destinations.pendingExecutions.merge(content.messageId(), -1, Integer::sum);
                         destinations.execute(
@@ -427,7 +427,7 @@
         public void closeIdleConnections(String route) {}
     }
 
-    /** Operators look at dead letters, and confirm truthfully what the destination has not executed. */
+    /** Simulates operators who inspect dead letters and confirm only messages that the destination has not executed. */
     private void scheduleOperator(int owner) {
         schedule(
                 500_000 + random.nextInt(4_000_000),
@@ -456,9 +456,9 @@
                                 discardedIds.add(id);
                             }
                         } else {
-                            // Two at once: only one of them may be sent.
-                            service.redrive(ignoresUnknownOutcomes ? withProvenOutcomes(entry) : entry, v -> {});
-                            service.redrive(ignoresUnknownOutcomes ? withProvenOutcomes(entry) : entry, v -> {});
+                            // Two concurrent redrives: only one of them may be sent.
+                            service.redrive(ignoresUnknownOutcomes ? withProvenOutcomes(entry) : entry, decision -> {});
+                            service.redrive(ignoresUnknownOutcomes ? withProvenOutcomes(entry) : entry, decision -> {});
                         }
                     }
                     scheduleOperator(owner);
@@ -470,37 +470,37 @@
         maxCrashes = random.nextInt(7);
         start();
         for (int i = 0; i < MESSAGES; i++) {
-            String type = List.of("safe", "keyed", "unsafe", "unsafe").get(random.nextInt(4));
+            String requestClass = List.of("safe", "keyed", "unsafe", "unsafe").get(random.nextInt(4));
             String id = "m" + i;
-            destinations.classes.put(id, type);
+            destinations.classes.put(id, requestClass);
             int destination = random.nextInt(DESTINATIONS);
-            schedule(random.nextInt(8_000_000), () -> accept(id, type, destination), 0);
+            schedule(random.nextInt(8_000_000), () -> accept(id, requestClass, destination), 0);
         }
         schedule(random.nextInt(4_000_000), () -> isOutage = true, 0);
         schedule(8_000_000 + random.nextInt(10_000_000), () -> isOutage = false, 0);
         advance(nowMicros + 20 * SECOND_MICROS);
         if (engine.isIdle() && random.nextBoolean()) {
-            // The clock is set between two processes.
+            // The clock is changed between two processes.
             clockSkewMicros = (random.nextInt(61) - 30) * SECOND_MICROS;
             restart();
         }
         operatorsEndMicros = nowMicros + 80 * SECOND_MICROS;
         advance(nowMicros + 130 * SECOND_MICROS);
-        CampaignResult count = countResults();
+        CampaignResult result = countResults();
         journal.close();
         store.close();
-        return count;
+        return result;
     }
 
-    private void accept(String id, String type, int destination) {
+    private void accept(String id, String requestClass, int destination) {
         if (isDown) {
             return;
         }
         Message.Content content = new Message.Content(
                 id,
-                type,
+                requestClass,
                 null,
-                type.equals("keyed") ? "key-" + id : null,
+                requestClass.equals("keyed") ? "key-" + id : null,
                 nowMicros + clockSkewMicros + 4 * SECOND_MICROS,
                 destination,
                 new byte[10]);
@@ -525,7 +525,7 @@
             inconsistent += entries.put(entry.content().messageId(), entry) != null ? 1 : 0;
         }
         Set<String> openIds = new HashSet<>();
-        journal.openMessages().forEach(m -> openIds.add(m.content().messageId()));
+        journal.openMessages().forEach(message -> openIds.add(message.content().messageId()));
         int duplicates = 0;
         int lost = 0;
         int delivered = 0;
@@ -546,11 +546,11 @@
                 System.out.println(
                         "seed " + seed + ": " + id + " " + destinations.classes.get(id) + " effects " + executions
                                 + destinations.executionLog.stream()
-                                        .filter(p -> p.startsWith(id + " "))
+                                        .filter(line -> line.startsWith(id + " "))
                                         .toList() + " open "
                                 + openIds.contains(id) + " " + entry + " " + (entry == null ? "" : entry.attempts()));
             }
-            // Reported as delivered and never executed counts as lost too.
+            // A message that is reported as delivered but was never executed counts as lost.
             lost += !isDelivered && !isUndelivered && !isDiscarded && !isRejected && !openIds.contains(id) ? 1 : 0;
             inconsistent += isRejected && entry != null || openIds.contains(id) ? 1 : 0;
             delivered += isDelivered ? 1 : 0;
@@ -573,23 +573,23 @@
                 confirmations);
     }
 
-    /** A number of runs with consecutive seeds. */
+    /** Performs runs with consecutive seeds and returns their totals. */
     static CampaignResult runs(int runs, long firstSeed, boolean ignoresUnknownOutcomes) throws IOException {
-        CampaignResult all = new CampaignResult(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+        CampaignResult total = new CampaignResult(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
         for (int i = 0; i < runs; i++) {
-            CampaignResult one = run(firstSeed + i, ignoresUnknownOutcomes);
-            if (!ignoresUnknownOutcomes && one.duplicates() + one.lost() + one.inconsistent() > 0) {
-                System.out.println("seed " + (firstSeed + i) + ": " + one);
+            CampaignResult result = run(firstSeed + i, ignoresUnknownOutcomes);
+            if (!ignoresUnknownOutcomes && result.duplicates() + result.lost() + result.inconsistent() > 0) {
+                System.out.println("seed " + (firstSeed + i) + ": " + result);
             }
-            all = all.plus(one);
+            total = total.plus(result);
         }
-        return all;
+        return total;
     }
 
-    /** Prints the count of a campaign. */
+    /** Runs a campaign and prints its totals. */
     public static void main(String[] args) throws IOException {
         int runs = args.length > 0 ? Integer.parseInt(args[0]) : 2_000;
-        long seed = args.length > 1 ? Long.parseLong(args[1]) : 1;
-        System.out.println(runs(runs, seed, args.length > 2 && args[2].equals("forgetful")));
+        long firstSeed = args.length > 1 ? Long.parseLong(args[1]) : 1;
+        System.out.println(runs(runs, firstSeed, args.length > 2 && args[2].equals("forgetful")));
     }
 }
--- a/src/test/java/loftflow/deadletter/DeadLetterCampaignTest.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterCampaignTest.java
@@ -6,10 +6,10 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** A part of the campaign with fixed seeds; all of it is a command of its own. */
+/** Runs a part of {@link DeadLetterCampaign} with fixed seeds. The whole campaign runs from the command line. */
 class DeadLetterCampaignTest {
     @Test
-    void nothingIsExecutedTwiceOrLostWhateverFails() throws IOException {
+    void noMessageIsDuplicatedOrLostUnderRandomFaults() throws IOException {
         CampaignResult result = DeadLetterCampaign.runs(25, 1, false);
         assertEquals(0, result.duplicates(), result.toString());
         assertEquals(0, result.lost(), result.toString());
@@ -23,9 +23,9 @@
                 result.toString());
     }
 
-    /** Shows that the campaign can find duplicates. */
+    /** Guards against a campaign that can't detect duplicates. */
     @Test
-    void duplicatesAreFoundWhereUnknownOutcomesAreIgnored() throws IOException {
+    void duplicatesAreDetectedIfUnknownOutcomesAreIgnored() throws IOException {
         assertTrue(DeadLetterCampaign.runs(6, 1, true).duplicates() > 0);
     }
 }
--- a/src/test/java/loftflow/deadletter/DeadLetterServiceTest.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterServiceTest.java
@@ -41,7 +41,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The service with the real engine, decision module and store, in virtual time. */
+/** Tests the service with the real engine, decision module and store in virtual time. */
 class DeadLetterServiceTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long KEY_WINDOW_MICROS = 30 * SECOND_MICROS;
@@ -150,7 +150,7 @@
     }
 
     @AfterEach
-    void end() {
+    void closeStore() {
         store.close();
     }
 
@@ -159,23 +159,23 @@
     }
 
     private void advance(long durationMicros) {
-        long end = nowMicros + durationMicros;
-        while (!queue.isEmpty() && queue.peek().atMicros() <= end) {
+        long endMicros = nowMicros + durationMicros;
+        while (!queue.isEmpty() && queue.peek().atMicros() <= endMicros) {
             ScheduledTask due = queue.poll();
             nowMicros = Math.max(nowMicros, due.atMicros());
             due.task().run();
         }
-        nowMicros = end;
+        nowMicros = endMicros;
     }
 
     private final class VirtualStoreQueue implements DeadLetterStoreQueue {
         @Override
-        public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
+        public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> onResult, Runnable onFailure) {
             Runnable work = () -> {
                 if (isStoreFailing) {
-                    failed.run();
+                    onFailure.run();
                 } else {
-                    then.accept(task.apply(store));
+                    onResult.accept(task.apply(store));
                 }
             };
             if (isStoreBlocked) {
@@ -189,20 +189,20 @@
 
     private final class FakeUpstream implements UpstreamClient {
         @Override
-        public void onEndpointList(EndpointListKind kind, List<Endpoint> targets) {}
+        public void onEndpointList(EndpointListKind kind, List<Endpoint> endpoints) {}
 
         @Override
         public void send(String route, List<OutboundAttempt> outgoing) {
-            for (OutboundAttempt o : outgoing) {
-                sent.add(o.attempt().message().content().messageId() + "@" + route);
+            for (OutboundAttempt outboundAttempt : outgoing) {
+                sent.add(outboundAttempt.attempt().message().content().messageId() + "@" + route);
                 sentAtMicros.add(nowMicros);
-                AttemptOutcome result = outcomes.apply(route, o.attempt());
-                long after = result == AttemptOutcome.TIMEOUT ? o.timeoutMicros() : 10_000;
+                AttemptOutcome result = outcomes.apply(route, outboundAttempt.attempt());
+                long delayMicros = result == AttemptOutcome.TIMEOUT ? outboundAttempt.timeoutMicros() : 10_000;
                 queue.add(new ScheduledTask(
-                        nowMicros + after,
+                        nowMicros + delayMicros,
                         order++,
                         () -> engine.onAttemptCompleted(
-                                o.attempt(), result, result == AttemptOutcome.OK, 0, LimitReport.NONE)));
+                                outboundAttempt.attempt(), result, result == AttemptOutcome.OK, 0, LimitReport.NONE)));
             }
         }
 
@@ -272,31 +272,31 @@
                     public void accepted() {}
 
                     @Override
-                    public void rejected(long retryIn) {
-                        throw new AssertionError("refused");
+                    public void rejected(long retryAfterMicros) {
+                        throw new AssertionError("message was rejected");
                     }
 
                     @Override
                     public void failed() {
-                        throw new AssertionError("failed");
+                        throw new AssertionError("message failed");
                     }
                 });
     }
 
     private DeadLetter deadLetter(String id) {
         return store.list(DeadLetterStore.Filter.ALL, 0, 100, false).stream()
-                .filter(e -> e.content().messageId().equals(id))
+                .filter(deadLetter -> deadLetter.content().messageId().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
     @Test
-    void journalRemovesOnlyWhatTheStoreHas() {
+    void journalRetainsMessageUntilItsDeadLetterIsStored() {
         outcomes = (route, attempt) -> AttemptOutcome.RESET;
         isStoreFailing = true;
         accept("m1", "unsafe");
         advance(5 * SECOND_MICROS);
-        assertFalse(doneNumbers.contains(1L), "the store does not have it yet");
+        assertFalse(doneNumbers.contains(1L), "message was removed from the journal before its dead letter was stored");
         isStoreFailing = false;
         advance(SECOND_MICROS);
         assertTrue(doneNumbers.contains(1L));
@@ -304,32 +304,32 @@
     }
 
     @Test
-    void keyedMessageIsRedrivenOnlyInTheZoneThatMayKnowItsKey() {
+    void keyedMessageIsRedrivenOnlyInTheZoneThatMayHaveStoredItsKey() {
         outcomes = (route, attempt) -> route.equals("r0") ? AttemptOutcome.RESET : AttemptOutcome.OK;
         for (int i = 0; i < 6; i++) {
             accept("k" + i, "keyed");
             advance(3 * SECOND_MICROS);
         }
         advance(60 * SECOND_MICROS);
-        Set<String> first = new HashSet<>();
-        for (String one : sent) {
-            String id = one.substring(0, one.indexOf('@'));
-            if (one.endsWith("@r0")) {
-                first.add(id);
+        Set<String> idsSentToR0 = new HashSet<>();
+        for (String idAndRoute : sent) {
+            String id = idAndRoute.substring(0, idAndRoute.indexOf('@'));
+            if (idAndRoute.endsWith("@r0")) {
+                idsSentToR0.add(id);
             }
-            assertTrue(!one.endsWith("@r1") || !first.contains(id), "sent in another zone: " + sent);
+            assertTrue(!idAndRoute.endsWith("@r1") || !idsSentToR0.contains(id), "redriven in another zone: " + sent);
         }
-        assertFalse(first.isEmpty(), "some went to r0 first: " + sent);
-        for (String id : first) {
+        assertFalse(idsSentToR0.isEmpty(), "no message was sent to r0: " + sent);
+        for (String id : idsSentToR0) {
             assertEquals(DeadLetter.State.STORED, deadLetter(id).state());
             assertTrue(
                     service.decide(deadLetter(id)) instanceof RedrivePolicy.NeedsConfirmation,
-                    "its key window is over");
+                    "no confirmation required after the end of the key window");
         }
     }
 
     @Test
-    void keyWindowThatClosesWhileTheStoreIsBusySendsNothing() {
+    void nothingIsSentIfTheKeyWindowClosesWhileTheStoreIsBusy() {
         outcomes = (route, attempt) -> AttemptOutcome.RESET;
         accept("k1", "keyed");
         advance(3 * SECOND_MICROS);
@@ -338,12 +338,13 @@
         DeadLetter stored = deadLetter("k1");
         assertEquals(DeadLetter.State.STORED, stored.state());
         assertTrue(
-                service.decide(stored) instanceof RedrivePolicy.SendNow, "open at decision: " + service.decide(stored));
+                service.decide(stored) instanceof RedrivePolicy.SendNow,
+                "key window is already closed at the first decision: " + service.decide(stored));
         int sentBefore = sent.size();
         isStoreBlocked = true;
         List<RedrivePolicy.Decision> decisions = new ArrayList<>();
         service.redrive(stored, decisions::add);
-        // The store task runs only after the end of the window.
+        // The store task runs only after the end of the key window.
         nowMicros += KEY_WINDOW_MICROS;
         isStoreBlocked = false;
         blockedTasks.poll().run();
@@ -367,12 +368,12 @@
         assertEquals(ExecutionCertainty.NOT_EXECUTED, deadLetter("m1").certainty());
     }
 
-    /** The decision module orders redrives by that key, also relative to new messages. */
+    /** The decision module orders redrives by their ordering key, also relative to new messages. */
     @Test
     void redriveRetainsTheOrderingKey() {
-        List<String> lines = new ArrayList<>();
+        List<String> orderingKeys = new ArrayList<>();
         outcomes = (route, attempt) -> {
-            lines.add(
+            orderingKeys.add(
                     attempt.message().deadLetterId() == 0
                             ? "new"
                             : attempt.message().content().orderingKey());
@@ -381,46 +382,46 @@
         accept("m1", "unsafe", "track-4");
         advance(60 * SECOND_MICROS);
         assertEquals(DeadLetter.State.DELIVERED, deadLetter("m1").state());
-        assertEquals("track-4", lines.get(lines.size() - 1));
+        assertEquals("track-4", orderingKeys.get(orderingKeys.size() - 1));
     }
 
     @Test
-    void rejectedMessageStaysStoredAndItsPausesGrow() {
-        outcomes = (route, attempt) -> AttemptOutcome.NOT_SENT; // as for status 413
+    void rejectedMessageStaysStoredAndIsRedrivenAtGrowingIntervals() {
+        outcomes = (route, attempt) -> AttemptOutcome.NOT_SENT; // as after HTTP status 413
         accept("m1", "unsafe");
         advance(60 * SECOND_MICROS);
         assertEquals(DeadLetter.State.STORED, deadLetter("m1").state());
-        int first = deadLetter("m1").redrives();
+        int earlyRedrives = deadLetter("m1").redrives();
         advance(240 * SECOND_MICROS);
         assertTrue(
-                first >= 1
-                        && deadLetter("m1").redrives() > first
+                earlyRedrives >= 1
+                        && deadLetter("m1").redrives() > earlyRedrives
                         && deadLetter("m1").redrives() < 14,
-                first + " then " + deadLetter("m1").redrives());
+                earlyRedrives + " then " + deadLetter("m1").redrives());
     }
 
     @Test
-    void backlogIsRedrivenOneAtATimeAtThePace() {
-        long stored = nowMicros;
+    void backlogIsRedrivenOneAtATimeAtTheConfiguredRate() {
+        long storedAtMicros = nowMicros;
         for (int i = 0; i < 40; i++) {
             store.put(new DeadLetter(
                     0,
-                    new Message.Content("m" + i, "unsafe", null, null, stored + i, 7, new byte[1]),
-                    stored,
+                    new Message.Content("m" + i, "unsafe", null, null, storedAtMicros + i, 7, new byte[1]),
+                    storedAtMicros,
                     "",
                     "failed",
                     DeadLetter.State.STORED,
-                    stored,
+                    storedAtMicros,
                     null,
                     0,
                     List.of()));
         }
         advance(12 * SECOND_MICROS);
-        assertTrue(sent.size() >= 20 && sent.size() <= 26, "two a second for 12 s: " + sent.size());
+        assertTrue(sent.size() >= 20 && sent.size() <= 26, "expected two redrives per second for 12 s: " + sent.size());
         for (int i = 1; i < sentAtMicros.size(); i++) {
             assertTrue(
                     sentAtMicros.get(i) - sentAtMicros.get(i - 1) >= SECOND_MICROS / 2,
-                    "intervals no shorter than the pace");
+                    "interval is shorter than the configured rate allows");
         }
         advance(20 * SECOND_MICROS);
         assertEquals(40, new HashSet<>(sent).size());
@@ -428,20 +429,20 @@
     }
 
     @Test
-    void cancelledRedriveIsNotAttemptedAgain() {
+    void redriveCancelledByProofOfExecutionIsNotRetried() {
         outcomes = (route, attempt) -> AttemptOutcome.RESET;
         accept("m1", "unsafe");
         advance(3 * SECOND_MICROS);
         DeadLetter stored = deadLetter("m1");
         store.recordConfirmation(
-                stored.id(), new DeadLetter.Confirmation("clerk", "not in their books", 9, nowMicros), nowMicros);
+                stored.id(), new DeadLetter.Confirmation("clerk", "not in their records", 9, nowMicros), nowMicros);
         outcomes = (route, attempt) -> AttemptOutcome.REJECTED;
         advance(2 * SECOND_MICROS);
         assertEquals(DeadLetter.State.REDRIVING, deadLetter("m1").state());
-        Message first = new Message(1, stored.content());
-        Message.Attempt late = first.addAttempt(
+        Message original = new Message(1, stored.content());
+        Message.Attempt lateAttempt = original.addAttempt(
                 stored.attempts().get(0).route(), stored.attempts().get(0).sentAtMicros());
-        engine.onLateDelivery(late);
+        engine.onLateDelivery(lateAttempt);
         advance(SECOND_MICROS);
         int sentBefore = sent.size();
         outcomes = (route, attempt) -> AttemptOutcome.OK;
@@ -451,20 +452,20 @@
     }
 
     @Test
-    void keyWindowIsNotTrustedAfterTheClockWasSetBackBetweenProcesses() {
-        long ahead = nowMicros + 20 * SECOND_MICROS;
+    void keyWindowIsNotMeasuredAfterClockWasSetBackBetweenProcesses() {
+        long aheadMicros = nowMicros + 20 * SECOND_MICROS;
         store.put(new DeadLetter(
                 0,
-                new Message.Content("k1", "keyed", null, "k", ahead, 7, new byte[1]),
-                ahead,
+                new Message.Content("k1", "keyed", null, "k", aheadMicros, 7, new byte[1]),
+                aheadMicros,
                 "timeout",
                 "failed",
                 DeadLetter.State.STORED,
                 DeadLetter.NEVER_DUE,
                 null,
                 0,
-                List.of(new DeadLetter.Attempt("r0", "b0", ahead - SECOND_MICROS, AttemptOutcome.TIMEOUT))));
-        DeadLetterService next = new DeadLetterService(
+                List.of(new DeadLetter.Attempt("r0", "b0", aheadMicros - SECOND_MICROS, AttemptOutcome.TIMEOUT))));
+        DeadLetterService restarted = new DeadLetterService(
                 (micros, task) -> {
                     queue.add(new ScheduledTask(nowMicros + micros, order++, task));
                     return () -> {};
@@ -494,22 +495,22 @@
                         1_000,
                         true,
                         3_600 * SECOND_MICROS));
-        next.start();
+        restarted.start();
         advance(25 * SECOND_MICROS);
-        RedrivePolicy.Decision verdict = next.decide(deadLetter("k1"));
+        RedrivePolicy.Decision decision = restarted.decide(deadLetter("k1"));
         assertTrue(
-                verdict instanceof RedrivePolicy.NeedsConfirmation after
-                        && after.reason().contains("restart"),
-                verdict.toString());
+                decision instanceof RedrivePolicy.NeedsConfirmation needed
+                        && needed.reason().contains("restart"),
+                decision.toString());
     }
 
     @Test
-    void redriveWhoseEndIsNotStoredYetIsNotDuplicated() {
+    void redriveInFlightIsNotDuplicatedIfTheStoreShowsItAsStored() {
         outcomes = (route, attempt) -> AttemptOutcome.REJECTED;
         accept("m1", "unsafe");
         advance(4 * SECOND_MICROS);
         assertEquals(DeadLetter.State.REDRIVING, deadLetter("m1").state());
-        // As after a restart: a redrive is in flight, and the store does not show it.
+        // As after a restart: a redrive is in flight, and the store does not show it as redriving.
         store.transition(deadLetter("m1").id(), DeadLetter.State.REDRIVING, DeadLetter.State.STORED, nowMicros);
         List<RedrivePolicy.Decision> decisions = new ArrayList<>();
         service.redrive(deadLetter("m1"), decisions::add);
@@ -522,7 +523,7 @@
     }
 
     @Test
-    void fullStoreRefusesOnlyTheFailingClass() {
+    void fullStoreRejectsOnlyMessagesOfFailingClasses() {
         for (int i = 0; i < 999; i++) {
             store.put(new DeadLetter(
                     0,
@@ -541,11 +542,11 @@
         accept("m1", "unsafe");
         advance(3 * SECOND_MICROS);
         assertEquals(1_000, store.size().entries());
-        assertTrue(service.rejects(content("unsafe")), "this class has failed, and the store is full");
-        assertFalse(service.rejects(content("keyed")), "nothing of this class has failed");
+        assertTrue(service.rejects(content("unsafe")), "a message of this class has failed, and the store is full");
+        assertFalse(service.rejects(content("keyed")), "no message of this class has failed");
         nowMicros += 3_600 * SECOND_MICROS;
         advance(2 * SECOND_MICROS);
-        assertTrue(store.size().entries() < 1_000, "settled dead letters are removed by age");
+        assertTrue(store.size().entries() < 1_000, "closed dead letters are removed by age");
         assertFalse(service.rejects(content("unsafe")), "the store is no longer full");
     }
 }
--- a/src/test/java/loftflow/deadletter/RedrivePolicyTest.java
+++ b/src/test/java/loftflow/deadletter/RedrivePolicyTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Decisions by class, outcomes, age, confirmations and clocks. */
+/** Tests decisions by class, outcomes, age, confirmations and clock changes. */
 class RedrivePolicyTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long STORED_AT_MICROS = 1_000_000 * SECOND_MICROS;
@@ -77,7 +77,7 @@
 
     @ParameterizedTest
     @EnumSource(AttemptOutcome.class)
-    void nonIdempotentIsSentOnlyWhereNoAttemptCanHaveBeenExecuted(AttemptOutcome outcome) {
+    void nonIdempotentMessageIsSentOnlyIfEveryAttemptIsProvenNotExecuted(AttemptOutcome outcome) {
         RedrivePolicy.Decision decision = POLICY.decide(
                 deadLetter(null, attempt(AttemptOutcome.REJECTED), attempt(outcome)),
                 NON_IDEMPOTENT,
@@ -91,29 +91,29 @@
     }
 
     @Test
-    void unknownOutcomeStaysUnknownWithAgeAndRestart() {
-        for (long age : new long[] {SECOND_MICROS, DAY_MICROS / 2, 30 * DAY_MICROS}) {
+    void unknownOutcomeStaysUnknownRegardlessOfAgeAndRestart() {
+        for (long ageMicros : new long[] {SECOND_MICROS, DAY_MICROS / 2, 30 * DAY_MICROS}) {
             assertNeedsConfirmation(
                     POLICY.decide(
                             deadLetter(null, attempt(null)),
                             NON_IDEMPOTENT,
-                            STORED_AT_MICROS + age,
+                            STORED_AT_MICROS + ageMicros,
                             STORED_AT_MICROS - DAY_MICROS),
                     "");
             assertNeedsConfirmation(
                     POLICY.decide(
                             deadLetter(null, attempt(AttemptOutcome.TIMEOUT)),
                             NON_IDEMPOTENT,
-                            STORED_AT_MICROS + age,
-                            STORED_AT_MICROS + age),
+                            STORED_AT_MICROS + ageMicros,
+                            STORED_AT_MICROS + ageMicros),
                     "");
         }
     }
 
     @Test
-    void confirmationCoversTheAttemptsUntilThenOnly() {
+    void confirmationCoversOnlyEarlierAttempts() {
         DeadLetter.Confirmation confirmation =
-                new DeadLetter.Confirmation("clerk", "not in the books", 1, STORED_AT_MICROS + SECOND_MICROS);
+                new DeadLetter.Confirmation("clerk", "not in their records", 1, STORED_AT_MICROS + SECOND_MICROS);
         assertSentNow(POLICY.decide(
                 deadLetter(confirmation, attempt(AttemptOutcome.TIMEOUT)),
                 NON_IDEMPOTENT,
@@ -140,9 +140,9 @@
     }
 
     @Test
-    void lateProofOfExecutionSettlesIt() {
+    void proofOfExecutionSettlesAConfirmedDeadLetter() {
         DeadLetter.Confirmation confirmation =
-                new DeadLetter.Confirmation("clerk", "not in the books", 1, STORED_AT_MICROS + SECOND_MICROS);
+                new DeadLetter.Confirmation("clerk", "not in their records", 1, STORED_AT_MICROS + SECOND_MICROS);
         assertInstanceOf(
                 RedrivePolicy.Settled.class,
                 POLICY.decide(
@@ -153,28 +153,28 @@
     }
 
     @Test
-    void keyWindowIsMeasuredFromTheFirstPossibleExecutionLessTheMargin() {
-        DeadLetter one = deadLetter(
+    void keyWindowIsMeasuredFromFirstPossibleExecutionAndShortenedByClockMargin() {
+        DeadLetter deadLetter = deadLetter(
                 null,
                 attempt(STORED_AT_MICROS - 20 * SECOND_MICROS, AttemptOutcome.TIMEOUT, "b0"),
                 attempt(STORED_AT_MICROS, AttemptOutcome.RESET, "b0"));
-        RedrivePolicy.SendNow now = assertInstanceOf(
+        RedrivePolicy.SendNow sendNow = assertInstanceOf(
                 RedrivePolicy.SendNow.class,
-                POLICY.decide(one, KEYED, STORED_AT_MICROS + 8 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS));
+                POLICY.decide(deadLetter, KEYED, STORED_AT_MICROS + 8 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS));
         assertEquals(
                 STORED_AT_MICROS - 20 * SECOND_MICROS + 30 * SECOND_MICROS - SECOND_MICROS,
-                now.deadlineMicros(),
-                "the deadline is the end of the window");
+                sendNow.deadlineMicros(),
+                "deadline equals the end of the key window");
         assertEquals(
                 List.of(new PastAttempt("r-b0", STORED_AT_MICROS - 20 * SECOND_MICROS, AttemptOutcome.TIMEOUT)),
-                now.pastAttempts());
+                sendNow.pastAttempts());
         assertNeedsConfirmation(
-                POLICY.decide(one, KEYED, STORED_AT_MICROS + 9 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
+                POLICY.decide(deadLetter, KEYED, STORED_AT_MICROS + 9 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
                 "key window is over");
     }
 
     @Test
-    void keyWindowDoesNotApplyWhereNothingWasExecuted() {
+    void keyWindowDoesNotApplyIfNoAttemptWasExecuted() {
         assertSentNow(POLICY.decide(
                 deadLetter(null, attempt(AttemptOutcome.REJECTED)),
                 KEYED,
@@ -184,15 +184,15 @@
 
     @Test
     void possibleExecutionInSeveralZonesNeedsConfirmation() {
-        DeadLetter two = deadLetter(
+        DeadLetter deadLetter = deadLetter(
                 null,
                 attempt(STORED_AT_MICROS - SECOND_MICROS, AttemptOutcome.TIMEOUT, "b0"),
                 attempt(STORED_AT_MICROS, AttemptOutcome.TIMEOUT, "b1"));
         assertNeedsConfirmation(
-                POLICY.decide(two, KEYED, STORED_AT_MICROS + SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
+                POLICY.decide(deadLetter, KEYED, STORED_AT_MICROS + SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
                 "several places");
         assertSentNow(POLICY.decide(
-                two,
+                deadLetter,
                 redriveClass(Idempotency.IDEMPOTENT_BY_KEY, KeyScope.ALL),
                 STORED_AT_MICROS + SECOND_MICROS,
                 STORED_AT_MICROS - DAY_MICROS));
@@ -206,16 +206,17 @@
     }
 
     @Test
-    void keyWindowIsNotMeasuredAcrossARestartOrAClockSetBack() {
-        DeadLetter one = deadLetter(null, attempt(STORED_AT_MICROS, AttemptOutcome.TIMEOUT, "b0"));
+    void keyWindowIsNotMeasuredAcrossRestartsOrClockSetBack() {
+        DeadLetter deadLetter = deadLetter(null, attempt(STORED_AT_MICROS, AttemptOutcome.TIMEOUT, "b0"));
         assertNeedsConfirmation(
-                POLICY.decide(one, KEYED, STORED_AT_MICROS + 2 * SECOND_MICROS, STORED_AT_MICROS + SECOND_MICROS),
+                POLICY.decide(
+                        deadLetter, KEYED, STORED_AT_MICROS + 2 * SECOND_MICROS, STORED_AT_MICROS + SECOND_MICROS),
                 "restart");
         assertNeedsConfirmation(
-                POLICY.decide(one, KEYED, STORED_AT_MICROS - 5 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
+                POLICY.decide(deadLetter, KEYED, STORED_AT_MICROS - 5 * SECOND_MICROS, STORED_AT_MICROS - DAY_MICROS),
                 "clock");
         assertNeedsConfirmation(
-                POLICY.decide(one, KEYED, STORED_AT_MICROS + DAY_MICROS, STORED_AT_MICROS - DAY_MICROS), "over");
+                POLICY.decide(deadLetter, KEYED, STORED_AT_MICROS + DAY_MICROS, STORED_AT_MICROS - DAY_MICROS), "over");
     }
 
     @Test
@@ -250,11 +251,11 @@
 
     @Test
     void pauseDoublesWithEachRedriveUpToALimit() {
-        DeadLetter once = deadLetter(null);
-        assertEquals(STORED_AT_MICROS + SECOND_MICROS, POLICY.nextAttemptMicros(once, STORED_AT_MICROS));
-        DeadLetter often = new DeadLetter(
+        DeadLetter notRedriven = deadLetter(null);
+        assertEquals(STORED_AT_MICROS + SECOND_MICROS, POLICY.nextAttemptMicros(notRedriven, STORED_AT_MICROS));
+        DeadLetter redrivenOften = new DeadLetter(
                 1,
-                once.content(),
+                notRedriven.content(),
                 STORED_AT_MICROS,
                 "",
                 "",
@@ -263,7 +264,7 @@
                 null,
                 40,
                 List.of());
-        assertEquals(STORED_AT_MICROS + 64 * SECOND_MICROS, POLICY.nextAttemptMicros(often, STORED_AT_MICROS));
+        assertEquals(STORED_AT_MICROS + 64 * SECOND_MICROS, POLICY.nextAttemptMicros(redrivenOften, STORED_AT_MICROS));
     }
 
     @Test
--- a/src/test/java/loftflow/deadletter/StoredCodesTest.java
+++ b/src/test/java/loftflow/deadletter/StoredCodesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The codes in the database and the admin protocol, which must not change. */
+/** Pins the codes of the database and the admin protocol, which must not change. */
 class StoredCodesTest {
     private static Stream<Arguments> stateCodes() {
         return Stream.of(
@@ -48,7 +48,7 @@
         assertThrows(IllegalArgumentException.class, () -> ExecutionCertainty.ofCode("EXECUTED"));
     }
 
-    /** The certainty of several attempts is the greatest of theirs. */
+    /** The certainty of several attempts is computed as their maximum, which depends on the order of the constants. */
     @Test
     void certaintiesAreInAscendingOrder() {
         assertEquals(
