--- a/src/main/java/loftflow/deadletter/store/DeadLetterExecutor.java
+++ b/src/main/java/loftflow/deadletter/store/DeadLetterExecutor.java
@@ -12,8 +12,8 @@
 import loftflow.log.Log;
 
 /**
- * Runs the tasks of a store on one thread, behind a queue of {@value #QUEUE_CAPACITY} tasks. A task is rejected where
- * the queue is full; the caller repeats it later. A task that fails is logged.
+ * Runs the tasks of a store on a single thread with a queue of {@value #QUEUE_CAPACITY} tasks. A task is rejected if
+ * the queue is full; the caller may retry it later. Failed tasks are logged.
  */
 public final class DeadLetterExecutor implements DeadLetterStoreQueue, AutoCloseable {
     static final int QUEUE_CAPACITY = 1_000;
@@ -21,45 +21,48 @@
 
     private final DeadLetterStore store;
     private final Executor eventLoop;
-    private final ThreadPoolExecutor thread =
+    private final ThreadPoolExecutor worker =
             new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(QUEUE_CAPACITY), task -> {
                 Thread created = new Thread(task, "deadletter-store");
                 created.setDaemon(true);
                 return created;
             });
 
-    /** An executor that reports results on an event loop. It owns the store and closes it. */
+    /** Creates an executor that reports results on an event loop. It takes ownership of the store and closes it. */
     public DeadLetterExecutor(DeadLetterStore store, Executor eventLoop) {
         this.store = store;
         this.eventLoop = eventLoop;
     }
 
     @Override
-    public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
+    public <T> boolean submit(Function<DeadLetterStore, T> task, Consumer<T> onResult, Runnable onFailure) {
         try {
-            thread.execute(() -> run(task, then, failed));
+            worker.execute(() -> run(task, onResult, onFailure));
             return true;
         } catch (RejectedExecutionException e) {
             return false;
         }
     }
 
-    private <T> void run(Function<DeadLetterStore, T> task, Consumer<T> then, Runnable failed) {
+    private <T> void run(Function<DeadLetterStore, T> task, Consumer<T> onResult, Runnable onFailure) {
         try {
             T result = task.apply(store);
-            eventLoop.execute(() -> then.accept(result));
+            eventLoop.execute(() -> onResult.accept(result));
         } catch (RuntimeException e) {
             Log.line("deadletter: store task failed error=\"" + e.getMessage() + "\"");
-            eventLoop.execute(failed);
+            eventLoop.execute(onFailure);
         }
     }
 
-    /** Runs the queued tasks, then closes the store; gives up after {@value #CLOSE_TIMEOUT_SECONDS} s. */
+    /**
+     * Runs the queued tasks, then closes the store. If the tasks take longer than {@value #CLOSE_TIMEOUT_SECONDS} s,
+     * the store stays open and the remaining tasks continue on their daemon thread.
+     */
     @Override
     public void close() {
-        thread.shutdown();
+        worker.shutdown();
         try {
-            if (thread.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            if (worker.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 store.close();
             }
         } catch (InterruptedException e) {
--- a/src/main/java/loftflow/deadletter/store/DeadLetterRows.java
+++ b/src/main/java/loftflow/deadletter/store/DeadLetterRows.java
@@ -10,10 +10,11 @@
 import loftflow.engine.Message;
 import loftflow.policy.api.AttemptOutcome;
 
-/** Maps rows of the tables {@code entry} and {@code try} to dead letters, and attempts to rows. */
+/** Maps rows of the tables {@code entry} and {@code try} to dead letters, and maps attempts to rows. */
 final class DeadLetterRows {
-    private static final String COLUMNS = "SELECT id, call_id, class, tenant, key, destination, deadline, kept_at, why,"
-            + " told, state, due, resends, word_by, word_reason, word_tries, word_at, ";
+    private static final String SELECT_COLUMNS =
+            "SELECT id, call_id, class, tenant, key, destination, deadline, kept_at, why,"
+                    + " told, state, due, resends, word_by, word_reason, word_tries, word_at, ";
     private static final byte[] NO_BODY = new byte[0];
 
     private final SqliteSession session;
@@ -21,27 +22,27 @@
     private final String selectWithoutBody;
 
     /**
-     * A mapper.
+     * Creates a mapper.
      *
-     * @param orderingKeyColumn as of {@link DeadLetterSchema#orderingKeyColumn}
+     * @param orderingKeyColumn column expression from {@link DeadLetterSchema#orderingKeyColumn}
      */
     DeadLetterRows(SqliteSession session, String orderingKeyColumn) {
         this.session = session;
-        selectWithBody = COLUMNS + orderingKeyColumn + ", body FROM entry ";
-        selectWithoutBody = COLUMNS + orderingKeyColumn + ", NULL AS body FROM entry ";
+        selectWithBody = SELECT_COLUMNS + orderingKeyColumn + ", body FROM entry ";
+        selectWithoutBody = SELECT_COLUMNS + orderingKeyColumn + ", NULL AS body FROM entry ";
     }
 
-    /** The start of a query of dead letters, up to the table. */
+    /** Returns the start of a query for dead letters, up to and including the FROM clause. */
     String select(boolean withBodies) {
         return withBodies ? selectWithBody : selectWithoutBody;
     }
 
-    /** The dead letter with an id. */
+    /** Returns the dead letter with an id; empty if there is none. */
     Optional<DeadLetter> find(long id) throws SQLException {
         return read(select(true) + "WHERE id = ?", id).stream().findFirst();
     }
 
-    /** Reads the dead letters of a query, which starts with {@link #select} and orders by id, with their attempts. */
+    /** Reads dead letters and their attempts. The query must start with {@link #select} and order by id. */
     List<DeadLetter> read(String sql, Object... values) throws SQLException {
         List<DeadLetter> deadLetters = new ArrayList<>();
         try (PreparedStatement statement = session.prepare(sql, values);
@@ -56,7 +57,7 @@
         return deadLetters;
     }
 
-    /** Reads columns by number, since the driver looks names up for every value. */
+    /** Reads columns by index, because the driver looks up a column name again for each value. */
     private static DeadLetter deadLetter(ResultSet row) throws SQLException {
         return new DeadLetter(
                 row.getLong(1),
@@ -92,7 +93,7 @@
                 : new DeadLetter.Confirmation(operator, row.getString(15), row.getInt(16), row.getLong(17));
     }
 
-    /** Adds the attempts of dead letters, which are in the order of their ids, by one query in the same order. */
+    /** Adds the attempts to dead letters, which must be in ascending order of id, with one query in the same order. */
     private void addAttempts(List<DeadLetter> deadLetters) throws SQLException {
         long firstId = deadLetters.get(0).id();
         long lastId = deadLetters.get(deadLetters.size() - 1).id();
@@ -124,7 +125,7 @@
                 outcomeCode == null ? null : AttemptOutcome.ofCode(outcomeCode));
     }
 
-    /** Inserts attempts of a dead letter, numbered from {@code firstNumber} on. */
+    /** Inserts attempts of a dead letter, numbered consecutively from {@code firstNumber}. */
     void insertAttempts(long id, int firstNumber, List<DeadLetter.Attempt> attempts) throws SQLException {
         int number = firstNumber;
         for (DeadLetter.Attempt attempt : attempts) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /** The stored outcome of an attempt; null while it is not known. */
+    /** Returns the stored outcome code of an attempt; null while the outcome is unknown. */
     static String outcomeCode(DeadLetter.Attempt attempt) {
         return attempt.outcome() == null ? null : attempt.outcome().code();
     }
--- a/src/main/java/loftflow/deadletter/store/DeadLetterSchema.java
+++ b/src/main/java/loftflow/deadletter/store/DeadLetterSchema.java
@@ -6,12 +6,12 @@
 import java.sql.Statement;
 
 /**
- * Tables of the dead-letter database. {@code PRAGMA user_version} holds the version of the schema; a database of an
- * earlier version is migrated when a relay opens it. Triggers reject changes to the audit trail.
+ * Schema of the dead-letter database. {@code PRAGMA user_version} holds the schema version; a database of an earlier
+ * version is migrated when a relay opens it. Triggers reject changes to the audit trail.
  */
 final class DeadLetterSchema {
     private static final int NEW_DATABASE = 0;
-    /** This version has no column for the ordering key. */
+    /** Schema version before the column for the ordering key was added. */
     private static final int VERSION_WITHOUT_ORDERING_KEY = 1;
 
     private static final int VERSION = 2;
@@ -41,7 +41,7 @@
 
     private DeadLetterSchema() {}
 
-    /** A database whose content is damaged, or whose version is not known. */
+    /** Indicates a damaged database, or one with an unsupported schema version. */
     static final class DamagedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Checks the integrity of a database; creates or migrates its tables. */
+    /** Checks the integrity of a database, then creates or migrates its tables. */
     static void prepare(Connection connection) throws SQLException, DamagedException {
         try (Statement statement = connection.createStatement()) {
             checkIntegrity(statement);
@@ -60,7 +60,8 @@
             } else if (version == VERSION_WITHOUT_ORDERING_KEY) {
                 executeAll(statement, ADD_ORDERING_KEY);
             } else if (version != VERSION) {
-                throw new DamagedException("its version is " + version + ", supported is " + VERSION);
+                throw new DamagedException(
+                        "unsupported schema version " + version + "; supported version is " + VERSION);
             }
         }
     }
@@ -68,7 +69,7 @@
     private static void checkIntegrity(Statement statement) throws SQLException, DamagedException {
         try (ResultSet result = statement.executeQuery("PRAGMA quick_check(1)")) {
             if (!result.next() || !"ok".equals(result.getString(1))) {
-                throw new DamagedException("its integrity check reports " + result.getString(1));
+                throw new DamagedException("integrity check failed: " + result.getString(1));
             }
         }
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /** One transaction, so that a crash leaves none of the steps. */
+    /** Executes all steps in one transaction, so that a crash can't leave a partial schema. */
     private static void executeAll(Statement statement, String[] steps) throws SQLException {
         statement.execute("BEGIN IMMEDIATE");
         for (String step : steps) {
@@ -89,7 +90,7 @@
         statement.execute("COMMIT");
     }
 
-    /** The column of the ordering key in a database that is read and not migrated. */
+    /** Returns the column expression of the ordering key for a database that is read without migration. */
     static String orderingKeyColumn(Connection connection) throws SQLException {
         return version(connection) == VERSION_WITHOUT_ORDERING_KEY ? "NULL AS line" : "line";
     }
--- a/src/main/java/loftflow/deadletter/store/SqliteDatabaseFile.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDatabaseFile.java
@@ -12,14 +12,14 @@
 import loftflow.log.Log;
 import org.sqlite.SQLiteConfig;
 
-/** Opens the database file of a folder. A file that is damaged, or no database, is set aside and replaced. */
+/** Opens the SQLite database file of a folder. A damaged or non-database file is set aside and replaced. */
 final class SqliteDatabaseFile {
     private static final int BUSY_TIMEOUT_MILLIS = 2_000;
     private static final String[] SIDE_FILE_SUFFIXES = {"-wal", "-shm"};
 
     private SqliteDatabaseFile() {}
 
-    /** Opens a file for reading and writing, and creates it and its folder where they are missing. */
+    /** Opens a file for reading and writing; creates the file and its folder if missing. */
     static Connection open(Path folder, String name, long maxBytes) {
         Path file = folder.resolve(name);
         try {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Opens a file that must exist for reading only. */
+    /** Opens an existing file for reading only. */
     static Connection openReadOnly(Path file) throws SQLException {
         SQLiteConfig config = new SQLiteConfig();
         config.setReadOnly(true);
@@ -97,7 +97,7 @@
         }
     }
 
-    /** A hard limit, so that the database never takes the disk space that the journal needs. */
+    /** Sets a hard size limit, so that the database never uses the disk space reserved for the journal. */
     private static void limitSize(Connection connection, long maxBytes) throws SQLException {
         try (Statement statement = connection.createStatement()) {
             long pageBytes;
--- a/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteDeadLetterStore.java
@@ -21,23 +21,23 @@
 import loftflow.policy.api.AttemptOutcome;
 
 /**
- * A dead-letter store in one SQLite file. Every call is one transaction; in write-ahead mode what is committed is
- * durable against the end of the process. Not thread-safe.
+ * A dead-letter store in one SQLite file. Every call is one transaction. In WAL mode, committed changes survive a
+ * crash of the process. Not thread-safe.
  */
 public final class SqliteDeadLetterStore implements DeadLetterStore {
-    /** Name of the file in the state folder. */
+    /** File name in the state folder. */
     public static final String FILE_NAME = "undeliverable.db";
 
     private static final String STORED = quoted(DeadLetter.State.STORED);
     private static final String DELIVERED = quoted(DeadLetter.State.DELIVERED);
     private static final String DISCARDED = quoted(DeadLetter.State.DISCARDED);
-    /** Outcomes that prove whether an attempt was executed; they are not replaced by later ones. */
+    /** SQL list of the outcomes that prove whether an attempt was executed. Later outcomes don't replace them. */
     private static final String PROVEN_OUTCOMES = Stream.of(AttemptOutcome.values())
             .filter(outcome -> ExecutionCertainty.of(outcome) != ExecutionCertainty.UNKNOWN)
             .map(outcome -> "'" + outcome.code() + "'")
             .collect(Collectors.joining(", ", "(", ")"));
 
-    private static final String LATE_ANSWER = "a late answer";
+    private static final String REASON_LATE_RESPONSE = "a late answer";
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final SqliteSession session;
@@ -53,11 +53,12 @@
     }
 
     /**
-     * Opens the database of a folder, or creates it. A file that is damaged, or no database, is set aside, and a new
-     * one is created.
+     * Opens or creates the database of a folder. A damaged or non-database file is set aside and replaced by a new
+     * database.
      *
-     * @param maxBytes size that the database never exceeds: a change that would make it larger fails as a whole
-     * @throws DeadLetterStoreException where it can't be opened or created, as on a full or read-only disk
+     * @param maxBytes maximum size of the database; a change that would exceed it fails and is rolled back
+     * @throws DeadLetterStoreException if the database can't be opened or created, for example on a full or read-only
+     *     disk
      */
     public static SqliteDeadLetterStore open(Path folder, long maxBytes) {
         return new SqliteDeadLetterStore(SqliteDatabaseFile.open(folder, FILE_NAME, maxBytes), "line");
@@ -66,12 +67,12 @@
     /**
      * Opens the database of a folder for reading only, such as that of a stopped relay.
      *
-     * @throws DeadLetterStoreException where there is none, or it can't be opened
+     * @throws DeadLetterStoreException if the database does not exist or can't be opened
      */
     public static SqliteDeadLetterStore openReadOnly(Path folder) {
         Path file = folder.resolve(FILE_NAME);
         if (!Files.isRegularFile(file)) {
-            throw new DeadLetterStoreException("there is no " + file, null);
+            throw new DeadLetterStoreException("database does not exist: " + file, null);
         }
         try {
             Connection connection = SqliteDatabaseFile.openReadOnly(file);
@@ -104,7 +105,8 @@
                     deadLetter.dueMicros(),
                     content.orderingKey());
             long id = findId(content.messageId(), content.deadlineMicros()).orElseThrow();
-            // After a crash before the journal forgot the message, the dead letter has its attempts already.
+            // After a crash before the journal removed the message, the dead letter is already stored with its
+            // attempts.
             if (inserted == 1) {
                 rows.insertAttempts(id, 0, deadLetter.attempts());
             }
@@ -136,34 +138,35 @@
         StringBuilder sql = new StringBuilder(rows.select(withBodies) + "WHERE id >= ?");
         List<Object> values = new ArrayList<>();
         values.add(fromId);
-        and(
+        appendCondition(
                 sql,
                 values,
                 "state = ?",
                 filter.state() == null ? null : filter.state().code());
-        and(sql, values, "destination = ?", filter.destination());
-        and(sql, values, "class = ?", filter.requestClass());
-        and(sql, values, "tenant = ?", filter.tenant());
-        and(
+        appendCondition(sql, values, "destination = ?", filter.destination());
+        appendCondition(sql, values, "class = ?", filter.requestClass());
+        appendCondition(sql, values, "tenant = ?", filter.tenant());
+        appendCondition(
                 sql,
                 values,
                 "ran = ?",
                 filter.certainty() == null ? null : filter.certainty().code());
-        and(sql, values, "kept_at >= ?", filter.storedFromMicros() == 0 ? null : filter.storedFromMicros());
-        and(sql, values, "kept_at < ?", filter.storedBeforeMicros() == 0 ? null : filter.storedBeforeMicros());
+        appendCondition(sql, values, "kept_at >= ?", filter.storedFromMicros() == 0 ? null : filter.storedFromMicros());
+        appendCondition(
+                sql, values, "kept_at < ?", filter.storedBeforeMicros() == 0 ? null : filter.storedBeforeMicros());
         sql.append(" ORDER BY id LIMIT ?");
         values.add(maxEntries);
         return session.inTransaction(() -> rows.read(sql.toString(), values.toArray()));
     }
 
-    private static void and(StringBuilder sql, List<Object> values, String condition, Object value) {
+    private static void appendCondition(StringBuilder sql, List<Object> values, String condition, Object value) {
         if (value != null) {
             sql.append(" AND ").append(condition);
             values.add(value);
         }
     }
 
-    /** One query a destination, so that the backlog of one does not hide the others. */
+    /** Uses one query per destination, so that the backlog of one destination does not hide the others. */
     @Override
     public List<DeadLetter> findDue(long nowMicros, int afterDestination, int maxEntries) {
         return session.inTransaction(() -> {
@@ -217,7 +220,7 @@
             Optional<DeadLetter> deadLetter = rows.find(id);
             if (deadLetter.isPresent()) {
                 rows.insertAttempts(id, deadLetter.get().attempts().size(), attempts);
-                // A redrive that was cancelled by a proof of execution does not overwrite that proof.
+                // A redrive cancelled because of a proof of execution must not overwrite the delivered state.
                 session.update(
                         "UPDATE entry SET state = CASE WHEN state = " + DELIVERED + " THEN state ELSE ? END, due = ?,"
                                 + " why = CASE WHEN state = " + DELIVERED + " THEN why ELSE ? END,"
@@ -246,14 +249,14 @@
             if (attempt.certainty() == ExecutionCertainty.EXECUTED) {
                 session.update(
                         "UPDATE entry SET state = " + DELIVERED + ", why = ? WHERE id = ? AND state <> " + DELIVERED,
-                        LATE_ANSWER,
+                        REASON_LATE_RESPONSE,
                         id);
             }
             return null;
         });
     }
 
-    /** Updates the column that filters select by; it follows from the outcomes of all attempts. */
+    /** Updates the certainty column, which filters use and which is derived from the outcomes of all attempts. */
     private void updateCertainty(long id) throws SQLException {
         ExecutionCertainty certainty = rows.find(id).map(DeadLetter::certainty).orElse(ExecutionCertainty.NOT_EXECUTED);
         session.update("UPDATE entry SET ran = ? WHERE id = ?", certainty.code(), id);
@@ -274,12 +277,12 @@
     }
 
     @Override
-    public void appendAudit(long atMicros, String who, String what, long id, String detail) {
+    public void appendAudit(long atMicros, String operator, String action, long id, String detail) {
         session.inTransaction(() -> session.update(
                 "INSERT INTO audit (at, who, what, entry, detail) VALUES (?, ?, ?, ?, ?)",
                 atMicros,
-                who,
-                what,
+                operator,
+                action,
                 id,
                 detail));
     }
--- a/src/main/java/loftflow/deadletter/store/SqliteSession.java
+++ b/src/main/java/loftflow/deadletter/store/SqliteSession.java
@@ -6,7 +6,7 @@
 import java.sql.SQLException;
 import loftflow.deadletter.DeadLetterStoreException;
 
-/** Transactions and statements on one connection. Not thread-safe. */
+/** Runs transactions and statements on one SQLite connection. Not thread-safe. */
 final class SqliteSession implements AutoCloseable {
     private final Connection connection;
 
@@ -14,17 +14,21 @@
         this.connection = connection;
     }
 
-    /** Work within a transaction. */
-    interface Work<T> {
+    /** Body of a transaction. */
+    interface TransactionBody<T> {
         T run() throws SQLException;
     }
 
-    /** Runs work in one transaction, which is rolled back where it fails. */
-    <T> T inTransaction(Work<T> work) {
+    /**
+     * Runs a body in one transaction, which is rolled back if the body fails.
+     *
+     * @throws DeadLetterStoreException if the database fails
+     */
+    <T> T inTransaction(TransactionBody<T> body) {
         try {
             connection.setAutoCommit(false);
             try {
-                T result = work.run();
+                T result = body.run();
                 connection.commit();
                 connection.setAutoCommit(true);
                 return result;
@@ -33,13 +37,13 @@
                 throw e;
             }
         } catch (SQLException e) {
-            throw new DeadLetterStoreException("undeliverable: the store fails: " + e.getMessage(), e);
+            throw new DeadLetterStoreException("dead-letter store operation failed: " + e.getMessage(), e);
         }
     }
 
     /**
-     * Rolls back. A failure to do so, as on a full disk where the database has rolled back already, is added to the
-     * original failure and does not replace it.
+     * Rolls back the transaction. The rollback itself can fail, for example on a full disk, when the database has
+     * already rolled back. Such a failure is added to the original one as a suppressed exception.
      */
     private void rollBack(Exception failure) {
         try {
@@ -62,19 +66,19 @@
         return statement;
     }
 
-    /** Executes an update; the number of rows that it changed. */
+    /** Executes an update and returns the number of changed rows. */
     int update(String sql, Object... values) throws SQLException {
         try (PreparedStatement statement = prepare(sql, values)) {
             return statement.executeUpdate();
         }
     }
 
-    /** Reads one row. */
+    /** Converts the current row of a result set to a value. */
     interface RowReader<T> {
         T read(ResultSet row) throws SQLException;
     }
 
-    /** Reads the first row of a query; {@code absent} where there is none. */
+    /** Returns the value of the first row of a query; {@code absent} if there are no rows. */
     <T> T queryFirst(RowReader<T> reader, T absent, String sql, Object... values) throws SQLException {
         try (PreparedStatement statement = prepare(sql, values);
                 ResultSet result = statement.executeQuery()) {
@@ -87,7 +91,7 @@
         try {
             connection.close();
         } catch (SQLException e) {
-            throw new DeadLetterStoreException("the store can't be closed: " + e.getMessage(), e);
+            throw new DeadLetterStoreException("dead-letter store can't be closed: " + e.getMessage(), e);
         }
     }
 }
--- a/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -231,8 +231,8 @@
                 }
                 partner.be(FakePartner.Mood.SHUT);
                 ServedRelay relay = start(file);
-                // Live traffic fails in both runs, so that the decision module also warms up the endpoint after its
-                // recovery in both.
+                // Live traffic fails in both runs, so that the decision module warms up the endpoint after its
+                // recovery with and without a backlog.
                 try (FakeClient client = relay.client()) {
                     for (int i = 0; i < 40; i++) {
                         client.handIn("early" + i, "settlement", null, null, 7, 5000, "x");
--- a/src/test/java/loftflow/deadletter/store/SqliteDeadLetterStoreTest.java
+++ b/src/test/java/loftflow/deadletter/store/SqliteDeadLetterStoreTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store in SQLite: round trips, migration, concurrency of states, damage and size limits. */
+/** Tests the SQLite store: round trips, migration, state transitions, damaged files and size limits. */
 class SqliteDeadLetterStoreTest {
     @TempDir
     Path folder;
@@ -37,24 +37,25 @@
     }
 
     @AfterEach
-    void end() {
+    void closeStore() {
         if (store != null) {
             store.close();
         }
     }
 
-    private static DeadLetter deadLetter(String id, int destination, long due, AttemptOutcome... outcomes) {
+    private static DeadLetter deadLetter(
+            String messageId, int destination, long dueMicros, AttemptOutcome... outcomes) {
         List<DeadLetter.Attempt> attempts = java.util.stream.IntStream.range(0, outcomes.length)
                 .mapToObj(i -> new DeadLetter.Attempt("r" + i, "b0", 100 + i, outcomes[i]))
                 .toList();
         return new DeadLetter(
                 0,
-                new Message.Content(id, "unsafe", "acme", null, 500, destination, new byte[] {1, 2, 3}),
+                new Message.Content(messageId, "unsafe", "acme", null, 500, destination, new byte[] {1, 2, 3}),
                 400,
                 "timeout",
                 "failed",
                 DeadLetter.State.STORED,
-                due,
+                dueMicros,
                 null,
                 0,
                 attempts);
@@ -79,13 +80,13 @@
                         .content()
                         .body()
                         .length,
-                "bodies only on request");
+                "body is read without being requested");
     }
 
-    private static DeadLetter ordered(String id, String orderingKey) {
+    private static DeadLetter withOrderingKey(String messageId, String orderingKey) {
         return new DeadLetter(
                 0,
-                new Message.Content(id, "ordered", "acme", null, 500, 7, new byte[] {1}, null, orderingKey),
+                new Message.Content(messageId, "ordered", "acme", null, 500, 7, new byte[] {1}, null, orderingKey),
                 400,
                 "timeout",
                 "failed",
@@ -98,39 +99,39 @@
 
     @Test
     void orderingKeyIsStored() {
-        long id = open().put(ordered("m1", "track-4"));
+        long id = open().put(withOrderingKey("m1", "track-4"));
         assertEquals("track-4", store.get(id).orElseThrow().content().orderingKey());
         assertEquals(
                 "track-4",
                 store.findDue(1_000, Integer.MIN_VALUE, 9).get(0).content().orderingKey());
     }
 
-    /** A file without ordering keys is read as it is, and migrated without loss when a relay opens it. */
+    /** A file without the column is readable without migration, and migrated without loss when a relay opens it. */
     @Test
     void fileWithoutOrderingKeysIsMigrated() throws SQLException {
-        long id = open().put(ordered("m1", "track-4"));
+        long id = open().put(withOrderingKey("m1", "track-4"));
         store.close();
-        try (Connection db =
+        try (Connection connection =
                         DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(SqliteDeadLetterStore.FILE_NAME));
-                Statement statement = db.createStatement()) {
+                Statement statement = connection.createStatement()) {
             statement.execute("ALTER TABLE entry DROP COLUMN line");
             statement.execute("PRAGMA user_version = 1");
         }
-        try (DeadLetterStore read = SqliteDeadLetterStore.openReadOnly(folder)) {
+        try (DeadLetterStore readOnlyStore = SqliteDeadLetterStore.openReadOnly(folder)) {
             assertEquals(
                     List.of("m1"),
-                    read.list(DeadLetterStore.Filter.ALL, 0, 9, true).stream()
-                            .map(e -> e.content().messageId())
+                    readOnlyStore.list(DeadLetterStore.Filter.ALL, 0, 9, true).stream()
+                            .map(deadLetter -> deadLetter.content().messageId())
                             .toList());
         }
         assertNull(open().get(id).orElseThrow().content().orderingKey());
-        long next = store.put(ordered("m2", "track-5"));
+        long secondId = store.put(withOrderingKey("m2", "track-5"));
         store.close();
-        assertEquals("track-5", open().get(next).orElseThrow().content().orderingKey());
+        assertEquals("track-5", open().get(secondId).orElseThrow().content().orderingKey());
     }
 
     @Test
-    void sameMessageTwiceIsOneDeadLetter() {
+    void storingAMessageTwiceCreatesOneDeadLetter() {
         long id = open().put(deadLetter("m1", 7, 900, AttemptOutcome.TIMEOUT));
         assertEquals(id, store.put(deadLetter("m1", 7, 900, AttemptOutcome.TIMEOUT)));
         assertEquals(1, store.size().entries());
@@ -138,14 +139,14 @@
     }
 
     @Test
-    void onlyOneOfTwoTransitionsWins() {
+    void onlyFirstOfTwoEqualTransitionsSucceeds() {
         long id = open().put(deadLetter("m1", 7, 900));
         assertTrue(store.transition(id, DeadLetter.State.STORED, DeadLetter.State.REDRIVING, 0));
         assertFalse(store.transition(id, DeadLetter.State.STORED, DeadLetter.State.REDRIVING, 0));
     }
 
     @Test
-    void proofOfExecutionDeliversAndIsFinal() {
+    void proofOfExecutionMarksDeadLetterAsDeliveredPermanently() {
         long id = open().put(deadLetter("m1", 7, 900, AttemptOutcome.TIMEOUT));
         store.recordOutcome(id, new DeadLetter.Attempt("r0", "b0", 100, AttemptOutcome.OK));
         store.recordOutcome(id, new DeadLetter.Attempt("r0", "b0", 100, AttemptOutcome.NOT_SENT));
@@ -167,7 +168,7 @@
         assertEquals(
                 List.of("a0", "b"),
                 store.findDue(1_000, Integer.MIN_VALUE, 64).stream()
-                        .map(e -> e.content().messageId())
+                        .map(deadLetter -> deadLetter.content().messageId())
                         .toList());
     }
 
@@ -175,9 +176,9 @@
     void auditTrailCannotBeChangedOrRemoved() throws SQLException {
         open().appendAudit(1, "clerk", "discard", 7, "posted by hand");
         assertEquals(1, store.auditTrail(7).size());
-        try (Connection db =
+        try (Connection connection =
                         DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(SqliteDeadLetterStore.FILE_NAME));
-                Statement statement = db.createStatement()) {
+                Statement statement = connection.createStatement()) {
             assertThrows(SQLException.class, () -> statement.execute("UPDATE audit SET who = 'nobody'"));
             assertThrows(SQLException.class, () -> statement.execute("DELETE FROM audit"));
         }
@@ -187,20 +188,20 @@
     }
 
     @Test
-    void fileThatIsNoDatabaseIsSetAside() throws IOException {
+    void nonDatabaseFileIsSetAside() throws IOException {
         Path file = folder.resolve(SqliteDeadLetterStore.FILE_NAME);
         Files.writeString(file, "no database ".repeat(1_000));
         assertEquals(0, open().size().entries());
         try (var files = Files.list(folder)) {
-            Path aside = files.filter(f -> f.toString().contains(".damaged-"))
+            Path damagedFile = files.filter(path -> path.toString().contains(".damaged-"))
                     .findFirst()
                     .orElseThrow();
-            assertTrue(Files.readString(aside).startsWith("no database"));
+            assertTrue(Files.readString(damagedFile).startsWith("no database"));
         }
     }
 
     @Test
-    void damagedPageIsDetectedAtTheStart() throws IOException {
+    void damagedPageIsDetectedWhenTheStoreIsOpened() throws IOException {
         open();
         for (int i = 0; i < 200; i++) {
             store.put(deadLetter("m" + i, 7, 900, AttemptOutcome.TIMEOUT));
@@ -215,7 +216,7 @@
     }
 
     @Test
-    void fileInPlaceOfTheFolderFailsWithOneLine() throws IOException {
+    void openingAFileAsTheFolderFailsWithASingleLineMessage() throws IOException {
         Path file = Files.writeString(folder.resolve("file"), "");
         String message = assertThrows(DeadLetterStoreException.class, () -> SqliteDeadLetterStore.open(file, 1 << 30))
                 .getMessage();
@@ -224,22 +225,23 @@
     }
 
     @Test
-    void settledDeadLettersAreRemovedByAgeAndOthersStay() {
+    void onlyDeliveredAndDiscardedDeadLettersAreRemovedByAge() {
         open();
-        long delivered = store.put(deadLetter("m1", 7, 900, AttemptOutcome.OK));
-        long undelivered = store.put(deadLetter("m2", 7, 900, AttemptOutcome.TIMEOUT));
-        store.transition(delivered, DeadLetter.State.STORED, DeadLetter.State.DELIVERED, 0);
+        long deliveredId = store.put(deadLetter("m1", 7, 900, AttemptOutcome.OK));
+        long undeliveredId = store.put(deadLetter("m2", 7, 900, AttemptOutcome.TIMEOUT));
+        store.transition(deliveredId, DeadLetter.State.STORED, DeadLetter.State.DELIVERED, 0);
         assertEquals(1, store.removeSettled(1_000, 10));
-        assertTrue(store.get(undelivered).isPresent() && store.get(delivered).isEmpty());
+        assertTrue(
+                store.get(undeliveredId).isPresent() && store.get(deliveredId).isEmpty());
     }
 
-    /** The size limit of the database takes the same path in its code as a full disk. */
+    /** SQLite reports an exceeded size limit through the same code path as a full disk. */
     @Test
-    void fullDatabaseRejectsDeadLettersAsAWholeAndRetainsTheOthers() {
+    void fullDatabaseRejectsWholeDeadLetterAndRetainsStoredOnes() {
         store = SqliteDeadLetterStore.open(folder, 256 << 10);
         int storedCount = 0;
-        DeadLetterStoreException full = null;
-        while (full == null) {
+        DeadLetterStoreException failure = null;
+        while (failure == null) {
             try {
                 store.put(new DeadLetter(
                         0,
@@ -255,14 +257,13 @@
                         List.of(new DeadLetter.Attempt("r0", "b0", 100, AttemptOutcome.TIMEOUT))));
                 storedCount++;
             } catch (DeadLetterStoreException e) {
-                full = e;
+                failure = e;
             }
         }
-        assertTrue(full.getMessage().contains("full"), full.getMessage());
-        assertTrue(storedCount > 20, "only " + storedCount);
+        assertTrue(failure.getMessage().contains("full"), failure.getMessage());
+        assertTrue(storedCount > 20, "stored only " + storedCount + " dead letters");
         assertTrue(
-                store.find("m" + storedCount, 500 + storedCount).isEmpty(),
-                "nothing of a rejected dead letter is left");
+                store.find("m" + storedCount, 500 + storedCount).isEmpty(), "rejected dead letter was partly stored");
         assertTrue(store.size().bytes() <= 256 << 10, store.size().toString());
         assertTrue(store.transition(1, DeadLetter.State.STORED, DeadLetter.State.DISCARDED, 0));
         assertEquals(1, store.removeSettled(Long.MAX_VALUE, 9));
