--- a/src/main/java/loftflow/warmstart/ClockReading.java
+++ b/src/main/java/loftflow/warmstart/ClockReading.java
@@ -3,12 +3,12 @@
 /**
  * A reading of a machine's clocks.
  *
- * @param wallMicros microseconds since the epoch, by the wall clock, which may be set at any time
- * @param uptimeMicros microseconds since the machine booted, by a clock that is never set
- * @param bootId identifies the boot that {@code uptimeMicros} counts from; empty where the machine does not provide it
+ * @param wallMicros microseconds since the epoch, by the wall clock, which may be adjusted at any time
+ * @param uptimeMicros microseconds since the machine booted, by a monotonic clock that is never adjusted
+ * @param bootId identifies the boot that {@code uptimeMicros} counts from; empty if the machine does not provide one
  */
 public record ClockReading(long wallMicros, long uptimeMicros, String bootId) {
-    /** A reading {@code micros} microseconds later in the same boot, with the wall clock not set in between. */
+    /** Returns the reading {@code micros} microseconds later in the same boot if the wall clock is not adjusted. */
     public ClockReading plus(long micros) {
         return new ClockReading(wallMicros + micros, uptimeMicros + micros, bootId);
     }
--- a/src/main/java/loftflow/warmstart/DeltaReplay.java
+++ b/src/main/java/loftflow/warmstart/DeltaReplay.java
@@ -8,11 +8,11 @@
     private DeltaReplay() {}
 
     /**
-     * Applies deltas in order. Those of unknown endpoints are ignored.
+     * Applies deltas in order. Deltas of unknown endpoints are ignored.
      *
-     * @param endpoints by id; changed in place
+     * @param endpoints by id; modified in place
      * @param savedAtMicros the relay's own time at the snapshot
-     * @return false where deltas were lost, so that any endpoint may have changed
+     * @return false if deltas were lost, in which case any endpoint may have changed
      */
     static boolean apply(Map<String, KnownEndpoint> endpoints, List<SnapshotDelta> deltas, long savedAtMicros) {
         boolean isComplete = true;
@@ -22,13 +22,13 @@
                 endpoints.replaceAll((id, endpoint) -> withRetryAfter(endpoint, delta, savedAtMicros));
             } else {
                 endpoints.computeIfPresent(
-                        delta.endpointId(), (id, endpoint) -> applied(endpoint, delta, savedAtMicros));
+                        delta.endpointId(), (id, endpoint) -> withDelta(endpoint, delta, savedAtMicros));
             }
         }
         return isComplete;
     }
 
-    private static KnownEndpoint applied(KnownEndpoint endpoint, SnapshotDelta delta, long savedAtMicros) {
+    private static KnownEndpoint withDelta(KnownEndpoint endpoint, SnapshotDelta delta, long savedAtMicros) {
         return switch (delta.kind()) {
             case OUT_OF_SERVICE -> endpoint.withState(KnownEndpoint.State.OUT_OF_SERVICE);
             case EJECTED -> endpoint.withState(KnownEndpoint.State.EJECTED);
@@ -37,7 +37,7 @@
             case RECOVERED -> withCircuitOpen(endpoint, false)
                     .withAnswer(delta.atMicros())
                     .withRecovery(delta.atMicros());
-            case DELTAS_LOST -> throw new IllegalStateException(delta.kind() + " concerns all endpoints");
+            case DELTAS_LOST -> throw new IllegalStateException(delta.kind() + " applies to all endpoints");
         };
     }
 
--- a/src/main/java/loftflow/warmstart/DowntimeEstimate.java
+++ b/src/main/java/loftflow/warmstart/DowntimeEstimate.java
@@ -1,20 +1,20 @@
 package loftflow.warmstart;
 
 /**
- * How much time passed between two clock readings, as far as the clocks can prove it.
+ * Bounds on the time that passed between two clock readings.
  *
- * @param minMicros lower bound; used for retry-after waits, so that none is shortened
- * @param maxMicros upper bound; used for trust, so that none is too high. {@link #UNKNOWN} where there is no bound
- * @param isUncertain neither bound is proven: the machine rebooted in between, or provides no boot id
+ * @param minMicros proven lower bound; used for retry-after waits, so that no wait is shortened
+ * @param maxMicros upper bound; used for trust, so that trust is not overestimated; {@link #UNKNOWN} for no bound
+ * @param isUncertain true if the elapsed time is not proven: the machine rebooted in between, or provides no boot id
  */
 public record DowntimeEstimate(long minMicros, long maxMicros, boolean isUncertain) {
-    /** Stands for a duration without an upper bound. Longer than any age at which an endpoint is trusted. */
+    /** Value of a duration without an upper bound. Exceeds any age at which an endpoint is trusted. */
     public static final long UNKNOWN = Long.MAX_VALUE / 4;
 
     /**
-     * The time between two readings. Within one boot the uptime clock measures it exactly, whatever happened to the
-     * wall clock. Across a reboot only the wall clock is left. It may have been set in between, so nothing is proven,
-     * and a wall clock that is behind the earlier reading gives no upper bound at all.
+     * Returns the time between two readings. Within one boot the uptime clock measures it exactly, even if the wall
+     * clock was adjusted. Across a reboot only the wall clock is available. It may have been adjusted in between, so
+     * the result is uncertain; if the wall clock is behind the earlier reading, there is no upper bound.
      */
     public static DowntimeEstimate between(ClockReading earlier, ClockReading later) {
         if (isSameBoot(earlier, later) && later.uptimeMicros() >= earlier.uptimeMicros()) {
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Continues the relay's own time, in microseconds since the epoch, so that times recorded by an earlier process
-     * keep their meaning. Within a boot it advances by the time that passed, even where the wall clock was set; across
-     * a reboot it never goes backwards.
+     * Returns the relay's own time at the later reading, in microseconds since the epoch. It continues the time of the
+     * earlier process, so that recorded times stay comparable. Within a boot it advances by the elapsed time, even if
+     * the wall clock was adjusted; across a reboot it never goes backwards.
      *
      * @param relayTimeMicros the relay's own time at the earlier reading
      */
--- a/src/main/java/loftflow/warmstart/EndpointHistory.java
+++ b/src/main/java/loftflow/warmstart/EndpointHistory.java
@@ -18,20 +18,20 @@
 import loftflow.policy.api.TrustLevel;
 
 /**
- * What a relay knows of its endpoints: restored at the start from the snapshot of an earlier process, then updated by
- * discovery and by the outcomes of calls. Not thread-safe; used on the event loop. Times are the relay's own, in
- * microseconds.
+ * Tracks the state of a relay's endpoints. The state is restored at startup from the snapshot of an earlier process and
+ * then updated from discovery lists and call outcomes. Not thread-safe; used on the event loop. Times are in
+ * microseconds of the relay's own clock.
  */
 public final class EndpointHistory {
-    /** A call that times out sooner than this, by its own deadline, is no sign of a hanging endpoint. */
+    /** Shortest time-out that counts as a hang; a shorter one may only reflect a short deadline of the call. */
     private static final long MIN_HANG_MICROS = 1_000_000;
-    /** Until a process has run this long, the call rates of the process before it are the better ones. */
+    /** Run time below which the call rates measured by the previous process are the better estimate. */
     private static final long RATE_LEARNING_MICROS = 20_000_000;
 
-    /** Why an endpoint is ejected. */
+    /** Reason for which an endpoint is ejected. */
     private enum EjectionReason {
         UNEXPECTED_RESPONSE("unexpected-response"),
-        REFUSED_OR_HUNG("refused-or-hung-twice");
+        REFUSED_OR_HUNG("refused-or-isHung-twice");
 
         private final String label;
 
@@ -44,47 +44,47 @@
     private final String owner;
     private final Map<String, KnownEndpoint> endpoints = new LinkedHashMap<>();
     private final Map<String, EndpointObservation> observations = new HashMap<>();
-    /** Endpoints that discovery has listed in this process, or that come from a fixed list. They are not ejected. */
+    /** Ids of endpoints that discovery has listed during this process, or that a fixed list names; never ejected. */
     private final Set<String> confirmedIds = new HashSet<>();
 
     private EndpointListReconciler reconciler;
     private long revision = -1;
     private long generation;
-    private long openedAtMicros;
+    private long restoredAtMicros;
     private boolean hasUnsavedChanges;
 
-    /** An empty history; {@link #restore} is called once before anything else. */
+    /** Creates an empty history. {@link #restore} must be called once before any other method. */
     public EndpointHistory(WarmStartOptions options, String owner) {
         this.options = options;
         this.owner = owner;
     }
 
     /**
-     * Restores what an earlier process left.
+     * Restores the state that an earlier process recorded.
      *
-     * @param snapshot null where there is none
+     * @param snapshot the latest snapshot; null if there is none
      * @param deltas deltas recorded since the snapshot, in order
-     * @param isComplete false where deltas may be missing
-     * @param otherList the list known from the deploy file; null for none. Used where there is no snapshot, where it is
-     *     newer, and where the list is fixed
-     * @param clocks the machine's clocks now
-     * @param nowMicros the relay's own time
+     * @param isComplete false if deltas may be missing
+     * @param configuredList the list from the deploy file; null if there is none. Used if there is no snapshot, if
+     *     it is newer than the snapshot, or if the list is fixed
+     * @param clocks current reading of the machine's clocks
+     * @param nowMicros current time by the relay's own clock
      */
     public RestoredState restore(
             Snapshot snapshot,
             List<SnapshotDelta> deltas,
             boolean isComplete,
-            ListUpdate otherList,
+            ListUpdate configuredList,
             ClockReading clocks,
             long nowMicros) {
-        openedAtMicros = nowMicros;
+        restoredAtMicros = nowMicros;
         List<ListedEndpoint> list = new ArrayList<>();
         List<RouteRestored> restoredRoutes = new ArrayList<>();
         List<String> logLines = new ArrayList<>();
         if (snapshot != null) {
-            boolean hasAllDeltas = load(snapshot, deltas) && isComplete;
-            if (options.isListFixed() || isNewer(otherList)) {
-                restrictTo(otherList, nowMicros);
+            boolean hasAllDeltas = applySnapshot(snapshot, deltas) && isComplete;
+            if (options.isListFixed() || isNewer(configuredList)) {
+                replaceList(configuredList, nowMicros);
             }
             DowntimeEstimate downtime = DowntimeEstimate.between(snapshot.clocks(), clocks);
             RestoreSummary summary = new RestoreSummary(revision, downtime);
@@ -94,14 +94,14 @@
                 capEvidence(endpoint, trust, nowMicros);
                 if (trust != EndpointTrust.NEVER) {
                     list.add(new ListedEndpoint(endpoint.entry(), endpoint.address()));
-                    restoredRoutes.add(restore(endpoint, trust, snapshot.relayTimeMicros(), downtime, nowMicros));
+                    restoredRoutes.add(restoreRoute(endpoint, trust, snapshot.relayTimeMicros(), downtime, nowMicros));
                 }
             }
             logLines.add(summary.logLine());
-        } else if (otherList != null) {
-            revision = otherList.revision();
-            otherList.entries().forEach(entry -> endpoints.put(entry.id(), newlyListed(entry, nowMicros)));
-            list.addAll(otherList.entries());
+        } else if (configuredList != null) {
+            revision = configuredList.revision();
+            configuredList.entries().forEach(entry -> endpoints.put(entry.id(), newlyListed(entry, nowMicros)));
+            list.addAll(configuredList.entries());
         }
         if (options.isListFixed()) {
             confirmedIds.addAll(endpoints.keySet());
@@ -111,7 +111,8 @@
         return new RestoredState(list, revision, restoredRoutes, logLines);
     }
 
-    private boolean load(Snapshot snapshot, List<SnapshotDelta> deltas) {
+    /** Returns false if the deltas are incomplete. */
+    private boolean applySnapshot(Snapshot snapshot, List<SnapshotDelta> deltas) {
         generation = snapshot.generation();
         revision = snapshot.revision();
         snapshot.endpoints().forEach(endpoint -> endpoints.put(endpoint.id(), endpoint));
@@ -122,18 +123,16 @@
         return list != null && (revision < 0 || list.revision() > revision);
     }
 
-    /**
-     * Replaces the list by another one; endpoints that are in both with the same address keep what is known of them.
-     */
-    private void restrictTo(ListUpdate list, long nowMicros) {
+    /** Replaces the list. Endpoints that are in both lists with the same address keep their recorded state. */
+    private void replaceList(ListUpdate list, long nowMicros) {
         Map<String, KnownEndpoint> previous = new HashMap<>(endpoints);
         endpoints.clear();
         for (ListedEndpoint entry : list.entries()) {
             KnownEndpoint known = previous.get(entry.id());
-            boolean isSame = known != null && known.address().equals(entry.address());
+            boolean isSameAddress = known != null && known.address().equals(entry.address());
             endpoints.put(
                     entry.id(),
-                    isSame
+                    isSameAddress
                             ? known.withListing(entry.entry(), entry.address(), known.listedAtMicros())
                             : newlyListed(entry, nowMicros));
         }
@@ -151,20 +150,20 @@
                 : options.trustPolicy().trustOf(endpoint, snapshot.relayTimeMicros(), downtime, hasAllDeltas);
     }
 
-    /** Lowers the evidence to the trust of this start, so that the next one trusts the endpoint no more. */
+    /** Caps the evidence to the trust at this start, so that the next start does not trust the endpoint more. */
     private void capEvidence(KnownEndpoint endpoint, EndpointTrust trust, long nowMicros) {
         long latestMicros = options.trustPolicy().latestEvidenceMicros(trust, nowMicros);
         endpoints.put(endpoint.id(), endpoint.withEvidenceNoLaterThan(latestMicros));
     }
 
-    private RouteRestored restore(
+    private RouteRestored restoreRoute(
             KnownEndpoint endpoint,
             EndpointTrust trust,
             long savedAtMicros,
             DowntimeEstimate downtime,
             long nowMicros) {
         RouteSnapshot saved = endpoint.routeSnapshotOrUnknown();
-        // Only time that has provably passed counts against a wait: none is shortened by a restart.
+        // Subtracts only the proven downtime, so that a restart never shortens a wait.
         long retryAfterMicros = saved.retryAfterRemainingMicros() > 0
                 ? Math.max(
                         0, saved.retryAfterRemainingMicros() - downtime.minMicros() + options.retryAfterMarginMicros())
@@ -191,18 +190,18 @@
         return apply(result.accepted(), result.logLines(), result.refreshAtMicros(), nowMicros);
     }
 
-    /** Applies the entries that were held back and whose hold has ended. */
+    /** Applies the entries whose hold for flapping has ended. */
     public HistoryUpdate releaseDue(long nowMicros) {
         ListUpdate list = reconciler.releaseDue(nowMicros);
-        return list == null ? HistoryUpdate.NOTHING : apply(list, List.of(), EndpointListReconciler.NEVER, nowMicros);
+        return list == null ? HistoryUpdate.EMPTY : apply(list, List.of(), EndpointListReconciler.NEVER, nowMicros);
     }
 
-    /** When {@link #releaseDue} next has entries to apply; {@link EndpointListReconciler#NEVER} for not at all. */
+    /** Returns when {@link #releaseDue} next has entries to apply; {@link EndpointListReconciler#NEVER} for never. */
     public long nextReleaseMicros() {
         return reconciler.nextReleaseMicros();
     }
 
-    /** Another discovery agent sends the lists from now on. */
+    /** Handles the replacement of the discovery agent: revisions of the new agent's lists start over. */
     public void onDiscoveryReplaced() {
         reconciler.resetRevision();
     }
@@ -238,7 +237,7 @@
         KnownEndpoint known = endpoints.get(entry.id());
         confirmedIds.add(entry.id());
         if (known != null && known.state() == KnownEndpoint.State.EJECTED) {
-            // It did not answer just now: it is probed first, and warmed up as after a failure.
+            // An ejected endpoint was failing recently: it is probed first and warmed up as after a failure.
             RouteSnapshot route = RouteSnapshots.withCircuitOpen(known.routeSnapshotOrUnknown(), true);
             restoredRoutes.add(new RouteRestored(TrustLevel.PROBE_FIRST, route));
         }
@@ -257,7 +256,7 @@
         confirmedIds.remove(id);
     }
 
-    /** Applies an event that the engine sends to the decision module: how a call or a probe ended, or a retry-after. */
+    /** Applies an event that the engine sends to the decision module: a call or probe outcome, or a retry-after. */
     public HistoryUpdate onPolicyEvent(PolicyEvent event, long nowMicros) {
         if (event instanceof AttemptCompleted attempt) {
             return onAttempt(attempt, nowMicros);
@@ -268,9 +267,9 @@
         if (event instanceof RetryAfterReceived received && isListed(received.route())) {
             List<SnapshotDelta> deltas = new ArrayList<>();
             recordRetryAfter(received.route(), received.retryAfterMicros(), deltas, nowMicros);
-            return deltas.isEmpty() ? HistoryUpdate.NOTHING : HistoryUpdate.ofDeltas(deltas);
+            return deltas.isEmpty() ? HistoryUpdate.EMPTY : HistoryUpdate.ofDeltas(deltas);
         }
-        return HistoryUpdate.NOTHING;
+        return HistoryUpdate.EMPTY;
     }
 
     private boolean isListed(String id) {
@@ -279,17 +278,20 @@
     }
 
     private HistoryUpdate onAttempt(AttemptCompleted attempt, long nowMicros) {
-        boolean hung = attempt.outcome() == AttemptOutcome.TIMEOUT && attempt.elapsedMicros() >= MIN_HANG_MICROS;
-        boolean isStrike = hung || attempt.outcome() == AttemptOutcome.CONNECT_FAILED;
-        return onOutcome(attempt.route(), attempt.outcome(), attempt.retryAfterMicros(), isStrike, false, nowMicros);
+        boolean isHung = attempt.outcome() == AttemptOutcome.TIMEOUT && attempt.elapsedMicros() >= MIN_HANG_MICROS;
+        boolean isRefusedOrHung = isHung || attempt.outcome() == AttemptOutcome.CONNECT_FAILED;
+        return onOutcome(
+                attempt.route(), attempt.outcome(), attempt.retryAfterMicros(), isRefusedOrHung, false, nowMicros);
     }
 
     private HistoryUpdate onProbe(ProbeCompleted probe, long nowMicros) {
-        // A probe is answered with 200 or 503, or 429 with a retry-after; anything else does not speak this protocol.
+        // A valid probe response is 200, 503, or 429 with a retry-after. Any other response shows that another service
+        // is listening at the address.
         boolean isUnexpected = probe.outcome() == AttemptOutcome.ERROR;
-        boolean isStrike =
+        boolean isRefusedOrHung =
                 probe.outcome() == AttemptOutcome.TIMEOUT || probe.outcome() == AttemptOutcome.CONNECT_FAILED;
-        return onOutcome(probe.route(), probe.outcome(), probe.retryAfterMicros(), isStrike, isUnexpected, nowMicros);
+        return onOutcome(
+                probe.route(), probe.outcome(), probe.retryAfterMicros(), isRefusedOrHung, isUnexpected, nowMicros);
     }
 
     private void recordRetryAfter(String id, long waitMicros, List<SnapshotDelta> deltas, long nowMicros) {
@@ -300,21 +302,21 @@
     }
 
     /**
-     * Applies the end of a call or a probe.
+     * Applies the outcome of a call or a probe.
      *
-     * @param isStrike it was refused, or hung
-     * @param isUnexpected its answer is none of this protocol
+     * @param isRefusedOrHung true if the connection was refused or the call hung
+     * @param isUnexpected true if the response is not part of the probe protocol
      */
     private HistoryUpdate onOutcome(
             String id,
             AttemptOutcome outcome,
             long retryAfterMicros,
-            boolean isStrike,
+            boolean isRefusedOrHung,
             boolean isUnexpected,
             long nowMicros) {
         KnownEndpoint known = endpoints.get(id);
         if (known == null || !known.isListed()) {
-            return HistoryUpdate.NOTHING;
+            return HistoryUpdate.EMPTY;
         }
         EndpointObservation observation = observationOf(id);
         List<SnapshotDelta> deltas = new ArrayList<>();
@@ -324,13 +326,13 @@
         if (confirmedIds.contains(id)) {
             return HistoryUpdate.ofDeltas(deltas);
         }
-        if (isStrike) {
-            observation.recordStrike(nowMicros);
+        if (isRefusedOrHung) {
+            observation.recordRefusalOrHang(nowMicros);
         }
         if (isUnexpected) {
             return eject(endpoint, EjectionReason.UNEXPECTED_RESPONSE, deltas, nowMicros);
         }
-        return observation.hasEjectionStrikes()
+        return observation.hasReachedEjectionThreshold()
                 ? eject(endpoint, EjectionReason.REFUSED_OR_HUNG, deltas, nowMicros)
                 : HistoryUpdate.ofDeltas(deltas);
     }
@@ -350,22 +352,22 @@
                 EndpointListReconciler.NEVER);
     }
 
-    /** True where the list has changed since the last snapshot. */
+    /** Returns true if the list has changed since the last snapshot. */
     public boolean hasUnsavedChanges() {
         return hasUnsavedChanges;
     }
 
     /**
-     * A snapshot of all that is known now.
+     * Returns a snapshot of the current state.
      *
-     * @param clocks the machine's clocks now
-     * @param nowMicros the relay's own time
-     * @param routes what the decision module knows
+     * @param clocks current reading of the machine's clocks
+     * @param nowMicros current time by the relay's own clock
+     * @param routes the decision module's current state of each route
      */
     public Snapshot takeSnapshot(ClockReading clocks, long nowMicros, List<RouteSnapshot> routes) {
         Map<String, RouteSnapshot> routesById = new HashMap<>();
         routes.forEach(route -> routesById.put(route.route(), route));
-        boolean isLearning = nowMicros - openedAtMicros < RATE_LEARNING_MICROS;
+        boolean isLearning = nowMicros - restoredAtMicros < RATE_LEARNING_MICROS;
         List<KnownEndpoint> current = new ArrayList<>();
         for (KnownEndpoint endpoint : endpoints.values()) {
             RouteSnapshot route = routesById.get(endpoint.id());
@@ -381,13 +383,13 @@
         return new Snapshot(owner, generation + 1, clocks, nowMicros, revision, current);
     }
 
-    /** The write of the last snapshot has begun: the next one has the next generation. */
+    /** Handles the start of a snapshot write: the next snapshot has the next generation. */
     public void onSnapshotStarted() {
         hasUnsavedChanges = false;
         generation++;
     }
 
-    /** The write of the last snapshot has failed: its generation is free again, and its changes are unsaved. */
+    /** Handles a failed snapshot write: its generation is reused, and its changes are unsaved again. */
     public void onSnapshotFailed() {
         hasUnsavedChanges = true;
         generation--;
--- a/src/main/java/loftflow/warmstart/EndpointListReconciler.java
+++ b/src/main/java/loftflow/warmstart/EndpointListReconciler.java
@@ -9,15 +9,15 @@
 import loftflow.policy.api.EndpointListKind;
 
 /**
- * Decides which parts of a discovery list are accepted, and when. What an entry takes out of service is accepted at
- * once. Only what a list puts back into service, or leaves out, can be in doubt.
+ * Decides which parts of a discovery list are accepted, and when. An entry that takes its endpoint out of service is
+ * accepted at once. Only entries that put an endpoint into service, and omissions, can be doubtful.
  *
  * <ul>
- * <li>An empty list, or one that leaves out nine of ten endpoints (of {@value #MIN_ENDPOINTS_FOR_LOSS_CHECK} or more):
- * the endpoints that it leaves out stay until discovery has sent such lists for the settle time.
- * <li>A list with an older revision: it takes endpoints out of service and confirms others. What it adds or leaves out
- * is accepted after the settle time, since discovery may have restarted its count.
- * <li>A new id at the address of another endpoint: the other one is removed, even where the list does not name it.
+ * <li>A list that is empty, or that omits nine of ten endpoints (of {@value #MIN_ENDPOINTS_FOR_LOSS_CHECK} or more):
+ * the omitted endpoints stay in service until discovery has sent such lists for the settle time.
+ * <li>A list with an older revision: its removals and its confirmations of endpoints in service apply at once. Its
+ * additions and omissions apply after the settle time, since discovery may have restarted its revision count.
+ * <li>A new id at the address of another endpoint: the other endpoint is removed, even if the list does not name it.
  * <li>An endpoint that returns for the {@value #FLAP_RETURNS}rd time within a minute is held back until it has been
  * listed for ten seconds; the hold doubles with each further return, up to five minutes.
  * </ul>
@@ -25,12 +25,12 @@
  * <p>Not thread-safe. Times are in microseconds.
  */
 public final class EndpointListReconciler {
-    /** Stands for a time that never comes. */
+    /** Value of a time that is never reached. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    /** Returns within {@link #FLAP_WINDOW_MICROS} from which an endpoint counts as flapping. */
+    /** Number of returns within {@link #FLAP_WINDOW_MICROS} at which an endpoint counts as flapping. */
     static final int FLAP_RETURNS = 3;
-    /** A fleet with fewer endpoints than this may lose most of them in one list. */
+    /** Number of endpoints in service below which the loss of most of them in one list is not doubtful. */
     static final int MIN_ENDPOINTS_FOR_LOSS_CHECK = 10;
 
     private static final double DOUBTFUL_LOSS_RATIO = 0.9;
@@ -41,23 +41,23 @@
     private static final int MAX_HOLD_DOUBLINGS = 10;
 
     /**
-     * The outcome for one list.
+     * The outcome of the reconciliation of one list.
      *
-     * @param accepted what is accepted of it; null for nothing
+     * @param accepted the accepted part of the list; null if nothing is accepted
      * @param logLines lines to log
-     * @param refreshAtMicros when the full list is to be requested again; {@link #NEVER} for not at all
+     * @param refreshAtMicros when to request the full list again; {@link #NEVER} if no request is needed
      */
     public record Result(ListUpdate accepted, List<String> logLines, long refreshAtMicros) {}
 
-    private static final class Member {
+    private static final class TrackedEndpoint {
         ListedEndpoint listing;
         boolean isInService;
         int returns;
         long firstReturnMicros;
-        /** End of the hold of a flapping endpoint; 0 where it is not held back. */
+        /** End of the hold of a flapping endpoint; 0 if it is not held back. */
         long heldUntilMicros;
 
-        Member(ListedEndpoint listing) {
+        TrackedEndpoint(ListedEndpoint listing) {
             this.listing = listing;
             this.isInService = true;
         }
@@ -78,47 +78,47 @@
     }
 
     private final long settleMicros;
-    private final Map<String, Member> members = new LinkedHashMap<>();
+    private final Map<String, TrackedEndpoint> trackedEndpoints = new LinkedHashMap<>();
     private long revision;
     private long doubtedSinceMicros = NEVER;
 
     /**
-     * Starts from the endpoints that are in service.
+     * Creates a reconciler that starts from the given endpoints in service.
      *
      * @param settleMicros microseconds after which a doubtful list is accepted; 0 accepts every list at once
-     * @param revision revision of the list that the endpoints come from; -1 where it is not known
+     * @param revision revision of the list that the endpoints come from; -1 if unknown
      */
     public EndpointListReconciler(long settleMicros, long revision, List<ListedEndpoint> inService) {
         this.settleMicros = settleMicros;
         this.revision = revision;
-        inService.forEach(listing -> members.put(listing.id(), new Member(listing)));
+        inService.forEach(listing -> trackedEndpoints.put(listing.id(), new TrackedEndpoint(listing)));
     }
 
-    /** Another discovery agent sends the lists from now on; its revisions are not comparable with the earlier ones. */
+    /** Resets the known revision after the discovery agent was replaced: revisions of two agents are not comparable. */
     public void resetRevision() {
         revision = -1;
         doubtedSinceMicros = NEVER;
     }
 
-    private boolean isDoubtEnabled() {
+    private boolean hasSettleTime() {
         return settleMicros > 0;
     }
 
-    private boolean isBehind(ListUpdate list) {
-        return isDoubtEnabled() && list.revision() < revision;
+    private boolean isOlderRevision(ListUpdate list) {
+        return hasSettleTime() && list.revision() < revision;
     }
 
-    /** Reconciles a list with what is known. */
+    /** Reconciles a list with the tracked endpoints. */
     public Result reconcile(ListUpdate list, long nowMicros) {
         return list.kind() == EndpointListKind.DELTA ? reconcileDelta(list, nowMicros) : reconcileFull(list, nowMicros);
     }
 
     private Result reconcileDelta(ListUpdate list, long nowMicros) {
         List<String> logLines = new ArrayList<>();
-        boolean isBehind = isBehind(list);
-        List<ListedEndpoint> entries = acceptEntries(list, nowMicros, isBehind, logLines);
+        boolean isOlderRevision = isOlderRevision(list);
+        List<ListedEndpoint> entries = acceptEntries(list, nowMicros, isOlderRevision, logLines);
         revision = Math.max(revision, list.revision());
-        return deltaResult(list.revision(), entries, logLines, isBehind ? nowMicros : NEVER);
+        return deltaResult(list.revision(), entries, logLines, isOlderRevision ? nowMicros : NEVER);
     }
 
     private Result reconcileFull(ListUpdate list, long nowMicros) {
@@ -130,7 +130,7 @@
                 logLines.add("warmstart: discovery list in doubt " + doubt);
             }
             if (nowMicros - doubtedSinceMicros < settleMicros) {
-                List<ListedEndpoint> entries = acceptEntries(list, nowMicros, isBehind(list), logLines);
+                List<ListedEndpoint> entries = acceptEntries(list, nowMicros, isOlderRevision(list), logLines);
                 return deltaResult(list.revision(), entries, logLines, doubtedSinceMicros + settleMicros);
             }
             logLines.add("warmstart: doubtful discovery list accepted " + doubt);
@@ -139,10 +139,10 @@
         revision = list.revision();
         List<ListedEndpoint> entries = acceptEntries(list, nowMicros, false, logLines);
         Set<String> namedIds = idsOf(list);
-        members.values().stream()
-                .filter(member -> !namedIds.contains(member.listing.id()))
-                .forEach(Member::takeOutOfService);
-        forgetOldMembers(nowMicros);
+        trackedEndpoints.values().stream()
+                .filter(tracked -> !namedIds.contains(tracked.listing.id()))
+                .forEach(TrackedEndpoint::takeOutOfService);
+        evictStaleEndpoints(nowMicros);
         return new Result(new ListUpdate(EndpointListKind.FULL, list.revision(), entries), logLines, NEVER);
     }
 
@@ -158,47 +158,49 @@
         return ids;
     }
 
-    /** Why a full list is in doubt, as keys and values for the log; null where it is not. */
+    /** Returns why a full list is doubtful, as keys and values for the log; null if it is not doubtful. */
     private String doubtOf(ListUpdate list) {
-        if (!isDoubtEnabled()) {
+        if (!hasSettleTime()) {
             return null;
         }
-        return isBehind(list)
+        return isOlderRevision(list)
                 ? "reason=older-revision revision=" + list.revision() + " known=" + revision
                 : doubtfulLossOf(list);
     }
 
     /**
-     * Counts only endpoints that the list does not name: an entry that takes its endpoint out of service is no loss.
+     * Returns why the omissions of a list are doubtful; null if they are not. Counts only endpoints that the list does
+     * not name: an entry that takes its endpoint out of service is explicit and is not an omission.
      */
     private String doubtfulLossOf(ListUpdate list) {
         Set<String> namedIds = idsOf(list);
-        long inService =
-                members.values().stream().filter(member -> member.isInService).count();
-        long missing = members.values().stream()
-                .filter(member -> member.isInService && !namedIds.contains(member.listing.id()))
+        long inService = trackedEndpoints.values().stream()
+                .filter(tracked -> tracked.isInService)
                 .count();
-        boolean isMost = inService >= MIN_ENDPOINTS_FOR_LOSS_CHECK && missing >= DOUBTFUL_LOSS_RATIO * inService;
-        boolean isDoubtful = missing > 0 && namedIds.isEmpty() || isMost;
+        long missing = trackedEndpoints.values().stream()
+                .filter(tracked -> tracked.isInService && !namedIds.contains(tracked.listing.id()))
+                .count();
+        boolean isMajorLoss = inService >= MIN_ENDPOINTS_FOR_LOSS_CHECK && missing >= DOUBTFUL_LOSS_RATIO * inService;
+        boolean isDoubtful = missing > 0 && namedIds.isEmpty() || isMajorLoss;
         return isDoubtful ? "reason=endpoints-missing missing=" + missing + " known=" + inService : null;
     }
 
-    /** The accepted entries; of a list with an older revision, only those that remove or confirm an endpoint. */
+    /** Returns the accepted entries. With an older revision, only entries that remove or confirm an endpoint count. */
     private List<ListedEndpoint> acceptEntries(
-            ListUpdate list, long nowMicros, boolean isBehind, List<String> logLines) {
+            ListUpdate list, long nowMicros, boolean isOlderRevision, List<String> logLines) {
         List<ListedEndpoint> accepted = new ArrayList<>();
         Set<String> namedIds = idsOf(list);
         for (ListedEndpoint entry : list.entries()) {
-            Member member = members.get(entry.id());
+            TrackedEndpoint tracked = trackedEndpoints.get(entry.id());
             if (!entry.isInService()) {
-                if (member != null) {
-                    member.listing = entry;
-                    member.takeOutOfService();
+                if (tracked != null) {
+                    tracked.listing = entry;
+                    tracked.takeOutOfService();
                 }
                 accepted.add(entry);
-            } else if (!isBehind || member != null && member.isInService) {
+            } else if (!isOlderRevision || tracked != null && tracked.isInService) {
                 removeOthersAtAddress(entry, namedIds, accepted, logLines);
-                if (acceptListed(entry, member, nowMicros, logLines)) {
+                if (acceptListed(entry, tracked, nowMicros, logLines)) {
                     accepted.add(entry);
                 }
             }
@@ -208,7 +210,7 @@
 
     private void removeOthersAtAddress(
             ListedEndpoint entry, Set<String> namedIds, List<ListedEndpoint> accepted, List<String> logLines) {
-        for (Member other : members.values()) {
+        for (TrackedEndpoint other : trackedEndpoints.values()) {
             if (other.isInService
                     && other.listing.address().equals(entry.address())
                     && !namedIds.contains(other.listing.id())) {
@@ -220,10 +222,10 @@
         }
     }
 
-    /** Records an entry that is in service; false where the endpoint is held back for flapping. */
-    private boolean acceptListed(ListedEndpoint entry, Member known, long nowMicros, List<String> logLines) {
+    /** Records an entry that is in service. Returns false if the endpoint is held back for flapping. */
+    private boolean acceptListed(ListedEndpoint entry, TrackedEndpoint known, long nowMicros, List<String> logLines) {
         if (known == null) {
-            members.put(entry.id(), new Member(entry));
+            trackedEndpoints.put(entry.id(), new TrackedEndpoint(entry));
             return true;
         }
         known.listing = entry;
@@ -238,7 +240,7 @@
             known.firstReturnMicros = nowMicros;
         }
         known.returns++;
-        if (isDoubtEnabled() && known.returns >= FLAP_RETURNS) {
+        if (hasSettleTime() && known.returns >= FLAP_RETURNS) {
             hold(known, nowMicros, logLines);
             return false;
         }
@@ -246,50 +248,51 @@
         return true;
     }
 
-    private static void hold(Member member, long nowMicros, List<String> logLines) {
-        int doublings = Math.min(MAX_HOLD_DOUBLINGS, member.returns - FLAP_RETURNS);
+    private static void hold(TrackedEndpoint tracked, long nowMicros, List<String> logLines) {
+        int doublings = Math.min(MAX_HOLD_DOUBLINGS, tracked.returns - FLAP_RETURNS);
         long holdMicros = Math.min(MAX_HOLD_MICROS, FIRST_HOLD_MICROS << doublings);
-        member.heldUntilMicros = nowMicros + holdMicros;
+        tracked.heldUntilMicros = nowMicros + holdMicros;
         // The window starts at the end of the hold, so that a hold longer than the window does not reset the count.
-        member.firstReturnMicros = member.heldUntilMicros;
-        logLines.add("warmstart: flapping endpoint held back endpoint=" + member.listing.id() + " returns="
-                + member.returns + " holdSeconds=" + holdMicros / MICROS_PER_SECOND);
+        tracked.firstReturnMicros = tracked.heldUntilMicros;
+        logLines.add("warmstart: flapping endpoint held back endpoint=" + tracked.listing.id() + " returns="
+                + tracked.returns + " holdSeconds=" + holdMicros / MICROS_PER_SECOND);
     }
 
     /**
-     * Evicts members that have long been out of service, so that the map does not grow with every endpoint ever seen.
+     * Evicts endpoints that have long been out of service, so that the map does not grow with every endpoint ever seen.
      */
-    private void forgetOldMembers(long nowMicros) {
-        members.values()
-                .removeIf(member -> !member.isInService
-                        && !member.isHeld()
-                        && nowMicros - member.firstReturnMicros > MAX_HOLD_MICROS);
+    private void evictStaleEndpoints(long nowMicros) {
+        trackedEndpoints
+                .values()
+                .removeIf(tracked -> !tracked.isInService
+                        && !tracked.isHeld()
+                        && nowMicros - tracked.firstReturnMicros > MAX_HOLD_MICROS);
     }
 
-    /** When the next hold ends; {@link #NEVER} where no endpoint is held back. */
+    /** Returns when the next hold ends; {@link #NEVER} if no endpoint is held back. */
     public long nextReleaseMicros() {
-        return members.values().stream()
-                .filter(Member::isHeld)
-                .mapToLong(member -> member.heldUntilMicros)
+        return trackedEndpoints.values().stream()
+                .filter(TrackedEndpoint::isHeld)
+                .mapToLong(tracked -> tracked.heldUntilMicros)
                 .min()
                 .orElse(NEVER);
     }
 
-    /** Puts endpoints whose hold has ended into service; null where there is none. */
+    /** Puts endpoints whose hold has ended into service. Returns null if there are none. */
     public ListUpdate releaseDue(long nowMicros) {
         List<ListedEndpoint> entries = new ArrayList<>();
-        for (Member member : members.values()) {
-            if (member.isHeld() && member.heldUntilMicros <= nowMicros) {
-                member.putIntoService();
-                entries.add(member.listing);
+        for (TrackedEndpoint tracked : trackedEndpoints.values()) {
+            if (tracked.isHeld() && tracked.heldUntilMicros <= nowMicros) {
+                tracked.putIntoService();
+                entries.add(tracked.listing);
             }
         }
         return entries.isEmpty() ? null : new ListUpdate(EndpointListKind.DELTA, revision, entries);
     }
 
-    /** True where an endpoint is listed as in service and not held back. */
+    /** Returns true if an endpoint is listed as in service and not held back. */
     boolean isInService(String id) {
-        Member member = members.get(id);
-        return member != null && member.isInService && member.listing.isInService();
+        TrackedEndpoint tracked = trackedEndpoints.get(id);
+        return tracked != null && tracked.isInService && tracked.listing.isInService();
     }
 }
--- a/src/main/java/loftflow/warmstart/EndpointObservation.java
+++ b/src/main/java/loftflow/warmstart/EndpointObservation.java
@@ -3,25 +3,27 @@
 import java.util.List;
 import loftflow.policy.api.AttemptOutcome;
 
-/** What this process has observed of one endpoint: failures, strikes towards its ejection, and its retry-after. */
+/** Observations of one endpoint by this process: failures, refusals and hangs that lead to ejection, retry-after. */
 final class EndpointObservation {
-    private static final int EJECTION_STRIKES = 2;
-    /** Strikes within this interval of the last one count as the same one. */
-    private static final long STRIKE_INTERVAL_MICROS = 1_000_000;
-    /** Consecutive failures from which an endpoint counts as failed. */
+    /** Number of refusals and hangs since the last success at which an endpoint is ejected. */
+    private static final int EJECTION_THRESHOLD = 2;
+    /** A refusal or hang within this interval of the last one counted is not counted. */
+    private static final long MIN_REFUSAL_INTERVAL_MICROS = 1_000_000;
+    /** Number of consecutive failures at which an endpoint counts as failed. */
     private static final int FAILURE_THRESHOLD = 3;
-    /** A retry-after is recorded again only where its end moves by more than this. */
+    /** Smallest extension of a retry-after that is recorded again. */
     private static final long RETRY_AFTER_STEP_MICROS = 200_000;
 
-    private int strikes;
-    private long lastStrikeMicros = Long.MIN_VALUE / 2;
+    private int refusalsAndHangs;
+    private long lastRefusalOrHangMicros = Long.MIN_VALUE / 2;
     private int consecutiveFailures;
     private boolean isFailed;
     private long retryAfterUntilMicros;
 
     /**
-     * Continues from what an earlier process recorded.
+     * Restores the state that an earlier process recorded.
      *
+     * @param failed whether the endpoint counted as failed
      * @param retryAfterUntil end of the recorded retry-after in the relay's own time; 0 for none
      */
     void restore(boolean failed, long retryAfterUntil) {
@@ -30,10 +32,10 @@
     }
 
     /**
-     * Records the end of a call or a probe.
+     * Records the outcome of a call or a probe.
      *
-     * @param deltas takes what is to be written down at once
-     * @return the endpoint with the evidence that the outcome gives
+     * @param deltas receives the deltas to be written at once
+     * @return the endpoint, updated with the evidence of the outcome
      */
     KnownEndpoint recordOutcome(
             KnownEndpoint endpoint, AttemptOutcome outcome, List<SnapshotDelta> deltas, long nowMicros) {
@@ -58,16 +60,16 @@
         };
     }
 
-    /** Records a successful call; true where the endpoint recovers by it. */
+    /** Records a successful call. Returns true if the endpoint had failed and now recovers. */
     private boolean recordSuccess() {
         consecutiveFailures = 0;
-        strikes = 0;
+        refusalsAndHangs = 0;
         boolean hasRecovered = isFailed;
         isFailed = false;
         return hasRecovered;
     }
 
-    /** Records a failed call; true where the endpoint counts as failed from now on. */
+    /** Records a failed call. Returns true if it is the failure at which the endpoint becomes failed. */
     private boolean recordFailure() {
         consecutiveFailures++;
         if (consecutiveFailures < FAILURE_THRESHOLD || isFailed) {
@@ -78,18 +80,18 @@
     }
 
     /** Records a call that was refused or hung. */
-    void recordStrike(long nowMicros) {
-        if (nowMicros - lastStrikeMicros >= STRIKE_INTERVAL_MICROS) {
-            strikes++;
-            lastStrikeMicros = nowMicros;
+    void recordRefusalOrHang(long nowMicros) {
+        if (nowMicros - lastRefusalOrHangMicros >= MIN_REFUSAL_INTERVAL_MICROS) {
+            refusalsAndHangs++;
+            lastRefusalOrHangMicros = nowMicros;
         }
     }
 
-    boolean hasEjectionStrikes() {
-        return strikes >= EJECTION_STRIKES;
+    boolean hasReachedEjectionThreshold() {
+        return refusalsAndHangs >= EJECTION_THRESHOLD;
     }
 
-    /** Records a retry-after; true where its end moves so far that it is to be written down. */
+    /** Records a retry-after. Returns true if it extends the recorded one by enough to be written. */
     boolean recordRetryAfter(long waitMicros, long nowMicros) {
         if (waitMicros <= 0 || nowMicros + waitMicros <= retryAfterUntilMicros + RETRY_AFTER_STEP_MICROS) {
             return false;
@@ -98,7 +100,7 @@
         return true;
     }
 
-    /** End of the recorded retry-after in the relay's own time; 0 for none. */
+    /** Returns the end of the recorded retry-after in the relay's own time; 0 for none. */
     long retryAfterUntilMicros() {
         return retryAfterUntilMicros;
     }
--- a/src/main/java/loftflow/warmstart/EndpointTrust.java
+++ b/src/main/java/loftflow/warmstart/EndpointTrust.java
@@ -2,21 +2,21 @@
 
 import loftflow.policy.api.TrustLevel;
 
-/** How far a restored endpoint is trusted to be what it was when the snapshot was taken. */
+/** Level of trust that a restored endpoint is still the one that the snapshot describes. */
 public enum EndpointTrust {
-    /** Used like an endpoint that discovery has just listed, at the pace of a fleet that starts together. */
+    /** Used like an endpoint that discovery has just listed, at the reduced rate of a simultaneous fleet start. */
     AS_LISTED,
-    /** Used after one successful probe, or one message where probes are off. */
+    /** Used after one successful probe, or one message if probes are disabled. */
     PROBE_FIRST,
-    /** As {@link #PROBE_FIRST}, and only where the destination has no other endpoint. */
+    /** As {@link #PROBE_FIRST}, and only if the destination has no other endpoint. */
     LAST_RESORT,
     /** Not used until discovery lists it again. */
     NEVER;
 
     /**
-     * The level that the decision module receives.
+     * Returns the corresponding level of the decision module.
      *
-     * @throws IllegalStateException for {@link #NEVER}: such an endpoint is not passed on at all
+     * @throws IllegalStateException for {@link #NEVER}: such an endpoint is not passed to the decision module
      */
     public TrustLevel toTrustLevel() {
         return switch (this) {
--- a/src/main/java/loftflow/warmstart/HistoryUpdate.java
+++ b/src/main/java/loftflow/warmstart/HistoryUpdate.java
@@ -4,14 +4,14 @@
 import loftflow.policy.api.RouteRestored;
 
 /**
- * What follows from a list or an event.
+ * Effects of a list or an event.
  *
- * @param listUpdate the list for the relay; null for none
- * @param restoredRoutes what the decision module receives with it
- * @param deltas deltas to be written at once
+ * @param listUpdate the list to apply to the relay; null if there is none
+ * @param restoredRoutes restored routes that the decision module receives with the list
+ * @param deltas deltas to write at once
  * @param logLines lines to log
- * @param refreshAtMicros when the full list is to be requested again; {@link EndpointListReconciler#NEVER} for not at
- *     all
+ * @param refreshAtMicros when to request the full list again; {@link EndpointListReconciler#NEVER} if no request is
+ *     needed
  */
 public record HistoryUpdate(
         ListUpdate listUpdate,
@@ -19,7 +19,7 @@
         List<SnapshotDelta> deltas,
         List<String> logLines,
         long refreshAtMicros) {
-    static final HistoryUpdate NOTHING = ofDeltas(List.of());
+    static final HistoryUpdate EMPTY = ofDeltas(List.of());
 
     static HistoryUpdate ofDeltas(List<SnapshotDelta> deltas) {
         return new HistoryUpdate(null, List.of(), deltas, List.of(), EndpointListReconciler.NEVER);
--- a/src/main/java/loftflow/warmstart/KnownEndpoint.java
+++ b/src/main/java/loftflow/warmstart/KnownEndpoint.java
@@ -4,16 +4,16 @@
 import loftflow.policy.api.RouteSnapshot;
 
 /**
- * What a relay knows of one endpoint. Immutable. Times are the relay's own, in microseconds; 0 for never.
+ * Recorded state of one endpoint. Immutable. Times are in microseconds of the relay's own clock; 0 means never.
  *
- * @param entry its latest entry in a list
+ * @param entry the latest list entry
  * @param address a numeric IP address and a port
- * @param state its membership
- * @param listedAtMicros when discovery last listed it as in service
- * @param answeredAtMicros when it last answered a call, with whatever status
- * @param failedAtMicros when a call to it last failed without an answer
- * @param recoveredAtMicros when it answered again after it had failed; it is cold until its warm-up is over
- * @param routeSnapshot what the decision module knows of its route; null where it knows nothing
+ * @param state the membership state
+ * @param listedAtMicros when discovery last listed the endpoint as in service
+ * @param answeredAtMicros when the endpoint last answered a call, with any status
+ * @param failedAtMicros when a call to the endpoint last failed without an answer
+ * @param recoveredAtMicros when the endpoint last recovered from failure; it is cold until its warm-up ends
+ * @param routeSnapshot the decision module's state of the route; null if it has none
  */
 public record KnownEndpoint(
         EndpointEntry entry,
@@ -25,7 +25,7 @@
         long recoveredAtMicros,
         RouteSnapshot routeSnapshot) {
 
-    /** Membership of an endpoint. */
+    /** Membership state of an endpoint. */
     public enum State {
         /** Listed as in service. */
         LISTED,
@@ -35,12 +35,12 @@
         EJECTED
     }
 
-    /** An endpoint of which nothing but its listing is known. */
+    /** Returns the state of an endpoint that has been listed but not yet called. */
     public static KnownEndpoint newlyListed(EndpointEntry entry, String address, long nowMicros) {
         return new KnownEndpoint(entry, address, State.LISTED, nowMicros, 0, 0, 0, null);
     }
 
-    /** The endpoint's id, which is the id of its route. */
+    /** Returns the endpoint's id, which is the id of its route. */
     public String id() {
         return entry.route();
     }
@@ -49,12 +49,12 @@
         return state == State.LISTED;
     }
 
-    /** The route snapshot, or one without any knowledge where there is none. */
+    /** Returns the route snapshot, or a blank one if there is none. */
     RouteSnapshot routeSnapshotOrUnknown() {
         return routeSnapshot != null ? routeSnapshot : RouteSnapshots.unknown(id());
     }
 
-    /** A copy with another state. */
+    /** Returns a copy with another state. */
     public KnownEndpoint withState(State newState) {
         return new KnownEndpoint(
                 entry,
@@ -67,7 +67,7 @@
                 routeSnapshot);
     }
 
-    /** A copy with another route snapshot. */
+    /** Returns a copy with another route snapshot. */
     public KnownEndpoint withRouteSnapshot(RouteSnapshot newSnapshot) {
         return new KnownEndpoint(
                 entry,
@@ -80,7 +80,7 @@
                 newSnapshot);
     }
 
-    /** A copy that is listed with a new entry and address. */
+    /** Returns a copy that is listed with a new entry and address. */
     public KnownEndpoint withListing(EndpointEntry entry, String newAddress, long nowMicros) {
         return new KnownEndpoint(
                 entry,
@@ -93,7 +93,7 @@
                 routeSnapshot);
     }
 
-    /** A copy whose evidence of being in service (its last listing and answer) is no later than the given time. */
+    /** Returns a copy whose evidence of being in service (last listing, last answer) is capped to the given time. */
     public KnownEndpoint withEvidenceNoLaterThan(long latestMicros) {
         return new KnownEndpoint(
                 entry,
@@ -106,19 +106,19 @@
                 routeSnapshot);
     }
 
-    /** A copy that has just answered a call. */
+    /** Returns a copy that has just answered a call. */
     public KnownEndpoint withAnswer(long nowMicros) {
         return new KnownEndpoint(
                 entry, address, state, listedAtMicros, nowMicros, failedAtMicros, recoveredAtMicros, routeSnapshot);
     }
 
-    /** A copy for which a call has just failed without an answer. */
+    /** Returns a copy for which a call has just failed without an answer. */
     public KnownEndpoint withFailure(long nowMicros) {
         return new KnownEndpoint(
                 entry, address, state, listedAtMicros, answeredAtMicros, nowMicros, recoveredAtMicros, routeSnapshot);
     }
 
-    /** A copy that has just recovered. */
+    /** Returns a copy that has just recovered. */
     public KnownEndpoint withRecovery(long nowMicros) {
         return new KnownEndpoint(
                 entry, address, state, listedAtMicros, answeredAtMicros, failedAtMicros, nowMicros, routeSnapshot);
--- a/src/main/java/loftflow/warmstart/ListedEndpoint.java
+++ b/src/main/java/loftflow/warmstart/ListedEndpoint.java
@@ -6,10 +6,10 @@
 /**
  * An entry of an endpoint list.
  *
- * @param address a numeric IP address and a port; an IPv6 address stands in brackets
+ * @param address a numeric IP address and a port; an IPv6 address is enclosed in brackets
  */
 public record ListedEndpoint(EndpointEntry entry, String address) {
-    /** The endpoint's id, which is the id of its route. */
+    /** Returns the endpoint's id, which is the id of its route. */
     public String id() {
         return entry.route();
     }
@@ -18,7 +18,7 @@
         return entry.availability() == Availability.LISTED;
     }
 
-    /** The same endpoint, marked as removed. */
+    /** Returns a copy that is marked as removed. */
     ListedEndpoint removed() {
         return new ListedEndpoint(entry.withAvailability(Availability.REMOVED), address);
     }
--- a/src/main/java/loftflow/warmstart/RestoreSummary.java
+++ b/src/main/java/loftflow/warmstart/RestoreSummary.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts restored endpoints by trust, for the log. */
+/** Log summary of a restore: the number of endpoints at each trust level. */
 final class RestoreSummary {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -24,7 +24,7 @@
         int endpoints = counts.values().stream().mapToInt(Integer::intValue).sum();
         return "warmstart: restored endpoints=" + endpoints
                 + " revision=" + revision
-                + " ageSeconds=" + age()
+                + " ageSeconds=" + ageSeconds()
                 + " clock=" + (downtime.isUncertain() ? "unproven" : "proven")
                 + " asListed=" + countOf(EndpointTrust.AS_LISTED)
                 + " probeFirst=" + countOf(EndpointTrust.PROBE_FIRST)
@@ -32,7 +32,7 @@
                 + " never=" + countOf(EndpointTrust.NEVER);
     }
 
-    private String age() {
+    private String ageSeconds() {
         return downtime.maxMicros() == DowntimeEstimate.UNKNOWN
                 ? "unknown"
                 : String.valueOf(downtime.maxMicros() / MICROS_PER_SECOND);
--- a/src/main/java/loftflow/warmstart/RestoredState.java
+++ b/src/main/java/loftflow/warmstart/RestoredState.java
@@ -4,11 +4,11 @@
 import loftflow.policy.api.RouteRestored;
 
 /**
- * What a relay starts with.
+ * The state with which a relay starts.
  *
- * @param endpoints the endpoints with any trust at all
- * @param revision revision of the list that they come from; -1 where there was none
- * @param restoredRoutes what the decision module receives for each of them
+ * @param endpoints the endpoints whose trust is not {@link EndpointTrust#NEVER}
+ * @param revision revision of the list that names them; -1 if there was no list
+ * @param restoredRoutes the routes that the decision module receives, one for each endpoint restored from a snapshot
  * @param logLines lines to log
  */
 public record RestoredState(
--- a/src/main/java/loftflow/warmstart/RouteSnapshots.java
+++ b/src/main/java/loftflow/warmstart/RouteSnapshots.java
@@ -2,11 +2,11 @@
 
 import loftflow.policy.api.RouteSnapshot;
 
-/** Copies of {@link RouteSnapshot} with single values replaced. */
+/** Functions that copy a {@link RouteSnapshot} with some values replaced. */
 final class RouteSnapshots {
     private RouteSnapshots() {}
 
-    /** A route of which nothing is known. */
+    /** Returns the snapshot of a route that has no recorded state. */
     static RouteSnapshot unknown(String routeId) {
         return new RouteSnapshot(routeId, 0, 0, 0, 0, false, 0);
     }
@@ -37,7 +37,7 @@
                 route.warmUpRemainingMicros());
     }
 
-    /** A current snapshot, with the rate and response time of an earlier one where that one has seen more calls. */
+    /** Returns the current snapshot with the higher of both rates, and the earlier response time if it has none. */
     static RouteSnapshot withEarlierRates(RouteSnapshot current, RouteSnapshot earlier) {
         return new RouteSnapshot(
                 current.route(),
--- a/src/main/java/loftflow/warmstart/Snapshot.java
+++ b/src/main/java/loftflow/warmstart/Snapshot.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Everything that a relay knows of its endpoints at one moment. Immutable.
+ * Recorded state of all endpoints of a relay at one time. Immutable.
  *
- * @param owner name of the relay that wrote it; another relay does not use it
- * @param generation increases by one with each snapshot that is written
- * @param clocks the machine's clocks at that moment
- * @param relayTimeMicros the relay's own time at that moment, in microseconds
- * @param revision revision of the discovery list; -1 where none was received
+ * @param owner name of the relay that wrote the snapshot; other relays ignore it
+ * @param generation sequence number, one higher for each snapshot written
+ * @param clocks reading of the machine's clocks at that time
+ * @param relayTimeMicros time by the relay's own clock, in microseconds
+ * @param revision revision of the discovery list; -1 if none was received
  */
 public record Snapshot(
         String owner,
--- a/src/main/java/loftflow/warmstart/SnapshotDelta.java
+++ b/src/main/java/loftflow/warmstart/SnapshotDelta.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * A change that is recorded at once instead of with the next snapshot, since a start that did not know it would do
- * harm.
+ * A change that is recorded at once instead of with the next snapshot, since a restart without it would use
+ * outdated state, such as an endpoint that has been removed.
  *
- * @param endpointId the endpoint; empty for {@link Kind#DELTAS_LOST}, which concerns all of them
- * @param atMicros the relay's own time: when the change happened, or for {@link Kind#RETRY_AFTER} and
- *     {@link Kind#DELTAS_LOST} when the wait ends (0 for no wait)
+ * @param endpointId the endpoint; empty for {@link Kind#DELTAS_LOST}, which applies to all endpoints
+ * @param atMicros time by the relay's own clock: when the change happened, or for {@link Kind#RETRY_AFTER} and
+ *     {@link Kind#DELTAS_LOST} when the wait ends (0 if there is no wait)
  */
 public record SnapshotDelta(Kind kind, String endpointId, long atMicros) {
-    /** What changed. */
+    /** Kind of a change. */
     public enum Kind {
         /** Discovery removed the endpoint or is draining it. */
         OUT_OF_SERVICE,
         /** This relay ejected the endpoint. */
         EJECTED,
-        /** The endpoint sent a retry-after; {@code atMicros} is its end. */
+        /** The endpoint sent a retry-after; {@code atMicros} is the end of the wait. */
         RETRY_AFTER,
         /** Consecutive calls to the endpoint failed. */
         FAILED,
@@ -30,7 +30,7 @@
         DELTAS_LOST
     }
 
-    /** One delta that stands for several that can't be written. It holds whatever they say. */
+    /** Returns one delta that replaces several that could not be written. It covers the worst case of all of them. */
     public static SnapshotDelta summaryOf(List<SnapshotDelta> deltas) {
         long retryAfterUntilMicros = deltas.stream()
                 .filter(delta -> delta.kind() == Kind.RETRY_AFTER || delta.kind() == Kind.DELTAS_LOST)
--- a/src/main/java/loftflow/warmstart/TrustPolicy.java
+++ b/src/main/java/loftflow/warmstart/TrustPolicy.java
@@ -1,12 +1,12 @@
 package loftflow.warmstart;
 
 /**
- * How far a restored endpoint is trusted, by age and evidence. Trust is 1 at the latest evidence (discovery listed the
- * endpoint, or it answered a call) and halves with each half-life. Only new evidence raises it.
+ * Computes the trust in a restored endpoint from its age and evidence. Trust is 1 at the time of the latest evidence
+ * (discovery listed the endpoint, or it answered a call) and halves with each half-life. Only new evidence raises it.
  *
  * <table>
  * <caption>Trust levels</caption>
- * <tr><td>removed, draining or ejected</td><td>{@link EndpointTrust#NEVER}, at any age</td></tr>
+ * <tr><td>removed, draining or ejected</td><td>{@link EndpointTrust#NEVER}, regardless of age</td></tr>
  * <tr><td>trust of {@value #MIN_AS_LISTED_VALUE} or more, its age proven, the last call not a failure</td>
  * <td>{@link EndpointTrust#AS_LISTED}</td></tr>
  * <tr><td>2^-{@value #LAST_RESORT_HALF_LIVES} or more</td><td>{@link EndpointTrust#PROBE_FIRST}</td></tr>
@@ -16,9 +16,9 @@
  * @param halfLifeMicros above 0
  */
 public record TrustPolicy(long halfLifeMicros) {
-    /** Half-lives after which an endpoint is used only as a last resort. */
+    /** Number of half-lives after which an endpoint is used only as a last resort. */
     public static final int LAST_RESORT_HALF_LIVES = 30;
-    /** Trust from which an endpoint is used as listed: an address is reassigned within minutes, not within seconds. */
+    /** Lowest trust at which an endpoint is used as listed. Addresses are reassigned within minutes, not seconds. */
     public static final double MIN_AS_LISTED_VALUE = 0.95;
 
     public TrustPolicy {
@@ -27,21 +27,21 @@
         }
     }
 
-    /** Trust at an age in microseconds, from 0 to 1. */
+    /** Returns the trust at an age in microseconds, from 0 to 1. */
     public double valueAtAge(long ageMicros) {
         return Math.pow(0.5, Math.max(0, ageMicros) / (double) halfLifeMicros);
     }
 
-    /** The age in microseconds up to which an endpoint is used as listed. */
+    /** Returns the age in microseconds up to which an endpoint is used as listed. */
     public long asListedMaxAgeMicros() {
         return (long) (halfLifeMicros * -Math.log(MIN_AS_LISTED_VALUE) / Math.log(2));
     }
 
     /**
-     * The latest time of evidence that is consistent with the trust that an endpoint has at a start. Evidence is capped
-     * to it, so that the next start, whose clocks may not show the doubt of this one, trusts the endpoint no more.
+     * Returns the latest evidence time that is consistent with the trust in an endpoint at a start. Evidence is capped
+     * to it: the next start may have certain clocks and all deltas, and still must not trust the endpoint more.
      *
-     * @param nowMicros the relay's own time
+     * @param nowMicros current time by the relay's own clock
      */
     long latestEvidenceMicros(EndpointTrust trust, long nowMicros) {
         return switch (trust) {
@@ -52,12 +52,12 @@
     }
 
     /**
-     * The trust in an endpoint at a start.
+     * Returns the trust in an endpoint at a start.
      *
-     * @param known what the snapshot and its deltas say of it
-     * @param savedAtMicros the relay's own time at the snapshot
+     * @param known the endpoint's state from the snapshot and its deltas
+     * @param savedAtMicros time of the snapshot by the relay's own clock
      * @param downtime the time since the snapshot
-     * @param isComplete false where deltas since the snapshot may be missing
+     * @param isComplete false if deltas since the snapshot may be missing
      */
     public EndpointTrust trustOf(
             KnownEndpoint known, long savedAtMicros, DowntimeEstimate downtime, boolean isComplete) {
@@ -65,7 +65,7 @@
             return EndpointTrust.NEVER;
         }
         long evidenceMicros = Math.max(known.listedAtMicros(), known.answeredAtMicros());
-        // Evidence from after the snapshot counts as being of the snapshot's time: it must not lower the age.
+        // Evidence later than the snapshot counts as of the snapshot's time, since it must not lower the age.
         long ageMicros = downtime.maxMicros() + Math.max(0, savedAtMicros - evidenceMicros);
         if (valueAtAge(ageMicros) < Math.pow(0.5, LAST_RESORT_HALF_LIVES)) {
             return EndpointTrust.LAST_RESORT;
--- a/src/main/java/loftflow/warmstart/WriteBudget.java
+++ b/src/main/java/loftflow/warmstart/WriteBudget.java
@@ -1,15 +1,15 @@
 package loftflow.warmstart;
 
 /**
- * Token bucket that bounds how many bytes are written: over any interval no more than {@link #burstBytes} plus the rate
- * for each second of it. A part of the bucket is reserved for deltas, so that a snapshot never prevents a drain from
- * being recorded. Times are in microseconds.
+ * Token bucket that limits the bytes written in any interval to {@link #burstBytes} plus the rate times the length of
+ * the interval. A part of the bucket is reserved for deltas, so that a snapshot never prevents a drain from being
+ * recorded. Times are in microseconds.
  */
 public final class WriteBudget {
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** The bucket holds what the rate allows in this many seconds. */
+    /** Capacity of the bucket, in seconds at the rate. */
     private static final long BURST_SECONDS = 60;
-    /** One part in so many of the bucket is reserved for deltas. */
+    /** Divisor of the bucket's capacity that gives the reserve for deltas. */
     private static final long RESERVE_DIVISOR = 4;
 
     private final long bytesPerSecond;
@@ -17,10 +17,10 @@
     private long refilledAtMicros;
 
     /**
-     * A bucket that starts with the reserve for deltas and what the time since the last write has refilled, so that a
-     * sequence of restarts writes no more than one process would.
+     * Creates a bucket that holds the reserve for deltas and the refill for the time since the last write, so that a
+     * sequence of restarts writes no more than a single process.
      *
-     * @param idleMicros time since something was last written
+     * @param idleMicros time since the last write
      */
     public WriteBudget(long bytesPerSecond, long idleMicros, long nowMicros) {
         this.bytesPerSecond = bytesPerSecond;
@@ -29,12 +29,12 @@
         refill(nowMicros);
     }
 
-    /** The capacity of the bucket. */
+    /** Returns the capacity of the bucket. */
     public long burstBytes() {
         return bytesPerSecond * BURST_SECONDS;
     }
 
-    /** Size of the largest snapshot that can ever be written. */
+    /** Returns the size of the largest snapshot that the budget can ever allow. */
     public long maxSnapshotBytes() {
         return burstBytes() - reserveBytes();
     }
@@ -50,18 +50,18 @@
             refilledAtMicros = nowMicros;
         } else if (refillBytes > 0) {
             availableBytes += refillBytes;
-            // Advances by the time of whole bytes only: fractions of a byte count at the next call.
+            // Advances by the time of whole bytes only, so that the fraction of a byte carries over to the next call.
             refilledAtMicros += refillBytes * MICROS_PER_SECOND / bytesPerSecond;
         }
     }
 
-    /** True where a snapshot of this size may be written now. */
+    /** Returns true if a snapshot of this size may be written now. */
     public boolean allowsSnapshot(long bytes, long nowMicros) {
         refill(nowMicros);
         return availableBytes - bytes >= reserveBytes();
     }
 
-    /** Takes the bytes of a snapshot; false, and nothing is taken, where they may not be written now. */
+    /** Takes the bytes of a snapshot from the budget. Returns false and takes nothing if too few are available. */
     public boolean tryTakeSnapshot(long bytes, long nowMicros) {
         if (!allowsSnapshot(bytes, nowMicros)) {
             return false;
@@ -71,7 +71,8 @@
     }
 
     /**
-     * Takes the bytes of deltas, from the reserve too; false, and nothing is taken, where they may not be written now.
+     * Takes the bytes of deltas from the budget, including the reserve. Returns false and takes nothing if too few
+     * are available.
      */
     public boolean tryTakeDeltas(long bytes, long nowMicros) {
         refill(nowMicros);
--- a/src/test/java/loftflow/warmstart/EndpointHistoryTest.java
+++ b/src/test/java/loftflow/warmstart/EndpointHistoryTest.java
@@ -19,7 +19,7 @@
 import loftflow.policy.api.TrustLevel;
 import org.junit.jupiter.api.Test;
 
-/** What a relay restores at a start, and how it reconciles that with discovery and the outcomes of calls. */
+/** Restoring endpoint state at a start, and updating it from discovery lists and call outcomes. */
 class EndpointHistoryTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long START_MICROS = 1_700_000_000 * SECOND_MICROS;
@@ -32,60 +32,65 @@
                 new EndpointEntry("e" + i, i, "k", "b", Availability.LISTED, 0), "127.0.0.1:" + (1000 + i));
     }
 
-    private static ListUpdate fullList(long revision, int n) {
+    private static ListUpdate fullList(long revision, int count) {
         return new ListUpdate(
                 EndpointListKind.FULL,
                 revision,
-                IntStream.range(0, n)
+                IntStream.range(0, count)
                         .mapToObj(EndpointHistoryTest::listedEndpoint)
                         .toList());
     }
 
-    private static AttemptCompleted attempt(int i, AttemptOutcome result, long wait) {
-        return new AttemptCompleted(1, 0, "e" + i, result, false, wait, 2 * SECOND_MICROS, LimitReport.NONE);
+    private static AttemptCompleted attempt(int i, AttemptOutcome outcome, long retryAfterMicros) {
+        return new AttemptCompleted(
+                1, 0, "e" + i, outcome, false, retryAfterMicros, 2 * SECOND_MICROS, LimitReport.NONE);
     }
 
-    private static ProbeCompleted probe(int i, AttemptOutcome result) {
-        return new ProbeCompleted("e" + i, result, 0, 1000, LimitReport.NONE);
+    private static ProbeCompleted probe(int i, AttemptOutcome outcome) {
+        return new ProbeCompleted("e" + i, outcome, 0, 1000, LimitReport.NONE);
     }
 
-    private static RouteSnapshot routeSnapshot(int i, long wait, double usual, boolean out, long warm) {
-        return new RouteSnapshot("e" + i, wait, 0, usual, 30_000, out, warm);
+    private static RouteSnapshot routeSnapshot(
+            int i, long retryAfterMicros, double usualRate, boolean isCircuitOpen, long warmUpMicros) {
+        return new RouteSnapshot("e" + i, retryAfterMicros, 0, usualRate, 30_000, isCircuitOpen, warmUpMicros);
     }
 
-    /** A history with a list of {@code n} endpoints from discovery. */
-    private static EndpointHistory historyWithList(int n) {
+    /** Returns a history with a list of {@code count} endpoints from discovery. */
+    private static EndpointHistory historyWithList(int count) {
         EndpointHistory history = new EndpointHistory(OPTIONS, "app#0");
         history.restore(null, List.of(), true, null, START_READING, START_MICROS);
-        history.onListUpdate(fullList(5, n), START_MICROS);
+        history.onListUpdate(fullList(5, count), START_MICROS);
         return history;
     }
 
-    private static RestoredState reopen(
-            EndpointHistory history, Snapshot snapshot, List<SnapshotDelta> deltas, long later) {
-        return history.restore(snapshot, deltas, true, null, START_READING.plus(later), START_MICROS + later);
+    private static RestoredState restoreAfter(
+            EndpointHistory history, Snapshot snapshot, List<SnapshotDelta> deltas, long elapsedMicros) {
+        return history.restore(
+                snapshot, deltas, true, null, START_READING.plus(elapsedMicros), START_MICROS + elapsedMicros);
     }
 
-    private static RouteRestored restoredRoute(RestoredState opening, int i) {
-        return opening.restoredRoutes().stream()
+    private static RouteRestored restoredRoute(RestoredState restored, int i) {
+        return restored.restoredRoutes().stream()
                 .filter(r -> r.snapshot().route().equals("e" + i))
                 .findFirst()
                 .orElse(null);
     }
 
     @Test
-    void startRestoresTheListAndWhatWasLearnt() {
+    void startRestoresListAndRouteState() {
         Snapshot snapshot = historyWithList(3)
                 .takeSnapshot(START_READING, START_MICROS, List.of(routeSnapshot(1, 0, 4.5, false, 0)));
-        RestoredState opening = reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, List.of(), 5 * SECOND_MICROS);
-        assertEquals(List.of(listedEndpoint(0), listedEndpoint(1), listedEndpoint(2)), opening.endpoints());
-        assertEquals(5, opening.revision());
+        RestoredState restored =
+                restoreAfter(new EndpointHistory(OPTIONS, "app#0"), snapshot, List.of(), 5 * SECOND_MICROS);
+        assertEquals(List.of(listedEndpoint(0), listedEndpoint(1), listedEndpoint(2)), restored.endpoints());
+        assertEquals(5, restored.revision());
         assertEquals(
-                new RouteRestored(TrustLevel.AS_LISTED, routeSnapshot(1, 0, 4.5, false, 0)), restoredRoute(opening, 1));
+                new RouteRestored(TrustLevel.AS_LISTED, routeSnapshot(1, 0, 4.5, false, 0)),
+                restoredRoute(restored, 1));
         assertEquals(
                 List.of("warmstart: restored endpoints=3 revision=5 ageSeconds=5 clock=proven asListed=3 probeFirst=0"
                         + " lastResort=0 never=0"),
-                opening.logLines());
+                restored.logLines());
     }
 
     @Test
@@ -105,9 +110,9 @@
                         new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, "e1", START_MICROS + SECOND_MICROS),
                         new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, "e2", START_MICROS + SECOND_MICROS)),
                 update.deltas());
-        RestoredState opening =
-                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.deltas(), 2 * SECOND_MICROS);
-        assertEquals(List.of(listedEndpoint(0)), opening.endpoints());
+        RestoredState restored =
+                restoreAfter(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.deltas(), 2 * SECOND_MICROS);
+        assertEquals(List.of(listedEndpoint(0)), restored.endpoints());
     }
 
     @Test
@@ -126,23 +131,23 @@
                                 START_MICROS + 2 * SECOND_MICROS)
                         .deltas()
                         .isEmpty(),
-                "the wait ends no later");
-        RestoredState opening =
-                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.deltas(), 5 * SECOND_MICROS);
+                "a wait that ends no later is not recorded again");
+        RestoredState restored =
+                restoreAfter(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.deltas(), 5 * SECOND_MICROS);
         assertEquals(
                 15 * SECOND_MICROS + SECOND_MICROS / 10,
-                restoredRoute(opening, 0).snapshot().retryAfterRemainingMicros());
+                restoredRoute(restored, 0).snapshot().retryAfterRemainingMicros());
         assertEquals(
                 4 * SECOND_MICROS + SECOND_MICROS / 10,
-                restoredRoute(opening, 1).snapshot().retryAfterRemainingMicros());
-        // With the clock set back two hours across a reboot, no time has provably passed.
+                restoredRoute(restored, 1).snapshot().retryAfterRemainingMicros());
+        // With the clock set back two hours across a reboot, the proven downtime is zero.
         ClockReading clockSetBack = new ClockReading(START_MICROS - 7200 * SECOND_MICROS, SECOND_MICROS, "b2");
-        RestoredState doubtful = new EndpointHistory(OPTIONS, "app#0")
+        RestoredState uncertain = new EndpointHistory(OPTIONS, "app#0")
                 .restore(snapshot, update.deltas(), true, null, clockSetBack, START_MICROS);
         assertEquals(
                 20 * SECOND_MICROS + SECOND_MICROS / 10,
-                restoredRoute(doubtful, 0).snapshot().retryAfterRemainingMicros());
-        assertEquals(TrustLevel.LAST_RESORT, restoredRoute(doubtful, 0).trust());
+                restoredRoute(uncertain, 0).snapshot().retryAfterRemainingMicros());
+        assertEquals(TrustLevel.LAST_RESORT, restoredRoute(uncertain, 0).trust());
     }
 
     @Test
@@ -151,16 +156,17 @@
         SnapshotDelta deltasLost = SnapshotDelta.summaryOf(List.of(
                 new SnapshotDelta(SnapshotDelta.Kind.OUT_OF_SERVICE, "e0", START_MICROS),
                 new SnapshotDelta(SnapshotDelta.Kind.RETRY_AFTER, "e1", START_MICROS + 9 * SECOND_MICROS)));
-        RestoredState opening =
-                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, List.of(deltasLost), SECOND_MICROS);
-        for (RouteRestored one : opening.restoredRoutes()) {
-            assertEquals(TrustLevel.PROBE_FIRST, one.trust());
-            assertEquals(8 * SECOND_MICROS + SECOND_MICROS / 10, one.snapshot().retryAfterRemainingMicros());
+        RestoredState restored =
+                restoreAfter(new EndpointHistory(OPTIONS, "app#0"), snapshot, List.of(deltasLost), SECOND_MICROS);
+        for (RouteRestored route : restored.restoredRoutes()) {
+            assertEquals(TrustLevel.PROBE_FIRST, route.trust());
+            assertEquals(
+                    8 * SECOND_MICROS + SECOND_MICROS / 10, route.snapshot().retryAfterRemainingMicros());
         }
     }
 
     @Test
-    void failedEndpointIsColdAndOneThatHasJustRecoveredStaysCold() {
+    void failedAndRecentlyRecoveredEndpointsAreRestoredCold() {
         EndpointHistory history = historyWithList(3);
         Snapshot snapshot = history.takeSnapshot(START_READING, START_MICROS, List.of(routeSnapshot(0, 0, 0, true, 0)));
         for (int i = 0; i < 3; i++) {
@@ -180,28 +186,30 @@
                         .get(0));
         assertEquals(
                 new SnapshotDelta(SnapshotDelta.Kind.RECOVERED, "e2", START_MICROS + 4 * SECOND_MICROS), deltas.get(2));
-        RestoredState opening = reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, deltas, 6 * SECOND_MICROS);
-        assertTrue(restoredRoute(opening, 0).snapshot().circuitOpen());
-        assertTrue(restoredRoute(opening, 1).snapshot().circuitOpen());
-        assertEquals(TrustLevel.PROBE_FIRST, restoredRoute(opening, 1).trust(), "its last call failed");
-        assertFalse(restoredRoute(opening, 2).snapshot().circuitOpen());
-        assertEquals(8 * SECOND_MICROS, restoredRoute(opening, 2).snapshot().warmUpRemainingMicros());
+        RestoredState restored =
+                restoreAfter(new EndpointHistory(OPTIONS, "app#0"), snapshot, deltas, 6 * SECOND_MICROS);
+        assertTrue(restoredRoute(restored, 0).snapshot().circuitOpen());
+        assertTrue(restoredRoute(restored, 1).snapshot().circuitOpen());
+        assertEquals(TrustLevel.PROBE_FIRST, restoredRoute(restored, 1).trust(), "the last call to e1 failed");
+        assertFalse(restoredRoute(restored, 2).snapshot().circuitOpen());
+        assertEquals(8 * SECOND_MICROS, restoredRoute(restored, 2).snapshot().warmUpRemainingMicros());
     }
 
     @Test
     void unexpectedResponseEjectsAnEndpointUntilDiscoveryListsIt() {
         Snapshot snapshot = historyWithList(3).takeSnapshot(START_READING, START_MICROS, List.of());
         EndpointHistory history = new EndpointHistory(OPTIONS, "app#0");
-        reopen(history, snapshot, List.of(), SECOND_MICROS);
+        restoreAfter(history, snapshot, List.of(), SECOND_MICROS);
         HistoryUpdate update = history.onPolicyEvent(probe(1, AttemptOutcome.ERROR), START_MICROS + 2 * SECOND_MICROS);
         assertEquals(
                 new ListUpdate(
                         EndpointListKind.DELTA, 5, List.of(listedEndpoint(1).removed())),
                 update.listUpdate());
         assertEquals(SnapshotDelta.Kind.EJECTED, update.deltas().get(0).kind());
-        RestoredState reopened =
-                reopen(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.deltas(), 9 * SECOND_MICROS);
-        assertEquals(List.of(listedEndpoint(0), listedEndpoint(2)), reopened.endpoints(), "across a restart too");
+        RestoredState restored =
+                restoreAfter(new EndpointHistory(OPTIONS, "app#0"), snapshot, update.deltas(), 9 * SECOND_MICROS);
+        assertEquals(
+                List.of(listedEndpoint(0), listedEndpoint(2)), restored.endpoints(), "the ejection outlasts a restart");
         HistoryUpdate relisted = history.onListUpdate(fullList(6, 3), START_MICROS + 20 * SECOND_MICROS);
         assertEquals(3, relisted.listUpdate().entries().size());
         assertEquals(
@@ -209,7 +217,7 @@
                 relisted.restoredRoutes().stream()
                         .map(r -> r.snapshot().route())
                         .toList());
-        assertTrue(relisted.restoredRoutes().get(0).snapshot().circuitOpen(), "it is cold");
+        assertTrue(relisted.restoredRoutes().get(0).snapshot().circuitOpen(), "a relisted endpoint is cold");
         assertNull(
                 history.onPolicyEvent(probe(1, AttemptOutcome.ERROR), START_MICROS + 21 * SECOND_MICROS)
                         .listUpdate(),
@@ -220,7 +228,7 @@
     void twoRefusalsOrHangsEjectAnEndpointAndOneRefusalDoesNot() {
         Snapshot snapshot = historyWithList(4).takeSnapshot(START_READING, START_MICROS, List.of());
         EndpointHistory history = new EndpointHistory(OPTIONS, "app#0");
-        reopen(history, snapshot, List.of(), SECOND_MICROS);
+        restoreAfter(history, snapshot, List.of(), SECOND_MICROS);
         assertNull(history.onPolicyEvent(attempt(0, AttemptOutcome.CONNECT_FAILED, 0), START_MICROS + 2 * SECOND_MICROS)
                 .listUpdate());
         assertNull(
@@ -249,7 +257,7 @@
         assertNull(
                 history.onPolicyEvent(attempt(2, AttemptOutcome.CONNECT_FAILED, 0), START_MICROS + 9 * SECOND_MICROS)
                         .listUpdate(),
-                "an answer between");
+                "a successful call in between resets the count");
         history.onPolicyEvent(attempt(3, AttemptOutcome.REJECTED, 0), START_MICROS + 2 * SECOND_MICROS);
         assertNull(history.onPolicyEvent(attempt(3, AttemptOutcome.RESET, 0), START_MICROS + 9 * SECOND_MICROS)
                 .listUpdate());
@@ -262,23 +270,23 @@
         for (int start = 1; start <= 10; start++) {
             EndpointHistory history = new EndpointHistory(OPTIONS, "app#0");
             long now = start * SECOND_MICROS;
-            RestoredState opening = reopen(history, snapshot, List.of(), now);
-            assertEquals(TrustLevel.AS_LISTED, restoredRoute(opening, 0).trust());
-            assertEquals(8, restoredRoute(opening, 0).snapshot().usualRatePerSecond(), 1e-6);
-            // In its short run this process has seen a tenth of the usual calls.
+            RestoredState restored = restoreAfter(history, snapshot, List.of(), now);
+            assertEquals(TrustLevel.AS_LISTED, restoredRoute(restored, 0).trust());
+            assertEquals(8, restoredRoute(restored, 0).snapshot().usualRatePerSecond(), 1e-6);
+            // This process runs for a short time only and measures a tenth of the usual call rate.
             snapshot = history.takeSnapshot(
                     START_READING.plus(now), START_MICROS + now, List.of(routeSnapshot(0, 0, 0.8, false, 0)));
         }
-        assertEquals(START_MICROS, snapshot.endpoints().get(0).listedAtMicros(), "a start is no evidence");
-        EndpointHistory late = new EndpointHistory(OPTIONS, "app#0");
+        assertEquals(START_MICROS, snapshot.endpoints().get(0).listedAtMicros(), "a start does not count as evidence");
+        EndpointHistory lateHistory = new EndpointHistory(OPTIONS, "app#0");
         assertEquals(
                 TrustLevel.PROBE_FIRST,
-                restoredRoute(reopen(late, snapshot, List.of(), 1802 * SECOND_MICROS), 0)
+                restoredRoute(restoreAfter(lateHistory, snapshot, List.of(), 1802 * SECOND_MICROS), 0)
                         .trust());
     }
 
     @Test
-    void fixedListIsCompleteAndRetainsWhatWasLearnt() {
+    void fixedListIsCompleteAndRetainsRouteState() {
         WarmStartOptions fixed = new WarmStartOptions(
                 OPTIONS.trustPolicy(),
                 OPTIONS.settleMicros(),
@@ -289,31 +297,31 @@
                 .takeSnapshot(START_READING, START_MICROS, List.of(routeSnapshot(1, 9 * SECOND_MICROS, 3, true, 0)));
         EndpointHistory history = new EndpointHistory(fixed, "app#0");
         ListUpdate fileList = new ListUpdate(EndpointListKind.FULL, 0, List.of(listedEndpoint(1), listedEndpoint(5)));
-        RestoredState opening = history.restore(
+        RestoredState restored = history.restore(
                 snapshot,
                 List.of(new SnapshotDelta(SnapshotDelta.Kind.EJECTED, "e1", START_MICROS)),
                 true,
                 fileList,
                 START_READING.plus(99_999 * SECOND_MICROS),
                 START_MICROS + 99_999 * SECOND_MICROS);
-        assertEquals(List.of(listedEndpoint(1), listedEndpoint(5)), opening.endpoints());
-        assertEquals(TrustLevel.AS_LISTED, restoredRoute(opening, 1).trust());
-        assertTrue(restoredRoute(opening, 1).snapshot().circuitOpen());
+        assertEquals(List.of(listedEndpoint(1), listedEndpoint(5)), restored.endpoints());
+        assertEquals(TrustLevel.AS_LISTED, restoredRoute(restored, 1).trust());
+        assertTrue(restoredRoute(restored, 1).snapshot().circuitOpen());
         assertNull(
                 history.onPolicyEvent(probe(1, AttemptOutcome.ERROR), START_MICROS)
                         .listUpdate(),
-                "there is no discovery that could list it again");
+                "an endpoint of a fixed list is not ejected, since no discovery could list it again");
     }
 
     @Test
-    void newerListThanTheSnapshotIsUsedWithWhatWasLearnt() {
+    void newerListReplacesTheSnapshotListAndRetainsRouteState() {
         Snapshot snapshot =
                 historyWithList(2).takeSnapshot(START_READING, START_MICROS, List.of(routeSnapshot(0, 0, 0, true, 0)));
-        RestoredState opening = new EndpointHistory(OPTIONS, "app#0")
+        RestoredState restored = new EndpointHistory(OPTIONS, "app#0")
                 .restore(snapshot, List.of(), true, fullList(9, 1), START_READING, START_MICROS);
-        assertEquals(9, opening.revision());
-        assertEquals(List.of(listedEndpoint(0)), opening.endpoints());
-        assertTrue(restoredRoute(opening, 0).snapshot().circuitOpen());
+        assertEquals(9, restored.revision());
+        assertEquals(List.of(listedEndpoint(0)), restored.endpoints());
+        assertTrue(restoredRoute(restored, 0).snapshot().circuitOpen());
         assertEquals(
                 2,
                 new EndpointHistory(OPTIONS, "app#0")
@@ -323,7 +331,7 @@
     }
 
     @Test
-    void generationIncreasesAndAFailedWriteIsRepeated() {
+    void generationIncreasesAndIsReusedAfterAFailedWrite() {
         EndpointHistory history = historyWithList(1);
         assertTrue(history.hasUnsavedChanges());
         assertEquals(
@@ -339,6 +347,6 @@
         assertEquals(
                 2,
                 history.takeSnapshot(START_READING, START_MICROS, List.of()).generation(),
-                "the generation of the failed write is free");
+                "the generation of the failed write is reused");
     }
 }
--- a/src/test/java/loftflow/warmstart/EndpointListReconcilerTest.java
+++ b/src/test/java/loftflow/warmstart/EndpointListReconcilerTest.java
@@ -13,7 +13,7 @@
 import loftflow.policy.api.EndpointListKind;
 import org.junit.jupiter.api.Test;
 
-/** Which parts of discovery lists are accepted, and when. */
+/** Acceptance of discovery lists: accepted entries and the time at which they are accepted. */
 class EndpointListReconcilerTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long SETTLE_MICROS = 60 * SECOND_MICROS;
@@ -26,8 +26,8 @@
         return entry("e" + i, 1000 + i, Availability.LISTED);
     }
 
-    private static List<ListedEndpoint> firstEndpoints(int n) {
-        return IntStream.range(0, n)
+    private static List<ListedEndpoint> firstEndpoints(int count) {
+        return IntStream.range(0, count)
                 .mapToObj(EndpointListReconcilerTest::listed)
                 .toList();
     }
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void fullListReplacesWhatWasRestored() {
+    void fullListReplacesTheRestoredList() {
         EndpointListReconciler reconciler = new EndpointListReconciler(SETTLE_MICROS, 5, firstEndpoints(20));
         EndpointListReconciler.Result result = reconciler.reconcile(fullList(6, firstEndpoints(18)), 0);
         assertEquals(EndpointListKind.FULL, result.accepted().kind());
@@ -56,7 +56,7 @@
         EndpointListReconciler.Result result = reconciler.reconcile(fullList(6, List.of()), 0);
         assertNull(result.accepted());
         assertEquals(SETTLE_MICROS, result.refreshAtMicros());
-        assertEquals(1, result.logLines().size(), "logged once: " + result.logLines());
+        assertEquals(1, result.logLines().size(), "the doubt is logged once: " + result.logLines());
         assertTrue(reconciler
                 .reconcile(fullList(6, List.of()), SETTLE_MICROS - 1)
                 .logLines()
@@ -72,32 +72,32 @@
     }
 
     @Test
-    void listThatLostNineOfTenConfirmsWhatItNamesAndRetainsTheRest() {
+    void listOmittingNineOfTenAppliesItsEntriesAndRetainsTheRest() {
         EndpointListReconciler reconciler = new EndpointListReconciler(SETTLE_MICROS, 5, firstEndpoints(20));
-        List<ListedEndpoint> few = new ArrayList<>(
+        List<ListedEndpoint> fewEntries = new ArrayList<>(
                 List.of(listed(0), entry("new", 9, Availability.LISTED), entry("e1", 1001, Availability.DRAINING)));
-        EndpointListReconciler.Result result = reconciler.reconcile(fullList(6, few), 0);
+        EndpointListReconciler.Result result = reconciler.reconcile(fullList(6, fewEntries), 0);
         assertEquals(
-                deltaList(6, few.toArray(ListedEndpoint[]::new)),
+                deltaList(6, fewEntries.toArray(ListedEndpoint[]::new)),
                 result.accepted(),
-                "what it names is accepted at once");
+                "the named entries are accepted at once");
         assertFalse(reconciler.isInService("e1"), "an explicit drain is accepted");
         assertTrue(reconciler.isInService("e5"));
-        // A complete list ends the doubt.
+        // A complete list clears the doubt.
         assertEquals(
                 EndpointListKind.FULL,
                 reconciler
                         .reconcile(fullList(7, firstEndpoints(20)), SECOND_MICROS)
                         .accepted()
                         .kind());
-        reconciler.reconcile(fullList(8, few), 2 * SECOND_MICROS);
+        reconciler.reconcile(fullList(8, fewEntries), 2 * SECOND_MICROS);
         assertTrue(reconciler.isInService("e5"), "the settle time starts again");
-        reconciler.reconcile(fullList(8, few), 2 * SECOND_MICROS + SETTLE_MICROS);
+        reconciler.reconcile(fullList(8, fewEntries), 2 * SECOND_MICROS + SETTLE_MICROS);
         assertFalse(reconciler.isInService("e5"));
     }
 
     @Test
-    void lossOfEightInTenIsAccepted() {
+    void omissionOfEightInTenIsAccepted() {
         EndpointListReconciler reconciler = new EndpointListReconciler(SETTLE_MICROS, 5, firstEndpoints(20));
         assertEquals(
                 EndpointListKind.FULL,
@@ -111,19 +111,19 @@
     void olderRevisionAddsNothingAndRemovesAtOnce() {
         EndpointListReconciler reconciler = new EndpointListReconciler(SETTLE_MICROS, 5, firstEndpoints(4));
         reconciler.reconcile(deltaList(9, entry("e3", 1003, Availability.REMOVED)), 0);
-        List<ListedEndpoint> old = List.of(
+        List<ListedEndpoint> olderEntries = List.of(
                 listed(0),
                 listed(3),
                 entry("e1", 1001, Availability.DRAINING),
                 entry("unknown", 8, Availability.LISTED));
-        EndpointListReconciler.Result result = reconciler.reconcile(fullList(7, old), SECOND_MICROS);
+        EndpointListReconciler.Result result = reconciler.reconcile(fullList(7, olderEntries), SECOND_MICROS);
         assertEquals(deltaList(7, listed(0), entry("e1", 1001, Availability.DRAINING)), result.accepted());
         assertFalse(reconciler.isInService("e3") || reconciler.isInService("unknown") || reconciler.isInService("e1"));
-        assertTrue(reconciler.isInService("e2"), "what it leaves out stays");
-        reconciler.reconcile(fullList(7, old), SECOND_MICROS + SETTLE_MICROS);
+        assertTrue(reconciler.isInService("e2"), "an omitted endpoint stays in service");
+        reconciler.reconcile(fullList(7, olderEntries), SECOND_MICROS + SETTLE_MICROS);
         assertTrue(
                 reconciler.isInService("e3") && reconciler.isInService("unknown"),
-                "a restarted revision count is accepted in the end");
+                "a restarted revision count is accepted after the settle time");
         assertFalse(reconciler.isInService("e2"));
     }
 
@@ -145,14 +145,16 @@
         EndpointListReconciler.Result result = reconciler.reconcile(deltaList(6, next), 0);
         assertEquals(List.of(listed(1).removed(), next), result.accepted().entries());
         assertFalse(reconciler.isInService("e1"));
-        EndpointListReconciler both = new EndpointListReconciler(SETTLE_MICROS, 5, firstEndpoints(3));
-        both.reconcile(deltaList(6, next, listed(1)), 0);
-        assertTrue(both.isInService("e1") && both.isInService("next"), "discovery itself lists both");
+        EndpointListReconciler reconcilerWithBoth = new EndpointListReconciler(SETTLE_MICROS, 5, firstEndpoints(3));
+        reconcilerWithBoth.reconcile(deltaList(6, next, listed(1)), 0);
+        assertTrue(
+                reconcilerWithBoth.isInService("e1") && reconcilerWithBoth.isInService("next"),
+                "both endpoints stay in service if the list names both");
     }
 
-    /** As for a platform whose lists are authoritative. */
+    /** A settle time of 0 is for platforms whose lists are authoritative. */
     @Test
-    void nothingIsInDoubtWithoutASettleTime() {
+    void everyListIsAcceptedAtOnceWithoutASettleTime() {
         EndpointListReconciler reconciler = new EndpointListReconciler(0, 5, firstEndpoints(20));
         assertEquals(
                 EndpointListKind.FULL,
@@ -164,7 +166,7 @@
         assertEquals(
                 List.of(listed(7)),
                 reconciler.reconcile(deltaList(3, listed(7)), 1).accepted().entries(),
-                "an older revision");
+                "a list with an older revision is accepted");
         for (int i = 0; i < 5; i++) {
             reconciler.reconcile(deltaList(7, entry("e7", 1007, Availability.REMOVED)), 2);
             reconciler.reconcile(deltaList(7, listed(7)), 3);
@@ -206,7 +208,7 @@
     }
 
     @Test
-    void fullListEndsAHoldToo() {
+    void fullListThatOmitsAHeldEndpointEndsItsHold() {
         EndpointListReconciler reconciler = new EndpointListReconciler(SETTLE_MICROS, 5, firstEndpoints(20));
         long now = 0;
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/loftflow/warmstart/TrustModelTest.java
+++ b/src/test/java/loftflow/warmstart/TrustModelTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random sequences of lists, calls, ages, crashes and clock changes, compared with a model: an endpoint that was
- * removed is never restored unless discovery lists it again, trust does not rise without evidence, and no retry-after
- * is shortened.
+ * Compares random sequences of lists, calls, downtimes, crashes and clock changes with a model. Guards against
+ * restoring an endpoint that was removed and not listed again, trust that rises without evidence, and a retry-after
+ * that a restart shortens.
  */
 class TrustModelTest {
     private static final long SECOND_MICROS = 1_000_000;
@@ -38,7 +38,7 @@
     private static final WarmStartOptions OPTIONS = new WarmStartOptions(
             new TrustPolicy(1800 * SECOND_MICROS), 60 * SECOND_MICROS, SECOND_MICROS / 10, 10 * SECOND_MICROS, false);
 
-    /** The model, by a clock that no relay reads, and the content of the relay's disk. */
+    /** The model, with its own true clock, and the simulated content of the relay's disk. */
     private static final class Simulation {
         final SplittableRandom random;
         long realMicros = 10_000 * SECOND_MICROS;
@@ -70,7 +70,7 @@
             return new ClockReading(realMicros + wallErrorMicros, realMicros - bootedAtMicros, "boot" + boot);
         }
 
-        /** The relay's own time in microseconds. */
+        /** Returns the relay's own time in microseconds. */
         long relayTimeMicros() {
             return realMicros + relayTimeErrorMicros;
         }
@@ -78,17 +78,17 @@
         void sendList(EndpointListKind kind) {
             List<ListedEndpoint> entries = new ArrayList<>();
             for (int i = 0; i < ENDPOINTS; i++) {
-                boolean wasIn = inServiceIds.contains("e" + i);
-                boolean isIn = random.nextInt(4) > 0;
+                boolean wasInService = inServiceIds.contains("e" + i);
+                boolean isInService = random.nextInt(4) > 0;
                 if (kind == EndpointListKind.DELTA && random.nextInt(3) > 0) {
                     continue;
                 }
-                if (isIn) {
+                if (isInService) {
                     inServiceIds.add("e" + i);
                     entries.add(listedEndpoint(i, Availability.LISTED));
                 } else {
                     inServiceIds.remove("e" + i);
-                    removals += wasIn ? 1 : 0;
+                    removals += wasInService ? 1 : 0;
                     if (kind == EndpointListKind.DELTA) {
                         entries.add(
                                 listedEndpoint(i, random.nextBoolean() ? Availability.DRAINING : Availability.REMOVED));
@@ -96,12 +96,14 @@
                 }
             }
             if (kind == EndpointListKind.FULL && entries.isEmpty()) {
-                // An empty list is in doubt and would change nothing at once.
+                // An empty list is doubtful: it would not be applied before the settle time.
                 inServiceIds.add("e0");
                 entries.add(listedEndpoint(0, Availability.LISTED));
             }
             HistoryUpdate update = history.onListUpdate(new ListUpdate(kind, ++revision, entries), relayTimeMicros());
-            entries.stream().filter(ListedEndpoint::isInService).forEach(e -> evidenceAtMicros.put(e.id(), realMicros));
+            entries.stream()
+                    .filter(ListedEndpoint::isInService)
+                    .forEach(entry -> evidenceAtMicros.put(entry.id(), realMicros));
             apply(update);
         }
 
@@ -179,18 +181,18 @@
             long relayTime = DowntimeEstimate.continueRelayTime(saved.relayTimeMicros(), saved.clocks(), clocks());
             relayTimeErrorMicros = relayTime - realMicros;
             history = new EndpointHistory(OPTIONS, "app#0");
-            RestoredState opening = history.restore(saved, deltasOnDisk, true, null, clocks(), relayTime);
+            RestoredState restoredState = history.restore(saved, deltasOnDisk, true, null, clocks(), relayTime);
             listedIds.clear();
-            opening.endpoints().forEach(l -> listedIds.add(l.id()));
+            restoredState.endpoints().forEach(endpoint -> listedIds.add(endpoint.id()));
             if (areDeltasLost) {
-                // The relay knows only that deltas were lost: it must use no endpoint as listed.
+                // The relay knows only that deltas were lost, so it must not use any endpoint as listed.
                 inServiceIds.addAll(listedIds);
             } else {
                 assertTrue(
                         inServiceIds.containsAll(listedIds),
-                        "removed, and restored: " + listedIds + " of " + inServiceIds);
+                        "removed endpoints were restored: restored " + listedIds + ", in service " + inServiceIds);
             }
-            for (RouteRestored restored : opening.restoredRoutes()) {
+            for (RouteRestored restored : restoredState.restoredRoutes()) {
                 check(restored, isReboot, areDeltasLost);
             }
             save();
@@ -202,15 +204,15 @@
             // A retry-after whose end moves by less than 200 ms is not recorded.
             assertTrue(
                     restored.snapshot().retryAfterRemainingMicros() + 200_000 >= remainingMicros,
-                    id + " waits " + remainingMicros + ", not " + restored.snapshot());
-            // The relay applies the restored retry-after, even where it is longer than the original one.
+                    id + " must wait for " + remainingMicros + " us, restored was " + restored.snapshot());
+            // The relay applies the restored retry-after, even if it is longer than the original one.
             retryAfterUntilMicros.merge(id, realMicros + restored.snapshot().retryAfterRemainingMicros(), Math::max);
             long ageMicros = realMicros - evidenceAtMicros.get(id);
             if (restored.trust() == TrustLevel.AS_LISTED) {
-                assertFalse(isReboot || areDeltasLost, "as listed, in doubt");
+                assertFalse(isReboot || areDeltasLost, "trusted as listed after a reboot or with lost deltas");
                 assertTrue(
                         ageMicros <= OPTIONS.trustPolicy().asListedMaxAgeMicros(),
-                        "as listed at an age of " + ageMicros / SECOND_MICROS + " s");
+                        "trusted as listed at an age of " + ageMicros / SECOND_MICROS + " s");
             }
             if (!isReboot
                     && ageMicros
@@ -227,7 +229,7 @@
     }
 
     @Test
-    void randomHistoriesHoldTheInvariants() {
+    void randomHistoriesSatisfyTheInvariants() {
         int[] counts = new int[4];
         IntStream.range(0, SIMULATIONS).forEach(seed -> {
             Simulation simulation = new Simulation(seed);
@@ -249,7 +251,7 @@
         for (int count : counts) {
             assertTrue(
                     count > SIMULATIONS / 2,
-                    "the histories hold starts, waits, removals, boots: "
+                    "too few starts, retry-afters, removals or reboots: "
                             + List.of(counts[0], counts[1], counts[2], counts[3]));
         }
     }
--- a/src/test/java/loftflow/warmstart/TrustPolicyTest.java
+++ b/src/test/java/loftflow/warmstart/TrustPolicyTest.java
@@ -10,21 +10,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Trust by age and evidence, and downtime by clock readings. */
+/** Trust computed from age and evidence, and downtime computed from clock readings. */
 class TrustPolicyTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long HOUR_MICROS = 3600 * SECOND_MICROS;
     private static final long NOW_MICROS = 1_700_000_000 * SECOND_MICROS;
     private static final TrustPolicy POLICY = new TrustPolicy(HOUR_MICROS / 2);
 
-    private static KnownEndpoint known(long listed, long answered, long failed, KnownEndpoint.State state) {
+    private static KnownEndpoint known(
+            long listedAtMicros, long answeredAtMicros, long failedAtMicros, KnownEndpoint.State state) {
         return new KnownEndpoint(
                 new EndpointEntry("a", 7, "k", "b", Availability.LISTED, 0),
                 "127.0.0.1:1",
                 state,
-                listed,
-                answered,
-                failed,
+                listedAtMicros,
+                answeredAtMicros,
+                failedAtMicros,
                 0,
                 null);
     }
@@ -58,7 +59,7 @@
                         NOW_MICROS,
                         exactly(0),
                         true),
-                "the age before the snapshot counts as well");
+                "the age at the time of the snapshot counts as well");
     }
 
     @Test
@@ -92,19 +93,19 @@
     }
 
     @Test
-    void anyDoubtRequiresAProbe() {
-        KnownEndpoint young = known(NOW_MICROS, NOW_MICROS, 0, KnownEndpoint.State.LISTED);
+    void uncertaintyLowersTrust() {
+        KnownEndpoint recent = known(NOW_MICROS, NOW_MICROS, 0, KnownEndpoint.State.LISTED);
         assertEquals(
                 EndpointTrust.PROBE_FIRST,
-                POLICY.trustOf(young, NOW_MICROS, new DowntimeEstimate(0, SECOND_MICROS, true), true),
-                "a reboot in between");
+                POLICY.trustOf(recent, NOW_MICROS, new DowntimeEstimate(0, SECOND_MICROS, true), true),
+                "the machine rebooted");
         assertEquals(
                 EndpointTrust.PROBE_FIRST,
-                POLICY.trustOf(young, NOW_MICROS, exactly(SECOND_MICROS), false),
+                POLICY.trustOf(recent, NOW_MICROS, exactly(SECOND_MICROS), false),
                 "deltas are missing");
         assertEquals(
                 EndpointTrust.LAST_RESORT,
-                POLICY.trustOf(young, NOW_MICROS, new DowntimeEstimate(0, DowntimeEstimate.UNKNOWN, true), true),
+                POLICY.trustOf(recent, NOW_MICROS, new DowntimeEstimate(0, DowntimeEstimate.UNKNOWN, true), true),
                 "the clock was set back");
         assertEquals(
                 EndpointTrust.PROBE_FIRST,
@@ -113,54 +114,55 @@
                         NOW_MICROS,
                         exactly(1),
                         true),
-                "evidence from the future");
+                "the evidence is later than the snapshot");
     }
 
     @Test
     void uptimeMeasuresDowntimeWithinABoot() {
-        ClockReading then = new ClockReading(NOW_MICROS, 500 * SECOND_MICROS, "b1");
-        for (long set : new long[] {0, -2 * HOUR_MICROS, 2 * HOUR_MICROS}) {
-            ClockReading now = new ClockReading(NOW_MICROS + set + 5 * SECOND_MICROS, 505 * SECOND_MICROS, "b1");
-            assertEquals(exactly(5 * SECOND_MICROS), DowntimeEstimate.between(then, now));
+        ClockReading earlier = new ClockReading(NOW_MICROS, 500 * SECOND_MICROS, "b1");
+        for (long adjustmentMicros : new long[] {0, -2 * HOUR_MICROS, 2 * HOUR_MICROS}) {
+            ClockReading later =
+                    new ClockReading(NOW_MICROS + adjustmentMicros + 5 * SECOND_MICROS, 505 * SECOND_MICROS, "b1");
+            assertEquals(exactly(5 * SECOND_MICROS), DowntimeEstimate.between(earlier, later));
             assertEquals(
                     NOW_MICROS + 5 * SECOND_MICROS,
-                    DowntimeEstimate.continueRelayTime(NOW_MICROS, then, now),
+                    DowntimeEstimate.continueRelayTime(NOW_MICROS, earlier, later),
                     "the relay's own time continues");
         }
     }
 
     @Test
-    void acrossARebootNothingIsProven() {
-        ClockReading then = new ClockReading(NOW_MICROS, 500 * SECOND_MICROS, "b1");
-        DowntimeEstimate later =
-                DowntimeEstimate.between(then, new ClockReading(NOW_MICROS + HOUR_MICROS, SECOND_MICROS, "b2"));
-        assertEquals(new DowntimeEstimate(0, HOUR_MICROS, true), later);
-        DowntimeEstimate back =
-                DowntimeEstimate.between(then, new ClockReading(NOW_MICROS - 2 * HOUR_MICROS, SECOND_MICROS, "b2"));
-        assertEquals(new DowntimeEstimate(0, DowntimeEstimate.UNKNOWN, true), back);
+    void downtimeAcrossARebootIsUncertain() {
+        ClockReading earlier = new ClockReading(NOW_MICROS, 500 * SECOND_MICROS, "b1");
+        DowntimeEstimate forward =
+                DowntimeEstimate.between(earlier, new ClockReading(NOW_MICROS + HOUR_MICROS, SECOND_MICROS, "b2"));
+        assertEquals(new DowntimeEstimate(0, HOUR_MICROS, true), forward);
+        DowntimeEstimate backward =
+                DowntimeEstimate.between(earlier, new ClockReading(NOW_MICROS - 2 * HOUR_MICROS, SECOND_MICROS, "b2"));
+        assertEquals(new DowntimeEstimate(0, DowntimeEstimate.UNKNOWN, true), backward);
         assertEquals(
                 NOW_MICROS,
                 DowntimeEstimate.continueRelayTime(
-                        NOW_MICROS, then, new ClockReading(NOW_MICROS - 2 * HOUR_MICROS, SECOND_MICROS, "b2")),
+                        NOW_MICROS, earlier, new ClockReading(NOW_MICROS - 2 * HOUR_MICROS, SECOND_MICROS, "b2")),
                 "relay time never goes backwards");
         assertTrue(
                 DowntimeEstimate.between(new ClockReading(NOW_MICROS, 0, ""), new ClockReading(NOW_MICROS, 0, ""))
                         .isUncertain(),
-                "no boot id");
+                "the machine provides no boot id");
         assertTrue(
-                DowntimeEstimate.between(then, new ClockReading(NOW_MICROS, 499 * SECOND_MICROS, "b1"))
+                DowntimeEstimate.between(earlier, new ClockReading(NOW_MICROS, 499 * SECOND_MICROS, "b1"))
                         .isUncertain(),
                 "the uptime of one boot can't decrease");
     }
 
     @Test
-    void trustOnlyFallsWithoutEvidence() {
-        double before = POLICY.valueAtAge(0);
-        assertEquals(1, before);
+    void trustNeverRisesWithoutEvidence() {
+        double previous = POLICY.valueAtAge(0);
+        assertEquals(1, previous);
         for (long age = SECOND_MICROS; age < 40 * HOUR_MICROS; age += 97 * SECOND_MICROS) {
-            double now = POLICY.valueAtAge(age);
-            assertFalse(now > before);
-            before = now;
+            double current = POLICY.valueAtAge(age);
+            assertFalse(current > previous);
+            previous = current;
         }
     }
 }
--- a/src/test/java/loftflow/warmstart/WriteBudgetTest.java
+++ b/src/test/java/loftflow/warmstart/WriteBudgetTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Bytes that may be written over any interval. */
+/** Limits of the bytes written over any interval. */
 class WriteBudgetTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long BYTES_PER_SECOND = 20_480;
@@ -27,15 +27,15 @@
                 written.add(new long[] {now, size});
             }
         }
-        assertTrue(written.size() > 1_000, "something is written: " + written.size());
-        long total = 0;
+        assertTrue(written.size() > 1_000, "too few writes were allowed: " + written.size());
+        long totalBytes = 0;
         for (int from = 0; from < written.size(); from += 53) {
-            total = 0;
+            totalBytes = 0;
             for (int i = from; i < written.size(); i++) {
-                total += written.get(i)[1];
+                totalBytes += written.get(i)[1];
                 double maxBytes = budget.burstBytes()
                         + BYTES_PER_SECOND * (written.get(i)[0] - written.get(from)[0]) / (double) SECOND_MICROS;
-                assertTrue(total <= maxBytes + 1, total + " of " + maxBytes);
+                assertTrue(totalBytes <= maxBytes + 1, totalBytes + " bytes written, allowed are " + maxBytes);
             }
         }
     }
@@ -52,16 +52,16 @@
 
     @Test
     void tenStartsInTenSecondsWriteNoMoreThanOneProcessWould() {
-        long total = 0;
-        long last = -DowntimeEstimate.UNKNOWN;
+        long totalBytes = 0;
+        long lastWriteMicros = -DowntimeEstimate.UNKNOWN;
         for (int start = 0; start < 10; start++) {
             long now = start * SECOND_MICROS;
-            WriteBudget budget = new WriteBudget(BYTES_PER_SECOND, now - last, now);
+            WriteBudget budget = new WriteBudget(BYTES_PER_SECOND, now - lastWriteMicros, now);
             if (budget.tryTakeSnapshot(600_000, now)) {
-                total += 600_000;
-                last = now;
+                totalBytes += 600_000;
+                lastWriteMicros = now;
             }
         }
-        assertEquals(600_000, total);
+        assertEquals(600_000, totalBytes);
     }
 }
