--- a/src/main/java/loftflow/warmstart/store/LoadedSnapshot.java
+++ b/src/main/java/loftflow/warmstart/store/LoadedSnapshot.java
@@ -5,10 +5,10 @@
 import loftflow.warmstart.SnapshotDelta;
 
 /**
- * What an earlier process left.
+ * State that an earlier process left on disk.
  *
- * @param snapshot the snapshot; null where none can be used
+ * @param snapshot the newest usable snapshot; null if there is none
  * @param deltas deltas recorded since the snapshot, in order
- * @param isComplete false where deltas since the snapshot may be missing
+ * @param isComplete false if deltas since the snapshot may be missing
  */
 public record LoadedSnapshot(Snapshot snapshot, List<SnapshotDelta> deltas, boolean isComplete) {}
--- a/src/main/java/loftflow/warmstart/store/SnapshotCodec.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotCodec.java
@@ -18,13 +18,13 @@
 import loftflow.warmstart.SnapshotDelta;
 
 /**
- * Binary format of snapshot and delta files. A file starts with a magic number and a format version; records with
- * length and checksum follow ({@link RecordFile}). A snapshot file holds one record. A delta file holds a record with
- * the generation of the snapshot that it follows, then one record a delta.
+ * Binary format of snapshot and delta files. A file starts with a magic number and a format version, followed by
+ * records with length and checksum ({@link RecordFile}). A snapshot file holds one record. A delta file holds a record
+ * with the generation of its snapshot, then one record for each delta.
  */
 final class SnapshotCodec {
     private static final byte[] MAGIC = {'l', 'o', 'f', 't', 'r', 'm'};
-    /** Version of the format, raised with each change. Files of another version are not read. */
+    /** Version of the format, incremented with each change. Files of other versions are not read. */
     static final short FORMAT = 1;
     /** Size of the magic number and the version. */
     static final int HEADER_BYTES = MAGIC.length + Short.BYTES;
@@ -32,7 +32,7 @@
     private static final int MAX_TEXT_CHARACTERS = 1 << 10;
     private static final int MAX_ENDPOINTS = 1 << 20;
 
-    /** A file that can't be used; the message says why. */
+    /** Thrown if a file can't be used; the message gives the reason. */
     static final class UnreadableException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -43,12 +43,12 @@
 
     private SnapshotCodec() {}
 
-    /** Magic number and version, with which every file starts. */
+    /** Returns the magic number and version with which every file starts. */
     static byte[] header() {
         return ByteBuffer.allocate(HEADER_BYTES).put(MAGIC).putShort(FORMAT).array();
     }
 
-    /** Checks the header of a file and advances behind it. */
+    /** Checks the header of a file and advances the buffer past it. */
     static void readHeader(ByteBuffer file) throws UnreadableException {
         if (file.remaining() < HEADER_BYTES) {
             throw new UnreadableException("torn header");
@@ -80,10 +80,10 @@
         for (KnownEndpoint endpoint : snapshot.endpoints()) {
             writeEndpoint(out, endpoint);
         }
-        return file(RecordFile.seal(bytes.toByteArray()));
+        return withHeader(RecordFile.seal(bytes.toByteArray()));
     }
 
-    private static byte[] file(byte[] record) {
+    private static byte[] withHeader(byte[] record) {
         return ByteBuffer.allocate(HEADER_BYTES + record.length)
                 .put(header())
                 .put(record)
@@ -129,7 +129,7 @@
         } catch (UnreadableException e) {
             throw e;
         } catch (IOException | IllegalArgumentException e) {
-            // The checksum is right, yet the content is not that of a snapshot.
+            // The checksum matches, but the content is not a valid snapshot.
             throw new UnreadableException("invalid content: " + e.getMessage());
         }
     }
@@ -198,11 +198,11 @@
         return number;
     }
 
-    /** The start of a delta file: its header and the generation of the snapshot that it follows. */
+    /** Returns the start of a delta file: the file header and the generation of its snapshot. */
     static byte[] deltaFileHeader(long generation) {
         byte[] record = new byte[RecordFile.HEADER_BYTES + Long.BYTES];
         ByteBuffer.wrap(record).putLong(RecordFile.HEADER_BYTES, generation);
-        return file(RecordFile.seal(record));
+        return withHeader(RecordFile.seal(record));
     }
 
     /** Encodes a delta as a record. */
@@ -216,7 +216,7 @@
         return RecordFile.seal(bytes.toByteArray());
     }
 
-    /** Reads the start of a delta file; the generation that it follows. Its deltas are next. */
+    /** Reads the start of a delta file up to its first delta. Returns the generation of its snapshot. */
     static long readDeltaFileHeader(ByteBuffer file) throws UnreadableException {
         readHeader(file);
         byte[] payload = RecordFile.readNext(file);
@@ -226,7 +226,7 @@
         return ByteBuffer.wrap(payload).getLong();
     }
 
-    /** Decodes the next delta; null at the end of the file, and where the record is torn or unknown. */
+    /** Decodes the next delta. Returns null at the end of the file, or if the record is torn or of an unknown kind. */
     static SnapshotDelta decodeNextDelta(ByteBuffer file) {
         byte[] payload = RecordFile.readNext(file);
         if (payload == null) {
--- a/src/main/java/loftflow/warmstart/store/SnapshotFolder.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotFolder.java
@@ -8,15 +8,15 @@
 import java.nio.file.StandardOpenOption;
 import loftflow.recordfile.RecordFile;
 
-/** The file operations of {@link SnapshotStore}, one step a call, so that a test can inject a fault at each step. */
+/** File operations of {@link SnapshotStore}, one step per call, so that a test can inject a fault at each step. */
 interface SnapshotFolder {
-    /** The content of a file; null where there is no such file. */
+    /** Returns the content of a file; null if the file does not exist. */
     byte[] read(String name) throws IOException;
 
-    /** Creates or overwrites a file; where {@code sync}, the content is on stable storage when this returns. */
+    /** Creates or overwrites a file. If {@code sync}, the content is on stable storage when this method returns. */
     void write(String name, byte[] bytes, boolean sync) throws IOException;
 
-    /** Appends to an existing file; a partial write is truncated where it fails. */
+    /** Appends to an existing file. If the write fails, its partial content is truncated. */
     void append(String name, byte[] bytes) throws IOException;
 
     /** Atomically renames a file, replacing the target. */
@@ -25,7 +25,7 @@
     /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** A folder on disk. */
+    /** Returns the operations for a folder on disk. */
     static SnapshotFolder onDisk(Path path) {
         return new SnapshotFolder() {
             @Override
--- a/src/main/java/loftflow/warmstart/store/SnapshotStore.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotStore.java
@@ -10,30 +10,30 @@
 import loftflow.warmstart.SnapshotDelta;
 
 /**
- * Two generations of snapshot files, each with a delta file. Generations alternate between two file names: a new
- * snapshot is written to a third file and then atomically replaces the older generation, so that the newer one stays
- * intact whatever happens. Deltas go to the delta file of the current snapshot; while a next snapshot is being written,
- * to its delta file as well.
+ * Stores two generations of snapshot files, each with a delta file. Generations alternate between two file names: a new
+ * snapshot is written to a third file and then atomically replaces the older generation, so that the newer generation
+ * stays intact if the write fails at any point. Deltas are appended to the delta file of the current snapshot. While
+ * the next snapshot is being written, they are appended to its delta file too.
  *
  * <p>{@link #beginSnapshot}, {@link #appendDelta} and {@link #endSnapshot} are called on the event loop: they write
- * little and sync nothing. {@link #writeSnapshot} may run on another thread.
+ * few bytes and never sync. {@link #writeSnapshot} may run on another thread.
  */
 final class SnapshotStore {
-    /** File of a snapshot that is being written. */
+    /** Name of the file to which a new snapshot is written. */
     static final String NEW_SNAPSHOT_FILE = "remembered.new";
 
     private static final int SLOTS = 2;
     private static final String DISCARDED_SUFFIX = ".bad";
-    /** In place of a generation: there is none. */
+    /** Value of a generation field that means no generation. */
     private static final long NO_GENERATION = 0;
 
     /**
-     * What was found on disk.
+     * State found on disk.
      *
-     * @param snapshot null where none can be used
+     * @param snapshot the newest usable snapshot; null if there is none
      * @param deltas deltas recorded since the snapshot, in order
-     * @param isComplete false where deltas since the snapshot may be missing
-     * @param logLines events to log, without their component
+     * @param isComplete false if deltas since the snapshot may be missing
+     * @param logLines lines to log, without the component
      */
     record LoadedState(Snapshot snapshot, List<SnapshotDelta> deltas, boolean isComplete, List<String> logLines) {}
 
@@ -42,15 +42,15 @@
     private final boolean sync;
     private long currentGeneration = NO_GENERATION;
     private long currentDeltaBytes;
-    /** The generation that is being written. */
+    /** Generation of the snapshot that is being written. */
     private long nextGeneration = NO_GENERATION;
 
     private long nextDeltaBytes;
 
     /**
-     * A store over a folder.
+     * Creates a store in a folder.
      *
-     * @param maxDeltaBytes size of a delta file from which the next snapshot is needed
+     * @param maxDeltaBytes size of a delta file at which a new snapshot is needed
      * @param sync whether a snapshot must be on stable storage before it replaces an older one
      */
     SnapshotStore(SnapshotFolder folder, long maxDeltaBytes, boolean sync) {
@@ -72,7 +72,7 @@
         return "remembered-" + generation % SLOTS + ".notes";
     }
 
-    /** Loads the newest intact snapshot of this owner, and its deltas. Files that can't be used are set aside. */
+    /** Loads the newest intact snapshot of an owner, and its deltas. Renames unusable files to keep them aside. */
     LoadedState load(String owner) {
         List<String> logLines = new ArrayList<>();
         Snapshot newest = null;
@@ -82,7 +82,7 @@
                 newest = snapshot;
             }
         }
-        // A snapshot that was being written when the process ended does not count.
+        // A snapshot whose write the process did not finish is discarded.
         delete(NEW_SNAPSHOT_FILE, logLines);
         if (newest == null) {
             return new LoadedState(null, List.of(), true, logLines);
@@ -91,7 +91,7 @@
         List<SnapshotDelta> deltas = new ArrayList<>();
         boolean isComplete = readDeltas(newest.generation(), deltas, logLines);
         if (hasDeltasOf(newest.generation() + 1)) {
-            // The snapshot of the next generation is missing or damaged; its deltas are valid all the same.
+            // The snapshot of the next generation is missing or damaged, but its deltas are still valid.
             isComplete &= readDeltas(newest.generation() + 1, deltas, logLines);
         }
         return new LoadedState(newest, deltas, isComplete, logLines);
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Reads the deltas of a generation; false where some may be missing. */
+    /** Reads the deltas of a generation. Returns false if some may be missing. */
     private boolean readDeltas(long generation, List<SnapshotDelta> deltas, List<String> logLines) {
         String fileName = deltaFileName(generation);
         try {
@@ -165,7 +165,7 @@
                 delta = SnapshotCodec.decodeNextDelta(buffer);
             }
             if (endOfDeltas < bytes.length) {
-                // The process ended while it wrote the last delta, whose write was never acknowledged.
+                // The process ended during the write of the last delta, so that write was never acknowledged.
                 logLines.add("torn delta skipped file=" + fileName + " bytes=" + (bytes.length - endOfDeltas));
                 return false;
             }
@@ -178,13 +178,13 @@
     }
 
     /**
-     * Begins the next generation, whose snapshot has just been taken: deltas from now on go to its file as well.
+     * Begins the next generation after its snapshot was taken. Later deltas are also appended to its delta file.
      *
-     * @throws IllegalStateException where this is not the generation after the current one
+     * @throws IllegalStateException if the generation does not directly follow the current one
      */
     void beginSnapshot(long generation) throws IOException {
         if (currentGeneration != NO_GENERATION && generation != currentGeneration + 1) {
-            throw new IllegalStateException("generation " + generation + " after " + currentGeneration);
+            throw new IllegalStateException("generation is " + generation + ", expected is " + (currentGeneration + 1));
         }
         byte[] header = SnapshotCodec.deltaFileHeader(generation);
         folder.write(deltaFileName(generation), header, false);
@@ -193,16 +193,16 @@
     }
 
     /**
-     * Writes a snapshot.
+     * Writes a snapshot file.
      *
-     * @param bytes as of {@link SnapshotCodec#encodeSnapshot}
+     * @param bytes the file content, encoded by {@link SnapshotCodec#encodeSnapshot}
      */
     void writeSnapshot(long generation, byte[] bytes) throws IOException {
         folder.write(NEW_SNAPSHOT_FILE, bytes, sync);
         folder.replace(NEW_SNAPSHOT_FILE, snapshotFileName(generation));
     }
 
-    /** Ends the generation that was begun: it becomes the current one where its snapshot was written. */
+    /** Ends the write of the next generation, which becomes the current one if its snapshot was written. */
     void endSnapshot(boolean isWritten) {
         if (isWritten) {
             currentGeneration = nextGeneration;
@@ -211,13 +211,13 @@
         nextGeneration = NO_GENERATION;
     }
 
-    /** True where deltas have no snapshot to follow, or their file is full: a snapshot is needed first. */
+    /** Returns true if deltas can't be appended before a new snapshot: there is none, or the delta file is full. */
     boolean needsSnapshot() {
-        boolean isWritable = currentGeneration != NO_GENERATION && currentDeltaBytes < maxDeltaBytes;
-        return nextGeneration == NO_GENERATION && !isWritable;
+        boolean canAppend = currentGeneration != NO_GENERATION && currentDeltaBytes < maxDeltaBytes;
+        return nextGeneration == NO_GENERATION && !canAppend;
     }
 
-    /** Appends a delta, as a record of {@link SnapshotCodec#encodeDelta}. */
+    /** Appends a delta record, encoded by {@link SnapshotCodec#encodeDelta}. */
     void appendDelta(byte[] record) throws IOException {
         IOException failure = null;
         if (currentGeneration != NO_GENERATION) {
@@ -234,6 +234,7 @@
         }
     }
 
+    /** Returns the failure; null if the append succeeded. */
     private IOException tryAppend(String fileName, byte[] record) {
         try {
             folder.append(fileName, record);
--- a/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
+++ b/src/main/java/loftflow/warmstart/store/SnapshotWriter.java
@@ -18,15 +18,15 @@
 import loftflow.warmstart.WriteBudget;
 
 /**
- * Writes snapshots on a thread of its own and deltas at once, within a budget of bytes. One snapshot is written at a
- * time. Deltas that can't be written, since the budget or their file is used up or the disk fails, are replaced by a
- * single {@link SnapshotDelta.Kind#DELTAS_LOST}. All methods are called on the event loop.
+ * Writes snapshots on a dedicated thread and deltas immediately, within a byte budget. Only one snapshot is written at
+ * a time. Deltas that can't be written because the budget is spent, the delta file is full or the disk fails are
+ * replaced by a single {@link SnapshotDelta.Kind#DELTAS_LOST}. All methods are called on the event loop.
  */
 public final class SnapshotWriter implements AutoCloseable {
     private static final String LOG_PREFIX = "warmstart: ";
-    /** Largest share of the limit that one snapshot takes. */
+    /** Largest share of the size limit for one snapshot file. */
     private static final double SNAPSHOT_SHARE = 0.3;
-    /** Share of the limit that the delta file of one generation takes. */
+    /** Share of the size limit for the delta file of one generation. */
     private static final double DELTA_SHARE = 0.02;
 
     private static final int CLOSE_TIMEOUT_SECONDS = 2;
@@ -34,22 +34,22 @@
     private static final long MIN_RETRY_DELAY_MICROS = MICROS_PER_SECOND;
     private static final long MAX_RETRY_DELAY_MICROS = 60 * MICROS_PER_SECOND;
     private static final long LOST_DELTA_INTERVAL_MICROS = MICROS_PER_SECOND;
-    /** Where a snapshot is still too large, at least a tenth of its endpoints is left out of the next try. */
+    /** Largest share of endpoints that the next try retains if a snapshot is too large. */
     private static final double MAX_RETAINED_SHARE = 0.9;
 
     /**
-     * Settings.
+     * Settings of the writer.
      *
-     * @param limitBytes bytes of all files together
-     * @param bytesPerSecond bytes a second, on average over a minute
-     * @param sync whether a snapshot must be on stable storage before it counts
+     * @param limitBytes size limit of all files together, in bytes
+     * @param bytesPerSecond write rate limit, averaged over a minute
+     * @param sync whether a snapshot must be on stable storage before it replaces an older one
      */
     public record Options(Path folder, long limitBytes, long bytesPerSecond, boolean sync) {}
 
     private final Options options;
     private final SnapshotStore store;
     private final Executor eventLoop;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService writerThread = Executors.newSingleThreadExecutor(task -> {
         Thread created = new Thread(task, "warmstart-writer");
         created.setDaemon(true);
         return created;
@@ -57,18 +57,18 @@
     private WriteBudget budget;
     private boolean isWriting;
     private boolean hasLoggedTruncation;
-    /** Size of the last snapshot: avoids encoding one each second that the budget does not allow. */
+    /** Encoded size of the last snapshot, used to skip encoding a snapshot that the budget would not allow. */
     private int lastSnapshotBytes;
 
     private long nextAttemptMicros;
     private long retryDelayMicros = MIN_RETRY_DELAY_MICROS;
-    /** Stands for the deltas since the current snapshot that could not be written; null for none. */
+    /** Summary of the deltas since the current snapshot that could not be written; null if there are none. */
     private SnapshotDelta lostDeltas;
 
     private boolean areLostDeltasRecorded;
-    private long lostDeltasTriedMicros = Long.MIN_VALUE / 2;
+    private long lastLostDeltasWriteMicros = Long.MIN_VALUE / 2;
 
-    /** A writer that reports results on an event loop. */
+    /** Creates a writer that reports results on an event loop. */
     public SnapshotWriter(Options options, Executor eventLoop) throws IOException {
         this(
                 options,
@@ -82,7 +82,7 @@
         this.eventLoop = eventLoop;
     }
 
-    /** Loads what an earlier process left. Called once, before anything else; logs the files that are set aside. */
+    /** Loads the state of an earlier process and logs unusable files. Must be called once, before any other method. */
     public LoadedSnapshot load(String owner) {
         SnapshotStore.LoadedState loaded = store.load(owner);
         loaded.logLines().forEach(line -> Log.line(LOG_PREFIX + line));
@@ -92,8 +92,9 @@
     /**
      * Starts the write budget.
      *
-     * @param last the snapshot that an earlier process left; null for none
-     * @param nowMicros the relay's own time
+     * @param last the snapshot of an earlier process; null if there is none
+     * @param clocks current reading of the machine's clocks
+     * @param nowMicros current time by the relay's own clock
      */
     public void start(Snapshot last, ClockReading clocks, long nowMicros) {
         long idleMicros = last == null
@@ -102,21 +103,21 @@
         budget = new WriteBudget(options.bytesPerSecond(), idleMicros, nowMicros);
     }
 
-    /** True where deltas can't be written before the next snapshot. */
+    /** Returns true if deltas can't be written before the next snapshot. */
     public boolean needsSnapshot() {
         return store.needsSnapshot() || lostDeltas != null;
     }
 
-    /** True where a snapshot of the last one's size could be written now. */
+    /** Returns true if a snapshot as large as the last one could be written now. */
     public boolean canWriteSnapshot(long nowMicros) {
         return !isWriting && nowMicros >= nextAttemptMicros && budget.allowsSnapshot(lastSnapshotBytes, nowMicros);
     }
 
     /**
-     * Starts to write a snapshot, where that is allowed now.
+     * Starts the write of a snapshot if the budget allows it.
      *
-     * @param onFailure runs on the event loop where the write was started and failed later
-     * @return false where the write was not started
+     * @param onFailure runs on the event loop if the started write fails
+     * @return false if the write was not started
      */
     public boolean writeSnapshot(Snapshot snapshot, long nowMicros, Runnable onFailure) {
         if (!canWriteSnapshot(nowMicros)) {
@@ -130,10 +131,10 @@
             }
             store.beginSnapshot(snapshot.generation());
             isWriting = true;
-            SnapshotDelta lostBefore = lostDeltas;
-            thread.execute(() -> {
+            SnapshotDelta lostDeltasAtStart = lostDeltas;
+            writerThread.execute(() -> {
                 IOException failure = tryWrite(snapshot.generation(), bytes);
-                eventLoop.execute(() -> onWritten(failure, nowMicros, lostBefore, onFailure));
+                eventLoop.execute(() -> onWritten(failure, nowMicros, lostDeltasAtStart, onFailure));
             });
             return true;
         } catch (IOException e) {
@@ -151,7 +152,8 @@
         }
     }
 
-    private void onWritten(IOException failure, long startedAtMicros, SnapshotDelta lostBefore, Runnable onFailure) {
+    private void onWritten(
+            IOException failure, long startedAtMicros, SnapshotDelta lostDeltasAtStart, Runnable onFailure) {
         isWriting = false;
         store.endSnapshot(failure == null);
         if (failure != null) {
@@ -160,13 +162,13 @@
             return;
         }
         retryDelayMicros = MIN_RETRY_DELAY_MICROS;
-        if (lostDeltas == lostBefore) {
-            // The snapshot contains what was lost before it was taken.
+        if (lostDeltas == lostDeltasAtStart) {
+            // The snapshot covers the deltas that were lost before it was taken.
             lostDeltas = null;
         }
     }
 
-    /** Backs off exponentially on a disk that fails, and logs only the first of consecutive failures. */
+    /** Backs off exponentially after disk failures and logs only the first of consecutive ones. */
     private void delayNextAttempt(IOException failure, long nowMicros) {
         if (retryDelayMicros == MIN_RETRY_DELAY_MICROS) {
             Log.line(LOG_PREFIX + "snapshot write failed, the previous one stays error=\"" + failure.getMessage()
@@ -176,7 +178,7 @@
         retryDelayMicros = Math.min(MAX_RETRY_DELAY_MICROS, 2 * retryDelayMicros);
     }
 
-    /** Encodes a snapshot; one that is too large is encoded without the endpoints whose evidence is oldest. */
+    /** Encodes a snapshot. If it is too large, the endpoints with the oldest evidence are omitted. */
     private byte[] encodeWithinLimit(Snapshot snapshot) throws IOException {
         long maxBytes = Math.min((long) (options.limitBytes() * SNAPSHOT_SHARE), budget.maxSnapshotBytes());
         byte[] bytes = SnapshotCodec.encodeSnapshot(snapshot);
@@ -186,7 +188,7 @@
         List<KnownEndpoint> retained = new ArrayList<>(snapshot.endpoints());
         retained.sort(newestEvidenceFirst());
         while (bytes.length > maxBytes && !retained.isEmpty()) {
-            // The mean size of an endpoint tells how many fit, unless those that are retained are larger than it.
+            // Estimates the number that fits from the mean endpoint size; repeats if the retained ones are larger.
             int count = (int) Math.min(retained.size() * MAX_RETAINED_SHARE, retained.size() * maxBytes / bytes.length);
             retained.subList(count, retained.size()).clear();
             bytes = SnapshotCodec.encodeSnapshot(new Snapshot(
@@ -211,7 +213,7 @@
         return byEvidence.thenComparingLong(KnownEndpoint::answeredAtMicros).reversed();
     }
 
-    /** Writes deltas at once; where that can't be, a single one that stands for them. */
+    /** Writes deltas immediately. If that is not possible, records one delta that replaces them. */
     public void writeDeltas(List<SnapshotDelta> deltas, long nowMicros) {
         if (deltas.isEmpty()) {
             return;
@@ -254,16 +256,16 @@
     }
 
     /**
-     * Records that deltas were lost, at most once a second; called each second, as the record may fail. This is not
-     * charged to the budget: it is a few bytes, and all that stands for what was not written.
+     * Records that deltas were lost. Called each second to retry failed writes; tries at most once a second. The record
+     * is not charged to the budget: it takes a few bytes and is the only trace of the lost deltas.
      */
     public void recordLostDeltas(long nowMicros) {
         if (lostDeltas == null
                 || areLostDeltasRecorded
-                || nowMicros - lostDeltasTriedMicros < LOST_DELTA_INTERVAL_MICROS) {
+                || nowMicros - lastLostDeltasWriteMicros < LOST_DELTA_INTERVAL_MICROS) {
             return;
         }
-        lostDeltasTriedMicros = nowMicros;
+        lastLostDeltasWriteMicros = nowMicros;
         try {
             store.appendDelta(SnapshotCodec.encodeDelta(lostDeltas));
             areLostDeltasRecorded = true;
@@ -276,12 +278,12 @@
         Log.line(LOG_PREFIX + "delta write failed error=\"" + failure.getMessage() + "\"");
     }
 
-    /** Waits, for a bounded time, until the snapshot that is being written is done. */
+    /** Waits for the snapshot write in progress, for at most {@value #CLOSE_TIMEOUT_SECONDS} s. */
     @Override
     public void close() {
-        thread.shutdown();
+        writerThread.shutdown();
         try {
-            thread.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            writerThread.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/loftflow/warmstart/store/StoredCodes.java
+++ b/src/main/java/loftflow/warmstart/store/StoredCodes.java
@@ -5,7 +5,7 @@
 import loftflow.warmstart.KnownEndpoint;
 import loftflow.warmstart.SnapshotDelta;
 
-/** The numbers that stand for enum constants in snapshot and delta files. They never change. */
+/** Codes of enum constants in snapshot and delta files. A code never changes. */
 final class StoredCodes {
     private StoredCodes() {}
 
@@ -48,13 +48,13 @@
         return find(SnapshotDelta.Kind.values(), StoredCodes::of, "delta kind", code);
     }
 
-    private static <E> E find(E[] values, ToIntFunction<E> codeOf, String what, byte code)
+    private static <E> E find(E[] values, ToIntFunction<E> codeOf, String fieldName, byte code)
             throws SnapshotCodec.UnreadableException {
         for (E value : values) {
             if (codeOf.applyAsInt(value) == code) {
                 return value;
             }
         }
-        throw new SnapshotCodec.UnreadableException("unknown " + what + " code " + code);
+        throw new SnapshotCodec.UnreadableException("unknown " + fieldName + " code " + code);
     }
 }
--- a/src/main/java/loftflow/warmstart/store/SystemClocks.java
+++ b/src/main/java/loftflow/warmstart/store/SystemClocks.java
@@ -14,11 +14,11 @@
 
     private SystemClocks() {}
 
-    /** The clocks now; only the wall clock, with an empty boot id, where the machine does not provide the others. */
+    /** Returns the current clocks. If the uptime or boot id can't be read, the uptime is 0 and the boot id is empty. */
     public static ClockReading now() {
         long wallMicros = System.currentTimeMillis() * MICROS_PER_MILLI;
         try {
-            // Seconds with two decimals; the clock runs on while the machine is suspended.
+            // Seconds with two decimals; includes the time for which the machine is suspended.
             double uptimeSeconds =
                     Double.parseDouble(Files.readString(UPTIME_FILE).split(" ")[0]);
             String bootId = Files.readString(BOOT_ID_FILE).strip();
--- a/src/main/java/loftflow/warmstart/store/package-info.java
+++ b/src/main/java/loftflow/warmstart/store/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Persistence of warm start: snapshot files of two generations, a delta file beside each, and the writer that fills
- * them within a byte budget.
+ * Persistence of warm start: snapshot files of two generations, each with a delta file, and the writer that keeps them
+ * within a byte budget.
  *
  * <p>May use: {@code warmstart}, {@code recordfile}, the types of the decision module, {@code log}.
  */
--- a/src/test/java/loftflow/warmstart/store/SnapshotSamples.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotSamples.java
@@ -16,15 +16,15 @@
 
     private SnapshotSamples() {}
 
-    /** The snapshot that the next start of a relay would load. Works on a copy, since the relay may be running. */
+    /** Returns the snapshot that the next start would load. Reads copies of the files, as the relay may be running. */
     public static Snapshot readLatest(Path folder) throws IOException {
         return load(folder).snapshot();
     }
 
-    /** The deltas since the newest snapshot, each as its kind, a space and the id of the endpoint. */
+    /** Returns the deltas since the newest snapshot, each as its kind, a space and the endpoint's id. */
     public static List<String> readDeltas(Path folder) throws IOException {
         return load(folder).deltas().stream()
-                .map(n -> n.kind() + " " + n.endpointId())
+                .map(delta -> delta.kind() + " " + delta.endpointId())
                 .collect(Collectors.toList());
     }
 
@@ -51,12 +51,12 @@
         return loaded;
     }
 
-    /** Replaces the newest snapshot by a changed one; deltas stay as they are. */
+    /** Replaces the newest snapshot by a modified one and leaves its deltas unchanged. */
     public static void rewriteLatest(Path folder, UnaryOperator<Snapshot> change) throws IOException {
         rewriteLatest(folder, OWNER, change);
     }
 
-    /** As above, for the relay with the given name. */
+    /** Replaces the newest snapshot of the given relay by a modified one and leaves its deltas unchanged. */
     public static void rewriteLatest(Path folder, String owner, UnaryOperator<Snapshot> change) throws IOException {
         Snapshot snapshot = load(folder, owner).snapshot();
         Files.write(
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Size in bytes of the file of a snapshot. */
+    /** Returns the size of a snapshot's file in bytes. */
     public static long size(Snapshot snapshot) throws IOException {
         return SnapshotCodec.encodeSnapshot(snapshot).length;
     }
--- a/src/test/java/loftflow/warmstart/store/SnapshotStoreTest.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotStoreTest.java
@@ -26,18 +26,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Snapshot and delta files: a crash at each step, a full disk, and torn, foreign and damaged files. */
+/** Snapshot and delta files: crashes at each step, a full disk, and torn, foreign and damaged files. */
 class SnapshotStoreTest {
     @TempDir
     Path folder;
 
-    /** A folder whose process crashes at one step; a write that fails may have written a part. */
+    /** A folder whose process crashes at a given step. The failing write may be partial. */
     private static final class FaultyFolder implements SnapshotFolder {
         private final SnapshotFolder disk;
         private final SplittableRandom random;
         int steps;
         int failAtStep = Integer.MAX_VALUE;
-        boolean isKilled;
+        boolean hasCrashed;
         boolean isFull;
 
         FaultyFolder(SnapshotFolder disk, long seed) {
@@ -45,16 +45,16 @@
             random = new SplittableRandom(seed);
         }
 
-        private boolean fails() throws IOException {
-            if (isKilled || isFull) {
-                throw new IOException(isKilled ? "killed" : "No space left on device");
+        private boolean crashesNow() throws IOException {
+            if (hasCrashed || isFull) {
+                throw new IOException(hasCrashed ? "process crashed" : "No space left on device");
             }
             return steps++ == failAtStep;
         }
 
-        private IOException kill() {
-            isKilled = true;
-            return new IOException("killed");
+        private IOException crash() {
+            hasCrashed = true;
+            return new IOException("process crashed");
         }
 
         @Override
@@ -64,31 +64,31 @@
 
         @Override
         public void write(String name, byte[] bytes, boolean sync) throws IOException {
-            if (fails()) {
+            if (crashesNow()) {
                 disk.write(name, Arrays.copyOf(bytes, random.nextInt(bytes.length + 1)), sync);
-                throw kill();
+                throw crash();
             }
             disk.write(name, bytes, sync);
         }
 
         @Override
         public void append(String name, byte[] bytes) throws IOException {
-            if (fails()) {
+            if (crashesNow()) {
                 disk.append(name, Arrays.copyOf(bytes, random.nextInt(bytes.length + 1)));
-                throw kill();
+                throw crash();
             }
             disk.append(name, bytes);
         }
 
         @Override
-        public void replace(String firstDelta, String to) throws IOException {
-            if (fails()) {
+        public void replace(String from, String to) throws IOException {
+            if (crashesNow()) {
                 if (random.nextBoolean()) {
-                    disk.replace(firstDelta, to);
+                    disk.replace(from, to);
                 }
-                throw kill();
+                throw crash();
             }
-            disk.replace(firstDelta, to);
+            disk.replace(from, to);
         }
 
         @Override
@@ -142,7 +142,7 @@
     void snapshotAndDeltasAreLoadedAsWritten() throws IOException {
         SnapshotStore store = store();
         assertNull(store.load("app#0").snapshot());
-        assertTrue(store.needsSnapshot(), "there is no snapshot that a delta could follow");
+        assertTrue(store.needsSnapshot(), "deltas need a snapshot first");
         save(store, 1);
         appendDelta(store, "x");
         SnapshotStore.LoadedState loaded = store().load("app#0");
@@ -153,24 +153,24 @@
                 loaded.logLines().toString());
     }
 
-    /** Whatever the step of the crash, the next start loads the newest acknowledged write. */
+    /** After a crash at any step, the next start loads every acknowledged write. */
     @Test
     void crashAtAnyStepLosesNoDeltaAndNoSnapshot() throws IOException {
-        int kills = 0;
+        int crashes = 0;
         for (int step = 0; step < 40; step++) {
             for (int seed = 0; seed < 20; seed++) {
-                Path killFolder = folder.resolve(step + "-" + seed);
-                Files.createDirectories(killFolder);
-                FaultyFolder disk = new FaultyFolder(SnapshotFolder.onDisk(killFolder), seed);
+                Path crashFolder = folder.resolve(step + "-" + seed);
+                Files.createDirectories(crashFolder);
+                FaultyFolder disk = new FaultyFolder(SnapshotFolder.onDisk(crashFolder), seed);
                 disk.failAtStep = step;
                 SnapshotStore store = new SnapshotStore(disk, 10_000, false);
                 long lastWritten = 0;
                 int deltasWritten = 0;
-                int deltasBefore = 0;
+                int deltasBeforeSnapshot = 0;
                 try {
                     for (long generation = 1; generation <= 3; generation++) {
                         store.beginSnapshot(generation);
-                        deltasBefore = deltasWritten;
+                        deltasBeforeSnapshot = deltasWritten;
                         appendDelta(store, "n" + ++deltasWritten);
                         store.writeSnapshot(generation, SnapshotCodec.encodeSnapshot(snapshot(generation, "app#0")));
                         lastWritten = generation;
@@ -178,27 +178,28 @@
                         appendDelta(store, "n" + ++deltasWritten);
                     }
                 } catch (IOException e) {
-                    kills++;
+                    crashes++;
                 }
                 SnapshotStore.LoadedState loaded =
-                        new SnapshotStore(SnapshotFolder.onDisk(killFolder), 10_000, false).load("app#0");
+                        new SnapshotStore(SnapshotFolder.onDisk(crashFolder), 10_000, false).load("app#0");
                 long generation =
                         loaded.snapshot() == null ? 0 : loaded.snapshot().generation();
                 assertTrue(
                         generation == lastWritten || generation == lastWritten + 1,
-                        "snapshot " + generation + " of " + lastWritten);
-                int lastDelta = disk.isKilled ? deltasWritten - 1 : deltasWritten;
+                        "loaded generation " + generation + ", last written " + lastWritten);
+                int lastDelta = disk.hasCrashed ? deltasWritten - 1 : deltasWritten;
                 int firstDelta = generation == 0 ? lastDelta + 1 : (int) (2 * generation - 1);
                 for (int n = firstDelta; n <= lastDelta; n++) {
                     assertTrue(
                             endpointIds(loaded).contains("n" + n) || !loaded.isComplete(),
-                            "delta " + n + " of " + endpointIds(loaded) + " step " + step);
+                            "delta " + n + " is missing from " + endpointIds(loaded) + " after a crash at step "
+                                    + step);
                     assertTrue(endpointIds(loaded).contains("n" + n), "delta " + n + " is lost");
                 }
-                assertTrue(deltasBefore <= deltasWritten);
+                assertTrue(deltasBeforeSnapshot <= deltasWritten);
             }
         }
-        assertTrue(kills > 200, "kills: " + kills);
+        assertTrue(crashes > 200, "crashes: " + crashes);
     }
 
     @Test
@@ -219,7 +220,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 7, 8, 12, 16, 40, 100})
-    void tornSnapshotIsSetAsideAndThePreviousOneIsUsedWithAllDeltas(int length) throws IOException {
+    void tornSnapshotIsSetAsideAndThePreviousOneIsLoadedWithAllDeltas(int length) throws IOException {
         SnapshotStore store = store();
         save(store, 1);
         appendDelta(store, "a");
@@ -238,11 +239,13 @@
     @Test
     void anyDamagedByteIsDetected() throws IOException {
         byte[] bytes = SnapshotCodec.encodeSnapshot(snapshot(1, "app#0"));
-        for (int at = 0; at < bytes.length; at++) {
+        for (int index = 0; index < bytes.length; index++) {
             byte[] damaged = bytes.clone();
-            damaged[at] ^= 0x10;
+            damaged[index] ^= 0x10;
             assertThrows(
-                    SnapshotCodec.UnreadableException.class, () -> SnapshotCodec.decodeSnapshot(damaged), "byte " + at);
+                    SnapshotCodec.UnreadableException.class,
+                    () -> SnapshotCodec.decodeSnapshot(damaged),
+                    "damaged byte " + index);
         }
         assertEquals(snapshot(1, "app#0"), SnapshotCodec.decodeSnapshot(bytes));
     }
@@ -258,9 +261,9 @@
         assertTrue(
                 foreign.logLines().get(0).contains("owner is app#3, expected is app#0"),
                 foreign.logLines().toString());
-        byte[] later = SnapshotCodec.encodeSnapshot(snapshot(1, "app#0"));
-        later[SnapshotCodec.HEADER_BYTES - 1]++;
-        Files.write(folder.resolve(SnapshotStore.snapshotFileName(1)), later);
+        byte[] laterFormat = SnapshotCodec.encodeSnapshot(snapshot(1, "app#0"));
+        laterFormat[SnapshotCodec.HEADER_BYTES - 1]++;
+        Files.write(folder.resolve(SnapshotStore.snapshotFileName(1)), laterFormat);
         assertTrue(store().load("app#0").logLines().get(0).contains("format is 2, supported is 1"));
         Files.write(folder.resolve(SnapshotStore.snapshotFileName(1)), "not a snapshot at all".getBytes());
         assertTrue(store().load("app#0").logLines().get(0).contains("not a warm start file"));
@@ -279,13 +282,13 @@
         assertEquals(List.of("a"), endpointIds(torn));
         assertFalse(torn.isComplete());
         Files.delete(deltaFile);
-        SnapshotStore.LoadedState none = store().load("app#0");
-        assertNotNull(none.snapshot());
-        assertFalse(none.isComplete());
+        SnapshotStore.LoadedState withoutDeltas = store().load("app#0");
+        assertNotNull(withoutDeltas.snapshot());
+        assertFalse(withoutDeltas.isComplete());
     }
 
     @Test
-    void deltaFileFillsUpUntilTheNextSnapshot() throws IOException {
+    void fullDeltaFileRequiresASnapshot() throws IOException {
         SnapshotStore store = SnapshotStore.at(folder, 200, false);
         save(store, 1);
         assertFalse(store.needsSnapshot());
--- a/src/test/java/loftflow/warmstart/store/SnapshotWriterTest.java
+++ b/src/test/java/loftflow/warmstart/store/SnapshotWriterTest.java
@@ -22,14 +22,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Snapshots and deltas within the write budget, on a folder in memory that counts bytes and can be full. */
+/** Snapshot and delta writes within the budget, using an in-memory folder that counts bytes and can be full. */
 class SnapshotWriterTest {
-    private static final long SECOND = 1_000_000;
-    private static final long RATE = 20_480;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long BYTES_PER_SECOND = 20_480;
     private static final long MIB = 1 << 20;
     private static final long HOUR_SECONDS = 3_600;
 
-    /** A folder in memory. */
+    /** An in-memory folder whose writes and renames can be made to fail. */
     private static final class InMemoryFolder implements SnapshotFolder {
         final Map<String, byte[]> files = new HashMap<>();
         long bytesWritten;
@@ -73,36 +73,36 @@
         }
 
         synchronized long size() {
-            return files.values().stream().mapToLong(f -> f.length).sum();
+            return files.values().stream().mapToLong(content -> content.length).sum();
         }
     }
 
     private final InMemoryFolder disk = new InMemoryFolder();
-    private final BlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Runnable> eventLoop = new LinkedBlockingQueue<>();
     private SnapshotWriter writer;
     private long generation;
     private int failures;
 
     @AfterEach
-    void end() {
+    void closeWriter() {
         writer.close();
     }
 
-    private void openWriter(long limit, long rate) {
+    private void openWriter(long limitBytes, long bytesPerSecond) {
         writer = new SnapshotWriter(
-                new SnapshotWriter.Options(null, limit, rate, false),
-                new SnapshotStore(disk, limit / 50, false),
-                loop::add);
+                new SnapshotWriter.Options(null, limitBytes, bytesPerSecond, false),
+                new SnapshotStore(disk, limitBytes / 50, false),
+                eventLoop::add);
         writer.load("app#0");
         writer.start(null, new ClockReading(0, 0, "b"), 0);
     }
 
-    private Snapshot snapshot(int endpoints, long now) {
+    private Snapshot snapshot(int endpoints, long nowMicros) {
         return new Snapshot(
                 "app#0",
                 generation + 1,
-                new ClockReading(now, now, "b"),
-                now,
+                new ClockReading(nowMicros, nowMicros, "b"),
+                nowMicros,
                 1,
                 IntStream.range(0, endpoints)
                         .mapToObj(i -> new KnownEndpoint(
@@ -117,17 +117,17 @@
                         .toList());
     }
 
-    /** Writes a snapshot and waits for the result. */
-    private boolean save(int endpoints, long now) throws InterruptedException {
-        if (!startSave(endpoints, now)) {
+    /** Writes a snapshot and waits for the result. Returns false if the write was not started. */
+    private boolean save(int endpoints, long nowMicros) throws InterruptedException {
+        if (!startSave(endpoints, nowMicros)) {
             return false;
         }
-        loop.take().run();
+        eventLoop.take().run();
         return true;
     }
 
-    private boolean startSave(int endpoints, long now) {
-        boolean isStarted = writer.writeSnapshot(snapshot(endpoints, now), now, () -> {
+    private boolean startSave(int endpoints, long nowMicros) {
+        boolean isStarted = writer.writeSnapshot(snapshot(endpoints, nowMicros), nowMicros, () -> {
             failures++;
             generation--;
         });
@@ -139,21 +139,21 @@
         return new SnapshotStore(disk, MIB, false).load("app#0");
     }
 
-    private static SnapshotDelta delta(SnapshotDelta.Kind kind, int endpoint, long at) {
-        return new SnapshotDelta(kind, "elevator-" + endpoint, at);
+    private static SnapshotDelta delta(SnapshotDelta.Kind kind, int endpoint, long atMicros) {
+        return new SnapshotDelta(kind, "elevator-" + endpoint, atMicros);
     }
 
     @Test
-    void deltaFollowsTheCurrentAndTheNextSnapshot() throws InterruptedException {
-        openWriter(2 * MIB, RATE);
+    void deltaIsRecordedForTheCurrentAndTheNextSnapshot() throws InterruptedException {
+        openWriter(2 * MIB, BYTES_PER_SECOND);
         writer.writeDeltas(List.of(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, 9, 0)), 0);
-        assertEquals(0, disk.bytesWritten, "there is no snapshot that a delta could follow");
+        assertEquals(0, disk.bytesWritten, "deltas need a snapshot first");
         assertTrue(save(3, 0));
         writer.writeDeltas(List.of(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, 1, 1)), 1);
-        assertTrue(startSave(3, SECOND));
-        assertFalse(writer.canWriteSnapshot(SECOND), "one snapshot at a time");
-        writer.writeDeltas(List.of(delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5)), SECOND);
-        loop.take().run();
+        assertTrue(startSave(3, SECOND_MICROS));
+        assertFalse(writer.canWriteSnapshot(SECOND_MICROS), "only one snapshot is written at a time");
+        writer.writeDeltas(List.of(delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5)), SECOND_MICROS);
+        eventLoop.take().run();
         assertEquals(List.of(delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5)), load().deltas());
         disk.files.remove(SnapshotStore.snapshotFileName(2));
         assertEquals(
@@ -162,76 +162,80 @@
                         delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5),
                         delta(SnapshotDelta.Kind.RETRY_AFTER, 2, 5)),
                 load().deltas(),
-                "the previous snapshot has them all");
+                "the previous snapshot has all deltas");
     }
 
-    /** A failed write changes neither the current snapshot nor the deltas lost since then. */
+    /** A failed write must discard neither the current snapshot nor the record of deltas lost since then. */
     @Test
     void failedSnapshotWriteRetainsLostDeltas() throws InterruptedException {
         openWriter(MIB, 1_024);
         assertTrue(save(2, 0));
         for (int i = 0; i < 3_000; i++) {
-            writer.writeDeltas(List.of(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, i, 7)), SECOND);
+            writer.writeDeltas(List.of(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, i, 7)), SECOND_MICROS);
         }
         assertTrue(writer.needsSnapshot());
         disk.canReplace = false;
-        assertTrue(save(2, 300 * SECOND));
+        assertTrue(save(2, 300 * SECOND_MICROS));
         assertEquals(1, failures);
         assertTrue(writer.needsSnapshot(), "deltas lost since the current snapshot are still lost");
-        assertTrue(load().deltas().stream().anyMatch(n -> n.kind() == SnapshotDelta.Kind.DELTAS_LOST));
+        assertTrue(load().deltas().stream().anyMatch(delta -> delta.kind() == SnapshotDelta.Kind.DELTAS_LOST));
         assertEquals(1, load().snapshot().generation());
         disk.canReplace = true;
-        assertTrue(save(2, 400 * SECOND));
+        assertTrue(save(2, 400 * SECOND_MICROS));
         assertFalse(writer.needsSnapshot());
         assertEquals(2, load().snapshot().generation());
     }
 
-    /** An hour in which an eighth of 5,000 endpoints changes each second stays within the budget. */
+    /** Changes of an eighth of 5,000 endpoints each second for an hour must stay within the write budget. */
     @Test
-    void anHourOfChurnStaysWithinTheBudgetAndRecordsLostDeltas() throws InterruptedException {
-        openWriter(4 * MIB, RATE);
-        int lost = 0;
+    void hourOfChurnStaysWithinTheBudgetAndRecordsLostDeltas() throws InterruptedException {
+        openWriter(4 * MIB, BYTES_PER_SECOND);
+        int samplesWithLostDeltas = 0;
         long maxBytes = 0;
         for (long second = 0; second < HOUR_SECONDS; second++) {
-            long now = second * SECOND;
-            writer.recordLostDeltas(now);
-            save(5_000, now);
+            long nowMicros = second * SECOND_MICROS;
+            writer.recordLostDeltas(nowMicros);
+            save(5_000, nowMicros);
             List<SnapshotDelta> deltas = new ArrayList<>();
             for (int i = 0; i < 600; i++) {
-                deltas.add(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, (int) (second * 600 + i) % 5_000, now));
+                deltas.add(delta(SnapshotDelta.Kind.OUT_OF_SERVICE, (int) (second * 600 + i) % 5_000, nowMicros));
             }
-            for (SnapshotDelta each : deltas) {
-                writer.writeDeltas(List.of(each), now);
+            for (SnapshotDelta delta : deltas) {
+                writer.writeDeltas(List.of(delta), nowMicros);
             }
-            lost += second % 60 > 0
+            samplesWithLostDeltas += second % 60 > 0
                     ? 0
-                    : load().deltas().stream().anyMatch(n -> n.kind() == SnapshotDelta.Kind.DELTAS_LOST) ? 1 : 0;
+                    : load().deltas().stream().anyMatch(delta -> delta.kind() == SnapshotDelta.Kind.DELTAS_LOST)
+                            ? 1
+                            : 0;
             maxBytes = Math.max(maxBytes, disk.size());
         }
-        // The rate, its burst, and for each second a delta file header and one delta that stands for lost ones.
-        long allowed = RATE * (HOUR_SECONDS + 60) + HOUR_SECONDS * 60;
-        assertTrue(disk.bytesWritten <= allowed, disk.bytesWritten + " of " + allowed);
-        assertTrue(disk.bytesWritten > allowed / 2, "it does write: " + disk.bytesWritten);
-        assertTrue(maxBytes < 4 * MIB, "on the disk: " + maxBytes);
-        assertTrue(lost > 0, "lost deltas are recorded");
-        System.out.println("an hour of churn of 5,000 endpoints wrote " + disk.bytesWritten + " bytes, " + maxBytes
-                + " at once on the disk");
+        // The rate and its burst, plus a delta file header and one summary of lost deltas each second.
+        long allowedBytes = BYTES_PER_SECOND * (HOUR_SECONDS + 60) + HOUR_SECONDS * 60;
+        assertTrue(
+                disk.bytesWritten <= allowedBytes, disk.bytesWritten + " bytes written, allowed are " + allowedBytes);
+        assertTrue(
+                disk.bytesWritten > allowedBytes / 2, "less than half of the budget was written: " + disk.bytesWritten);
+        assertTrue(maxBytes < 4 * MIB, "largest size of all files: " + maxBytes);
+        assertTrue(samplesWithLostDeltas > 0, "lost deltas are recorded");
+        System.out.println("an hour of churn of 5,000 endpoints wrote " + disk.bytesWritten
+                + " bytes; the largest size of all files was " + maxBytes + " bytes");
     }
 
     @Test
-    void deltasBeyondTheBudgetBecomeOneUntilTheNextSnapshot() throws InterruptedException {
+    void deltasBeyondTheBudgetAreSummarizedUntilTheNextSnapshot() throws InterruptedException {
         openWriter(MIB, 1_024);
         assertTrue(save(2, 0));
         for (int i = 0; i < 5_000; i++) {
-            writer.writeDeltas(List.of(delta(SnapshotDelta.Kind.RETRY_AFTER, i, 7 + i)), SECOND);
+            writer.writeDeltas(List.of(delta(SnapshotDelta.Kind.RETRY_AFTER, i, 7 + i)), SECOND_MICROS);
         }
         SnapshotStore.LoadedState loaded = load();
         for (int i = 2; i < 100; i++) {
-            writer.recordLostDeltas(i * SECOND);
+            writer.recordLostDeltas(i * SECOND_MICROS);
         }
         long bytesBefore = disk.bytesWritten;
         for (int i = 100; i < 200; i++) {
-            writer.recordLostDeltas(i * SECOND);
+            writer.recordLostDeltas(i * SECOND_MICROS);
         }
         assertEquals(bytesBefore, disk.bytesWritten, "the loss is recorded once");
         SnapshotDelta last = loaded.deltas().get(loaded.deltas().size() - 1);
@@ -241,15 +245,15 @@
         assertEquals(
                 new SnapshotDelta(SnapshotDelta.Kind.DELTAS_LOST, "", 7 + 4_999),
                 loaded.deltas().get(loaded.deltas().size() - 1),
-                "the longest retry-after of the lost deltas");
-        assertTrue(save(2, 300 * SECOND));
+                "the summary has the longest retry-after of the lost deltas");
+        assertTrue(save(2, 300 * SECOND_MICROS));
         assertFalse(writer.needsSnapshot());
         assertTrue(load().deltas().isEmpty());
     }
 
     @Test
     void tooLargeSnapshotOmitsTheEndpointsWithTheOldestEvidence() throws InterruptedException {
-        openWriter(MIB, RATE);
+        openWriter(MIB, BYTES_PER_SECOND);
         assertTrue(save(9_000, 0));
         Snapshot retained = load().snapshot();
         assertTrue(disk.files.get(SnapshotStore.snapshotFileName(1)).length <= 0.3 * MIB);
@@ -257,27 +261,27 @@
                 retained.endpoints().size() > 1_500,
                 "retained: " + retained.endpoints().size());
         assertTrue(retained.endpoints().stream()
-                .allMatch(k ->
-                        k.entry().destination() >= 9_000 - retained.endpoints().size()));
+                .allMatch(endpoint -> endpoint.entry().destination()
+                        >= 9_000 - retained.endpoints().size()));
     }
 
     @Test
     void retriesOnAFullDiskBackOff() throws InterruptedException {
-        openWriter(MIB, RATE);
+        openWriter(MIB, BYTES_PER_SECOND);
         assertTrue(save(2, 0));
         disk.isFull = true;
         int attempts = 0;
-        for (long now = SECOND; now < 120 * SECOND; now += SECOND) {
-            if (writer.canWriteSnapshot(now)) {
+        for (long nowMicros = SECOND_MICROS; nowMicros < 120 * SECOND_MICROS; nowMicros += SECOND_MICROS) {
+            if (writer.canWriteSnapshot(nowMicros)) {
                 attempts++;
-                save(2, now);
+                save(2, nowMicros);
             }
         }
         assertTrue(attempts >= 6 && attempts <= 9, "attempts: " + attempts);
-        assertEquals(0, failures, "no write was started");
+        assertEquals(0, failures, "failed starts are not reported as failed writes");
         assertEquals(1, load().snapshot().generation());
         disk.isFull = false;
-        assertTrue(save(2, 300 * SECOND));
+        assertTrue(save(2, 300 * SECOND_MICROS));
         assertEquals(generation, load().snapshot().generation());
     }
 }
--- a/src/test/java/loftflow/warmstart/store/StoreBenchmark.java
+++ b/src/test/java/loftflow/warmstart/store/StoreBenchmark.java
@@ -21,40 +21,41 @@
 import loftflow.warmstart.Snapshot;
 
 /**
- * Measures the cost of warm start, as a command: start-up time and memory of a relay that restores a number of
- * endpoints, compared with one that restores none and one with warm start off, in turns; also the size of a snapshot
- * and the time to encode and decode it.
+ * Command that measures the cost of warm start. Compares start-up time and memory of relays that restore different
+ * numbers of endpoints with a relay that restores none and a relay with warm start off, in interleaved runs. Also
+ * measures the size of a snapshot and the time to encode and decode it.
  */
 public final class StoreBenchmark {
-    private static final int TURNS = 9;
+    private static final int RUNS = 9;
 
     private StoreBenchmark() {}
 
-    /** Prints the figures for the numbers of endpoints that are given. */
+    /** Runs the measurements and prints the results. */
     public static void main(String[] args) throws Exception {
         try (TemporaryFolder scratch = TemporaryFolder.named("cost")) {
             Path folder = scratch.folder();
-            codec(5_000);
+            measureCodec(5_000);
             List<String> kinds = List.of("off", "0", "500", "5000");
             List<List<Long>> starts = new ArrayList<>();
             List<List<Long>> resident = new ArrayList<>();
-            kinds.forEach(k -> {
+            kinds.forEach(unused -> {
                 starts.add(new ArrayList<>());
                 resident.add(new ArrayList<>());
             });
-            for (int turn = 0; turn < TURNS; turn++) {
+            for (int run = 0; run < RUNS; run++) {
                 for (int kind = 0; kind < kinds.size(); kind++) {
-                    start(folder.resolve(turn + "-" + kind), kinds.get(kind), starts.get(kind), resident.get(kind));
+                    measureStart(
+                            folder.resolve(run + "-" + kind), kinds.get(kind), starts.get(kind), resident.get(kind));
                 }
             }
             for (int kind = 0; kind < kinds.size(); kind++) {
                 System.out.println(String.format(
                         Locale.ROOT,
-                        "%5s endpoints: serves after %d ms, resident %.1f MiB (medians" + " of %d)",
+                        "%5s endpoints: serves after %d ms, resident %.1f MiB (medians of %d)",
                         kinds.get(kind),
                         median(starts.get(kind)),
                         median(resident.get(kind)) / 1024.0,
-                        TURNS));
+                        RUNS));
             }
         }
     }
@@ -85,29 +86,30 @@
                         .toList());
     }
 
-    private static void codec(int endpoints) throws IOException {
+    private static void measureCodec(int endpoints) throws IOException {
         Snapshot snapshot = snapshot(endpoints);
         byte[] bytes = SnapshotCodec.encodeSnapshot(snapshot);
         long start = System.nanoTime();
         for (int i = 0; i < 200; i++) {
             bytes = SnapshotCodec.encodeSnapshot(snapshot);
         }
-        long wrote = System.nanoTime() - start;
+        long encodeNanos = System.nanoTime() - start;
         start = System.nanoTime();
         for (int i = 0; i < 200; i++) {
             SnapshotCodec.decodeSnapshot(bytes);
         }
-        long read = System.nanoTime() - start;
+        long decodeNanos = System.nanoTime() - start;
         System.out.println(String.format(
                 Locale.ROOT,
-                "%d endpoints: %d bytes, encoded in %.2f ms, read in %.2f ms",
+                "%d endpoints: %d bytes, encoded in %.2f ms, decoded in %.2f ms",
                 endpoints,
                 bytes.length,
-                wrote / 200e6,
-                read / 200e6));
+                encodeNanos / 200e6,
+                decodeNanos / 200e6));
     }
 
-    private static void start(Path folder, String kind, List<Long> starts, List<Long> resident) throws Exception {
+    private static void measureStart(Path folder, String kind, List<Long> starts, List<Long> resident)
+            throws Exception {
         Files.createDirectories(folder);
         Path state = folder.resolve("state");
         Path file = Files.writeString(
@@ -139,14 +141,15 @@
         if (!kind.equals("off") && !kind.equals("0")) {
             SnapshotSamples.write(state, snapshot(Integer.parseInt(kind)));
         }
-        long began = System.nanoTime();
+        long startedNanos = System.nanoTime();
         try (ServedRelay relay = ServedRelay.start(outcome.file(), folder.resolve("log"), "-Xmx72m", "-Xss512k")) {
             relay.awaitServing();
             try (FakeClient client = relay.client()) {
-                boolean ready = client.isReady();
-                starts.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began));
-                if (ready == (kind.equals("off") || kind.equals("0"))) {
-                    throw new IOException(kind + " ready: " + ready + " " + relay.log());
+                boolean isReady = client.isReady();
+                starts.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos));
+                if (isReady == (kind.equals("off") || kind.equals("0"))) {
+                    throw new IOException(
+                            "unexpected readiness: endpoints=" + kind + " ready=" + isReady + " log: " + relay.log());
                 }
             }
             Thread.sleep(2_000);
--- a/src/test/java/loftflow/warmstart/store/StoredCodesTest.java
+++ b/src/test/java/loftflow/warmstart/store/StoredCodesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The numbers and bytes of warm start files, which must not change: files of earlier versions are read. */
+/** Codes and bytes of warm start files, which must not change: later versions read files of earlier ones. */
 class StoredCodesTest {
     private static Stream<Arguments> availabilityCodes() {
         return Stream.of(
