--- a/src/main/java/loftflow/warmstart/EndpointHistory.java
+++ b/src/main/java/loftflow/warmstart/EndpointHistory.java
@@ -31,7 +31,7 @@
     /** Reason for which an endpoint is ejected. */
     private enum EjectionReason {
         UNEXPECTED_RESPONSE("unexpected-response"),
-        REFUSED_OR_HUNG("refused-or-isHung-twice");
+        REFUSED_OR_HUNG("refused-or-hung-twice");
 
         private final String label;
 
