--- a/src/main/java/loftflow/deduplication/DeduplicationFile.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationFile.java
@@ -15,18 +15,18 @@
 import loftflow.recordfile.RecordFile;
 
 /**
- * A deduplication window that outlasts the process, in an append-only file of records. Once the file holds more than
- * twice as many records as ids are retained, a compaction replaces it by one without expired ids. Appending needs no
- * sync: what was written outlasts the process, and nothing outlasts the machine.
+ * A deduplication window that outlasts the process, stored in an append-only file of records. Once the file holds more
+ * than twice as many records as retained ids, a compaction replaces it with a file without expired ids. Appends are not
+ * synced: written records survive the end of the process, and survival of a machine failure is not required.
  *
  * <p>A record's payload is the time at which the id was accepted, in microseconds since 1970 as a big-endian
  * {@code long}, and the id in UTF-8.
  */
 public final class DeduplicationFile implements Deduplicator, AutoCloseable {
-    private static final String NAME = "seen.log";
-    private static final String UNFINISHED_NAME = "seen.new";
+    private static final String FILE_NAME = "seen.log";
+    private static final String COMPACTION_FILE_NAME = "seen.new";
     private static final int MAX_ID_BYTES = 1_000;
-    /** Records beyond twice the number of retained ids that a compaction waits for. */
+    /** Number of records beyond twice the retained ids at which a compaction starts. */
     private static final int COMPACTION_SLACK_RECORDS = 1_000;
 
     private static final long COMPACTION_RETRY_MICROS = TimeUnit.SECONDS.toMicros(1);
@@ -37,17 +37,17 @@
     private FileChannel file;
     private long sizeBytes;
     private int records;
-    /** Set from a failed append to the next compaction: the file may lack ids, and may end in a torn record. */
-    private boolean isBroken;
+    /** True from a failed append to the next successful compaction: the file may lack ids or end in a torn record. */
+    private boolean hasFailedAppend;
 
     private long nextCompactionMicros;
 
     /**
-     * Opens the file of a folder, which is created where it is missing; a torn tail is removed.
+     * Opens or creates the file in a folder and truncates a torn tail. Creates the folder if it does not exist.
      *
-     * @param windowMicros for how long an id is retained
-     * @param capacity how many ids are retained at most
-     * @param clockMicros the time in microseconds since 1970
+     * @param windowMicros how long an id is retained, in microseconds
+     * @param capacity maximum number of retained ids
+     * @param clockMicros supplies the time in microseconds since 1970
      */
     public DeduplicationFile(Path folder, long windowMicros, int capacity, LongSupplier clockMicros)
             throws IOException {
@@ -55,9 +55,12 @@
         this.clockMicros = clockMicros;
         window = new DeduplicationWindow(windowMicros, capacity);
         Files.createDirectories(folder);
-        Files.deleteIfExists(folder.resolve(UNFINISHED_NAME));
+        Files.deleteIfExists(folder.resolve(COMPACTION_FILE_NAME));
         file = FileChannel.open(
-                folder.resolve(NAME), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+                folder.resolve(FILE_NAME),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.READ,
+                StandardOpenOption.WRITE);
         replay();
     }
 
@@ -66,20 +69,20 @@
         return window.contains(id, clockMicros.getAsLong());
     }
 
-    /** Also false while the file can't be written: an id that is not in it would not outlast the process. */
+    /** Also returns false while the file can't be written, since new ids would not outlast the process. */
     @Override
     public boolean hasCapacity() {
-        if (isBroken && clockMicros.getAsLong() >= nextCompactionMicros) {
+        if (hasFailedAppend && clockMicros.getAsLong() >= nextCompactionMicros) {
             compact();
         }
-        return !isBroken && window.hasCapacity(clockMicros.getAsLong());
+        return !hasFailedAppend && window.hasCapacity(clockMicros.getAsLong());
     }
 
     @Override
     public void add(String id) {
         long nowMicros = clockMicros.getAsLong();
         window.add(id, nowMicros);
-        append(record(id, nowMicros));
+        append(encodeRecord(id, nowMicros));
         if (records > 2 * window.size() + COMPACTION_SLACK_RECORDS && nowMicros >= nextCompactionMicros) {
             compact();
         }
@@ -92,11 +95,11 @@
             records++;
         } catch (IOException e) {
             Log.line("deduplication: append failed, no more messages are accepted over AMQP error=" + e.getMessage());
-            isBroken = true;
+            hasFailedAppend = true;
         }
     }
 
-    private static byte[] record(String id, long acceptedAtMicros) {
+    private static byte[] encodeRecord(String id, long acceptedAtMicros) {
         byte[] idBytes = id.getBytes(StandardCharsets.UTF_8);
         byte[] record = new byte[RecordFile.HEADER_BYTES + Long.BYTES + idBytes.length];
         ByteBuffer.wrap(record)
@@ -106,54 +109,54 @@
         return RecordFile.seal(record);
     }
 
-    /** Replaces the file by one that holds the retained ids only. */
+    /** Replaces the file with one that holds only the retained ids. */
     private void compact() {
         try {
-            FileChannel next = FileChannel.open(
-                    folder.resolve(UNFINISHED_NAME),
+            FileChannel compacted = FileChannel.open(
+                    folder.resolve(COMPACTION_FILE_NAME),
                     StandardOpenOption.CREATE,
                     StandardOpenOption.READ,
                     StandardOpenOption.TRUNCATE_EXISTING,
                     StandardOpenOption.WRITE);
-            long writtenBytes = writeRetained(next);
+            long writtenBytes = writeRetained(compacted);
             file.close();
-            file = next;
+            file = compacted;
             sizeBytes = writtenBytes;
             records = window.size();
-            isBroken = false;
+            hasFailedAppend = false;
         } catch (IOException e) {
             Log.line("deduplication: compaction failed error=" + e.getMessage());
-            // Without a pause, each message would start a compaction on a disk that is full.
+            // Without a delay, each message would start a compaction while the disk is full.
             nextCompactionMicros = clockMicros.getAsLong() + COMPACTION_RETRY_MICROS;
         }
     }
 
-    /** Writes every retained id and puts the new file in the place of the old one; the bytes written. */
-    private long writeRetained(FileChannel next) throws IOException {
+    /** Writes all retained ids to the new file and moves it over the old one. Returns the number of bytes written. */
+    private long writeRetained(FileChannel compacted) throws IOException {
         try {
             long writtenBytes = 0;
-            for (Map.Entry<String, Long> id : window.all().entrySet()) {
-                byte[] record = record(id.getKey(), id.getValue());
-                RecordFile.writeFully(next, record, writtenBytes);
+            for (Map.Entry<String, Long> entry : window.entries().entrySet()) {
+                byte[] record = encodeRecord(entry.getKey(), entry.getValue());
+                RecordFile.writeFully(compacted, record, writtenBytes);
                 writtenBytes += record.length;
             }
-            Files.move(folder.resolve(UNFINISHED_NAME), folder.resolve(NAME), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(folder.resolve(COMPACTION_FILE_NAME), folder.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE);
             return writtenBytes;
         } catch (IOException e) {
-            next.close();
+            compacted.close();
             throw e;
         }
     }
 
     private void replay() throws IOException {
-        ByteBuffer all = RecordFile.readAll(file);
-        byte[] payload = RecordFile.readNext(all);
+        ByteBuffer content = RecordFile.readAll(file);
+        byte[] payload = RecordFile.readNext(content);
         while (payload != null && payload.length > Long.BYTES && payload.length <= Long.BYTES + MAX_ID_BYTES) {
             String id = new String(payload, Long.BYTES, payload.length - Long.BYTES, StandardCharsets.UTF_8);
             window.add(id, ByteBuffer.wrap(payload).getLong());
             records++;
-            sizeBytes = all.position();
-            payload = RecordFile.readNext(all);
+            sizeBytes = content.position();
+            payload = RecordFile.readNext(content);
         }
         if (sizeBytes < file.size()) {
             Log.line("deduplication: torn tail truncated bytes=" + (file.size() - sizeBytes));
--- a/src/main/java/loftflow/deduplication/DeduplicationWindow.java
+++ b/src/main/java/loftflow/deduplication/DeduplicationWindow.java
@@ -5,61 +5,61 @@
 import java.util.Map;
 
 /**
- * The message ids accepted within a time window, without a clock or a file of its own; times are microseconds of the
+ * Retains the message ids accepted within a time window. Uses no clock or file; times are in microseconds of the
  * caller's clock. An id is never evicted before its window has passed: a full window reports that it has no capacity,
- * and the caller accepts nothing more.
+ * and the caller must then accept no further ids.
  */
 public final class DeduplicationWindow {
     private final long windowMicros;
     private final int capacity;
-    /** When each id was accepted, the earliest first. */
-    private final Map<String, Long> acceptedAt = new LinkedHashMap<>();
+    /** Acceptance time of each retained id, earliest first. */
+    private final Map<String, Long> acceptedAtMicros = new LinkedHashMap<>();
 
     /**
-     * An empty window.
+     * Creates an empty window.
      *
-     * @param windowMicros for how long an id is retained
-     * @param capacity how many ids are retained at most
+     * @param windowMicros how long an id is retained, in microseconds
+     * @param capacity maximum number of retained ids
      */
     public DeduplicationWindow(long windowMicros, int capacity) {
         this.windowMicros = windowMicros;
         this.capacity = capacity;
     }
 
-    /** True where an id was accepted no longer ago than the window. */
+    /** Returns true if the id was accepted within the window. */
     public boolean contains(String id, long nowMicros) {
-        Long at = acceptedAt.get(id);
-        return at != null && nowMicros - at <= windowMicros;
+        Long idMicros = acceptedAtMicros.get(id);
+        return idMicros != null && nowMicros - idMicros <= windowMicros;
     }
 
-    /** True where one more id can be retained. */
+    /** Returns true if one more id can be retained. Evicts expired ids. */
     public boolean hasCapacity(long nowMicros) {
         evictExpired(nowMicros);
-        return acceptedAt.size() < capacity;
+        return acceptedAtMicros.size() < capacity;
     }
 
-    /** Retains an accepted id, from now on where it is retained already. */
+    /** Retains an accepted id. If it is already retained, its window starts again. */
     public void add(String id, long nowMicros) {
         evictExpired(nowMicros);
-        // A key that is put again would retain its position in the map, and the earliest id must stay first.
-        acceptedAt.remove(id);
-        acceptedAt.put(id, nowMicros);
+        // Removes the id first: putting an existing key would retain its position, but the map must be ordered by time.
+        acceptedAtMicros.remove(id);
+        acceptedAtMicros.put(id, nowMicros);
     }
 
     private void evictExpired(long nowMicros) {
-        Iterator<Long> times = acceptedAt.values().iterator();
+        Iterator<Long> times = acceptedAtMicros.values().iterator();
         while (times.hasNext() && nowMicros - times.next() > windowMicros) {
             times.remove();
         }
     }
 
-    /** How many ids are retained. */
+    /** Returns the number of retained ids. */
     public int size() {
-        return acceptedAt.size();
+        return acceptedAtMicros.size();
     }
 
-    /** Every retained id with the time at which it was accepted, the earliest first. */
-    Map<String, Long> all() {
-        return acceptedAt;
+    /** Returns all retained ids with their acceptance times in microseconds, earliest first. */
+    Map<String, Long> entries() {
+        return acceptedAtMicros;
     }
 }
--- a/src/main/java/loftflow/deduplication/Deduplicator.java
+++ b/src/main/java/loftflow/deduplication/Deduplicator.java
@@ -1,11 +1,11 @@
 package loftflow.deduplication;
 
 /**
- * Recognizes messages that a client submits again. A listener looks an id up before it accepts a message, and adds it
- * before it acknowledges one. To be called on the event loop.
+ * Detects messages that a client submits more than once. A listener looks up the id of a message before it accepts the
+ * message, and adds the id before it acknowledges the message. All methods must be called on the event loop.
  */
 public interface Deduplicator {
-    /** Retains nothing: every message is new. */
+    /** Retains no ids and treats every message as new. */
     Deduplicator NONE = new Deduplicator() {
         @Override
         public boolean contains(String id) {
@@ -21,12 +21,12 @@
         public void add(String id) {}
     };
 
-    /** True where a message of that id was accepted within the window. */
+    /** Returns true if a message with this id was accepted within the window. */
     boolean contains(String id);
 
-    /** False where no more ids can be retained; no message that must not be accepted twice may be accepted then. */
+    /** Returns false if no more ids can be retained; messages that require deduplication must not be accepted then. */
     boolean hasCapacity();
 
-    /** Retains the id of an accepted message; it outlasts the process when this returns. */
+    /** Retains the id of an accepted message. When this method returns, the id outlasts the process. */
     void add(String id);
 }
--- a/src/main/java/loftflow/deduplication/package-info.java
+++ b/src/main/java/loftflow/deduplication/package-info.java
@@ -1,7 +1,6 @@
 /**
- * The message ids that were accepted, for listeners whose clients submit the same message again: which ids are known is
- * decided in {@code DeduplicationWindow}, free of files and clocks; {@code DeduplicationFile} stores them, so that they
- * outlast the process.
+ * Deduplication of messages that clients submit more than once. {@code DeduplicationWindow} decides which accepted ids
+ * are retained and uses no files or clocks; {@code DeduplicationFile} stores them, so that they outlast the process.
  *
  * <p>May use: {@code recordfile} and the log.
  */
--- a/src/test/java/loftflow/deduplication/DeduplicatorTest.java
+++ b/src/test/java/loftflow/deduplication/DeduplicatorTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The window of accepted ids and the file that stores it. */
+/** The deduplication window and the file that stores it. */
 class DeduplicatorTest {
     private static final long WINDOW_MICROS = 1_000;
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void idIsKnownForItsWindowAndNotBeyond() {
+    void idIsRetainedForItsWindowOnly() {
         DeduplicationWindow window = new DeduplicationWindow(WINDOW_MICROS, 2);
         window.add("a", 0);
         window.add("b", 500);
@@ -38,7 +38,7 @@
                 && !window.contains("a", WINDOW_MICROS + 1)
                 && window.contains("b", WINDOW_MICROS + 1));
         assertFalse(window.hasCapacity(WINDOW_MICROS), "the capacity is two");
-        assertTrue(window.hasCapacity(WINDOW_MICROS + 1), "one has expired");
+        assertTrue(window.hasCapacity(WINDOW_MICROS + 1), "the id a has expired");
         assertTrue(window.contains("b", -9_000), "a clock that is set back evicts nothing");
     }
 
@@ -51,40 +51,40 @@
         }
         nowMicros += 500;
         try (DeduplicationFile file = open(9)) {
-            assertFalse(file.contains("a"), "its window has passed");
+            assertFalse(file.contains("a"), "the window of a has passed");
             assertTrue(file.contains("b"));
         }
     }
 
     @Test
-    void tornTailIsTruncatedAndWholeRecordsStay() throws Exception {
+    void tornTailIsTruncatedAndIntactRecordsRemain() throws Exception {
         try (DeduplicationFile file = open(9)) {
             file.add("a");
             file.add("b");
         }
         Path path = folder.resolve("seen.log");
-        byte[] whole = Files.readAllBytes(path);
-        for (int cut = 0; cut < whole.length; cut++) {
-            Files.write(path, Arrays.copyOf(whole, cut), StandardOpenOption.TRUNCATE_EXISTING);
+        byte[] intact = Files.readAllBytes(path);
+        for (int cut = 0; cut < intact.length; cut++) {
+            Files.write(path, Arrays.copyOf(intact, cut), StandardOpenOption.TRUNCATE_EXISTING);
             try (DeduplicationFile file = open(9)) {
-                assertEquals(cut >= whole.length / 2, file.contains("a"), "cut at " + cut);
+                assertEquals(cut >= intact.length / 2, file.contains("a"), "cut at " + cut);
                 assertFalse(file.contains("b"));
                 file.add("c");
             }
             try (DeduplicationFile file = open(9)) {
-                assertTrue(file.contains("c"), "what is appended behind a torn tail is read");
+                assertTrue(file.contains("c"), "a record appended after truncation is read");
             }
         }
-        byte[] flipped = whole.clone();
-        flipped[whole.length - 1] ^= 1;
-        Files.write(path, flipped);
+        byte[] withFlippedBit = intact.clone();
+        withFlippedBit[intact.length - 1] ^= 1;
+        Files.write(path, withFlippedBit);
         try (DeduplicationFile file = open(9)) {
             assertTrue(file.contains("a") && !file.contains("b"));
         }
     }
 
     @Test
-    void compactedFileStaysBoundedAndHoldsTheWindow() throws Exception {
+    void compactionBoundsTheFileAndRetainsTheWindow() throws Exception {
         Random random = new Random(5);
         Set<String> added = new HashSet<>();
         DeduplicationFile file = open(100_000);
@@ -98,24 +98,26 @@
             }
         }
         file.close();
-        assertTrue(Files.size(folder.resolve("seen.log")) < 3_000 * 40, "some 700 ids are in their window");
-        DeduplicationFile again = open(100_000);
-        long known = added.stream().filter(again::contains).count();
-        assertTrue(known > 400 && known < 1_000, "known: " + known);
-        assertTrue(again.contains("id-19999") && !again.contains("id-1"));
-        again.close();
+        assertTrue(
+                Files.size(folder.resolve("seen.log")) < 3_000 * 40,
+                "the file is too large for about 700 retained ids");
+        DeduplicationFile reopened = open(100_000);
+        long knownIds = added.stream().filter(reopened::contains).count();
+        assertTrue(knownIds > 400 && knownIds < 1_000, "ids within the window: " + knownIds);
+        assertTrue(reopened.contains("id-19999") && !reopened.contains("id-1"));
+        reopened.close();
     }
 
     @Test
     void fullDiskHasNoCapacityUntilACompactionSucceeds() throws Exception {
-        Path full = Path.of("/dev/full");
-        assumeTrue(Files.exists(full));
-        Files.createSymbolicLink(folder.resolve("seen.log"), full);
+        Path fullDevice = Path.of("/dev/full");
+        assumeTrue(Files.exists(fullDevice));
+        Files.createSymbolicLink(folder.resolve("seen.log"), fullDevice);
         try (DeduplicationFile file = open(9)) {
             assertTrue(file.hasCapacity());
             file.add("a");
-            assertTrue(file.contains("a"), "it is known until the process ends");
-            // The next call compacts into a new file beside the one that fails.
+            assertTrue(file.contains("a"), "the id is retained in memory");
+            // This call compacts into a new file, which replaces the failing one.
             assertTrue(file.hasCapacity());
         }
         try (DeduplicationFile file = open(9)) {
