--- a/src/test/java/loftflow/soak/AmqpSoakClient.java
+++ b/src/test/java/loftflow/soak/AmqpSoakClient.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * A program that publishes in confirm mode and consumes its completions. What was not confirmed as its connection ended
- * is published again under the same id.
+ * An AMQP client that publishes in confirm mode and consumes its completions. A message that was unconfirmed when the
+ * connection ended is published again under the same id.
  */
 final class AmqpSoakClient implements Runnable {
     private static final MessageClass[] CLASSES = {
@@ -27,7 +27,7 @@
     private static final int MAX_PAUSE_MILLIS = 100;
     private static final String COMPLETIONS = "completions";
 
-    /** A message that the relay has not confirmed. */
+    /** A message that the relay has not confirmed yet. */
     private record Unconfirmed(String id, MessageClass type, int destination, long sequence, long sentAtNanos) {}
 
     private final String name;
@@ -97,8 +97,9 @@
         public void handleDelivery(String tag, Envelope envelope, AMQP.BasicProperties properties, byte[] body)
                 throws IOException {
             context.history()
-                    .ends
-                    .add(new SoakHistory.End(properties.getCorrelationId(), properties.getType(), System.nanoTime()));
+                    .completions
+                    .add(new SoakHistory.Completion(
+                            properties.getCorrelationId(), properties.getType(), System.nanoTime()));
             getChannel().basicAck(envelope.getDeliveryTag(), false);
         }
     }
@@ -124,7 +125,8 @@
         publish(message, remainingMillis);
         Boolean isAccepted = confirms.poll(2, TimeUnit.SECONDS);
         if (isAccepted == null) {
-            // It may have been accepted: it is published again on another connection.
+            // The relay may have accepted the message, so it is published again on another connection under the same
+            // id.
             close();
             return;
         }
@@ -153,7 +155,7 @@
         context.record(message.id(), message.type(), "amqp", null, message.sequence(), message.sentAtNanos(), answer);
     }
 
-    /** Closes the connection; to be called when completions are no longer awaited. */
+    /** Closes the connection, after which completions are no longer received. */
     void close() {
         if (connection != null) {
             connection.abort(200);
--- a/src/test/java/loftflow/soak/ClientContext.java
+++ b/src/test/java/loftflow/soak/ClientContext.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What the clients of a run share: where the relay serves, and whether new connections may be opened. */
+/** State shared by the clients of a run: the relay's ports, whether connections may be opened, and the history. */
 final class ClientContext {
-    /** How long a client waits for the answer to a message. */
+    /** Time after which a client stops waiting for the answer to a message. */
     static final long ANSWER_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
     private final SoakHistory history;
     private final AtomicLong sequence = new AtomicLong();
-    /** Null while no new connection may be opened. */
+    /** Null while clients must not open connections. */
     private volatile RelayUnderTest.Ports ports;
 
     private volatile boolean isProcessEnding;
@@ -29,7 +29,7 @@
         return sequence.incrementAndGet();
     }
 
-    /** Records a message that a client has handed in, with what it learned just now. */
+    /** Records a submitted message and the answer that its client has just received. */
     void record(
             String id,
             MessageClass type,
@@ -43,25 +43,32 @@
                 id, type, front, orderingKey, sequence, sentAtNanos, deadlineNanos, System.nanoTime(), answer));
     }
 
-    /** New connections go there from now on; null for none. */
+    /**
+     * Sets the ports to which clients connect from now on.
+     *
+     * @param newPorts null to forbid new connections
+     */
     void allowConnections(RelayUnderTest.Ports newPorts) {
         isProcessEnding &= newPorts == null;
         ports = newPorts;
     }
 
-    /** The ports for a new connection; null where none may be opened now. */
+    /** Returns the ports for a new connection, or null while none may be opened. */
     RelayUnderTest.Ports ports() {
         return ports;
     }
 
-    /** The process is about to be killed, or has ended: from now on connections end with it. */
-    void processEnds() {
+    /** Records that the process is about to be killed or has ended, which explains connections that end from now on. */
+    void markProcessEnding() {
         isProcessEnding = true;
         endedAtNanos = System.nanoTime();
     }
 
-    /** What the end of a connection means for a request that was written at a time. */
-    SoakHistory.Answer answerAtEndOfConnection(long writtenAtNanos) {
+    /**
+     * Classifies the end of a connection on which a request had no answer: {@code NONE} if the process ended after the
+     * request was written, {@code CUT_OFF} otherwise.
+     */
+    SoakHistory.Answer answerOnDisconnect(long writtenAtNanos) {
         boolean hasProcessEnded = isProcessEnding || endedAtNanos - writtenAtNanos > 0;
         return hasProcessEnded ? SoakHistory.Answer.NONE : SoakHistory.Answer.CUT_OFF;
     }
--- a/src/test/java/loftflow/soak/Http2SoakClient.java
+++ b/src/test/java/loftflow/soak/Http2SoakClient.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 import loftflow.listener.http2.RawHttp2Client;
 
-/** A client that sends each message as a stream of one HTTP/2 connection, for as long as it is open. */
+/** A client that sends every message on the same HTTP/2 connection, and reconnects when it has ended. */
 final class Http2SoakClient implements Runnable {
     private static final MessageClass[] CLASSES = {
         MessageClass.IDEMPOTENT, MessageClass.KEYED, MessageClass.NON_IDEMPOTENT
@@ -34,7 +34,7 @@
                     connection = RawHttp2Client.open("127.0.0.1", ports.http2());
                 }
                 if (connection != null) {
-                    handIn();
+                    submit();
                 }
             } catch (IOException e) {
                 close();
@@ -43,7 +43,7 @@
         close();
     }
 
-    private void handIn() {
+    private void submit() {
         MessageClass type = CLASSES[random.nextInt(CLASSES.length)];
         long sequence = context.nextSequence();
         String id = name + "-" + sequence;
@@ -59,7 +59,7 @@
         } catch (IOException e) {
             answer = isNeverProcessed(Integer.MAX_VALUE)
                     ? SoakHistory.Answer.REFUSED
-                    : context.answerAtEndOfConnection(sentAt);
+                    : context.answerOnDisconnect(sentAt);
             close();
         }
         context.record(id, type, "http2", null, sequence, sentAt, answer);
@@ -68,7 +68,7 @@
     private SoakHistory.Answer answerOf(int stream, int status, long sentAt) {
         boolean isTooLate = System.nanoTime() - sentAt > ClientContext.ANSWER_TIMEOUT_NANOS;
         if (status != 0) {
-            closeWhereGoingAway();
+            closeIfGoingAway();
             return switch (status) {
                 case 200, 202 -> isTooLate ? SoakHistory.Answer.NONE : SoakHistory.Answer.ACCEPTED;
                 case 429, 503 -> SoakHistory.Answer.REFUSED;
@@ -77,16 +77,19 @@
         }
         boolean isRefused = connection.resets.containsKey(stream) || isNeverProcessed(stream);
         close();
-        return isRefused ? SoakHistory.Answer.REFUSED : context.answerAtEndOfConnection(sentAt);
+        return isRefused ? SoakHistory.Answer.REFUSED : context.answerOnDisconnect(sentAt);
     }
 
-    /** The last GOAWAY names a stream below this one, which the relay has not processed then (RFC 9113, 6.8). */
+    /** Returns whether the last GOAWAY names a lower stream: the relay has not processed this one (RFC 9113, 6.8). */
     private boolean isNeverProcessed(int stream) {
         return !connection.goAways.isEmpty() && connection.goAways.get(connection.goAways.size() - 1)[0] < stream;
     }
 
-    /** Goes on with the connection until the relay ends it; streams above the last one that it names are refused. */
-    private void closeWhereGoingAway() {
+    /**
+     * Closes the connection if the last GOAWAY names the last stream that is processed. The first GOAWAY of a graceful
+     * shutdown names the highest stream id, and the connection stays in use after it.
+     */
+    private void closeIfGoingAway() {
         if (!connection.goAways.isEmpty()
                 && connection.goAways.get(connection.goAways.size() - 1)[0] != Integer.MAX_VALUE) {
             close();
@@ -98,7 +101,7 @@
             try {
                 connection.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The connection is closed even if close() throws.
             }
             connection = null;
         }
--- a/src/test/java/loftflow/soak/HttpSoakClient.java
+++ b/src/test/java/loftflow/soak/HttpSoakClient.java
@@ -11,7 +11,7 @@
 import java.util.regex.Pattern;
 import loftflow.protocol.ClientProtocol;
 
-/** A client that goes on using its HTTP/1.1 connection, one request at a time, for as long as it is open. */
+/** A client that sends one request at a time on a persistent HTTP/1.1 connection, and reconnects when it has ended. */
 final class HttpSoakClient implements Runnable {
     private static final MessageClass[] CLASSES = MessageClass.values();
     private static final Pattern STATUS = Pattern.compile("HTTP/1.1 (\\d{3})");
@@ -37,7 +37,7 @@
             ClientContext.pause(MIN_PAUSE_MILLIS + random.nextInt(MAX_PAUSE_MILLIS - MIN_PAUSE_MILLIS));
             try {
                 if (connect()) {
-                    handIn();
+                    submit();
                 }
             } catch (IOException e) {
                 close();
@@ -46,7 +46,7 @@
         close();
     }
 
-    /** Returns true where the connection is open, as far as this side knows. */
+    /** Connects if necessary; returns whether a connection is open, as far as this side knows. */
     private boolean connect() throws IOException {
         if (connection != null && connection.read(ByteBuffer.allocate(1)) < 0) {
             close();
@@ -60,13 +60,13 @@
         return connection != null;
     }
 
-    private void handIn() throws IOException {
+    private void submit() throws IOException {
         MessageClass type = CLASSES[random.nextInt(CLASSES.length)];
         long sequence = context.nextSequence();
         String id = name + "-" + sequence;
         String orderingKey = type == MessageClass.ORDERED ? name : null;
         byte[] request = request(id, type, orderingKey);
-        // The end of the connection may have arrived meanwhile: then the request would not be written to an open one.
+        // If the relay has closed the connection meanwhile, the request would not count as written to an open one.
         if (connection.read(ByteBuffer.allocate(1)) < 0) {
             close();
             return;
@@ -80,7 +80,7 @@
         context.record(id, type, "http", orderingKey, sequence, sentAt, answer);
     }
 
-    /** The first destination accepts batches, to which ordered messages do not go. */
+    /** Draws a destination; destination 1 receives batches, which must not contain ordered messages. */
     private int destination(MessageClass type) {
         int first = type == MessageClass.ORDERED ? 2 : 1;
         return first + random.nextInt(destinations - first + 1);
@@ -108,7 +108,7 @@
                 }
                 if (read < 0) {
                     close();
-                    return context.answerAtEndOfConnection(sentAt);
+                    return context.answerOnDisconnect(sentAt);
                 }
                 if (read == 0) {
                     ClientContext.pause(1);
@@ -116,7 +116,7 @@
             }
         } catch (IOException reset) {
             close();
-            return context.answerAtEndOfConnection(sentAt);
+            return context.answerOnDisconnect(sentAt);
         }
         close();
         return SoakHistory.Answer.NONE;
@@ -142,7 +142,7 @@
             try {
                 connection.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The connection is closed even if close() throws.
             }
             connection = null;
         }
--- a/src/test/java/loftflow/soak/MalformedResponse.java
+++ b/src/test/java/loftflow/soak/MalformedResponse.java
@@ -8,11 +8,11 @@
 import java.util.Random;
 
 /**
- * Responses that some HTTP readers forgive and others refuse, and sound ones with something ahead of them or behind
- * them. All have the status 200, or what could be taken for it, and the body of a delivery.
+ * Responses that some HTTP parsers tolerate and others reject, and well-formed responses with other bytes before or
+ * after them. Each has the status 200, or bytes that could be mistaken for it, and the body of a successful delivery.
  */
 enum MalformedResponse {
-    // ---- heads
+    // ---- header sections
     LINE_WITHOUT_COLON(Delivers.SINGLE_ONLY, head("no colon here", "Content-Length: {length}") + "{body}"),
     SPACE_IN_NAME(Delivers.SINGLE_ONLY, head("X A: 1", "Content-Length: {length}") + "{body}"),
     SPACE_BEHIND_NAME(Delivers.SINGLE_ONLY, head("Content-Length : {length}") + "{body}"),
@@ -75,7 +75,7 @@
             Delivers.SINGLE_ONLY,
             head("Transfer-Encoding: chunked") + "{size}\r\n{body}\r\n{size}\r\n{body}\r\n0\r\n\r\n"),
 
-    // ---- ahead of a sound response and behind it
+    // ---- bytes before and after a well-formed response
     SWITCHING_AHEAD(Delivers.NOTHING, "HTTP/1.1 101 Switching\r\n\r\n" + head("Content-Length: {length}") + "{body}"),
     MALFORMED_INFORMATION_AHEAD(
             Delivers.SINGLE_ONLY,
@@ -89,16 +89,16 @@
             head("Content-Length: {length}") + "{body}" + "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"),
     NOISE_BEHIND(Delivers.ALL, head("Content-Length: {length}") + "{body}" + "\r\nnoise no colon here\r\n\r\n");
 
-    /** What the protocol takes for delivered by a response. */
+    /** The messages that a response delivers by the rules of the host protocol. */
     private enum Delivers {
         NOTHING,
-        /** A message alone in its call, for which the first line with 200 counts. */
+        /** A message sent alone, which the status line with 200 delivers whatever follows it. */
         SINGLE_ONLY,
-        /** Messages of a batch too: the whole response was written, and is well-formed. */
+        /** Also the messages of a batch: the response is well-formed and was written whole. */
         ALL
     }
 
-    /** What follows the response. */
+    /** The state of the connection after the response. */
     private enum Ending {
         KEPT_OPEN,
         FIN,
@@ -133,30 +133,32 @@
         return head("Transfer-Encoding: chunked") + chunks;
     }
 
-    /** One of them by a drawn number, which is not negative. */
+    /** Selects a response by a random number, which must not be negative. */
     static MalformedResponse of(int drawn) {
         return ALL.get(drawn % ALL.size());
     }
 
-    /** What a receipt says of a message that met this response. */
+    /** Returns the text by which a receipt identifies this response. */
     String nameInReceipt(boolean isBatch) {
         return name() + (isBatch ? BATCH_SUFFIX : SINGLE_SUFFIX);
     }
 
-    /** Returns true where a receipt says that its message met a malformed response. */
+    /** Returns whether the text of a receipt identifies a malformed response. */
     static boolean isNamedIn(String response) {
         return response.endsWith(BATCH_SUFFIX) || response.endsWith(SINGLE_SUFFIX);
     }
 
-    /** Returns true where the messages that the response names as delivered are delivered by it. */
+    /** Returns whether the messages that the body reports as delivered count as delivered by this response. */
     boolean delivers(boolean isBatch) {
         return delivers == Delivers.ALL || (delivers == Delivers.SINGLE_ONLY && !isBatch);
     }
 
     /**
-     * Writes the response with a body, which is in ASCII: in two parts at times, the first of which has the first line.
+     * Writes the response. Unless it delivers batches, it may be written in two parts, the first of which contains the
+     * whole status line.
      *
-     * @return false where the connection has ended with it
+     * @param body in ASCII
+     * @return false if the connection ends with the response
      */
     boolean write(Socket socket, String body, Random random) throws IOException {
         byte[] bytes = bytes(body);
@@ -171,7 +173,7 @@
             try {
                 out.write(bytes, partEnd, bytes.length - partEnd);
             } catch (IOException e) {
-                // The reader has seen enough and closed the connection.
+                // The reader has closed the connection after the first part.
                 return false;
             }
         }
--- a/src/test/java/loftflow/soak/MalformedResponseBytesTest.java
+++ b/src/test/java/loftflow/soak/MalformedResponseBytesTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What malformed responses hold, and what they deliver. */
+/** Tests the bytes of malformed responses and which messages they count as delivered. */
 class MalformedResponseBytesTest {
     private static final String FIRST_LINE = "HTTP/1.1 200 OK";
 
-    /** Writes a response, and reads it where its connection does not break. */
+    /** Returns the bytes of a response, written to a connection that is not reset. */
     private static String written(MalformedResponse response, String body, int seed) throws IOException {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 Socket reader = new Socket(listener.getInetAddress(), listener.getLocalPort())) {
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void placesAreFilled() throws IOException {
+    void placeholdersAreReplaced() throws IOException {
         assertEquals(
                 FIRST_LINE + "\r\nno colon here\r\nContent-Length: 17\r\n\r\n[{\"state\":\"done\"}",
                 written(MalformedResponse.LINE_WITHOUT_COLON, "[{\"state\":\"done\"}", 1));
@@ -43,7 +43,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void writingInPartsChangesNoByte(MalformedResponse response) throws IOException {
+    void writingInPartsPreservesAllBytes(MalformedResponse response) throws IOException {
         String expected = written(response, "abcd", 0);
         assertFalse(expected.contains("{"), expected);
         for (int seed = 1; seed < 6; seed++) {
@@ -53,16 +53,16 @@
 
     @ParameterizedTest
     @EnumSource
-    void singleMessageIsDeliveredByTheFirstLineAlone(MalformedResponse response) throws IOException {
+    void statusLineAloneDeliversASingleMessage(MalformedResponse response) throws IOException {
         String text = written(response, "ok", 0);
-        boolean isStatusSound =
+        boolean isStatusLineValid =
                 text.startsWith(FIRST_LINE) || text.matches("(?s)HTTP/1.1 10[23] .*" + FIRST_LINE + ".*");
-        assertEquals(isStatusSound, response.delivers(false), text);
+        assertEquals(isStatusLineValid, response.delivers(false), text);
         assertTrue(response.delivers(false) || !response.delivers(true));
     }
 
     @Test
-    void soundResponseToBatchMayHaveNoiseBehindIt() {
+    void batchIsDeliveredByAWellFormedResponseOnly() {
         assertTrue(MalformedResponse.NOISE_BEHIND.delivers(true));
         assertTrue(MalformedResponse.SECOND_RESPONSE_BEHIND.delivers(true));
         assertTrue(MalformedResponse.INFORMATION_AHEAD.delivers(true));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void receiptsNameThem() {
+    void receiptTextIdentifiesMalformedResponses() {
         assertTrue(MalformedResponse.isNamedIn(MalformedResponse.EMPTY_NAME.nameInReceipt(true)));
         assertTrue(MalformedResponse.isNamedIn(MalformedResponse.EMPTY_NAME.nameInReceipt(false)));
         assertFalse(MalformedResponse.isNamedIn("DELIVER"));
--- a/src/test/java/loftflow/soak/MessageClass.java
+++ b/src/test/java/loftflow/soak/MessageClass.java
@@ -1,6 +1,6 @@
 package loftflow.soak;
 
-/** The classes of messages: one for each kind of repetition, and one whose messages are ordered by key. */
+/** The request classes of a run: one for each kind of idempotency, and one with ordering keys. */
 enum MessageClass {
     IDEMPOTENT("note", 3_000, 0),
     KEYED("order", 7_000, 5_000),
@@ -25,18 +25,18 @@
         return deadlineMillis;
     }
 
-    /** How long an upstream drops a repeated key; 0 where the class has no keys. */
+    /** Returns how long an upstream drops repetitions of an idempotency key, or 0 if the class has no keys. */
     long keyWindowMillis() {
         return keyWindowMillis;
     }
 
-    /** True where a message must not run twice, whatever its key. */
-    boolean runsOnce() {
+    /** Returns whether a message must never be executed twice. */
+    boolean mustNotRunTwice() {
         return this == NON_IDEMPOTENT || this == ORDERED;
     }
 
-    /** The table of the class in a relay file. */
-    String table() {
+    /** Returns the TOML table that defines the class in a relay file. */
+    String tomlTable() {
         String repeat =
                 switch (this) {
                     case IDEMPOTENT -> "repeat = \"repeatable\"";
--- a/src/test/java/loftflow/soak/RelayUnderTest.java
+++ b/src/test/java/loftflow/soak/RelayUnderTest.java
@@ -9,19 +9,19 @@
 import loftflow.fake.FakeClient;
 import loftflow.fake.ServedRelay;
 
-/** The relay process of a run, which is signalled and started again on the same folder. */
+/** The relay process of a run, which receives signals and is restarted on the same state folder. */
 final class RelayUnderTest {
-    /** Where the relay's listeners are. */
+    /** The ports of the relay's listeners. */
     record Ports(int http, int http2, int amqp) {}
 
-    /** From SIGTERM to SIGKILL, at the earliest (PROTOCOL, Figures). */
-    private static final long KILL_AFTER_MILLIS = 3_700;
-    /** From SIGKILL until the folder is there again. */
-    private static final long FOLDER_AWAY_MILLIS = 600;
+    /** The shortest time that the platform leaves a process between SIGTERM and SIGKILL. */
+    private static final long TERM_TO_KILL_MILLIS = 3_700;
+    /** Time from SIGKILL until the platform makes the state folder available again. */
+    private static final long FOLDER_UNAVAILABLE_MILLIS = 600;
 
     private static final long READY_TIMEOUT_MILLIS = 30_000;
     private static final int EXIT_BY_TERM = 143;
-    /** A JVM that is ended before its signal handlers are installed dies of the signal itself. */
+    /** Exit code of a JVM that receives SIGHUP before its signal handlers are installed. */
     private static final int EXIT_BY_HANG_UP = 129;
 
     private static final Pattern EXCEPTION = Pattern.compile("(?m)^.*(Exception|Error:|round failed|^\\s+at ).*$");
@@ -40,7 +40,7 @@
         this.history = history;
     }
 
-    /** Starts a process, which may not serve yet. */
+    /** Starts a process and returns before it serves. */
     void start() throws IOException {
         relay = ServedRelay.start(
                 program,
@@ -50,10 +50,14 @@
         history.stalls.watch(relay.process().pid());
     }
 
-    /** Waits until the process is ready. */
+    /**
+     * Waits until the process is ready and returns its ports.
+     *
+     * @throws IOException if the process ends or is not ready within {@value #READY_TIMEOUT_MILLIS} ms
+     */
     Ports awaitReady() throws IOException, InterruptedException {
         relay.awaitServing();
-        // The lines of the other listeners follow.
+        // The first listener is logged; the log lines of the others may follow later.
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
         while (System.nanoTime() < end) {
             try (FakeClient client = relay.client()) {
@@ -62,12 +66,12 @@
                 }
             } catch (IOException e) {
                 if (!relay.process().isAlive()) {
-                    throw new IOException("the relay has ended: " + relay.log(), e);
+                    throw new IOException("the relay process ended before it was ready: " + relay.log(), e);
                 }
             }
             ClientContext.pause(10);
         }
-        throw new IOException("the relay is not ready: " + relay.log());
+        throw new IOException("the relay is not ready after " + READY_TIMEOUT_MILLIS + " ms: " + relay.log());
     }
 
     void terminate() {
@@ -80,9 +84,13 @@
                 .waitFor();
     }
 
-    /** Waits until the process has ended after SIGTERM, and kills it where it takes too long; returns true then. */
+    /**
+     * Waits until the process has ended after SIGTERM.
+     *
+     * @return whether the process outlived the time between SIGTERM and SIGKILL, and has to be killed
+     */
     boolean awaitEnd(long signalNanos) throws InterruptedException {
-        long remaining = signalNanos + TimeUnit.MILLISECONDS.toNanos(KILL_AFTER_MILLIS) - System.nanoTime();
+        long remaining = signalNanos + TimeUnit.MILLISECONDS.toNanos(TERM_TO_KILL_MILLIS) - System.nanoTime();
         return !relay.process().waitFor(remaining, TimeUnit.NANOSECONDS);
     }
 
@@ -94,7 +102,7 @@
         return relay.process().isAlive();
     }
 
-    /** Checks how the process ended and what it logged; then waits until its folder is there again. */
+    /** Records an unexpected exit code and logged exceptions as incidents; returns the exit code. */
     int finish(boolean wasKilled) throws IOException {
         int exitCode = relay.process().exitValue();
         if (!wasKilled && exitCode != 0 && exitCode != EXIT_BY_TERM && exitCode != EXIT_BY_HANG_UP) {
@@ -110,11 +118,11 @@
         return exitCode;
     }
 
-    void awaitFolder() {
-        ClientContext.pause(FOLDER_AWAY_MILLIS);
+    void awaitStateFolder() {
+        ClientContext.pause(FOLDER_UNAVAILABLE_MILLIS);
     }
 
-    /** Writes a part of the relay file, or all of it. */
+    /** Replaces the content of the relay file, which may be cut short on purpose. */
     void writeFile(String text) throws IOException {
         Files.writeString(relayFile, text);
     }
--- a/src/test/java/loftflow/soak/Soak.java
+++ b/src/test/java/loftflow/soak/Soak.java
@@ -8,7 +8,10 @@
 import loftflow.fake.ServedRelay;
 import loftflow.fake.TemporaryFolder;
 
-/** Plays many seeds, as a command: {@code Soak SEEDS FIRST RESTARTS SIDE_BY_SIDE}. Prints a line for each finding. */
+/**
+ * Command that runs the soak with many seeds and prints a line for each finding: {@code Soak SEEDS FIRST RESTARTS
+ * SIDE_BY_SIDE}.
+ */
 public final class Soak {
     private static final int ARGUMENTS = 4;
 
@@ -16,7 +19,7 @@
 
     public static void main(String[] args) throws Exception {
         if (args.length != ARGUMENTS) {
-            throw new IllegalArgumentException("Soak SEEDS FIRST RESTARTS SIDE_BY_SIDE");
+            throw new IllegalArgumentException("usage: Soak SEEDS FIRST RESTARTS SIDE_BY_SIDE");
         }
         int seeds = Integer.parseInt(args[0]);
         long first = Long.parseLong(args[1]);
@@ -29,20 +32,20 @@
             SoakPlan plan = SoakPlan.of(seed, restarts);
             pool.execute(() -> {
                 try (TemporaryFolder scratch = TemporaryFolder.named("soak")) {
-                    SoakHistory history = SoakRun.play(plan, scratch.folder(), ServedRelay.Program.OWN);
+                    SoakHistory history = SoakRun.run(plan, scratch.folder(), ServedRelay.Program.OWN);
                     List<String> findings = SoakChecks.check(history);
                     findings.forEach(finding -> System.out.println("seed " + plan.seed() + ": " + finding));
                     totals.add(history);
                     failedSeeds.addAndGet(findings.isEmpty() ? 0 : 1);
                 } catch (Exception | AssertionError e) {
                     failedSeeds.incrementAndGet();
-                    System.out.println("seed " + plan.seed() + " was not played to its end: " + e);
+                    System.out.println("seed " + plan.seed() + " did not run to its end: " + e);
                 }
             });
         }
         pool.shutdown();
         if (!pool.awaitTermination(2, TimeUnit.HOURS)) {
-            throw new IllegalStateException("it takes more than two hours");
+            throw new IllegalStateException("the soak did not finish within two hours");
         }
         System.out.println(seeds + " seeds from " + first + ", " + seeds * restarts + " restarts, " + totals
                 + ", seeds with findings " + failedSeeds + ", "
--- a/src/test/java/loftflow/soak/SoakAgent.java
+++ b/src/test/java/loftflow/soak/SoakAgent.java
@@ -12,10 +12,10 @@
 import loftflow.protocol.CompletionProtocol;
 import loftflow.protocol.DiscoveryProtocol;
 
-/** The agent on the relay's machine: endpoint lists, which may be late or unreachable, and completion notices. */
+/** Discovery agent of the relay's host: serves endpoint lists, late or not at all at times, and receives notices. */
 final class SoakAgent implements AutoCloseable {
-    /** A change counts as told so long after discovery had it and could be reached (PROTOCOL, Figures). */
-    private static final long TOLD_AT_LATEST_NANOS = TimeUnit.SECONDS.toNanos(6);
+    /** A change counts as announced at most this long after discovery has it and is reachable. */
+    private static final long MAX_ANNOUNCEMENT_DELAY_NANOS = TimeUnit.SECONDS.toNanos(6);
 
     private static final long SLOW_MILLIS = 250;
     private static final Pattern WATCH =
@@ -24,7 +24,7 @@
             + CompletionProtocol.RESULT + "\":\"([a-z]*)\"");
 
     private final SoakHistory history;
-    /** Answers notices always; discovery may be down meanwhile. */
+    /** Accepts completion notices at all times, also while discovery is down. */
     private final ScriptedPeer notices;
 
     private ScriptedPeer discovery;
@@ -34,7 +34,7 @@
     private int revision;
     private long changedAtNanos;
     private long reachableSinceNanos;
-    /** When each revision was first sent. */
+    /** Time at which each revision was first sent. */
     private final Map<Integer, Long> sentAtNanos = new ConcurrentHashMap<>();
 
     SoakAgent(SoakHistory history) throws IOException {
@@ -52,7 +52,7 @@
         return discovery.address();
     }
 
-    /** An entry in service. */
+    /** Returns the list entry of an endpoint that is in service. */
     static String entry(String route, int destination, String kind, String address) {
         return "{\"" + DiscoveryProtocol.ROUTE + "\":\"" + route + "\",\"" + DiscoveryProtocol.ADDRESS + "\":\""
                 + address
@@ -62,27 +62,32 @@
                 + "\":80.0,\"" + DiscoveryProtocol.STARTED_AT_MILLIS + "\":0}";
     }
 
-    synchronized void list(List<String> next) {
+    synchronized void publish(List<String> next) {
         entries = new ArrayList<>(next);
         revision++;
         changedAtNanos = System.nanoTime();
         notifyAll();
     }
 
-    /** When the newest list counts as told: as it is first sent, or some seconds after it could be requested. */
-    synchronized long awaitTold() throws InterruptedException {
-        long latest = Math.max(changedAtNanos, reachableSinceNanos) + TOLD_AT_LATEST_NANOS;
+    /**
+     * Waits until the newest list counts as announced, which is when it is first sent, or six seconds after it could
+     * be requested.
+     *
+     * @return that time
+     */
+    synchronized long awaitAnnounced() throws InterruptedException {
+        long latest = Math.max(changedAtNanos, reachableSinceNanos) + MAX_ANNOUNCEMENT_DELAY_NANOS;
         while (!sentAtNanos.containsKey(revision) && System.nanoTime() < latest) {
             wait(10);
         }
         return Math.min(latest, sentAtNanos.getOrDefault(revision, latest));
     }
 
-    void slow(boolean slow) {
+    void setSlow(boolean slow) {
         isSlow = slow;
     }
 
-    synchronized void down(boolean down) throws IOException {
+    synchronized void setDown(boolean down) throws IOException {
         if (down && !isDown) {
             discovery.close();
         } else if (!down && isDown) {
@@ -95,7 +100,7 @@
     private String onNotices(ScriptedPeer.Request request) {
         Matcher notice = NOTICE.matcher(request.body());
         while (notice.find()) {
-            history.ends.add(new SoakHistory.End(notice.group(1), notice.group(2), request.at()));
+            history.completions.add(new SoakHistory.Completion(notice.group(1), notice.group(2), request.at()));
         }
         return ScriptedPeer.status(204);
     }
--- a/src/test/java/loftflow/soak/SoakChecks.java
+++ b/src/test/java/loftflow/soak/SoakChecks.java
@@ -10,42 +10,43 @@
 import java.util.stream.Collectors;
 import loftflow.protocol.CompletionProtocol;
 
-/** Checks a run's history by the rules of the protocol; each finding is a line that begins with the rule's name. */
+/** Checks the history of a run against the rules of the protocol; each finding begins with the name of its rule. */
 final class SoakChecks {
-    /** A completion is due so long after the deadline; rules on sockets have 50 ms more (PROTOCOL). */
+    /** A completion is due 300 ms after the deadline; each time observed on a socket has a tolerance of 50 ms. */
     private static final long COMPLETION_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(300 + 50);
-    /** No completion is overdue until so long after a restarted relay is ready. */
+    /** No completion is overdue until 1.5 s after a restarted relay is ready. */
     private static final long RESTART_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500 + 50);
 
+    /** Requests may reach a withdrawn endpoint until 500 ms after its withdrawal is announced. */
     private static final long DRAIN_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(500 + 50);
-    /** Calls that arrive within this time of a wait may have been under way. */
-    private static final long WAIT_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(100 + 50);
+    /** Requests that arrive within 100 ms of a Retry-After may have been in transit when it was sent. */
+    private static final long RETRY_AFTER_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(100 + 50);
 
     private final SoakHistory history;
     private final List<String> findings = new ArrayList<>();
     private final Map<String, List<SoakHistory.Receipt>> receiptsById;
-    private final Map<String, List<SoakHistory.End>> endsById;
+    private final Map<String, List<SoakHistory.Completion>> completionsById;
 
     SoakChecks(SoakHistory history) {
         this.history = history;
         receiptsById = history.receipts.stream().collect(Collectors.groupingBy(SoakHistory.Receipt::id));
-        endsById = history.ends.stream().collect(Collectors.groupingBy(SoakHistory.End::id));
+        completionsById = history.completions.stream().collect(Collectors.groupingBy(SoakHistory.Completion::id));
     }
 
-    /** All findings of a run that is over. */
+    /** Returns all findings of a finished run. */
     static List<String> check(SoakHistory history) {
         SoakChecks checks = new SoakChecks(history);
         checks.checkAnswers();
-        checks.checkEnds();
+        checks.checkCompletions();
         checks.checkRepetitions();
         checks.checkOrder();
         checks.checkWithdrawnEndpoints();
-        checks.checkWaits();
+        checks.checkRetryAfters();
         checks.checkProcesses();
         return checks.findings;
     }
 
-    private void find(String rule, String detail) {
+    private void addFinding(String rule, String detail) {
         findings.add(rule + ": " + detail);
     }
 
@@ -53,14 +54,14 @@
         return receiptsById.getOrDefault(id, List.of());
     }
 
-    private List<SoakHistory.End> endsOf(String id) {
-        return endsById.getOrDefault(id, List.of());
+    private List<SoakHistory.Completion> completionsOf(String id) {
+        return completionsById.getOrDefault(id, List.of());
     }
 
     private void checkAnswers() {
         for (SoakHistory.Submission submission : history.submissions) {
             if (submission.answer() == SoakHistory.Answer.CUT_OFF) {
-                find("unanswered", submission + sinceSignal(submission.answeredAtNanos()));
+                addFinding("unanswered", submission + sinceSignal(submission.answeredAtNanos()));
             }
         }
     }
@@ -74,34 +75,35 @@
                 .orElse(", in service");
     }
 
-    private void checkEnds() {
+    private void checkCompletions() {
         for (SoakHistory.Submission submission : history.submissions) {
-            List<String> results = endsOf(submission.id()).stream()
-                    .map(SoakHistory.End::result)
+            List<String> results = completionsOf(submission.id()).stream()
+                    .map(SoakHistory.Completion::result)
                     .distinct()
                     .toList();
             if (results.size() > 1) {
-                find("two ends", submission.id() + " " + results);
+                addFinding("two completions", submission.id() + " " + results);
             }
             if (submission.answer() == SoakHistory.Answer.ACCEPTED) {
-                checkEndInTime(submission);
+                checkCompletionTime(submission);
             }
             boolean isRejected = results.contains(CompletionProtocol.RESULT_REJECTED)
                     || submission.answer() == SoakHistory.Answer.REFUSED;
-            boolean ran = receiptsOf(submission.id()).stream().anyMatch(SoakHistory.Receipt::ran);
-            if (isRejected && ran && submission.type().runsOnce()) {
-                find("ran though rejected", submission + " " + receiptsOf(submission.id()));
+            boolean mayHaveExecuted =
+                    receiptsOf(submission.id()).stream().anyMatch(SoakHistory.Receipt::mayHaveExecuted);
+            if (isRejected && mayHaveExecuted && submission.type().mustNotRunTwice()) {
+                addFinding("executed though rejected", submission + " " + receiptsOf(submission.id()));
             }
         }
     }
 
-    private void checkEndInTime(SoakHistory.Submission submission) {
-        long endedAt = Math.min(deliveredAtNanos(submission), reportedAtNanos(submission));
+    private void checkCompletionTime(SoakHistory.Submission submission) {
+        long completedAt = Math.min(deliveredAtNanos(submission), reportedAtNanos(submission));
         long dueAt = afterRestarts(submission.deadlineNanos() + COMPLETION_GRACE_NANOS);
         if (isLost(submission)) {
-            find("lost", submission + " " + receiptsOf(submission.id()));
-        } else if (endedAt > dueAt + history.stalls.waitedNanos(submission.deadlineNanos(), endedAt)) {
-            find("late", submission.id() + " by " + TimeUnit.NANOSECONDS.toMillis(endedAt - dueAt) + " ms");
+            addFinding("lost", submission + " " + receiptsOf(submission.id()));
+        } else if (completedAt > dueAt + history.stalls.waitedNanos(submission.deadlineNanos(), completedAt)) {
+            addFinding("late", submission.id() + " by " + TimeUnit.NANOSECONDS.toMillis(completedAt - dueAt) + " ms");
         }
     }
 
@@ -113,13 +115,13 @@
     }
 
     private long reportedAtNanos(SoakHistory.Submission submission) {
-        return endsOf(submission.id()).stream()
-                .mapToLong(SoakHistory.End::atNanos)
+        return completionsOf(submission.id()).stream()
+                .mapToLong(SoakHistory.Completion::atNanos)
                 .min()
                 .orElse(SoakHistory.NEVER);
     }
 
-    /** Returns true where a message was accepted and has neither been delivered nor ended by a completion. */
+    /** Returns whether a message was accepted and has neither been delivered nor completed. */
     boolean isLost(SoakHistory.Submission submission) {
         return submission.answer() == SoakHistory.Answer.ACCEPTED
                 && deliveredAtNanos(submission) == SoakHistory.NEVER
@@ -127,22 +129,22 @@
     }
 
     /**
-     * Returns true where the client got no answer in its time though no restart was under way. The message is the
-     * client's own then: by the protocol nothing is owed for it, and nothing that is sent for it counts.
+     * Returns whether the client's wait for an answer timed out although no restart was in progress. The relay is not
+     * responsible for such a message: it owes no completion, and attempts that it makes all the same are no fault.
      */
-    boolean isUnheardInService(SoakHistory.Submission submission) {
+    boolean isTimedOutInService(SoakHistory.Submission submission) {
         return submission.answer() == SoakHistory.Answer.NONE
                 && history.restarts.stream()
                         .noneMatch(restart -> submission.answeredAtNanos() >= restart.signalNanos()
                                 && submission.sentAtNanos() <= restart.readyNanos());
     }
 
-    /** Returns true where a message has been delivered and no completion was reported for it. */
-    boolean isDeliveredSilently(SoakHistory.Submission submission) {
+    /** Returns whether a message was delivered and no completion was reported for it. */
+    boolean isDeliveredWithoutCompletion(SoakHistory.Submission submission) {
         return deliveredAtNanos(submission) != SoakHistory.NEVER && reportedAtNanos(submission) == SoakHistory.NEVER;
     }
 
-    /** When a completion is due that is due at a time, if the relay is restarted then. */
+    /** Returns the time at which a completion is due, postponed if a restart spans that time. */
     private long afterRestarts(long dueNanos) {
         long due = dueNanos;
         for (SoakHistory.Restart restart : history.restarts) {
@@ -158,7 +160,7 @@
         receiptsById.forEach((id, receipts) -> {
             SoakHistory.Submission submission = submissionsById.get(id);
             List<SoakHistory.Receipt> runs = receipts.stream()
-                    .filter(SoakHistory.Receipt::ran)
+                    .filter(SoakHistory.Receipt::mayHaveExecuted)
                     .sorted(Comparator.comparingLong(SoakHistory.Receipt::firstByteNanos))
                     .toList();
             if (submission != null && runs.size() > 1) {
@@ -171,12 +173,12 @@
         long apart = runs.get(runs.size() - 1).firstByteNanos() - runs.get(0).firstByteNanos();
         boolean isKeyForgotten = submission.type() == MessageClass.KEYED
                 && apart > TimeUnit.MILLISECONDS.toNanos(submission.type().keyWindowMillis());
-        if (submission.type().runsOnce() || isKeyForgotten) {
-            find("ran twice", submission + " " + runs);
+        if (submission.type().mustNotRunTwice() || isKeyForgotten) {
+            addFinding("executed twice", submission + " " + runs);
         }
     }
 
-    /** Messages of one key reach upstreams in the order in which they were accepted. */
+    /** Checks that messages with the same ordering key reach upstreams in the order in which they were accepted. */
     private void checkOrder() {
         Map<String, List<SoakHistory.Submission>> byKey = history.submissions.stream()
                 .filter(submission -> submission.orderingKey() != null)
@@ -189,7 +191,7 @@
                 for (SoakHistory.Receipt receipt : receiptsOf(submission.id())) {
                     lastReceipt.merge(submission.id(), receipt.firstByteNanos(), Math::max);
                     if (receipt.firstByteNanos() < newest) {
-                        find("out of order", submission + " " + receipt);
+                        addFinding("out of order", submission + " " + receipt);
                     }
                 }
                 newest = Math.max(newest, lastReceipt.getOrDefault(submission.id(), Long.MIN_VALUE));
@@ -199,41 +201,43 @@
 
     private void checkWithdrawnEndpoints() {
         for (SoakHistory.Withdrawal withdrawal : history.withdrawals) {
-            long graceEnd = withdrawal.toldAtNanos() + DRAIN_GRACE_NANOS;
+            long graceEnd = withdrawal.announcedAtNanos() + DRAIN_GRACE_NANOS;
             history.receipts.stream()
                     .filter(receipt -> receipt.endpoint().equals(withdrawal.endpoint())
                             && receipt.firstByteNanos()
                                     > graceEnd
                                             + history.stalls.waitedNanos(
-                                                    withdrawal.toldAtNanos(), receipt.firstByteNanos()))
-                    .forEach(receipt -> find(
+                                                    withdrawal.announcedAtNanos(), receipt.firstByteNanos()))
+                    .forEach(receipt -> addFinding(
                             "sent to a withdrawn endpoint",
                             receipt + " "
-                                    + TimeUnit.NANOSECONDS.toMillis(receipt.firstByteNanos() - withdrawal.toldAtNanos())
-                                    + " ms after it was told"));
+                                    + TimeUnit.NANOSECONDS.toMillis(
+                                            receipt.firstByteNanos() - withdrawal.announcedAtNanos())
+                                    + " ms after the withdrawal was announced"));
         }
     }
 
-    private void checkWaits() {
-        for (SoakHistory.ToldWait wait : history.waits) {
+    private void checkRetryAfters() {
+        for (SoakHistory.RetryAfter retryAfter : history.retryAfters) {
             boolean spansRestart = history.restarts.stream()
-                    .anyMatch(restart ->
-                            restart.readyNanos() > wait.fromNanos() && restart.signalNanos() < wait.untilNanos());
+                    .anyMatch(restart -> restart.readyNanos() > retryAfter.fromNanos()
+                            && restart.signalNanos() < retryAfter.untilNanos());
             if (spansRestart) {
                 continue;
             }
             history.receipts.stream()
-                    .filter(receipt -> receipt.endpoint().equals(wait.endpoint())
-                            && receipt.firstByteNanos() < wait.untilNanos()
+                    .filter(receipt -> receipt.endpoint().equals(retryAfter.endpoint())
+                            && receipt.firstByteNanos() < retryAfter.untilNanos()
                             && receipt.firstByteNanos()
-                                    > wait.fromNanos()
-                                            + WAIT_GRACE_NANOS
-                                            + history.stalls.waitedNanos(wait.fromNanos(), receipt.firstByteNanos()))
-                    .forEach(receipt -> find("wait broken", receipt + " " + wait));
+                                    > retryAfter.fromNanos()
+                                            + RETRY_AFTER_GRACE_NANOS
+                                            + history.stalls.waitedNanos(
+                                                    retryAfter.fromNanos(), receipt.firstByteNanos()))
+                    .forEach(receipt -> addFinding("Retry-After ignored", receipt + " " + retryAfter));
         }
     }
 
     private void checkProcesses() {
-        history.incidents.forEach(incident -> find("process", incident));
+        history.incidents.forEach(incident -> addFinding("process", incident));
     }
 }
--- a/src/test/java/loftflow/soak/SoakChecksTest.java
+++ b/src/test/java/loftflow/soak/SoakChecksTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Each check finds its fault in a history, and nothing in a sound one. */
+/** Tests that each check finds its fault in a history, and that a correct history has no findings. */
 class SoakChecksTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -43,14 +43,14 @@
         return new SoakHistory.Receipt(id, endpoint, at, true, delivered ? at + 1 : SoakHistory.NEVER, "DELIVER");
     }
 
-    /** Messages of each class, delivered, refused and failed, with a restart that held an end up. */
-    private static SoakHistory soundHistory() {
+    /** Returns a history of messages of all outcomes, with a restart that postponed a completion, and no fault. */
+    private static SoakHistory correctHistory() {
         SoakHistory history = new SoakHistory();
         history.submissions.add(submission("m1", MessageClass.IDEMPOTENT, SoakHistory.Answer.ACCEPTED));
         history.receipts.add(receipt("m1", "a", 1.1, false));
         history.receipts.add(receipt("m1", "a", 1.2, true));
         history.submissions.add(submission("m2", MessageClass.NON_IDEMPOTENT, SoakHistory.Answer.ACCEPTED));
-        history.ends.add(new SoakHistory.End("m2", "dead", 9 * SECOND));
+        history.completions.add(new SoakHistory.Completion("m2", "dead", 9 * SECOND));
         history.restarts.add(new SoakHistory.Restart(5 * SECOND, 6 * SECOND, 8 * SECOND, 143, false));
         history.submissions.add(submission("m3", MessageClass.NON_IDEMPOTENT, SoakHistory.Answer.REFUSED));
         for (int i = 20; i < 22; i++) {
@@ -59,14 +59,14 @@
         }
         history.withdrawals.add(new SoakHistory.Withdrawal("b", 40 * SECOND));
         history.receipts.add(receipt("other", "b", 40.4, true));
-        history.waits.add(new SoakHistory.ToldWait("a", 50 * SECOND, 51 * SECOND));
+        history.retryAfters.add(new SoakHistory.RetryAfter("a", 50 * SECOND, 51 * SECOND));
         history.receipts.add(receipt("other", "a", 51.1, true));
         return history;
     }
 
     @Test
-    void soundHistoryHasNoFindings() {
-        assertEquals(List.of(), SoakChecks.check(soundHistory()));
+    void correctHistoryHasNoFindings() {
+        assertEquals(List.of(), SoakChecks.check(correctHistory()));
     }
 
     private static Stream<Fault> faults() {
@@ -87,12 +87,14 @@
                 new Fault("late", history -> {
                     history.submissions.add(
                             submission("m30", MessageClass.NON_IDEMPOTENT, SoakHistory.Answer.ACCEPTED));
-                    history.ends.add(new SoakHistory.End("m30", "dead", (long) (34.4 * SECOND)));
+                    history.completions.add(new SoakHistory.Completion("m30", "dead", (long) (34.4 * SECOND)));
                 }),
-                new Fault("two ends", history -> history.ends.add(new SoakHistory.End("m2", "bounced", 9 * SECOND))),
-                new Fault("ran though rejected", history -> history.receipts.add(receipt("m3", "a", 3.1, false))),
-                new Fault("ran twice", history -> history.receipts.add(receipt("m20", "a", 20.2, false))),
-                new Fault("ran twice", history -> {
+                new Fault(
+                        "two completions",
+                        history -> history.completions.add(new SoakHistory.Completion("m2", "bounced", 9 * SECOND))),
+                new Fault("executed though rejected", history -> history.receipts.add(receipt("m3", "a", 3.1, false))),
+                new Fault("executed twice", history -> history.receipts.add(receipt("m20", "a", 20.2, false))),
+                new Fault("executed twice", history -> {
                     history.submissions.add(submission("m30", MessageClass.KEYED, SoakHistory.Answer.ACCEPTED));
                     history.receipts.add(receipt("m30", "a", 30.1, false));
                     history.receipts.add(receipt("m30", "a", 35.2, true));
@@ -101,14 +103,14 @@
                 new Fault(
                         "sent to a withdrawn endpoint",
                         history -> history.receipts.add(receipt("other", "b", 40.6, true))),
-                new Fault("wait broken", history -> history.receipts.add(receipt("other", "a", 50.5, true))),
+                new Fault("Retry-After ignored", history -> history.receipts.add(receipt("other", "a", 50.5, true))),
                 new Fault("process", history -> history.incidents.add("exit code 1")));
     }
 
     @ParameterizedTest
     @MethodSource("faults")
-    void faultIsFound(Fault fault) {
-        SoakHistory history = soundHistory();
+    void checkFindsItsFault(Fault fault) {
+        SoakHistory history = correctHistory();
         fault.set().accept(history);
         List<String> findings = SoakChecks.check(history);
         assertTrue(
@@ -117,39 +119,39 @@
     }
 
     @Test
-    void messageWithoutAnswerIsUnheardUnlessARestartIsUnderWay() {
-        SoakHistory history = soundHistory();
+    void messageWithoutAnswerTimedOutUnlessARestartIsInProgress() {
+        SoakHistory history = correctHistory();
         SoakHistory.Submission inService = submission("m30", MessageClass.IDEMPOTENT, SoakHistory.Answer.NONE);
         SoakHistory.Submission duringRestart = submission("m7", MessageClass.IDEMPOTENT, SoakHistory.Answer.NONE);
         SoakHistory.Submission accepted = submission("m31", MessageClass.IDEMPOTENT, SoakHistory.Answer.ACCEPTED);
         SoakChecks checks = new SoakChecks(history);
-        assertTrue(checks.isUnheardInService(inService));
-        assertFalse(checks.isUnheardInService(duringRestart));
-        assertFalse(checks.isUnheardInService(accepted));
+        assertTrue(checks.isTimedOutInService(inService));
+        assertFalse(checks.isTimedOutInService(duringRestart));
+        assertFalse(checks.isTimedOutInService(accepted));
     }
 
     @Test
-    void deliveryIsSilentWithoutACompletion() {
-        SoakHistory history = soundHistory();
+    void deliveryWithoutCompletionIsRecognized() {
+        SoakHistory history = correctHistory();
         SoakHistory.Submission submission = submission("m30", MessageClass.IDEMPOTENT, SoakHistory.Answer.NONE);
-        assertFalse(new SoakChecks(history).isDeliveredSilently(submission));
+        assertFalse(new SoakChecks(history).isDeliveredWithoutCompletion(submission));
         history.receipts.add(receipt("m30", "a", 30.1, false));
-        assertFalse(new SoakChecks(history).isDeliveredSilently(submission));
+        assertFalse(new SoakChecks(history).isDeliveredWithoutCompletion(submission));
         history.receipts.add(receipt("m30", "a", 30.2, true));
-        assertTrue(new SoakChecks(history).isDeliveredSilently(submission));
-        history.ends.add(new SoakHistory.End("m30", "dead", 31 * SECOND));
-        assertFalse(new SoakChecks(history).isDeliveredSilently(submission));
+        assertTrue(new SoakChecks(history).isDeliveredWithoutCompletion(submission));
+        history.completions.add(new SoakHistory.Completion("m30", "dead", 31 * SECOND));
+        assertFalse(new SoakChecks(history).isDeliveredWithoutCompletion(submission));
     }
 
     @Test
-    void messageIsLostWhereItWasAcceptedAndHasNoEnd() {
-        SoakHistory history = soundHistory();
+    void acceptedMessageWithoutDeliveryAndCompletionIsLost() {
+        SoakHistory history = correctHistory();
         SoakHistory.Submission submission = submission("m30", MessageClass.IDEMPOTENT, SoakHistory.Answer.ACCEPTED);
         history.receipts.add(receipt("m30", "a", 30.1, false));
         assertTrue(new SoakChecks(history).isLost(submission));
         assertFalse(
                 new SoakChecks(history).isLost(submission("m30", MessageClass.IDEMPOTENT, SoakHistory.Answer.NONE)));
-        history.ends.add(new SoakHistory.End("m30", "dead", 31 * SECOND));
+        history.completions.add(new SoakHistory.Completion("m30", "dead", 31 * SECOND));
         assertFalse(new SoakChecks(history).isLost(submission));
     }
 }
--- a/src/test/java/loftflow/soak/SoakCrowd.java
+++ b/src/test/java/loftflow/soak/SoakCrowd.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import loftflow.protocol.ClientProtocol;
 
-/** Connections beside those of clients, which rest, stop within a request, or do not read their answers. */
+/** Connections other than the clients': idle, stopped within a request, or with unread responses. */
 final class SoakCrowd implements AutoCloseable {
-    /** More than the relay may hold. */
+    /** Exceeds the file descriptors of the relay. */
     private static final int IDLE_CONNECTIONS = 300;
 
     private static final int OTHER_CONNECTIONS = 24;
@@ -26,7 +26,7 @@
         this.kind = kind;
     }
 
-    /** Opens connections, as far as the relay accepts them. */
+    /** Opens connections; those that the relay refuses are left out. */
     void open(int port) {
         int count =
                 switch (kind) {
@@ -41,7 +41,7 @@
                 connection.configureBlocking(false);
                 begin(connection);
             } catch (IOException e) {
-                // The relay has closed it, or accepts no more.
+                // The relay has closed the connection, or accepts no more of them.
             }
         }
     }
@@ -64,7 +64,7 @@
             try {
                 connection.close();
             } catch (IOException e) {
-                // It is closed all the same.
+                // The connection is closed even if close() throws.
             }
         }
         connections.clear();
--- a/src/test/java/loftflow/soak/SoakHistory.java
+++ b/src/test/java/loftflow/soak/SoakHistory.java
@@ -3,27 +3,28 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** What clients, upstreams and discovery saw in one run. Times are on {@link System#nanoTime}. Thread-safe. */
+/** Observations of clients, upstreams and discovery in one run; times are {@link System#nanoTime}. Thread-safe. */
 final class SoakHistory {
-    /** What a client learned of a message that it handed in. */
+    /** The answer that a client received to a message. */
     enum Answer {
-        /** The relay owes the message its end. */
+        /** The relay is responsible for the message and owes a completion. */
         ACCEPTED,
-        /** Handing it in again is harmless. */
+        /** The message has not been executed and may be submitted again. */
         REFUSED,
         /** Any other status. */
         FAILED,
-        /** The relay ended the connection, which was open when the request was written, with no answer. */
+        /** The relay ended the connection without an answer, though it was open when the request was written. */
         CUT_OFF,
-        /** No answer came within the client's time, or the process was killed. */
+        /** The client timed out, or the process ended. */
         NONE
     }
 
     /**
-     * A message that a client handed in.
+     * A message that a client submitted.
      *
-     * @param orderingKey null where the message has none
-     * @param sequence order in which the client handed its messages in
+     * @param front the protocol of the client
+     * @param orderingKey null if the message has none
+     * @param sequence position among the messages of the run, in order of submission
      */
     record Submission(
             String id,
@@ -37,29 +38,34 @@
             Answer answer) {}
 
     /**
-     * A message that reached an upstream whole.
+     * A message that an upstream received whole.
      *
-     * @param endpoint the endpoint's name; {@link #OTHER_SERVICE} where another service answers at its address
-     * @param ran whether the message took effect, or may have
-     * @param deliveredAtNanos when a response said that it is delivered; {@link #NEVER} where none did
-     * @param response how the upstream met it, for findings
+     * @param endpoint the endpoint's name, or {@link #OTHER_SERVICE} if another service has taken over its address
+     * @param mayHaveExecuted whether the message took effect, or may have taken effect
+     * @param deliveredAtNanos when a response reported the delivery, or {@link #NEVER}
+     * @param response the upstream's behavior, for findings
      */
     record Receipt(
-            String id, String endpoint, long firstByteNanos, boolean ran, long deliveredAtNanos, String response) {}
+            String id,
+            String endpoint,
+            long firstByteNanos,
+            boolean mayHaveExecuted,
+            long deliveredAtNanos,
+            String response) {}
 
-    /** The wait that an endpoint told: nothing may reach it from shortly after until its end. */
-    record ToldWait(String endpoint, long fromNanos, long untilNanos) {}
+    /** The interval of a Retry-After, in which the endpoint must not receive requests, but for those in transit. */
+    record RetryAfter(String endpoint, long fromNanos, long untilNanos) {}
 
-    /** A completion that was reported, with one of the results of {@code CompletionProtocol}. */
-    record End(String id, String result, long atNanos) {}
+    /** A completion that the relay reported, with one of the results of {@code CompletionProtocol}. */
+    record Completion(String id, String result, long atNanos) {}
 
-    /** An endpoint that is to get nothing new, and when this counts as told to the relay. */
-    record Withdrawal(String endpoint, long toldAtNanos) {}
+    /** An endpoint that must not receive new messages, and the time at which this counts as announced to the relay. */
+    record Withdrawal(String endpoint, long announcedAtNanos) {}
 
     /**
      * A restart.
      *
-     * @param signalNanos the first signal that ends the process
+     * @param signalNanos when the first signal that ends the process was sent
      * @param readyNanos when the next process was ready
      * @param exitCode of the process that ended
      * @param wasKilled whether the process had to be killed
@@ -71,12 +77,12 @@
 
     final List<Submission> submissions = new CopyOnWriteArrayList<>();
     final List<Receipt> receipts = new CopyOnWriteArrayList<>();
-    final List<ToldWait> waits = new CopyOnWriteArrayList<>();
-    final List<End> ends = new CopyOnWriteArrayList<>();
+    final List<RetryAfter> retryAfters = new CopyOnWriteArrayList<>();
+    final List<Completion> completions = new CopyOnWriteArrayList<>();
     final List<Withdrawal> withdrawals = new CopyOnWriteArrayList<>();
     final List<Restart> restarts = new CopyOnWriteArrayList<>();
-    /** Faults that were seen as they happened: an exit that nobody asked for, an exception in a log. */
+    /** Faults observed during the run: an unexpected exit, an exception in a log, a message left open in the journal. */
     final List<String> incidents = new CopyOnWriteArrayList<>();
-    /** Intervals in which a thread had no CPU, of the harness and of the relay. */
+    /** Intervals in which a thread of the harness or of the relay waited for CPU. */
     final StallMonitor stalls = new StallMonitor();
 }
--- a/src/test/java/loftflow/soak/SoakMutantTest.java
+++ b/src/test/java/loftflow/soak/SoakMutantTest.java
@@ -18,19 +18,21 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The soak finds faults: each mutant is the relay with one small fault in one of its classes. */
+/** Tests that the soak detects faults: each mutant is the relay with one small fault in one class. */
 @Order(1)
 @Timeout(300)
 class SoakMutantTest {
     private static final int SIDE_BY_SIDE = 3;
-    /** A fault that a seed's traffic does not meet has to be found by the next one. */
+    /** Run in this order until one detects the mutant: the traffic of a single seed may not reach the fault. */
     private static final long[] SEEDS = {2, 4, 6};
 
     /**
-     * A fault.
+     * A fault in the source of the relay.
      *
-     * @param source the class, below the root package
-     * @param rule the check that has to find it
+     * @param source path of the class below the root package
+     * @param original source text to be replaced
+     * @param changed replacement, which contains the fault
+     * @param rule name of the rule whose check has to find the fault
      */
     private record Mutant(String source, String original, String changed, String rule) {}
 
@@ -45,12 +47,12 @@
                     "policy/PendingMessage",
                     "            if (attempt.mayHaveExecuted()) {",
                     "            if (attempt.mayHaveExecuted() && attempts.isEmpty()) {",
-                    "ran twice"),
+                    "executed twice"),
             new Mutant(
                     "policy/RetryPolicy",
                     "case NON_IDEMPOTENT -> message.firstAttemptThatMayHaveExecuted() == null;",
                     "case NON_IDEMPOTENT -> true;",
-                    "ran though rejected"),
+                    "executed though rejected"),
             new Mutant(
                     "engine/MessageLifecycle",
                     "            context.deadLetterSink().store(message);\n        }\n"
@@ -61,7 +63,7 @@
                     "upstream/http/UpstreamCall",
                     "if (millis == null ||",
                     "if (millis != null || millis == null ||",
-                    "wait broken"),
+                    "Retry-After ignored"),
             new Mutant(
                     "upstream/http/UpstreamCall",
                     "        onStatusLine(code);\n        end(AttemptOutcome.ERROR);",
@@ -85,7 +87,7 @@
                 List.of(new SoakPlan.RestartPlan(SoakPlan.Signals.TERM, 4_000, 0, 300, SoakPlan.Discovery.UP, true)));
     }
 
-    /** Compiles a copy of a class with a fault in it, and returns the folder of its classes. */
+    /** Compiles a copy of the class with the fault; returns the folder of the class files. */
     private static Path compile(Mutant mutant, Path folder) throws IOException {
         String text = Files.readString(Path.of("src/main/java/loftflow", mutant.source() + ".java"));
         assertTrue(text.contains(mutant.original()), mutant.toString());
@@ -109,12 +111,12 @@
         return classes;
     }
 
-    private static List<String> play(Mutant mutant, Path folder) throws Exception {
+    private static List<String> run(Mutant mutant, Path folder) throws Exception {
         ServedRelay.Program program = new ServedRelay.Program(compile(mutant, folder), -1);
         List<String> findings = new ArrayList<>();
         for (long seed : SEEDS) {
             Path seedFolder = Files.createDirectory(folder.resolve("seed" + seed));
-            findings.addAll(SoakChecks.check(SoakRun.play(plan(seed), seedFolder, program)));
+            findings.addAll(SoakChecks.check(SoakRun.run(plan(seed), seedFolder, program)));
             if (findings.stream().anyMatch(finding -> finding.startsWith(mutant.rule() + ":"))) {
                 break;
             }
@@ -123,13 +125,13 @@
     }
 
     @Test
-    void eachFaultIsFound() throws Exception {
+    void everyMutantIsDetected() throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(SIDE_BY_SIDE);
         List<Future<List<String>>> runs = new ArrayList<>();
         for (int i = 0; i < MUTANTS.size(); i++) {
             Mutant mutant = MUTANTS.get(i);
             Path runFolder = Files.createDirectory(folder.resolve("mutant" + i));
-            runs.add(pool.submit(() -> play(mutant, runFolder)));
+            runs.add(pool.submit(() -> run(mutant, runFolder)));
         }
         pool.shutdown();
         for (int i = 0; i < MUTANTS.size(); i++) {
--- a/src/test/java/loftflow/soak/SoakPlan.java
+++ b/src/test/java/loftflow/soak/SoakPlan.java
@@ -5,21 +5,21 @@
 import java.util.Random;
 
 /**
- * What one run plays; it follows from the seed alone.
+ * The plan of one run, derived from its seed.
  *
- * @param isDiscoveryUsed whether an agent lists the endpoints, in place of the relay's file, which lists a broker too
- * @param crowd what connections beside the clients' do; {@link Crowd#NONE} for none
- * @param restarts in order
+ * @param isDiscoveryUsed whether an agent lists the endpoints; otherwise the relay file does, and lists a broker too
+ * @param crowd behavior of the connections other than the clients'
+ * @param restarts in the order in which they take place
  */
 record SoakPlan(long seed, boolean isDiscoveryUsed, Crowd crowd, List<RestartPlan> restarts) {
-    /** Connections that are opened before and during a drain, beside those of clients. */
+    /** Behavior of the connections that are opened before and during a drain in addition to the clients'. */
     enum Crowd {
         NONE,
-        /** Idle ones that fill the descriptors. */
+        /** Idle connections that use up the file descriptors. */
         IDLE,
-        /** Ones with a part of a request. */
+        /** Connections that send only a part of a request. */
         PARTIAL,
-        /** Ones that send requests and read no answer. */
+        /** Connections that send requests and do not read the responses. */
         UNREAD
     }
 
@@ -36,27 +36,28 @@
         TERM_TWICE_LATE,
         /** SIGHUP before, between and after two SIGTERM. */
         HANG_UP_AROUND_TERM,
-        /** SIGHUP with a file that is half written, then with the whole one, then SIGTERM. */
+        /** SIGHUP while the relay file is cut in half, then the whole file again, then SIGTERM. */
         BAD_FILE_THEN_TERM,
-        /** SIGTERM, then SIGTERM to the next process during its start, before it serves. */
+        /** SIGTERM, then SIGTERM to the next process while it starts. */
         TERM_DURING_NEXT_START
     }
 
-    /** What discovery does over a restart. */
+    /** The availability of discovery during a restart. */
     enum Discovery {
         UP,
         /** Refuses connections from before the signal until the next process has started. */
         DOWN,
-        /** Answers late. */
+        /** Responds late. */
         SLOW
     }
 
     /**
-     * A restart.
+     * A planned restart.
      *
-     * @param serveMillis how long the relay serves before
-     * @param secondSignalMillis between the signals of a series, and from the start to a signal during it
-     * @param newConnectionsMillis how long clients open new connections after the signal
+     * @param serveMillis how long the relay serves before the restart
+     * @param secondSignalMillis delay of the second signal: after the first one, or after the start of the next process
+     * @param newConnectionsMillis how long clients still open connections after the signal
+     * @param withdrawsEndpoint whether discovery withdraws an endpoint before the restart
      */
     record RestartPlan(
             Signals signals,
--- a/src/test/java/loftflow/soak/SoakRun.java
+++ b/src/test/java/loftflow/soak/SoakRun.java
@@ -12,7 +12,7 @@
 import loftflow.fake.ServedRelay;
 import loftflow.journal.Journal;
 
-/** Plays one seed: a relay with its surroundings, restarted as its plan says. */
+/** One run: a relay with its clients, upstreams and discovery, restarted according to the plan. */
 final class SoakRun implements AutoCloseable {
     private static final int HTTP_CLIENTS = 6;
     private static final int HTTP2_CLIENTS = 2;
@@ -22,9 +22,9 @@
     private static final int BATCH_DESTINATION = 1;
     private static final int PAIR_DESTINATION = 2;
     private static final int BROKER_DESTINATION = 3;
-    private static final int SHUT_EVERY = 3;
+    private static final int OUTAGE_EVERY = 3;
     private static final int PERCENT = 100;
-    /** After the last message's deadline and the grace of its completion. */
+    /** Exceeds the longest deadline and the grace period of its completion. */
     private static final long SETTLE_MILLIS = 9_000;
 
     private final SoakPlan plan;
@@ -54,10 +54,10 @@
         relay = new RelayUnderTest(program, writeRelayFile(), folder, history);
     }
 
-    /** Plays a plan in a folder and returns what was seen. */
-    static SoakHistory play(SoakPlan plan, Path folder, ServedRelay.Program program) throws Exception {
+    /** Runs a plan in a folder and returns its history. */
+    static SoakHistory run(SoakPlan plan, Path folder, ServedRelay.Program program) throws Exception {
         try (SoakRun run = new SoakRun(plan, folder, program)) {
-            run.play();
+            run.run();
             return run.history;
         }
     }
@@ -116,7 +116,7 @@
                                 plan.isDiscoveryUsed() ? "agent = \"" + agent.discoveryAddress() + "\"\n" : "",
                                 agent.noticeAddress()));
         for (MessageClass type : MessageClass.values()) {
-            text.append(type.table());
+            text.append(type.tomlTable());
         }
         text.append(plan.isDiscoveryUsed() ? "" : "[[broker]]\nname = \"grain\"\nheartbeat = \"2s\"\n");
         text.append(partner(BATCH_DESTINATION, "railways", "batch", upstreams.get(0)));
@@ -160,12 +160,12 @@
             entries.add(SoakAgent.entry(
                     "pair-b", PAIR_DESTINATION, "elevators", upstreams.get(2).address()));
         }
-        agent.list(entries);
+        agent.publish(entries);
     }
 
     // ---- the run
 
-    private void play() throws Exception {
+    private void run() throws Exception {
         history.stalls.start();
         listEndpoints();
         relay.start();
@@ -209,25 +209,25 @@
             throws Exception {
         ClientContext.pause(restart.serveMillis() / 2);
         crowd.open(ports.http());
-        boolean isOutage = restart.serveMillis() % SHUT_EVERY == 0;
-        upstreams.get(1).shut(isOutage);
+        boolean isOutage = restart.serveMillis() % OUTAGE_EVERY == 0;
+        upstreams.get(1).rejectAll(isOutage);
         if (plan.isDiscoveryUsed() && restart.withdrawsEndpoint() && !isPairWithdrawn) {
             withdrawEndpoint();
         }
         ClientContext.pause(restart.serveMillis() / 2);
-        agent.slow(restart.discovery() == SoakPlan.Discovery.SLOW);
+        agent.setSlow(restart.discovery() == SoakPlan.Discovery.SLOW);
         if (plan.isDiscoveryUsed()) {
-            agent.down(restart.discovery() == SoakPlan.Discovery.DOWN);
+            agent.setDown(restart.discovery() == SoakPlan.Discovery.DOWN);
         }
         long signalNanos = signal(restart, ports);
         boolean wasKilled = restart.signals() == SoakPlan.Signals.KILL || relay.awaitEnd(signalNanos);
-        clients.processEnds();
+        clients.markProcessEnding();
         relay.kill();
         long endedNanos = System.nanoTime();
         crowd.close();
         int exitCode = relay.finish(wasKilled);
-        relay.awaitFolder();
-        upstreams.get(1).shut(false);
+        relay.awaitStateFolder();
+        upstreams.get(1).rejectAll(false);
         return startNext(restart, signalNanos, endedNanos, exitCode, wasKilled);
     }
 
@@ -242,22 +242,22 @@
             boolean hadToBeKilled = relay.awaitEnd(secondSignal);
             relay.kill();
             relay.finish(hadToBeKilled);
-            relay.awaitFolder();
+            relay.awaitStateFolder();
             relay.start();
         }
-        agent.down(false);
+        agent.setDown(false);
         RelayUnderTest.Ports ports = relay.awaitReady();
-        agent.slow(false);
+        agent.setSlow(false);
         history.restarts.add(new SoakHistory.Restart(signalNanos, endedNanos, System.nanoTime(), exitCode, wasKilled));
         clients.allowConnections(ports);
         return ports;
     }
 
-    /** Sends the signals of a restart; returns when the first one was sent that ends the process. */
+    /** Sends the signals of a restart; returns the time of the first signal that ends the process. */
     private long signal(SoakPlan.RestartPlan restart, RelayUnderTest.Ports ports) throws Exception {
         if (restart.signals() == SoakPlan.Signals.KILL) {
             clients.allowConnections(null);
-            clients.processEnds();
+            clients.markProcessEnding();
             return System.nanoTime();
         }
         signalBefore(restart);
@@ -301,27 +301,27 @@
                 default -> {}
             }
         } catch (IOException | InterruptedException e) {
-            history.incidents.add("a signal could not be sent: " + e);
+            history.incidents.add("could not send a signal: " + e);
         }
     }
 
-    /** Removes an endpoint from discovery's list; another service answers at its address from then on. */
+    /** Removes an endpoint from the discovery list, then starts another service at its address. */
     private void withdrawEndpoint() throws Exception {
         isPairWithdrawn = true;
         listEndpoints();
-        history.withdrawals.add(new SoakHistory.Withdrawal("pair-b", agent.awaitTold()));
-        // What was under way has arrived by then.
+        history.withdrawals.add(new SoakHistory.Withdrawal("pair-b", agent.awaitAnnounced()));
+        // Requests that were in transit at the withdrawal have arrived after this pause.
         ClientContext.pause(700);
         SoakUpstream withdrawn = upstreams.get(2);
         withdrawn.close();
-        history.withdrawals.add(new SoakHistory.Withdrawal(SoakHistory.OTHER_SERVICE, agent.awaitTold()));
+        history.withdrawals.add(new SoakHistory.Withdrawal(SoakHistory.OTHER_SERVICE, agent.awaitAnnounced()));
         upstreams.set(2, new SoakUpstream(SoakHistory.OTHER_SERVICE, plan.seed(), withdrawn.port(), history));
     }
 
     private void stop() throws Exception {
         long signalNanos = System.nanoTime();
         if (!relay.isAlive()) {
-            history.incidents.add("the relay ended by itself");
+            history.incidents.add("the relay process ended without a signal");
         }
         relay.terminate();
         boolean wasKilled = relay.awaitEnd(signalNanos);
@@ -333,7 +333,8 @@
 
     private void recordBrokerPostings() {
         for (FakeBroker.Posting posting : broker.postings()) {
-            // The relay reports these as delivered itself, or as failed: whether a confirm came is not seen here.
+            // Whether the relay received a confirm is not observed here, so the scripted outcome of the publish
+            // decides.
             history.receipts.add(new SoakHistory.Receipt(
                     posting.id(),
                     "broker",
@@ -348,10 +349,10 @@
         try (Journal journal = new Journal(stateFolder(), DISK_BYTES)) {
             int open = journal.openMessages().size();
             if (open > 0) {
-                history.incidents.add(open + " messages are open in the journal after their deadlines");
+                history.incidents.add(open + " messages are still open in the journal after their deadlines");
             }
         } catch (RuntimeException e) {
-            history.incidents.add("the journal does not open: " + e);
+            history.incidents.add("could not open the journal: " + e);
         }
     }
 
--- a/src/test/java/loftflow/soak/SoakTest.java
+++ b/src/test/java/loftflow/soak/SoakTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short soak, side by side: both kinds of upstreams, SIGKILL, and all crowds but that of {@link SoakUnreadCrowdTest}. */
+/**
+ * A short soak, which covers endpoints with and without discovery, SIGKILL, and every {@link SoakPlan.Crowd} except the
+ * one of {@link SoakUnreadCrowdTest}.
+ */
 @Order(1)
 @Timeout(300)
 class SoakTest {
@@ -28,12 +31,12 @@
     Path folder;
 
     @Test
-    void restartsLoseNothingAndRunNothingTwice() throws Exception {
+    void restartsLoseAndDuplicateNoMessage() throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(SIDE_BY_SIDE);
         List<Future<SoakHistory>> runs = new ArrayList<>();
         for (long seed : LongStream.rangeClosed(1, 4).toArray()) {
             Path runFolder = Files.createDirectory(folder.resolve("seed" + seed));
-            runs.add(pool.submit(() -> SoakRun.play(SoakPlan.of(seed, RESTARTS), runFolder, ServedRelay.Program.OWN)));
+            runs.add(pool.submit(() -> SoakRun.run(SoakPlan.of(seed, RESTARTS), runFolder, ServedRelay.Program.OWN)));
         }
         pool.shutdown();
         List<String> findings = new ArrayList<>();
--- a/src/test/java/loftflow/soak/SoakTotals.java
+++ b/src/test/java/loftflow/soak/SoakTotals.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Adds the histories of many seeds up, for the summary of {@link Soak}. Thread-safe. */
+/** Totals over the histories of many seeds, for the summary of {@link Soak}. Thread-safe. */
 final class SoakTotals {
-    /** What became of the messages that met one kind of malformed response. */
+    /** Number of messages that received one kind of malformed response, and of those that were lost. */
     private static final class ResponseTotals {
         private int messages;
         private int lost;
@@ -15,8 +15,8 @@
     private int messages;
     private int accepted;
     private int cutOff;
-    private int unheard;
-    private int unheardDelivered;
+    private int timedOut;
+    private int timedOutDelivered;
     private int receipts;
     private final Map<String, ResponseTotals> malformedResponses = new TreeMap<>();
 
@@ -27,15 +27,15 @@
         for (SoakHistory.Submission submission : history.submissions) {
             accepted += submission.answer() == SoakHistory.Answer.ACCEPTED ? 1 : 0;
             cutOff += submission.answer() == SoakHistory.Answer.CUT_OFF ? 1 : 0;
-            if (checks.isUnheardInService(submission)) {
-                unheard++;
-                unheardDelivered += checks.isDeliveredSilently(submission) ? 1 : 0;
+            if (checks.isTimedOutInService(submission)) {
+                timedOut++;
+                timedOutDelivered += checks.isDeliveredWithoutCompletion(submission) ? 1 : 0;
             }
             addResponses(checks.receiptsOf(submission.id()), checks.isLost(submission));
         }
     }
 
-    /** A lost message counts for the last response that it met. */
+    /** Counts malformed responses; a lost message is attributed to the last response that it received. */
     private void addResponses(List<SoakHistory.Receipt> receipts, boolean isLost) {
         for (int i = 0; i < receipts.size(); i++) {
             String response = receipts.get(i).response();
@@ -47,7 +47,7 @@
         }
     }
 
-    /** A line for each kind of malformed response that was written. */
+    /** Returns a line for each kind of malformed response that was written. */
     synchronized List<String> malformedResponses() {
         return malformedResponses.entrySet().stream()
                 .map(entry -> entry.getKey() + ": " + entry.getValue().messages + " messages, " + entry.getValue().lost
@@ -57,8 +57,8 @@
 
     @Override
     public synchronized String toString() {
-        return messages + " messages, " + accepted + " accepted, " + cutOff + " unanswered, " + unheard
-                + " without an answer in time while in service (" + unheardDelivered + " of them delivered silently), "
+        return messages + " messages, " + accepted + " accepted, " + cutOff + " unanswered, " + timedOut
+                + " without an answer in time while in service (" + timedOutDelivered + " of them delivered silently), "
                 + receipts + " receipts";
     }
 }
--- a/src/test/java/loftflow/soak/SoakUnreadCrowdTest.java
+++ b/src/test/java/loftflow/soak/SoakUnreadCrowdTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A crowd that sends thousands of requests at once and reads no answer delays no completion. It fails at times
- * (KNOWN-RED.txt): one pass of the event loop answers them all.
+ * Tests that connections that send thousands of requests at once and read no response delay no completion. The test
+ * fails at times, because a single pass of the event loop answers all of these requests.
  */
 @Tag("known-red")
 @Timeout(300)
@@ -25,7 +25,7 @@
 
     @Test
     void requestsOfClientsThatReadNothingDelayNoCompletion() throws Exception {
-        SoakHistory history = SoakRun.play(SoakPlan.of(SEED, RESTARTS), folder, ServedRelay.Program.OWN);
+        SoakHistory history = SoakRun.run(SoakPlan.of(SEED, RESTARTS), folder, ServedRelay.Program.OWN);
         assertEquals(List.of(), SoakChecks.check(history));
     }
 }
--- a/src/test/java/loftflow/soak/SoakUpstream.java
+++ b/src/test/java/loftflow/soak/SoakUpstream.java
@@ -23,33 +23,36 @@
 import java.util.regex.Pattern;
 import loftflow.protocol.HostProtocol;
 
-/** An endpoint that speaks the protocol of hosts and fails: how it meets a call follows from the seed, message and try. */
+/**
+ * An endpoint of the host protocol that injects faults. Its behavior for a call is derived from the seed, the message id
+ * and the number of the attempt.
+ */
 final class SoakUpstream implements AutoCloseable {
-    /** How a call is met. */
-    private enum Fate {
+    /** The behavior for one call. */
+    private enum Behavior {
         DELIVER,
         DELIVER_LATE,
         REJECT,
         TELL_WAIT,
         FAIL,
-        /** The connection ends when only the head was read; nothing runs. */
+        /** The connection ends after the header section was read; nothing is executed. */
         RESET_EARLY,
-        /** The call runs, and the connection ends. */
+        /** The call is executed, and the connection ends without a response. */
         RESET_LATE,
-        /** The call runs, and nothing is answered. */
+        /** The call is executed, no response is sent, and the connection stays open. */
         SILENCE,
-        /** The call runs, and a {@link MalformedResponse} is written. */
+        /** The call is executed, and a {@link MalformedResponse} is sent. */
         MALFORMED
     }
 
     /**
-     * How a response that delivers ends the messages of a call.
+     * The result of a call for each of its messages.
      *
-     * @param body of the response
+     * @param body the body of the response that reports the result
      */
     private record Delivery(List<String> delivered, List<String> rejected, String body) {}
 
-    /** A call as it was read. */
+    /** A request that was read whole. */
     private record Call(String line, Map<String, String> headers, String body, long firstByteNanos) {
         boolean isBatch() {
             return line.contains(HostProtocol.BATCH_PATH + " ");
@@ -58,28 +61,28 @@
 
     private static final Pattern BATCH_ID = Pattern.compile("\"" + HostProtocol.MESSAGE_ID_FIELD + "\":\"([^\"]*)\"");
     private static final int PERCENT = 100;
-    /** Spreads seeds that are close to each other, of which {@link Random} makes similar first numbers. */
+    /** Spreads neighbouring seeds, for which the first numbers of {@link Random} are similar. */
     private static final long SEED_FACTOR = 0x9E3779B97F4A7C15L;
 
     private static final int BACKLOG = 256;
     private static final int MAX_BIND_ATTEMPTS = 500;
     private static final long BIND_PAUSE_MILLIS = 20;
-    /** The fates of each hundred calls, in the order of {@link Fate}. */
-    private static final int[] SHARES = {86, 2, 1, 1, 2, 1, 2, 1, 4};
-    /** Batches are few, and a malformed response to one takes more with it. */
-    private static final int[] BATCH_SHARES = {78, 2, 1, 1, 2, 1, 2, 1, 12};
+    /** Percentage of single-message calls for each {@link Behavior}, in the order of its constants. */
+    private static final int[] SINGLE_PERCENTAGES = {86, 2, 1, 1, 2, 1, 2, 1, 4};
+    /** As above, for batches: they are few, and a malformed response to a batch affects several messages. */
+    private static final int[] BATCH_PERCENTAGES = {78, 2, 1, 1, 2, 1, 2, 1, 12};
 
-    private static final String BATCH_TRIES = "batch";
+    private static final String BATCH_ATTEMPT_KEY = "batch";
 
     private final String name;
     private final long seed;
     private final SoakHistory history;
     private final ServerSocket listener;
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
-    private final Map<String, AtomicInteger> tries = new ConcurrentHashMap<>();
-    private volatile boolean isShut;
+    private final Map<String, AtomicInteger> attemptCounts = new ConcurrentHashMap<>();
+    private volatile boolean rejectsAll;
 
-    /** An endpoint on a port of the loopback address; 0 for a free one. */
+    /** Starts an endpoint on a loopback port, or on a free one if the port is 0. */
     SoakUpstream(String name, long seed, int port, SoakHistory history) throws IOException {
         this.name = name;
         this.seed = seed;
@@ -88,7 +91,7 @@
         daemon(this::accept);
     }
 
-    /** Listens; a given port may be in use for a moment, by a connection that takes it as its own. */
+    /** Binds the port; retries if an outgoing connection temporarily uses it as its local port. */
     private static ServerSocket listen(int port) throws IOException {
         for (int attempt = 1; ; attempt++) {
             try {
@@ -110,9 +113,9 @@
         return listener.getLocalPort();
     }
 
-    /** Rejects every call, or no longer does. */
-    void shut(boolean shut) {
-        isShut = shut;
+    /** Sets whether the endpoint rejects every call. */
+    void rejectAll(boolean rejects) {
+        rejectsAll = rejects;
     }
 
     private static void daemon(Runnable work) {
@@ -137,8 +140,8 @@
         try (socket) {
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            while (meetNext(socket, in)) {
-                // The connection goes on.
+            while (handleNext(socket, in)) {
+                // The connection stays open for the next call.
             }
         } catch (IOException e) {
             // Either side has ended the connection.
@@ -147,8 +150,8 @@
         }
     }
 
-    /** Reads a call and meets it; returns false where the connection is to end. */
-    private boolean meetNext(Socket socket, InputStream in) throws IOException {
+    /** Reads and handles a call; returns false if the connection is to be closed. */
+    private boolean handleNext(Socket socket, InputStream in) throws IOException {
         int first = in.read();
         if (first < 0) {
             return false;
@@ -161,58 +164,59 @@
             headers.put(parts[0].toLowerCase(Locale.ROOT), parts[1]);
         }
         if (line.startsWith("GET ")) {
-            respond(socket, isShut ? "503 Unavailable" : "200 OK", "", "");
+            respond(socket, rejectsAll ? "503 Unavailable" : "200 OK", "", "");
             return true;
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-        Fate fate = fateOf(headers.getOrDefault("x-call-id", BATCH_TRIES));
-        if (fate == Fate.RESET_EARLY && length > 0) {
+        Behavior behavior = behaviorFor(headers.getOrDefault("x-call-id", BATCH_ATTEMPT_KEY));
+        if (behavior == Behavior.RESET_EARLY && length > 0) {
             return false;
         }
         String body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
         if (body.length() < length) {
             return false;
         }
-        return meet(socket, new Call(line, headers, body, firstByteNanos), fate);
+        return handle(socket, new Call(line, headers, body, firstByteNanos), behavior);
     }
 
-    private Fate fateOf(String id) {
-        if (isShut) {
-            return Fate.REJECT;
+    private Behavior behaviorFor(String id) {
+        if (rejectsAll) {
+            return Behavior.REJECT;
         }
-        int attempt = tries.computeIfAbsent(id, absent -> new AtomicInteger()).getAndIncrement();
+        int attempt =
+                attemptCounts.computeIfAbsent(id, absent -> new AtomicInteger()).getAndIncrement();
         int drawn = new Random(seed * 31 + id.hashCode() * 1_000_003L + attempt * 7_919L).nextInt(PERCENT);
-        int[] shares = id.equals(BATCH_TRIES) ? BATCH_SHARES : SHARES;
-        for (int i = 0; i < shares.length; i++) {
-            drawn -= shares[i];
+        int[] percentages = id.equals(BATCH_ATTEMPT_KEY) ? BATCH_PERCENTAGES : SINGLE_PERCENTAGES;
+        for (int i = 0; i < percentages.length; i++) {
+            drawn -= percentages[i];
             if (drawn < 0) {
-                return Fate.values()[i];
+                return Behavior.values()[i];
             }
         }
-        return Fate.DELIVER;
+        return Behavior.DELIVER;
     }
 
-    private boolean meet(Socket socket, Call call, Fate fate) throws IOException {
+    private boolean handle(Socket socket, Call call, Behavior behavior) throws IOException {
         List<String> ids = idsOf(call);
-        switch (fate) {
+        switch (behavior) {
             case REJECT -> {
-                record(ids, call, false, SoakHistory.NEVER, fate.name());
+                record(ids, call, false, SoakHistory.NEVER, behavior.name());
                 respond(socket, "503 Unavailable", "", "");
             }
             case TELL_WAIT -> {
-                record(ids, call, false, SoakHistory.NEVER, fate.name());
-                tellWait(socket);
+                record(ids, call, false, SoakHistory.NEVER, behavior.name());
+                respondRetryAfter(socket);
             }
             case FAIL -> {
-                record(ids, call, true, SoakHistory.NEVER, fate.name());
+                record(ids, call, true, SoakHistory.NEVER, behavior.name());
                 respond(socket, "500 Error", "", "");
             }
             case RESET_LATE -> {
-                record(ids, call, true, SoakHistory.NEVER, fate.name());
+                record(ids, call, true, SoakHistory.NEVER, behavior.name());
                 return false;
             }
-            case SILENCE -> record(ids, call, true, SoakHistory.NEVER, fate.name());
-            case DELIVER, DELIVER_LATE, RESET_EARLY -> deliver(socket, call, ids, fate);
+            case SILENCE -> record(ids, call, true, SoakHistory.NEVER, behavior.name());
+            case DELIVER, DELIVER_LATE, RESET_EARLY -> deliver(socket, call, ids, behavior);
             case MALFORMED -> {
                 return respondMalformed(socket, call, ids);
             }
@@ -232,23 +236,23 @@
         return ids;
     }
 
-    private void tellWait(Socket socket) throws IOException {
+    private void respondRetryAfter(Socket socket) throws IOException {
         long waitMillis = 200 + Math.floorMod(System.nanoTime(), 400);
         long now = System.nanoTime();
-        history.waits.add(new SoakHistory.ToldWait(name, now, now + TimeUnit.MILLISECONDS.toNanos(waitMillis)));
+        history.retryAfters.add(new SoakHistory.RetryAfter(name, now, now + TimeUnit.MILLISECONDS.toNanos(waitMillis)));
         respond(socket, "429 Too Many", HostProtocol.RETRY_AFTER_MILLIS_HEADER + ": " + waitMillis + "\r\n", "");
     }
 
-    private void deliver(Socket socket, Call call, List<String> ids, Fate fate) throws IOException {
+    private void deliver(Socket socket, Call call, List<String> ids, Behavior behavior) throws IOException {
         Random random = new Random(seed + ids.hashCode());
-        pause(fate == Fate.DELIVER_LATE ? 500 + random.nextInt(2_000) : 2 + random.nextInt(15));
+        pause(behavior == Behavior.DELIVER_LATE ? 500 + random.nextInt(2_000) : 2 + random.nextInt(15));
         Delivery delivery = deliveryOf(call, ids, random);
-        record(delivery.rejected(), call, false, SoakHistory.NEVER, fate.name());
+        record(delivery.rejected(), call, false, SoakHistory.NEVER, behavior.name());
         try {
             respond(socket, "200 OK", "", delivery.body());
-            record(delivery.delivered(), call, true, System.nanoTime(), fate.name());
+            record(delivery.delivered(), call, true, System.nanoTime(), behavior.name());
         } catch (IOException e) {
-            record(delivery.delivered(), call, true, SoakHistory.NEVER, fate.name());
+            record(delivery.delivered(), call, true, SoakHistory.NEVER, behavior.name());
             throw e;
         }
     }
@@ -270,7 +274,7 @@
         return new Delivery(delivered, rejected, "[" + String.join(",", states) + "]");
     }
 
-    /** Writes a response that not every reader takes; returns false where the connection ends with it. */
+    /** Sends a randomly selected malformed response; returns false if the connection ends with it. */
     private boolean respondMalformed(Socket socket, Call call, List<String> ids) throws IOException {
         Random random = new Random((seed + ids.hashCode()) * SEED_FACTOR);
         pause(2 + random.nextInt(15));
@@ -288,9 +292,9 @@
         }
     }
 
-    private void record(List<String> ids, Call call, boolean ran, long deliveredAtNanos, String response) {
+    private void record(List<String> ids, Call call, boolean mayHaveExecuted, long deliveredAtNanos, String response) {
         ids.forEach(id -> history.receipts.add(
-                new SoakHistory.Receipt(id, name, call.firstByteNanos(), ran, deliveredAtNanos, response)));
+                new SoakHistory.Receipt(id, name, call.firstByteNanos(), mayHaveExecuted, deliveredAtNanos, response)));
     }
 
     private static void respond(Socket socket, String status, String headers, String body) throws IOException {
@@ -312,7 +316,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("the connection ended within a head");
+                throw new IOException("the connection ended within a header section");
             }
             bytes.write(next);
         }
--- a/src/test/java/loftflow/soak/StallMonitor.java
+++ b/src/test/java/loftflow/soak/StallMonitor.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Records how long this process and the relay's threads waited for CPU, so that a late completion can be told from a
- * machine that had none for the relay.
+ * Records how long this process and the relay's threads waited for CPU, so that a late completion can be distinguished
+ * from a machine without free CPU.
  */
 final class StallMonitor implements AutoCloseable {
     private static final long SAMPLE_INTERVAL_MILLIS = 20;
@@ -25,14 +25,14 @@
     private volatile long relayPid;
     private volatile boolean isOver;
 
-    /** Starts to sample, on a thread of its own. */
+    /** Starts the sampling thread. */
     void start() {
         Thread thread = new Thread(this::run, "soak-stalls");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Samples the threads of another process from now on. */
+    /** Sets the relay process whose threads are sampled from now on. */
     void watch(long pid) {
         relayPid = pid;
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The longest time that a thread of the relay waited on a run queue since the last sample. */
+    /** Returns the longest time that a thread of the relay spent waiting on a run queue since the last sample. */
     private long relayWaitNanos() {
         long longest = 0;
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc", relayPid + "", "task"))) {
@@ -76,7 +76,7 @@
         return longest;
     }
 
-    /** For how long, within an interval, the harness or the relay waited for CPU. */
+    /** Returns how long the harness and the relay waited for CPU within an interval. */
     long waitedNanos(long fromNanos, long untilNanos) {
         return stalls.stream()
                 .filter(stall -> stall.untilNanos() >= fromNanos && stall.fromNanos() <= untilNanos)
--- a/src/test/java/loftflow/soak/package-info.java
+++ b/src/test/java/loftflow/soak/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A seeded soak: one relay process is restarted again and again while clients, upstreams and discovery go on and fail. What
- * they saw is checked by the rules of the protocol.
+ * A seeded soak test: one relay process is restarted repeatedly under load from clients, while upstreams and discovery
+ * fail. The observations are checked against the rules of the protocol.
  */
 package loftflow.soak;
