--- a/src/test/java/loftflow/ArchitectureTest.java
+++ b/src/test/java/loftflow/ArchitectureTest.java
@@ -22,20 +22,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who may use whom: what each package-info.java says, held to. */
+/** Checks the dependencies that each package-info.java declares, and the layers of the relay. */
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("loftflow");
-    /** The decision module and the types that it speaks in. */
-    private static final String MODULE = "(\\[+L)?loftflow\\.policy\\.(api\\.)?[A-Z][^;]*;?";
-    /** The modules that decide from files: what is derived, and what contradicts what. */
-    private static final String PLAN = "loftflow\\.config\\.(plan|schema)\\..*";
-    /** Whether what could not be delivered may be sent again, and when. */
+    /** The decision module and the types of its interface. */
+    private static final String DECISION_MODULE = "(\\[+L)?loftflow\\.policy\\.(api\\.)?[A-Z][^;]*;?";
+    /** The modules that derive settings from files and find contradictions in them. */
+    private static final String PLANNING = "loftflow\\.config\\.(plan|schema)\\..*";
+    /** The rules that decide whether and when dead letters may be redriven. */
     private static final String DEAD_LETTERS = "loftflow\\.deadletter\\.[A-Z].*";
-    /** What confirms prove, what an AMQP message is to the relay, and which ids are known. */
+    /** The meaning of publisher confirms, the mapping of AMQP messages, and the deduplication window. */
     private static final String AMQP = "loftflow\\.(amqp\\.(confirm|mapping)\\..*|deduplication\\.DeduplicationWindow)";
-    /** How far what is remembered is believed, and what of discovery's lists is. */
+    /** The rules for the trust in restored state and in discovery lists. */
     private static final String WARM_START = "loftflow\\.warmstart\\.[A-Z].*";
     /** Sockets, files, clocks and threads. */
     private static final DescribedPredicate<JavaClass> OUTSIDE = DescribedPredicate.or(
@@ -52,37 +52,38 @@
                     nameMatching("java\\.lang\\.(System|Thread|Process|Runtime)(\\$.*)?"))
             .as("sockets, files, clocks or threads");
 
-    private static DescribedPredicate<JavaClass> ours() {
+    private static DescribedPredicate<JavaClass> relayClasses() {
         return resideInAnyPackage("loftflow..");
     }
 
-    private static ArchRule module(String pattern) {
+    private static ArchRule noOutsideDependencies(String pattern) {
         return noClasses().that().haveNameMatching(pattern).should().dependOnClassesThat(OUTSIDE);
     }
 
     @Test
-    void decisionsReachNoSocketFileClockOrThread() {
-        module(MODULE).check(ALL);
-        module(PLAN).check(ALL);
-        module(DEAD_LETTERS).check(ALL);
-        module(AMQP).check(ALL);
-        module(WARM_START).check(ALL);
-        module("loftflow\\.listener\\.http2\\.flowcontrol\\..*").check(ALL);
-        module("loftflow\\.trace\\.[A-Z].*").check(ALL);
-        module("loftflow\\.experiment\\.(scenario|history|emulator|evaluation|design)\\..*")
+    void pureModulesUseNoSocketFileClockOrThread() {
+        noOutsideDependencies(DECISION_MODULE).check(ALL);
+        noOutsideDependencies(PLANNING).check(ALL);
+        noOutsideDependencies(DEAD_LETTERS).check(ALL);
+        noOutsideDependencies(AMQP).check(ALL);
+        noOutsideDependencies(WARM_START).check(ALL);
+        noOutsideDependencies("loftflow\\.listener\\.http2\\.flowcontrol\\..*").check(ALL);
+        noOutsideDependencies("loftflow\\.trace\\.[A-Z].*").check(ALL);
+        noOutsideDependencies("loftflow\\.experiment\\.(scenario|history|emulator|evaluation|design)\\..*")
                 .check(ALL);
         classes()
                 .that()
-                .haveNameMatching(MODULE)
+                .haveNameMatching(DECISION_MODULE)
                 .should()
-                .onlyDependOnClassesThat(DescribedPredicate.or(nameMatching(MODULE), DescribedPredicate.not(ours())))
+                .onlyDependOnClassesThat(
+                        DescribedPredicate.or(nameMatching(DECISION_MODULE), DescribedPredicate.not(relayClasses())))
                 .check(ALL);
     }
 
-    /** Proves that the rule above can fail. */
+    /** Verifies that the rule above detects a violation. */
     @Test
-    void ruleOfDecisionsFindsOneThatReachesOut() {
-        assertThrows(AssertionError.class, () -> module("loftflow\\.simulator\\.SimulatorHost")
+    void ruleForPureModulesDetectsAViolation() {
+        assertThrows(AssertionError.class, () -> noOutsideDependencies("loftflow\\.simulator\\.SimulatorHost")
                 .check(ALL));
     }
 
@@ -147,17 +148,18 @@
                 "experiment | loftflow.policy loftflow.policy.api loftflow.experiment.. loftflow.engine loftflow.config.file loftflow.fake",
                 "fake | loftflow.protocol loftflow.fake loftflow.amqp.."
             })
-    void packageUsesOnlyWhatItSays(String name, String allowed) {
+    void packageUsesOnlyDeclaredPackages(String name, String allowed) {
         classes()
                 .that()
                 .resideInAPackage("loftflow." + name)
                 .should()
-                .onlyDependOnClassesThat(resideInAnyPackage(allowed.split(" ")).or(DescribedPredicate.not(ours())))
+                .onlyDependOnClassesThat(
+                        resideInAnyPackage(allowed.split(" ")).or(DescribedPredicate.not(relayClasses())))
                 .check(ALL);
     }
 
     @Test
-    void engineKnowsNeitherNettyNorHttpNorFiles() {
+    void engineUsesNeitherNettyNorHttpNorFiles() {
         noClasses()
                 .that()
                 .resideInAPackage("loftflow.engine")
@@ -170,7 +172,7 @@
     }
 
     @Test
-    void librariesStayInTheirPackages() {
+    void librariesAreUsedInTheirPackagesOnly() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("loftflow.cli")
@@ -205,12 +207,12 @@
     }
 
     @Test
-    void noPackagesUseEachOtherInARing() {
+    void packagesHaveNoCyclicDependencies() {
         slices().matching("loftflow.(**)").should().beFreeOfCycles().check(ALL);
     }
 
     @Test
-    void classesOfThePartnerSideUseEachOtherOneWayOnly() {
+    void upstreamClassesDependInOneDirectionOnly() {
         noClasses()
                 .that()
                 .haveNameMatching(".*\\.(UpstreamConnection|UpstreamCall|ResponseDecoder)(\\$.*)?")
@@ -227,10 +229,10 @@
     }
 
     @Test
-    void everyPackageSaysWhatItIsForAndWhatItMayUse() throws IOException {
+    void everyPackageDeclaresWhatItMayUse() throws IOException {
         try (var folders = Files.walk(Path.of("src/main/java/loftflow"))) {
             List<Path> packages = folders.filter(Files::isDirectory)
-                    .filter(ArchitectureTest::holdsClasses)
+                    .filter(ArchitectureTest::containsClasses)
                     .toList();
             assertTrue(packages.size() > 8, "folders: " + packages);
             for (Path folder : packages) {
@@ -239,7 +241,7 @@
         }
     }
 
-    private static boolean holdsClasses(Path folder) {
+    private static boolean containsClasses(Path folder) {
         String[] names = folder.toFile().list((parent, name) -> name.endsWith(".java"));
         return names != null && names.length > 0;
     }
--- a/src/test/java/loftflow/ProtocolNamesTest.java
+++ b/src/test/java/loftflow/ProtocolNamesTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The names of each protocol stand in one class; nothing behind an edge spells them. */
+/** Checks that the names of each protocol occur as literals in a single class. */
 class ProtocolNamesTest {
     private static final Path SOURCES = Path.of("src/main/java/loftflow");
     private static final Pattern STRING_LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
 
-    /** Names that are no common words: a literal that holds one spells the protocol. */
+    /** Covers only names that are not common words, so that each literal with one refers to the protocol. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -35,28 +35,30 @@
                         + " fifo-by-key batch-by-kind must-ask-in-s order-pause-s quota-rps over-share-worth weight-source",
                 "simulator/SimulatorProtocol.java | job-in probe-done memo-to end-failed let-go list-all journal-line t-s LAME"
             })
-    void nameOfAProtocolStandsInOneClass(String owner, String names) throws IOException {
+    void protocolNameOccursInOneClassOnly(String owner, String names) throws IOException {
         String ownText = Files.readString(SOURCES.resolve(owner));
         for (String name : names.split(" ")) {
-            assertTrue(spells(ownText, name), owner + " has " + name);
-            assertEquals(List.of(), spellers(owner, name), name + " belongs to " + owner);
+            assertTrue(containsName(ownText, name), owner + " must contain " + name);
+            assertEquals(List.of(), filesContaining(owner, name), name + " occurs outside of " + owner);
         }
     }
 
-    /** Proves that the rule above can fail. */
+    /** Verifies that the rule above detects a violation. */
     @Test
-    void secondSpellerIsFound() throws IOException {
-        assertEquals(List.of("protocol/HostProtocol.java"), spellers("protocol/ClientProtocol.java", "/receive-many"));
+    void secondOccurrenceIsDetected() throws IOException {
+        assertEquals(
+                List.of("protocol/HostProtocol.java"),
+                filesContaining("protocol/ClientProtocol.java", "/receive-many"));
     }
 
-    private static List<String> spellers(String owner, String name) throws IOException {
+    private static List<String> filesContaining(String owner, String name) throws IOException {
         List<String> found = new ArrayList<>();
         try (Stream<Path> files = Files.walk(SOURCES)) {
             for (Path file : files.filter(path -> path.toString().endsWith(".java"))
                     .sorted()
                     .toList()) {
                 String relative = SOURCES.relativize(file).toString();
-                if (!relative.equals(owner) && spells(Files.readString(file), name)) {
+                if (!relative.equals(owner) && containsName(Files.readString(file), name)) {
                     found.add(relative);
                 }
             }
@@ -64,8 +66,8 @@
         return found;
     }
 
-    /** True where a string literal holds the name as a whole word. */
-    private static boolean spells(String source, String name) {
+    /** Returns whether a string literal of the source contains the name as a whole word. */
+    private static boolean containsName(String source, String name) {
         Pattern word = Pattern.compile("(?<![\\w-])" + Pattern.quote(name) + "(?![\\w-])");
         Matcher literals = STRING_LITERAL.matcher(source);
         while (literals.find()) {
