--- a/src/main/java/loftflow/fake/BrokerBinding.java
+++ b/src/main/java/loftflow/fake/BrokerBinding.java
@@ -1,4 +1,4 @@
 package loftflow.fake;
 
-/** A queue bound to an exchange. */
+/** The binding of a queue to an exchange by a binding key. */
 record BrokerBinding(String key, String queue) {}
--- a/src/main/java/loftflow/fake/BrokerChannel.java
+++ b/src/main/java/loftflow/fake/BrokerChannel.java
@@ -11,7 +11,7 @@
     long published;
     long delivered;
     int prefetch;
-    /** Tags that have taken effect and are not confirmed, with what is to become of them. */
+    /** Delivery tags of publishes that took effect and are not confirmed yet, with their scripted outcomes. */
     final TreeMap<Long, FakeBroker.Fate> unconfirmed = new TreeMap<>();
 
     final TreeMap<Long, UnackedDelivery> unacked = new TreeMap<>();
--- a/src/main/java/loftflow/fake/BrokerExchange.java
+++ b/src/main/java/loftflow/fake/BrokerExchange.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** An exchange and its bindings, in the order in which they were made. */
+/** An exchange and its bindings, in the order of their creation. */
 record BrokerExchange(String type, List<BrokerBinding> bindings) {}
--- a/src/main/java/loftflow/fake/ConnectionCutter.java
+++ b/src/main/java/loftflow/fake/ConnectionCutter.java
@@ -7,26 +7,29 @@
 import io.netty.channel.ChannelPromise;
 import io.netty.util.ReferenceCountUtil;
 
-/** Ends a connection after so many bytes in a direction, wherever in a frame that is; 0 for never. */
+/**
+ * Closes a connection after a number of bytes in either direction, also in the middle of a frame. The number 0 sets no
+ * limit.
+ */
 final class ConnectionCutter extends ChannelDuplexHandler {
-    private long readLeft;
-    private long writtenLeft;
+    private long readableLeft;
+    private long writableLeft;
 
     ConnectionCutter(int afterRead, int afterWritten) {
-        readLeft = afterRead == 0 ? Long.MAX_VALUE : afterRead;
-        writtenLeft = afterWritten == 0 ? Long.MAX_VALUE : afterWritten;
+        readableLeft = afterRead == 0 ? Long.MAX_VALUE : afterRead;
+        writableLeft = afterWritten == 0 ? Long.MAX_VALUE : afterWritten;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf bytes = (ByteBuf) message;
-        int there = bytes.readableBytes();
-        if (there < readLeft) {
-            readLeft -= there;
+        int byteCount = bytes.readableBytes();
+        if (byteCount < readableLeft) {
+            readableLeft -= byteCount;
             ctx.fireChannelRead(bytes);
-        } else if (readLeft > 0) {
-            bytes.writerIndex(bytes.readerIndex() + (int) readLeft);
-            readLeft = 0;
+        } else if (readableLeft > 0) {
+            bytes.writerIndex(bytes.readerIndex() + (int) readableLeft);
+            readableLeft = 0;
             ctx.fireChannelRead(bytes);
             ctx.close();
         } else {
@@ -37,17 +40,17 @@
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         ByteBuf bytes = (ByteBuf) message;
-        int there = bytes.readableBytes();
-        if (there < writtenLeft) {
-            writtenLeft -= there;
+        int byteCount = bytes.readableBytes();
+        if (byteCount < writableLeft) {
+            writableLeft -= byteCount;
             ctx.write(bytes, promise);
-        } else if (writtenLeft > 0) {
-            bytes.writerIndex(bytes.readerIndex() + (int) writtenLeft);
-            writtenLeft = 0;
+        } else if (writableLeft > 0) {
+            bytes.writerIndex(bytes.readerIndex() + (int) writableLeft);
+            writableLeft = 0;
             ctx.writeAndFlush(bytes, promise).addListener(ChannelFutureListener.CLOSE);
         } else {
             ReferenceCountUtil.release(bytes);
-            promise.tryFailure(new java.io.IOException("cut"));
+            promise.tryFailure(new java.io.IOException("the fake broker cut the connection"));
         }
     }
 }
--- a/src/main/java/loftflow/fake/FakeBroker.java
+++ b/src/main/java/loftflow/fake/FakeBroker.java
@@ -34,43 +34,43 @@
 import loftflow.amqp.codec.Property;
 
 /**
- * A broker of AMQP 0-9-1 on a loopback port: exchanges, queues, confirms, returns, consumers with prefetch and
- * redelivery. It fails as it is told, and records every message that took effect, which is one that reached a queue.
+ * An AMQP 0-9-1 broker on a loopback port, with exchanges, queues, publisher confirms, returns, consumers with
+ * prefetch, and redelivery. Fails on demand and records every publish; one that reached a queue counts as executed.
  */
 public final class FakeBroker implements AutoCloseable {
-    /** What becomes of a publish. */
+    /** The outcome of a publish. */
     public enum Fate {
         /** It takes effect and is confirmed. */
         CONFIRM,
-        /** It takes effect; its confirm waits for the next one, which is for several. */
+        /** It takes effect; it is confirmed with the next one by a confirm for multiple messages. */
         CONFIRM_WITH_NEXT,
-        /** It takes effect; its confirm comes behind the next one. */
+        /** It takes effect; its confirm follows the next one. */
         CONFIRM_AFTER_NEXT,
-        /** It takes effect; its confirm comes after {@link #lateBy}. */
+        /** It takes effect; its confirm is sent after the delay set by {@link #lateBy}. */
         CONFIRM_LATE,
-        /** It takes effect, and no confirm comes. */
+        /** It takes effect, and no confirm is sent. */
         NO_CONFIRM,
-        /** It has no effect, and is refused. */
+        /** It has no effect, and is negatively acknowledged. */
         NACK,
-        /** It takes effect, and its channel is closed ahead of the confirm. */
+        /** It takes effect, and its channel is closed before the confirm. */
         CLOSE_CHANNEL,
-        /** It takes effect, and the connection is closed in an orderly way ahead of the confirm. */
+        /** It takes effect, and the connection is closed gracefully before the confirm. */
         CLOSE_CONNECTION,
-        /** It has no effect, and the connection breaks. */
+        /** It has no effect, and the connection is dropped. */
         DROP_BEFORE,
-        /** It takes effect, and the connection breaks. */
+        /** It takes effect, and the connection is dropped. */
         DROP_AFTER,
-        /** It has no effect, since its exchange is gone: 404. */
+        /** It has no effect, and is answered as if its exchange did not exist (404). */
         NO_EXCHANGE
     }
 
-    /** A publish that came whole. */
+    /** A publish that was received whole; {@code queue} is null if it reached none. */
     public record Posting(
             String id, String key, String queue, Properties properties, byte[] body, long atNanos, boolean ran) {}
 
-    /** How a connection's bytes end: in either direction after so many, mid-frame or not; 0 for never. */
+    /** Numbers of bytes after which a connection is closed, in either direction and also mid-frame; 0 for no limit. */
     public record Cut(IntSupplier afterRead, IntSupplier afterWritten) {
-        /** Connections last. */
+        /** Cuts no connection. */
         public static final Cut NEVER = new Cut(() -> 0, () -> 0);
     }
 
@@ -101,12 +101,12 @@
     private int connections;
     int generatedNames;
 
-    /** A broker on a free port. */
+    /** Starts a broker on a free port. */
     public FakeBroker() throws IOException {
         this(null);
     }
 
-    /** A broker on a free port that speaks TLS, where there is a context for it. */
+    /** Starts a broker on a free port; {@code tls} is null for plain TCP. */
     public FakeBroker(SslContext tls) throws IOException {
         this.tls = tls;
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -118,7 +118,8 @@
     private void listen() throws IOException {
         try {
             ChannelFuture bound = bind();
-            // Guards against the port of before, which the selector lets go of a little later than it is asked to.
+            // After a restart the port may still be in use, because the selector releases the closed socket with a
+            // delay.
             for (int i = 0; !bound.isSuccess() && port != 0 && i < MAX_BIND_ATTEMPTS; i++) {
                 TimeUnit.MILLISECONDS.sleep(20);
                 bound = bind();
@@ -159,8 +160,8 @@
         ch.pipeline().addLast(session.connection);
     }
 
-    /** Does something on the broker's thread, and waits for it. */
-    private <T> T on(Callable<T> task) {
+    /** Executes a task on the event loop of the broker and waits for its result. */
+    private <T> T call(Callable<T> task) {
         try {
             return loop.inEventLoop() ? task.call() : loop.submit(task).get(30, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
@@ -171,7 +172,7 @@
     }
 
     private void run(Runnable task) {
-        on(() -> {
+        call(() -> {
             task.run();
             return null;
         });
@@ -185,14 +186,14 @@
         return port;
     }
 
-    // ---- what tests set up
+    // ---- configuration by tests
 
-    /** Makes a queue. */
+    /** Declares a queue. */
     public void declare(String queue) {
         run(() -> queues.computeIfAbsent(queue, BrokerQueue::new));
     }
 
-    /** Makes an exchange of a type, and binds a queue, which is made too, to it. */
+    /** Declares an exchange of a type and a queue, and binds the queue to the exchange. */
     public void bind(String exchange, String type, String key, String queue) {
         run(() -> {
             exchanges.computeIfAbsent(exchange, e -> new BrokerExchange(type, new ArrayList<>()));
@@ -201,7 +202,7 @@
         });
     }
 
-    /** Removes a queue and what is bound to it. */
+    /** Removes a queue and its bindings. */
     public void remove(String queue) {
         run(() -> {
             queues.remove(queue);
@@ -209,7 +210,7 @@
         });
     }
 
-    /** Puts a message into a queue, as if someone had published it under a routing key. */
+    /** Enqueues a message as if it had been published with a routing key. */
     public void put(String queue, String routingKey, Properties properties, byte[] body) {
         run(() -> {
             BrokerQueue to = queues.computeIfAbsent(queue, BrokerQueue::new);
@@ -218,42 +219,42 @@
         });
     }
 
-    /** Meets publishes in another way from now on, each by its message id. */
+    /** Sets the function that selects the outcome of a publish by its message id. */
     public void fateOf(Function<String, Fate> next) {
         run(() -> fateOf = next);
     }
 
-    /** Meets every publish alike from now on. */
+    /** Sets the same outcome for every publish from now on. */
     public void be(Fate fate) {
         fateOf(id -> fate);
     }
 
-    /** Milliseconds by which late confirms come late. */
+    /** Sets the delay of late confirms in milliseconds. */
     public void lateBy(long millis) {
         run(() -> lateConfirmMillis = millis);
     }
 
-    /** Changes the properties of messages that are returned from now on. */
+    /** Sets a function that changes the properties of returned messages. */
     public void returnWith(UnaryOperator<Properties> change) {
         run(() -> returnedProperties = change);
     }
 
-    /** Cuts connections from now on; those that are there stay as they are. */
+    /** Sets the cut for connections accepted from now on. */
     public void cut(Cut next) {
         run(() -> cut = next);
     }
 
-    /** Loses acknowledgements as drawn: the connection breaks in their place, and what they were for comes again. */
+    /** Drops the connection instead of an acknowledgement if {@code drawn} is true; its messages are redelivered. */
     public void loseAcks(BooleanSupplier drawn) {
         run(() -> losesAcknowledgement = drawn);
     }
 
-    /** Asks for heartbeats of so many seconds of connections from now on. */
+    /** Sets the heartbeat interval proposed to connections from now on, in seconds. */
     public void heartbeatSeconds(int seconds) {
         run(() -> heartbeatSeconds = seconds);
     }
 
-    /** Reads on, or leaves unread what comes. */
+    /** Sets whether the broker reads from its connections. */
     public void read(boolean on) {
         run(() -> {
             isReading = on;
@@ -261,7 +262,7 @@
         });
     }
 
-    /** Does nothing at all for so many milliseconds: neither reads, answers nor beats. */
+    /** Blocks the event loop for a number of milliseconds: no reads, responses or heartbeats. */
     public void freeze(long millis) {
         loop.execute(() -> {
             try {
@@ -272,7 +273,7 @@
         });
     }
 
-    /** Tells every connection, also later ones, that publishes must wait, or need not any more. */
+    /** Announces on all connections, also later ones, that publishing is blocked or unblocked. */
     public void block(boolean on) {
         run(() -> {
             isBlocked = on;
@@ -280,17 +281,17 @@
         });
     }
 
-    /** Breaks every connection. */
+    /** Drops every connection. */
     public void drop() {
         run(() -> List.copyOf(sessions).forEach(s -> s.channel.close()));
     }
 
-    /** Says something on a channel of every connection, whether it makes sense or not. */
+    /** Sends a method, which need not be valid there, on a channel of every connection. */
     public void say(int channel, Method method) {
         run(() -> sessions.forEach(s -> s.connection.send(channel, method)));
     }
 
-    /** Ends every connection and listens no more. */
+    /** Closes every connection and stops listening. */
     public void shut() {
         run(() -> {
             listener.close();
@@ -298,7 +299,7 @@
         });
     }
 
-    /** Listens again on the same port; without what it knew of exchanges and queues, where it forgets. */
+    /** Listens again on the same port; {@code forgets} discards all exchanges and queues first. */
     public void open(boolean forgets) throws IOException {
         if (forgets) {
             run(() -> {
@@ -310,25 +311,25 @@
         listen();
     }
 
-    // ---- what tests ask
+    // ---- state observed by tests
 
-    /** Every publish so far, once for each queue that it reached, and once where it reached none. */
+    /** Returns all publishes so far, once for each queue reached, or once if a publish reached none. */
     public List<Posting> postings() {
-        return on(() -> List.copyOf(postings));
+        return call(() -> List.copyOf(postings));
     }
 
-    /** How often each message took effect. */
+    /** Returns the number of executions by message id. */
     public Map<String, Integer> effects() {
-        return on(() -> {
+        return call(() -> {
             Map<String, Integer> effects = new HashMap<>();
             postings.stream().filter(Posting::ran).forEach(p -> effects.merge(p.id, 1, Integer::sum));
             return effects;
         });
     }
 
-    /** The bodies that lie in a queue, also those handed out and not acknowledged. */
+    /** Returns the number of messages in a queue, including delivered ones that are not acknowledged. */
     public int size(String queue) {
-        return on(() -> queues.containsKey(queue)
+        return call(() -> queues.containsKey(queue)
                 ? queues.get(queue).ready.size()
                         + (int) sessions.stream()
                                 .flatMap(s -> s.channels.values().stream())
@@ -338,42 +339,42 @@
                 : 0);
     }
 
-    /** How many deliveries of a queue were acknowledged. */
+    /** Returns the number of acknowledged deliveries of a queue. */
     public int acked(String queue) {
-        return on(() -> queues.containsKey(queue) ? queues.get(queue).acked : 0);
+        return call(() -> queues.containsKey(queue) ? queues.get(queue).acked : 0);
     }
 
-    /** Ids of messages that were rejected for good. */
+    /** Returns the ids of messages that were rejected without requeueing. */
     public List<String> deadLetters() {
-        return on(() -> !queues.containsKey(DEAD_LETTERS)
+        return call(() -> !queues.containsKey(DEAD_LETTERS)
                 ? List.of()
                 : queues.get(DEAD_LETTERS).ready.stream()
                         .map(s -> s.properties.text(Property.MESSAGE_ID))
                         .toList());
     }
 
-    /** The messages that lie ready in a queue: properties and bodies, the oldest first. */
+    /** Returns the properties and bodies of the messages that are ready in a queue, the oldest first. */
     public List<Map.Entry<Properties, byte[]>> ready(String queue) {
-        return on(() -> !queues.containsKey(queue)
+        return call(() -> !queues.containsKey(queue)
                 ? List.of()
                 : queues.get(queue).ready.stream()
                         .map(s -> Map.entry(s.properties, s.body))
                         .toList());
     }
 
-    /** How many publishes came from clients that knew that they had to wait. */
+    /** Returns the number of publishes from clients that already knew that publishing was blocked. */
     public int publishesWhileBlocked() {
-        return on(() -> publishesWhileBlocked);
+        return call(() -> publishesWhileBlocked);
     }
 
-    /** How many connections there were. */
+    /** Returns the number of connections accepted so far. */
     public int connections() {
-        return on(() -> connections);
+        return call(() -> connections);
     }
 
-    /** How many there are. */
+    /** Returns the number of open connections. */
     public int connected() {
-        return on(sessions::size);
+        return call(sessions::size);
     }
 
     @Override
@@ -382,7 +383,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    // ---- the broker
+    // ---- routing and delivery
 
     Set<BrokerQueue> route(String exchange, String key) {
         Set<BrokerQueue> to = new LinkedHashSet<>();
@@ -407,7 +408,7 @@
         return to;
     }
 
-    /** A topic's pattern: {@code *} stands for one word, {@code #} for any number of them. */
+    /** Matches a topic pattern, in which {@code *} stands for one word and {@code #} for any number of words. */
     private static boolean matches(String[] pattern, int p, String[] words, int w) {
         if (p == pattern.length) {
             return w == words.length;
@@ -421,17 +422,18 @@
     }
 
     void dispatch(BrokerQueue queue) {
-        boolean progress = true;
-        while (progress && !queue.ready.isEmpty()) {
-            progress = false;
+        boolean hasDelivered = true;
+        while (hasDelivered && !queue.ready.isEmpty()) {
+            hasDelivered = false;
             for (BrokerConsumer consumer : List.copyOf(queue.consumers)) {
                 BrokerChannel state = consumer.state();
-                boolean room = consumer.noAck() || state.prefetch == 0 || state.unacked.size() < state.prefetch;
-                if (room
+                boolean hasPrefetchLeft =
+                        consumer.noAck() || state.prefetch == 0 || state.unacked.size() < state.prefetch;
+                if (hasPrefetchLeft
                         && !queue.ready.isEmpty()
                         && consumer.session().connection.isOpen(state.number)) {
                     StoredMessage message = queue.ready.poll();
-                    progress = true;
+                    hasDelivered = true;
                     long tag = ++state.delivered;
                     if (!consumer.noAck()) {
                         state.unacked.put(tag, new UnackedDelivery(queue, message));
--- a/src/main/java/loftflow/fake/FakeBrokerSession.java
+++ b/src/main/java/loftflow/fake/FakeBrokerSession.java
@@ -25,7 +25,7 @@
     final SocketChannel channel;
     final AmqpServerConnection connection;
     final Map<Integer, BrokerChannel> channels = new HashMap<>();
-    private boolean clientKnowsItIsBlocked;
+    private boolean isBlockKnownToClient;
 
     FakeBrokerSession(FakeBroker broker, SocketChannel ch) {
         this.broker = broker;
@@ -47,12 +47,15 @@
     public void onOpened(String virtualHost) {
         broker.sessions.add(this);
         if (broker.isBlocked) {
-            // Behind the answer that is sent when this returns.
+            // Deferred, because the answer to the client is sent after this method returns.
             broker.loop.execute(this::sendBlockedState);
         }
     }
 
-    /** What a client sends behind its answer to a flow was sent in the knowledge of what came ahead of the flow. */
+    /**
+     * Sends the blocked state, followed by a flow method on each channel if publishing is blocked. A client that
+     * answers the flow has read the blocked state before it, so its later publishes disregard that state.
+     */
     void sendBlockedState() {
         if (!channel.isActive()) {
             return;
@@ -65,24 +68,24 @@
         if (broker.isBlocked) {
             channels.keySet().forEach(c -> connection.send(c, Method.of(MethodType.CHANNEL_FLOW, true)));
         } else {
-            clientKnowsItIsBlocked = false;
+            isBlockKnownToClient = false;
         }
     }
 
     @Override
     public void onChannelOpened(int channel) {
         channels.put(channel, new BrokerChannel(channel));
-        clientKnowsItIsBlocked |= broker.isBlocked;
+        isBlockKnownToClient |= broker.isBlocked;
     }
 
     @Override
     public void onChannelClosed(int channel) {
         BrokerChannel state = channels.remove(channel);
         state.consumers.forEach(c -> c.queue().consumers.remove(c));
-        List<UnackedDelivery> back =
+        List<UnackedDelivery> requeued =
                 new ArrayList<>(state.unacked.descendingMap().values());
-        back.forEach(broker::requeue);
-        back.stream().map(UnackedDelivery::queue).distinct().forEach(broker::dispatch);
+        requeued.forEach(broker::requeue);
+        requeued.stream().map(UnackedDelivery::queue).distinct().forEach(broker::dispatch);
     }
 
     @Override
@@ -96,16 +99,16 @@
         Method m = command.method();
         switch (command.type()) {
             case EXCHANGE_DECLARE -> {
-                exchange(m);
+                declareExchange(m);
                 answer(state, m, Method.of(MethodType.EXCHANGE_DECLARE_OK));
             }
             case EXCHANGE_DELETE -> {
                 broker.exchanges.remove(m.text("exchange"));
                 answer(state, m, Method.of(MethodType.EXCHANGE_DELETE_OK));
             }
-            case QUEUE_DECLARE -> queue(state, m);
+            case QUEUE_DECLARE -> declareQueue(state, m);
             case QUEUE_BIND -> {
-                existing(m.text("queue"));
+                requireQueue(m.text("queue"));
                 if (!broker.exchanges.containsKey(m.text("exchange"))) {
                     throw new AmqpException(AmqpException.NOT_FOUND, "NOT_FOUND - no exchange " + m.text("exchange"));
                 }
@@ -116,13 +119,13 @@
                 answer(state, m, Method.of(MethodType.QUEUE_BIND_OK));
             }
             case QUEUE_PURGE -> {
-                long there = existing(m.text("queue")).ready.size();
-                existing(m.text("queue")).ready.clear();
-                answer(state, m, Method.of(MethodType.QUEUE_PURGE_OK, there));
+                long messageCount = requireQueue(m.text("queue")).ready.size();
+                requireQueue(m.text("queue")).ready.clear();
+                answer(state, m, Method.of(MethodType.QUEUE_PURGE_OK, messageCount));
             }
             case QUEUE_DELETE -> {
-                BrokerQueue gone = broker.queues.remove(m.text("queue"));
-                answer(state, m, Method.of(MethodType.QUEUE_DELETE_OK, gone == null ? 0L : gone.ready.size()));
+                BrokerQueue deleted = broker.queues.remove(m.text("queue"));
+                answer(state, m, Method.of(MethodType.QUEUE_DELETE_OK, deleted == null ? 0L : deleted.ready.size()));
             }
             case BASIC_QOS -> {
                 state.prefetch = (int) m.number("prefetch-count");
@@ -141,32 +144,33 @@
                 answer(state, m, Method.of(MethodType.CONFIRM_SELECT_OK));
             }
             case CHANNEL_FLOW -> connection.send(state.number, Method.of(MethodType.CHANNEL_FLOW_OK, m.flag("active")));
-            case CHANNEL_FLOW_OK -> clientKnowsItIsBlocked = broker.isBlocked;
+            case CHANNEL_FLOW_OK -> isBlockKnownToClient = broker.isBlocked;
             default -> throw new AmqpException(AmqpException.NOT_IMPLEMENTED, command.type() + " is not implemented");
         }
     }
 
-    private void answer(BrokerChannel state, Method asked, Method answer) {
-        if (!asked.flag("no-wait")) {
+    private void answer(BrokerChannel state, Method request, Method answer) {
+        if (!request.flag("no-wait")) {
             connection.send(state.number, answer);
         }
     }
 
-    private void exchange(Method m) throws AmqpException {
-        boolean there = broker.exchanges.containsKey(m.text("exchange"));
-        if (m.flag("passive") && !there) {
+    private void declareExchange(Method m) throws AmqpException {
+        boolean exists = broker.exchanges.containsKey(m.text("exchange"));
+        if (m.flag("passive") && !exists) {
             throw new AmqpException(AmqpException.NOT_FOUND, "NOT_FOUND - no exchange '" + m.text("exchange") + "'");
         }
-        if (there
+        if (exists
                 && !m.flag("passive")
                 && !broker.exchanges.get(m.text("exchange")).type().equals(m.text("type"))) {
-            throw new AmqpException(AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - another type");
+            throw new AmqpException(
+                    AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - the exchange exists with another type");
         }
         broker.exchanges.computeIfAbsent(
                 m.text("exchange"), e -> new BrokerExchange(m.text("type"), new ArrayList<>()));
     }
 
-    private BrokerQueue existing(String name) throws AmqpException {
+    private BrokerQueue requireQueue(String name) throws AmqpException {
         BrokerQueue queue = broker.queues.get(name);
         if (queue == null) {
             throw new AmqpException(AmqpException.NOT_FOUND, "NOT_FOUND - no queue '" + name + "'");
@@ -174,15 +178,16 @@
         return queue;
     }
 
-    private void queue(BrokerChannel state, Method m) throws AmqpException {
+    private void declareQueue(BrokerChannel state, Method m) throws AmqpException {
         String name = m.text("queue").isEmpty() ? "amq.gen-" + broker.generatedNames++ : m.text("queue");
-        BrokerQueue queue = m.flag("passive") ? existing(name) : broker.queues.computeIfAbsent(name, BrokerQueue::new);
+        BrokerQueue queue =
+                m.flag("passive") ? requireQueue(name) : broker.queues.computeIfAbsent(name, BrokerQueue::new);
         answer(state, m, Method.of(MethodType.QUEUE_DECLARE_OK, name, (long) queue.ready.size(), (long)
                 queue.consumers.size()));
     }
 
     private void consume(BrokerChannel state, Method m) throws AmqpException {
-        BrokerQueue queue = existing(m.text("queue"));
+        BrokerQueue queue = requireQueue(m.text("queue"));
         String tag = m.text("consumer-tag").isEmpty() ? "ctag-" + broker.generatedNames++ : m.text("consumer-tag");
         BrokerConsumer consumer = new BrokerConsumer(this, state, tag, queue, m.flag("no-ack"));
         answer(state, m, Method.of(MethodType.BASIC_CONSUME_OK, tag));
@@ -203,7 +208,7 @@
     }
 
     private void get(BrokerChannel state, Method m) throws AmqpException {
-        BrokerQueue queue = existing(m.text("queue"));
+        BrokerQueue queue = requireQueue(m.text("queue"));
         StoredMessage message = queue.ready.poll();
         if (message == null) {
             connection.send(state.number, Method.of(MethodType.BASIC_GET_EMPTY));
@@ -258,17 +263,17 @@
         Method m = command.method();
         Properties properties = command.properties();
         String id = properties.text(Property.MESSAGE_ID);
-        broker.publishesWhileBlocked += clientKnowsItIsBlocked && broker.isBlocked ? 1 : 0;
+        broker.publishesWhileBlocked += isBlockKnownToClient && broker.isBlocked ? 1 : 0;
         long tag = state.confirmMode ? ++state.published : 0;
         FakeBroker.Fate fate = broker.fateOf.apply(id);
         String exchange = m.text("exchange");
         if (fate == FakeBroker.Fate.NO_EXCHANGE || !broker.exchanges.containsKey(exchange)) {
             throw new AmqpException(AmqpException.NOT_FOUND, "NOT_FOUND - no exchange '" + exchange + "' in vhost '/'");
         }
-        boolean runs = fate != FakeBroker.Fate.NACK && fate != FakeBroker.Fate.DROP_BEFORE;
-        Set<BrokerQueue> to = runs ? broker.route(exchange, m.text("routing-key")) : Set.of();
+        boolean takesEffect = fate != FakeBroker.Fate.NACK && fate != FakeBroker.Fate.DROP_BEFORE;
+        Set<BrokerQueue> to = takesEffect ? broker.route(exchange, m.text("routing-key")) : Set.of();
         store(command, exchange, to);
-        if (runs && to.isEmpty() && m.flag("mandatory")) {
+        if (takesEffect && to.isEmpty() && m.flag("mandatory")) {
             returnUnroutable(state, command, exchange);
         }
         to.forEach(broker::dispatch);
@@ -277,17 +282,16 @@
         } else if (fate == FakeBroker.Fate.CLOSE_CHANNEL) {
             connection.closeChannel(
                     state.number,
-                    new AmqpException(
-                            AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - as the script wants it"),
+                    new AmqpException(AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - scripted by the test"),
                     MethodType.BASIC_ACK);
         } else if (fate == FakeBroker.Fate.CLOSE_CONNECTION) {
-            connection.closeGracefully(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - as the script wants it");
+            connection.closeGracefully(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - scripted by the test");
         } else if (tag > 0) {
             confirm(state, tag, fate);
         }
     }
 
-    /** Puts a published message into its queues, and records one posting a queue, or one where there is none. */
+    /** Enqueues a published message, and records a posting for each queue, or a single one if there is no queue. */
     private void store(Command command, String exchange, Set<BrokerQueue> queues) {
         for (BrokerQueue queue : queues) {
             broker.postings.add(posting(command, queue.name));
@@ -351,11 +355,11 @@
             state.unconfirmed.clear();
         }
         state.unconfirmed.entrySet().removeIf(held -> {
-            boolean next = held.getValue() == FakeBroker.Fate.CONFIRM_AFTER_NEXT;
-            if (next) {
+            boolean isDue = held.getValue() == FakeBroker.Fate.CONFIRM_AFTER_NEXT;
+            if (isDue) {
                 connection.send(state.number, Method.of(MethodType.BASIC_ACK, held.getKey(), false));
             }
-            return next;
+            return isDue;
         });
     }
 }
--- a/src/main/java/loftflow/fake/FakeClient.java
+++ b/src/main/java/loftflow/fake/FakeClient.java
@@ -8,27 +8,30 @@
 import loftflow.protocol.ClientProtocol;
 import loftflow.protocol.MessageHeaders;
 
-/** A program that hands messages in to a relay (PROTOCOL, Clients to relays), one at a time on a kept connection. */
+/** A client that sends messages to a relay over HTTP/1.1, one at a time on a persistent connection. */
 public final class FakeClient implements AutoCloseable {
-    private static final int PATIENCE_MS = 5000;
+    private static final int READ_TIMEOUT_MILLIS = 5000;
 
     private final String host;
     private final int port;
     private Socket socket;
     private BufferedReader in;
 
-    /** A client of the relay at an address. */
+    /** Creates a client of the relay at an address; it connects with the first request. */
     public FakeClient(String host, int port) {
         this.host = host;
         this.port = port;
     }
 
     /**
-     * Hands a message in.
+     * Sends a message and waits for the response.
      *
-     * @param key null for none
-     * @return the status of the answer
-     * @throws IOException where the connection ends with no answer
+     * @param type the request class
+     * @param tenant null for none
+     * @param key the idempotency key, or null for none
+     * @param budgetMs the time until the deadline, in milliseconds
+     * @return the status code of the response
+     * @throws IOException if the connection ends without a response
      */
     public int handIn(String id, String type, String tenant, String key, int destination, long budgetMs, String body)
             throws IOException {
@@ -46,7 +49,7 @@
                 bytes);
     }
 
-    /** True where the relay says that it is ready. */
+    /** Returns whether the relay reports that it is ready. */
     public boolean isReady() throws IOException {
         return exchange("GET " + ClientProtocol.READINESS_PATH + " HTTP/1.1\r\nHost: relay\r\n\r\n", new byte[0])
                 == 200;
@@ -56,24 +59,24 @@
         if (socket == null) {
             socket = new Socket(host, port);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
         }
         try {
-            byte[] start = head.getBytes(StandardCharsets.ISO_8859_1);
-            byte[] all = new byte[start.length + body.length];
-            System.arraycopy(start, 0, all, 0, start.length);
-            System.arraycopy(body, 0, all, start.length, body.length);
-            socket.getOutputStream().write(all);
+            byte[] headBytes = head.getBytes(StandardCharsets.ISO_8859_1);
+            byte[] request = new byte[headBytes.length + body.length];
+            System.arraycopy(headBytes, 0, request, 0, headBytes.length);
+            System.arraycopy(body, 0, request, headBytes.length, body.length);
+            socket.getOutputStream().write(request);
             String line = in.readLine();
             if (line == null) {
-                throw new IOException("the connection ended with no answer");
+                throw new IOException("the relay closed the connection without a response");
             }
-            boolean last = false;
+            boolean isLastResponse = false;
             for (String header = in.readLine(); header != null && !header.isEmpty(); header = in.readLine()) {
-                last |= header.equalsIgnoreCase("connection: close");
+                isLastResponse |= header.equalsIgnoreCase("connection: close");
             }
-            if (last) {
+            if (isLastResponse) {
                 close();
             }
             return Integer.parseInt(line.split(" ")[1]);
--- a/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
+++ b/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
@@ -11,11 +11,11 @@
 import loftflow.protocol.DiscoveryProtocol;
 
 /**
- * Discovery's agent on a loopback port (PROTOCOL, Discovery and Notices): tells a list of endpoints and its changes to
- * those who watch, and records every notice.
+ * A discovery agent on a loopback port: serves an endpoint list, answers watch requests when the list changes, and
+ * records every completion notice.
  */
 public final class FakeDiscoveryAgent implements AutoCloseable {
-    /** A notice of an end. */
+    /** A completion notice. */
     public record Notice(String ref, String result) {}
 
     private static final Pattern AFTER = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
@@ -34,17 +34,17 @@
         return peer.address();
     }
 
-    /** Every notice so far. */
+    /** Returns the notices received so far, as a live view. */
     public List<Notice> notices() {
         return notices;
     }
 
-    /** An entry of a list; {@code state} is one of {@link DiscoveryProtocol}'s states. */
+    /** Returns an entry for the endpoint list; {@code state} is one of the states of {@link DiscoveryProtocol}. */
     public static String entry(String id, int destination, String kind, String building, String state, String address) {
         return entry(id, destination, kind, building, state, address, 1);
     }
 
-    /** As above; {@code rate} is the entry's hint. */
+    /** As above, with {@code rate} as the capacity hint in calls per second. */
     public static String entry(
             String id, int destination, String kind, String building, String state, String address, double rate) {
         return "{"
@@ -69,19 +69,19 @@
         return "\"" + name + "\":" + value;
     }
 
-    /** Tells another whole list from now on; those who watch hear of it at once. */
+    /** Replaces the endpoint list; pending watch requests are answered at once. */
     public synchronized void list(List<String> next) {
         entries = new ArrayList<>(next);
         revision++;
         notifyAll();
     }
 
-    /** Is down from now on: connections end, and new ones are refused. */
+    /** Stops the agent: open connections end, and new ones are refused. */
     public void stop() throws IOException {
         peer.close();
     }
 
-    /** Is back at the same address. */
+    /** Starts the agent again at the same address. */
     public void restart() throws IOException {
         peer = new ScriptedPeer(peer.port(), this::answer);
     }
@@ -98,10 +98,10 @@
             return ScriptedPeer.status(404);
         }
         Matcher watch = AFTER.matcher(request.line());
-        return watch.find() ? changes(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2))) : whole();
+        return watch.find() ? changes(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2))) : fullList();
     }
 
-    private synchronized String whole() {
+    private synchronized String fullList() {
         return list(true, String.join(",", entries));
     }
 
@@ -116,7 +116,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return revision > after ? whole() : list(false, "");
+        return revision > after ? fullList() : list(false, "");
     }
 
     private String list(boolean isFull, String listed) {
--- a/src/main/java/loftflow/fake/FakePartner.java
+++ b/src/main/java/loftflow/fake/FakePartner.java
@@ -10,54 +10,53 @@
 import loftflow.protocol.MessageHeaders;
 
 /**
- * A partner's endpoint on a loopback port (PROTOCOL, Relays to hosts): takes calls of one message, within a limit and
- * in
- * a stated time, fails as it is told, and records every posting. What took effect is counted by id, so that a message
- * that took effect twice shows.
+ * An endpoint of a partner on a loopback port. Accepts calls with a single message up to a rate limit, responds after a
+ * configured time, fails on demand, and records every call. Executions are counted by message id, so that a message
+ * that took effect twice can be detected.
  */
 public final class FakePartner implements AutoCloseable {
-    /** How a call is met. */
+    /** The behavior for calls. */
     public enum Mood {
         /** 200 after the response time. */
         WELL,
-        /** 503 at once: shut, and nothing runs. */
+        /** 503 at once; the message is not executed. */
         SHUT,
-        /** The message runs, and the connection closes with no answer. */
+        /** The message is executed, and the connection closes without a response. */
         RESETS,
-        /** The message runs, and no answer comes. */
+        /** The message is executed, no response is sent, and the connection stays open. */
         SILENT,
-        /** The message runs at once, and its 200 comes after the time of {@link #lateBy}. */
+        /** The message is executed at once, and 200 follows after the delay set by {@link #lateBy}. */
         LATE
     }
 
-    /** A call that came whole. */
+    /** A call that was received whole; {@code key} is null and {@code status} 0 if there is none. */
     public record Posting(String id, String key, long atNanos, boolean ran, int status) {}
 
     private static final long SECOND = 1_000_000_000;
     private static final int NO_ANSWER = 0;
 
     private ScriptedPeer peer;
-    /** Counts restarts: what an earlier process has read does not run any more. */
+    /** Number of restarts; a call that was received before the last restart is no longer executed. */
     private int generation;
 
     private final long responseMillis;
     private final int limit;
     private final List<Posting> postings = new ArrayList<>();
     private final Map<String, Integer> effects = new HashMap<>();
-    private final List<Long> taken = new ArrayList<>();
+    private final List<Long> acceptedAt = new ArrayList<>();
     private final List<Long> checks = new ArrayList<>();
     private Mood mood = Mood.WELL;
     private long lateMillis;
     private long returnedAt;
     private double coldFrom;
-    /** 0 where it has never returned cold. */
+    /** 0 unless the endpoint has returned cold. */
     private long warmUpNanos;
 
     /**
-     * An endpoint on a free port.
+     * Starts an endpoint on a free port.
      *
-     * @param responseMillis how long a call takes
-     * @param limit calls that it takes in any second; more are answered 503; 0 for no limit
+     * @param responseMillis time until the response to a call, in milliseconds
+     * @param limit maximum number of calls in any second, beyond which calls are answered with 503; 0 for no limit
      */
     public FakePartner(long responseMillis, int limit) throws IOException {
         this.responseMillis = responseMillis;
@@ -65,7 +64,7 @@
         peer = new ScriptedPeer(request -> meet(request, 0));
     }
 
-    /** Restarts at the same address: what has been sent to it and is not answered yet never runs. */
+    /** Restarts at the same address; calls that are not processed yet are never executed. */
     public synchronized void restart(Mood next) throws IOException {
         mood = next;
         int current = ++generation;
@@ -78,22 +77,22 @@
         return peer.address();
     }
 
-    /** Meets calls in another way from now on. */
+    /** Sets the behavior for calls from now on. */
     public synchronized void be(Mood next) {
         mood = next;
     }
 
-    /** Answers so many milliseconds late from now on. */
+    /** Delays each response from now on by a number of milliseconds. */
     public synchronized void lateBy(long millis) {
         lateMillis = millis;
         mood = Mood.LATE;
     }
 
     /**
-     * Returns cold: of its limit it takes a part at first, and evenly more until it is warm.
+     * Returns the endpoint to service with a reduced rate limit, which rises linearly until the end of the warm-up.
      *
-     * @param from that part
-     * @param warmUpMillis until it is warm
+     * @param from fraction of the limit at the start, from 0 to 1
+     * @param warmUpMillis duration of the warm-up
      */
     public synchronized void returnCold(double from, long warmUpMillis) {
         coldFrom = from;
@@ -102,7 +101,7 @@
         mood = Mood.WELL;
     }
 
-    /** Calls a second that it can take at a time, in nanoseconds of the system's clock. */
+    /** Returns the rate limit in calls per second at a time, which is given by {@link System#nanoTime}. */
     public synchronized double able(long nanos) {
         if (nanos < returnedAt || warmUpNanos == 0) {
             return limit;
@@ -110,22 +109,22 @@
         return limit * Math.min(1, coldFrom + (1 - coldFrom) * (nanos - returnedAt) / warmUpNanos);
     }
 
-    /** When it was asked how it fares, in nanoseconds of the system's clock: each time is a call too. */
+    /** Returns the times of health and load requests, by {@link System#nanoTime}. */
     public synchronized List<Long> checks() {
         return List.copyOf(checks);
     }
 
-    /** Every call so far. */
+    /** Returns all calls so far. */
     public synchronized List<Posting> postings() {
         return List.copyOf(postings);
     }
 
-    /** How often each message took effect. */
+    /** Returns the number of executions by message id. */
     public synchronized Map<String, Integer> effects() {
         return Map.copyOf(effects);
     }
 
-    private String meet(ScriptedPeer.Request request, int startedAs) {
+    private String meet(ScriptedPeer.Request request, int callGeneration) {
         if (request.line().startsWith("GET /-/")) {
             return check();
         }
@@ -134,12 +133,12 @@
         }
         Mood now;
         synchronized (this) {
-            if (startedAs != generation) {
+            if (callGeneration != generation) {
                 return ScriptedPeer.CLOSE;
             }
             now = mood;
-            boolean full = limit > 0 && !hasRoom();
-            boolean ran = now != Mood.SHUT && !full;
+            boolean isOverLimit = limit > 0 && !hasRoom();
+            boolean ran = now != Mood.SHUT && !isOverLimit;
             int status = !ran ? 503 : now == Mood.WELL || now == Mood.LATE ? 200 : NO_ANSWER;
             postings.add(new Posting(
                     request.id(),
@@ -158,7 +157,7 @@
         if (now == Mood.SILENT) {
             return ScriptedPeer.SILENCE;
         }
-        pause(now == Mood.LATE ? late() : responseMillis);
+        pause(now == Mood.LATE ? lateMillis() : responseMillis);
         return ScriptedPeer.status(200);
     }
 
@@ -169,15 +168,15 @@
 
     private boolean hasRoom() {
         long now = System.nanoTime();
-        taken.removeIf(at -> now - at >= SECOND);
-        if (taken.size() >= Math.max(1, able(now))) {
+        acceptedAt.removeIf(at -> now - at >= SECOND);
+        if (acceptedAt.size() >= Math.max(1, able(now))) {
             return false;
         }
-        taken.add(now);
+        acceptedAt.add(now);
         return true;
     }
 
-    private synchronized long late() {
+    private synchronized long lateMillis() {
         return lateMillis;
     }
 
--- a/src/main/java/loftflow/fake/ScriptedPeer.java
+++ b/src/main/java/loftflow/fake/ScriptedPeer.java
@@ -18,40 +18,41 @@
 import java.util.function.Function;
 
 /**
- * A peer on a loopback port that speaks just enough HTTP/1.1 to stand in for a host or discovery: it keeps every
- * request and answers each as it is told, or breaks off, or says nothing. One thread a connection.
+ * A minimal HTTP/1.1 server on a loopback port that stands in for a host or discovery. Records every request, and
+ * answers it by a function, closes the connection, or sends no response. Uses one thread per connection.
  */
 public final class ScriptedPeer implements AutoCloseable {
-    private static final int PATIENCE_S = 10;
+    private static final int BIND_TIMEOUT_SECONDS = 10;
     private static final int BACKLOG = 50;
 
-    /** In place of an answer: the connection closes, or nothing comes at all. */
+    /** Returned instead of a response to close the connection. */
     public static final String CLOSE = "close";
 
+    /** Returned instead of a response to send nothing and keep the connection open. */
     public static final String SILENCE = "silence";
 
-    /** A request as it came; the names of headers are in lower case. */
+    /** A received request; header names are in lower case, and {@code at} is by {@link System#nanoTime}. */
     public record Request(String line, Map<String, String> headers, String body, long at) {
-        /** The message that the request is for, or null. */
+        /** Returns the message id of the request, or null. */
         public String id() {
             return headers.get("x-call-id");
         }
     }
 
-    /** Every request so far, in the order in which they came whole. */
+    /** All requests so far, in the order in which they were received whole. */
     public final List<Request> requests = new CopyOnWriteArrayList<>();
-    /** Every connection so far. */
+    /** All connections so far, also closed ones. */
     public final List<Socket> connections = new CopyOnWriteArrayList<>();
 
     private final ServerSocket listener;
     private volatile Function<Request, String> answers;
 
-    /** A peer on any free port. */
+    /** Starts a peer on a free port. */
     public ScriptedPeer(Function<Request, String> answers) throws IOException {
         this(0, answers);
     }
 
-    /** A peer on a port of its own, or on any where that is 0. */
+    /** Starts a peer on a port, or on a free one if the port is 0. */
     public ScriptedPeer(int port, Function<Request, String> answers) throws IOException {
         this.answers = answers;
         listener = listen(port);
@@ -59,10 +60,11 @@
     }
 
     /**
-     * Listens on a loopback port, or on any where that is 0; waits where one that was closed just now still holds it.
+     * Listens on a loopback port, or on a free one if the port is 0. Retries for {@value #BIND_TIMEOUT_SECONDS} s while
+     * the port is in use, because a socket that has just been closed may still hold it.
      */
     public static ServerSocket listen(int port) throws IOException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(BIND_TIMEOUT_SECONDS);
         while (true) {
             try {
                 return new ServerSocket(port, BACKLOG, InetAddress.getLoopbackAddress());
@@ -75,17 +77,17 @@
         }
     }
 
-    /** A peer that gives one answer to everything. */
+    /** Starts a peer that sends the same response to every request. */
     public static ScriptedPeer always(String answer) throws IOException {
         return new ScriptedPeer(request -> answer);
     }
 
-    /** An answer with a status, headers such as {@code "X: y"} and no body. */
+    /** Returns a response with a status, headers such as {@code "X: y"} and no body. */
     public static String status(int code, String... headers) {
         return answer(code, "", headers);
     }
 
-    /** An answer with a status, a body in ISO 8859-1 and headers. */
+    /** Returns a response with a status, a body in ISO 8859-1 and headers. */
     public static String answer(int code, String body, String... headers) {
         StringBuilder text = new StringBuilder("HTTP/1.1 " + code + " X\r\n");
         for (String header : headers) {
@@ -94,12 +96,12 @@
         return text + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Answers otherwise from now on. */
+    /** Replaces the function that computes the responses. */
     public void answer(Function<Request, String> next) {
         answers = next;
     }
 
-    /** Its address, such as {@code 127.0.0.1:4711}. */
+    /** Returns the address, such as {@code 127.0.0.1:4711}. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
@@ -108,7 +110,7 @@
         return listener.getLocalPort();
     }
 
-    /** How many requests had a first line that begins so. */
+    /** Returns the number of requests whose request line begins with a text. */
     public long count(String start) {
         return requests.stream().filter(r -> r.line().startsWith(start)).count();
     }
@@ -164,8 +166,8 @@
         }
         Map<String, String> headers = new TreeMap<>();
         for (String header = line(in); !header.isEmpty(); header = line(in)) {
-            String[] halves = header.split(": ?", 2);
-            headers.put(halves[0].toLowerCase(Locale.ROOT), halves[1]);
+            String[] parts = header.split(": ?", 2);
+            headers.put(parts[0].toLowerCase(Locale.ROOT), parts[1]);
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         String body = new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
--- a/src/main/java/loftflow/fake/ServedRelay.java
+++ b/src/main/java/loftflow/fake/ServedRelay.java
@@ -12,29 +12,29 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A relay that serves by its relay file, as a process of its own with the class path of this one. */
+/** A relay in a separate process, with the class path of this process. */
 public final class ServedRelay implements AutoCloseable {
     private static final Pattern SERVING = Pattern.compile("serving on \\S*?([0-9.]+):(\\d+)");
     private static final Pattern SERVING_AMQP = Pattern.compile("serving AMQP on \\S*?([0-9.]+):(\\d+)");
     private static final Pattern SERVING_HTTP2 = Pattern.compile("serving HTTP/2 on \\S*?([0-9.]+):(\\d+)");
     private static final Pattern ANY = Pattern.compile("serving (AMQP |HTTP/2 )?on |amqp: consuming queue");
     private static final String MAIN = "loftflow.cli.Main";
-    private static final int PATIENCE_S = 30;
-    private static final int LOOK_MS = 20;
-    private static final double TICKS = 100;
+    private static final int TIMEOUT_SECONDS = 30;
+    private static final int POLL_MILLIS = 20;
+    private static final double TICKS_PER_SECOND = 100;
 
     /**
-     * What runs.
+     * The build of the relay and the CPU core to run it on.
      *
-     * @param build a jar or a folder of classes whose classes go before this program's; null for this program
-     * @param core the core that it runs on; negative for any
+     * @param build a jar or class folder that precedes the class path of this process, or null for none
+     * @param core the CPU core, or a negative number for any
      */
     public record Program(Path build, int core) {
-        /** This program, on any core. */
+        /** The build of this process, on any core. */
         public static final Program OWN = new Program(null, -1);
 
-        /** The line that begins a program of its class path, but for options, main class and arguments. */
-        private List<String> line() {
+        /** Returns the start of the command line, up to the class path. */
+        private List<String> commandLine() {
             List<String> line =
                     new ArrayList<>(core < 0 ? List.of() : List.of("taskset", "-c", Integer.toString(core)));
             line.addAll(List.of(
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Guards against relays that outlive whoever started them, where that is asked to end. */
+    /** Relays to be killed when this JVM shuts down, so that they do not outlive it. */
     private static final Set<Process> LIVE = ConcurrentHashMap.newKeySet();
 
     static {
@@ -66,51 +66,54 @@
     }
 
     /**
-     * Starts one; it may not serve yet when this returns.
+     * Starts a relay and returns before it serves.
      *
-     * @param log what it prints goes there
-     * @param options of its virtual machine
+     * @param file the relay file
+     * @param log file that receives the output of the process
+     * @param options JVM options
      */
     public static ServedRelay start(Path file, Path log, String... options) throws IOException {
         return start(Program.OWN, List.of(options), serving(file), log);
     }
 
-    /** The main class of a relay and what follows it, to serve by a file. */
+    /** Returns the main class and arguments with which a relay serves by a relay file. */
     public static List<String> serving(Path file) {
         return List.of(MAIN, "serve", "--config", file.toString());
     }
 
     /**
-     * Starts one of another build, or on one core, or something else that stands in a relay's place and says that it
-     * serves as a
-     * relay does.
+     * Starts a relay of a given build on a given core, or another program that logs that it serves as a relay does.
      *
-     * @param arguments its main class and what follows
+     * @param options JVM options
+     * @param arguments main class and its arguments
+     * @param log file that receives the output of the process
      */
     public static ServedRelay start(Program program, List<String> options, List<String> arguments, Path log)
             throws IOException {
-        List<String> line = program.line();
+        List<String> line = program.commandLine();
         line.addAll(options);
         line.addAll(arguments);
         ProcessBuilder builder =
                 new ProcessBuilder(line).redirectErrorStream(true).redirectOutput(log.toFile());
-        // Its folder may lie among temporary files here, which a relay rightly refuses where they may be removed.
+        // A relay rejects a state folder inside $TMPDIR, because its files may be removed; that of a test may lie
+        // there.
         builder.environment().remove("TMPDIR");
         return new ServedRelay(builder.start(), log);
     }
 
     /**
-     * Waits until it serves.
+     * Waits until the relay serves on a listener.
      *
-     * @throws IOException with what it printed, where it ended or took too long
+     * @throws IOException with the output of the process, if it ended or did not serve within
+     *     {@value #TIMEOUT_SECONDS} s
      */
     public ServedRelay awaitServing() throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!ANY.matcher(log()).find()) {
             if (System.nanoTime() > end || !process.isAlive()) {
                 throw new IOException("the relay does not serve: " + log().strip());
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
         }
         return this;
     }
@@ -123,32 +126,32 @@
         return at;
     }
 
-    /** The address of its first front. */
+    /** Returns the address of the first HTTP/1.1 listener. */
     public String host() throws IOException {
         return served(SERVING).group(1);
     }
 
-    /** The port of its first front. */
+    /** Returns the port of the first HTTP/1.1 listener. */
     public int port() throws IOException {
         return Integer.parseInt(served(SERVING).group(2));
     }
 
-    /** The port of its first front that speaks AMQP. */
+    /** Returns the port of the first AMQP listener. */
     public int amqpPort() throws IOException {
         return Integer.parseInt(served(SERVING_AMQP).group(2));
     }
 
-    /** The port of its first front that speaks HTTP/2. */
+    /** Returns the port of the first HTTP/2 listener. */
     public int http2Port() throws IOException {
         return Integer.parseInt(served(SERVING_HTTP2).group(2));
     }
 
-    /** A new client of its first front, which speaks HTTP/1.1. */
+    /** Returns a new client of the first HTTP/1.1 listener. */
     public FakeClient client() throws IOException {
         return new FakeClient(host(), port());
     }
 
-    /** All that it has printed. */
+    /** Returns the output of the process so far. */
     public String log() throws IOException {
         return Files.readString(log);
     }
@@ -157,15 +160,15 @@
         return process;
     }
 
-    /** Seconds of CPU that it has used. */
+    /** Returns the CPU time that the process has used, in seconds. */
     public double cpuSeconds() throws IOException {
         String[] parts = Files.readString(Path.of("/proc/" + process.pid() + "/stat"))
                 .replaceAll("^.*\\)", "")
                 .split(" ");
-        return (Long.parseLong(parts[12]) + Long.parseLong(parts[13])) / TICKS;
+        return (Long.parseLong(parts[12]) + Long.parseLong(parts[13])) / TICKS_PER_SECOND;
     }
 
-    /** KiB of its memory that are resident. */
+    /** Returns the resident memory of the process in KiB. */
     public long residentKib() throws IOException {
         return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
                 .filter(l -> l.startsWith("VmRSS"))
@@ -173,15 +176,15 @@
                 .sum();
     }
 
-    /** Asks it to end, and ends it where it does not. */
+    /** Terminates the process, and kills it if it has not ended within {@value #TIMEOUT_SECONDS} s. */
     public void stop() throws InterruptedException {
         process.destroy();
-        if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             close();
         }
     }
 
-    /** Kills it, and returns when it is gone. */
+    /** Kills the process and waits until it has ended. */
     @Override
     public void close() {
         process.destroyForcibly().onExit().join();
--- a/src/main/java/loftflow/fake/TemporaryFolder.java
+++ b/src/main/java/loftflow/fake/TemporaryFolder.java
@@ -5,14 +5,14 @@
 import java.nio.file.Path;
 import java.util.Comparator;
 
-/** A folder for a while, which is gone with all that it holds when its work is done. */
+/** A temporary folder, which is deleted with its content on {@link #close}. */
 public record TemporaryFolder(Path folder) implements AutoCloseable {
-    /** A new one among temporary files, with a name that begins so. */
+    /** Creates a folder in the default temporary directory; {@code name} is the prefix of its name. */
     public static TemporaryFolder named(String name) throws IOException {
         return new TemporaryFolder(Files.createTempDirectory(name));
     }
 
-    /** A new one in a folder, which is made where it is not there. */
+    /** Creates a folder in a parent folder, which is created if it does not exist. */
     public static TemporaryFolder in(Path folder, String name) throws IOException {
         return new TemporaryFolder(Files.createTempDirectory(Files.createDirectories(folder), name));
     }
--- a/src/main/java/loftflow/fake/UnackedDelivery.java
+++ b/src/main/java/loftflow/fake/UnackedDelivery.java
@@ -1,4 +1,4 @@
 package loftflow.fake;
 
-/** A message that was delivered and is not acknowledged. */
+/** A delivered message that has not been acknowledged. */
 record UnackedDelivery(BrokerQueue queue, StoredMessage message) {}
--- a/src/test/java/loftflow/fake/FakeBrokerTest.java
+++ b/src/test/java/loftflow/fake/FakeBrokerTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The stand-in broker, met by RabbitMQ's own client. */
+/** Tests the fake broker with the RabbitMQ client. */
 @Timeout(60)
 class FakeBrokerTest {
     private FakeBroker broker;
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void directFanoutAndTopicReachWhatIsBound() throws Exception {
+    void exchangesRouteToTheirBoundQueues() throws Exception {
         for (String queue : List.of("a", "b", "c")) {
             channel.queueDeclare(queue, true, false, false, null);
         }
@@ -96,14 +96,15 @@
     }
 
     @Test
-    void returnsNacksAndConfirmsForSeveral() throws Exception {
+    void publishesAreReturnedNackedAndConfirmedTogether() throws Exception {
         channel.queueDeclare("q", true, false, false, null);
         channel.confirmSelect();
-        ConcurrentLinkedQueue<String> told = new ConcurrentLinkedQueue<>();
+        ConcurrentLinkedQueue<String> events = new ConcurrentLinkedQueue<>();
         channel.addReturnListener((code, text, exchange, key, properties, body) ->
-                told.add("return " + code + " " + properties.getMessageId()));
+                events.add("return " + code + " " + properties.getMessageId()));
         channel.addConfirmListener(
-                (tag, multiple) -> told.add("ack " + tag + " " + multiple), (tag, multiple) -> told.add("nack " + tag));
+                (tag, multiple) -> events.add("ack " + tag + " " + multiple),
+                (tag, multiple) -> events.add("nack " + tag));
         channel.basicPublish("", "nowhere", true, id("1"), bytes("x"));
         channel.waitForConfirms(5_000);
         broker.fateOf(id -> id.equals("2") ? Fate.CONFIRM_WITH_NEXT : id.equals("4") ? Fate.NACK : Fate.CONFIRM);
@@ -111,57 +112,57 @@
         channel.basicPublish("", "q", id("3"), bytes("x"));
         channel.basicPublish("", "q", id("4"), bytes("x"));
         channel.waitForConfirms(5_000);
-        assertEquals(List.of("return 312 1", "ack 1 false", "ack 3 true", "nack 4"), List.copyOf(told));
+        assertEquals(List.of("return 312 1", "ack 1 false", "ack 3 true", "nack 4"), List.copyOf(events));
         assertEquals(Map.of("2", 1, "3", 1), broker.effects());
     }
 
     @Test
-    void prefetchHoldsBackAndWhatIsNotAcknowledgedComesAgainWithItsFlag() throws Exception {
+    void prefetchLimitsDeliveriesAndUnacknowledgedOnesAreRedelivered() throws Exception {
         channel.queueDeclare("q", true, false, false, null);
         for (int i = 0; i < 5; i++) {
             channel.basicPublish("", "q", id("m" + i), bytes("x"));
         }
         channel.basicQos(2);
-        LinkedBlockingQueue<Envelope> come = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<Envelope> deliveries = new LinkedBlockingQueue<>();
         channel.basicConsume("q", false, new DefaultConsumer(channel) {
             @Override
             public void handleDelivery(String tag, Envelope envelope, AMQP.BasicProperties properties, byte[] body) {
-                come.add(envelope);
+                deliveries.add(envelope);
             }
         });
-        Envelope first = come.poll(5, TimeUnit.SECONDS);
-        Envelope second = come.poll(5, TimeUnit.SECONDS);
+        Envelope first = deliveries.poll(5, TimeUnit.SECONDS);
+        Envelope second = deliveries.poll(5, TimeUnit.SECONDS);
         assertFalse(first.isRedeliver());
         assertEquals(5, broker.size("q"));
         channel.basicAck(first.getDeliveryTag(), false);
-        Envelope third = come.poll(5, TimeUnit.SECONDS);
+        Envelope third = deliveries.poll(5, TimeUnit.SECONDS);
         assertEquals(second.getDeliveryTag() + 1, third.getDeliveryTag());
-        assertTrue(come.isEmpty(), "prefetch is 2");
+        assertTrue(deliveries.isEmpty(), "deliveries beyond the prefetch of 2");
         channel.basicReject(second.getDeliveryTag(), false);
-        come.poll(5, TimeUnit.SECONDS);
+        deliveries.poll(5, TimeUnit.SECONDS);
         connection.close();
         connection = factory().newConnection();
         channel = connection.createChannel();
-        GetResponse again = channel.basicGet("q", true);
-        assertTrue(again.getEnvelope().isRedeliver());
-        assertEquals("m2", again.getProps().getMessageId());
+        GetResponse redelivery = channel.basicGet("q", true);
+        assertTrue(redelivery.getEnvelope().isRedeliver());
+        assertEquals("m2", redelivery.getProps().getMessageId());
         assertEquals(List.of("m1"), broker.deadLetters());
         assertEquals(1, broker.acked("q"));
     }
 
     @Test
-    void blockedIsToldAndTakenBack() throws Exception {
+    void blockingIsAnnouncedAndRevoked() throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
-        CountDownLatch free = new CountDownLatch(1);
-        connection.addBlockedListener(reason -> blocked.countDown(), free::countDown);
+        CountDownLatch unblocked = new CountDownLatch(1);
+        connection.addBlockedListener(reason -> blocked.countDown(), unblocked::countDown);
         broker.block(true);
         assertTrue(blocked.await(5, TimeUnit.SECONDS));
         broker.block(false);
-        assertTrue(free.await(5, TimeUnit.SECONDS));
+        assertTrue(unblocked.await(5, TimeUnit.SECONDS));
     }
 
     @Test
-    void missingExchangeClosesTheChannelAndWrongPasswordTheConnection() throws Exception {
+    void missingExchangeClosesChannelAndWrongPasswordFailsConnection() throws Exception {
         channel.basicPublish("none", "k", id("1"), bytes("x"));
         assertThrows(AlreadyClosedException.class, () -> {
             while (true) {
@@ -177,17 +178,17 @@
     }
 
     @Test
-    void cutsEndConnectionsAnywhereAndHeartbeatsKeepThem() throws Exception {
+    void connectionsAreCutMidFrameAndKeptAliveByHeartbeats() throws Exception {
         broker.cut(new FakeBroker.Cut(() -> 0, () -> 100));
         assertThrows(IOException.class, () -> factory().newConnection());
         broker.cut(new FakeBroker.Cut(() -> 300, () -> 0));
         assertThrows(IOException.class, () -> factory().newConnection());
         broker.cut(FakeBroker.Cut.NEVER);
         broker.heartbeatSeconds(1);
-        try (Connection beating = factory().newConnection()) {
-            assertEquals(1, beating.getHeartbeat());
+        try (Connection withHeartbeats = factory().newConnection()) {
+            assertEquals(1, withHeartbeats.getHeartbeat());
             Thread.sleep(3_500);
-            assertTrue(beating.isOpen());
+            assertTrue(withHeartbeats.isOpen());
         }
     }
 }
