--- a/src/main/java/loftflow/cli/DemoCommand.java
+++ b/src/main/java/loftflow/cli/DemoCommand.java
@@ -182,7 +182,7 @@
             if (i % RATE == 0) {
                 int second = i / RATE;
                 boolean down = second >= seconds / 4 && second < seconds / 2;
-                failing.be(down ? FakePartner.Mood.SHUT : FakePartner.Mood.WELL);
+                failing.setBehavior(down ? FakePartner.Behavior.UNAVAILABLE : FakePartner.Behavior.NORMAL);
                 out.printf(
                         Locale.ROOT,
                         "%2d s: %d handed in, %d and %d calls at the partners%s%n",
--- a/src/main/java/loftflow/fake/FakePartner.java
+++ b/src/main/java/loftflow/fake/FakePartner.java
@@ -16,13 +16,13 @@
  */
 public final class FakePartner implements AutoCloseable {
     /** The behavior for calls. */
-    public enum Mood {
+    public enum Behavior {
         /** 200 after the response time. */
-        WELL,
+        NORMAL,
         /** 503 at once; the message is not executed. */
-        SHUT,
+        UNAVAILABLE,
         /** The message is executed, and the connection closes without a response. */
-        RESETS,
+        RESET,
         /** The message is executed, no response is sent, and the connection stays open. */
         SILENT,
         /** The message is executed at once, and 200 follows after the delay set by {@link #lateBy}. */
@@ -45,7 +45,7 @@
     private final Map<String, Integer> effects = new HashMap<>();
     private final List<Long> acceptedAt = new ArrayList<>();
     private final List<Long> checks = new ArrayList<>();
-    private Mood mood = Mood.WELL;
+    private Behavior behavior = Behavior.NORMAL;
     private long lateMillis;
     private long returnedAt;
     private double coldFrom;
@@ -65,8 +65,8 @@
     }
 
     /** Restarts at the same address; calls that are not processed yet are never executed. */
-    public synchronized void restart(Mood next) throws IOException {
-        mood = next;
+    public synchronized void restart(Behavior next) throws IOException {
+        behavior = next;
         int current = ++generation;
         int port = peer.port();
         peer.close();
@@ -78,14 +78,14 @@
     }
 
     /** Sets the behavior for calls from now on. */
-    public synchronized void be(Mood next) {
-        mood = next;
+    public synchronized void setBehavior(Behavior next) {
+        behavior = next;
     }
 
     /** Delays each response from now on by a number of milliseconds. */
     public synchronized void lateBy(long millis) {
         lateMillis = millis;
-        mood = Mood.LATE;
+        behavior = Behavior.LATE;
     }
 
     /**
@@ -98,7 +98,7 @@
         coldFrom = from;
         warmUpNanos = TimeUnit.MILLISECONDS.toNanos(warmUpMillis);
         returnedAt = System.nanoTime();
-        mood = Mood.WELL;
+        behavior = Behavior.NORMAL;
     }
 
     /** Returns the rate limit in calls per second at a time, which is given by {@link System#nanoTime}. */
@@ -131,15 +131,15 @@
         if (!request.line().startsWith("POST " + HostProtocol.SINGLE_PATH + " ")) {
             return ScriptedPeer.status(404);
         }
-        Mood now;
+        Behavior now;
         synchronized (this) {
             if (callGeneration != generation) {
                 return ScriptedPeer.CLOSE;
             }
-            now = mood;
+            now = behavior;
             boolean isOverLimit = limit > 0 && !hasRoom();
-            boolean ran = now != Mood.SHUT && !isOverLimit;
-            int status = !ran ? 503 : now == Mood.WELL || now == Mood.LATE ? 200 : NO_ANSWER;
+            boolean ran = now != Behavior.UNAVAILABLE && !isOverLimit;
+            int status = !ran ? 503 : now == Behavior.NORMAL || now == Behavior.LATE ? 200 : NO_ANSWER;
             postings.add(new Posting(
                     request.id(),
                     request.headers().get(MessageHeaders.IDEMPOTENCY_KEY.toLowerCase(java.util.Locale.ROOT)),
@@ -151,19 +151,19 @@
             }
             effects.merge(request.id(), 1, Integer::sum);
         }
-        if (now == Mood.RESETS) {
+        if (now == Behavior.RESET) {
             return ScriptedPeer.CLOSE;
         }
-        if (now == Mood.SILENT) {
+        if (now == Behavior.SILENT) {
             return ScriptedPeer.SILENCE;
         }
-        pause(now == Mood.LATE ? lateMillis() : responseMillis);
+        pause(now == Behavior.LATE ? lateMillis() : responseMillis);
         return ScriptedPeer.status(200);
     }
 
     private synchronized String check() {
         checks.add(System.nanoTime());
-        return ScriptedPeer.status(mood == Mood.SHUT ? 503 : 200);
+        return ScriptedPeer.status(behavior == Behavior.UNAVAILABLE ? 503 : 200);
     }
 
     private boolean hasRoom() {
--- a/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
+++ b/src/test/java/loftflow/deadletter/DeadLetterBenchmark.java
@@ -228,7 +228,7 @@
                         }
                     }
                 }
-                partner.be(FakePartner.Mood.SHUT);
+                partner.setBehavior(FakePartner.Behavior.UNAVAILABLE);
                 ServedRelay relay = start(file);
                 // Live traffic fails in both runs, so that the decision module warms up both endpoints after their
                 // return.
@@ -238,7 +238,7 @@
                         Thread.sleep(200);
                     }
                 }
-                partner.be(FakePartner.Mood.WELL);
+                partner.setBehavior(FakePartner.Behavior.NORMAL);
                 Thread.sleep(20_000);
                 Map<String, Long> acceptedAtNanos = new HashMap<>();
                 try (FakeClient client = relay.client()) {
--- a/src/test/java/loftflow/interop/OutboundSide.java
+++ b/src/test/java/loftflow/interop/OutboundSide.java
@@ -61,27 +61,27 @@
 
         @Override
         void well() {
-            partner.be(FakePartner.Mood.WELL);
+            partner.setBehavior(FakePartner.Behavior.NORMAL);
         }
 
         @Override
         void reopen() throws IOException {
-            partner.restart(FakePartner.Mood.WELL);
+            partner.restart(FakePartner.Behavior.NORMAL);
         }
 
         @Override
         void breaks() {
-            partner.be(FakePartner.Mood.RESETS);
+            partner.setBehavior(FakePartner.Behavior.RESET);
         }
 
         @Override
         void silent() {
-            partner.be(FakePartner.Mood.SILENT);
+            partner.setBehavior(FakePartner.Behavior.SILENT);
         }
 
         @Override
         void shut() {
-            partner.be(FakePartner.Mood.SHUT);
+            partner.setBehavior(FakePartner.Behavior.UNAVAILABLE);
         }
 
         @Override
--- a/src/test/java/loftflow/server/DeadLetterTest.java
+++ b/src/test/java/loftflow/server/DeadLetterTest.java
@@ -21,7 +21,7 @@
 import loftflow.config.tool.ConfigTool;
 import loftflow.fake.FakeClient;
 import loftflow.fake.FakePartner;
-import loftflow.fake.FakePartner.Mood;
+import loftflow.fake.FakePartner.Behavior;
 import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -165,10 +165,10 @@
     @Test
     void settlementWithUnknownOutcomeIsStoredAndNotRedrivenAutomatically() throws Exception {
         start(writeRelayFile(""));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\"", "after a person's word"));
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         assertEquals(202, submit("s2", "settlement"));
         await(() -> partner.effects().containsKey("s2"));
         String refused = sendCommand("command", "resend", "id", entryId("s1"), "by", "clerk")
@@ -204,10 +204,10 @@
         assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\""));
         // The upstream rejects everything, so that the redrive is open, with nothing executed, when the proof arrives.
-        partner.be(Mood.SHUT);
+        partner.setBehavior(Behavior.UNAVAILABLE);
         sendCommand("command", "confirm", "id", entryId("s1"), "by", "clerk", "reason", "says the partner");
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"delivered\"", "a late answer"));
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         assertEquals(202, submit("s2", "settlement"));
         await(() -> partner.effects().containsKey("s2"));
         assertEquals(1, partner.effects().get("s1"));
@@ -216,13 +216,13 @@
     @Test
     void messagesThatWereNotExecutedAreRedrivenOnceTheUpstreamRecovers() throws Exception {
         start(writeRelayFile(""));
-        partner.be(Mood.SHUT);
+        partner.setBehavior(Behavior.UNAVAILABLE);
         for (int i = 0; i < 5; i++) {
             assertEquals(202, submit("s" + i, "settlement"));
         }
         await(() -> sendCommand("command", "list").size() == 5);
         await(() -> lists("\"ran\":\"never\"", "\"told\":\"failed\""));
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         await(() -> partner.effects().size() == 5);
         await(() -> sendCommand("command", "list", "state", "delivered").size() == 5);
         assertTrue(
@@ -233,12 +233,12 @@
     @Test
     void carOrderWhoseKeyWindowIsOverNeedsAConfirmation() throws Exception {
         start(writeRelayFile("pause = \"3s\""));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         assertEquals(202, submit("c1", "car-order"));
         await(() ->
                 lists("\"ref\":\"c1\"", "after a person's word: an attempt may have run, and its key window is over"));
         int before = partner.postings().size();
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         String answer = sendCommand("command", "resend", "id", entryId("c1"), "by", "clerk")
                 .get(0);
         assertTrue(answer.contains("\"done\":false"), answer);
@@ -251,10 +251,10 @@
     @Test
     void confirmationsAndRedrivesAreAuditedAndConcurrentOnesAreMerged() throws Exception {
         start(writeRelayFile(""));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"ran\":\"maybe\""));
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         String id = entryId("s1");
         sendCommand("command", "confirm", "id", id, "by", "clerk", "reason", "not in their books");
         sendCommand("command", "resend", "id", id, "by", "clerk");
@@ -283,10 +283,10 @@
     void killsAtAnyTimeLoseAndDuplicateNothing() throws Exception {
         Path file = writeRelayFile("");
         Random random = new Random(7);
-        Mood[] moods = {Mood.SHUT, Mood.RESETS, Mood.WELL, Mood.SHUT};
+        Behavior[] behaviors = {Behavior.UNAVAILABLE, Behavior.RESET, Behavior.NORMAL, Behavior.UNAVAILABLE};
         List<String> accepted = new ArrayList<>();
         for (int round = 0; round < 4; round++) {
-            partner.be(moods[round]);
+            partner.setBehavior(behaviors[round]);
             start(file);
             for (int i = 0; i < 6; i++) {
                 String id = "s" + round + "-" + i;
@@ -297,7 +297,7 @@
             Thread.sleep(300 + random.nextInt(4_000));
             relay.close();
         }
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         start(file);
         await(() -> accepted.stream()
                 .allMatch(id -> partner.effects().containsKey(id)
@@ -309,7 +309,7 @@
     @Test
     void commandReadsTheStoreOfAStoppedRelay() throws Exception {
         start(writeRelayFile(""));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         assertEquals(202, submit("s1", "settlement"));
         await(() -> lists("\"ref\":\"s1\"", "\"state\":\"kept\""));
         relay.close();
@@ -346,7 +346,7 @@
     @Test
     void fullStoreRejectsNewMessagesAndLogsIt() throws Exception {
         start(writeRelayFile("entries = 3"));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         for (int i = 0; i < 3; i++) {
             assertEquals(202, submit("s" + i, "settlement"));
         }
--- a/src/test/java/loftflow/server/FleetHarness.java
+++ b/src/test/java/loftflow/server/FleetHarness.java
@@ -183,7 +183,7 @@
             client(relay);
         }
         Thread.sleep(learnMillis / 2);
-        partners.subList(endpoints - cold, endpoints).forEach(p -> p.be(FakePartner.Mood.SHUT));
+        partners.subList(endpoints - cold, endpoints).forEach(p -> p.setBehavior(FakePartner.Behavior.UNAVAILABLE));
         Thread.sleep(learnMillis / 2);
         if (start != Start.DISCOVERY) {
             discovery.stop();
--- a/src/test/java/loftflow/server/RelayFileTest.java
+++ b/src/test/java/loftflow/server/RelayFileTest.java
@@ -81,7 +81,7 @@
                 assertEquals(202, handIn(client, "s1", 7));
                 await(() -> partner.effects().containsKey("s1"));
                 assertEquals(400, handIn(client, "s2", 8), "no such destination");
-                partner.be(FakePartner.Mood.RESETS);
+                partner.setBehavior(FakePartner.Behavior.RESET);
                 assertEquals(202, handIn(client, "s3", 7));
                 await(() -> ends().contains("\"ref\":\"s3\",\"class\":\"settlement\",\"dest\":7,\"result\":\"dead\""));
             }
@@ -102,13 +102,13 @@
     void acceptedMessageIsDeliveredAfterAKill() throws Exception {
         try (FakePartner partner = new FakePartner(5, 0)) {
             Path file = written("", endpoint(partner));
-            partner.be(FakePartner.Mood.SHUT);
+            partner.setBehavior(FakePartner.Behavior.UNAVAILABLE);
             ServedRelay first = launch(file);
             try (FakeClient client = client()) {
                 assertEquals(202, handIn(client, "s1", 7));
             }
             first.close();
-            partner.be(FakePartner.Mood.WELL);
+            partner.setBehavior(FakePartner.Behavior.NORMAL);
             launch(file);
             await(() -> partner.effects().containsKey("s1") || ends().contains("s1"));
             assertTrue(partner.effects().getOrDefault("s1", 0) <= 1);
@@ -126,7 +126,7 @@
                 await(() -> isReady(client));
                 assertEquals(202, handIn(client, "s1", 7));
                 await(() -> partner.effects().containsKey("s1"));
-                partner.be(FakePartner.Mood.RESETS);
+                partner.setBehavior(FakePartner.Behavior.RESET);
                 assertEquals(202, handIn(client, "s2", 7));
                 await(() -> discovery.notices().contains(new FakeDiscoveryAgent.Notice("s2", "dead")));
             }
--- a/src/test/java/loftflow/server/WarmStartRestartTest.java
+++ b/src/test/java/loftflow/server/WarmStartRestartTest.java
@@ -497,7 +497,7 @@
     /** A relay with a keyed message whose one attempt was executed but not answered. */
     private ServedRelay startWithAnAttemptThatMayHaveRun() throws Exception {
         FakePartner partner = partner("iron-1");
-        partner.be(FakePartner.Mood.SILENT);
+        partner.setBehavior(FakePartner.Behavior.SILENT);
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
         ServedRelay first = start(writeRelayFile(discovery.address()));
         await(() -> hasSnapshot(1));
@@ -520,7 +520,7 @@
         ServedRelay first = startWithAnAttemptThatMayHaveRun();
         FakePartner partner = partners.get("iron-1");
         first.close();
-        partner.be(FakePartner.Mood.WELL);
+        partner.setBehavior(FakePartner.Behavior.NORMAL);
         SnapshotSamples.rewriteLatest(
                 state,
                 p -> new Snapshot(
@@ -542,7 +542,7 @@
         ServedRelay first = startWithAnAttemptThatMayHaveRun();
         FakePartner partner = partners.get("iron-1");
         first.close();
-        partner.be(FakePartner.Mood.WELL);
+        partner.setBehavior(FakePartner.Behavior.NORMAL);
         start(relayFile());
         await(() -> partner.effects().get("k1") == 2);
     }
