--- a/src/test/java/loftflow/server/DeadLetterTest.java
+++ b/src/test/java/loftflow/server/DeadLetterTest.java
@@ -21,7 +21,7 @@
 import loftflow.config.tool.ConfigTool;
 import loftflow.fake.FakeClient;
 import loftflow.fake.FakePartner;
-import loftflow.fake.FakePartner.Mood;
+import loftflow.fake.FakePartner.Behavior;
 import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -166,10 +166,10 @@
     @Test
     void settlementWithUnknownOutcomeIsStoredAndNotRedrivenAutomatically() throws Exception {
         start(writeRelayFile(""));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         assertEquals(202, submit("s1", "settlement"));
         await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\"", "after a person's word"));
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         assertEquals(202, submit("s2", "settlement"));
         await(() -> partner.effects().containsKey("s2"));
         String redriveResult = sendCommand("command", "resend", "id", entryId("s1"), "by", "clerk")
@@ -206,10 +206,10 @@
         assertEquals(202, submit("s1", "settlement"));
         await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"kept\"", "\"ran\":\"maybe\""));
         // The upstream rejects all calls, so that the redrive is still pending and not executed when the proof arrives.
-        partner.be(Mood.SHUT);
+        partner.setBehavior(Behavior.UNAVAILABLE);
         sendCommand("command", "confirm", "id", entryId("s1"), "by", "clerk", "reason", "says the partner");
         await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"delivered\"", "a late answer"));
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         assertEquals(202, submit("s2", "settlement"));
         await(() -> partner.effects().containsKey("s2"));
         assertEquals(1, partner.effects().get("s1"));
@@ -218,13 +218,13 @@
     @Test
     void messagesThatWereNotExecutedAreRedrivenOnceTheUpstreamRecovers() throws Exception {
         start(writeRelayFile(""));
-        partner.be(Mood.SHUT);
+        partner.setBehavior(Behavior.UNAVAILABLE);
         for (int i = 0; i < 5; i++) {
             assertEquals(202, submit("s" + i, "settlement"));
         }
         await(() -> sendCommand("command", "list").size() == 5);
         await(() -> isListed("\"ran\":\"never\"", "\"told\":\"failed\""));
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         await(() -> partner.effects().size() == 5);
         await(() -> sendCommand("command", "list", "state", "delivered").size() == 5);
         assertTrue(
@@ -235,12 +235,12 @@
     @Test
     void keyedMessageWhoseKeyWindowIsOverNeedsAConfirmation() throws Exception {
         start(writeRelayFile("pause = \"3s\""));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         assertEquals(202, submit("c1", "car-order"));
         await(() -> isListed(
                 "\"ref\":\"c1\"", "after a person's word: an attempt may have run, and its key window is over"));
         int postingsBefore = partner.postings().size();
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         String redriveResult = sendCommand("command", "resend", "id", entryId("c1"), "by", "clerk")
                 .get(0);
         assertTrue(redriveResult.contains("\"done\":false"), redriveResult);
@@ -253,10 +253,10 @@
     @Test
     void confirmationsAndRedrivesAreAuditedAndRepeatedRedrivesSendOnce() throws Exception {
         start(writeRelayFile(""));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         assertEquals(202, submit("s1", "settlement"));
         await(() -> isListed("\"ref\":\"s1\"", "\"ran\":\"maybe\""));
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         String id = entryId("s1");
         sendCommand("command", "confirm", "id", id, "by", "clerk", "reason", "not in their books");
         sendCommand("command", "resend", "id", id, "by", "clerk");
@@ -285,10 +285,10 @@
     void killsAtRandomTimesNeitherLoseNorDuplicateMessages() throws Exception {
         Path file = writeRelayFile("");
         Random random = new Random(7);
-        Mood[] moods = {Mood.SHUT, Mood.RESETS, Mood.WELL, Mood.SHUT};
+        Behavior[] behaviors = {Behavior.UNAVAILABLE, Behavior.RESET, Behavior.NORMAL, Behavior.UNAVAILABLE};
         List<String> accepted = new ArrayList<>();
         for (int round = 0; round < 4; round++) {
-            partner.be(moods[round]);
+            partner.setBehavior(behaviors[round]);
             start(file);
             for (int i = 0; i < 6; i++) {
                 String id = "s" + round + "-" + i;
@@ -299,7 +299,7 @@
             Thread.sleep(300 + random.nextInt(4_000));
             relay.close();
         }
-        partner.be(Mood.WELL);
+        partner.setBehavior(Behavior.NORMAL);
         start(file);
         await(() -> accepted.stream()
                 .allMatch(id -> partner.effects().containsKey(id)
@@ -311,7 +311,7 @@
     @Test
     void commandReadsTheStoreOfAStoppedRelay() throws Exception {
         start(writeRelayFile(""));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         assertEquals(202, submit("s1", "settlement"));
         await(() -> isListed("\"ref\":\"s1\"", "\"state\":\"kept\""));
         relay.close();
@@ -349,7 +349,7 @@
     @Test
     void fullStoreIsLoggedAndNewMessagesAreRejected() throws Exception {
         start(writeRelayFile("entries = 3"));
-        partner.be(Mood.RESETS);
+        partner.setBehavior(Behavior.RESET);
         for (int i = 0; i < 3; i++) {
             assertEquals(202, submit("s" + i, "settlement"));
         }
--- a/src/test/java/loftflow/server/FleetHarness.java
+++ b/src/test/java/loftflow/server/FleetHarness.java
@@ -187,7 +187,7 @@
             startClient(relay);
         }
         Thread.sleep(beforeKillMillis / 2);
-        partners.subList(endpoints - cold, endpoints).forEach(p -> p.be(FakePartner.Mood.SHUT));
+        partners.subList(endpoints - cold, endpoints).forEach(p -> p.setBehavior(FakePartner.Behavior.UNAVAILABLE));
         Thread.sleep(beforeKillMillis / 2);
         if (start != Start.DISCOVERY) {
             discovery.stop();
--- a/src/test/java/loftflow/server/WarmStartRestartTest.java
+++ b/src/test/java/loftflow/server/WarmStartRestartTest.java
@@ -503,7 +503,7 @@
     /** Starts a relay and submits a keyed message, whose only attempt is executed but gets no response. */
     private ServedRelay startWithAnAttemptThatMayHaveBeenExecuted() throws Exception {
         FakePartner partner = startPartner("iron-1");
-        partner.be(FakePartner.Mood.SILENT);
+        partner.setBehavior(FakePartner.Behavior.SILENT);
         discovery.list(List.of(entry("iron-1", 7, "in_service")));
         ServedRelay first = start(writeRelayFile(discovery.address()));
         await(() -> hasSnapshot(1));
@@ -528,7 +528,7 @@
         ServedRelay first = startWithAnAttemptThatMayHaveBeenExecuted();
         FakePartner partner = partners.get("iron-1");
         first.close();
-        partner.be(FakePartner.Mood.WELL);
+        partner.setBehavior(FakePartner.Behavior.NORMAL);
         SnapshotSamples.rewriteLatest(
                 stateFolder,
                 p -> new Snapshot(
@@ -550,7 +550,7 @@
         ServedRelay first = startWithAnAttemptThatMayHaveBeenExecuted();
         FakePartner partner = partners.get("iron-1");
         first.close();
-        partner.be(FakePartner.Mood.WELL);
+        partner.setBehavior(FakePartner.Behavior.NORMAL);
         start(relayFile());
         await(() -> partner.effects().get("k1") == 2);
     }
