--- a/src/main/java/loftflow/fake/BrokerChannel.java
+++ b/src/main/java/loftflow/fake/BrokerChannel.java
@@ -12,7 +12,7 @@
     long delivered;
     int prefetch;
     /** Delivery tags of publishes that took effect and are not confirmed yet, with their scripted outcomes. */
-    final TreeMap<Long, FakeBroker.Fate> unconfirmed = new TreeMap<>();
+    final TreeMap<Long, FakeBroker.PublishOutcome> unconfirmed = new TreeMap<>();
 
     final TreeMap<Long, UnackedDelivery> unacked = new TreeMap<>();
     final List<BrokerConsumer> consumers = new ArrayList<>();
--- a/src/main/java/loftflow/fake/FakeBroker.java
+++ b/src/main/java/loftflow/fake/FakeBroker.java
@@ -39,7 +39,7 @@
  */
 public final class FakeBroker implements AutoCloseable {
     /** The outcome of a publish. */
-    public enum Fate {
+    public enum PublishOutcome {
         /** It takes effect and is confirmed. */
         CONFIRM,
         /** It takes effect; it is confirmed with the next one by a confirm for multiple messages. */
@@ -89,7 +89,7 @@
     private final SslContext tls;
     private Channel listener;
     private int port;
-    Function<String, Fate> fateOf = id -> Fate.CONFIRM;
+    Function<String, PublishOutcome> outcomeById = id -> PublishOutcome.CONFIRM;
     private Cut cut = Cut.NEVER;
     long lateConfirmMillis;
     UnaryOperator<Properties> returnedProperties = UnaryOperator.identity();
@@ -220,13 +220,13 @@
     }
 
     /** Sets the function that selects the outcome of a publish by its message id. */
-    public void fateOf(Function<String, Fate> next) {
-        run(() -> fateOf = next);
+    public void setOutcomes(Function<String, PublishOutcome> next) {
+        run(() -> outcomeById = next);
     }
 
     /** Sets the same outcome for every publish from now on. */
-    public void be(Fate fate) {
-        fateOf(id -> fate);
+    public void setOutcome(PublishOutcome outcome) {
+        setOutcomes(id -> outcome);
     }
 
     /** Sets the delay of late confirms in milliseconds. */
--- a/src/main/java/loftflow/fake/FakeBrokerSession.java
+++ b/src/main/java/loftflow/fake/FakeBrokerSession.java
@@ -265,29 +265,30 @@
         String id = properties.text(Property.MESSAGE_ID);
         broker.publishesWhileBlocked += isBlockKnownToClient && broker.isBlocked ? 1 : 0;
         long tag = state.confirmMode ? ++state.published : 0;
-        FakeBroker.Fate fate = broker.fateOf.apply(id);
+        FakeBroker.PublishOutcome outcome = broker.outcomeById.apply(id);
         String exchange = m.text("exchange");
-        if (fate == FakeBroker.Fate.NO_EXCHANGE || !broker.exchanges.containsKey(exchange)) {
+        if (outcome == FakeBroker.PublishOutcome.NO_EXCHANGE || !broker.exchanges.containsKey(exchange)) {
             throw new AmqpException(AmqpException.NOT_FOUND, "NOT_FOUND - no exchange '" + exchange + "' in vhost '/'");
         }
-        boolean takesEffect = fate != FakeBroker.Fate.NACK && fate != FakeBroker.Fate.DROP_BEFORE;
+        boolean takesEffect =
+                outcome != FakeBroker.PublishOutcome.NACK && outcome != FakeBroker.PublishOutcome.DROP_BEFORE;
         Set<BrokerQueue> to = takesEffect ? broker.route(exchange, m.text("routing-key")) : Set.of();
         store(command, exchange, to);
         if (takesEffect && to.isEmpty() && m.flag("mandatory")) {
             returnUnroutable(state, command, exchange);
         }
         to.forEach(broker::dispatch);
-        if (fate == FakeBroker.Fate.DROP_BEFORE || fate == FakeBroker.Fate.DROP_AFTER) {
+        if (outcome == FakeBroker.PublishOutcome.DROP_BEFORE || outcome == FakeBroker.PublishOutcome.DROP_AFTER) {
             channel.close();
-        } else if (fate == FakeBroker.Fate.CLOSE_CHANNEL) {
+        } else if (outcome == FakeBroker.PublishOutcome.CLOSE_CHANNEL) {
             connection.closeChannel(
                     state.number,
                     new AmqpException(AmqpException.PRECONDITION_FAILED, "PRECONDITION_FAILED - scripted by the test"),
                     MethodType.BASIC_ACK);
-        } else if (fate == FakeBroker.Fate.CLOSE_CONNECTION) {
+        } else if (outcome == FakeBroker.PublishOutcome.CLOSE_CONNECTION) {
             connection.closeGracefully(AmqpException.CONNECTION_FORCED, "CONNECTION_FORCED - scripted by the test");
         } else if (tag > 0) {
-            confirm(state, tag, fate);
+            confirm(state, tag, outcome);
         }
     }
 
@@ -329,11 +330,11 @@
                 command.body());
     }
 
-    private void confirm(BrokerChannel state, long tag, FakeBroker.Fate fate) {
-        switch (fate) {
+    private void confirm(BrokerChannel state, long tag, FakeBroker.PublishOutcome outcome) {
+        switch (outcome) {
             case NACK -> connection.send(state.number, Method.of(MethodType.BASIC_NACK, tag, false, false));
             case CONFIRM_LATE -> {
-                state.unconfirmed.put(tag, fate);
+                state.unconfirmed.put(tag, outcome);
                 broker.loop.schedule(
                         () -> {
                             if (state.unconfirmed.remove(tag) != null && connection.isOpen(state.number)) {
@@ -344,18 +345,18 @@
                         TimeUnit.MILLISECONDS);
             }
             case CONFIRM -> confirmHeld(state, tag);
-            default -> state.unconfirmed.put(tag, fate);
+            default -> state.unconfirmed.put(tag, outcome);
         }
     }
 
     private void confirmHeld(BrokerChannel state, long tag) {
-        boolean multiple = state.unconfirmed.containsValue(FakeBroker.Fate.CONFIRM_WITH_NEXT);
+        boolean multiple = state.unconfirmed.containsValue(FakeBroker.PublishOutcome.CONFIRM_WITH_NEXT);
         connection.send(state.number, Method.of(MethodType.BASIC_ACK, tag, multiple));
         if (multiple) {
             state.unconfirmed.clear();
         }
         state.unconfirmed.entrySet().removeIf(held -> {
-            boolean isDue = held.getValue() == FakeBroker.Fate.CONFIRM_AFTER_NEXT;
+            boolean isDue = held.getValue() == FakeBroker.PublishOutcome.CONFIRM_AFTER_NEXT;
             if (isDue) {
                 connection.send(state.number, Method.of(MethodType.BASIC_ACK, held.getKey(), false));
             }
--- a/src/test/java/loftflow/fake/FakeBrokerTest.java
+++ b/src/test/java/loftflow/fake/FakeBrokerTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.FakeBroker.PublishOutcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -107,7 +107,9 @@
                 (tag, multiple) -> events.add("nack " + tag));
         channel.basicPublish("", "nowhere", true, id("1"), bytes("x"));
         channel.waitForConfirms(5_000);
-        broker.fateOf(id -> id.equals("2") ? Fate.CONFIRM_WITH_NEXT : id.equals("4") ? Fate.NACK : Fate.CONFIRM);
+        broker.setOutcomes(id -> id.equals("2")
+                ? PublishOutcome.CONFIRM_WITH_NEXT
+                : id.equals("4") ? PublishOutcome.NACK : PublishOutcome.CONFIRM);
         channel.basicPublish("", "q", id("2"), bytes("x"));
         channel.basicPublish("", "q", id("3"), bytes("x"));
         channel.basicPublish("", "q", id("4"), bytes("x"));
--- a/src/test/java/loftflow/interop/AmqpCampaign.java
+++ b/src/test/java/loftflow/interop/AmqpCampaign.java
@@ -30,7 +30,7 @@
 import loftflow.amqp.mapping.ValueSource;
 import loftflow.engine.DeliveryEngine;
 import loftflow.fake.FakeBroker;
-import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.FakeBroker.PublishOutcome;
 import loftflow.fake.TemporaryFolder;
 import loftflow.listener.amqp.AmqpListener;
 import loftflow.listener.amqp.CompletionReplier;
@@ -308,7 +308,7 @@
         private final boolean forgetful;
         private final Random random;
         private final boolean listens;
-        private final Map<String, Fate> fates = new ConcurrentHashMap<>();
+        private final Map<String, PublishOutcome> outcomes = new ConcurrentHashMap<>();
         /** Ends of messages that asked for no reply. */
         private final Map<String, Set<String>> others = new ConcurrentHashMap<>();
 
@@ -321,19 +321,19 @@
             listens = seed % 3 == 0;
         }
 
-        private Fate drawn() {
+        private PublishOutcome drawn() {
             return switch (random.nextInt(14)) {
-                case 0 -> Fate.CONFIRM_WITH_NEXT;
-                case 1 -> Fate.CONFIRM_AFTER_NEXT;
-                case 2 -> Fate.CONFIRM_LATE;
-                case 3 -> Fate.NO_CONFIRM;
-                case 4 -> Fate.NACK;
-                case 5 -> Fate.CLOSE_CHANNEL;
-                case 6 -> Fate.CLOSE_CONNECTION;
-                case 7 -> Fate.DROP_BEFORE;
-                case 8 -> Fate.DROP_AFTER;
-                case 9 -> Fate.NO_EXCHANGE;
-                default -> Fate.CONFIRM;
+                case 0 -> PublishOutcome.CONFIRM_WITH_NEXT;
+                case 1 -> PublishOutcome.CONFIRM_AFTER_NEXT;
+                case 2 -> PublishOutcome.CONFIRM_LATE;
+                case 3 -> PublishOutcome.NO_CONFIRM;
+                case 4 -> PublishOutcome.NACK;
+                case 5 -> PublishOutcome.CLOSE_CHANNEL;
+                case 6 -> PublishOutcome.CLOSE_CONNECTION;
+                case 7 -> PublishOutcome.DROP_BEFORE;
+                case 8 -> PublishOutcome.DROP_AFTER;
+                case 9 -> PublishOutcome.NO_EXCHANGE;
+                default -> PublishOutcome.CONFIRM;
             };
         }
 
@@ -357,14 +357,14 @@
                 broker.lateBy(20 + random.nextInt(400));
                 // Drawn for an id as it first comes; a second publish of it meets a broker that is well, or another
                 // fate.
-                List<Fate> draws = new ArrayList<>();
+                List<PublishOutcome> draws = new ArrayList<>();
                 for (int i = 0; i < MESSAGES * 4; i++) {
                     draws.add(drawn());
                 }
                 AtomicInteger at = new AtomicInteger();
-                broker.fateOf(id -> id != null && id.startsWith("m") && !id.endsWith(".end")
-                        ? fates.merge(id, draws.get(at.getAndIncrement() % draws.size()), (a, b) -> b)
-                        : Fate.CONFIRM);
+                broker.setOutcomes(id -> id != null && id.startsWith("m") && !id.endsWith(".end")
+                        ? outcomes.merge(id, draws.get(at.getAndIncrement() % draws.size()), (a, b) -> b)
+                        : PublishOutcome.CONFIRM);
                 Random cuts = new Random(seed);
                 boolean cutting = random.nextInt(3) > 0;
                 if (cutting) {
@@ -423,7 +423,7 @@
                 broker.block(false);
                 broker.cut(FakeBroker.Cut.NEVER);
                 broker.loseAcks(() -> false);
-                broker.be(Fate.CONFIRM);
+                broker.setOutcome(PublishOutcome.CONFIRM);
                 broker.drop();
                 return check(broker, publisher, ids);
             } finally {
--- a/src/test/java/loftflow/interop/ClosedChannelTest.java
+++ b/src/test/java/loftflow/interop/ClosedChannelTest.java
@@ -13,7 +13,7 @@
 import loftflow.deadletter.ExecutionCertainty;
 import loftflow.deadletter.store.SqliteDeadLetterStore;
 import loftflow.fake.FakeBroker;
-import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.FakeBroker.PublishOutcome;
 import loftflow.fake.FakeClient;
 import loftflow.fake.ServedRelay;
 import org.junit.jupiter.api.Test;
@@ -87,7 +87,7 @@
                     FakeClient client = relay.client()) {
                 // The first publish of each takes effect and closes its channel; later ones are confirmed.
                 java.util.Set<String> seen = java.util.concurrent.ConcurrentHashMap.newKeySet();
-                broker.fateOf(id -> seen.add(id) ? Fate.CLOSE_CHANNEL : Fate.CONFIRM);
+                broker.setOutcomes(id -> seen.add(id) ? PublishOutcome.CLOSE_CHANNEL : PublishOutcome.CONFIRM);
                 for (String type : List.of("settlement", "car-order", "status-update")) {
                     await(() -> {
                         try {
--- a/src/test/java/loftflow/interop/Http2Campaign.java
+++ b/src/test/java/loftflow/interop/Http2Campaign.java
@@ -15,7 +15,7 @@
 import loftflow.engine.Message;
 import loftflow.engine.MessageAcceptor;
 import loftflow.fake.FakeBroker;
-import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.FakeBroker.PublishOutcome;
 import loftflow.fake.TemporaryFolder;
 import loftflow.listener.amqp.CompletionReplier;
 import loftflow.listener.http2.Http2Listener;
@@ -295,15 +295,17 @@
                     FakeBroker broker = new FakeBroker()) {
                 broker.bind("orders", "direct", "k", "out");
                 broker.lateBy(20 + random.nextInt(200));
-                List<Fate> draws = new ArrayList<>();
+                List<PublishOutcome> draws = new ArrayList<>();
                 for (int i = 0; i < MESSAGES * 4; i++) {
                     draws.add(
-                            random.nextInt(3) > 0 ? Fate.CONFIRM : Fate.values()[random.nextInt(Fate.values().length)]);
+                            random.nextInt(3) > 0
+                                    ? PublishOutcome.CONFIRM
+                                    : PublishOutcome.values()[random.nextInt(PublishOutcome.values().length)]);
                 }
-                Map<String, Fate> fates = new ConcurrentHashMap<>();
-                broker.fateOf(id -> id == null
-                        ? Fate.CONFIRM
-                        : fates.computeIfAbsent(id, i -> draws.get(Math.floorMod(i.hashCode(), draws.size()))));
+                Map<String, PublishOutcome> outcomes = new ConcurrentHashMap<>();
+                broker.setOutcomes(id -> id == null
+                        ? PublishOutcome.CONFIRM
+                        : outcomes.computeIfAbsent(id, i -> draws.get(Math.floorMod(i.hashCode(), draws.size()))));
                 return play(broker, scratch.folder());
             } finally {
                 for (Line line : lines) {
@@ -364,7 +366,7 @@
                         Thread.sleep(random.nextInt(15));
                     }
                 }
-                broker.be(Fate.CONFIRM);
+                broker.setOutcome(PublishOutcome.CONFIRM);
                 Thread.sleep(30);
                 hear();
                 return check(broker);
--- a/src/test/java/loftflow/interop/OutboundSide.java
+++ b/src/test/java/loftflow/interop/OutboundSide.java
@@ -130,7 +130,7 @@
         @Override
         void well() {
             broker.block(false);
-            broker.be(FakeBroker.Fate.CONFIRM);
+            broker.setOutcome(FakeBroker.PublishOutcome.CONFIRM);
         }
 
         /** A blocked broker has been sent nothing. */
@@ -141,12 +141,12 @@
 
         @Override
         void breaks() {
-            broker.be(FakeBroker.Fate.DROP_AFTER);
+            broker.setOutcome(FakeBroker.PublishOutcome.DROP_AFTER);
         }
 
         @Override
         void silent() {
-            broker.be(FakeBroker.Fate.NO_CONFIRM);
+            broker.setOutcome(FakeBroker.PublishOutcome.NO_CONFIRM);
         }
 
         @Override
--- a/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
+++ b/src/test/java/loftflow/listener/amqp/QueueConsumerTest.java
@@ -16,7 +16,7 @@
 import loftflow.amqp.link.AmqpClientConnection;
 import loftflow.engine.Message;
 import loftflow.fake.FakeBroker;
-import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.FakeBroker.PublishOutcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -218,12 +218,12 @@
 
     @Test
     void completionWithALostConfirmIsPublishedAgainUnderItsId() {
-        broker.be(Fate.DROP_AFTER);
+        broker.setOutcome(PublishOutcome.DROP_AFTER);
         start();
         onLoop(() -> consumer.reply(completedMessage("a", "ends", Message.Completion.Kind.FAILED)));
         await(() -> broker.size("ends") == 1);
         assertEquals(List.of(), acknowledgedIds);
-        broker.be(Fate.CONFIRM);
+        broker.setOutcome(PublishOutcome.CONFIRM);
         await(() -> acknowledgedIds.equals(List.of("a")));
         assertTrue(broker.ready("ends").stream()
                 .allMatch(e -> e.getKey().text(Property.MESSAGE_ID).equals("a.end")));
@@ -248,12 +248,12 @@
 
     @Test
     void completionWithANackIsPublishedAgain() {
-        broker.be(Fate.NACK);
+        broker.setOutcome(PublishOutcome.NACK);
         start();
         onLoop(() -> consumer.reply(completedMessage("a", "ends", Message.Completion.Kind.FAILED)));
         await(() -> broker.postings().size() >= 2);
         assertEquals(List.of(), acknowledgedIds);
-        broker.be(Fate.CONFIRM);
+        broker.setOutcome(PublishOutcome.CONFIRM);
         await(() -> acknowledgedIds.equals(List.of("a")));
         assertEquals(1, broker.size("ends"));
     }
--- a/src/test/java/loftflow/soak/SoakRun.java
+++ b/src/test/java/loftflow/soak/SoakRun.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import loftflow.config.tool.ConfigTool;
 import loftflow.fake.FakeBroker;
-import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.FakeBroker.PublishOutcome;
 import loftflow.fake.ServedRelay;
 import loftflow.journal.Journal;
 
@@ -49,7 +49,7 @@
         }
         broker = new FakeBroker();
         broker.bind("orders", "topic", "elevator.*", "elevator-3");
-        broker.fateOf(this::brokerFate);
+        broker.setOutcomes(this::brokerOutcome);
         crowd = new SoakCrowd(plan.crowd());
         relay = new RelayUnderTest(program, writeRelayFile(), folder, history);
     }
@@ -62,13 +62,18 @@
         }
     }
 
-    private Fate brokerFate(String id) {
+    private PublishOutcome brokerOutcome(String id) {
         int drawn = new Random(plan.seed() * 17 + id.hashCode()).nextInt(PERCENT);
         if (drawn < 85) {
-            return Fate.CONFIRM;
+            return PublishOutcome.CONFIRM;
         }
-        Fate[] faults = {
-            Fate.NO_CONFIRM, Fate.NACK, Fate.CLOSE_CHANNEL, Fate.CLOSE_CONNECTION, Fate.DROP_BEFORE, Fate.DROP_AFTER
+        PublishOutcome[] faults = {
+            PublishOutcome.NO_CONFIRM,
+            PublishOutcome.NACK,
+            PublishOutcome.CLOSE_CHANNEL,
+            PublishOutcome.CLOSE_CONNECTION,
+            PublishOutcome.DROP_BEFORE,
+            PublishOutcome.DROP_AFTER
         };
         return faults[drawn % faults.length];
     }
@@ -340,8 +345,10 @@
                     "broker",
                     posting.atNanos(),
                     posting.ran(),
-                    posting.ran() && brokerFate(posting.id()) == Fate.CONFIRM ? posting.atNanos() : SoakHistory.NEVER,
-                    brokerFate(posting.id()).name()));
+                    posting.ran() && brokerOutcome(posting.id()) == PublishOutcome.CONFIRM
+                            ? posting.atNanos()
+                            : SoakHistory.NEVER,
+                    brokerOutcome(posting.id()).name()));
         }
     }
 
--- a/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
+++ b/src/test/java/loftflow/upstream/amqp/BrokerClientTest.java
@@ -33,7 +33,7 @@
 import loftflow.engine.Message;
 import loftflow.engine.UpstreamClient;
 import loftflow.fake.FakeBroker;
-import loftflow.fake.FakeBroker.Fate;
+import loftflow.fake.FakeBroker.PublishOutcome;
 import loftflow.policy.api.AttemptOutcome;
 import loftflow.policy.api.Availability;
 import loftflow.policy.api.EndpointEntry;
@@ -249,7 +249,7 @@
         assertEquals(unknown, completionOf("routed"));
         assertEquals(unknown, completionOf("returned"));
         broker.bind("orders", "direct", "k", "q");
-        broker.be(Fate.CONFIRM_LATE);
+        broker.setOutcome(PublishOutcome.CONFIRM_LATE);
         send("later");
         assertEquals(AttemptOutcome.OK, outcomeOf("later"));
         assertEquals(Set.of(), lateDeliveries);
@@ -266,25 +266,26 @@
     /** The confirm of the first message follows the return of the second. */
     private void publishOneAndHaveAnotherReturned() {
         broker.lateBy(500);
-        broker.be(Fate.CONFIRM_LATE);
+        broker.setOutcome(PublishOutcome.CONFIRM_LATE);
         send("routed");
         awaitPosted("routed");
         broker.remove("q");
-        broker.be(Fate.CONFIRM);
+        broker.setOutcome(PublishOutcome.CONFIRM);
         send("returned");
     }
 
     @Test
     void nackedPublishMayHaveRun() {
-        broker.be(Fate.NACK);
+        broker.setOutcome(PublishOutcome.NACK);
         send("a");
         assertEquals(new Completion(AttemptOutcome.ERROR, false, 0), completionOf("a"));
     }
 
     @Test
     void multipleAndUnorderedConfirms() {
-        broker.fateOf(id ->
-                id.equals("a") ? Fate.CONFIRM_WITH_NEXT : id.equals("c") ? Fate.CONFIRM_AFTER_NEXT : Fate.CONFIRM);
+        broker.setOutcomes(id -> id.equals("a")
+                ? PublishOutcome.CONFIRM_WITH_NEXT
+                : id.equals("c") ? PublishOutcome.CONFIRM_AFTER_NEXT : PublishOutcome.CONFIRM);
         send("a", "b", "c", "d");
         for (String id : List.of("a", "b", "c", "d")) {
             assertEquals(AttemptOutcome.OK, outcomeOf(id), id);
@@ -293,7 +294,7 @@
 
     @Test
     void channelClosedBeforeTheConfirmLeavesAllUnknown() {
-        broker.fateOf(id -> id.equals("b") ? Fate.CLOSE_CHANNEL : Fate.NO_CONFIRM);
+        broker.setOutcomes(id -> id.equals("b") ? PublishOutcome.CLOSE_CHANNEL : PublishOutcome.NO_CONFIRM);
         send("a", "b", "c");
         for (String id : List.of("a", "b", "c")) {
             assertEquals(new Completion(AttemptOutcome.RESET, false, 0), completionOf(id), id);
@@ -302,14 +303,14 @@
 
     @Test
     void lostConnectionLeavesPublishesUnknown() {
-        broker.be(Fate.CLOSE_CONNECTION);
+        broker.setOutcome(PublishOutcome.CLOSE_CONNECTION);
         send("a");
         assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
-        broker.be(Fate.DROP_BEFORE);
+        broker.setOutcome(PublishOutcome.DROP_BEFORE);
         await(() -> broker.connected() == 0);
         send("b");
         assertEquals(AttemptOutcome.RESET, outcomeOf("b"));
-        broker.be(Fate.DROP_AFTER);
+        broker.setOutcome(PublishOutcome.DROP_AFTER);
         send("c");
         assertEquals(AttemptOutcome.RESET, outcomeOf("c"));
     }
@@ -343,7 +344,7 @@
 
     @Test
     void publishToAMissingExchangeNeverRanAndOthersAreUnknown() {
-        broker.fateOf(id -> id.equals("b") ? Fate.NO_EXCHANGE : Fate.NO_CONFIRM);
+        broker.setOutcomes(id -> id.equals("b") ? PublishOutcome.NO_EXCHANGE : PublishOutcome.NO_CONFIRM);
         send("a", "b");
         assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
         assertEquals(AttemptOutcome.NOT_SENT, outcomeOf("b"));
@@ -404,7 +405,7 @@
 
     @Test
     void confirmForAnUnknownTagProvesNothing() {
-        broker.be(Fate.NO_CONFIRM);
+        broker.setOutcome(PublishOutcome.NO_CONFIRM);
         send("a");
         awaitPosted("a");
         broker.say(1, Method.of(MethodType.BASIC_ACK, 99L, false));
@@ -413,7 +414,7 @@
 
     @Test
     void confirmOnAnotherChannelProvesNothing() {
-        broker.be(Fate.NO_CONFIRM);
+        broker.setOutcome(PublishOutcome.NO_CONFIRM);
         send("a");
         awaitPosted("a");
         broker.say(2, Method.of(MethodType.BASIC_ACK, 1L, false));
@@ -423,7 +424,7 @@
     @Test
     void missingConfirmTimesOutAndALateOneIsReported() {
         broker.lateBy(600);
-        broker.be(Fate.CONFIRM_LATE);
+        broker.setOutcome(PublishOutcome.CONFIRM_LATE);
         send(200_000, 10, "a");
         assertEquals(AttemptOutcome.TIMEOUT, outcomeOf("a"));
         await(() -> lateDeliveries.contains("a"));
@@ -432,7 +433,7 @@
 
     @Test
     void cancelledPublishMayHaveRun() throws Exception {
-        broker.be(Fate.NO_CONFIRM);
+        broker.setOutcome(PublishOutcome.NO_CONFIRM);
         Message message = new Message(
                 1,
                 new Message.Content(
@@ -465,7 +466,7 @@
     @Test
     void lostHeartbeatLeavesUnconfirmedPublishesUnknown() {
         broker.heartbeatSeconds(1);
-        broker.be(Fate.NO_CONFIRM);
+        broker.setOutcome(PublishOutcome.NO_CONFIRM);
         send("a");
         awaitPosted("a");
         broker.freeze(4_000);
@@ -474,12 +475,12 @@
 
     @Test
     void brokerRestartedWithoutState() throws Exception {
-        broker.be(Fate.NO_CONFIRM);
+        broker.setOutcome(PublishOutcome.NO_CONFIRM);
         send("a");
         awaitPosted("a");
         broker.shut();
         assertEquals(AttemptOutcome.RESET, outcomeOf("a"));
-        broker.be(Fate.CONFIRM);
+        broker.setOutcome(PublishOutcome.CONFIRM);
         broker.open(true);
         send("b");
         assertEquals(AttemptOutcome.NOT_SENT, outcomeOf("b"), "its exchange is gone");
@@ -498,7 +499,7 @@
     @Test
     void publishInFlightWhenItsRouteDrainsIsStillConfirmed() throws Exception {
         broker.lateBy(300);
-        broker.be(Fate.CONFIRM_LATE);
+        broker.setOutcome(PublishOutcome.CONFIRM_LATE);
         send("a");
         awaitPosted("a");
         list(Availability.DRAINING, broker.address());
