--- a/src/main/java/loftflow/discovery/EndpointListCodec.java
+++ b/src/main/java/loftflow/discovery/EndpointListCodec.java
@@ -17,7 +17,7 @@
 import loftflow.protocol.DiscoveryProtocol;
 
 /**
- * Creates the paths that request endpoint lists from discovery, and parses the lists from JSON.
+ * Creates the paths that request endpoint lists from discovery, and parses the lists from JSON (PROTOCOL, Discovery).
  *
  * <p>A malformed entry is logged and skipped, so that the other entries still apply. If its endpoint is known, the
  * known entry is used instead, with the new state if that is valid. A full list with an entry that cannot be attributed
--- a/src/main/java/loftflow/fake/FakeClient.java
+++ b/src/main/java/loftflow/fake/FakeClient.java
@@ -8,7 +8,10 @@
 import loftflow.protocol.ClientProtocol;
 import loftflow.protocol.MessageHeaders;
 
-/** A client that sends messages to a relay over HTTP/1.1, one at a time on a persistent connection. */
+/**
+ * A client that sends messages to a relay over HTTP/1.1 (PROTOCOL, Clients to relays), one at a time on a persistent
+ * connection.
+ */
 public final class FakeClient implements AutoCloseable {
     private static final int READ_TIMEOUT_MILLIS = 5000;
 
--- a/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
+++ b/src/main/java/loftflow/fake/FakeDiscoveryAgent.java
@@ -11,8 +11,8 @@
 import loftflow.protocol.DiscoveryProtocol;
 
 /**
- * A discovery agent on a loopback port: serves an endpoint list, answers watch requests when the list changes, and
- * records every completion notice.
+ * A discovery agent on a loopback port (PROTOCOL, Discovery and Notices): serves an endpoint list, answers watch
+ * requests when the list changes, and records every completion notice.
  */
 public final class FakeDiscoveryAgent implements AutoCloseable {
     /** A completion notice. */
--- a/src/main/java/loftflow/fake/FakePartner.java
+++ b/src/main/java/loftflow/fake/FakePartner.java
@@ -10,9 +10,9 @@
 import loftflow.protocol.MessageHeaders;
 
 /**
- * An endpoint of a partner on a loopback port. Accepts calls with a single message up to a rate limit, responds after a
- * configured time, fails on demand, and records every call. Executions are counted by message id, so that a message
- * that took effect twice can be detected.
+ * An endpoint of a partner on a loopback port (PROTOCOL, Relays to hosts). Accepts calls with a single message up to a
+ * rate limit, responds after a configured time, fails on demand, and records every call. Executions are counted by
+ * message id, so that a message that took effect twice can be detected.
  */
 public final class FakePartner implements AutoCloseable {
     /** The behavior for calls. */
--- a/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
+++ b/src/main/java/loftflow/listener/connection/ConnectionLimiter.java
@@ -21,7 +21,10 @@
  * @param <C> the type of a connection
  */
 public final class ConnectionLimiter<C> {
-    /** The minimum age of an incomplete request for eviction: clients time out after 400 ms without a response. */
+    /**
+     * The minimum age of an incomplete request for eviction: clients time out after 400 ms without a response
+     * (PROTOCOL, "Clients to relays").
+     */
     public static final long MIN_INCOMPLETE_MICROS = TimeUnit.MILLISECONDS.toMicros(400);
 
     private final int maxConnections;
--- a/src/main/java/loftflow/listener/request/ClientResponse.java
+++ b/src/main/java/loftflow/listener/request/ClientResponse.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import loftflow.protocol.ClientProtocol;
 
-/** The responses to HTTP clients. None has a body. */
+/** The responses to HTTP clients (PROTOCOL, "Clients to relays"). None has a body. */
 public enum ClientResponse {
     /** The message is accepted: the relay delivers it, or sends a completion notice if it can't. */
     ACCEPTED(HttpResponseStatus.ACCEPTED),
--- a/src/main/java/loftflow/protocol/ClientProtocol.java
+++ b/src/main/java/loftflow/protocol/ClientProtocol.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The names in the HTTP protocol between clients and relays: paths, headers and header fields. Other classes use these
- * constants and never repeat the names.
+ * The names in the HTTP protocol between clients and relays (PROTOCOL, "Clients to relays"): paths, headers and header
+ * fields. Other classes use these constants and never repeat the names.
  */
 public final class ClientProtocol {
     /** Path to which a message is posted; {@code /api/KEY} also sets its ordering key. */
--- a/src/main/java/loftflow/protocol/CompletionProtocol.java
+++ b/src/main/java/loftflow/protocol/CompletionProtocol.java
@@ -1,6 +1,6 @@
 package loftflow.protocol;
 
-/** The names in completion notices to the platform, which replies over AMQP and the completion log use as well. */
+/** The names in completion notices (PROTOCOL, Notices), which replies over AMQP and the completion log use as well. */
 public final class CompletionProtocol {
     /** Path to which notices are posted. */
     public static final String NOTICE_PATH = "/status";
--- a/src/main/java/loftflow/protocol/DiscoveryProtocol.java
+++ b/src/main/java/loftflow/protocol/DiscoveryProtocol.java
@@ -1,6 +1,8 @@
 package loftflow.protocol;
 
-/** The names in the discovery protocol: requests for endpoint lists and the fields of the lists. */
+/**
+ * The names in the discovery protocol (PROTOCOL, Discovery): requests for endpoint lists and the fields of the lists.
+ */
 public final class DiscoveryProtocol {
     /** Path of the endpoint list. */
     public static final String LIST_PATH = "/api/targets";
--- a/src/main/java/loftflow/protocol/HostProtocol.java
+++ b/src/main/java/loftflow/protocol/HostProtocol.java
@@ -1,8 +1,8 @@
 package loftflow.protocol;
 
 /**
- * The names and limits in the HTTP protocol between relays and hosts: paths, headers, JSON fields and message states.
- * Other classes use these constants and never repeat the names.
+ * The names and limits in the HTTP protocol between relays and hosts (PROTOCOL, "Relays to hosts"): paths, headers,
+ * JSON fields and message states. Other classes use these constants and never repeat the names.
  */
 public final class HostProtocol {
     /** Path of a call that carries a single message. */
--- a/src/main/java/loftflow/upstream/http/OutcomeTable.java
+++ b/src/main/java/loftflow/upstream/http/OutcomeTable.java
@@ -4,7 +4,7 @@
 import loftflow.protocol.HostProtocol;
 
 /**
- * Maps complete responses of hosts to the outcomes of the attempts in a call.
+ * Maps complete responses of hosts to the outcomes of the attempts in a call (PROTOCOL, "Relays to hosts").
  *
  * <table>
  * <caption>Failures without a complete response, which {@link UpstreamCall} maps itself</caption>
--- a/src/test/java/loftflow/completion/CompletionNoticeCodecTest.java
+++ b/src/test/java/loftflow/completion/CompletionNoticeCodecTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The JSON encoding of completions: {@code ref}, {@code result} and, for a rejected message, {@code wait_ms}. */
+/**
+ * The JSON encoding of completions (PROTOCOL, Notices): {@code ref}, {@code result} and, for a rejected message,
+ * {@code wait_ms}.
+ */
 class CompletionNoticeCodecTest {
     private static Message completed(Message.Completion.Kind kind, long retryAfterMicros) {
         Message message =
--- a/src/test/java/loftflow/discovery/AmbiguousAgentResponseTest.java
+++ b/src/test/java/loftflow/discovery/AmbiguousAgentResponseTest.java
@@ -36,7 +36,7 @@
 /**
  * Tests responses of the platform's agent that are truncated, malformed or ambiguous (RFC 9112). A response that is not
  * complete and well-formed counts as no response: it neither acknowledges nor rejects a notice and is not a list,
- * because the request can be repeated without harm.
+ * because the request can be repeated without harm (PROTOCOL, Notices and Discovery).
  */
 @Timeout(60)
 class AmbiguousAgentResponseTest {
@@ -458,7 +458,7 @@
         return message;
     }
 
-    /** Status 204 acknowledges a notice. Sending a notice twice is harmless, whereas dropping one may not be. */
+    /** PROTOCOL, Notices: 204 acknowledges a notice. Sending a notice twice is harmless, whereas dropping one may not be. */
     @ParameterizedTest
     @MethodSource("unreadableAcknowledgements")
     void noticeIsSentAgainAfterAnUnreadableAcknowledgement(ScriptedResponse first) throws Exception {
@@ -472,7 +472,7 @@
                 acknowledgementWithField("malformed", "no colon here"));
     }
 
-    /** Status 400 means that the agent cannot read the notice, but only a complete 400 response ends it. */
+    /** PROTOCOL, Notices: 400 means that the agent cannot read the notice; only a complete 400 response ends it. */
     @ParameterizedTest
     @MethodSource("unreadableRejections")
     void noticeIsSentAgainAfterAnUnreadableRejection(ScriptedResponse first) throws Exception {
--- a/src/test/java/loftflow/discovery/EndpointListCodecTest.java
+++ b/src/test/java/loftflow/discovery/EndpointListCodecTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tests the request paths and the parsing of endpoint lists. */
+/** Tests the request paths and the parsing of endpoint lists (PROTOCOL, Discovery). */
 class EndpointListCodecTest {
     private static final String ENTRY = "{\"uid\":\"s-5be2a07c\",\"endpoint\":\"10.1.0.18:8081\",\"az\":\"a\","
             + "\"model\":\"m2\",\"pod_group\":3,\"state\":\"in_service\",\"capacity_hint\":1.5,\"boot_ms\":0}";
--- a/src/test/java/loftflow/listener/http/AmbiguousRequestTest.java
+++ b/src/test/java/loftflow/listener/http/AmbiguousRequestTest.java
@@ -166,7 +166,7 @@
                 withRequestLine("HTTP/1.0 with two lengths", "POST /api HTTP/1.0\r\nContent-Length: 9\r\n"));
     }
 
-    /** A message has one id, key, timeout, class and destination; none of these headers may hold a list. */
+    /** PROTOCOL, "Clients to relays": one id, key, timeout, class and destination; no header may hold a list. */
     static Stream<Case> repeatedFields() {
         String rule = "RFC 9110, 5.2: the value of a field that stands twice is the list of both";
         return Stream.of(
--- a/src/test/java/loftflow/soak/RelayUnderTest.java
+++ b/src/test/java/loftflow/soak/RelayUnderTest.java
@@ -14,7 +14,7 @@
     /** The ports of the relay's listeners. */
     record Ports(int http, int http2, int amqp) {}
 
-    /** The shortest time that the platform leaves a process between SIGTERM and SIGKILL. */
+    /** The shortest time that the platform leaves a process between SIGTERM and SIGKILL (PROTOCOL, Figures). */
     private static final long TERM_TO_KILL_MILLIS = 3_700;
     /** Time from SIGKILL until the platform makes the state folder available again. */
     private static final long FOLDER_UNAVAILABLE_MILLIS = 600;
--- a/src/test/java/loftflow/soak/SoakAgent.java
+++ b/src/test/java/loftflow/soak/SoakAgent.java
@@ -14,7 +14,7 @@
 
 /** Discovery agent of the relay's host: serves endpoint lists, late or not at all at times, and receives notices. */
 final class SoakAgent implements AutoCloseable {
-    /** A change counts as announced at most this long after discovery has it and is reachable. */
+    /** A change counts as announced at most this long after discovery has it and is reachable (PROTOCOL, Figures). */
     private static final long MAX_ANNOUNCEMENT_DELAY_NANOS = TimeUnit.SECONDS.toNanos(6);
 
     private static final long SLOW_MILLIS = 250;
--- a/src/test/java/loftflow/soak/SoakChecks.java
+++ b/src/test/java/loftflow/soak/SoakChecks.java
@@ -12,7 +12,7 @@
 
 /** Checks the history of a run against the rules of the protocol; each finding begins with the name of its rule. */
 final class SoakChecks {
-    /** A completion is due 300 ms after the deadline; each time observed on a socket has a tolerance of 50 ms. */
+    /** A completion is due 300 ms after the deadline; times observed on sockets have a tolerance of 50 ms (PROTOCOL). */
     private static final long COMPLETION_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(300 + 50);
     /** No completion is overdue until 1.5 s after a restarted relay is ready. */
     private static final long RESTART_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500 + 50);
--- a/src/test/java/loftflow/upstream/http/BatchResponseFramingTest.java
+++ b/src/test/java/loftflow/upstream/http/BatchResponseFramingTest.java
@@ -128,8 +128,8 @@
     }
 
     /**
-     * Without a length or chunks, a body is delimited by the end of the connection (RFC 9112, 6.3). The relay treats
-     * that end as a reset, since only a complete response may report the states of several messages.
+     * Without a length or chunks, a body is delimited by the end of the connection (RFC 9112, 6.3). PROTOCOL
+     * defines that end as a reset, and only a complete response may report the states of several messages.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "Connection: close\r\n", "Connection: keep-alive\r\n"})
--- a/src/test/java/loftflow/upstream/http/BatchResponseTest.java
+++ b/src/test/java/loftflow/upstream/http/BatchResponseTest.java
@@ -157,7 +157,7 @@
         assertExecutionUncertain();
     }
 
-    /** Hosts do not respond to a batch with status 410, so it does not complete the messages. */
+    /** PROTOCOL does not allow status 410 for a batch, so it does not complete the messages. */
     @Test
     void goneStatusDoesNotCompleteABatch() {
         sendBatchOfTwo(request -> ScriptedPeer.status(410));
